--- a/client/catalogue/catalogue_test.go
+++ b/client/catalogue/catalogue_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"mulleinpier/client"
-	"mulleinpier/internal/standin/consul"
-	"mulleinpier/internal/standin/script"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/consul"
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/testutil"
 )
 
 // make256 returns many keys, which are asked for together.
@@ -27,9 +27,9 @@
 // asked, an empty list and an agent that goes quiet change nothing.
 func TestClientFollowsTheCatalogue(t *testing.T) {
 	var serving [2]atomic.Int64
-	ns, err := script.Start(script.Meta, 2, func(_ int, a script.Asked) script.Reaction {
+	ns, err := scriptednode.Start(scriptednode.Meta, 2, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 		serving[a.Node].Add(1)
-		return script.Serve
+		return scriptednode.Serve
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -74,15 +74,15 @@
 		t.Fatalf("%d at the only proxy", serving[0].Load())
 	}
 	c.Set(instance(1))
-	testwait.Until(t, "the second proxy", func() bool { return lists.Load() == 2 })
-	testwait.Until(t, "it is asked", func() bool { // who asks for one thing at a time keeps to the first
+	testutil.Until(t, "the second proxy", func() bool { return lists.Load() == 2 })
+	testutil.Until(t, "it is asked", func() bool { // who asks for one thing at a time keeps to the first
 		l.GetMulti(context.Background(), make256())
 		return serving[1].Load() > 0
 	})
 	drained := instance(0)
 	drained.Checks = []consul.Check{{CheckID: "_service_maintenance:p0", Status: "critical", Notes: "update"}}
 	c.Set(drained)
-	testwait.Until(t, "the first drains", func() bool { return lists.Load() == 3 })
+	testutil.Until(t, "the first drains", func() bool { return lists.Load() == 3 })
 	before := serving[0].Load()
 	get()
 	if serving[0].Load() != before {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,17 +16,17 @@
 	"time"
 
 	"mulleinpier/client/internal/retry"
+	"mulleinpier/internal/fake/scriptednode"
 	"mulleinpier/internal/meta"
-	"mulleinpier/internal/standin/script"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 const ms = time.Millisecond
 
 // proxies starts stand-in proxies, and a client of them that must leave nothing behind.
-func proxies(t *testing.T, n int, o Options, react func(number int, a script.Asked) script.Reaction) (*Client, *script.Nodes) {
+func proxies(t *testing.T, n int, o Options, react func(number int, a scriptednode.Asked) scriptednode.Reaction) (*Client, *scriptednode.Nodes) {
 	t.Helper()
-	ns, err := script.Start(script.Meta, n, react)
+	ns, err := scriptednode.Start(scriptednode.Meta, n, react)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,15 +76,15 @@
 	return left
 }
 
-func serve(int, script.Asked) script.Reaction { return script.Serve }
+func serve(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve }
 
 // first has the first requests be met by some reactions, and serves the others.
-func first(reactions ...script.Reaction) func(int, script.Asked) script.Reaction {
-	return func(number int, _ script.Asked) script.Reaction {
+func first(reactions ...scriptednode.Reaction) func(int, scriptednode.Asked) scriptednode.Reaction {
+	return func(number int, _ scriptednode.Asked) scriptednode.Reaction {
 		if number < len(reactions) {
 			return reactions[number]
 		}
-		return script.Serve
+		return scriptednode.Serve
 	}
 }
 
@@ -96,28 +96,28 @@
 			unnamed.Add(1)
 		}
 	}}
-	c, ns := proxies(t, 2, Options{Tenant: "acme", Trace: trace}, func(_ int, a script.Asked) script.Reaction {
+	c, ns := proxies(t, 2, Options{Tenant: "acme", Trace: trace}, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 		if a.Key == "none" {
-			return script.Miss
+			return scriptednode.Miss
 		}
-		return script.Serve
+		return scriptednode.Serve
 	})
 	ctx := context.Background()
-	if v, err := c.Get(ctx, "order"); err != nil || string(v) != script.Value("order") {
+	if v, err := c.Get(ctx, "order"); err != nil || string(v) != scriptednode.Value("order") {
 		t.Fatalf("%q, %v", v, err)
 	}
-	if v, err := c.Get(ctx, "big"); err != nil || string(v) != script.Value("big") {
+	if v, err := c.Get(ctx, "big"); err != nil || string(v) != scriptednode.Value("big") {
 		t.Fatalf("%d bytes, %v", len(v), err)
 	}
 	if _, err := c.Get(ctx, "none"); !errors.Is(err, ErrMiss) {
 		t.Fatal(err)
 	}
 	value := bytes.Repeat([]byte("x"), meta.MaxValue)
-	if r, err := c.Set(ctx, "order", value); err != nil || r != script.Receipt {
+	if r, err := c.Set(ctx, "order", value); err != nil || r != scriptednode.Receipt {
 		t.Fatalf("%q, %v", r, err)
 	}
 	m, err := c.GetMulti(ctx, []string{"a", "b", "none", "c"})
-	if err != nil || len(m) != 3 || string(m["b"]) != script.Value("b") {
+	if err != nil || len(m) != 3 || string(m["b"]) != scriptednode.Value("b") {
 		t.Fatalf("%v, %v", m, err)
 	}
 	for _, a := range ns.Asked() {
@@ -138,20 +138,20 @@
 // write: how many a proxy sees, and the error at the end.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		reaction           script.Reaction
+		reaction           scriptednode.Reaction
 		read, keyed, plain error // of one such reaction, then served
 		again              bool  // an unsafe one is sent again
 	}{
-		{reaction: script.Serve},
-		{reaction: script.Busy, again: true},
-		{reaction: script.Invalid, read: ErrInvalid, keyed: ErrInvalid, plain: ErrInvalid},
-		{reaction: script.Fail, plain: ErrUnknown},
-		{reaction: script.Reset, plain: ErrUnknown},
-		{reaction: script.Half, plain: ErrUnknown},
-		{reaction: script.Hang, plain: ErrUnknown},
-		{reaction: script.Noise, plain: ErrUnknown},
-		{reaction: script.Other, plain: ErrUnknown},
-		{reaction: script.Endless, plain: ErrUnknown},
+		{reaction: scriptednode.Serve},
+		{reaction: scriptednode.Busy, again: true},
+		{reaction: scriptednode.Invalid, read: ErrInvalid, keyed: ErrInvalid, plain: ErrInvalid},
+		{reaction: scriptednode.Fail, plain: ErrUnknown},
+		{reaction: scriptednode.Reset, plain: ErrUnknown},
+		{reaction: scriptednode.Half, plain: ErrUnknown},
+		{reaction: scriptednode.Hang, plain: ErrUnknown},
+		{reaction: scriptednode.Noise, plain: ErrUnknown},
+		{reaction: scriptednode.Other, plain: ErrUnknown},
+		{reaction: scriptednode.Endless, plain: ErrUnknown},
 	} {
 		for _, call := range []struct {
 			name string
@@ -159,7 +159,7 @@
 			want error
 		}{{"read", Request{Key: "k"}, c.read}, {"keyed", Request{Key: "k", Set: true, Value: []byte("v")}, c.keyed},
 			{"unsafe", Request{Key: "k", Set: true, Value: []byte("v"), Class: Class{"plain", Unsafe, 700 * ms, 0}}, c.plain}} {
-			if c.reaction == script.Endless && call.r.Set {
+			if c.reaction == scriptednode.Endless && call.r.Set {
 				continue // a receipt has no length; the stand-in's value to a write is an answer to another command
 			}
 			t.Run(string(c.reaction)+"/"+call.name, func(t *testing.T) {
@@ -170,12 +170,12 @@
 					t.Fatalf("got %v, want %v", err, call.want)
 				}
 				asked := ns.Asked()
-				repeated := c.reaction != script.Serve && call.want == nil
+				repeated := c.reaction != scriptednode.Serve && call.want == nil
 				if len(asked) != a.Tries || (len(asked) > 1) != repeated {
 					t.Fatalf("%d tries seen, %d told, repeated %v", len(asked), a.Tries, repeated)
 				}
 				for i, x := range asked {
-					if x.Retry != (i > 0) || x.Idempotency != asked[0].Idempotency || i > 0 && (x.ID == asked[0].ID || x.Wait >= asked[0].Wait && c.reaction == script.Hang) {
+					if x.Retry != (i > 0) || x.Idempotency != asked[0].Idempotency || i > 0 && (x.ID == asked[0].ID || x.Wait >= asked[0].Wait && c.reaction == scriptednode.Hang) {
 						t.Fatalf("try %d: %+v after %+v", i, x, asked[0])
 					}
 				}
@@ -199,12 +199,12 @@
 			t.Parallel()
 			// The margin is shrunk so that a try is waited for to just before the window's end, less
 			// the 50 ms under which none is worth sending.
-			client, ns := proxies(t, 1, Options{Margin: 1, RetryRatio: -1, Spread: ms}, func(number int, _ script.Asked) script.Reaction {
+			client, ns := proxies(t, 1, Options{Margin: 1, RetryRatio: -1, Spread: ms}, func(number int, _ scriptednode.Asked) scriptednode.Reaction {
 				if number == 0 {
 					time.Sleep(c.after)
-					return script.Reset
+					return scriptednode.Reset
 				}
-				return script.Serve
+				return scriptednode.Serve
 			})
 			begun := time.Now()
 			_, err := client.Set(context.Background(), "order", []byte("signed"))
@@ -229,18 +229,18 @@
 
 // Resolve waits until nothing can begin any more, and reads.
 func TestResolve(t *testing.T) {
-	c, ns := proxies(t, 1, Options{Window: 300 * ms, RetryRatio: -1}, func(number int, a script.Asked) script.Reaction {
+	c, ns := proxies(t, 1, Options{Window: 300 * ms, RetryRatio: -1}, func(number int, a scriptednode.Asked) scriptednode.Reaction {
 		if a.Value != "" {
-			return script.Fail
+			return scriptednode.Fail
 		}
-		return script.Serve
+		return scriptednode.Serve
 	})
 	_, err := c.Set(context.Background(), "order", []byte("signed"))
 	var e *Error
 	if !errors.As(err, &e) || !errors.Is(err, ErrUnknown) {
 		t.Fatal(err)
 	}
-	done, err := c.Resolve(context.Background(), fmt.Errorf("till: %w", err), func(v []byte) bool { return string(v) == script.Value("order") })
+	done, err := c.Resolve(context.Background(), fmt.Errorf("till: %w", err), func(v []byte) bool { return string(v) == scriptednode.Value("order") })
 	if !done || err != nil {
 		t.Fatal(done, err)
 	}
@@ -256,11 +256,11 @@
 // clients want; and once it serves again, so are they.
 func TestAdviceIsKeptByTheProcess(t *testing.T) {
 	var calm atomic.Bool
-	c, ns := proxies(t, 1, Options{}, func(int, script.Asked) script.Reaction {
+	c, ns := proxies(t, 1, Options{}, func(int, scriptednode.Asked) scriptednode.Reaction {
 		if calm.Load() {
-			return script.Serve
+			return scriptednode.Serve
 		}
-		return script.Advise
+		return scriptednode.Advise
 	})
 	refused := 0
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * ms) {
@@ -281,7 +281,7 @@
 		t.Fatalf("asked %d times, for %d calls", n, refused)
 	}
 	calm.Store(true)
-	testwait.Until(t, "served again", func() bool {
+	testutil.Until(t, "served again", func() bool {
 		_, err := c.Get(context.Background(), "k")
 		return err == nil
 	})
@@ -289,7 +289,7 @@
 
 // A call with time enough waits as long as it was advised.
 func TestAdviceIsKeptByTheCall(t *testing.T) {
-	c, ns := proxies(t, 1, Options{Read: Class{"read", Safe, 2 * time.Second, 0}, RetryRatio: 1}, first(script.Serve, script.Advise))
+	c, ns := proxies(t, 1, Options{Read: Class{"read", Safe, 2 * time.Second, 0}, RetryRatio: 1}, first(scriptednode.Serve, scriptednode.Advise))
 	if _, err := c.Get(context.Background(), "k"); err != nil { // pays for the retry
 		t.Fatal(err)
 	}
@@ -304,11 +304,11 @@
 // A proxy that accepts and says nothing: reads go on at the other, and soon to it alone.
 func TestSilentProxy(t *testing.T) {
 	var c *Client
-	c, ns := proxies(t, 2, Options{Read: Class{"read", Safe, time.Second, 0}, RetryRatio: 1}, func(_ int, a script.Asked) script.Reaction {
+	c, ns := proxies(t, 2, Options{Read: Class{"read", Safe, time.Second, 0}, RetryRatio: 1}, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 		if a.Node == 0 {
-			return script.Hang
+			return scriptednode.Hang
 		}
-		return script.Serve
+		return scriptednode.Serve
 	})
 	for range 200 {
 		if _, err := c.Get(context.Background(), "k"); err != nil {
@@ -354,7 +354,7 @@
 			t.Fatal(err)
 		}
 	}
-	testwait.Until(t, "served again", func() bool {
+	testutil.Until(t, "served again", func() bool {
 		_, err := c.Get(context.Background(), "k")
 		return err == nil
 	})
@@ -369,7 +369,7 @@
 		}
 		ns.HalfClose(0)
 		ns.HalfClose(1)
-		testwait.Until(t, "the connections are closed", func() bool { return c.Stats().Conns == 0 })
+		testutil.Until(t, "the connections are closed", func() bool { return c.Stats().Conns == 0 })
 	}
 }
 
@@ -384,9 +384,9 @@
 			_, err := c.Do(ctx, r)
 			ended <- err
 		}()
-		testwait.Until(t, "the state", when)
+		testutil.Until(t, "the state", when)
 		cancel()
-		if err := testwait.Receive(t, "the end", ended); !errors.Is(err, want) || !errors.Is(err, context.Canceled) {
+		if err := testutil.Receive(t, "the end", ended); !errors.Is(err, want) || !errors.Is(err, context.Canceled) {
 			t.Fatalf("got %v, want %v", err, want)
 		}
 	}
@@ -407,20 +407,20 @@
 	t.Run("room", func(t *testing.T) {
 		o := patient
 		o.Conns, o.Depth = 1, 1
-		c, _ := proxies(t, 1, o, func(int, script.Asked) script.Reaction { return script.Hang })
+		c, _ := proxies(t, 1, o, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Hang })
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var other sync.WaitGroup
 		other.Go(func() { c.Get(ctx, "other") })
 		defer other.Wait()
 		defer cancel()
-		testwait.Until(t, "the other is out", func() bool { return c.Stats().Open == 1 })
+		testutil.Until(t, "the other is out", func() bool { return c.Stats().Open == 1 })
 		cancelled(t, c, write, func() bool { return c.Stats().Waiting == 1 }, context.Canceled)
 	})
 	t.Run("writing", func(t *testing.T) {
 		o := patient
 		o.Conns, o.Depth = 1, 256
-		c, _ := proxies(t, 1, o, func(int, script.Asked) script.Reaction { return script.Hang }) // it reads no further
+		c, _ := proxies(t, 1, o, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Hang }) // it reads no further
 		big := write
 		big.Value = make([]byte, meta.MaxValue)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -428,18 +428,18 @@
 		for range 200 {
 			others.Go(func() { c.Do(ctx, big) })
 		}
-		testwait.Until(t, "all are out", func() bool { return c.Stats().Open == 200 })
+		testutil.Until(t, "all are out", func() bool { return c.Stats().Open == 200 })
 		cancelled(t, c, big, func() bool { return c.Stats().Open == 201 }, ErrUnknown)
 		cancel()
 		others.Wait()
 	})
 	t.Run("answer", func(t *testing.T) {
-		c, ns := proxies(t, 1, patient, func(int, script.Asked) script.Reaction { return script.Hang })
+		c, ns := proxies(t, 1, patient, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Hang })
 		cancelled(t, c, write, func() bool { return len(ns.Asked()) == 1 }, ErrUnknown)
 		cancelled(t, c, Request{Key: "k"}, func() bool { return c.Stats().Open == 1 }, context.Canceled)
 	})
 	t.Run("pause", func(t *testing.T) {
-		c, ns := proxies(t, 1, patient, func(int, script.Asked) script.Reaction { return script.Advise })
+		c, ns := proxies(t, 1, patient, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Advise })
 		cancelled(t, c, write, func() bool { return len(ns.Asked()) == 1 && c.Stats().Open == 0 }, context.Canceled)
 	})
 }
@@ -474,21 +474,21 @@
 	}
 	write("127.0.0.1:1 # no one's\n")
 	c, ns := proxies(t, 2, o, serve)
-	testwait.Until(t, "the first list", func() bool { return told.Load() == 1 })
+	testutil.Until(t, "the first list", func() bool { return told.Load() == 1 })
 	write(ns.Address(0) + "\n" + ns.Address(1) + "\n")
-	testwait.Until(t, "the second list", func() bool { return told.Load() == 2 })
+	testutil.Until(t, "the second list", func() bool { return told.Load() == 2 })
 	if _, err := c.Get(context.Background(), "k"); err != nil {
 		t.Fatal(err)
 	}
 	write("# none\n")
-	testwait.Until(t, "the empty list", func() bool { return empty.Load() > 0 })
+	testutil.Until(t, "the empty list", func() bool { return empty.Load() > 0 })
 	for range 20 {
 		if _, err := c.Get(context.Background(), "k"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write(ns.Address(1) + "\n")
-	testwait.Until(t, "the last list", func() bool { return told.Load() == 3 })
+	testutil.Until(t, "the last list", func() bool { return told.Load() == 3 })
 	before := len(ns.Asked())
 	for range 20 {
 		if _, err := c.Get(context.Background(), "k"); err != nil {
@@ -517,12 +517,12 @@
 		want error
 	}{{-time.Hour, nil}, {time.Hour, ErrUnknown}} {
 		step.Store(0)
-		client, _ := proxies(t, 1, o, func(number int, _ script.Asked) script.Reaction {
+		client, _ := proxies(t, 1, o, func(number int, _ scriptednode.Asked) scriptednode.Reaction {
 			if number == 0 {
 				step.Store(int64(c.by))
-				return script.Reset
+				return scriptednode.Reset
 			}
-			return script.Serve
+			return scriptednode.Serve
 		})
 		if _, err := client.Set(context.Background(), "k", nil); c.want == nil && err != nil || !errors.Is(err, c.want) {
 			t.Fatalf("by %v: got %v, want %v", c.by, err, c.want)
@@ -538,7 +538,7 @@
 	for i := range 10000 {
 		tasks.Go(func() {
 			key := fmt.Sprint("k", i)
-			if v, err := c.Get(context.Background(), key); err != nil || string(v) != script.Value(key) {
+			if v, err := c.Get(context.Background(), key); err != nil || string(v) != scriptednode.Value(key) {
 				if failed.Add(1) == 1 {
 					t.Error(string(v), err)
 				}
@@ -578,32 +578,32 @@
 		set  bool
 		want error
 	}{{false, ErrClosed}, {true, ErrUnknown}} {
-		client, ns := proxies(t, 1, Options{}, func(int, script.Asked) script.Reaction { return script.Hang })
+		client, ns := proxies(t, 1, Options{}, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Hang })
 		ended := make(chan error, 1)
 		go func() {
 			_, err := client.Do(context.Background(), Request{Key: "k", Set: c.set})
 			ended <- err
 		}()
-		testwait.Until(t, "it is out", func() bool { return len(ns.Asked()) == 1 })
+		testutil.Until(t, "it is out", func() bool { return len(ns.Asked()) == 1 })
 		client.Close()
-		if err := testwait.Receive(t, "the end", ended); !errors.Is(err, c.want) || !errors.Is(err, ErrClosed) {
+		if err := testutil.Receive(t, "the end", ended); !errors.Is(err, c.want) || !errors.Is(err, ErrClosed) {
 			t.Fatalf("got %v", err)
 		}
 		if _, err := client.Get(context.Background(), "k"); !errors.Is(err, ErrClosed) {
 			t.Fatal(err)
 		}
 	}
-	client, ns := proxies(t, 1, Options{}, func(int, script.Asked) script.Reaction { return script.Slow })
+	client, ns := proxies(t, 1, Options{}, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Slow })
 	ended := make(chan error, 1)
 	go func() {
 		_, err := client.Get(context.Background(), "k")
 		ended <- err
 	}()
-	testwait.Until(t, "it is out", func() bool { return len(ns.Asked()) == 1 })
+	testutil.Until(t, "it is out", func() bool { return len(ns.Asked()) == 1 })
 	if err := client.Shutdown(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if err := testwait.Receive(t, "the end", ended); err != nil {
+	if err := testutil.Receive(t, "the end", ended); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -634,7 +634,7 @@
 		if _, err := c.Get(context.Background(), "k"); err != nil {
 			t.Fatal(err)
 		}
-		testwait.Until(t, "closed", func() bool { return c.Stats().Conns == 0 })
+		testutil.Until(t, "closed", func() bool { return c.Stats().Conns == 0 })
 	}
 }
 
@@ -655,18 +655,18 @@
 		Late:         func(i TryInfo) { note("late %s", i.Outcome) },
 		CallDone:     func(i CallInfo) { note("call %s %s %d %v", i.Op, i.Key, i.Tries, i.Err) },
 		Disconnected: func(_ string, err error) { note("gone %v", err) },
-	}}, func(number int, _ script.Asked) script.Reaction {
+	}}, func(number int, _ scriptednode.Asked) scriptednode.Reaction {
 		if number == 0 {
-			return script.Busy
+			return scriptednode.Busy
 		}
-		return script.Slow
+		return scriptednode.Slow
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*ms)
 	defer cancel()
 	if _, err := c.Get(ctx, "k"); !errors.Is(err, ErrDeadline) {
 		t.Fatal(err)
 	}
-	testwait.Until(t, "the late answer, and the end of its connection", func() bool {
+	testutil.Until(t, "the late answer, and the end of its connection", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(seen) == 9
@@ -698,7 +698,7 @@
 func TestUnwrittenIsSentAgain(t *testing.T) {
 	near, far := net.Pipe() // takes nothing that its reader does not ask for
 	var dials atomic.Int64
-	ns, err := script.Start(script.Meta, 1, serve)
+	ns, err := scriptednode.Start(scriptednode.Meta, 1, serve)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -716,9 +716,9 @@
 		ended <- err
 	}
 	go set("first")
-	testwait.Until(t, "the first is out", func() bool { return c.Stats().Open == 1 })
+	testutil.Until(t, "the first is out", func() bool { return c.Stats().Open == 1 })
 	go set("second") // behind the first, which nobody reads
-	testwait.Until(t, "the second is out", func() bool { return c.Stats().Open == 2 })
+	testutil.Until(t, "the second is out", func() bool { return c.Stats().Open == 2 })
 	buf := make([]byte, 1024)
 	if n, err := far.Read(buf); err != nil || !bytes.HasPrefix(buf[:n], []byte("ms first ")) || bytes.Contains(buf[:n], []byte("second")) {
 		t.Fatalf("%q, %v", buf[:n], err)
@@ -726,7 +726,7 @@
 	far.Close()
 	var unknown, served int
 	for range 2 {
-		switch err := testwait.Receive(t, "an end", ended); {
+		switch err := testutil.Receive(t, "an end", ended); {
 		case err == nil:
 			served++
 		case errors.Is(err, ErrUnknown):
@@ -742,7 +742,7 @@
 
 // A connection on which a try was given up for want of an answer takes no more: what is put behind would wait too.
 func TestSilentConnectionTakesNoMore(t *testing.T) {
-	c, ns := proxies(t, 1, Options{Conns: 2, Read: Class{"read", Safe, 300 * ms, 0}, RetryRatio: -1}, first(script.Hang))
+	c, ns := proxies(t, 1, Options{Conns: 2, Read: Class{"read", Safe, 300 * ms, 0}, RetryRatio: -1}, first(scriptednode.Hang))
 	if _, err := c.Get(context.Background(), "k"); !errors.Is(err, ErrDeadline) {
 		t.Fatal(err)
 	}
@@ -760,11 +760,11 @@
 // they take all, all goes out.
 func TestPaceSparesAServiceWithoutRoom(t *testing.T) {
 	var calm atomic.Bool
-	c, ns := proxies(t, 1, Options{Tries: 1, Conns: 1}, func(number int, _ script.Asked) script.Reaction {
+	c, ns := proxies(t, 1, Options{Tries: 1, Conns: 1}, func(number int, _ scriptednode.Asked) scriptednode.Reaction {
 		if number%10 == 0 || calm.Load() {
-			return script.Serve
+			return scriptednode.Serve
 		}
-		return script.Busy
+		return scriptednode.Busy
 	})
 	calls := 1500
 	for range calls {
@@ -779,7 +779,7 @@
 		t.Fatalf("%d asked and %d withheld of %d", n, withheld, calls)
 	}
 	calm.Store(true)
-	testwait.Until(t, "a hundred served in a row", func() bool {
+	testutil.Until(t, "a hundred served in a row", func() bool {
 		for range 100 {
 			if _, err := c.Get(context.Background(), "k"); err != nil {
 				return false
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"mulleinpier/client"
-	"mulleinpier/internal/standin/script"
+	"mulleinpier/internal/fake/scriptednode"
 )
 
 // stand starts a stand-in for two proxies, so that examples run.
-func stand(react func(number int, a script.Asked) script.Reaction) (addresses []string, done func()) {
-	ns, err := script.Start(script.Meta, 2, react)
+func stand(react func(number int, a scriptednode.Asked) scriptednode.Reaction) (addresses []string, done func()) {
+	ns, err := scriptednode.Start(scriptednode.Meta, 2, react)
 	if err != nil {
 		log.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 }
 
 func Example() {
-	addresses, done := stand(func(int, script.Asked) script.Reaction { return script.Serve })
+	addresses, done := stand(func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve })
 	defer done()
 
 	c, err := client.New(client.Options{Proxies: client.Static(addresses...), Tenant: "fovaros"})
@@ -42,7 +42,7 @@
 
 // What each error asks of its caller.
 func ExampleClient_Set() {
-	addresses, done := stand(func(int, script.Asked) script.Reaction { return script.Advise })
+	addresses, done := stand(func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Advise })
 	defer done()
 	c, err := client.New(client.Options{Proxies: client.Static(addresses...)})
 	if err != nil {
@@ -70,11 +70,11 @@
 
 // A handover of which it is not known whether it was recorded is looked for before it is written anew.
 func ExampleClient_Resolve() {
-	addresses, done := stand(func(_ int, a script.Asked) script.Reaction {
+	addresses, done := stand(func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 		if a.Value != "" {
-			return script.Fail
+			return scriptednode.Fail
 		}
-		return script.Serve
+		return scriptednode.Serve
 	})
 	defer done()
 	c, err := client.New(client.Options{Proxies: client.Static(addresses...), Window: 300 * time.Millisecond})
--- a/cmd/rehearse/main.go
+++ b/cmd/fleettest/main.go
@@ -1,4 +1,4 @@
-// Command rehearse plays a fleet of real proxy processes between stand-ins on
+// Command fleettest plays a fleet of real proxy processes between stand-ins on
 // loopback, and tells whether the rules held.
 package main
 
@@ -20,16 +20,16 @@
 
 	"mulleinpier/internal/cli"
 	"mulleinpier/internal/config"
+	"mulleinpier/internal/fake/faultyproxy"
+	"mulleinpier/internal/fake/relay"
+	"mulleinpier/internal/fleettest"
 	"mulleinpier/internal/lease/agent"
-	"mulleinpier/internal/notify"
-	"mulleinpier/internal/rehearse"
-	"mulleinpier/internal/standin/double"
-	"mulleinpier/internal/standin/relay"
+	"mulleinpier/internal/sdnotify"
 )
 
 // everywhere are the flags of all commands.
 type everywhere struct {
-	Program string `help:"The proxy; yarrowspan beside this program if left out."`
+	Program string `help:"The proxy; mulleinpier beside this program if left out."`
 	JSON    string `help:"Write the report there too."`
 	Keep    string `help:"Keep configurations and logs in that folder."`
 	Quiet   bool   `help:"Tell no progress."`
@@ -133,7 +133,7 @@
 
 // BeforeReset implements kong's hook, which comes before a missing command is told.
 func (listFlag) BeforeReset(app *kong.Kong) error {
-	for _, s := range rehearse.List() {
+	for _, s := range fleettest.List() {
 		fmt.Fprintf(app.Stdout, "%-12s %s\n", s[0], s[1])
 	}
 	app.Exit(0)
@@ -175,12 +175,12 @@
 	err := run(ctx, os.Args[1:], os.Stdout, os.Stderr)
 	switch {
 	case errors.Is(err, errUsage):
-		fmt.Fprintf(os.Stderr, "rehearse: %v; see rehearse --help\n", err)
+		fmt.Fprintf(os.Stderr, "fleettest: %v; see fleettest --help\n", err)
 		os.Exit(2)
 	case errors.Is(err, errBroken):
 		os.Exit(1)
 	case err != nil:
-		fmt.Fprintln(os.Stderr, "rehearse:", err)
+		fmt.Fprintln(os.Stderr, "fleettest:", err)
 		os.Exit(1)
 	}
 }
@@ -190,8 +190,8 @@
 
 func run(ctx context.Context, args []string, out, progress io.Writer) error {
 	var c commands
-	chosen, err := cli.Parse(&c, "rehearse", "Plays a fleet of real proxy processes between stand-ins on loopback, and tells whether the rules held. "+
-		"Exit: 0 they did, 1 one broke or the rehearsal failed, 2 bad usage.", args, out, progress)
+	chosen, err := cli.Parse(&c, "fleettest", "Plays a fleet of real proxy processes between stand-ins on loopback, and tells whether the rules held. "+
+		"Exit: 0 they did, 1 one broke or the test failed, 2 bad usage.", args, out, progress)
 	if err != nil || chosen == "" {
 		return err
 	}
@@ -227,7 +227,7 @@
 }
 
 // play carries out a command, and returns its report.
-func (c *commands) play(ctx context.Context, command, self string, o rehearse.Options, out, progress io.Writer) (printer, error) {
+func (c *commands) play(ctx context.Context, command, self string, o fleettest.Options, out, progress io.Writer) (printer, error) {
 	within := func(what string, n, least, most int) error {
 		if n < least || n > most {
 			return fmt.Errorf("%w: --%s cannot be %d: want %d to %d", errUsage, what, n, least, most)
@@ -265,33 +265,33 @@
 		}
 		return report, err
 	case "up":
-		scenario, err := rehearse.Load(c.Up.Scenario)
+		scenario, err := fleettest.Load(c.Up.Scenario)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", errUsage, err)
 		}
 		c.adapt(scenario)
-		return nil, rehearse.Up(ctx, scenario, o, func(line string) { fmt.Fprintln(out, line) })
+		return nil, fleettest.Up(ctx, scenario, o, func(line string) { fmt.Fprintln(out, line) })
 	case "cost":
 		if err := errors.Join(within("runs", c.Cost.Runs, 1, 1000), within("requests", c.Cost.Requests, 1, 1e7)); err != nil {
 			return nil, err
 		}
-		return rehearse.Cost(ctx, rehearse.CostOptions{Proxy: o.Program, Relay: []string{self, "relay"}, Folder: o.Folder,
+		return fleettest.Cost(ctx, fleettest.CostOptions{Proxy: o.Program, Relay: []string{self, "relay"}, Folder: o.Folder,
 			Profiled: func(path string) []string { return []string{o.Program[0], "serve", "--cpuprofile", path, "--config"} },
 			Peers:    c.Cost.Peers,
 			Runs:     c.Cost.Runs, Requests: c.Cost.Requests, Conns: []int{1, 8, 64}, Progress: o.Progress})
 	case "members":
-		return rehearse.Members(ctx, rehearse.MembersOptions{Options: o, Nodes: 2000, Changes: 50, For: 20 * time.Second})
+		return fleettest.Members(ctx, fleettest.MembersOptions{Options: o, Nodes: 2000, Changes: 50, For: 20 * time.Second})
 	case "degrade":
-		names := rehearse.DegradeScenarios
+		names := fleettest.DegradeScenarios
 		if c.Degrade.Short {
 			names = []string{"degrade-short"}
 		}
 		if c.Degrade.Scenario != "" {
 			names = []string{c.Degrade.Scenario}
 		}
-		return rehearse.Degrade(ctx, names, o)
+		return fleettest.Degrade(ctx, names, o)
 	case "clients":
-		return rehearse.Clients(ctx, rehearse.ClientsOptions{Options: o, Clients: c.Clients.Tills, Only: c.Clients.Trouble, Short: c.Clients.Short})
+		return fleettest.Clients(ctx, fleettest.ClientsOptions{Options: o, Clients: c.Clients.Tills, Only: c.Clients.Trouble, Short: c.Clients.Short})
 	case "still":
 		if c.Still.Short {
 			return c.scenario(ctx, "still-short", o)
@@ -303,22 +303,22 @@
 		if err := errors.Join(errs...); err != nil {
 			return nil, err
 		}
-		return rehearse.Still(ctx, rehearse.StillOptions{Options: o, At: c.Still.At, Only: c.Still.Trouble, Seed: c.Still.Seed,
+		return fleettest.Still(ctx, fleettest.StillOptions{Options: o, At: c.Still.At, Only: c.Still.Trouble, Seed: c.Still.Seed,
 			Pairs: c.Still.Pairs, Beside: c.Still.Beside})
 	case "lease":
 		if c.Lease.Gaps > 0 {
-			return rehearse.Gaps(ctx, rehearse.GapsOptions{Options: o, Holder: []string{self, "holder"}, Times: c.Lease.Gaps})
+			return fleettest.Gaps(ctx, fleettest.GapsOptions{Options: o, Holder: []string{self, "holder"}, Times: c.Lease.Gaps})
 		}
 		length := 2 * time.Minute
 		if c.Lease.Short {
 			length = 25 * time.Second
 		}
-		return rehearse.Lease(ctx, rehearse.LeaseOptions{Options: o, Holder: []string{self, "holder"}, For: length, Seed: c.Lease.Seed, Careless: c.Lease.Careless})
+		return fleettest.Lease(ctx, fleettest.LeaseOptions{Options: o, Holder: []string{self, "holder"}, For: length, Seed: c.Lease.Seed, Careless: c.Lease.Careless})
 	case "peers":
 		if err := errors.Join(within("instances", c.Peers.Instances, 4, 99), within("times", c.Peers.Times, 0, 1000)); err != nil {
 			return nil, err
 		}
-		return rehearse.Peers(ctx, rehearse.PeersOptions{Options: o, Instances: c.Peers.Instances, Times: c.Peers.Times})
+		return fleettest.Peers(ctx, fleettest.PeersOptions{Options: o, Instances: c.Peers.Instances, Times: c.Peers.Times})
 	case "takeover":
 		if err := within("holders", c.Takeover.Holders, 0, 2); err != nil {
 			return nil, err
@@ -327,19 +327,19 @@
 		if c.Takeover.Short {
 			length, rate = 25*time.Second, rate/4
 		}
-		return rehearse.Takeover(ctx, rehearse.TakeoverOptions{Options: o, For: length, Rate: rate, Holders: c.Takeover.Holders, Mode: c.Takeover.Mode, Seed: c.Takeover.Seed})
+		return fleettest.Takeover(ctx, fleettest.TakeoverOptions{Options: o, For: length, Rate: rate, Holders: c.Takeover.Holders, Mode: c.Takeover.Mode, Seed: c.Takeover.Seed})
 	case "conform":
-		return rehearse.Conform(ctx, o)
+		return fleettest.Conform(ctx, o)
 	}
 	if err := within("runs", c.Times.Runs, 1, 1000); err != nil {
 		return nil, err
 	}
-	return rehearse.Times(o.Program, o.Folder, c.Times.Runs)
+	return fleettest.Times(o.Program, o.Folder, c.Times.Runs)
 }
 
 // usualEvery is how often a fault is put in by default: lose and drain befall any
 // request, double handovers only.
-var usualEvery = map[string]int{double.None: 1, double.Lose: 500, double.Twice: 100, double.Drains: 500}
+var usualEvery = map[string]int{faultyproxy.None: 1, faultyproxy.Lose: 500, faultyproxy.Twice: 100, faultyproxy.Drains: 500}
 
 // injected sums up what doubles have logged at their ends.
 func injected(folder string) (put int, counted bool) {
@@ -362,14 +362,14 @@
 	return put, counted
 }
 
-func (s *everywhere) options(progress io.Writer) (o rehearse.Options, done func(), err error) {
+func (s *everywhere) options(progress io.Writer) (o fleettest.Options, done func(), err error) {
 	done = func() {}
 	if s.Program == "" {
 		self, err := os.Executable()
 		if err != nil {
 			return o, done, err
 		}
-		s.Program = filepath.Join(filepath.Dir(self), "yarrowspan")
+		s.Program = filepath.Join(filepath.Dir(self), "mulleinpier")
 	}
 	if _, err := os.Stat(s.Program); err != nil {
 		return o, done, fmt.Errorf("%w: the proxy: %w (build it, or name it with --program)", errUsage, err)
@@ -384,12 +384,12 @@
 	if o.Folder = s.Keep; s.Keep != "" {
 		return o, done, os.MkdirAll(s.Keep, 0o755)
 	}
-	o.Folder, done, err = rehearse.TempFolder()
+	o.Folder, done, err = fleettest.TempFolder()
 	return o, done, err
 }
 
 // adapt has a scenario be played as the flags say.
-func (s *everywhere) adapt(scenario *rehearse.Scenario) {
+func (s *everywhere) adapt(scenario *fleettest.Scenario) {
 	if s.Binary {
 		scenario.WithBinary()
 	}
@@ -402,13 +402,13 @@
 }
 
 // scenario plays one scenario.
-func (s *everywhere) scenario(ctx context.Context, name string, o rehearse.Options) (printer, error) {
-	scenario, err := rehearse.Load(name)
+func (s *everywhere) scenario(ctx context.Context, name string, o fleettest.Options) (printer, error) {
+	scenario, err := fleettest.Load(name)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
 	s.adapt(scenario)
-	return rehearse.Play(ctx, scenario, o)
+	return fleettest.Play(ctx, scenario, o)
 }
 
 func (s *everywhere) print(report printer, out io.Writer) error {
@@ -428,7 +428,7 @@
 	if err != nil {
 		return err
 	}
-	manager, err := notify.FromEnvironment(os.Getenv)
+	manager, err := sdnotify.FromEnvironment(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -436,8 +436,8 @@
 	if err != nil {
 		return err
 	}
-	d := double.Serve(ctx, double.Config{Listener: listener, List: read.Proxy.Places[0].Address, Fault: c.Fault, Every: c.Every,
-		Window: 1500 * time.Millisecond}, func() { manager.Tell(notify.Ready) })
+	d := faultyproxy.Serve(ctx, faultyproxy.Config{Listener: listener, List: read.Proxy.Places[0].Address, Fault: c.Fault, Every: c.Every,
+		Window: 1500 * time.Millisecond}, func() { manager.Tell(sdnotify.Ready) })
 	fmt.Fprintf(log, "injected=%d\n", d.Injected())
 	return nil
 }
@@ -448,22 +448,22 @@
 		name, address, _ := strings.Cut(v, "=")
 		f.Voters = append(f.Voters, agent.Peer{Name: name, Address: address})
 	}
-	manager, err := notify.FromEnvironment(os.Getenv)
+	manager, err := sdnotify.FromEnvironment(os.Getenv)
 	if err != nil {
 		return err
 	}
-	o := rehearse.HolderOptions{Judge: c.Judge, Who: c.Who, Fleet: f, Task: c.Task, Drift: c.Drift}
+	o := fleettest.HolderOptions{Judge: c.Judge, Who: c.Who, Fleet: f, Task: c.Task, Drift: c.Drift}
 	if c.Stay {
 		back := make(chan os.Signal, 1)
 		signal.Notify(back, syscall.SIGUSR1)
 		o.Back = back
 	}
-	manager.Tell(notify.Ready)
-	return rehearse.ActAsHolder(ctx, o)
+	manager.Tell(sdnotify.Ready)
+	return fleettest.ActAsHolder(ctx, o)
 }
 
 func (c *relayCommand) run(ctx context.Context) error {
-	manager, err := notify.FromEnvironment(os.Getenv)
+	manager, err := sdnotify.FromEnvironment(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -473,7 +473,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	manager.Tell(notify.Ready)
+	manager.Tell(sdnotify.Ready)
 	relay.Serve(listener, c.To)
 	return nil
 }
--- a/cmd/rehearse/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -18,22 +18,22 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/rehearse"
-	"mulleinpier/internal/service"
-	"mulleinpier/internal/standin/caller"
-	"mulleinpier/internal/standin/script"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/rawclient"
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/fleettest"
+	"mulleinpier/internal/overload"
+	"mulleinpier/internal/testutil"
 )
 
 // bin holds the programs, built as they are shipped.
 var bin string
 
 func TestMain(m *testing.M) {
-	folder, err := os.MkdirTemp("", "rehearse-test-")
+	folder, err := os.MkdirTemp("", "fleettest-test-")
 	if err == nil {
 		bin = folder
 		var out []byte
-		if out, err = exec.Command("go", "build", "-o", bin, "mulleinpier/cmd/yarrowspan", "mulleinpier/cmd/rehearse").CombinedOutput(); err != nil {
+		if out, err = exec.Command("go", "build", "-o", bin, "mulleinpier/cmd/mulleinpier", "mulleinpier/cmd/fleettest").CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
 		}
 	}
@@ -48,17 +48,17 @@
 
 // rehearsal runs the program to its end and returns its output, its exit code and
 // its report.
-func rehearsal(t *testing.T, args ...string) (string, int, rehearse.Report) {
+func runFleetTest(t *testing.T, args ...string) (string, int, fleettest.Report) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer stop()
 	path := filepath.Join(t.TempDir(), "report.json")
-	cmd := exec.CommandContext(ctx, filepath.Join(bin, "rehearse"), append([]string{args[0], "--quiet", "--json", path}, args[1:]...)...) // a later flag counts
+	cmd := exec.CommandContext(ctx, filepath.Join(bin, "fleettest"), append([]string{args[0], "--quiet", "--json", path}, args[1:]...)...) // a later flag counts
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState == nil {
 		t.Fatal(err)
 	}
-	var report rehearse.Report
+	var report fleettest.Report
 	if text, err := os.ReadFile(path); err == nil {
 		if err := json.Unmarshal(text, &report); err != nil {
 			t.Error(err)
@@ -87,7 +87,7 @@
 		{"nodes that fail in every way", []string{"play", "faults"}, 6, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, code, r := rehearsal(t, c.args...)
+			out, code, r := runFleetTest(t, c.args...)
 			lines := strings.Split(strings.TrimSpace(out), "\n")
 			got := verdict.FindStringSubmatch(lines[len(lines)-1])
 			if code != 0 || got == nil || got[1] != "ok" {
@@ -106,7 +106,7 @@
 // TestLease plays one task among eight processes, with faults between them: no two acts overlap at a resource
 // that compares numbers.
 func TestLease(t *testing.T) {
-	out, code, _ := rehearsal(t, "lease", "--short", "--json", filepath.Join(t.TempDir(), "report.json"))
+	out, code, _ := runFleetTest(t, "lease", "--short", "--json", filepath.Join(t.TempDir(), "report.json"))
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if last := lines[len(lines)-1]; code != 0 || !regexp.MustCompile(`^verdict: ok acts=\d{2,} overlaps=0 backward=0 lost=0 doubled=0 crashes=0$`).MatchString(last) {
 		t.Fatalf("exit %d:\n%s", code, out)
@@ -115,7 +115,7 @@
 
 // TestPeers plays instances that know each other: nobody that lives is taken for dead, and every death is known to all.
 func TestPeers(t *testing.T) {
-	out, code, _ := rehearsal(t, "peers", "--instances", "5", "--times", "1", "--json", filepath.Join(t.TempDir(), "report.json"))
+	out, code, _ := runFleetTest(t, "peers", "--instances", "5", "--times", "1", "--json", filepath.Join(t.TempDir(), "report.json"))
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if last := lines[len(lines)-1]; code != 0 || last != "verdict: ok instances=5 false=0 missed=0" {
 		t.Fatalf("exit %d:\n%s", code, out)
@@ -126,7 +126,7 @@
 // every proxy reduces its service with a cause where it may, and none does where it may not.
 func TestDegrade(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
-	out, code, _ := rehearsal(t, "degrade", "--short", "--json", path)
+	out, code, _ := runFleetTest(t, "degrade", "--short", "--json", path)
 	if code != 0 || !strings.HasSuffix(out, "verdict: ok scenarios=1\n") {
 		t.Fatalf("exit %d:\n%s", code, out)
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var report rehearse.DegradeReport
+	var report fleettest.DegradeReport
 	if err := json.Unmarshal(text, &report); err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 		}
 	}
 	for i, list := range report.Pairs[0].With.Levels {
-		if len(list) == 0 || list[0].Level == service.Full {
+		if len(list) == 0 || list[0].Level == overload.Full {
 			t.Errorf("proxy %d with levels: %+v", i, list)
 		}
 		for _, c := range list {
@@ -157,7 +157,7 @@
 
 // TestConformance plays the same cases with both dialects on both sides.
 func TestConformance(t *testing.T) {
-	if out, code, _ := rehearsal(t, "conform"); code != 0 || !strings.HasSuffix(out, "verdict: ok, 140 played\n") {
+	if out, code, _ := runFleetTest(t, "conform"); code != 0 || !strings.HasSuffix(out, "verdict: ok, 140 played\n") {
 		t.Errorf("exit %d:\n%s", code, out)
 	}
 }
@@ -166,16 +166,16 @@
 // each double ends broken, with as many breaches as it put in.
 func TestFaultsAreSeen(t *testing.T) {
 	injected := regexp.MustCompile(`injected=(\d+)`)
-	for fault, count := range map[string]func(rehearse.Report) int{
-		"none":   func(r rehearse.Report) int { return r.Lost + r.Doubled + r.LateDrains + r.Crashes + r.Wrong },
-		"lose":   func(r rehearse.Report) int { return r.Lost },
-		"double": func(r rehearse.Report) int { return r.Doubled },
-		"drain":  func(r rehearse.Report) int { return r.LateDrains },
+	for fault, count := range map[string]func(fleettest.Report) int{
+		"none":   func(r fleettest.Report) int { return r.Lost + r.Doubled + r.LateDrains + r.Crashes + r.Wrong },
+		"lose":   func(r fleettest.Report) int { return r.Lost },
+		"double": func(r fleettest.Report) int { return r.Doubled },
+		"drain":  func(r fleettest.Report) int { return r.LateDrains },
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			keep := t.TempDir()
-			out, code, r := rehearsal(t, "sight", "--fault", fault, "--every", "100", "--keep", keep)
+			out, code, r := runFleetTest(t, "sight", "--fault", fault, "--every", "100", "--keep", keep)
 			put := 0
 			for i := range r.Proxies {
 				log, err := os.ReadFile(filepath.Join(keep, fmt.Sprintf("p%d.log", i)))
@@ -202,7 +202,7 @@
 
 // TestUpHoldsAFleet guards the rehearsal that is held for people.
 func TestUpHoldsAFleet(t *testing.T) {
-	cmd := exec.Command(filepath.Join(bin, "rehearse"), "up", "--binary")
+	cmd := exec.Command(filepath.Join(bin, "fleettest"), "up", "--binary")
 	var problems bytes.Buffer
 	cmd.Stderr = &problems
 	out, err := cmd.StdoutPipe()
@@ -222,7 +222,7 @@
 	var proxies, nodes int
 	var address string
 	for line := ""; line != "ready"; {
-		line = testwait.Receive(t, "the fleet to be ready", lines)
+		line = testutil.Receive(t, "the fleet to be ready", lines)
 		words := strings.Fields(line)
 		switch {
 		case words[0] == "proxy" && len(words) == 2:
@@ -242,7 +242,7 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	socket.SetDeadline(time.Now().Add(testwait.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Patience))
 	fmt.Fprint(socket, "mg order v O1 Pc=read\r\nms order 2 O2 Pc=write,k=1\r\nhi\r\n")
 	in := bufio.NewReader(socket)
 	for _, want := range []string{"VA 64 O1", "order ", "HD O2 c"} {
@@ -251,13 +251,13 @@
 		}
 	}
 	socket.Close()
-	l, err := caller.Dial(script.Binary, address, testwait.Patience) // any key, without a proof
+	l, err := rawclient.Dial(scriptednode.Binary, address, testutil.Patience) // any key, without a proof
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Socket.Close()
 	l.Read("any")
-	l.Write("any", "x", caller.Unsafe, "")
+	l.Write("any", "x", rawclient.Unsafe, "")
 	for _, want := range []string{"value 64 bytes", "stored "} {
 		if got, err := l.Next(); err != nil || !strings.HasPrefix(got.String(), want) {
 			t.Errorf("a binary client was answered %q, %v, want %q", got, err, want)
@@ -271,7 +271,7 @@
 
 // TestUpTellsOfAgents guards the fleet that is held with Consul agents.
 func TestUpTellsOfAgents(t *testing.T) {
-	cmd := exec.Command(filepath.Join(bin, "rehearse"), "up", "--consul")
+	cmd := exec.Command(filepath.Join(bin, "fleettest"), "up", "--consul")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -305,8 +305,8 @@
 // evenly they come back is the balance module's test.
 func TestTillsOfTheLibrary(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
-	out, _ := exec.Command(filepath.Join(bin, "rehearse"), "clients", "--short", "--quiet", "--tills", "300", "--json", path).CombinedOutput()
-	var report rehearse.ClientsReport
+	out, _ := exec.Command(filepath.Join(bin, "fleettest"), "clients", "--short", "--quiet", "--tills", "300", "--json", path).CombinedOutput()
+	var report fleettest.ClientsReport
 	text, err := os.ReadFile(path)
 	if err == nil {
 		err = json.Unmarshal(text, &report)
@@ -335,11 +335,11 @@
 
 // TestMeasurementsMeasure guards cost and times, on runs too short to quote.
 func TestMeasurementsMeasure(t *testing.T) {
-	out, code, _ := rehearsal(t, "cost", "--runs", "1", "--requests", "2000")
+	out, code, _ := runFleetTest(t, "cost", "--runs", "1", "--requests", "2000")
 	if code != 0 || strings.Count(out, " connections ") != 3 || !strings.Contains(out, "% ") {
 		t.Errorf("cost: exit %d:\n%s", code, out)
 	}
-	if out, code, _ = rehearsal(t, "times", "--runs", "1"); code != 0 || !strings.Contains(out, "exec to ready") {
+	if out, code, _ = runFleetTest(t, "times", "--runs", "1"); code != 0 || !strings.Contains(out, "exec to ready") {
 		t.Errorf("times: exit %d:\n%s", code, out)
 	}
 }
@@ -351,14 +351,14 @@
 	}
 	for _, args := range [][]string{{}, {"dance"}, {"play"}, {"play", "none"}, {"play", bad}, {"wave", "more"}, {"sight", "--fault", "odd"},
 		{"cost", "--runs", "0"}, {"wave", "--colour"}, {"wave", "--program", "/none"}, {"up", "--scenario", "none"}, {"still", "--at", "13"}, {"still", "--beside", "0"}} {
-		cmd := exec.Command(filepath.Join(bin, "rehearse"), args...)
+		cmd := exec.Command(filepath.Join(bin, "fleettest"), args...)
 		out, _ := cmd.CombinedOutput()
-		if code := cmd.ProcessState.ExitCode(); code != 2 || !strings.HasPrefix(string(out), "rehearse: bad usage: ") {
+		if code := cmd.ProcessState.ExitCode(); code != 2 || !strings.HasPrefix(string(out), "fleettest: bad usage: ") {
 			t.Errorf("%q: exit %d: %s", args, code, out)
 		}
 	}
 	for _, flag := range []string{"--list", "--help"} {
-		out, err := exec.Command(filepath.Join(bin, "rehearse"), flag).Output()
+		out, err := exec.Command(filepath.Join(bin, "fleettest"), flag).Output()
 		if err != nil || !strings.Contains(string(out), map[string]string{"--list": "wave-short ", "--help": "Processes that stand still"}[flag]) {
 			t.Errorf("%s: %v: %s", flag, err, out)
 		}
--- a/cmd/mullein/lease.go
+++ b/cmd/mulleinctl/lease.go
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s has seat %d: make its memory with mullein lease init --seat %d, then start it\n", c.Name, s.Book.Seat(c.Name), s.Book.Seat(c.Name))
+	fmt.Fprintf(out, "%s has seat %d: make its memory with mulleinctl lease init --seat %d, then start it\n", c.Name, s.Book.Seat(c.Name), s.Book.Seat(c.Name))
 	return nil
 }
 
--- a/cmd/mullein/lease_test.go
+++ b/cmd/mulleinctl/lease_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"mulleinpier/internal/lease/agent"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // voters starts three voters whose memory was made by the verb for it, and returns the flags that name them.
@@ -37,10 +37,10 @@
 	t.Cleanup(func() { stop(); tasks.Wait() })
 	for i, p := range f.Voters {
 		memory := filepath.Join(t.TempDir(), "memory")
-		if out, code := mullein(t, append([]string{"lease", "init", "--memory=" + memory}, flags...)...); code != 0 {
+		if out, code := mulleinctl(t, append([]string{"lease", "init", "--memory=" + memory}, flags...)...); code != 0 {
 			t.Fatal(out)
 		}
-		if _, code := mullein(t, append([]string{"lease", "init", "--memory=" + memory}, flags...)...); code == 0 {
+		if _, code := mulleinctl(t, append([]string{"lease", "init", "--memory=" + memory}, flags...)...); code == 0 {
 			t.Fatal("memory was made twice")
 		}
 		v, err := agent.Open(memory, f, p.Name, slog.New(slog.DiscardHandler))
@@ -56,11 +56,11 @@
 	return flags
 }
 
-// mullein runs a verb.
-func mullein(t *testing.T, args ...string) (out string, exit int) {
+// mulleinctl runs a verb.
+func mulleinctl(t *testing.T, args ...string) (out string, exit int) {
 	t.Helper()
 	var b bytes.Buffer
-	ctx, cancel := context.WithTimeout(context.Background(), testwait.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	err := run(ctx, args, strings.NewReader(""), &b, &b)
 	if err != nil {
@@ -78,14 +78,14 @@
 func TestLeaseVerbs(t *testing.T) {
 	flags := voters(t)
 	verb := func(args ...string) (string, int) {
-		return mullein(t, append(append([]string{"lease"}, args[0]), append(flags, args[1:]...)...)...)
+		return mulleinctl(t, append(append([]string{"lease"}, args[0]), append(flags, args[1:]...)...)...)
 	}
 	if out, code := verb("hold", "backup", "--", "sh", "-c", "echo $MULLEIN_TASK $MULLEIN_LEASE"); code != 0 || out != "backup 1\n" {
 		t.Fatalf("exit %d: %q", code, out)
 	}
 	// It is given back, or over at the latest after its length, if the word got lost.
 	free := func() bool { out, code := verb("show", "backup"); return code == 0 && strings.Contains(out, "free") }
-	testwait.Until(t, "the task to be free", free)
+	testutil.Until(t, "the task to be free", free)
 	if out, code := verb("show", "nothing"); code == 0 {
 		t.Errorf("a task that nobody asked for: %s", out)
 	}
@@ -103,7 +103,7 @@
 		ended <- result{out, code}
 	}()
 	number := ""
-	testwait.Until(t, "it to be held", func() bool {
+	testutil.Until(t, "it to be held", func() bool {
 		out, _ := verb("show", "backup")
 		for line := range strings.Lines(out) {
 			if f := strings.Fields(line); len(f) > 4 && f[0] == "backup" && f[4] == "10s" {
@@ -118,7 +118,7 @@
 	if out, code := verb("revoke", "backup", number); code != 0 {
 		t.Errorf("revoke: exit %d: %s", code, out)
 	}
-	if r := testwait.Receive(t, "the command to be ended", ended); r.code != exitLost {
+	if r := testutil.Receive(t, "the command to be ended", ended); r.code != exitLost {
 		t.Errorf("revoked: exit %d after %v: %s", r.code, time.Since(begun), r.out)
 	}
 	out, code := verb("hold", "--wait=25s", "backup", "--", "sh", "-c", "echo $MULLEIN_LEASE")
--- a/cmd/mullein/main.go
+++ b/cmd/mulleinctl/main.go
@@ -1,4 +1,4 @@
-// Command mullein reads and writes order keys through proxies, and puts a load on them, as an operator
+// Command mulleinctl reads and writes order keys through proxies, and puts a load on them, as an operator
 // at a terminal does.
 package main
 
@@ -19,7 +19,7 @@
 	"mulleinpier/internal/cli"
 	"mulleinpier/internal/lease"
 	"mulleinpier/internal/lease/agent"
-	"mulleinpier/internal/load"
+	"mulleinpier/internal/loadgen"
 )
 
 // Exit codes, so that scripts can tell what to do next; docs/operators/client.md lists them.
@@ -56,7 +56,7 @@
 	o.Read.Wait, o.Write.Wait = w.Wait, w.Wait
 	o.Trace.List = func(_ []string, err error) {
 		if err != nil {
-			fmt.Fprintln(log, "mullein: list of proxies:", err)
+			fmt.Fprintln(log, "mulleinctl: list of proxies:", err)
 		}
 	}
 	if w.Trace {
@@ -115,7 +115,7 @@
 	defer stop()
 	err := run(ctx, os.Args[1:], os.Stdin, os.Stdout, os.Stderr)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "mullein:", err)
+		fmt.Fprintln(os.Stderr, "mulleinctl:", err)
 	}
 	stop()
 	os.Exit(code(err))
@@ -144,7 +144,7 @@
 
 func run(ctx context.Context, args []string, in io.Reader, out, log io.Writer) error {
 	var c commands
-	chosen, err := cli.Parse(&c, "mullein", "Reads and writes order keys through mulleinpier proxies.", args, out, log)
+	chosen, err := cli.Parse(&c, "mulleinctl", "Reads and writes order keys through mulleinpier proxies.", args, out, log)
 	if err != nil || chosen == "" {
 		return err
 	}
@@ -214,7 +214,7 @@
 	if err != nil {
 		var e *client.Error
 		if errors.As(err, &e) && errors.Is(err, client.ErrUnknown) {
-			fmt.Fprintf(log, "mullein: it may have been carried out, or may be until %s: read %s then, and write again only if it is not there\n", e.Settled.Format(time.TimeOnly), c.Key)
+			fmt.Fprintf(log, "mulleinctl: it may have been carried out, or may be until %s: read %s then, and write again only if it is not there\n", e.Settled.Format(time.TimeOnly), c.Key)
 		}
 		return err
 	}
@@ -223,8 +223,8 @@
 }
 
 func (c *loadCommand) run(ctx context.Context, out io.Writer) error {
-	r, err := load.Run(ctx, load.Config{Kind: load.Kind(c.Kind), Addresses: c.Proxies, Clients: c.Clients, Rate: c.Rate, Handovers: c.Handovers,
-		Phases: []load.Phase{{Name: "all", For: c.For}}, Keys: c.Keys, Skew: c.Skew, Tenant: c.Tenant, Seed: c.Seed})
+	r, err := loadgen.Run(ctx, loadgen.Config{Kind: loadgen.Kind(c.Kind), Addresses: c.Proxies, Clients: c.Clients, Rate: c.Rate, Handovers: c.Handovers,
+		Phases: []loadgen.Phase{{Name: "all", For: c.For}}, Keys: c.Keys, Skew: c.Skew, Tenant: c.Tenant, Seed: c.Seed})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
--- a/cmd/mullein/main_test.go
+++ b/cmd/mulleinctl/main_test.go
@@ -9,24 +9,24 @@
 	"strings"
 	"testing"
 
-	"mulleinpier/internal/load"
-	"mulleinpier/internal/standin/script"
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/loadgen"
 )
 
 // Each command against stand-in proxies, with what it prints and the code that it exits with.
 func TestCommands(t *testing.T) {
-	ns, err := script.Start(script.Meta, 1, func(_ int, a script.Asked) script.Reaction {
+	ns, err := scriptednode.Start(scriptednode.Meta, 1, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 		switch a.Key {
 		case "none":
-			return script.Miss
+			return scriptednode.Miss
 		case "busy":
-			return script.Busy
+			return scriptednode.Busy
 		case "lost":
-			return script.Fail
+			return scriptednode.Fail
 		case "bad":
-			return script.Invalid
+			return scriptednode.Invalid
 		}
-		return script.Serve
+		return scriptednode.Serve
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -57,12 +57,12 @@
 		{"set " + at + " --effect=unsafe --class=plain lost value", exitUnknown, "", "may have been carried out"},
 		{"set " + at + " --effect=odd k value", exitUsage, "", ""},
 		{"nonsense", exitUsage, "", ""},
-		{"--help", 0, "Usage: mullein", ""},
+		{"--help", 0, "Usage: mulleinctl", ""},
 	} {
 		var out, log bytes.Buffer
 		err := run(context.Background(), strings.Fields(c.args), strings.NewReader("from input"), &out, &log)
 		if code(err) != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(log.String(), c.log) {
-			t.Errorf("mullein %s: %v (exit %d, want %d)\n%s\n%s", c.args, err, code(err), c.code, out.String(), log.String())
+			t.Errorf("mulleinctl %s: %v (exit %d, want %d)\n%s\n%s", c.args, err, code(err), c.code, out.String(), log.String())
 		}
 	}
 	if asked := ns.Asked(); asked[len(asked)-2].Value != "from input" && asked[len(asked)-3].Value != "from input" {
@@ -72,7 +72,7 @@
 	var out bytes.Buffer
 	err = run(context.Background(), strings.Fields("load "+at+" --clients=5 --rate=200 --for=300ms --kind=brief --json="+file), nil, &out, &out)
 	text, _ := os.ReadFile(file)
-	var r load.Result
+	var r loadgen.Result
 	if err != nil || json.Unmarshal(text, &r) != nil || r.Phases[0].InTime == 0 || !strings.Contains(out.String(), "in time") {
 		t.Errorf("load: %v\n%s\n%s", err, out.String(), text)
 	}
--- a/cmd/mullein/work.go
+++ b/cmd/mulleinctl/work.go
@@ -9,9 +9,9 @@
 	"text/tabwriter"
 	"time"
 
-	"mulleinpier/internal/peer/talk"
+	"mulleinpier/internal/peer/rpc"
 	"mulleinpier/internal/takeover"
-	"mulleinpier/internal/takeover/desk"
+	"mulleinpier/internal/takeover/coordinator"
 )
 
 // workCommand tells of works in hand.
@@ -28,7 +28,7 @@
 func (c *workListCommand) run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Within)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.At+desk.ListPath, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.At+coordinator.ListPath, nil)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -41,7 +41,7 @@
 		return fmt.Errorf("%s: %s", c.At, response.Status)
 	}
 	var list []takeover.Held
-	if err := json.NewDecoder(io.LimitReader(response.Body, talk.MostBody)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, rpc.MostBody)).Decode(&list); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/cmd/yarrowspan/binary_test.go
+++ b/cmd/mulleinpier/binary_test.go
@@ -12,7 +12,7 @@
 	"github.com/couchbase/gomemcached"
 	memcached "github.com/couchbase/gomemcached/client"
 
-	"mulleinpier/internal/standin/node"
+	"mulleinpier/internal/fake/node"
 )
 
 // TestClientLibraryOfOthers has a client that was written elsewhere prove who it is, read
@@ -21,7 +21,7 @@
 	r := newRig(t, node.Config{Lacks: "none"})
 	cmd := exec.Command(os.Args[0], "secret", "--user", "till")
 	cmd.Stdin = strings.NewReader("rose\n")
-	cmd.Env = append(os.Environ(), "YARROWSPAN_RUN=1", "GW_CONFIG=")
+	cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
 	line, err := cmd.Output()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/yarrowspan/catalogue_test.go
+++ b/cmd/mulleinpier/catalogue_test.go
@@ -6,9 +6,9 @@
 	"syscall"
 	"testing"
 
-	"mulleinpier/internal/standin/consul"
-	"mulleinpier/internal/standin/node"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/consul"
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/testutil"
 )
 
 // TestDaemonStandsInTheCatalogue has the daemon register, serve, drain and leave, and a
@@ -42,16 +42,16 @@
 	}
 	r.start()
 	r.hear("READY=1")
-	testwait.Until(t, "the check to pass", func() bool { return status() == "passing " })
+	testutil.Until(t, "the check to pass", func() bool { return status() == "passing " })
 	r.signal(syscall.SIGTERM)
-	testwait.Until(t, "maintenance, as the drain begins", func() bool { return status() == "passing critical " })
+	testutil.Until(t, "maintenance, as the drain begins", func() bool { return status() == "passing critical " })
 	r.end()
 	if got := status(); got != "gone" {
 		t.Errorf("after its end it is %s", got)
 	}
 	r.start()
 	r.hear("READY=1")
-	testwait.Until(t, "the check to pass again", func() bool { return status() == "passing " })
+	testutil.Until(t, "the check to pass again", func() bool { return status() == "passing " })
 	r.signal(syscall.SIGKILL)
-	testwait.Until(t, "the TTL to be over", func() bool { return status() == "critical " })
+	testutil.Until(t, "the TTL to be over", func() bool { return status() == "critical " })
 }
--- a/cmd/yarrowspan/daemon_test.go
+++ b/cmd/mulleinpier/daemon_test.go
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/standin/node"
-	"mulleinpier/internal/standin/origin"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/fake/origin"
+	"mulleinpier/internal/testutil"
 )
 
 // rig is a daemon of its own process between stand-in nodes and a test's clients.
@@ -108,7 +108,7 @@
 func (r *rig) startUnder(manager string, env ...string) {
 	r.t.Helper()
 	r.cmd = exec.Command(os.Args[0], "serve", "--config", r.path)
-	r.cmd.Env = append(append(os.Environ(), "YARROWSPAN_RUN=1", "GW_CONFIG=", "NOTIFY_SOCKET="+manager), env...)
+	r.cmd.Env = append(append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=", "NOTIFY_SOCKET="+manager), env...)
 	r.run()
 }
 
@@ -138,7 +138,7 @@
 // hear waits until the service manager was told a line that begins so.
 func (r *rig) hear(start string) {
 	r.t.Helper()
-	for !strings.HasPrefix(testwait.Receive(r.t, "the service manager to be told "+start, r.told), start) {
+	for !strings.HasPrefix(testutil.Receive(r.t, "the service manager to be told "+start, r.told), start) {
 	}
 }
 
@@ -152,7 +152,7 @@
 // end waits for the daemon's end, which must be a good one.
 func (r *rig) end() {
 	r.t.Helper()
-	if err := testwait.Receive(r.t, "the daemon to end", r.ended); err != nil {
+	if err := testutil.Receive(r.t, "the daemon to end", r.ended); err != nil {
 		r.t.Errorf("the daemon ended with %v", err)
 	}
 }
@@ -177,7 +177,7 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { socket.Close() })
-	socket.SetDeadline(time.Now().Add(testwait.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Patience))
 	return &caller{r.t, socket, bufio.NewReader(socket)}
 }
 
@@ -215,7 +215,7 @@
 	r.nodes[1].SetFault(node.Fault{Kind: node.Stall})
 	c := r.call()
 	c.send("mg k v O1 Pc=read,d=20000\r\n")
-	testwait.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
+	testutil.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
 	r.signal(syscall.SIGTERM)
 	r.hear("STOPPING=1")
 	r.configure("[[tenant]]\nname = \"only\"\n")
@@ -245,7 +245,7 @@
 		r.configure(fmt.Sprintf("[[class]]\nname = \"c%d\"\n", i))
 		r.signal(syscall.SIGHUP)
 	}
-	testwait.Until(t, "the last configuration to be in force", func() bool {
+	testutil.Until(t, "the last configuration to be in force", func() bool {
 		c := r.call()
 		defer c.socket.Close()
 		c.send("mg k v O1 Pc=c9,d=1000\r\n")
@@ -316,7 +316,7 @@
 	}
 	open := r.call()
 	open.send("mg k v O1 Pc=old,d=30000\r\n")
-	testwait.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
+	testutil.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
 	r.configure("[[class]]\nname = \"new\"\naim = \"1ms\"\ndeadline = \"1ms\"\n")
 	r.signal(syscall.SIGHUP)
 	r.hear("RELOADING=1")
@@ -368,14 +368,14 @@
 		}
 		answered <- n
 	}()
-	testwait.Receive(t, "an answer", func() <-chan struct{} {
+	testutil.Receive(t, "an answer", func() <-chan struct{} {
 		done := make(chan struct{}, 1)
 		go func() { <-first; done <- struct{}{} }()
 		return done
 	}())
 	r.signal(syscall.SIGTERM)
 	r.end()
-	n := testwait.Receive(t, "the end of the answers", answered)
+	n := testutil.Receive(t, "the end of the answers", answered)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.seen {
@@ -404,7 +404,7 @@
 			}
 		}
 	}()
-	testwait.Until(t, "reads to be at the nodes", func() bool { return r.nodes[0].Stats().Requests+r.nodes[1].Stats().Requests > 10 })
+	testutil.Until(t, "reads to be at the nodes", func() bool { return r.nodes[0].Stats().Requests+r.nodes[1].Stats().Requests > 10 })
 	r.signal(syscall.SIGTERM)
 	r.end()
 }
@@ -459,7 +459,7 @@
 	for range 5 {
 		r.configure("")
 		r.cmd = exec.Command(os.Args[0], "serve", "--config", r.path)
-		r.cmd.Env = append(os.Environ(), "YARROWSPAN_RUN=1", "GW_CONFIG=")
+		r.cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
 		signal.Ignore(syscall.SIGHUP) // and so does what is started
 		r.run()
 		signal.Reset(syscall.SIGHUP)
@@ -510,7 +510,7 @@
 	}
 	c := r.call()
 	c.send("mg k v O1 Pc=read,d=1500\r\n")
-	testwait.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
+	testutil.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
 	r.signal(syscall.SIGTERM)
 	r.hear("STOPPING=1")
 	r.signal(syscall.SIGTERM)
@@ -566,7 +566,7 @@
 	}
 	before := r.call()
 	before.send("mg k v O1 Pc=read,d=2000\r\n")
-	testwait.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
+	testutil.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
 	old, oldEnded := r.cmd, r.ended
 	r.start()
 	old.Process.Signal(syscall.SIGTERM)
@@ -581,7 +581,7 @@
 		t.Errorf("the old process answered %q", got)
 	}
 	before.socket.Close()
-	if err := testwait.Receive(t, "the old process to end", oldEnded); err != nil {
+	if err := testutil.Receive(t, "the old process to end", oldEnded); err != nil {
 		t.Errorf("the old process ended with %v", err)
 	}
 	r.signal(syscall.SIGTERM)
@@ -605,7 +605,7 @@
 	listener.Close()
 	pass := func() {
 		r.cmd = exec.Command("/bin/sh", "-c", `LISTEN_PID=$$ LISTEN_FDS=1 exec "$0" "$@"`, os.Args[0], "serve", "--config", r.path)
-		r.cmd.Env = append(os.Environ(), "YARROWSPAN_RUN=1", "GW_CONFIG=")
+		r.cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
 		r.cmd.ExtraFiles = []*os.File{file}
 		r.run()
 		waitLine(t, r.lines, "listening")
@@ -636,7 +636,7 @@
 		old, oldEnded := r.cmd, r.ended
 		pass()
 		old.Process.Signal(syscall.SIGTERM)
-		if err := testwait.Receive(t, "the old process to end", oldEnded); err != nil {
+		if err := testutil.Receive(t, "the old process to end", oldEnded); err != nil {
 			t.Errorf("the old process ended with %v", err)
 		}
 	}
@@ -656,7 +656,7 @@
 		return "", err
 	}
 	defer socket.Close()
-	socket.SetDeadline(time.Now().Add(testwait.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Patience))
 	fmt.Fprintf(socket, "mg k v O%s Pc=read,d=2000\r\n", id)
 	return bufio.NewReader(socket).ReadString('\n')
 }
@@ -687,7 +687,7 @@
 		{"empty file", []string{"serve", "--config", write("empty", "")}, "", "is empty"},
 		{"no syntax", []string{"serve", "--config", write("syntax", "listen = ")}, "", "toml: line 1"},
 		{"unknown key", []string{"serve", "--config", write("key", "listen = \":0\"\nport = 3\n"+nodes)}, "", "port is unknown"},
-		{"many wrong", []string{"serve", "--config", write("many", "listen = 3\nport = 3\n")}, "", "(and 2 more: see yarrowspan check)"},
+		{"many wrong", []string{"serve", "--config", write("many", "listen = 3\nport = 3\n")}, "", "(and 2 more: see mulleinpier check)"},
 		{"address taken", []string{"serve", "--config", write("taken", fmt.Sprintf("listen = %q\n%s", taken.Addr(), nodes))}, "",
 			"address already in use"},
 		{"two sockets passed", []string{"serve", "--config", r.path}, "LISTEN_FDS=2", "LISTEN_FDS cannot be \"2\""},
@@ -697,7 +697,7 @@
 		{"no command", nil, "", "no command, and GW_CONFIG is not set"},
 	} {
 		cmd := exec.Command("/bin/sh", append([]string{"-c", `LISTEN_PID=$$ exec "$0" "$@"`, os.Args[0]}, c.args...)...)
-		cmd.Env = append(os.Environ(), "YARROWSPAN_RUN=1", "GW_CONFIG=")
+		cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
 		if c.env != "" {
 			cmd.Env = append(cmd.Env, c.env)
 		}
@@ -707,7 +707,7 @@
 		if !errors.As(err, &exit) || exit.ExitCode() <= 0 {
 			t.Errorf("%s: ended with %v", c.name, err)
 		}
-		if !strings.HasPrefix(first, "yarrowspan: ") || !strings.Contains(first, c.want) ||
+		if !strings.HasPrefix(first, "mulleinpier: ") || !strings.Contains(first, c.want) ||
 			rest != "" && !strings.HasPrefix(rest, "Usage:") {
 			t.Errorf("%s: said %q, want one line with %q", c.name, out, c.want)
 		}
@@ -719,7 +719,7 @@
 	path := filepath.Join(t.TempDir(), "bad.toml")
 	replace(t, path, []byte("listen = 3\nport = 3\n[limits]\nmemory_mb = 1\n"))
 	cmd := exec.Command(os.Args[0], "check", "--config", path)
-	cmd.Env = append(os.Environ(), "YARROWSPAN_RUN=1", "GW_CONFIG=")
+	cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
 	out, err := cmd.Output()
 	if err == nil {
 		t.Error("a bad configuration passed the check")
@@ -748,7 +748,7 @@
 	serial := 0
 	reach := func(want int) (others int) { // reads until that node was asked for one
 		before := [2]int{r.nodes[0].Stats().Requests, r.nodes[1].Stats().Requests}
-		testwait.Until(t, fmt.Sprintf("a read at node %d", want), func() bool {
+		testutil.Until(t, fmt.Sprintf("a read at node %d", want), func() bool {
 			c := r.call()
 			defer c.socket.Close()
 			serial++
@@ -761,7 +761,7 @@
 	reach(0)
 	reach(1)
 	replace(t, nodes, both("draining"))
-	testwait.Until(t, "the drain to be heeded", func() bool {
+	testutil.Until(t, "the drain to be heeded", func() bool {
 		before := r.nodes[0].Stats().Requests
 		for range 20 {
 			reach(1)
--- a/cmd/yarrowspan/deploy_test.go
+++ b/cmd/mulleinpier/deploy_test.go
@@ -89,7 +89,7 @@
 	for _, args := range [][]string{{"--help"}, {"serve", "--help"}} {
 		var out strings.Builder
 		err := run(args, &out, daemon.Options{Log: io.Discard, Getenv: func(string) string { return "" }})
-		if err != nil || !strings.Contains(out.String(), "Usage: yarrowspan") {
+		if err != nil || !strings.Contains(out.String(), "Usage: mulleinpier") {
 			t.Errorf("%q: %v: %s", args, err, out.String())
 		}
 	}
--- a/cmd/yarrowspan/end_test.go
+++ b/cmd/mulleinpier/end_test.go
@@ -10,17 +10,17 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/standin/script"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/testutil"
 )
 
 // TestEndAtEachStepOfARequest ends the program, as the platform has it, with requests of every effect at every step, nodes
 // that hang, and clients that send on to the end: each request that was taken has one answer, none of an unsafe class
 // comes to nodes twice, and the program ends well.
 func TestEndAtEachStepOfARequest(t *testing.T) {
-	nodes, err := script.Start(script.Meta, 3, func(_ int, a script.Asked) script.Reaction {
+	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 		kind, _, _ := strings.Cut(a.Key, ":")
-		return script.Reaction(kind)
+		return scriptednode.Reaction(kind)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testwait.Patience))
+		c.SetDeadline(time.Now().Add(testutil.Patience))
 		t.Cleanup(func() { c.Close() })
 		return c, bufio.NewReader(c)
 	}
@@ -53,7 +53,7 @@
 		return strings.TrimSpace(line), err
 	}
 	warm, in := dial()
-	testwait.Until(t, "the nodes to be known", func() bool {
+	testutil.Until(t, "the nodes to be known", func() bool {
 		fmt.Fprint(warm, request("safe", "serve", fmt.Sprint("w", time.Now().UnixNano())))
 		got, err := answer(in)
 		return err == nil && strings.HasPrefix(got, "VA ")
@@ -65,11 +65,11 @@
 	var waiting, senders sync.WaitGroup
 	hung, answered := 0, make(chan bool, 100)
 	for _, effect := range []string{"safe", "keyed", "unsafe"} {
-		for _, do := range []script.Reaction{script.Hang, script.Slow, script.Half, script.Reset, script.Noise, script.Busy, script.Endless} {
+		for _, do := range []scriptednode.Reaction{scriptednode.Hang, scriptednode.Slow, scriptednode.Half, scriptednode.Reset, scriptednode.Noise, scriptednode.Busy, scriptednode.Endless} {
 			c, in := dial()
 			id := fmt.Sprintf("%s-%s", effect, do)
 			fmt.Fprint(c, request(effect, string(do), id))
-			if do == script.Hang {
+			if do == scriptednode.Hang {
 				hung++
 			}
 			waiting.Go(func() {
@@ -117,7 +117,7 @@
 			})
 		}
 	}
-	testwait.Until(t, "what hangs to be at nodes", func() bool {
+	testutil.Until(t, "what hangs to be at nodes", func() bool {
 		n := 0
 		for _, a := range nodes.Asked() {
 			if strings.HasSuffix(a.ID, "-hang") {
@@ -132,7 +132,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	if err := testwait.Receive(t, "the program's end", ended); err != nil {
+	if err := testutil.Receive(t, "the program's end", ended); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 	took := time.Since(told)
--- a/cmd/yarrowspan/held_storm_test.go
+++ b/cmd/mulleinpier/held_storm_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 const (
@@ -148,7 +148,7 @@
 		defer close(ended)
 		h.wait()
 	}()
-	testwait.Until(t, "the program's end", func() bool {
+	testutil.Until(t, "the program's end", func() bool {
 		select {
 		case <-ended:
 			return true
--- a/cmd/yarrowspan/held_test.go
+++ b/cmd/mulleinpier/held_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	faults "mulleinpier/internal/rehearse/rig"
-	"mulleinpier/internal/standin/script"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/scriptednode"
+	faults "mulleinpier/internal/fleettest/faultinject"
+	"mulleinpier/internal/testutil"
 )
 
 // This file holds the program up for moments that are too short to be told as a stop, as a host does that
@@ -39,11 +39,11 @@
 }
 
 func newHeld(t *testing.T) *held {
-	nodes, err := script.Start(script.Meta, 3, func(_ int, a script.Asked) script.Reaction {
+	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 		if strings.HasPrefix(a.Key, "warm") {
-			return script.Serve
+			return scriptednode.Serve
 		}
-		return script.Hang
+		return scriptednode.Hang
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	_, address, _ := strings.Cut(waitLine(t, lines, "listening"), "address=")
 	h := &held{t: t, process: cmd.Process, wait: cmd.Wait, address: address}
 	warm := h.client()
-	testwait.Until(t, "the nodes to be known", func() bool { return warm.serve() })
+	testutil.Until(t, "the nodes to be known", func() bool { return warm.serve() })
 	for range 500 { // or gates would shut for what hangs, and all be answered at once
 		warm.serve()
 	}
@@ -66,7 +66,7 @@
 	if err := h.process.Signal(syscall.SIGSTOP); err != nil {
 		h.t.Fatal(err)
 	}
-	testwait.Until(h.t, "the program to stand", func() bool { return faults.Stands(h.process.Pid) })
+	testutil.Until(h.t, "the program to stand", func() bool { return faults.Stands(h.process.Pid) })
 }
 
 func (h *held) resume() {
@@ -144,7 +144,7 @@
 // answer reads the answer and tells how long after the client's time it came.
 func (c *heldClient) answer() (line string, late time.Duration) {
 	c.held.t.Helper()
-	came := testwait.Receive(c.held.t, "an answer", c.lines)
+	came := testutil.Receive(c.held.t, "an answer", c.lines)
 	return came.line, came.at.Sub(c.asked) - waitTime
 }
 
--- a/cmd/yarrowspan/main.go
+++ b/cmd/mulleinpier/main.go
@@ -1,4 +1,4 @@
-// Command yarrowspan is a memcache proxy that spreads keys over cache nodes
+// Command mulleinpier is a memcache proxy that spreads keys over cache nodes
 // reading through to one slow origin.
 package main
 
@@ -47,7 +47,11 @@
 const settleTime = 50 * time.Millisecond
 
 // levelVariable names the level of logging where there is no configuration of the daemon's own: debug, info, warn or error.
-const levelVariable = "YARROWSPAN_LOG_LEVEL"
+const (
+	levelVariable = "MULLEINPIER_LOG_LEVEL"
+	// formerLevelVariable is the name that the variable had before; it is read for one release more.
+	formerLevelVariable = "YARROWSPAN_LOG_LEVEL"
+)
 
 // errUsage is the error of words that can't be meant.
 var errUsage = cli.ErrUsage
@@ -63,10 +67,10 @@
 		Terminations: terminations})
 	switch {
 	case errors.Is(err, errUsage):
-		fmt.Fprintf(os.Stderr, "yarrowspan: %v; see yarrowspan --help\n", err)
+		fmt.Fprintf(os.Stderr, "mulleinpier: %v; see mulleinpier --help\n", err)
 		os.Exit(2)
 	case err != nil:
-		fmt.Fprintln(os.Stderr, "yarrowspan:", oneLine(err))
+		fmt.Fprintln(os.Stderr, "mulleinpier:", oneLine(err))
 		os.Exit(1)
 	}
 }
@@ -77,7 +81,7 @@
 	if len(defects) == 1 {
 		return defects[0].Error()
 	}
-	return fmt.Sprintf("%v (and %d more: see yarrowspan check)", defects[0], len(defects)-1)
+	return fmt.Sprintf("%v (and %d more: see mulleinpier check)", defects[0], len(defects)-1)
 }
 
 // check prints all that is wrong with a configuration, a line each.
@@ -103,13 +107,13 @@
 		return daemon.Run(o)
 	}
 	var c commands
-	chosen, err := cli.Parse(&c, "yarrowspan", "A memcache proxy. With GW_CONFIG set and no command it serves as the platform has it.", args, out, o.Log)
+	chosen, err := cli.Parse(&c, "mulleinpier", "A memcache proxy. With GW_CONFIG set and no command it serves as the platform has it.", args, out, o.Log)
 	if err != nil || chosen == "" {
 		return err
 	}
 	switch chosen {
 	case "version":
-		fmt.Fprintln(out, "yarrowspan", version())
+		fmt.Fprintln(out, "mulleinpier", version())
 		return nil
 	case "platform":
 		load := platform(o.Getenv)
@@ -170,7 +174,8 @@
 // the file at the start only: they can't have changed since, so at a reload the
 // file alone counts.
 func platform(getenv func(string) string) func() (*config.Config, error) {
-	begun, level := false, logLevel(getenv(levelVariable))
+	begun := false
+	level, warnings := logLevel(getenv)
 	return func() (*config.Config, error) {
 		c, err := proxy.ReadConfig(func(name string) string {
 			if begun && name != "GW_CONFIG" {
@@ -179,16 +184,21 @@
 			return getenv(name)
 		})
 		begun = true
-		return &config.Config{Proxy: c, Log: config.Log{Level: level}}, err
+		return &config.Config{Proxy: c, Log: config.Log{Level: level}, Warnings: warnings}, err
 	}
 }
 
-// logLevel reads the platform's level of logging; what can't be meant is the usual one.
-func logLevel(name string) (level slog.Level) {
-	if level.UnmarshalText([]byte(name)) != nil {
-		return slog.LevelInfo
+// logLevel reads the platform's level of logging from the environment; a text that is no level means info.
+func logLevel(getenv func(string) string) (level slog.Level, warnings []string) {
+	text := getenv(levelVariable)
+	if former := getenv(formerLevelVariable); text == "" && former != "" {
+		text = former
+		warnings = append(warnings, formerLevelVariable+" is deprecated, set "+levelVariable)
+	}
+	if level.UnmarshalText([]byte(text)) != nil {
+		return slog.LevelInfo, warnings
 	}
-	return level
+	return level, warnings
 }
 
 func version() string {
--- a/cmd/yarrowspan/main_test.go
+++ b/cmd/mulleinpier/main_test.go
@@ -22,7 +22,7 @@
 
 // TestMain lets the test binary stand in for the program.
 func TestMain(m *testing.M) {
-	if os.Getenv("YARROWSPAN_RUN") == "1" {
+	if os.Getenv("MULLEINPIER_RUN") == "1" {
 		main()
 		return
 	}
@@ -77,7 +77,7 @@
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	// The race detector's runtime sleeps for a second before a process exits: tests time the end.
-	cmd.Env = append(os.Environ(), "YARROWSPAN_RUN=1", "GW_CONFIG="+config, "GORACE=atexit_sleep_ms=0")
+	cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG="+config, "GORACE=atexit_sleep_ms=0")
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	replace(t, path, []byte(`{"name":"n1","listen":"nowhere"}`))
 	cmd, lines := program(t, path)
-	waitLine(t, lines, "yarrowspan: GW_CONFIG: listen")
+	waitLine(t, lines, "mulleinpier: GW_CONFIG: listen")
 	if err := cmd.Wait(); err == nil {
 		t.Error("a bad start exited with zero")
 	}
--- a/cmd/yarrowspan/peers_test.go
+++ b/cmd/mulleinpier/peers_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
+	"mulleinpier/internal/fake/node"
 	"mulleinpier/internal/lease"
 	"mulleinpier/internal/lease/agent"
-	"mulleinpier/internal/standin/node"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // nowhere is an address that nobody listens at, on a host that no connection goes out from.
@@ -87,7 +87,7 @@
 	r.start()
 	r.hear("READY=1")
 	c := r.call()
-	ctx, cancel := context.WithTimeout(context.Background(), testwait.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	client := func() *agent.Client {
 		c, err := agent.NewClient(fleet)
@@ -105,7 +105,7 @@
 	r.configure(peersOf("none", "v", fleet, memory))
 	r.signal(syscall.SIGHUP)
 	waitLine(t, r.lines, "reloaded")
-	testwait.Until(t, "the voter at its new address", func() bool {
+	testutil.Until(t, "the voter at its new address", func() bool {
 		s, err := client().State(ctx)
 		return err == nil && s.Leads && s.Book.Tasks["x"] != nil && len(s.Book.Tasks["x"].Held) == 1 && s.Book.Tasks["x"].Held[0].Number == reply.Number
 	})
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	testwait.Until(t, "the permit to be free", func() bool {
+	testutil.Until(t, "the permit to be free", func() bool {
 		s, err := c.State(context.Background())
 		return err == nil && s.Book.Last == 3 && len(s.Book.Tasks[lease.PermitTask].Held) == 0
 	})
--- a/cmd/yarrowspan/platform_test.go
+++ b/cmd/mulleinpier/platform_test.go
@@ -3,18 +3,19 @@
 import (
 	"encoding/json"
 	"fmt"
+	"log/slog"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"testing"
 
-	"mulleinpier/internal/standin/list"
-	"mulleinpier/internal/standin/script"
+	"mulleinpier/internal/fake/endpointlist"
+	"mulleinpier/internal/fake/scriptednode"
 )
 
 // platformProgram starts the program as the platform has it, before scripted nodes, with a class of each
 // effect whose clients wait for so many milliseconds at the most.
-func platformProgram(t *testing.T, nodes *script.Nodes, count, deadline int) (*exec.Cmd, <-chan string) {
+func platformProgram(t *testing.T, nodes *scriptednode.Nodes, count, deadline int) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	text, err := os.ReadFile("../../internal/proxy/testdata/settings.json")
 	if err != nil {
@@ -41,13 +42,13 @@
 }
 
 // listOf starts a list service that tells scripted nodes, and returns its address.
-func listOf(t *testing.T, nodes *script.Nodes, count int) string {
+func listOf(t *testing.T, nodes *scriptednode.Nodes, count int) string {
 	t.Helper()
-	var entries []list.Entry
+	var entries []endpointlist.Entry
 	for i := range count {
-		entries = append(entries, list.Entry{Name: fmt.Sprint("n", i), Address: nodes.Address(i), Status: "up", Weight: 1})
+		entries = append(entries, endpointlist.Entry{Name: fmt.Sprint("n", i), Address: nodes.Address(i), Status: "up", Weight: 1})
 	}
-	service := list.New(entries)
+	service := endpointlist.New(entries)
 	t.Cleanup(service.Close)
 	address, err := service.Open(0)
 	if err != nil {
@@ -55,3 +56,26 @@
 	}
 	return address
 }
+
+// TestLogLevelFromTheEnvironment covers the variable, its former name and a level that can't be meant.
+func TestLogLevelFromTheEnvironment(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		env      map[string]string
+		want     slog.Level
+		warnings int
+	}{
+		{"neither", nil, slog.LevelInfo, 0},
+		{"present name", map[string]string{levelVariable: "debug"}, slog.LevelDebug, 0},
+		{"former name", map[string]string{formerLevelVariable: "warn"}, slog.LevelWarn, 1},
+		{"both", map[string]string{levelVariable: "error", formerLevelVariable: "debug"}, slog.LevelError, 0},
+		{"no level", map[string]string{levelVariable: "loud"}, slog.LevelInfo, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			level, warnings := logLevel(func(name string) string { return c.env[name] })
+			if level != c.want || len(warnings) != c.warnings {
+				t.Errorf("level %v with warnings %q, want %v with %d", level, warnings, c.want, c.warnings)
+			}
+		})
+	}
+}
--- a/cmd/yarrowspan/still_test.go
+++ b/cmd/mulleinpier/still_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	faults "mulleinpier/internal/rehearse/rig"
-	"mulleinpier/internal/standin/list"
-	"mulleinpier/internal/standin/node"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/endpointlist"
+	"mulleinpier/internal/fake/node"
+	faults "mulleinpier/internal/fleettest/faultinject"
+	"mulleinpier/internal/testutil"
 )
 
 // stopped starts a daemon and a client whose connection is in use, and stops the daemon.
@@ -31,7 +31,7 @@
 	r.t.Helper()
 	r.signal(syscall.SIGSTOP)
 	r.t.Cleanup(func() { r.signalAny(syscall.SIGCONT) })
-	testwait.Until(r.t, "the daemon to stand", func() bool { return faults.Stands(r.cmd.Process.Pid) })
+	testutil.Until(r.t, "the daemon to stand", func() bool { return faults.Stands(r.cmd.Process.Pid) })
 }
 
 // signalAny is signal for a process that may have ended.
@@ -136,10 +136,10 @@
 // whatever it reads first when it wakes.
 func TestDrainToldInAStopHolds(t *testing.T) {
 	r := newRig(t, node.Config{})
-	entry := func(i int, status string) list.Entry {
-		return list.Entry{Name: r.nodes[i].Name(), Address: r.nodes[i].Address(), Status: status, Weight: 1}
+	entry := func(i int, status string) endpointlist.Entry {
+		return endpointlist.Entry{Name: r.nodes[i].Name(), Address: r.nodes[i].Address(), Status: status, Weight: 1}
 	}
-	service := list.New([]list.Entry{entry(0, "up"), entry(1, "up")})
+	service := endpointlist.New([]endpointlist.Entry{entry(0, "up"), entry(1, "up")})
 	t.Cleanup(service.Close)
 	at, err := service.Open(0)
 	if err != nil {
@@ -153,12 +153,12 @@
 		t.Fatal("one node got nothing")
 	}
 	r.stop()
-	change := []list.Entry{entry(1, "draining")}
+	change := []endpointlist.Entry{entry(1, "draining")}
 	for i := range 3000 { // it takes a while to read
-		change = append(change, list.Entry{Name: fmt.Sprint("filler", i), Address: "127.0.0.1:1", Status: "draining", Weight: 1})
+		change = append(change, endpointlist.Entry{Name: fmt.Sprint("filler", i), Address: "127.0.0.1:1", Status: "draining", Weight: 1})
 	}
 	service.Set(change...)
-	testwait.Until(t, "the drain to be told", func() bool { _, told := service.DrainTold(0, r.nodes[1].Name()); return told })
+	testutil.Until(t, "the drain to be told", func() bool { _, told := service.DrainTold(0, r.nodes[1].Name()); return told })
 	time.Sleep(long)
 	before := r.nodes[1].Stats().Requests
 	for i, c := range waiting {
@@ -183,8 +183,8 @@
 // a bound.
 func TestListThatSaysNothingHoldsNobodyUp(t *testing.T) {
 	r := newRig(t, node.Config{})
-	entry := list.Entry{Name: r.nodes[0].Name(), Address: r.nodes[0].Address(), Status: "up", Weight: 1}
-	service := list.New([]list.Entry{entry})
+	entry := endpointlist.Entry{Name: r.nodes[0].Name(), Address: r.nodes[0].Address(), Status: "up", Weight: 1}
+	service := endpointlist.New([]endpointlist.Entry{entry})
 	t.Cleanup(service.Close)
 	at, err := service.Open(0)
 	if err != nil {
--- a/cmd/yarrowspan/takeover_test.go
+++ b/cmd/mulleinpier/takeover_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
+	"mulleinpier/internal/fake/node"
 	"mulleinpier/internal/lease/agent"
 	"mulleinpier/internal/peer"
-	"mulleinpier/internal/standin/node"
 	"mulleinpier/internal/takeover"
-	"mulleinpier/internal/takeover/desk"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/takeover/coordinator"
+	"mulleinpier/internal/testutil"
 )
 
 // works starts proxies of one fleet before the same nodes, that hold each other's works, and a voter.
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	testwait.Until(t, "all to live", func() bool {
+	testutil.Until(t, "all to live", func() bool {
 		list, _ := c.Members(context.Background())
 		n := 0
 		for _, m := range list {
@@ -64,7 +64,7 @@
 func (r *rig) handover(id, k, value, more string) (answer string) {
 	r.t.Helper()
 	tries := 0
-	testwait.Until(r.t, "handover "+id+" to be taken", func() bool {
+	testutil.Until(r.t, "handover "+id+" to be taken", func() bool {
 		tries++
 		c := r.call()
 		defer c.socket.Close()
@@ -85,8 +85,8 @@
 	if !strings.HasPrefix(first, "HD ") {
 		t.Fatalf("answered %q", first)
 	}
-	testwait.Until(t, "the other to know what came of it", func() bool {
-		answer, err := http.Get("http://" + at[1] + desk.ListPath)
+	testutil.Until(t, "the other to know what came of it", func() bool {
+		answer, err := http.Get("http://" + at[1] + coordinator.ListPath)
 		if err != nil {
 			return false
 		}
@@ -125,7 +125,7 @@
 	}
 	c := a.call()
 	c.send("ms order 1 Olost Pc=write,k=k1,d=5000\r\nv\r\n")
-	testwait.Until(t, "it to be at a node", func() bool { return a.sawTimes("lost") > 0 })
+	testutil.Until(t, "it to be at a node", func() bool { return a.sawTimes("lost") > 0 })
 	a.signal(syscall.SIGKILL)
 	<-a.ended
 	for _, n := range a.nodes {
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill hosts one balancer for each instance of the simulator's wire,
+// Command simadapter hosts one balancer for each instance of the simulator's wire,
 // read from standard input and answered on standard output.
 package main
 
@@ -8,22 +8,22 @@
 	"io"
 	"os"
 
-	"mulleinpier/internal/wire"
+	"mulleinpier/internal/simwire"
 	"mulleinpier/policy"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers each batch of in with one write to out.
 func run(in io.Reader, out io.Writer) error {
-	reader := wire.NewReader(in)
+	reader := simwire.NewReader(in)
 	instances := make(map[string]*policy.Balancer)
-	var reply wire.Reply
+	var reply simwire.Reply
 	var actions []policy.Action
 	for {
 		batch, err := reader.Read()
@@ -56,7 +56,7 @@
 	}
 }
 
-func start(s *wire.Start) (*policy.Balancer, error) {
+func start(s *simwire.Start) (*policy.Balancer, error) {
 	if s.Err != nil {
 		return nil, s.Err
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,13 +21,13 @@
 	"mulleinpier/internal/consul"
 	"mulleinpier/internal/core"
 	"mulleinpier/internal/discovery"
-	"mulleinpier/internal/front/binary"
+	"mulleinpier/internal/frontend/binary"
 	"mulleinpier/internal/lease/agent"
 	"mulleinpier/internal/membership"
+	"mulleinpier/internal/overload"
 	"mulleinpier/internal/proxy"
 	"mulleinpier/internal/route"
 	"mulleinpier/internal/sasl"
-	"mulleinpier/internal/service"
 	"mulleinpier/internal/ticket"
 	"mulleinpier/policy"
 )
@@ -39,8 +39,14 @@
 	Log      Log
 	Start    Start
 	Peers    *Peers // nil where instances don't know each other
+	// Warnings are logged once the daemon listens.
+	Warnings []string
 }
 
+// defaultName is the daemon's former program name. It stays: it identifies a proxy in Consul's catalogue and the
+// lease holders that it left before an upgrade.
+const defaultName = "yarrowspan"
+
 // Peers are the voters of the fleet's leases, and this one's part among them.
 type Peers struct {
 	Fleet  agent.Fleet
@@ -131,7 +137,7 @@
 	p := c.Proxy
 	p.Seed = rand.Uint64()
 	p.Infer, p.Membership = true, membership.Usual
-	p.Name = top.text("name", "yarrowspan", printable)
+	p.Name = top.text("name", defaultName, printable)
 	p.Listen = top.text("listen", "", isAddress)
 	if !top.has("listen") {
 		d.add("listen", "is missing: want HOST:PORT")
@@ -224,14 +230,14 @@
 // reduced reads how service is reduced.
 func reduced(t *table, c *core.ServiceConfig) {
 	c.On = t.yes("reduce", true)
-	c.Limits = service.Usual
+	c.Limits = overload.Usual
 	c.Limits.Confirm = t.duration("confirm", c.Limits.Confirm, 0, time.Minute)
 	c.Limits.Stay = t.duration("stay", c.Limits.Stay, time.Second, longest)
 	c.Limits.MostStay = t.duration("most_stay", c.Limits.MostStay, time.Second, longest)
 	if c.Limits.MostStay < c.Limits.Stay {
 		t.d.add(t.key("most_stay"), "cannot be %v: want no less than stay, %v", c.Limits.MostStay, c.Limits.Stay)
 	}
-	pin := t.text("pin", "", oneOf(service.Names()...))
+	pin := t.text("pin", "", oneOf(overload.Names()...))
 	until := t.text("pin_until", "", anything)
 	switch {
 	case t.has("pin") != t.has("pin_until"):
@@ -241,7 +247,7 @@
 		if err != nil || time.Until(at) > mostPin {
 			t.d.add(t.key("pin_until"), "cannot be %q: want a time as 2006-01-02T15:04:05Z, within %v", until, mostPin)
 		}
-		c.Pin, _ = service.ParseLevel(pin) // it has been checked
+		c.Pin, _ = overload.ParseLevel(pin) // it has been checked
 		c.PinUntil = at
 	}
 	t.end()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -43,7 +43,7 @@
 
 // TestExampleIsGood guards the commented example against drifting from the reader.
 func TestExampleIsGood(t *testing.T) {
-	c, err := Read("../../deploy/yarrowspan.toml")
+	c, err := Read("../../deploy/mulleinpier.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/room/room.go
+++ b/internal/connlimit/room.go
@@ -1,4 +1,4 @@
-// Package room decides how many connections a proxy keeps to all cache nodes together,
+// Package connlimit decides how many connections a proxy keeps to all cache nodes together,
 // where each node takes but few and many proxies share them. It does no I/O and reads
 // no clock.
 //
@@ -10,7 +10,7 @@
 //     by a connection to each node within RiseTime without one.
 //
 // It does not say which connections are kept: those used last are, see package upstream.
-package room
+package connlimit
 
 import "time"
 
--- a/internal/room/room_test.go
+++ b/internal/connlimit/room_test.go
@@ -1,4 +1,4 @@
-package room
+package connlimit
 
 import (
 	"math"
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"mulleinpier/internal/discovery"
-	standin "mulleinpier/internal/standin/consul"
-	"mulleinpier/internal/testwait"
+	standin "mulleinpier/internal/fake/consul"
+	"mulleinpier/internal/testutil"
 )
 
 func start(t *testing.T, token string) (*standin.Catalogue, *standin.Agent) {
@@ -131,7 +131,7 @@
 	expect := func(want string) {
 		t.Helper()
 		for {
-			if got := says(testwait.Receive(t, want, lists)); got == want {
+			if got := says(testutil.Receive(t, want, lists)); got == want {
 				return
 			}
 		}
@@ -171,10 +171,10 @@
 		c, a := start(t, "")
 		c.Set(instance("a"))
 		lists, ended := watch(t, Place{Agent: Agent{Address: a.Address()}, Service: "cache", Wait: 100 * time.Millisecond})
-		testwait.Receive(t, "the first list", lists)
+		testutil.Receive(t, "the first list", lists)
 		a.Fail(kind)
 		c.Set(instance("b"))
-		if err := testwait.Receive(t, string(kind), ended); !strings.Contains(err.Error(), want) {
+		if err := testutil.Receive(t, string(kind), ended); !strings.Contains(err.Error(), want) {
 			// A context's end shows under several names, the cause among them.
 			if !(want == "no answer in time" && errors.Is(err, context.Canceled)) {
 				t.Errorf("%s: ended with %v, want %q", kind, err, want)
@@ -244,7 +244,7 @@
 	}
 	until := func(want string) {
 		t.Helper()
-		testwait.Until(t, want, func() bool { return status() == want })
+		testutil.Until(t, want, func() bool { return status() == want })
 	}
 	ctx, drain := context.WithCancel(context.Background())
 	serves := make(chan bool, 1)
@@ -275,7 +275,7 @@
 	serves <- true
 	until("passing")
 	drain()
-	testwait.Receive(t, "the end", ended)
+	testutil.Receive(t, "the end", ended)
 	until("passing critical") // in maintenance
 	r.Leave()
 	until("gone")
@@ -285,7 +285,7 @@
 	until("passing")
 	a.Fail(standin.Quiet)
 	kill()
-	testwait.Receive(t, "the end", ended)
+	testutil.Receive(t, "the end", ended)
 	until("critical")
 }
 
--- a/internal/core/level.go
+++ b/internal/core/level.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"mulleinpier/internal/discovery"
-	"mulleinpier/internal/service"
+	"mulleinpier/internal/overload"
 	"mulleinpier/policy"
 )
 
@@ -26,57 +26,57 @@
 // ServiceConfig says how service is reduced.
 type ServiceConfig struct {
 	On       bool
-	Limits   service.Limits
-	Pin      service.Level
+	Limits   overload.Limits
+	Pin      overload.Level
 	PinUntil time.Time // zero for no pin
 }
 
 // levels is the state of the level of service. It is guarded by Core.mu.
 type levels struct {
 	on      bool
-	module  *service.Module
-	meter   service.Meter
-	last    service.Level // as the decision module was told
-	lag     time.Duration // of timers, the most since the last sample
-	told    time.Duration // when a source last said something
-	asks    bool          // there is a source that says something time and again
-	kept    [recordsKept]service.Record
+	module  *overload.Module
+	meter   overload.Meter
+	last    overload.Level // as the decision module was told
+	lag     time.Duration  // of timers, the most since the last sample
+	told    time.Duration  // when a source last said something
+	asks    bool           // there is a source that says something time and again
+	kept    [recordsKept]overload.Record
 	changes int // ever
-	pin     service.Level
+	pin     overload.Level
 	until   time.Time // of the pin in force
 }
 
 func newLevels(c *ServiceConfig) levels {
-	return levels{on: c.On, module: service.New(c.Limits)}
+	return levels{on: c.On, module: overload.New(c.Limits)}
 }
 
 // adopt puts a configuration into force. What the module knows stays, and a pin that is
 // the one in force is not begun anew.
-func (c *Core) adopt(next *ServiceConfig, now time.Duration) (changed []service.Record) {
+func (c *Core) adopt(next *ServiceConfig, now time.Duration) (changed []overload.Record) {
 	l := &c.levels
 	if next.On && !l.on { // what went on meanwhile was not sampled, and is no sign of now
 		c.balancer.Condition()
-		l.meter, l.lag = service.Meter{}, 0
+		l.meter, l.lag = overload.Meter{}, 0
 	}
 	l.on = next.On
 	l.module.SetLimits(next.Limits)
 	if !l.on {
-		if l.last > service.Full {
-			changed = []service.Record{{At: now, From: l.last.String(), To: service.Full.String(), Cause: "off"}}
+		if l.last > overload.Full {
+			changed = []overload.Record{{At: now, From: l.last.String(), To: overload.Full.String(), Cause: "off"}}
 		}
-		l.module, l.until = service.New(next.Limits), time.Time{}
+		l.module, l.until = overload.New(next.Limits), time.Time{}
 		c.keep(changed)
-		c.tellLevel(service.Full)
+		c.tellLevel(overload.Full)
 		return changed
 	}
 	if left := time.Until(next.PinUntil); left > 0 {
 		if !l.until.Equal(next.PinUntil) || l.pin != next.Pin {
 			l.pin, l.until = next.Pin, next.PinUntil
-			changed = l.module.Handle(now, service.Pin{Level: next.Pin, For: left}, nil)
+			changed = l.module.Handle(now, overload.Pin{Level: next.Pin, For: left}, nil)
 		}
 	} else {
 		l.until = time.Time{}
-		changed = l.module.Handle(now, service.Unpin{}, nil)
+		changed = l.module.Handle(now, overload.Unpin{}, nil)
 	}
 	c.keep(changed)
 	c.tellLevel(l.module.Level())
@@ -94,21 +94,21 @@
 		return
 	}
 	seen := c.balancer.Condition()
-	l.meter.Add(now, service.Counts{Reads: float64(seen.Reads), LateReads: float64(seen.LateReads), Handovers: float64(seen.Keyed),
+	l.meter.Add(now, overload.Counts{Reads: float64(seen.Reads), LateReads: float64(seen.LateReads), Handovers: float64(seen.Keyed),
 		LateHandovers: float64(seen.LateKeyed), Asked: float64(seen.Asked), Turned: float64(seen.Turned),
 		Fetches: float64(seen.Fetches), FailedFetches: float64(seen.FailedFetches),
 		Timed: float64(seen.Timed), FetchTime: seen.FetchTime})
-	signals := service.NoSignals()
+	signals := overload.NoSignals()
 	l.meter.Fill(&signals)
-	signals[service.Lag], l.lag = l.lag.Seconds(), 0
-	signals[service.Memory], signals[service.Sockets] = memory, sockets
+	signals[overload.Lag], l.lag = l.lag.Seconds(), 0
+	signals[overload.Memory], signals[overload.Sockets] = memory, sockets
 	if seen.Servers > 0 {
-		signals[service.Out] = float64(seen.Out) / float64(seen.Servers)
+		signals[overload.Out] = float64(seen.Out) / float64(seen.Servers)
 	}
 	if l.asks && l.told > 0 {
-		signals[service.Age] = (now - l.told).Seconds()
+		signals[overload.Age] = (now - l.told).Seconds()
 	}
-	changed := l.module.Handle(now, service.Sample{Signals: signals}, nil)
+	changed := l.module.Handle(now, overload.Sample{Signals: signals}, nil)
 	c.keep(changed)
 	c.tellLevel(l.module.Level())
 	c.mu.Unlock()
@@ -122,7 +122,7 @@
 }
 
 // keep remembers changes. c.mu is held.
-func (c *Core) keep(changed []service.Record) {
+func (c *Core) keep(changed []overload.Record) {
 	for _, r := range changed {
 		c.levels.kept[c.levels.changes%recordsKept] = r
 		c.levels.changes++
@@ -130,7 +130,7 @@
 }
 
 // tellLevel puts a level into force. c.mu is held.
-func (c *Core) tellLevel(level service.Level) {
+func (c *Core) tellLevel(level overload.Level) {
 	if level != c.levels.last {
 		c.levels.last = level
 		c.handle(policy.ServiceChange{Level: policy.Service(level)})
@@ -138,7 +138,7 @@
 }
 
 // logLevels logs changes, without a lock.
-func (c *Core) logLevels(changed []service.Record) {
+func (c *Core) logLevels(changed []overload.Record) {
 	for _, r := range changed {
 		c.log.Warn("service level", "from", r.From, "to", r.To, "cause", r.Cause, "figure", r.Figure, "bound", r.Bound, "stay_s", r.Stay,
 			"also", r.Also, "pinned", r.Pinned)
@@ -146,7 +146,7 @@
 }
 
 // Level is the level of service in force.
-func (c *Core) Level() service.Level {
+func (c *Core) Level() overload.Level {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.levels.last
@@ -176,7 +176,7 @@
 	add("service_pinned_for_s", math.Ceil(left.Seconds()))
 	for i, figure := range l.module.Figures() {
 		if !math.IsNaN(figure) {
-			add("service_"+service.Trouble(i).String(), math.Round(figure*1e4)/1e4)
+			add("service_"+overload.Trouble(i).String(), math.Round(figure*1e4)/1e4)
 		}
 	}
 	add("service_changes", l.changes)
@@ -190,7 +190,7 @@
 // all places is theirs. c.mu is held.
 func (c *Core) roomFor(rules *rules, class int) bool {
 	most := rules.mostHeld
-	if c.levels.last >= service.Handovers && rules.set.Classes[class].Effect != policy.Keyed {
+	if c.levels.last >= overload.Handovers && rules.set.Classes[class].Effect != policy.Keyed {
 		most -= most / KeptPart
 	}
 	return len(c.requests) < most
--- a/internal/core/still.go
+++ b/internal/core/still.go
@@ -9,8 +9,8 @@
 
 	"mulleinpier/internal/eventlog"
 	"mulleinpier/internal/membership"
+	"mulleinpier/internal/pause"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/still"
 	"mulleinpier/internal/upstream"
 	"mulleinpier/policy"
 )
@@ -20,13 +20,13 @@
 
 // stillness is what the core knows of stops. It is guarded by Core.mu, but for the atomics.
 type stillness struct {
-	module  *still.Module
-	actions []still.Action
+	module  *pause.Module
+	actions []pause.Action
 	slept   time.Duration             // as ahead said last
 	ahead   func() time.Duration      // how far the clock that counts sleep is ahead; nil where it is not asked
 	asleep  atomic.Int64              // of the machine so far: time that the monotonic clock has not counted
 	looked  atomic.Int64              // when somebody looked last, by the monotonic clock
-	gap     atomic.Pointer[still.Gap] // the latest, nil for none
+	gap     atomic.Pointer[pause.Gap] // the latest, nil for none
 	parked  []*attempt                // sends that are held
 	owners  []*Held                   // of each
 	awake   chan struct{}
@@ -35,8 +35,8 @@
 	stood   time.Duration // in all
 	aged    int           // requests refused for their age
 	late    int           // writes that a stop fell into
-	pauses  still.Pauses
-	pause   atomic.Pointer[still.Gap] // the latest pause, nil for none
+	pauses  pause.Pauses
+	pause   atomic.Pointer[pause.Gap] // the latest pause, nil for none
 	pauseN  int                       // pauses so far
 	paused  time.Duration             // in all
 	used    time.Duration             // processor time at the latest tick
@@ -51,7 +51,7 @@
 	if ahead != nil {
 		s.slept = ahead()
 	}
-	s.module = still.New(still.Usual, still.Reading{Ahead: s.slept})
+	s.module = pause.New(pause.Usual, pause.Reading{Ahead: s.slept})
 }
 
 // mono is the clock of stops: the time since the core's start, by the monotonic clock.
@@ -61,7 +61,7 @@
 // stood still. It costs a look at the clock; only who finds a stop takes the lock.
 func (c *Core) Now() time.Duration {
 	now := c.mono()
-	if last := c.still.looked.Load(); c.still.module != nil && now-time.Duration(last) >= still.LeastPause {
+	if last := c.still.looked.Load(); c.still.module != nil && now-time.Duration(last) >= pause.LeastPause {
 		c.mu.Lock()
 		c.seeClocks()
 		c.mu.Unlock()
@@ -88,11 +88,11 @@
 	if last > 0 && c.still.pauses.Look(last, now) {
 		c.notePause(c.still.pauses.Latest())
 	}
-	c.stands(now, still.Look{Ahead: c.still.slept})
+	c.stands(now, pause.Look{Ahead: c.still.slept})
 }
 
 // notePause keeps a pause in view of connections' readers, and logs it. c.mu is held.
-func (c *Core) notePause(pause still.Gap) {
+func (c *Core) notePause(pause pause.Gap) {
 	s := &c.still
 	s.pause.Store(&pause)
 	s.pauseN++
@@ -105,7 +105,7 @@
 }
 
 // Pause returns the latest pause, by the core's clock.
-func (c *Core) Pause() (pause still.Gap) {
+func (c *Core) Pause() (pause pause.Gap) {
 	if known := c.still.pause.Load(); known != nil {
 		pause = *known
 	}
@@ -129,19 +129,19 @@
 }
 
 // stands gives the module an event, and does what it asks. c.mu is held.
-func (c *Core) stands(now time.Duration, event still.Event) {
+func (c *Core) stands(now time.Duration, event pause.Event) {
 	s := &c.still
 	s.module.Held(len(s.parked))
 	s.actions = s.module.Handle(now, event, s.actions[:0])
 	for _, action := range s.actions {
 		switch a := action.(type) {
-		case still.Stood:
+		case pause.Stood:
 			c.wakeUp(a.Gap)
-		case still.Release:
+		case pause.Release:
 			c.release(a.Most)
-		case still.Again:
+		case pause.Again:
 			c.setTimer(timer{at: c.now() + a.After, attempt: stillTimer})
-		case still.Awake:
+		case pause.Awake:
 			close(s.awake)
 			c.log.Info("at work again", "after", a.After)
 		}
@@ -149,7 +149,7 @@
 }
 
 // wakeUp keeps a stop out of all that is learnt, and has the lists asked for. c.mu is held.
-func (c *Core) wakeUp(gap still.Gap) {
+func (c *Core) wakeUp(gap pause.Gap) {
 	s := &c.still
 	s.gap.Store(&gap)
 	s.stops++
@@ -187,21 +187,21 @@
 }
 
 // Age is when what was read may have come. Kernel is asked only where a stop makes a difference.
-func (c *Core) Age(r still.Read, kernel func() still.Kernel) still.Age {
+func (c *Core) Age(r pause.Read, kernel func() pause.Kernel) pause.Age {
 	gap := c.Gap()
-	k := still.Kernel{}
+	k := pause.Kernel{}
 	if gap.To > 0 && r.Clean < gap.To {
 		k = kernel()
 	}
-	age := still.AgeOf(r, gap, k)
-	if since, delayed := still.Delayed(r, c.Pause()); delayed {
+	age := pause.AgeOf(r, gap, k)
+	if since, delayed := pause.Delayed(r, c.Pause()); delayed {
 		age.Oldest, age.Latest = min(age.Oldest, since), min(age.Latest, since)
 	}
 	return age
 }
 
 // Gap returns the latest stop, by the core's clock.
-func (c *Core) Gap() (gap still.Gap) {
+func (c *Core) Gap() (gap pause.Gap) {
 	if known := c.still.gap.Load(); known != nil {
 		gap = *known
 	}
@@ -214,18 +214,18 @@
 // judge decides on a request by its age. The deadline is when its answer is due here, which is sooner than
 // its client's time is up where this process is held up time and again. c.mu is held.
 func (c *Core) judge(in *request.Request, class *policy.Class, wait time.Duration) (deadline time.Duration, refuse bool) {
-	now, effect := c.mono(), still.Safe
+	now, effect := c.mono(), pause.Safe
 	switch class.Effect {
 	case policy.Keyed:
-		effect = still.Keyed
+		effect = pause.Keyed
 	case policy.Unsafe:
-		effect = still.Unsafe
+		effect = pause.Unsafe
 	}
 	age := in.Age
-	if age == (still.Age{}) {
-		age = still.Age{Oldest: now, Latest: now}
+	if age == (pause.Age{}) {
+		age = pause.Age{Oldest: now, Latest: now}
 	}
-	v := still.Judge(now, effect, wait, class.Window, age)
+	v := pause.Judge(now, effect, wait, class.Window, age)
 	due := v.Until - c.still.pauses.Margin(now, wait)
 	return due + c.now() - now, v.Refuse || now >= due
 }
@@ -285,14 +285,14 @@
 		c.nodes.Refresh()
 		c.askAll(ctx)
 		c.mu.Lock()
-		c.stands(c.mono(), still.Heard{})
+		c.stands(c.mono(), pause.Heard{})
 		c.mu.Unlock()
 	}
 }
 
 // askAll asks all sources of the list at once, and waits no longer than sends are held.
 func (c *Core) askAll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, still.Usual.Wake)
+	ctx, cancel := context.WithTimeout(ctx, pause.Usual.Wake)
 	defer cancel()
 	c.mu.Lock()
 	places := c.places
--- a/internal/core/still_test.go
+++ b/internal/core/still_test.go
@@ -11,9 +11,9 @@
 
 	"mulleinpier/internal/discovery"
 	"mulleinpier/internal/membership"
+	"mulleinpier/internal/pause"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/still"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 	"mulleinpier/internal/upstream"
 	"mulleinpier/policy"
 )
@@ -54,15 +54,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := still.Limits{Tick: still.Usual.Tick, Least: time.Minute, Wake: time.Hour, Burst: 4, Pause: time.Minute}
+	limits := pause.Limits{Tick: pause.Usual.Tick, Least: time.Minute, Wake: time.Hour, Burst: 4, Pause: time.Minute}
 	now := 2 * time.Minute // ahead of the clock, so that no look of others counts
-	tell := func(event still.Event) {
+	tell := func(event pause.Event) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.stands(now, event)
 	}
-	c.still.module = still.New(limits, still.Reading{})
-	tell(still.Look{})
+	c.still.module = pause.New(limits, pause.Reading{})
+	tell(pause.Look{})
 	reply := &replies{}
 	for i := range 10 {
 		c.Arrive(&request.Request{Verb: request.Get, Key: fmt.Sprint(i), ID: fmt.Sprint(i), Class: "read", Wait: -1}, reply)
@@ -71,12 +71,12 @@
 		t.Fatalf("%d held, %d answered, awake: %v", n, reply.finished.Load(), isClosed(c.Awake()))
 	}
 	for _, want := range []int64{4, 8} {
-		tell(still.Heard{})
-		testwait.Until(t, fmt.Sprint(want, " to be written"), func() bool { return written.Load() == want })
+		tell(pause.Heard{})
+		testutil.Until(t, fmt.Sprint(want, " to be written"), func() bool { return written.Load() == want })
 		now += limits.Pause
 	}
-	tell(still.Heard{})
-	testwait.Until(t, "all to be written", func() bool { return written.Load() == 10 })
+	tell(pause.Heard{})
+	testutil.Until(t, "all to be written", func() bool { return written.Load() == 10 })
 	if !isClosed(c.Awake()) {
 		t.Error("not awake, with nothing held")
 	}
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"mulleinpier/internal/discovery"
-	"mulleinpier/internal/still"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/pause"
+	"mulleinpier/internal/testutil"
 	"mulleinpier/internal/upstream"
 	"mulleinpier/policy"
 )
@@ -68,7 +68,7 @@
 // next returns the next call.
 func (a *agent) next(t *testing.T, what string) *inquiry {
 	t.Helper()
-	return testwait.Receive(t, what, a.calls)
+	return testutil.Receive(t, what, a.calls)
 }
 
 // up takes the first watch, and tells by it that the node is up.
@@ -113,7 +113,7 @@
 // gone waits until the proxy has ended a call.
 func (c *inquiry) gone(t *testing.T) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(testwait.Patience))
+	c.SetReadDeadline(time.Now().Add(testutil.Patience))
 	if _, err := io.Copy(io.Discard, c); err != nil && strings.Contains(err.Error(), "timeout") {
 		t.Fatal("a call that is of no use any more is kept")
 	}
@@ -135,13 +135,13 @@
 		c.Run(ctx)
 	}()
 	go func() { // as the proxy does
-		for tick := time.NewTicker(still.Usual.Tick); ctx.Err() == nil; <-tick.C {
+		for tick := time.NewTicker(pause.Usual.Tick); ctx.Err() == nil; <-tick.C {
 			c.Tick()
 		}
 	}()
 	t.Cleanup(func() {
 		stop()
-		testwait.Receive(t, "the core's end", closedAs(ran))
+		testutil.Receive(t, "the core's end", closedAs(ran))
 	})
 	return c
 }
@@ -158,7 +158,7 @@
 
 func (c *Core) expect(t *testing.T, what string, serves bool) {
 	t.Helper()
-	testwait.Until(t, what, func() bool { return c.Serves() == serves })
+	testutil.Until(t, what, func() bool { return c.Serves() == serves })
 }
 
 // TestSilentWatchIsOpenedAnew: a watch that falls silent, ends, is reset or stops in the middle of an object is opened
@@ -341,7 +341,7 @@
 	c.Move([]discovery.Place{{Address: next.address()}})
 	moved := next.next(t, "a watch of the new place")
 	post(c.subscribe)
-	testwait.Until(t, "the wish to be heard", func() bool { return len(c.subscribe) == 0 })
+	testutil.Until(t, "the wish to be heard", func() bool { return len(c.subscribe) == 0 })
 	time.Sleep(agentWait / 4)
 	if n := len(next.calls); n > 0 || !moved.open() {
 		t.Errorf("%d calls more, the first open: %v", n, moved.open())
--- a/internal/core/work_test.go
+++ b/internal/core/work_test.go
@@ -17,7 +17,7 @@
 	"mulleinpier/internal/membership"
 	"mulleinpier/internal/request"
 	"mulleinpier/internal/takeover"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 	"mulleinpier/internal/upstream"
 	"mulleinpier/policy"
 )
@@ -139,7 +139,7 @@
 		if !c.Permit(d.asked[i], x.verdict, 0, "r") {
 			t.Errorf("verdict %d is not wanted", x.verdict)
 		}
-		if a := testwait.Receive(t, "an answer", h.answers); a.Kind != x.want || x.verdict == takeover.Receipt && a.Receipt != "r" {
+		if a := testutil.Receive(t, "an answer", h.answers); a.Kind != x.want || x.verdict == takeover.Receipt && a.Receipt != "r" {
 			t.Errorf("verdict %d: answered %+v", x.verdict, a)
 		}
 		if c.Permit(d.asked[i], takeover.Send, time.Minute, "") {
@@ -153,30 +153,30 @@
 	c.Arrive(handover("sent"), h)
 	id := d.asked[4]
 	c.Permit(id, takeover.Send, time.Minute, "")
-	if a := testwait.Receive(t, "an answer", h.answers); a.Kind != request.Stored || d.outcome(id) != takeover.Served {
+	if a := testutil.Receive(t, "an answer", h.answers); a.Kind != request.Stored || d.outcome(id) != takeover.Served {
 		t.Errorf("answered %+v, settled %d", a, d.outcome(id))
 	}
 	h = newHeard()
 	c.Arrive(handover("late"), h)
 	id = d.asked[5]
 	c.Permit(id, takeover.Send, 0, "") // its leave is over before anything can go out
-	if a := testwait.Receive(t, "an answer", h.answers); a.Kind == request.Stored {
+	if a := testutil.Receive(t, "an answer", h.answers); a.Kind == request.Stored {
 		t.Errorf("sent after its leave: %+v", a)
 	}
-	testwait.Until(t, "it to be settled", func() bool { return d.outcome(id) != 0 })
+	testutil.Until(t, "it to be settled", func() bool { return d.outcome(id) != 0 })
 	if lines := came(); len(lines) != 1 {
 		t.Errorf("came to the node: %q", lines)
 	}
 	d.full, d.strict = true, true
 	h = newHeard()
 	c.Arrive(handover("full"), h)
-	if a := testwait.Receive(t, "an answer", h.answers); a.Kind != request.Busy {
+	if a := testutil.Receive(t, "an answer", h.answers); a.Kind != request.Busy {
 		t.Errorf("no room, strict: %+v", a)
 	}
 	d.strict = false
 	h = newHeard()
 	c.Arrive(handover("plain"), h)
-	if a := testwait.Receive(t, "an answer", h.answers); a.Kind != request.Stored {
+	if a := testutil.Receive(t, "an answer", h.answers); a.Kind != request.Stored {
 		t.Errorf("no room, plainly: %+v", a)
 	}
 }
@@ -200,12 +200,12 @@
 	c.mu.Lock()
 	c.arrive(held)
 	c.mu.Unlock()
-	testwait.Until(t, "it to be settled", func() bool { return d.outcome(d.asked[1]) == takeover.Served })
+	testutil.Until(t, "it to be settled", func() bool { return d.outcome(d.asked[1]) == takeover.Served })
 	id, ok := c.Adopt(handover("b"), time.Minute)
 	if !ok {
 		t.Fatal("not adopted")
 	}
-	testwait.Until(t, "the adopted one to be settled", func() bool { return d.outcome(id) == takeover.Served })
+	testutil.Until(t, "the adopted one to be settled", func() bool { return d.outcome(id) == takeover.Served })
 	if lines := came(); len(lines) != 2 || len(h.answers) != 0 {
 		t.Errorf("came to the node: %q; %d answers to a client that had left", lines, len(h.answers))
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,8 +21,8 @@
 	"mulleinpier/internal/config"
 	"mulleinpier/internal/consul"
 	"mulleinpier/internal/lifecycle"
-	"mulleinpier/internal/notify"
 	"mulleinpier/internal/proxy"
+	"mulleinpier/internal/sdnotify"
 )
 
 // Options say what to run.
@@ -49,7 +49,7 @@
 type daemon struct {
 	Options
 	machine lifecycle.Machine
-	manager *notify.Manager
+	manager *sdnotify.Manager
 	level   slog.LevelVar
 	log     *slog.Logger // nil until the configuration has been read
 	server  *proxy.Server
@@ -74,11 +74,11 @@
 // Run serves until it is told to end, and returns nil when all that was taken
 // is answered. The error of a start that failed names what is wrong.
 func Run(o Options) error {
-	manager, err := notify.FromEnvironment(o.Getenv)
+	manager, err := sdnotify.FromEnvironment(o.Getenv)
 	if err != nil {
 		return err
 	}
-	passed, err := notify.Listener(o.Getenv)
+	passed, err := sdnotify.Listener(o.Getenv)
 	if err != nil {
 		return err
 	}
@@ -148,13 +148,13 @@
 func (d *daemon) do(action lifecycle.Action) {
 	switch action {
 	case lifecycle.TellReady:
-		d.tell(notify.Ready + "\n" + d.status())
+		d.tell(sdnotify.Ready + "\n" + d.status())
 	case lifecycle.TellReloading:
-		d.tell(notify.Reloading())
+		d.tell(sdnotify.Reloading())
 	case lifecycle.TellStopping:
-		d.tell(notify.Stopping)
+		d.tell(sdnotify.Stopping)
 	case lifecycle.TellAlive:
-		d.tell(notify.Alive + "\n" + d.status())
+		d.tell(sdnotify.Alive + "\n" + d.status())
 	case lifecycle.Read:
 		d.tasks.Go(func() {
 			permit := d.peers.ask("reload")
@@ -221,7 +221,7 @@
 		clients, open := d.server.Load()
 		text += fmt.Sprintf(", clients=%d open=%d goroutines=%d", clients, open, runtime.NumGoroutine())
 	}
-	return notify.Status(text)
+	return sdnotify.Status(text)
 }
 
 // tell tells the service manager. That it does not listen is logged, once.
@@ -268,6 +268,9 @@
 		return
 	}
 	log.Info("listening", "address", server.Address().String())
+	for _, warning := range c.Warnings {
+		log.Warn(warning)
+	}
 	d.news <- news{server: server, log: log}
 	var ready sync.WaitGroup
 	ready.Go(func() { d.awaitNodes(ctx, server, c, log) })
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -17,9 +17,9 @@
 	"mulleinpier/internal/lease"
 	"mulleinpier/internal/lease/agent"
 	"mulleinpier/internal/peer"
-	"mulleinpier/internal/peer/link"
+	"mulleinpier/internal/peer/transport"
 	"mulleinpier/internal/takeover"
-	"mulleinpier/internal/takeover/desk"
+	"mulleinpier/internal/takeover/coordinator"
 )
 
 // peers is this process's part in the fleet: it beats at the watchers, votes if it is to, and asks for permits. No
@@ -32,7 +32,7 @@
 	log    *slog.Logger
 	run    uint64
 	client *agent.Client
-	self   *link.Instance
+	self   *transport.Instance
 	stop   func()
 	permit *permit // for the drain
 	ctx    context.Context
@@ -73,15 +73,15 @@
 		p.config = nil
 		return
 	}
-	var watchers []link.Watcher
+	var watchers []transport.Watcher
 	for _, v := range c.Peers.Fleet.Voters {
-		watchers = append(watchers, link.Watcher{Name: v.Name, Address: v.Address})
+		watchers = append(watchers, transport.Watcher{Name: v.Name, Address: v.Address})
 	}
 	member := peer.Member{Name: p.name, Run: p.run, Address: c.Peers.Advertise}
 	if set := &c.Proxy.Policy; set.Zone < len(set.Zones) {
 		member.Zone = set.Zones[set.Zone]
 	}
-	self := link.NewInstance(c.Peers.Fleet.Name, member, watchers, agent.Now, p.log)
+	self := transport.NewInstance(c.Peers.Fleet.Name, member, watchers, agent.Now, p.log)
 	ctx, stop := context.WithCancel(p.ctx)
 	var tasks sync.WaitGroup
 	tasks.Go(func() { self.Run(ctx) })
@@ -99,7 +99,7 @@
 
 // hold has works in hand be held with other proxies, until what it returns is called. Where it can't, it says so, and they
 // go out as without.
-func (p *peers) hold(c *config.Peers, self peer.Member, fleet *link.Instance) (end func()) {
+func (p *peers) hold(c *config.Peers, self peer.Member, fleet *transport.Instance) (end func()) {
 	if !c.Takeover.On {
 		return func() {}
 	}
@@ -108,7 +108,7 @@
 		p.log.Error("takeover: this process holds no works", "error", err)
 		return func() {}
 	}
-	t := desk.New(p.core, desk.Options{Fleet: c.Fleet.Name, Self: takeover.Owner{Name: self.Name, Run: self.Run}, Zone: self.Zone, Others: c.Takeover.Holders,
+	t := coordinator.New(p.core, coordinator.Options{Fleet: c.Fleet.Name, Self: takeover.Owner{Name: self.Name, Run: self.Run}, Zone: self.Zone, Others: c.Takeover.Holders,
 		Strict: c.Takeover.Strict, Clock: agent.Now, Log: p.log})
 	ctx, stop := context.WithCancel(p.ctx)
 	var task sync.WaitGroup
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // follow watches a node file as the core does: anew each time a watch ends.
@@ -47,24 +47,24 @@
 	path := filepath.Join(t.TempDir(), "nodes.toml")
 	put(t, path, one)
 	news, wrong := follow(t, path)
-	if l := testwait.Receive(t, "the list", news); !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Weight != 1 {
+	if l := testutil.Receive(t, "the list", news); !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Weight != 1 {
 		t.Errorf("told %+v", l)
 	}
 	put(t, path, two)
-	l := testwait.Receive(t, "a change", news)
+	l := testutil.Receive(t, "a change", news)
 	if len(l.Endpoints) != 2 || l.Endpoints[1] != (Endpoint{Name: "b", Address: "127.0.0.1:2", Status: "draining", Since: 7}) {
 		t.Errorf("told %+v", l)
 	}
 	put(t, path, "[[node")
-	if err := testwait.Receive(t, "the defect", wrong); err == nil {
+	if err := testutil.Receive(t, "the defect", wrong); err == nil {
 		t.Error("a defect without an error")
 	}
 	os.Remove(path)
-	if err := testwait.Receive(t, "the loss", wrong); !errors.Is(err, os.ErrNotExist) {
+	if err := testutil.Receive(t, "the loss", wrong); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a lost file is told as %v", err)
 	}
 	put(t, path, one)
-	if l := testwait.Receive(t, "the mend", news); len(l.Endpoints) != 1 {
+	if l := testutil.Receive(t, "the mend", news); len(l.Endpoints) != 1 {
 		t.Errorf("told %+v", l)
 	}
 	if len(wrong) > 0 {
@@ -97,11 +97,11 @@
 	told := make(chan List, 2)
 	ended := make(chan error, 1)
 	go func() { ended <- source.Watch(ctx, 0, func(l List) { told <- l }) }()
-	if l := testwait.Receive(t, "the list", told); len(l.Endpoints) != 2 || l.Endpoints[1].Name != "127.0.0.1:2" {
+	if l := testutil.Receive(t, "the list", told); len(l.Endpoints) != 2 || l.Endpoints[1].Name != "127.0.0.1:2" {
 		t.Errorf("told %+v", l)
 	}
 	stop()
-	if err := testwait.Receive(t, "the end", ended); err == nil || len(told) != 0 {
+	if err := testutil.Receive(t, "the end", ended); err == nil || len(told) != 0 {
 		t.Errorf("ended with %v, told %d more", err, len(told))
 	}
 }
--- a/internal/standin/consul/agent_test.go
+++ b/internal/fake/consul/agent_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/hashicorp/consul/api"
 
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // TestPublishedClientAgrees has the published Go client go through what proxies and
@@ -69,7 +69,7 @@
 		if err := change(); err != nil {
 			t.Fatal(err)
 		}
-		got := testwait.Receive(t, want, answers)
+		got := testutil.Receive(t, want, answers)
 		status := "gone"
 		if len(got.list) > 0 {
 			status = got.list[0].Checks.AggregatedStatus()
--- a/internal/standin/list/list.go
+++ b/internal/fake/endpointlist/list.go
@@ -1,7 +1,7 @@
-// Package list is a stand-in for the service that tells proxies the list of
+// Package endpointlist is a stand-in for the service that tells proxies the list of
 // nodes, in the platform's form. It speaks with each proxy at an address of its
 // own, so that it knows when each was told of a drain.
-package list
+package endpointlist
 
 import (
 	"encoding/json"
--- a/internal/standin/list/list_test.go
+++ b/internal/fake/endpointlist/list_test.go
@@ -1,4 +1,4 @@
-package list
+package endpointlist
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"time"
 
 	"mulleinpier/internal/discovery"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // watch follows a service as a proxy does.
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	news, _ := watch(t, address, 0)
-	if l := testwait.Receive(t, "the list", news); !l.Snapshot || len(l.Endpoints) != 2 {
+	if l := testutil.Receive(t, "the list", news); !l.Snapshot || len(l.Endpoints) != 2 {
 		t.Errorf("first told %+v", l)
 	}
 	if _, told := s.DrainTold(7, "a"); told {
@@ -47,7 +47,7 @@
 	}
 	before := time.Now()
 	s.Set(Entry{Name: "a", Address: "127.0.0.1:1", Status: "draining"})
-	if l := testwait.Receive(t, "a drain", news); l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Status != "draining" {
+	if l := testutil.Receive(t, "a drain", news); l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Status != "draining" {
 		t.Errorf("told %+v", l)
 	}
 	if at, told := s.DrainTold(7, "a"); !told || at.Before(before) || at.After(time.Now()) {
@@ -57,7 +57,7 @@
 		t.Error("a proxy that does not watch was told")
 	}
 	s.Set(Entry{Name: "a", Address: "127.0.0.1:1", Status: "up"})
-	testwait.Receive(t, "the end of the drain", news)
+	testutil.Receive(t, "the end of the drain", news)
 	if _, told := s.DrainTold(7, "a"); told {
 		t.Error("the drain is over, and still told")
 	}
@@ -93,9 +93,9 @@
 		t.Fatal(err)
 	}
 	news, ended := watch(t, address, 0)
-	testwait.Receive(t, "the list", news)
+	testutil.Receive(t, "the list", news)
 	s.SetDown(true)
-	testwait.Receive(t, "the watch to end", ended)
+	testutil.Receive(t, "the watch to end", ended)
 	if _, err := discovery.New(address).Fetch(context.Background()); err == nil {
 		t.Error("a call to a service that is down succeeded")
 	}
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	news, ended := watch(t, old, 0)
-	testwait.Receive(t, "the list", news)
+	testutil.Receive(t, "the list", news)
 	now, err := s.Move(0)
 	if err != nil || now == old {
 		t.Fatalf("moved from %s to %s, %v", old, now, err)
@@ -124,5 +124,5 @@
 	if _, err := discovery.New(now).Fetch(context.Background()); err != nil {
 		t.Error(err)
 	}
-	testwait.Receive(t, "the old watch to end", ended)
+	testutil.Receive(t, "the old watch to end", ended)
 }
--- a/internal/standin/double/double.go
+++ b/internal/fake/faultyproxy/double.go
@@ -1,7 +1,7 @@
-// Package double is a test double of a proxy with a fault put in, so that it can
+// Package faultyproxy is a test double of a proxy with a fault put in, so that it can
 // be shown that a rehearsal sees what it looks for. It is no proxy to learn from:
 // it sends each request to one node and decides nothing.
-package double
+package faultyproxy
 
 import (
 	"bufio"
@@ -185,7 +185,7 @@
 		if err != nil {
 			return
 		}
-		if c.Stats { // asked by the rehearsal itself, which counts no such request as lost
+		if c.Stats { // asked by the test itself, which counts no such request as lost
 			io.WriteString(socket, "END\r\n")
 			if d.rest(socket) {
 				return
--- a/internal/standin/double/double_test.go
+++ b/internal/fake/faultyproxy/double_test.go
@@ -1,4 +1,4 @@
-package double
+package faultyproxy
 
 import (
 	"bufio"
--- a/internal/standin/node/node.go
+++ b/internal/fake/node/node.go
@@ -19,9 +19,9 @@
 	"time"
 
 	"mulleinpier/internal/binary"
+	"mulleinpier/internal/fake/origin"
 	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/standin/origin"
 )
 
 // Config says what a node is and can do. Zero stands for the usual.
--- a/internal/standin/node/node_test.go
+++ b/internal/fake/node/node_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"mulleinpier/internal/binary"
-	"mulleinpier/internal/standin/caller"
-	"mulleinpier/internal/standin/origin"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/origin"
+	"mulleinpier/internal/fake/rawclient"
+	"mulleinpier/internal/testutil"
 )
 
 type peer struct {
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { socket.Close() })
-	socket.SetDeadline(time.Now().Add(testwait.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Patience))
 	return &peer{t, socket, bufio.NewReader(socket)}
 }
 
@@ -138,7 +138,7 @@
 	silent := func(p *peer) bool {
 		p.socket.SetDeadline(time.Now().Add(100 * time.Millisecond))
 		_, err := p.in.Peek(1)
-		p.socket.SetDeadline(time.Now().Add(testwait.Patience))
+		p.socket.SetDeadline(time.Now().Add(testutil.Patience))
 		return errors.Is(err, os.ErrDeadlineExceeded)
 	}
 	for _, kind := range Faults {
@@ -227,10 +227,10 @@
 	for i := range 5 {
 		p.send("mg k v O%d Pc=read\r\n", i)
 	}
-	testwait.Until(t, "two to be turned away", func() bool { return n.Stats().Busy == 2 })
+	testutil.Until(t, "two to be turned away", func() bool { return n.Stats().Busy == 2 })
 	if socket, err := net.Dial("tcp", n.Address()); err == nil { // else it is reset as it comes up
 		defer socket.Close()
-		socket.SetDeadline(time.Now().Add(testwait.Patience))
+		socket.SetDeadline(time.Now().Add(testutil.Patience))
 		if b, err := io.ReadAll(socket); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("a connection past the table was answered %q, %v", b, err)
 		}
@@ -254,12 +254,12 @@
 	for i := range 7 {
 		p.send("mg k v O%d Pc=read\r\n", i)
 	}
-	testwait.Until(t, "seven to have come", func() bool { return n.Stats().Requests == 7 })
+	testutil.Until(t, "seven to have come", func() bool { return n.Stats().Requests == 7 })
 	if n.Stats().Fallen {
 		t.Fatal("it fell within what it stands")
 	}
 	p.send("mg k v O8 Pc=read\r\n")
-	testwait.Until(t, "the node to fall", func() bool { return n.Stats().Fallen })
+	testutil.Until(t, "the node to fall", func() bool { return n.Stats().Fallen })
 	if err := n.Restart(); err != nil {
 		t.Fatal(err)
 	}
@@ -283,31 +283,31 @@
 func TestBinaryNodeSpeaksNothingElse(t *testing.T) {
 	n, o := start(t, Config{Name: "b", Binary: true, Lacks: "none", ByValue: true})
 	p := dial(t, n)
-	next := func(status binary.Status) caller.Response {
+	next := func(status binary.Status) rawclient.Response {
 		t.Helper()
-		r, err := caller.ReadResponse(p.in)
+		r, err := rawclient.ReadResponse(p.in)
 		if err != nil || r.Status != status || r.Opaque != 5 {
 			t.Fatalf("%+v, %v, want status %#x", r, err, status)
 		}
 		return r
 	}
-	p.send("%s", caller.AppendKeyed(nil, binary.Get, "k", 5))
+	p.send("%s", rawclient.AppendKeyed(nil, binary.Get, "k", 5))
 	if r := next(binary.OK); !strings.HasPrefix(r.Value, "k b 1 ") {
 		t.Errorf("read %q", r.Value)
 	}
-	p.send("%s", caller.AppendKeyed(nil, binary.Get, "none", 5))
+	p.send("%s", rawclient.AppendKeyed(nil, binary.Get, "none", 5))
 	next(binary.NotFound)
-	p.send("%s", caller.AppendSet(nil, binary.Set, "k", "v", 5, 0))
+	p.send("%s", rawclient.AppendSet(nil, binary.Set, "k", "v", 5, 0))
 	if r := next(binary.OK); r.CAS == 0 || o.Times("k", "v") != 1 {
 		t.Errorf("receipt %d, carried out %d times", r.CAS, o.Times("k", "v"))
 	}
 	n.SetDraining(true)
-	p.send("%s", caller.AppendKeyed(nil, binary.Get, "k", 5))
+	p.send("%s", rawclient.AppendKeyed(nil, binary.Get, "k", 5))
 	next(binary.Busy)
 	n.SetDraining(false)
 	n.SetFault(Fault{Kind: Garbage})
-	p.send("%s", caller.AppendKeyed(nil, binary.Get, "k", 5))
-	if r, err := caller.ReadResponse(p.in); err == nil {
+	p.send("%s", rawclient.AppendKeyed(nil, binary.Get, "k", 5))
+	if r, err := rawclient.ReadResponse(p.in); err == nil {
 		t.Errorf("noise was read as %+v", r)
 	}
 	p = dial(t, n)
--- a/internal/standin/origin/origin_test.go
+++ b/internal/fake/origin/origin_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // TestLedgerCountsEveryEffect guards what all doubles are seen by.
@@ -17,7 +17,7 @@
 		o.Write("record", key, func(err error) { done <- err })
 	}
 	for range 4 {
-		if err := testwait.Receive(t, "a write", done); err != nil {
+		if err := testutil.Receive(t, "a write", done); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/standin/caller/caller.go
+++ b/internal/fake/rawclient/caller.go
@@ -1,6 +1,6 @@
-// Package caller is a stand-in client that says one thing at a time, in either dialect,
+// Package rawclient is a stand-in client that says one thing at a time, in either dialect,
 // and tells what came back in words that know none. It retries nothing.
-package caller
+package rawclient
 
 import (
 	"bufio"
@@ -14,9 +14,9 @@
 	"time"
 
 	codec "mulleinpier/internal/binary"
+	"mulleinpier/internal/fake/scriptednode"
 	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/standin/script"
 	"mulleinpier/internal/ticket"
 )
 
@@ -86,7 +86,7 @@
 type Caller struct {
 	Socket  net.Conn
 	In      *bufio.Reader
-	dialect script.Dialect
+	dialect scriptednode.Dialect
 	opaque  uint32
 	expect  []expected
 }
@@ -100,7 +100,7 @@
 var serial atomic.Uint64
 
 // Dial returns a connection to a proxy. All that is said on it ends within limit.
-func Dial(dialect script.Dialect, address string, limit time.Duration) (*Caller, error) {
+func Dial(dialect scriptednode.Dialect, address string, limit time.Duration) (*Caller, error) {
 	socket, err := net.DialTimeout("tcp", address, limit)
 	if err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 
 // Read asks for a key.
 func (c *Caller) Read(key string) error {
-	if c.dialect == script.Binary {
+	if c.dialect == scriptednode.Binary {
 		return c.binary(func(opaque uint32) []byte { return AppendKeyed(nil, codec.Get, key, opaque) })
 	}
 	id := c.id()
@@ -122,7 +122,7 @@
 // Write writes a key. Of a keyed write, its name tells it from others: a
 // client of the binary protocol has a ticket in its place, as if it had just read.
 func (c *Caller) Write(key, value string, effect Effect, name string) error {
-	if c.dialect == script.Binary {
+	if c.dialect == scriptednode.Binary {
 		cas := uint64(0)
 		if effect == Keyed {
 			cas = ticket.New(time.Now(), serial.Add(1))
@@ -176,7 +176,7 @@
 	}
 	due := c.expect[0]
 	c.expect = c.expect[1:]
-	if c.dialect == script.Binary {
+	if c.dialect == scriptednode.Binary {
 		return c.nextBinary(due)
 	}
 	line, err := c.In.ReadString('\n')
--- a/internal/standin/script/script.go
+++ b/internal/fake/scriptednode/script.go
@@ -1,6 +1,6 @@
-// Package script is a stand-in for cache nodes, or for proxies, that do exactly what a test tells them
+// Package scriptednode is a stand-in for cache nodes, or for proxies, that do exactly what a test tells them
 // to, in either dialect: the same reactions to the same requests, said as each has it.
-package script
+package scriptednode
 
 import (
 	"bufio"
--- a/internal/standin/deaf/deaf.go
+++ b/internal/fake/unresponsive/deaf.go
@@ -1,6 +1,6 @@
-// Package deaf is a stand-in for a node to which no connection comes up until it is told so: as one whose machine
+// Package unresponsive is a stand-in for a node to which no connection comes up until it is told so: as one whose machine
 // is cut off for a while, or that is late to accept.
-package deaf
+package unresponsive
 
 import (
 	"errors"
--- a/internal/rehearse/binary.go
+++ b/internal/fleettest/binary.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"time"
 
 	codec "mulleinpier/internal/binary"
+	"mulleinpier/internal/fake/rawclient"
 	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/standin/caller"
 )
 
 // This file holds the clients that speak the binary protocol. What they send has no id:
@@ -20,20 +20,20 @@
 func (l *link) command(e *errand) (text []byte, id string) {
 	l.opaque++
 	if e.kind.write {
-		return caller.AppendSet(nil, codec.Set, e.key, e.value, l.opaque, e.ticket), e.value
+		return rawclient.AppendSet(nil, codec.Set, e.key, e.value, l.opaque, e.ticket), e.value
 	}
-	return caller.AppendKeyed(nil, codec.Get, e.key, l.opaque), fmt.Sprintf("opaque-%d", l.opaque)
+	return rawclient.AppendKeyed(nil, codec.Get, e.key, l.opaque), fmt.Sprintf("opaque-%d", l.opaque)
 }
 
 // binaryAnswer reads the answer to the last command as one of the other dialect would
 // be read. A ticket that lives no more is of kind Bad.
 func (l *link) binaryAnswer() (a meta.Line, value []byte, cas uint64, err error) {
-	r, err := caller.ReadResponse(l.in)
+	r, err := rawclient.ReadResponse(l.in)
 	if err != nil {
 		return a, nil, 0, err
 	}
 	if r.Opaque != l.opaque {
-		return a, nil, 0, fmt.Errorf("%w: opaque %d where %d is due", caller.ErrAnswer, r.Opaque, l.opaque)
+		return a, nil, 0, fmt.Errorf("%w: opaque %d where %d is due", rawclient.ErrAnswer, r.Opaque, l.opaque)
 	}
 	a.Kind = request.Failed
 	switch r.Status {
@@ -59,7 +59,7 @@
 	sent := time.Now()
 	c.tally.sent()
 	l.socket.SetDeadline(sent.Add(wait))
-	_, err := l.socket.Write(caller.AppendKeyed(nil, codec.Get, e.key, l.opaque))
+	_, err := l.socket.Write(rawclient.AppendKeyed(nil, codec.Get, e.key, l.opaque))
 	if err == nil {
 		var a meta.Line
 		var value []byte
@@ -120,22 +120,22 @@
 			key = lacks + key
 		}
 		keys[l.opaque] = key
-		text = caller.AppendKeyed(text, codec.GetKQ, key, l.opaque)
+		text = rawclient.AppendKeyed(text, codec.GetKQ, key, l.opaque)
 		c.tally.sent()
 	}
 	l.opaque++
-	text = caller.AppendKeyed(text, codec.Noop, "", l.opaque)
+	text = rawclient.AppendKeyed(text, codec.Noop, "", l.opaque)
 	wait := c.kinds[0].deadline
 	l.socket.SetDeadline(time.Now().Add(wait + watchTime + c.tally.slackNow()))
 	_, err := l.socket.Write(text)
 	for last := from; err == nil; {
-		var r caller.Response
-		if r, err = caller.ReadResponse(l.in); err != nil {
+		var r rawclient.Response
+		if r, err = rawclient.ReadResponse(l.in); err != nil {
 			break
 		}
 		if r.Opaque <= last || r.Opaque > l.opaque {
 			c.tally.wrong("proxy %d answered opaque %d after %d in a quiet pipeline", d.index, r.Opaque, last)
-			return caller.ErrAnswer
+			return rawclient.ErrAnswer
 		}
 		if last = r.Opaque; r.Opcode == codec.Noop {
 			l.used = true
@@ -145,7 +145,7 @@
 		if lacks := c.fleet.scenario.Fleet.Lacks; r.Status == codec.NotFound || r.Status == codec.OK &&
 			(r.Name != key || !strings.HasPrefix(r.Value, key+" ") || lacks != "" && strings.HasPrefix(key, lacks)) {
 			c.tally.wrong("proxy %d answered %q of a quiet pipeline with status %d and %q", d.index, key, r.Status, r.Value)
-			return caller.ErrAnswer
+			return rawclient.ErrAnswer
 		}
 	}
 	if isTimeout(err) {
--- a/internal/rehearse/client.go
+++ b/internal/fleettest/client.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"bufio"
@@ -16,10 +16,10 @@
 	"time"
 
 	"mulleinpier/client"
-	"mulleinpier/internal/load"
+	"mulleinpier/internal/fake/rawclient"
+	"mulleinpier/internal/loadgen"
 	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/standin/caller"
 )
 
 const (
@@ -54,7 +54,7 @@
 
 	// Of those that use the client library, one for each tenant.
 	library []*client.Client
-	audit   *load.Audit
+	audit   *loadgen.Audit
 
 	mu    sync.Mutex
 	rng   *rand.Rand
@@ -383,7 +383,7 @@
 		return silent, 0
 	}
 	l.socket.Close()
-	if errors.Is(err, meta.ErrAnswer) || errors.Is(err, caller.ErrAnswer) {
+	if errors.Is(err, meta.ErrAnswer) || errors.Is(err, rawclient.ErrAnswer) {
 		c.tally.wrong("proxy %d answered %s with what can't be read", d.index, id)
 		return failed, 0
 	}
--- a/internal/rehearse/clients.go
+++ b/internal/fleettest/clients.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"time"
 
 	"mulleinpier/client"
-	"mulleinpier/internal/load"
-	"mulleinpier/internal/standin/node"
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/loadgen"
 )
 
 // ClientsReport compares tills that use the client library with such as the operators describe.
@@ -24,13 +24,13 @@
 
 // ClientsPlay is one trouble, met by one kind of tills or by both at once.
 type ClientsPlay struct {
-	Name     string         `json:"name"`
-	About    string         `json:"about"`
-	Results  []*load.Result `json:"results"`
-	Doubled  map[string]int `json:"doubled"` // handovers carried out twice, by kind
-	Crashes  int            `json:"crashes"`
-	Problems []string       `json:"problems"`
-	Fetches  int            `json:"fetches"`
+	Name     string            `json:"name"`
+	About    string            `json:"about"`
+	Results  []*loadgen.Result `json:"results"`
+	Doubled  map[string]int    `json:"doubled"` // handovers carried out twice, by kind
+	Crashes  int               `json:"crashes"`
+	Problems []string          `json:"problems"`
+	Fetches  int               `json:"fetches"`
 }
 
 // trouble is what befalls a fleet in the middle of three phases.
@@ -47,8 +47,8 @@
 // startTime is how long all tills have to begin.
 const startTime = 2 * time.Second
 
-func (t *trouble) phases() []load.Phase {
-	return []load.Phase{{Name: "start", For: startTime}, {Name: "calm", For: t.calm}, {Name: "trouble", For: t.bad}, {Name: "after", For: t.end}}
+func (t *trouble) phases() []loadgen.Phase {
+	return []loadgen.Phase{{Name: "start", For: startTime}, {Name: "calm", For: t.calm}, {Name: "trouble", For: t.bad}, {Name: "after", For: t.end}}
 }
 
 // ClientsOptions say what to play.
@@ -146,14 +146,14 @@
 			continue
 		}
 		if t.together {
-			p, err := o.play(ctx, &t, load.Library, load.Brief)
+			p, err := o.play(ctx, &t, loadgen.Library, loadgen.Brief)
 			if err != nil {
 				return nil, err
 			}
 			report.Plays = append(report.Plays, *p)
 			continue
 		}
-		for _, kind := range []load.Kind{load.Library, load.Brief} {
+		for _, kind := range []loadgen.Kind{loadgen.Library, loadgen.Brief} {
 			p, err := o.play(ctx, &t, kind)
 			if err != nil {
 				return nil, err
@@ -164,7 +164,7 @@
 	return report, nil
 }
 
-func (o *ClientsOptions) play(ctx context.Context, t *trouble, kinds ...load.Kind) (*ClientsPlay, error) {
+func (o *ClientsOptions) play(ctx context.Context, t *trouble, kinds ...loadgen.Kind) (*ClientsPlay, error) {
 	s := clientsFleet(t)
 	folder := filepath.Join(o.Folder, fmt.Sprint(t.name, "-", kinds[0]))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -176,7 +176,7 @@
 		return nil, err
 	}
 	defer f.close()
-	p := &ClientsPlay{Name: t.name, About: t.about, Results: make([]*load.Result, len(kinds)), Doubled: make(map[string]int)}
+	p := &ClientsPlay{Name: t.name, About: t.about, Results: make([]*loadgen.Result, len(kinds)), Doubled: make(map[string]int)}
 	var addresses []string
 	for _, d := range f.proxies {
 		addresses = append(addresses, d.front)
@@ -184,11 +184,11 @@
 	var tasks sync.WaitGroup
 	errs := make([]error, len(kinds))
 	for i, kind := range kinds {
-		c := load.Config{Kind: kind, Addresses: addresses, Clients: o.Clients, Rate: t.rate, Handovers: 0.06, Keys: 3000, Skew: 1.2, Seed: 3,
+		c := loadgen.Config{Kind: kind, Addresses: addresses, Clients: o.Clients, Rate: t.rate, Handovers: 0.06, Keys: 3000, Skew: 1.2, Seed: 3,
 			Seen: f.wasSeen, Excused: f.killedLately,
 			Phases:  t.phases(),
 			Options: client.Options{Window: time.Duration(s.Fleet.Window), Cold: time.Second}}
-		tasks.Go(func() { p.Results[i], errs[i] = load.Run(ctx, c) })
+		tasks.Go(func() { p.Results[i], errs[i] = loadgen.Run(ctx, c) })
 	}
 	tasks.Go(func() {
 		sleep(ctx, startTime+t.calm)
@@ -205,13 +205,13 @@
 	p.Fetches = f.origin.Stats().Fetches
 	for _, e := range f.origin.Doubled() {
 		name := e.Record + " " + e.Key
-		for _, kind := range []load.Kind{load.Library, load.Brief} {
+		for _, kind := range []loadgen.Kind{loadgen.Library, loadgen.Brief} {
 			if strings.HasPrefix(e.Key, strings.ToUpper(string(kind[:1]))) {
 				name = string(kind)
 			}
 		}
 		p.Doubled[name]++
-		if name == string(load.Library) && len(p.Problems) < 20 {
+		if name == string(loadgen.Library) && len(p.Problems) < 20 {
 			p.Problems = append(p.Problems, fmt.Sprintf("handover %s of %s was carried out again %v after the first time", e.Key, e.Record, e.Last.Sub(e.First).Round(time.Millisecond)))
 		}
 	}
@@ -248,10 +248,10 @@
 		say("%d crashes", p.Crashes)
 	}
 	for _, r := range p.Results {
-		if r.Kind != load.Library {
+		if r.Kind != loadgen.Library {
 			continue
 		}
-		if n := p.Doubled[string(load.Library)]; n > 0 {
+		if n := p.Doubled[string(loadgen.Library)]; n > 0 {
 			say("%d handovers were carried out twice", n)
 		}
 		for _, f := range r.Phases {
@@ -318,5 +318,5 @@
 			fmt.Fprintln(out, "  "+strings.ReplaceAll(s, "\n", " | "))
 		}
 	}
-	fmt.Fprintf(out, "verdict: %s plays=%d doubled_library=%d doubled_brief=%d\n", word, len(r.Plays), doubled[string(load.Library)], doubled[string(load.Brief)])
+	fmt.Fprintf(out, "verdict: %s plays=%d doubled_library=%d doubled_brief=%d\n", word, len(r.Plays), doubled[string(loadgen.Library)], doubled[string(loadgen.Brief)])
 }
--- a/internal/rehearse/conform.go
+++ b/internal/fleettest/conform.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"text/tabwriter"
 	"time"
 
+	"mulleinpier/internal/fake/endpointlist"
+	"mulleinpier/internal/fake/rawclient"
+	"mulleinpier/internal/fake/scriptednode"
 	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/standin/caller"
-	"mulleinpier/internal/standin/list"
-	"mulleinpier/internal/standin/script"
 )
 
 // The conformance suite: one table of cases, each played with both dialects of clients
@@ -30,20 +30,20 @@
 // step is what a client does. Pauses between two are the case's own.
 type step struct {
 	key, value string
-	effect     caller.Effect // of a write; "" for a read
-	want       string        // an Answer as its String says it
-	unlike     string        // the same where nodes speak binary, if that differs
+	effect     rawclient.Effect // of a write; "" for a read
+	want       string           // an Answer as its String says it
+	unlike     string           // the same where nodes speak binary, if that differs
 }
 
 // conformCase is one case. Its steps are asked all at once, and answered in order.
 type conformCase struct {
 	name  string
-	react []script.Reaction          // to the requests in their order over all nodes; then Serve
-	by    map[string]script.Reaction // to requests by key, before react
-	dead  bool                       // no node but the last listens
-	turns bool                       // a step is asked once the one before is answered
-	warm  bool                       // it has served a while before: a fresh proxy turns some of many at once away
-	drain bool                       // the first node drains before the steps
+	react []scriptednode.Reaction          // to the requests in their order over all nodes; then Serve
+	by    map[string]scriptednode.Reaction // to requests by key, before react
+	dead  bool                             // no node but the last listens
+	turns bool                             // a step is asked once the one before is answered
+	warm  bool                             // it has served a while before: a fresh proxy turns some of many at once away
+	drain bool                             // the first node drains before the steps
 	steps []step
 	sent  int  // to nodes at the least; -1 for no matter
 	most  int  // and at the most; 0 for no more than the least
@@ -54,13 +54,13 @@
 
 func read(key, want string) step { return step{key: key, want: want} }
 
-func write(effect caller.Effect, key, want string) step {
+func write(effect rawclient.Effect, key, want string) step {
 	return step{key: key, value: "delivered", effect: effect, want: want}
 }
 
 // keyed is a step of a keyed write, which binary nodes can't carry out.
 func keyed(key, want string) step {
-	s := write(caller.Keyed, key, want)
+	s := write(rawclient.Keyed, key, want)
 	s.unlike = "busy"
 	return s
 }
@@ -68,7 +68,7 @@
 func reads(n int) (steps []step) {
 	for i := range n {
 		key := fmt.Sprintf("k%d", i)
-		steps = append(steps, read(key, "value "+script.Value(key)))
+		steps = append(steps, read(key, "value "+scriptednode.Value(key)))
 	}
 	return steps
 }
@@ -78,44 +78,44 @@
 var conformCases = []conformCase{
 	{name: "read", steps: []step{read("k", "value v:k")}, sent: 1},
 	{name: "read of the largest value", steps: []step{read("big", largest)}, sent: 1},
-	{name: "read of no such key", react: []script.Reaction{script.Miss}, steps: []step{read("k", "missing")}, sent: 1},
-	{name: "read turned away", react: []script.Reaction{script.Busy}, steps: []step{read("k", "busy")}, sent: 1, quick: true},
-	{name: "read that failed", react: []script.Reaction{script.Fail}, steps: []step{read("k", "busy")}, sent: 1, quick: true},
-	{name: "read reset", react: []script.Reaction{script.Reset}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read ended within its answer", react: []script.Reaction{script.Half}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read answered by noise", react: []script.Reaction{script.Noise}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read answered by another's", react: []script.Reaction{script.Other}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read answered by 3 GB", react: []script.Reaction{script.Endless}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read answered twice", react: []script.Reaction{script.Surplus}, steps: []step{read("k", "value v:k")}, sent: 1},
-	{name: "read after one answered twice", react: []script.Reaction{script.Surplus}, turns: true, sent: 2,
+	{name: "read of no such key", react: []scriptednode.Reaction{scriptednode.Miss}, steps: []step{read("k", "missing")}, sent: 1},
+	{name: "read turned away", react: []scriptednode.Reaction{scriptednode.Busy}, steps: []step{read("k", "busy")}, sent: 1, quick: true},
+	{name: "read that failed", react: []scriptednode.Reaction{scriptednode.Fail}, steps: []step{read("k", "busy")}, sent: 1, quick: true},
+	{name: "read reset", react: []scriptednode.Reaction{scriptednode.Reset}, steps: []step{read("k", "value v:k")}, sent: 2},
+	{name: "read ended within its answer", react: []scriptednode.Reaction{scriptednode.Half}, steps: []step{read("k", "value v:k")}, sent: 2},
+	{name: "read answered by noise", react: []scriptednode.Reaction{scriptednode.Noise}, steps: []step{read("k", "value v:k")}, sent: 2},
+	{name: "read answered by another's", react: []scriptednode.Reaction{scriptednode.Other}, steps: []step{read("k", "value v:k")}, sent: 2},
+	{name: "read answered by 3 GB", react: []scriptednode.Reaction{scriptednode.Endless}, steps: []step{read("k", "value v:k")}, sent: 2},
+	{name: "read answered twice", react: []scriptednode.Reaction{scriptednode.Surplus}, steps: []step{read("k", "value v:k")}, sent: 1},
+	{name: "read after one answered twice", react: []scriptednode.Reaction{scriptednode.Surplus}, turns: true, sent: 2,
 		steps: []step{read("k", "value v:k"), read("k", "value v:k")}},
-	{name: "read at a node that hangs", react: []script.Reaction{script.Hang}, steps: []step{read("k", "busy")}, sent: 1, most: 4},
-	{name: "read where all nodes hang", react: slices.Repeat([]script.Reaction{script.Hang}, 20), steps: []step{read("k", "busy")},
+	{name: "read at a node that hangs", react: []scriptednode.Reaction{scriptednode.Hang}, steps: []step{read("k", "busy")}, sent: 1, most: 4},
+	{name: "read where all nodes hang", react: slices.Repeat([]scriptednode.Reaction{scriptednode.Hang}, 20), steps: []step{read("k", "busy")},
 		sent: 1, most: 4},
 	{name: "read where one node listens", dead: true, steps: []step{read("k", "value v:k")}, sent: 1},
 	{name: "read where a node drains", drain: true, steps: reads(8), sent: 8},
 	{name: "pipeline of reads, some slow", steps: reads(30), sent: 30, warm: true,
-		by: map[string]script.Reaction{"k0": script.Slow, "k7": script.Slow, "k12": script.Slow}},
+		by: map[string]scriptednode.Reaction{"k0": scriptednode.Slow, "k7": scriptednode.Slow, "k12": scriptednode.Slow}},
 	{name: "pipeline of reads, some spoilt", steps: reads(20), sent: 20, most: 60, warm: true,
-		react: []script.Reaction{script.Serve, script.Other, script.Serve, script.Half, script.Noise, script.Serve, script.Reset}},
-	{name: "pipeline of all kinds", sent: -1, by: map[string]script.Reaction{"none": script.Miss, "full": script.Busy},
-		steps: []step{read("a", "value v:a"), read("none", "missing"), write(caller.Unsafe, "b", "stored 7"), read("full", "busy"),
+		react: []scriptednode.Reaction{scriptednode.Serve, scriptednode.Other, scriptednode.Serve, scriptednode.Half, scriptednode.Noise, scriptednode.Serve, scriptednode.Reset}},
+	{name: "pipeline of all kinds", sent: -1, by: map[string]scriptednode.Reaction{"none": scriptednode.Miss, "full": scriptednode.Busy},
+		steps: []step{read("a", "value v:a"), read("none", "missing"), write(rawclient.Unsafe, "b", "stored 7"), read("full", "busy"),
 			read("c", "value v:c"), {key: "\x7f", want: "bad"}, read("big", largest), read("none", "missing"), read("d", "value v:d")}},
-	{name: "unsafe write", steps: []step{write(caller.Unsafe, "k", "stored 7")}, sent: 1},
-	{name: "unsafe write turned away", react: []script.Reaction{script.Busy}, steps: []step{write(caller.Unsafe, "k", "busy")}, sent: 1, quick: true},
-	{name: "unsafe write that failed", react: []script.Reaction{script.Fail}, steps: []step{write(caller.Unsafe, "k", "failed")}, sent: 1, quick: true},
-	{name: "unsafe write reset", react: []script.Reaction{script.Reset}, steps: []step{write(caller.Unsafe, "k", "failed")}, sent: 1, quick: true},
-	{name: "unsafe write answered by noise", react: []script.Reaction{script.Noise}, steps: []step{write(caller.Unsafe, "k", "failed")}, sent: 1, quick: true},
-	{name: "unsafe write answered by another's", react: []script.Reaction{script.Other}, steps: []step{write(caller.Unsafe, "k", "failed")}, sent: 1, quick: true},
-	{name: "unsafe write at a node that hangs", react: []script.Reaction{script.Hang}, steps: []step{write(caller.Unsafe, "k", "failed")}, sent: 1},
-	{name: "unsafe write where one node listens", dead: true, steps: []step{write(caller.Unsafe, "k", "stored 7")}, sent: 1},
-	{name: "unsafe write of the largest value", steps: []step{{key: "k", value: strings.Repeat("v", meta.MaxValue), effect: caller.Unsafe, want: "stored 7"}}, sent: 1},
-	{name: "unsafe write of a value too large", steps: []step{{key: "k", value: strings.Repeat("v", meta.MaxValue+1), effect: caller.Unsafe, want: "bad"}}},
+	{name: "unsafe write", steps: []step{write(rawclient.Unsafe, "k", "stored 7")}, sent: 1},
+	{name: "unsafe write turned away", react: []scriptednode.Reaction{scriptednode.Busy}, steps: []step{write(rawclient.Unsafe, "k", "busy")}, sent: 1, quick: true},
+	{name: "unsafe write that failed", react: []scriptednode.Reaction{scriptednode.Fail}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
+	{name: "unsafe write reset", react: []scriptednode.Reaction{scriptednode.Reset}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
+	{name: "unsafe write answered by noise", react: []scriptednode.Reaction{scriptednode.Noise}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
+	{name: "unsafe write answered by another's", react: []scriptednode.Reaction{scriptednode.Other}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
+	{name: "unsafe write at a node that hangs", react: []scriptednode.Reaction{scriptednode.Hang}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1},
+	{name: "unsafe write where one node listens", dead: true, steps: []step{write(rawclient.Unsafe, "k", "stored 7")}, sent: 1},
+	{name: "unsafe write of the largest value", steps: []step{{key: "k", value: strings.Repeat("v", meta.MaxValue), effect: rawclient.Unsafe, want: "stored 7"}}, sent: 1},
+	{name: "unsafe write of a value too large", steps: []step{{key: "k", value: strings.Repeat("v", meta.MaxValue+1), effect: rawclient.Unsafe, want: "bad"}}},
 	{name: "keyed write", steps: []step{keyed("k", "stored 7")}, sent: 1, none: true, quick: true},
-	{name: "keyed write turned away", react: []script.Reaction{script.Busy}, steps: []step{keyed("k", "busy")}, sent: 1, none: true, quick: true},
-	{name: "keyed write reset", react: []script.Reaction{script.Reset}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
-	{name: "keyed write answered by noise", react: []script.Reaction{script.Noise}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
-	{name: "keyed write answered by another's", react: []script.Reaction{script.Other}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
+	{name: "keyed write turned away", react: []scriptednode.Reaction{scriptednode.Busy}, steps: []step{keyed("k", "busy")}, sent: 1, none: true, quick: true},
+	{name: "keyed write reset", react: []scriptednode.Reaction{scriptednode.Reset}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
+	{name: "keyed write answered by noise", react: []scriptednode.Reaction{scriptednode.Noise}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
+	{name: "keyed write answered by another's", react: []scriptednode.Reaction{scriptednode.Other}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
 	{name: "keyed write where a node drains", drain: true, steps: []step{keyed("k", "stored 7")}, sent: 1, none: true},
 }
 
@@ -132,10 +132,10 @@
 }
 
 // combinations are client and node.
-var combinations = [][2]script.Dialect{{script.Meta, script.Meta}, {script.Meta, script.Binary}, {script.Binary, script.Meta},
-	{script.Binary, script.Binary}}
+var combinations = [][2]scriptednode.Dialect{{scriptednode.Meta, scriptednode.Meta}, {scriptednode.Meta, scriptednode.Binary}, {scriptednode.Binary, scriptednode.Meta},
+	{scriptednode.Binary, scriptednode.Binary}}
 
-func combination(c [2]script.Dialect) string { return string(c[0]) + "/" + string(c[1]) }
+func combination(c [2]scriptednode.Dialect) string { return string(c[0]) + "/" + string(c[1]) }
 
 // warmKey begins the keys that are read before a case's own.
 const warmKey = "warm"
@@ -183,20 +183,20 @@
 }
 
 // play plays the case once, and tells what was not as wanted.
-func (k *conformCase) play(o Options, client, dialect script.Dialect, path string) (wrong string, err error) {
+func (k *conformCase) play(o Options, client, dialect scriptednode.Dialect, path string) (wrong string, err error) {
 	var mu sync.Mutex
 	left := slices.Clone(k.react)
-	nodes, err := script.Start(dialect, 3, func(_ int, a script.Asked) script.Reaction {
+	nodes, err := scriptednode.Start(dialect, 3, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 		mu.Lock()
 		defer mu.Unlock()
 		if strings.HasPrefix(a.Key, warmKey) {
-			return script.Serve
+			return scriptednode.Serve
 		}
 		if do, ok := k.by[a.Key]; ok {
 			return do
 		}
 		if len(left) == 0 {
-			return script.Serve
+			return scriptednode.Serve
 		}
 		do := left[0]
 		left = left[1:]
@@ -206,10 +206,10 @@
 		return "", err
 	}
 	defer nodes.Close()
-	var entries []list.Entry
+	var entries []endpointlist.Entry
 	for i := range 3 {
-		e := list.Entry{Name: fmt.Sprintf("n%d", i), Address: nodes.Address(i), Type: "m1", Status: "up", Weight: 1}
-		if dialect == script.Binary {
+		e := endpointlist.Entry{Name: fmt.Sprintf("n%d", i), Address: nodes.Address(i), Type: "m1", Status: "up", Weight: 1}
+		if dialect == scriptednode.Binary {
 			e.Type = "b1"
 		}
 		entries = append(entries, e)
@@ -217,7 +217,7 @@
 			nodes.Refuse(i)
 		}
 	}
-	service := list.New(entries)
+	service := endpointlist.New(entries)
 	defer service.Close()
 	listAt, err := service.Open(0)
 	if err != nil {
@@ -248,7 +248,7 @@
 			return "", err
 		}
 	}
-	c, err := caller.Dial(client, address, patience)
+	c, err := rawclient.Dial(client, address, patience)
 	if err != nil {
 		return "", err
 	}
@@ -275,12 +275,12 @@
 	if took := time.Since(begun); k.quick && took > conformDeadline*2/3 {
 		return fmt.Sprintf("given up after %v of %v", took, conformDeadline), nil
 	}
-	asked := slices.DeleteFunc(nodes.Asked(), func(a script.Asked) bool { return strings.HasPrefix(a.Key, warmKey) })
+	asked := slices.DeleteFunc(nodes.Asked(), func(a scriptednode.Asked) bool { return strings.HasPrefix(a.Key, warmKey) })
 	return k.judge(asked, dialect, drained), nil
 }
 
 // drainFirst has the list tell that a node drains, and returns when that must be known.
-func drainFirst(service *list.Service, e list.Entry) (time.Time, error) {
+func drainFirst(service *endpointlist.Service, e endpointlist.Entry) (time.Time, error) {
 	e.Status = "draining"
 	service.Set(e)
 	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
@@ -293,7 +293,7 @@
 }
 
 // ask does the steps and tells what was not answered as wanted.
-func (k *conformCase) ask(c *caller.Caller, dialect script.Dialect) string {
+func (k *conformCase) ask(c *rawclient.Caller, dialect scriptednode.Dialect) string {
 	send := func(i int) error {
 		if s := k.steps[i]; s.effect != "" {
 			return c.Write(s.key, s.value, s.effect, fmt.Sprint("w", i))
@@ -312,7 +312,7 @@
 			}
 		}
 		want := s.want
-		if s.unlike != "" && dialect == script.Binary {
+		if s.unlike != "" && dialect == scriptednode.Binary {
 			want = s.unlike
 		}
 		got, err := c.Next()
@@ -330,9 +330,9 @@
 }
 
 // judge tells what was sent to nodes that must not have been, or was not.
-func (k *conformCase) judge(asked []script.Asked, dialect script.Dialect, drained time.Time) string {
+func (k *conformCase) judge(asked []scriptednode.Asked, dialect scriptednode.Dialect, drained time.Time) string {
 	least, most := k.sent, max(k.sent, k.most)
-	if k.none && dialect == script.Binary {
+	if k.none && dialect == scriptednode.Binary {
 		least, most = 0, 0
 	}
 	if n := len(asked); k.sent >= 0 && (n < least || n > most) {
--- a/internal/rehearse/cost.go
+++ b/internal/fleettest/cost.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -19,12 +19,12 @@
 	"golang.org/x/sys/unix"
 
 	"mulleinpier/internal/binary"
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/fake/origin"
+	"mulleinpier/internal/fake/rawclient"
 	"mulleinpier/internal/lease/agent"
 	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/standin/caller"
-	"mulleinpier/internal/standin/node"
-	"mulleinpier/internal/standin/origin"
 )
 
 // CostOptions say how to measure what a proxy costs.
@@ -249,7 +249,7 @@
 				var err error
 				if l.binary {
 					l.opaque++
-					_, err = l.socket.Write(caller.AppendKeyed(nil, binary.Get, fmt.Sprintf("k%d", id%64), l.opaque))
+					_, err = l.socket.Write(rawclient.AppendKeyed(nil, binary.Get, fmt.Sprintf("k%d", id%64), l.opaque))
 				} else {
 					_, err = fmt.Fprintf(l.socket, "mg k%d v O%x Pc=read,d=2000\r\n", id%64, id)
 				}
--- a/internal/rehearse/degrade.go
+++ b/internal/fleettest/degrade.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"bufio"
@@ -15,14 +15,14 @@
 	"text/tabwriter"
 	"time"
 
-	"mulleinpier/internal/service"
+	"mulleinpier/internal/overload"
 )
 
 // Change is one change of a proxy's level of service, as it keeps it, at seconds from the
 // rehearsal's beginning.
 type Change struct {
 	At float64 `json:"at_s"`
-	service.Record
+	overload.Record
 }
 
 // levels asks all proxies for the changes of their levels.
@@ -44,7 +44,7 @@
 var errStats = errors.New("no figures")
 
 // askLevels asks a proxy for the records that it keeps, the oldest first.
-func askLevels(address string) (records []service.Record, err error) {
+func askLevels(address string) (records []overload.Record, err error) {
 	socket, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil, err
@@ -66,11 +66,11 @@
 			return nil, errStats
 		}
 		if strings.HasPrefix(name, "service_change_") {
-			var r service.Record
+			var r overload.Record
 			if err := json.Unmarshal([]byte(value), &r); err != nil {
 				return nil, err
 			}
-			records = append([]service.Record{r}, records...)
+			records = append([]overload.Record{r}, records...)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 // changes counts those of all proxies, and returns the worst level and how long after the
 // last phase had begun the last proxy was back at full service; it is negative where one
 // was not.
-func (r *Report) changes() (n int, worst service.Level, full float64) {
+func (r *Report) changes() (n int, worst overload.Level, full float64) {
 	calm := 0.0
 	for _, p := range r.Phases[:max(len(r.Phases)-1, 0)] {
 		calm += p.Seconds
@@ -173,7 +173,7 @@
 		if len(list) == 0 {
 			continue
 		}
-		if last := list[len(list)-1]; last.Level != service.Full {
+		if last := list[len(list)-1]; last.Level != overload.Full {
 			full = -1
 		} else if full >= 0 {
 			full = max(full, last.At-calm)
--- a/internal/rehearse/directory.go
+++ b/internal/fleettest/directory.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"mulleinpier/internal/standin/consul"
-	"mulleinpier/internal/standin/list"
+	"mulleinpier/internal/fake/consul"
+	"mulleinpier/internal/fake/endpointlist"
 )
 
 // directory is where the proxies of a fleet learn of its nodes. It knows when each was
@@ -18,7 +18,7 @@
 	// told returns when a proxy was first told that a node drains or is gone, and false
 	// while it is not told so.
 	told(proxy int, node string) (time.Time, bool)
-	set(e list.Entry)
+	set(e endpointlist.Entry)
 	// fail makes all of it fail in a way, "" for none.
 	fail(kind string)
 	// move changes the place of a proxy.
@@ -29,14 +29,14 @@
 
 // platformList is a directory of the platform's form.
 type platformList struct {
-	service *list.Service
+	service *endpointlist.Service
 	mu      sync.Mutex
 	at      map[int]string
 }
 
 // newPlatformList has each proxy find a node where placed says.
-func newPlatformList(entries []list.Entry, placed func(proxy int, e *list.Entry) string) *platformList {
-	service := list.New(entries)
+func newPlatformList(entries []endpointlist.Entry, placed func(proxy int, e *endpointlist.Entry) string) *platformList {
+	service := endpointlist.New(entries)
 	service.Placed = placed
 	return &platformList{service: service, at: make(map[int]string)}
 }
@@ -57,10 +57,10 @@
 func (d *platformList) told(proxy int, node string) (time.Time, bool) {
 	return d.service.DrainTold(proxy, node)
 }
-func (d *platformList) set(e list.Entry) { d.service.Set(e) }
-func (d *platformList) fail(kind string) { d.service.SetDown(kind != "") }
-func (d *platformList) places() []string { return nil }
-func (d *platformList) close()           { d.service.Close() }
+func (d *platformList) set(e endpointlist.Entry) { d.service.Set(e) }
+func (d *platformList) fail(kind string)         { d.service.SetDown(kind != "") }
+func (d *platformList) places() []string         { return nil }
+func (d *platformList) close()                   { d.service.Close() }
 
 func (d *platformList) move(proxy int) error {
 	at, err := d.service.Move(proxy)
@@ -84,7 +84,7 @@
 
 const consulService = "cache"
 
-func newCatalogue(entries []list.Entry, zones []string) (*catalogue, error) {
+func newCatalogue(entries []endpointlist.Entry, zones []string) (*catalogue, error) {
 	d := &catalogue{catalogue: consul.New(), zones: zones, agents: make(map[string]*consul.Agent)}
 	for _, zone := range zones {
 		a, err := d.catalogue.Start("agent-"+zone, "")
@@ -118,7 +118,7 @@
 }
 
 // set enters a node as an agent beside it would: a drain is its maintenance.
-func (d *catalogue) set(e list.Entry) {
+func (d *catalogue) set(e endpointlist.Entry) {
 	host := "host-" + e.Name
 	address, port := splitPort(e.Address)
 	if e.Status == "removed" {
@@ -132,7 +132,7 @@
 		i.Meta["started_ms"] = fmt.Sprint(e.Since)
 	}
 	if e.Status == "draining" {
-		i.Checks = append(i.Checks, consul.Check{CheckID: "_service_maintenance:" + e.Name, Status: "critical", Notes: "rehearsed"})
+		i.Checks = append(i.Checks, consul.Check{CheckID: "_service_maintenance:" + e.Name, Status: "critical", Notes: "fleettestd"})
 	}
 	d.catalogue.Set(i)
 }
@@ -187,7 +187,7 @@
 func (f *fleet) flap(i, times int, every time.Duration, ended <-chan struct{}) {
 	for range times {
 		for _, status := range []string{"removed", "up"} {
-			f.tellNode(i, func(x *list.Entry) { x.Status = status })
+			f.tellNode(i, func(x *endpointlist.Entry) { x.Status = status })
 			select {
 			case <-ended:
 			case <-time.After(every):
--- a/internal/rehearse/disturb.go
+++ b/internal/fleettest/disturb.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"mulleinpier/internal/rehearse/rig"
-	"mulleinpier/internal/standin/list"
+	"mulleinpier/internal/fake/endpointlist"
+	"mulleinpier/internal/fleettest/faultinject"
 )
 
 // This file has a scenario's events put the rig's faults into the fleet, and knows whom they
@@ -23,17 +23,17 @@
 const linkHost = "127.0.0.4"
 
 // wakeTime is what a process has to answer in that was stopped to just before a deadline; it is more where
-// the rehearsal itself was late lately, as for any answer.
+// the test itself was late lately, as for any answer.
 const wakeTime = 50 * time.Millisecond
 
 // links are the ways between parts of the fleet that a scenario has fail, one for each pair.
 // Pairs that none has fail talk without one.
 type links struct {
-	clients map[int]*rig.Link // by proxy; nil for no links of the kind
-	list    map[int]*rig.Link // by proxy
+	clients map[int]*faultinject.Link // by proxy; nil for no links of the kind
+	list    map[int]*faultinject.Link // by proxy
 
 	mu   sync.Mutex
-	held map[int]map[string]*rig.Link // proxy, node
+	held map[int]map[string]*faultinject.Link // proxy, node
 }
 
 // plan tells which links there are to be.
@@ -45,11 +45,11 @@
 		}
 		switch e.Between {
 		case "clients":
-			l.clients = make(map[int]*rig.Link)
+			l.clients = make(map[int]*faultinject.Link)
 		case "nodes":
-			l.held = make(map[int]map[string]*rig.Link)
+			l.held = make(map[int]map[string]*faultinject.Link)
 		case "list":
-			l.list = make(map[int]*rig.Link)
+			l.list = make(map[int]*faultinject.Link)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	if l.clients == nil {
 		return d.address, nil
 	}
-	link, err := rig.NewLink(linkHost, d.address)
+	link, err := faultinject.NewLink(linkHost, d.address)
 	if err != nil {
 		return "", err
 	}
@@ -68,7 +68,7 @@
 }
 
 // linkedNode is where a proxy finds a node.
-func (f *fleet) linkedNode(proxy int, e *list.Entry) string {
+func (f *fleet) linkedNode(proxy int, e *endpointlist.Entry) string {
 	l := &f.links
 	if l.held == nil {
 		return e.Address
@@ -76,12 +76,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.held[proxy] == nil {
-		l.held[proxy] = make(map[string]*rig.Link)
+		l.held[proxy] = make(map[string]*faultinject.Link)
 	}
 	link := l.held[proxy][e.Name]
 	if link == nil {
 		var err error
-		if link, err = rig.NewLink(linkHost, e.Address); err != nil {
+		if link, err = faultinject.NewLink(linkHost, e.Address); err != nil {
 			f.problem("%v", err)
 			return e.Address
 		}
@@ -98,7 +98,7 @@
 		return "", errors.New("links to a list are for the platform's form")
 	}
 	if old := f.links.list[proxy]; old == nil {
-		link, err := rig.NewLink(linkHost, target)
+		link, err := faultinject.NewLink(linkHost, target)
 		if err != nil {
 			return "", err
 		}
@@ -137,7 +137,7 @@
 }
 
 // chosen are the links that an event is about.
-func (l *links) chosen(e *Event, names []string) (list []*rig.Link) {
+func (l *links) chosen(e *Event, names []string) (list []*faultinject.Link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, proxy := range e.proxies() {
@@ -182,7 +182,7 @@
 		return fmt.Errorf("%s: times cannot be %d: want 10000 at most", e.Do, e.Times)
 	case e.Do == "link" && !slices.Contains([]string{"clients", "nodes", "list"}, e.Between):
 		return fmt.Errorf("link: between cannot be %q: want clients, nodes or list", e.Between)
-	case e.Do == "link" && e.Kind != "reset" && rig.Faults[e.Kind] == nil:
+	case e.Do == "link" && e.Kind != "reset" && faultinject.Faults[e.Kind] == nil:
 		return fmt.Errorf("link: there is no fault %q", e.Kind)
 	case e.Do == "link" && e.Between != "clients" && s.Fleet.Consul:
 		return errors.New("link: with Consul only those to clients can fail")
@@ -195,19 +195,19 @@
 	var each func(ctx context.Context, d *proxyDoor) error
 	switch e.Do {
 	case "stop":
-		schedule := rig.Stop{For: time.Duration(e.For), Every: time.Duration(e.Every), Times: e.Times}
+		schedule := faultinject.Stop{For: time.Duration(e.For), Every: time.Duration(e.Every), Times: e.Times}
 		each = func(ctx context.Context, d *proxyDoor) error { return d.stop(ctx, schedule) }
 	case "starve":
 		each = func(ctx context.Context, d *proxyDoor) error {
 			ctx, end := context.WithTimeout(ctx, time.Duration(e.For))
 			defer end()
-			return rig.Starve(ctx, d.current().cmd.Process.Pid, max(e.Times, 1))
+			return faultinject.Starve(ctx, d.current().cmd.Process.Pid, max(e.Times, 1))
 		}
 	case "crowd":
 		each = func(ctx context.Context, d *proxyDoor) error {
 			ctx, end := context.WithTimeout(ctx, time.Duration(e.For))
 			defer end()
-			rig.Crowd(ctx, d.front, max(e.Times, 1))
+			faultinject.Crowd(ctx, d.front, max(e.Times, 1))
 			return nil
 		}
 	case "link":
@@ -241,7 +241,7 @@
 		}
 		return
 	}
-	set := func(fault rig.Fault) { // at all at once: to fill a backlog takes 50 ms each
+	set := func(fault faultinject.Fault) { // at all at once: to fill a backlog takes 50 ms each
 		var tasks sync.WaitGroup
 		for _, l := range chosen {
 			tasks.Go(func() {
@@ -252,13 +252,13 @@
 		}
 		tasks.Wait()
 	}
-	set(rig.Faults[e.Kind](time.Duration(e.By)))
+	set(faultinject.Faults[e.Kind](time.Duration(e.By)))
 	sleep(ctx, time.Duration(e.For))
-	set(rig.Fault{})
+	set(faultinject.Fault{})
 }
 
 // stop stops the proxy's process by a schedule.
-func (d *proxyDoor) stop(ctx context.Context, schedule rig.Stop) error {
+func (d *proxyDoor) stop(ctx context.Context, schedule faultinject.Stop) error {
 	at := -1
 	note := func(from, to time.Time) {
 		d.mu.Lock()
--- a/internal/rehearse/rig/core.go
+++ b/internal/fleettest/faultinject/core.go
@@ -1,4 +1,4 @@
-package rig
+package faultinject
 
 import (
 	"context"
--- a/internal/rehearse/rig/rig_test.go
+++ b/internal/fleettest/faultinject/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultinject
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // echo answers each line by itself, until the test ends.
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testwait.Patience))
+	c.SetDeadline(time.Now().Add(testutil.Patience))
 	return c, bufio.NewReader(c)
 }
 
@@ -111,7 +111,7 @@
 			if got, err := in.ReadString('\n'); err == nil {
 				t.Fatalf("%q came through", got)
 			}
-			c.SetReadDeadline(time.Now().Add(testwait.Patience))
+			c.SetReadDeadline(time.Now().Add(testutil.Patience))
 			if kind == "cut" {
 				if n, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
 					n.Close()
@@ -177,10 +177,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- Stop{For: time.Hour}.Do(ctx, cmd.Process.Pid, told) }()
-	testwait.Until(t, "the process to stand", func() bool { return Stands(cmd.Process.Pid) })
+	testutil.Until(t, "the process to stand", func() bool { return Stands(cmd.Process.Pid) })
 	cancel()
-	testwait.Receive(t, "the stop to end", ended)
-	testwait.Until(t, "the process to go on", func() bool { return !Stands(cmd.Process.Pid) })
+	testutil.Receive(t, "the stop to end", ended)
+	testutil.Until(t, "the process to go on", func() bool { return !Stands(cmd.Process.Pid) })
 	if len(stands) != 4 {
 		t.Errorf("%d stops told", len(stands))
 	}
@@ -272,7 +272,7 @@
 			t.Fatal(err)
 		}
 		say(t, c, "fresh\n")
-		if got := testwait.Receive(t, "what was written after the cut", heard); got != "fresh" {
+		if got := testutil.Receive(t, "what was written after the cut", heard); got != "fresh" {
 			t.Errorf("%q came through", got)
 		}
 		c.Close()
@@ -299,12 +299,12 @@
 		}
 		return info.Size()
 	}
-	testwait.Until(t, "a first line", func() bool { return size() > 0 })
+	testutil.Until(t, "a first line", func() bool { return size() > 0 })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- FullDisk(ctx, cmd.Process.Pid, time.Hour) }()
 	last, same := int64(-1), 0
-	testwait.Until(t, "the file to grow no more", func() bool {
+	testutil.Until(t, "the file to grow no more", func() bool {
 		time.Sleep(50 * time.Millisecond)
 		if now := size(); now == last {
 			same++
@@ -314,10 +314,10 @@
 		return same >= 4
 	})
 	cancel()
-	if err := testwait.Receive(t, "the fault to end", ended); err != nil {
+	if err := testutil.Receive(t, "the fault to end", ended); err != nil {
 		t.Error(err)
 	}
-	testwait.Until(t, "the file to grow again", func() bool { return size() > last })
+	testutil.Until(t, "the file to grow again", func() bool { return size() > last })
 }
 
 // TestLinkDeliversTwice has what comes on a new connection come to the target on two.
@@ -338,7 +338,7 @@
 	c, in := dial(t, l.Address())
 	say(t, c, "a\n")
 	for range 2 {
-		if got := testwait.Receive(t, "it to come twice", heard); got != "a" {
+		if got := testutil.Receive(t, "it to come twice", heard); got != "a" {
 			t.Errorf("%q", got)
 		}
 	}
--- a/internal/rehearse/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"bytes"
@@ -14,11 +14,11 @@
 	"syscall"
 	"time"
 
+	"mulleinpier/internal/fake/endpointlist"
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/fake/origin"
+	"mulleinpier/internal/fleettest/faultinject"
 	"mulleinpier/internal/lease/agent"
-	"mulleinpier/internal/rehearse/rig"
-	"mulleinpier/internal/standin/list"
-	"mulleinpier/internal/standin/node"
-	"mulleinpier/internal/standin/origin"
 )
 
 // newHost is a loopback address that no connection goes out from, and no other fleet listens at: while a proxy is down,
@@ -71,13 +71,13 @@
 	proxies   []*proxyDoor
 	links     links
 	ports     *ports                       // of the proxies
-	workLinks map[int]*rig.Link            // before where proxies take works in hand
+	workLinks map[int]*faultinject.Link    // before where proxies take works in hand
 	voters    agent.Fleet                  // of permits, if there are any
 	found     func(proxy int) []agent.Peer // them, by each proxy; nil for as they are
 
 	mu       sync.Mutex
-	entries  []list.Entry // of nodes, as last told
-	late     int          // drains
+	entries  []endpointlist.Entry // of nodes, as last told
+	late     int                  // drains
 	lateBy   time.Duration
 	lastBy   time.Duration // of all that came to a node after its drain was told
 	crashes  int
@@ -135,7 +135,7 @@
 			return nil, err
 		}
 		f.nodes = append(f.nodes, n)
-		f.entries = append(f.entries, list.Entry{Name: n.Name(), Address: n.Address(), Zone: p.Zones[i%len(p.Zones)], Type: f.kind(i),
+		f.entries = append(f.entries, endpointlist.Entry{Name: n.Name(), Address: n.Address(), Zone: p.Zones[i%len(p.Zones)], Type: f.kind(i),
 			Group: i % 3, Status: "up", Weight: 1})
 	}
 	if p.Consul {
@@ -539,7 +539,7 @@
 }
 
 // tellNode changes a node's entry in the list.
-func (f *fleet) tellNode(i int, change func(*list.Entry)) {
+func (f *fleet) tellNode(i int, change func(*endpointlist.Entry)) {
 	f.mu.Lock()
 	change(&f.entries[i])
 	e := f.entries[i]
--- a/internal/rehearse/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"mulleinpier/internal/fleettest/faultinject"
 	"mulleinpier/internal/lease"
 	"mulleinpier/internal/lease/agent"
-	"mulleinpier/internal/rehearse/rig"
 )
 
 // This file measures how long a task is without an act when its holder gives it back, hands it over, is killed, stopped
@@ -64,7 +64,7 @@
 	name    string
 	judge   *judge
 	holders [2]*process
-	ways    [2][]*rig.Link
+	ways    [2][]*faultinject.Link
 	seen    [2][]agent.Peer
 	first   int // number of its first holder
 }
@@ -131,7 +131,7 @@
 	t := &gapTask{name: fmt.Sprint("gap", i), judge: j, first: 10 + 2*i}
 	for h := range t.holders {
 		for _, v := range f.voters.Voters {
-			link, err := rig.NewLink(linkHost, v.Address)
+			link, err := faultinject.NewLink(linkHost, v.Address)
 			if err != nil {
 				return t, err
 			}
@@ -227,7 +227,7 @@
 				}
 				after = func() error { return syscall.Kill(x.cmd.Process.Pid, syscall.SIGCONT) }
 			case "cut off":
-				set := func(fault rig.Fault) error {
+				set := func(fault faultinject.Fault) error {
 					var err error
 					for _, l := range t.ways[h] {
 						if e := l.Set(fault); e != nil {
@@ -236,10 +236,10 @@
 					}
 					return err
 				}
-				if err := set(rig.Faults["cut"](0)); err != nil {
+				if err := set(faultinject.Faults["cut"](0)); err != nil {
 					return err
 				}
-				after = func() error { return set(rig.Fault{}) }
+				after = func() error { return set(faultinject.Fault{}) }
 			}
 			gap, err := t.next(ctx, number)
 			if e := after(); err == nil {
--- a/internal/rehearse/lease.go
+++ b/internal/fleettest/lease.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"bufio"
@@ -18,9 +18,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"mulleinpier/internal/clock"
+	"mulleinpier/internal/fleettest/faultinject"
 	"mulleinpier/internal/lease"
 	"mulleinpier/internal/lease/agent"
-	"mulleinpier/internal/rehearse/rig"
 )
 
 // This file plays leases among real processes: proxies that vote, holders that act under one task at a resource
@@ -265,7 +265,7 @@
 	judge *judge
 	fleet *fleet // its proxies are the voters
 	real  []agent.Peer
-	ways  map[[2]int]*rig.Link // from a process (voters first, then holders) to a voter
+	ways  map[[2]int]*faultinject.Link // from a process (voters first, then holders) to a voter
 
 	mu      sync.Mutex
 	holders []*process
@@ -297,7 +297,7 @@
 	}
 	defer j.close()
 	j.careless = o.Careless
-	p := &leasePlay{o: o, rng: rand.New(rand.NewPCG(o.Seed, 9)), judge: j, ways: make(map[[2]int]*rig.Link), report: &LeaseReport{Seconds: o.For.Seconds()},
+	p := &leasePlay{o: o, rng: rand.New(rand.NewPCG(o.Seed, 9)), judge: j, ways: make(map[[2]int]*faultinject.Link), report: &LeaseReport{Seconds: o.For.Seconds()},
 		holders: make([]*process, leaseHolders)}
 	defer p.close()
 	s, err := leaseScenario(o.For, max(o.Seed, 1))
@@ -339,7 +339,7 @@
 			if from == to {
 				continue
 			}
-			link, err := rig.NewLink(linkHost, v.Address)
+			link, err := faultinject.NewLink(linkHost, v.Address)
 			if err != nil {
 				return nil, err
 			}
@@ -450,7 +450,7 @@
 
 func (p *leasePlay) stop(ctx context.Context, i int, span time.Duration) {
 	if i < leaseVoters {
-		if err := p.fleet.proxies[i].stop(ctx, rig.Stop{For: span}); err != nil && ctx.Err() == nil {
+		if err := p.fleet.proxies[i].stop(ctx, faultinject.Stop{For: span}); err != nil && ctx.Err() == nil {
 			p.problem("stop of voter %d: %v", i, err)
 		}
 		return
@@ -459,13 +459,13 @@
 	pid := p.holders[i-leaseVoters].cmd.Process.Pid
 	p.mu.Unlock()
 	p.judge.befell("holder stopped", i)
-	rig.Stop{For: span}.Do(ctx, pid, func(_, _ time.Time) {}) // one that has been killed meanwhile can't be
+	faultinject.Stop{For: span}.Do(ctx, pid, func(_, _ time.Time) {}) // one that has been killed meanwhile can't be
 }
 
 // fillDisk has a voter's disk be full for a while. It stands down, serves on, and votes again once started anew.
 func (p *leasePlay) fillDisk(ctx context.Context, i int, span time.Duration) {
 	d := p.fleet.proxies[i]
-	if err := rig.FullDisk(ctx, d.current().cmd.Process.Pid, span); err != nil {
+	if err := faultinject.FullDisk(ctx, d.current().cmd.Process.Pid, span); err != nil {
 		p.problem("voter %d: %v", i, err)
 	}
 	if ctx.Err() == nil {
@@ -482,12 +482,12 @@
 		link.Reset()
 		return
 	}
-	if link.Set(rig.Faults[kind](150*time.Millisecond)) == nil {
+	if link.Set(faultinject.Faults[kind](150*time.Millisecond)) == nil {
 		if kind == "twice" { // which is for new connections
 			link.Reset()
 		}
 		sleep(ctx, span)
-		link.Set(rig.Fault{})
+		link.Set(faultinject.Fault{})
 	}
 }
 
--- a/internal/rehearse/library.go
+++ b/internal/fleettest/library.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"time"
 
 	"mulleinpier/client"
-	"mulleinpier/internal/load"
+	"mulleinpier/internal/loadgen"
 )
 
 // openLibrary makes the library's clients, one for each tenant, if any request goes through them. Their
@@ -16,7 +16,7 @@
 		return nil
 	}
 	t := c.tally
-	c.audit = &load.Audit{Seen: c.fleet.wasSeen, Excused: c.fleet.killedLately, OnTry: t.sent, OnCrossed: t.crossed, OnExcused: t.excused,
+	c.audit = &loadgen.Audit{Seen: c.fleet.wasSeen, Excused: c.fleet.killedLately, OnTry: t.sent, OnCrossed: t.crossed, OnExcused: t.excused,
 		OnOverdue: t.overdue, OnLost: t.lose}
 	var addresses []string
 	for _, d := range c.fleet.proxies {
--- a/internal/rehearse/members.go
+++ b/internal/fleettest/members.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"mulleinpier/internal/standin/consul"
+	"mulleinpier/internal/fake/consul"
 )
 
 // MembersOptions say how to measure what following a catalogue costs.
@@ -84,7 +84,7 @@
 	var entered []time.Time
 	for i := 0; i < o.Nodes && time.Since(begun) < o.For && ctx.Err() == nil; i++ {
 		host, id := name(i)
-		c.Maintain(host, id, true, "rehearsed")
+		c.Maintain(host, id, true, "fleettestd")
 		entered = append(entered, time.Now())
 		sleep(ctx, time.Until(begun.Add(time.Duration(i+1)*time.Second/time.Duration(o.Changes))))
 	}
--- a/internal/rehearse/peers.go
+++ b/internal/fleettest/peers.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"mulleinpier/internal/fleettest/faultinject"
 	"mulleinpier/internal/lease/agent"
-	"mulleinpier/internal/rehearse/rig"
 )
 
 // This file plays instances that know each other: ends, stops and cuts of some, and what the others log of them when;
@@ -88,7 +88,7 @@
 type peersPlay struct {
 	o      PeersOptions
 	fleet  *fleet
-	ways   [][]*rig.Link // from an instance to the voters
+	ways   [][]*faultinject.Link // from an instance to the voters
 	report *PeersReport
 }
 
@@ -105,7 +105,7 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	p := &peersPlay{o: o, ways: make([][]*rig.Link, o.Instances), report: &PeersReport{Instances: o.Instances}}
+	p := &peersPlay{o: o, ways: make([][]*faultinject.Link, o.Instances), report: &PeersReport{Instances: o.Instances}}
 	defer p.close()
 	if p.fleet, err = startFleetBy(s, o.Program, o.Folder, func(string, ...any) {}, p.open); err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 	for i := range found {
 		for at, v := range real {
 			if p.o.Times > 0 && at != i {
-				link, err := rig.NewLink(linkHost, v.Address)
+				link, err := faultinject.NewLink(linkHost, v.Address)
 				if err != nil {
 					return nil, err
 				}
@@ -210,8 +210,8 @@
 			sleep(ctx, time.Second)
 			return d.start()
 		}},
-		{"stop of 300 ms", false, func(d *proxyDoor) error { return d.stop(ctx, rig.Stop{For: 300 * time.Millisecond}) }},
-		{"stop of 2 s", true, func(d *proxyDoor) error { return d.stop(ctx, rig.Stop{For: 2 * time.Second}) }},
+		{"stop of 300 ms", false, func(d *proxyDoor) error { return d.stop(ctx, faultinject.Stop{For: 300 * time.Millisecond}) }},
+		{"stop of 2 s", true, func(d *proxyDoor) error { return d.stop(ctx, faultinject.Stop{For: 2 * time.Second}) }},
 		{"cut off for 2 s", true, func(d *proxyDoor) error { return p.cut(ctx, d.index, "cut") }},
 		{"answers held for 2 s", true, func(d *proxyDoor) error { return p.cut(ctx, d.index, "back") }},
 		{"connections reset", false, func(d *proxyDoor) error {
@@ -259,11 +259,11 @@
 func (p *peersPlay) cut(ctx context.Context, i int, kind string) error {
 	var errs []error
 	for _, l := range p.ways[i] {
-		errs = append(errs, l.Set(rig.Faults[kind](0)))
+		errs = append(errs, l.Set(faultinject.Faults[kind](0)))
 	}
 	sleep(ctx, 2*time.Second)
 	for _, l := range p.ways[i] {
-		errs = append(errs, l.Set(rig.Fault{}))
+		errs = append(errs, l.Set(faultinject.Fault{}))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/rehearse/permits.go
+++ b/internal/fleettest/permits.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 
 const (
 	permitVoters = 3
-	permitFleet  = "rehearsal"
+	permitFleet  = "fleettest"
 	// permitPatience bounds the wait for leave and drain together.
 	permitPatience = 3 * time.Minute
 )
--- a/internal/rehearse/play.go
+++ b/internal/fleettest/play.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"mulleinpier/internal/rehearse/rig"
-	"mulleinpier/internal/standin/list"
-	"mulleinpier/internal/standin/node"
+	"mulleinpier/internal/fake/endpointlist"
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/fleettest/faultinject"
 )
 
 // Options say how to play a scenario.
@@ -81,7 +81,7 @@
 	}
 }
 
-func sleep(ctx context.Context, d time.Duration) { rig.Wait(ctx, d) }
+func sleep(ctx context.Context, d time.Duration) { faultinject.Wait(ctx, d) }
 
 func (f *fleet) footprints(into *[]Footprint) {
 	for _, d := range f.proxies {
@@ -179,16 +179,16 @@
 	case "hangup":
 		each(func(d *proxyDoor) { d.hangup(e.With, e.Times, time.Duration(e.Every)) })
 	case "drain":
-		f.tellNode(e.Node, func(x *list.Entry) { x.Status = "draining" })
+		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "draining" })
 	case "undrain":
-		f.tellNode(e.Node, func(x *list.Entry) { x.Status = "up" })
+		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "up" })
 	case "remove":
-		f.tellNode(e.Node, func(x *list.Entry) { x.Status = "removed" })
+		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "removed" })
 	case "cold":
 		if err := n.Restart(); err != nil {
 			f.problem("node %d: %v", e.Node, err)
 		}
-		f.tellNode(e.Node, func(x *list.Entry) { x.Status, x.Since = "up", n.Started().UnixMilli() })
+		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status, x.Since = "up", n.Started().UnixMilli() })
 	case "fault":
 		if err := n.SetFault(node.Fault{Kind: node.FaultKind(e.Kind), Every: e.Part, By: time.Duration(e.By)}); err != nil {
 			f.problem("node %d: %v", e.Node, err)
@@ -212,8 +212,8 @@
 		if err := n.RestartAs(old + "x"); err != nil {
 			f.problem("node %d: %v", e.Node, err)
 		}
-		f.tellNode(e.Node, func(x *list.Entry) { x.Status = "removed" })
-		f.tellNode(e.Node, func(x *list.Entry) { x.Name, x.Status, x.Since = old+"x", "up", n.Started().UnixMilli() })
+		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "removed" })
+		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Name, x.Status, x.Since = old+"x", "up", n.Started().UnixMilli() })
 	case "reborn":
 		if err := n.Restart(); err != nil {
 			f.problem("node %d: %v", e.Node, err)
@@ -229,7 +229,7 @@
 			if e.Do == "dark" {
 				err = n.SetFault(node.Fault{Kind: node.Refuse})
 			} else if err = n.Restart(); err == nil {
-				f.tellNode(i, func(x *list.Entry) { x.Status, x.Since = "up", n.Started().UnixMilli() })
+				f.tellNode(i, func(x *endpointlist.Entry) { x.Status, x.Since = "up", n.Started().UnixMilli() })
 			}
 			if err != nil {
 				f.problem("node %d: %v", i, err)
@@ -237,7 +237,7 @@
 		}
 	case "leave", "return":
 		for i := range e.Times {
-			f.tellNode(i, func(x *list.Entry) { x.Status = map[string]string{"leave": "removed", "return": "up"}[e.Do] })
+			f.tellNode(i, func(x *endpointlist.Entry) { x.Status = map[string]string{"leave": "removed", "return": "up"}[e.Do] })
 		}
 	}
 }
@@ -269,6 +269,6 @@
 
 // TempFolder makes a folder for a rehearsal.
 func TempFolder() (path string, remove func(), err error) {
-	path, err = os.MkdirTemp("", "rehearse-")
+	path, err = os.MkdirTemp("", "fleettest-")
 	return path, func() { os.RemoveAll(path) }, err
 }
--- a/internal/rehearse/process.go
+++ b/internal/fleettest/process.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"errors"
@@ -46,7 +46,7 @@
 // startProcess starts a program under a service manager's protocol; with a
 // listener it is passed that. What it writes goes behind the log at a path.
 func startProcess(argv []string, listener *os.File, log string) (*process, error) {
-	name := fmt.Sprintf("@rehearse-%d-%d", os.Getpid(), serials.Add(1))
+	name := fmt.Sprintf("@fleettest-%d-%d", os.Getpid(), serials.Add(1))
 	notify, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: name, Net: "unixgram"})
 	if err != nil {
 		return nil, fmt.Errorf("notify socket: %w", err)
--- a/internal/rehearse/report.go
+++ b/internal/fleettest/report.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"fmt"
@@ -42,7 +42,7 @@
 	Severed     int      `json:"severed"`
 	Overdue     int      `json:"overdue"`
 	OverdueBy   float64  `json:"overdue_by_ms"`
-	Lag         float64  `json:"lag_ms"` // of the rehearsal itself, at the most
+	Lag         float64  `json:"lag_ms"` // of the test itself, at the most
 	Unopened    int      `json:"unopened"`
 	NotOffered  int      `json:"not_offered"`
 	Effects     int      `json:"effects"`
@@ -163,7 +163,7 @@
 	fmt.Fprintf(out, "%d restarts, %d reloads; %d effects; origin full %d times; %d connections to a node at most\n", r.Restarts, r.Reloads,
 		r.Effects, r.OriginFull, r.MostPerNode)
 	fmt.Fprintf(out, "no breach: the last request came to a draining node %.0f ms after its drain was told; %d requests crossed a close, %d were out at a killed proxy, %d at one that stood still, %d over a cut link, %d connections did not come up, %d answers "+
-		"came up to %.0f ms after their deadline, %d requests were not offered; the rehearsal itself was %.0f ms late at the most\n",
+		"came up to %.0f ms after their deadline, %d requests were not offered; the test itself was %.0f ms late at the most\n",
 		r.LastBy, r.Crossed, r.Excused, r.Stood, r.Severed, r.Unopened, r.Overdue, r.OverdueBy, r.NotOffered, r.Lag)
 	if r.Permits > 0 {
 		fmt.Fprintf(out, "by leave of the fleet %d proxies were down at a time at the most, of %d allowed\n", r.MostDown, r.Permits)
--- a/internal/rehearse/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -1,7 +1,7 @@
-// Package rehearse plays a fleet of real proxy processes between stand-in clients,
+// Package fleettest plays a fleet of real proxy processes between stand-in clients,
 // nodes, origin and list, on loopback, and tells whether the rules held. A
 // scenario says what fleet, what load and what befalls it when.
-package rehearse
+package fleettest
 
 import (
 	"embed"
@@ -17,7 +17,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"mulleinpier/internal/standin/node"
+	"mulleinpier/internal/fake/node"
 )
 
 // span is a duration as a scenario writes it.
--- a/internal/rehearse/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"math"
--- a/internal/rehearse/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"mulleinpier/internal/rehearse/rig"
+	"mulleinpier/internal/fleettest/faultinject"
 )
 
 // This file plays proxies that are killed, stopped and cut off with handovers in hand, and counts how many of those were
@@ -60,7 +60,7 @@
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Name, p.Offered, p.InTime, p.Late, p.Refused, p.Failed, p.Handovers, p.HandoversInTime)
 	}
 	w.Flush()
-	fmt.Fprintf(out, "faults %v; %d out at killed proxies, %d at stopped ones, %d over cut links; the rehearsal itself was %.0f ms late at the most\n", r.Faults,
+	fmt.Fprintf(out, "faults %v; %d out at killed proxies, %d at stopped ones, %d over cut links; the test itself was %.0f ms late at the most\n", r.Faults,
 		r.Play.Excused, r.Play.Stood, r.Play.Severed, r.Play.Lag)
 	for _, p := range r.Play.Problems {
 		fmt.Fprintln(out, "  "+p)
@@ -77,9 +77,9 @@
 	d.works = l.Addr().String()
 	l.Close()
 	if d.fleet.workLinks == nil {
-		d.fleet.workLinks = make(map[int]*rig.Link)
+		d.fleet.workLinks = make(map[int]*faultinject.Link)
 	}
-	link, err := rig.NewLink(linkHost, d.works)
+	link, err := faultinject.NewLink(linkHost, d.works)
 	if err != nil {
 		return err
 	}
@@ -178,7 +178,7 @@
 			case "kill":
 				d.kill()
 			case "stop":
-				if err := d.stop(ctx, rig.Stop{For: 3 * time.Second}); err != nil && ctx.Err() == nil {
+				if err := d.stop(ctx, faultinject.Stop{For: 3 * time.Second}); err != nil && ctx.Err() == nil {
 					f.problem("stop of proxy %d: %v", i, err)
 				}
 			case "clients cut":
@@ -192,12 +192,12 @@
 }
 
 // cutFor cuts a link for three seconds.
-func (f *fleet) cutFor(ctx context.Context, l *rig.Link) {
-	if err := l.Set(rig.Faults["cut"](0)); err != nil {
+func (f *fleet) cutFor(ctx context.Context, l *faultinject.Link) {
+	if err := l.Set(faultinject.Faults["cut"](0)); err != nil {
 		f.problem("link: %v", err)
 	}
 	sleep(ctx, 3*time.Second)
-	if err := l.Set(rig.Fault{}); err != nil {
+	if err := l.Set(faultinject.Fault{}); err != nil {
 		f.problem("link: %v", err)
 	}
 }
--- a/internal/rehearse/tally.go
+++ b/internal/fleettest/tally.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 	lagKept    = 5 * time.Second
 )
 
-// watchLag keeps how late the rehearsal itself was woken lately, until ctx ends. What
+// watchLag keeps how late the test itself was woken lately, until ctx ends. What
 // a machine without a free core does to it, it does to the proxies as well.
 func (t *tally) watchLag(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// slackNow is how late an answer may be: slack, and more where the rehearsal itself
+// slackNow is how late an answer may be: slack, and more where the test itself
 // was late.
 func (t *tally) slackNow() time.Duration {
 	t.mu.Lock()
--- a/internal/rehearse/times.go
+++ b/internal/fleettest/times.go
@@ -1,4 +1,4 @@
-package rehearse
+package fleettest
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"mulleinpier/internal/standin/node"
-	"mulleinpier/internal/standin/origin"
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/fake/origin"
 )
 
 // TimesReport tells how long a daemon takes to come and to go, in ms, a figure
--- a/internal/front/binary/binary.go
+++ b/internal/frontend/binary/binary.go
@@ -30,7 +30,7 @@
 
 	codec "mulleinpier/internal/binary"
 	"mulleinpier/internal/core"
-	"mulleinpier/internal/front"
+	"mulleinpier/internal/frontend"
 	"mulleinpier/internal/request"
 	"mulleinpier/internal/route"
 	"mulleinpier/internal/sasl"
@@ -87,15 +87,15 @@
 // session is the dialect on one connection.
 type session struct {
 	front    *Front
-	host     *front.Host
-	conn     *front.Conn
+	host     *frontend.Host
+	conn     *frontend.Conn
 	listener string
 	user     *sasl.User // nil until it has proved to be one
 	guesses  int
 }
 
 // Session begins a session of a client that came to a listener.
-func (f *Front) Session(host *front.Host, c *front.Conn, listener string) front.Session {
+func (f *Front) Session(host *frontend.Host, c *frontend.Conn, listener string) frontend.Session {
 	return &session{front: f, host: host, conn: c, listener: listener}
 }
 
@@ -104,8 +104,8 @@
 
 // reply is the place of a request's answer.
 type reply struct {
-	front.Slot
-	host *front.Host
+	frontend.Slot
+	host *frontend.Host
 	head codec.Header // of the command
 	key  string       // of a get that its answer names
 	size int          // of its body, as budgeted
@@ -174,7 +174,7 @@
 	return h.Sum64()
 }
 
-func (s *session) say(text []byte) { s.conn.Add(new(front.Slot)).Finish(text) }
+func (s *session) say(text []byte) { s.conn.Add(new(frontend.Slot)).Finish(text) }
 
 // refuse passes over a command's body and answers by a status.
 func (s *session) refuse(h *codec.Header, status codec.Status) (bool, error) {
--- a/internal/front/budget.go
+++ b/internal/frontend/budget.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import "sync/atomic"
 
