--- a/internal/front/conn.go
+++ b/internal/frontend/conn.go
@@ -1,4 +1,4 @@
-// Package front is a client's connection through its life, whatever dialect is spoken
+// Package frontend is a client's connection through its life, whatever dialect is spoken
 // on it: who reads and writes it, when it idles and how it ends. A dialect's
 // [Session] reads its commands and says its answers.
 //
@@ -9,7 +9,7 @@
 //  2. Answers go out in the order of their commands, each once.
 //  3. Every connection ends: one that idles, stops half way in a command or takes no
 //     answer is closed within a bound.
-package front
+package frontend
 
 import (
 	"bufio"
@@ -21,8 +21,8 @@
 
 	"mulleinpier/internal/core"
 	"mulleinpier/internal/eventlog"
+	"mulleinpier/internal/overload"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/service"
 	"mulleinpier/internal/socket"
 )
 
@@ -65,7 +65,7 @@
 // RoomFor takes room for a write's body, if there is any. Where handovers go first a part of
 // all room is theirs.
 func (h *Host) RoomFor(size int, keyed bool) bool {
-	if !keyed && h.Core.Level() >= service.Handovers {
+	if !keyed && h.Core.Level() >= overload.Handovers {
 		return h.Bodies.TryBut(size, core.KeptPart)
 	}
 	return h.Bodies.Try(size)
--- a/internal/front/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 
 	"mulleinpier/internal/core"
 	"mulleinpier/internal/socket"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // echo is a dialect whose commands are lines, each answered at once.
@@ -55,7 +55,7 @@
 func TestUnreadRequestIsNoIdling(t *testing.T) {
 	c, peer := pair(t)
 	fmt.Fprint(peer, "mn\r\n")
-	testwait.Until(t, "the request to come", func() bool { return socket.Pending(c.socket) })
+	testutil.Until(t, "the request to come", func() bool { return socket.Pending(c.socket) })
 	c.CloseIdle()
 	if got := c.rest(); got != resting || c.closing {
 		t.Errorf("with a request unread the connection is at %d", got)
@@ -78,7 +78,7 @@
 			served <- struct{}{}
 		}()
 		in := bufio.NewReader(peer)
-		peer.SetDeadline(time.Now().Add(testwait.Patience))
+		peer.SetDeadline(time.Now().Add(testutil.Patience))
 		ask := func() {
 			if line, err := in.ReadString('\n'); line != "MN\r\n" {
 				t.Errorf("%s: answered %q, %v", name, line, err)
@@ -102,13 +102,13 @@
 			}
 			c.mu.Unlock()
 			ask()
-			testwait.Receive(t, "the close", ended)
+			testutil.Receive(t, "the close", ended)
 			if c.ending { // once is all there is
 				break
 			}
 		}
 		peer.Close()
-		testwait.Receive(t, "the end", served)
+		testutil.Receive(t, "the end", served)
 	}
 }
 
@@ -127,7 +127,7 @@
 	}()
 	value := strings.Repeat("v", 1<<19)
 	r.Finish([]byte(value))
-	testwait.Until(t, "the answer to be in writing", func() bool { return !c.StuckSince().IsZero() })
+	testutil.Until(t, "the answer to be in writing", func() bool { return !c.StuckSince().IsZero() })
 	if _, idle := c.IdleSince(); idle {
 		t.Error("a connection whose answer is being written counts as idle")
 	}
@@ -136,14 +136,14 @@
 		t.Error("a connection whose answer is being written is closed")
 	}
 	got := make([]byte, len(value))
-	peer.SetReadDeadline(time.Now().Add(testwait.Patience))
+	peer.SetReadDeadline(time.Now().Add(testutil.Patience))
 	if n, err := io.ReadFull(peer, got); err != nil {
 		t.Errorf("%d bytes of the answer came: %v", n, err)
 	}
-	testwait.Until(t, "the write to end", func() bool { return c.StuckSince().IsZero() })
+	testutil.Until(t, "the write to end", func() bool { return c.StuckSince().IsZero() })
 	c.mu.Lock()
 	c.gone = true
 	c.changed.Broadcast()
 	c.mu.Unlock()
-	testwait.Receive(t, "the writer's end", done)
+	testutil.Receive(t, "the writer's end", done)
 }
--- a/internal/front/meta/meta.go
+++ b/internal/frontend/meta/meta.go
@@ -8,7 +8,7 @@
 	"io"
 	"strings"
 
-	"mulleinpier/internal/front"
+	"mulleinpier/internal/frontend"
 	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
 )
@@ -19,18 +19,20 @@
 
 // session is the dialect on one connection.
 type session struct {
-	host *front.Host
-	conn *front.Conn
+	host *frontend.Host
+	conn *frontend.Conn
 	bad  int // commands in a row that can't be meant
 }
 
 // New begins a session.
-func New(host *front.Host, c *front.Conn) front.Session { return &session{host: host, conn: c} }
+func New(host *frontend.Host, c *frontend.Conn) frontend.Session {
+	return &session{host: host, conn: c}
+}
 
 // reply is the place of a request's answer.
 type reply struct {
-	front.Slot
-	host *front.Host
+	frontend.Slot
+	host *frontend.Host
 	id   string
 	size int          // of its value, as budgeted
 	kind request.Kind // of its answer
@@ -51,7 +53,7 @@
 // Slow implements front.Session.
 func (s *session) Slow() []byte { return []byte("CLIENT_ERROR command took too long\r\n") }
 
-func (s *session) say(text string) { s.conn.Add(new(front.Slot)).Finish([]byte(text)) }
+func (s *session) say(text string) { s.conn.Add(new(frontend.Slot)).Finish([]byte(text)) }
 
 // refuse answers what can't be read on from. It returns true.
 func (s *session) refuse(text string) bool {
--- a/internal/front/source.go
+++ b/internal/frontend/source.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"time"
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 
 	"mulleinpier/internal/core"
+	"mulleinpier/internal/pause"
 	"mulleinpier/internal/socket"
-	"mulleinpier/internal/still"
 )
 
 // source reads a client's socket, and knows how old what it brings may be. It belongs to the
@@ -15,10 +15,10 @@
 type source struct {
 	conn  *Conn
 	core  *core.Core
-	read  still.Read    // the latest call that brought something
+	read  pause.Read    // the latest call that brought something
 	clean time.Duration // when all that had come was taken last, zero for never
 	// A time in which nothing was read, as too many commands were at work or the connection waited to be accepted.
-	pause still.Gap
+	pause pause.Gap
 }
 
 // begin takes a connection that may have waited to be accepted since a time.
@@ -26,13 +26,13 @@
 	s.conn, s.core = c, c.host.Core
 	now := s.core.Now()
 	s.paused(since)
-	s.clean = still.CleanAtAccept(now, s.pause, s.core.Gap(), s.core.Pause())
+	s.clean = pause.CleanAtAccept(now, s.pause, s.core.Gap(), s.core.Pause())
 }
 
 // paused notes that nothing was read since a time.
 func (s *source) paused(from time.Duration) {
-	if to := s.core.Now(); to-from >= still.LeastPause {
-		s.pause = still.Gap{From: from, To: to}
+	if to := s.core.Now(); to-from >= pause.LeastPause {
+		s.pause = pause.Gap{From: from, To: to}
 	}
 }
 
@@ -46,7 +46,7 @@
 			continue
 		}
 		if n > 0 {
-			s.read = still.Read{Clean: s.clean, Began: began, Ended: ended}
+			s.read = pause.Read{Clean: s.clean, Began: began, Ended: ended}
 			s.clean = s.read.CleanAfter(n < len(p), s.core.Gap(), s.core.Pause())
 		}
 		return n, err
@@ -55,23 +55,23 @@
 
 // Age is when the last byte of the command just read may have come. It is for sessions, before
 // the next is read.
-func (c *Conn) Age() still.Age {
+func (c *Conn) Age() pause.Age {
 	s := &c.source
 	age := s.core.Age(s.read, c.kernel)
 	if s.pause.To > s.read.Clean {
-		paused := still.AgeOf(s.read, s.pause, c.kernel())
+		paused := pause.AgeOf(s.read, s.pause, c.kernel())
 		age.Oldest, age.Latest = min(age.Oldest, paused.Oldest), min(age.Latest, paused.Latest)
 	}
 	return age
 }
 
 // kernel asks what the kernel knows of the connection.
-func (c *Conn) kernel() (k still.Kernel) {
+func (c *Conn) kernel() (k pause.Kernel) {
 	info, ok := c.info()
 	if !ok {
 		return k
 	}
-	return still.Kernel{Known: true, Age: time.Duration(info.Last_data_recv) * time.Millisecond,
+	return pause.Kernel{Known: true, Age: time.Duration(info.Last_data_recv) * time.Millisecond,
 		Alone: c.In.Buffered() == 0 && !socket.Pending(c.socket)}
 }
 
--- a/internal/lease/agent/agent_test.go
+++ b/internal/lease/agent/agent_test.go
@@ -18,7 +18,7 @@
 
 	"mulleinpier/internal/lease"
 	"mulleinpier/internal/store"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // fleet is three voters in this process, each with a disk and a listener of its own.
@@ -107,7 +107,7 @@
 
 func (f *fleet) await(h *Holder) uint64 {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testwait.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	n, err := h.Await(ctx)
 	if err != nil {
@@ -120,7 +120,7 @@
 	f.t.Helper()
 	at := -1
 	c := f.client()
-	testwait.Until(f.t, "a leader", func() bool {
+	testutil.Until(f.t, "a leader", func() bool {
 		s, err := c.State(context.Background())
 		at = int(f.Fleet.number(s.Leader)) - 1
 		return err == nil && s.Leads
@@ -138,7 +138,7 @@
 	}
 	b = f.hold("x", "b", true)
 	c := f.client()
-	testwait.Until(t, "b to wait", func() bool {
+	testutil.Until(t, "b to wait", func() bool {
 		s, err := c.State(context.Background())
 		return err == nil && s.Book.Tasks["x"] != nil && len(s.Book.Tasks["x"].Waiting) == 1
 	})
@@ -163,7 +163,7 @@
 
 // wantTaken awaits the refusal of one that does not wait.
 func (h *Holder) wantTaken() error {
-	ctx, cancel := context.WithTimeout(context.Background(), testwait.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	if _, err := h.Await(ctx); !errors.Is(err, lease.ErrTaken) {
 		return fmt.Errorf("want the task taken, got %v", err)
@@ -225,7 +225,7 @@
 	a := f.hold("x", "a", true)
 	n := f.await(a)
 	b := f.hold("x", "b", true)
-	ctx, cancel := context.WithTimeout(context.Background(), testwait.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	lost := a.Lost(ctx)
 	if _, err := f.client().Do(ctx, lease.Command{Kind: lease.Revoke, Task: "x", Number: n}); err != nil {
@@ -258,7 +258,7 @@
 		})
 	}()
 	<-begun
-	ctx, cancel := context.WithTimeout(context.Background(), testwait.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	if _, err := f.client().Do(ctx, lease.Command{Kind: lease.Revoke, Task: "x", Number: n}); err != nil {
 		t.Fatal(err)
@@ -267,7 +267,7 @@
 	if acting.Load() {
 		t.Error("b holds while a acts")
 	}
-	if err := testwait.Receive(t, "the act to end", ended); err != nil {
+	if err := testutil.Receive(t, "the act to end", ended); err != nil {
 		t.Errorf("an act that ended while its grant was waited for: %v", err)
 	}
 }
@@ -281,7 +281,7 @@
 	var waiting []*Holder
 	for i := range 3 {
 		waiting = append(waiting, f.hold("x", fmt.Sprint("w", i), true))
-		testwait.Until(t, "it to wait", func() bool {
+		testutil.Until(t, "it to wait", func() bool {
 			s, err := c.State(context.Background())
 			return err == nil && len(s.Book.Tasks["x"].Waiting) == i+1
 		})
@@ -290,7 +290,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), testwait.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	if _, err := c.Do(ctx, lease.Command{Kind: lease.Hand, Task: "x", Number: n, To: s.Book.Tasks["x"].Waiting[2].Holder}); err != nil {
 		t.Fatal(err)
@@ -314,7 +314,7 @@
 	lost := (f.leader() + 1) % 3
 	f.stop(lost)
 	name := f.Fleet.Voters[lost].Name
-	ctx, cancel := context.WithTimeout(context.Background(), testwait.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	c := f.client()
 	if _, err := c.Do(ctx, lease.Command{Kind: lease.Enrol, To: name}); err == nil {
@@ -334,7 +334,7 @@
 		t.Fatal(err)
 	}
 	f.start(lost)
-	testwait.Until(t, "the new seat to know the book", func() bool {
+	testutil.Until(t, "the new seat to know the book", func() bool {
 		var s State
 		answer, err := http.Get("http://" + f.Fleet.Voters[lost].Address + "/v1/book")
 		if err != nil {
@@ -373,7 +373,7 @@
 		tasks.Go(func() {
 			places <- struct{}{}
 			defer func() { <-places }()
-			ctx, cancel := context.WithTimeout(context.Background(), 4*testwait.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), 4*testutil.Patience)
 			defer cancel()
 			h, err := c.Hold(ctx, "x", fmt.Sprint("c", i), 5*time.Second, true)
 			if err != nil {
@@ -455,13 +455,13 @@
 		}
 		return s
 	}
-	testwait.Until(t, "the voter to have heard of all", func() bool { s := knows(); return s.Book != nil && s.Book.Last >= last })
+	testutil.Until(t, "the voter to have heard of all", func() bool { s := knows(); return s.Book != nil && s.Book.Last >= last })
 	f.stop(at)
 	if err := os.WriteFile(f.paths[at], old, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	f.start(at)
-	testwait.Until(t, "the voter to stand down", func() bool { return knows().Down != "" })
+	testutil.Until(t, "the voter to stand down", func() bool { return knows().Down != "" })
 	if n := f.await(f.hold("z", "a", true)); n <= last {
 		t.Errorf("number %d after %d", n, last)
 	}
@@ -476,7 +476,7 @@
 	var waiting []*Holder
 	for i := range 2 {
 		waiting = append(waiting, f.hold("x", fmt.Sprint("w", i), true))
-		testwait.Until(t, "it to wait", func() bool {
+		testutil.Until(t, "it to wait", func() bool {
 			s, err := c.State(context.Background())
 			return err == nil && len(s.Book.Tasks["x"].Waiting) == i+1
 		})
@@ -486,7 +486,7 @@
 		t.Fatal(err)
 	}
 	waiting[0].Abandon()
-	ctx, cancel := context.WithTimeout(context.Background(), testwait.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	if _, err := c.Do(ctx, lease.Command{Kind: lease.Hand, Task: "x", Number: n, To: s.Book.Tasks["x"].Waiting[0].Holder}); err != nil {
 		t.Fatal(err)
--- a/internal/lease/agent/holder.go
+++ b/internal/lease/agent/holder.go
@@ -13,7 +13,7 @@
 
 	"mulleinpier/internal/lease"
 	"mulleinpier/internal/peer"
-	"mulleinpier/internal/peer/talk"
+	"mulleinpier/internal/peer/rpc"
 )
 
 // Errors of holders.
@@ -36,7 +36,7 @@
 	if err := f.Check(); err != nil {
 		return nil, err
 	}
-	return &Client{fleet: f, http: &http.Client{Timeout: talk.LinkTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: talk.IdleTime}}}, nil
+	return &Client{fleet: f, http: &http.Client{Timeout: rpc.LinkTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: rpc.IdleTime}}}, nil
 }
 
 // Close ends idle connections.
@@ -49,7 +49,7 @@
 	at := c.leader
 	c.mu.Unlock()
 	var reply Reply
-	err := talk.Post(ctx, c.http, c.fleet.Voters[at].Address, "/v1/lease", Request{Head: talk.In(c.fleet.Name), Command: command, Number: number}, &reply)
+	err := rpc.Post(ctx, c.http, c.fleet.Voters[at].Address, "/v1/lease", Request{Head: rpc.In(c.fleet.Name), Command: command, Number: number}, &reply)
 	if err != nil || reply.Outcome == lease.Unheard {
 		next := (at + 1) % len(c.fleet.Voters)
 		if n := c.fleet.number(reply.Leader); n > 0 && int(n)-1 != at {
@@ -91,7 +91,7 @@
 		return s, err
 	}
 	defer response.Body.Close()
-	return s, json.NewDecoder(io.LimitReader(response.Body, talk.MostBody)).Decode(&s)
+	return s, json.NewDecoder(io.LimitReader(response.Body, rpc.MostBody)).Decode(&s)
 }
 
 // Look asks each voter what it knows; who does not answer is left out.
@@ -233,7 +233,7 @@
 	command := *h.owed
 	h.owed = nil
 	h.tasks.Go(func() {
-		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), talk.LinkTime)
+		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), rpc.LinkTime)
 		defer cancel()
 		h.client.Do(last, command) // else it ends by itself
 	})
--- a/internal/lease/agent/state.go
+++ b/internal/lease/agent/state.go
@@ -4,14 +4,14 @@
 	"encoding/json"
 	"net/http"
 
-	"mulleinpier/internal/peer/talk"
+	"mulleinpier/internal/peer/rpc"
 )
 
 // state copies what the loop knows.
 func (v *Voter) state() State {
 	book, t := v.replica.Book(), now()
 	s := State{Voter: v.name, Seat: v.seat, Leads: v.replica.Leads(), Leader: book.Seats[v.replica.Leader()], Book: book.Clone(), Left: make(map[uint64]float64),
-		Members: v.station.Opinion(), Traffic: talk.Said(), Saves: v.saves}
+		Members: v.station.Opinion(), Traffic: rpc.Said(), Saves: v.saves}
 	if v.down != nil {
 		s.Down = v.down.Error()
 	}
--- a/internal/lease/agent/voter.go
+++ b/internal/lease/agent/voter.go
@@ -23,8 +23,8 @@
 	"mulleinpier/internal/lease"
 	"mulleinpier/internal/lease/quorum"
 	"mulleinpier/internal/peer"
-	"mulleinpier/internal/peer/link"
-	"mulleinpier/internal/peer/talk"
+	"mulleinpier/internal/peer/rpc"
+	"mulleinpier/internal/peer/transport"
 	"mulleinpier/internal/store"
 )
 
@@ -209,7 +209,7 @@
 	down    error // once it has stood down; of Run's goroutine
 	saves   int   // made to last so far; of Run's goroutine
 	client  *http.Client
-	station *link.Station
+	station *transport.Station
 
 	mu     sync.Mutex
 	seated map[uint64]string // who has said to sit where
@@ -245,7 +245,7 @@
 	Book    *lease.Book        `json:"book"`
 	Left    map[uint64]float64 `json:"left_s"`  // by number, known to the leader
 	Members []peer.Seen        `json:"members"` // as this voter sees them
-	Traffic talk.Traffic       `json:"traffic"` // of its process
+	Traffic rpc.Traffic        `json:"traffic"` // of its process
 	Saves   int                `json:"saves"`   // syncs of its disk
 }
 
@@ -270,8 +270,8 @@
 	if err == nil {
 		v := &Voter{fleet: f, name: name, log: log, store: l, events: make(chan quorum.Event, 256), asks: make(chan asked, mostAsking), looks: make(chan chan State, 16),
 			links: make(map[string]chan []byte), waiting: make(map[uint64]asked), parked: make(map[waiter]parked), seat: seat, seated: make(map[uint64]string),
-			station: link.NewStation(f.Name, now)}
-		v.client = &http.Client{Timeout: talk.LinkTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: talk.IdleTime}}
+			station: transport.NewStation(f.Name, now)}
+		v.client = &http.Client{Timeout: rpc.LinkTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: rpc.IdleTime}}
 		if v.replica, err = quorum.New(seat, rand.Uint64()|1, saved, lease.Usual, true); err == nil {
 			return v, nil
 		}
@@ -286,8 +286,8 @@
 	mux.HandleFunc("POST /v1/raft", v.takeMessages)
 	mux.HandleFunc("POST /v1/lease", v.takeRequest)
 	mux.HandleFunc("GET /v1/book", v.showBook)
-	mux.Handle("POST "+link.Path, v.station)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, ReadTimeout: 2 * time.Second, WriteTimeout: 3 * time.Second, IdleTimeout: talk.IdleTime,
+	mux.Handle("POST "+transport.Path, v.station)
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, ReadTimeout: 2 * time.Second, WriteTimeout: 3 * time.Second, IdleTimeout: rpc.IdleTime,
 		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError), ConnContext: v.station.ConnContext, ConnState: v.station.ConnState}
 	for _, p := range v.fleet.Voters {
 		if p.Name != v.name {
@@ -442,7 +442,7 @@
 
 // letter is what voters send one another.
 type letter struct {
-	talk.Head
+	rpc.Head
 	Messages [][]byte `cbor:"3,keyasint"`
 	From     string   `cbor:"4,keyasint"`
 	Seat     uint64   `cbor:"5,keyasint"`
@@ -451,24 +451,24 @@
 // carry takes what is queued for another voter to it, as much as there is at a time.
 func (v *Voter) carry(ctx context.Context, to Peer, queue <-chan []byte) {
 	for {
-		l := letter{Head: talk.In(v.fleet.Name), From: v.name, Seat: v.seat}
+		l := letter{Head: rpc.In(v.fleet.Name), From: v.name, Seat: v.seat}
 		select {
 		case <-ctx.Done():
 			return
 		case text := <-queue:
 			l.Messages = append(l.Messages, text)
 		}
-		for size := len(l.Messages[0]); len(queue) > 0 && size < talk.MostBody/4; {
+		for size := len(l.Messages[0]); len(queue) > 0 && size < rpc.MostBody/4; {
 			text := <-queue
 			l.Messages, size = append(l.Messages, text), size+len(text)
 		}
-		talk.Post(ctx, v.client, to.Address, "/v1/raft", l, nil) // what is lost is sent again by the library
+		rpc.Post(ctx, v.client, to.Address, "/v1/raft", l, nil) // what is lost is sent again by the library
 	}
 }
 
 func (v *Voter) takeMessages(w http.ResponseWriter, r *http.Request) {
 	var l letter
-	if !talk.Read(w, r, v.fleet.Name, &l) {
+	if !rpc.Read(w, r, v.fleet.Name, &l) {
 		return
 	}
 	if v.fleet.number(l.From) > 0 { // so they are bounded
@@ -495,7 +495,7 @@
 
 // Request and Reply are what holders and voters say to each other.
 type Request struct {
-	talk.Head
+	rpc.Head
 	Command lease.Command `cbor:"3,keyasint"`
 	Number  uint64        `cbor:"4,keyasint,omitempty"`
 }
@@ -510,7 +510,7 @@
 
 func (v *Voter) takeRequest(w http.ResponseWriter, r *http.Request) {
 	var in Request
-	if !talk.Read(w, r, v.fleet.Name, &in) {
+	if !rpc.Read(w, r, v.fleet.Name, &in) {
 		return
 	}
 	answer := make(chan quorum.Answer, 1)
@@ -533,7 +533,7 @@
 			out.Leader = s.Leader
 		}
 	}
-	talk.Write(w, out)
+	rpc.Write(w, out)
 }
 
 // look asks the loop for its state.
--- a/internal/load/audit.go
+++ b/internal/loadgen/audit.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"sync"
--- a/internal/load/load.go
+++ b/internal/loadgen/load.go
@@ -1,11 +1,11 @@
-// Package load is the client side of experiments: many tills that ask a fleet of proxies, each
+// Package loadgen is the client side of experiments: many tills that ask a fleet of proxies, each
 // on its own, of two kinds. Library tills use the client package. Brief tills behave as
 // the operators describe theirs: they ask again at once or after a short fixed wait, mark
 // repeats only at times, heed no advice, and reconnect at once; they write a handover
 // again however long ago its first try went out.
 //
 // Arrivals do not wait for answers. Load is bounded: see [Config].
-package load
+package loadgen
 
 import (
 	"context"
--- a/internal/load/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/standin/script"
+	"mulleinpier/internal/fake/scriptednode"
 )
 
-func play(t *testing.T, c Config, react func(int, script.Asked) script.Reaction) (*Result, []script.Asked) {
+func play(t *testing.T, c Config, react func(int, scriptednode.Asked) scriptednode.Reaction) (*Result, []scriptednode.Asked) {
 	t.Helper()
-	ns, err := script.Start(script.Meta, 2, react)
+	ns, err := scriptednode.Start(scriptednode.Meta, 2, react)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,8 +36,8 @@
 	for _, kind := range []Kind{Library, Brief} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			r, asked := play(t, Config{Kind: kind}, func(number int, _ script.Asked) script.Reaction {
-				return []script.Reaction{script.Serve, script.Serve, script.Serve, script.Busy, script.Fail, script.Miss, script.Reset}[number%7]
+			r, asked := play(t, Config{Kind: kind}, func(number int, _ scriptednode.Asked) scriptednode.Reaction {
+				return []scriptednode.Reaction{scriptednode.Serve, scriptednode.Serve, scriptednode.Serve, scriptednode.Busy, scriptednode.Fail, scriptednode.Miss, scriptednode.Reset}[number%7]
 			})
 			tries, handovers, offered := 0, 0, 0
 			for _, f := range r.Phases {
@@ -68,21 +68,21 @@
 // one that closes between requests is not.
 func TestLostRequestsAreSeen(t *testing.T) {
 	for name, c := range map[string]struct {
-		reaction script.Reaction
+		reaction scriptednode.Reaction
 		seen     bool
 		lost     bool
-	}{"well": {script.Serve, true, false}, "silent": {script.Hang, true, true}, "closes": {script.Reset, true, true}, "crossed": {script.Reset, false, false}} {
+	}{"well": {scriptednode.Serve, true, false}, "silent": {scriptednode.Hang, true, true}, "closes": {scriptednode.Reset, true, true}, "crossed": {scriptednode.Reset, false, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
 			served := map[int]int{}
-			r, _ := play(t, Config{Kind: Library, Seen: func(string) bool { return c.seen }}, func(_ int, a script.Asked) script.Reaction {
+			r, _ := play(t, Config{Kind: Library, Seen: func(string) bool { return c.seen }}, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 				mu.Lock()
 				defer mu.Unlock()
 				if served[a.Node]++; served[a.Node] == 20 {
 					return c.reaction
 				}
-				return script.Serve
+				return scriptednode.Serve
 			})
 			lost, crossed := 0, 0
 			for _, f := range r.Phases {
--- a/internal/odds/odds.go
+++ b/internal/outlier/odds.go
@@ -1,4 +1,4 @@
-// Package odds estimates from few events whether something is sick: how often the well fail, and how
+// Package outlier estimates from few events whether something is sick: how often the well fail, and how
 // the odds of one move with what is seen of it. It does no I/O and reads no clock.
 //
 // What it guarantees:
@@ -7,7 +7,7 @@
 //  3. The zero values are of something of which nothing is known.
 //
 // It decides nothing: what counts as a failure, and what follows from the odds, is package policy's.
-package odds
+package outlier
 
 import (
 	"math"
--- a/internal/odds/odds_test.go
+++ b/internal/outlier/odds_test.go
@@ -1,4 +1,4 @@
-package odds
+package outlier
 
 import (
 	"math"
--- a/internal/service/service.go
+++ b/internal/overload/service.go
@@ -1,4 +1,4 @@
-// Package service decides how far a proxy's service is reduced: it turns measured signals
+// Package overload decides how far a proxy's service is reduced: it turns measured signals
 // into a [Level], with a written condition for each entry and exit. It does no I/O and reads
 // no clock; the same events always give the same records.
 //
@@ -22,7 +22,7 @@
 //  6. A pin rules alone until it ends; the level below it is worked out all the while, so that
 //     what follows is what the signals call for then.
 //  7. Every change of the level in force is one [Record], with its cause.
-package service
+package overload
 
 import (
 	"fmt"
--- a/internal/service/service_test.go
+++ b/internal/overload/service_test.go
@@ -1,4 +1,4 @@
-package service
+package overload
 
 import (
 	"encoding/json"
--- a/internal/still/still.go
+++ b/internal/pause/still.go
@@ -1,4 +1,4 @@
-// Package still tells that this process stood still, from when to when, and what follows: as a
+// Package pause tells that this process stood still, from when to when, and what follows: as a
 // paused virtual machine, a host that swaps or a debugger makes it. It does no I/O and has no
 // clock: the same events always give the same actions.
 //
@@ -16,7 +16,7 @@
 //
 // What it does not do: a stop between the last look and the first byte of a write can't be
 // seen in time. It is counted behind the write, by its caller.
-package still
+package pause
 
 import "time"
 
--- a/internal/still/still_test.go
+++ b/internal/pause/still_test.go
@@ -1,4 +1,4 @@
-package still
+package pause
 
 import (
 	"math/rand/v2"
--- a/internal/peer/talk/talk.go
+++ b/internal/peer/rpc/talk.go
@@ -1,8 +1,8 @@
-// Package talk is how instances of one fleet say something to one another: a body of CBOR over HTTP, under a head that
+// Package rpc is how instances of one fleet say something to one another: a body of CBOR over HTTP, under a head that
 // names the fleet and what the sender speaks. It understands no subject.
 //
 // Bounds: a body holds at most [MostBody]; a stranger is told what is wrong in one line and is not understood.
-package talk
+package rpc
 
 import (
 	"bytes"
--- a/internal/peer/talk/talk_test.go
+++ b/internal/peer/rpc/talk_test.go
@@ -1,4 +1,4 @@
-package talk
+package rpc
 
 import (
 	"net/http"
--- a/internal/peer/link/instance.go
+++ b/internal/peer/transport/instance.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 
 	"mulleinpier/internal/peer"
-	"mulleinpier/internal/peer/talk"
+	"mulleinpier/internal/peer/rpc"
 )
 
 // Watcher is where an instance beats.
@@ -39,9 +39,9 @@
 
 // NewInstance returns an instance that has heard nothing.
 func NewInstance(fleet string, self peer.Member, watchers []Watcher, clock func() time.Duration, log *slog.Logger) *Instance {
-	self.Version = talk.Version
+	self.Version = rpc.Version
 	return &Instance{fleet: fleet, watchers: watchers, clock: clock, log: log, self: self, blind: true,
-		client:  &http.Client{Timeout: beatTime, Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, IdleConnTimeout: talk.IdleTime}},
+		client:  &http.Client{Timeout: beatTime, Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, IdleConnTimeout: rpc.IdleTime}},
 		view:    peer.NewView(peer.Usual, len(watchers), clock()),
 		changed: make(chan struct{})}
 }
@@ -71,10 +71,10 @@
 	var boot, known uint64
 	for ctx.Err() == nil {
 		i.mu.Lock()
-		m := beat{Head: talk.In(i.fleet), Member: i.self, Boot: boot, Known: known}
+		m := beat{Head: rpc.In(i.fleet), Member: i.self, Boot: boot, Known: known}
 		i.mu.Unlock()
 		var r report
-		err := talk.Post(ctx, i.client, w.Address, Path, m, &r)
+		err := rpc.Post(ctx, i.client, w.Address, Path, m, &r)
 		if err == nil && !r.Whole && r.Boot != boot {
 			err = errors.New("changes of what was never heard")
 		}
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/transport/link_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"mulleinpier/internal/peer"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // post is a watcher with a server of its own.
@@ -80,7 +80,7 @@
 // sees waits until an instance holds another to be in a state.
 func (f *fleet) sees(i *Instance, name string, s peer.State) {
 	f.t.Helper()
-	testwait.Until(f.t, name+" to be "+s.String(), func() bool {
+	testutil.Until(f.t, name+" to be "+s.String(), func() bool {
 		list, blind, _ := i.Members()
 		for _, m := range list {
 			if m.Name == name && m.State == s {
@@ -105,7 +105,7 @@
 	b, endB = f.join("b", 3)
 	f.sees(a, "b", peer.Alive)
 	b.Leave()
-	testwait.Until(t, "b to be known to leave", func() bool {
+	testutil.Until(t, "b to be known to leave", func() bool {
 		list, _, _ := a.Members()
 		for _, m := range list {
 			if m.Name == "b" && m.Leaving {
@@ -115,7 +115,7 @@
 		return false
 	})
 	next, _ := f.join("b", 4)
-	testwait.Until(t, "b to be replaced", b.Replaced)
+	testutil.Until(t, "b to be replaced", b.Replaced)
 	endB()
 	f.sees(next, "b", peer.Alive)
 	f.sees(a, "b", peer.Alive)
@@ -131,7 +131,7 @@
 		p.station.Stop()
 		p.server.Close()
 	}
-	testwait.Until(t, "a to be blind", func() bool {
+	testutil.Until(t, "a to be blind", func() bool {
 		_, blind, _ := a.Members()
 		return blind
 	})
--- a/internal/peer/link/station.go
+++ b/internal/peer/transport/station.go
@@ -1,7 +1,7 @@
-// Package link carries out what package peer decides, in real processes: instances that beat at the fleet's watchers,
+// Package transport carries out what package peer decides, in real processes: instances that beat at the fleet's watchers,
 // and watchers that tell them what they hold of all. A beat is a request that is answered when something has changed,
 // or a beat's time later: so changes are told at once, and one exchange is under way at a time on each link.
-package link
+package transport
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"mulleinpier/internal/peer"
-	"mulleinpier/internal/peer/talk"
+	"mulleinpier/internal/peer/rpc"
 )
 
 // Path is where watchers take beats.
@@ -20,7 +20,7 @@
 
 // beat is what an instance says, and report what a watcher answers.
 type beat struct {
-	talk.Head
+	rpc.Head
 	Member peer.Member `cbor:"3,keyasint"`
 	Boot   uint64      `cbor:"4,keyasint,omitempty"` // of the watcher, whose opinion is known
 	Known  uint64      `cbor:"5,keyasint,omitempty"` // its version
@@ -122,7 +122,7 @@
 // ServeHTTP takes a beat.
 func (s *Station) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var in beat
-	if !talk.Read(w, r, s.fleet, &in) {
+	if !rpc.Read(w, r, s.fleet, &in) {
 		return
 	}
 	conn, _ := r.Context().Value(connKey{}).(uint64)
@@ -151,7 +151,7 @@
 	}
 	out.List, out.Whole = s.watch.Since(in.Known)
 	s.mu.Unlock()
-	talk.Write(w, out)
+	rpc.Write(w, out)
 }
 
 // Opinion is what this watcher holds of all.
--- a/internal/proxy/backlog_test.go
+++ b/internal/proxy/backlog_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // TestTimeInTheBacklogCounts: a request waits unread, on a connection that waits to be accepted as all places
@@ -36,7 +36,7 @@
 		u.read(fmt.Sprint("taker", i))
 		takers = append(takers, u)
 	}
-	testwait.Until(t, "all places to be taken", func() bool { n, open := f.server.Load(); return n >= f.server.most && open == len(takers) })
+	testutil.Until(t, "all places to be taken", func() bool { n, open := f.server.Load(); return n >= f.server.most && open == len(takers) })
 	waiting := f.connect()
 	asked := time.Now()
 	waiting.send("mg k v Owaiting Pc=read,t=shops,d=%d\r\n", wait.Milliseconds())
--- a/internal/proxy/binary_test.go
+++ b/internal/proxy/binary_test.go
@@ -15,14 +15,14 @@
 
 	codec "mulleinpier/internal/binary"
 	"mulleinpier/internal/config"
-	"mulleinpier/internal/front"
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/fake/origin"
+	"mulleinpier/internal/fake/rawclient"
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/frontend"
 	"mulleinpier/internal/proxy"
 	"mulleinpier/internal/sasl"
-	"mulleinpier/internal/standin/caller"
-	"mulleinpier/internal/standin/node"
-	"mulleinpier/internal/standin/origin"
-	"mulleinpier/internal/standin/script"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // window is the stand-in nodes', and that of the class write.
@@ -122,14 +122,14 @@
 // till is a binary client that speaks byte by byte.
 type till struct {
 	t *testing.T
-	*caller.Caller
+	*rawclient.Caller
 }
 
 func (g *gateway) dial() till { return dialAt(g.t, g.server.Address()) }
 
 func dialAt(t *testing.T, address net.Addr) till {
 	t.Helper()
-	c, err := caller.Dial(script.Binary, address.String(), testwait.Patience)
+	c, err := rawclient.Dial(scriptednode.Binary, address.String(), testutil.Patience)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,9 +144,9 @@
 }
 
 // next returns the next response, and expects a status and an opaque.
-func (l till) next(status codec.Status, opaque uint32) caller.Response {
+func (l till) next(status codec.Status, opaque uint32) rawclient.Response {
 	l.t.Helper()
-	r, err := caller.ReadResponse(l.In)
+	r, err := rawclient.ReadResponse(l.In)
 	if err != nil {
 		l.t.Fatalf("opaque %d: %v", opaque, err)
 	}
@@ -165,18 +165,18 @@
 	}
 }
 
-func get(key string, opaque uint32) []byte { return caller.AppendKeyed(nil, codec.Get, key, opaque) }
+func get(key string, opaque uint32) []byte { return rawclient.AppendKeyed(nil, codec.Get, key, opaque) }
 func bare(op codec.Opcode, opaque uint32) []byte {
-	return caller.AppendKeyed(nil, op, "", opaque)
+	return rawclient.AppendKeyed(nil, op, "", opaque)
 }
 
 // read returns the ticket that a read brings.
 func (l till) read(key string) (ticket uint64) {
 	l.t.Helper()
 	// A gate may turn a read away for a moment, by chance, after a client that left.
-	testwait.Until(l.t, "a read of "+key, func() bool {
+	testutil.Until(l.t, "a read of "+key, func() bool {
 		l.send(get(key, 1))
-		r, err := caller.ReadResponse(l.In)
+		r, err := rawclient.ReadResponse(l.In)
 		if err != nil || r.Opaque != 1 || r.Status != codec.OK && r.Status != codec.Busy {
 			l.t.Fatalf("answered %#x with opaque %d: %v", r.Status, r.Opaque, err)
 		}
@@ -187,7 +187,7 @@
 }
 
 func set(key, value string, cas uint64) []byte {
-	return caller.AppendSet(nil, codec.Set, key, value, 2, cas)
+	return rawclient.AppendSet(nil, codec.Set, key, value, 2, cas)
 }
 
 // TestRepeatedHandoverIsHadOnce plays tills whose handover's answer is lost with its
@@ -205,7 +205,7 @@
 	}
 	times := func(want int, key, value string) {
 		t.Helper()
-		testwait.Until(t, fmt.Sprintf("%s to have been had %d times", value, want), func() bool { return f.origin.Times(key, value) == want })
+		testutil.Until(t, fmt.Sprintf("%s to have been had %d times", value, want), func() bool { return f.origin.Times(key, value) == want })
 	}
 	first, second := a.dial(), b.dial()
 	// The client's connection ends with the handover out.
@@ -221,7 +221,7 @@
 	ticket = first.read("order2")
 	fault(node.Reset)
 	first.send(set("order2", "reset", ticket))
-	if r, err := caller.ReadResponse(first.In); err != nil || r.Status == codec.OK || r.Status == codec.Busy {
+	if r, err := rawclient.ReadResponse(first.In); err != nil || r.Status == codec.OK || r.Status == codec.Busy {
 		t.Fatalf("%+v, %v: want a failure, as it may have run", r, err)
 	}
 	fault(node.Well)
@@ -229,9 +229,9 @@
 	second.next(codec.OK, 2)
 	times(1, "order2", "reset")
 	// Long after: no node drops it any more, so it must not reach one.
-	testwait.Until(t, "the ticket to be refused", func() bool {
+	testutil.Until(t, "the ticket to be refused", func() bool {
 		second.send(set("order2", "reset", ticket))
-		r, err := caller.ReadResponse(second.In)
+		r, err := rawclient.ReadResponse(second.In)
 		return err == nil && r.Status == codec.Exists
 	})
 	time.Sleep(window)
@@ -283,19 +283,19 @@
 		case i == 100:
 			text, want = append(text, bare(codec.Noop, o)...), append(want, told{o, codec.OK})
 		case i%10 == 3:
-			text = caller.AppendKeyed(text, codec.GetQ, fmt.Sprint("none", i), o)
+			text = rawclient.AppendKeyed(text, codec.GetQ, fmt.Sprint("none", i), o)
 		case i%10 == 5:
-			text, want = append(text, caller.AppendKeyed(nil, codec.GetQ, "", o)...), append(want, told{o, codec.Invalid})
+			text, want = append(text, rawclient.AppendKeyed(nil, codec.GetQ, "", o)...), append(want, told{o, codec.Invalid})
 		case i%10 == 6:
-			text, want = append(text, caller.AppendKeyed(nil, codec.DeleteQ, key, o)...), append(want, told{o, codec.NotSupported})
+			text, want = append(text, rawclient.AppendKeyed(nil, codec.DeleteQ, key, o)...), append(want, told{o, codec.NotSupported})
 		case i%10 == 7:
-			text, want = append(text, caller.AppendKeyed(nil, 0x77, key, o)...), append(want, told{o, codec.UnknownCommand})
+			text, want = append(text, rawclient.AppendKeyed(nil, 0x77, key, o)...), append(want, told{o, codec.UnknownCommand})
 		case i%10 == 8:
-			text = caller.AppendSet(text, codec.SetQ, key, "x", o, 0)
+			text = rawclient.AppendSet(text, codec.SetQ, key, "x", o, 0)
 		case i%10 == 9:
-			text, want = append(text, caller.AppendSet(nil, codec.SetQ, key, "x", o, 99)...), append(want, told{o, codec.Exists})
+			text, want = append(text, rawclient.AppendSet(nil, codec.SetQ, key, "x", o, 99)...), append(want, told{o, codec.Exists})
 		default:
-			text, want = append(text, caller.AppendKeyed(nil, codec.GetKQ, key, o)...), append(want, told{o, codec.OK})
+			text, want = append(text, rawclient.AppendKeyed(nil, codec.GetKQ, key, o)...), append(want, told{o, codec.OK})
 		}
 	}
 	text, want = append(text, bare(codec.Noop, 999)...), append(want, told{999, codec.OK})
@@ -396,7 +396,7 @@
 // TestReaderThatStopsIsLetGo sends a pipeline of large reads and takes nothing: its place
 // and what was held for it come back.
 func TestReaderThatStopsIsLetGo(t *testing.T) {
-	nodes, err := script.Start(script.Binary, 2, func(int, script.Asked) script.Reaction { return script.Serve })
+	nodes, err := scriptednode.Start(scriptednode.Binary, 2, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -406,20 +406,20 @@
 	l := g.dial()
 	var text []byte
 	for i := range uint32(400) { // 26 MB of answers
-		text = caller.AppendKeyed(text, codec.GetKQ, fmt.Sprint("big", i%8), i)
+		text = rawclient.AppendKeyed(text, codec.GetKQ, fmt.Sprint("big", i%8), i)
 	}
-	l.Socket.SetWriteDeadline(time.Now().Add(testwait.Patience))
+	l.Socket.SetWriteDeadline(time.Now().Add(testutil.Patience))
 	go l.Socket.Write(text)
-	testwait.Until(t, "the pipeline to be under way", func() bool { return len(nodes.Asked()) > 10 })
-	testwait.Until(t, "the reader that stopped to be let go", func() bool {
+	testutil.Until(t, "the pipeline to be under way", func() bool { return len(nodes.Asked()) > 10 })
+	testutil.Until(t, "the reader that stopped to be let go", func() bool {
 		clients, open := g.server.Load()
 		return clients == 0 && open == 0
 	})
 	// What the reader left behind counts as late for a moment, so a read may be turned away yet.
 	other := g.dial()
-	testwait.Until(t, "another client to be served", func() bool {
+	testutil.Until(t, "another client to be served", func() bool {
 		other.send(get("k", 1))
-		r, err := caller.ReadResponse(other.In)
+		r, err := rawclient.ReadResponse(other.In)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -435,16 +435,16 @@
 	owed, idle := g.dial(), g.dial()
 	idle.send(bare(codec.Noop, 1))
 	idle.next(codec.OK, 1)
-	owed.send(get("k", 1), caller.AppendKeyed(nil, codec.GetQ, "none", 2))
+	owed.send(get("k", 1), rawclient.AppendKeyed(nil, codec.GetQ, "none", 2))
 	owed.next(codec.OK, 1)
-	testwait.Until(t, "the miss to be had", func() bool {
+	testutil.Until(t, "the miss to be had", func() bool {
 		_, open := g.server.Load()
 		return open == 0 && f.origin.Stats().Fetches >= 2
 	})
 	g.stop()
 	idle.ended() // so the drain is under way, and connections without a debt are gone
 	// Longer than any other connection may still send in a drain.
-	time.Sleep(front.LingerTime)
+	time.Sleep(frontend.LingerTime)
 	owed.send(bare(codec.Noop, 3))
 	owed.next(codec.OK, 3)
 	owed.ended()
@@ -473,7 +473,7 @@
 class = "read"
 `
 
-func auth(user, secret string) []byte { return caller.AppendAuth(nil, user, secret, 9) }
+func auth(user, secret string) []byte { return rawclient.AppendAuth(nil, user, secret, 9) }
 
 // TestReloadWithConnectionsOpen changes the routing table and a secret under connections
 // that are open: routes count from the next command, and a session of the old secret
@@ -544,10 +544,10 @@
 	l := g.dial()
 	l.send(auth("till", "rose"))
 	l.next(codec.AuthError, 9)
-	testwait.Until(t, "the allowance to come back", func() bool {
+	testutil.Until(t, "the allowance to come back", func() bool {
 		l := g.dial()
 		l.send(auth("till", "rose"))
-		r, err := caller.ReadResponse(l.In)
+		r, err := rawclient.ReadResponse(l.In)
 		return err == nil && r.Status == codec.OK
 	})
 }
@@ -589,7 +589,7 @@
 		list = append(list, l)
 		go func() {
 			for i := range gets {
-				l.send(caller.AppendKeyed(nil, codec.Get, "k", uint32(i)))
+				l.send(rawclient.AppendKeyed(nil, codec.Get, "k", uint32(i)))
 			}
 		}()
 	}
@@ -607,7 +607,7 @@
 	told := 0
 	for _, l := range list {
 		for i := range gets {
-			r, err := caller.ReadResponse(l.In)
+			r, err := rawclient.ReadResponse(l.In)
 			if err != nil || r.Opaque != uint32(i) {
 				t.Fatalf("answer %d: opaque %d, error %v", i, r.Opaque, err)
 			}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -17,13 +17,13 @@
 	"strings"
 	"time"
 
+	"mulleinpier/internal/connlimit"
 	"mulleinpier/internal/core"
 	"mulleinpier/internal/discovery"
-	"mulleinpier/internal/front/binary"
-	"mulleinpier/internal/room"
-	"mulleinpier/internal/service"
+	"mulleinpier/internal/frontend/binary"
+	"mulleinpier/internal/overload"
+	"mulleinpier/internal/simwire"
 	"mulleinpier/internal/upstream"
-	"mulleinpier/internal/wire"
 	"mulleinpier/policy"
 )
 
@@ -143,10 +143,10 @@
 			return nil, fmt.Errorf("GW_CONFIG: known: %w", err)
 		}
 	}
-	if c.Policy, err = wire.ParseSettings(string(in.Settings)); err != nil {
+	if c.Policy, err = simwire.ParseSettings(string(in.Settings)); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	c.Service.Limits = service.Usual
+	c.Service.Limits = overload.Usual
 	bounds, err := platformBounds(in.Settings, c.Policy.Proxies)
 	if err == nil {
 		c.Policy.Links = bounds.Share.Each()
@@ -176,12 +176,12 @@
 
 // Bounds are what connections and held requests may take.
 type Bounds struct {
-	Connect  time.Duration // for a connection to a node to come up
-	ConnIdle time.Duration // after which nodes close one that stands idle
-	Streams  int           // requests on one connection to a node
-	PerNode  int           // connections to one node
-	MostHeld int           // requests
-	Share    room.Share    // of the connections that nodes take
+	Connect  time.Duration   // for a connection to a node to come up
+	ConnIdle time.Duration   // after which nodes close one that stands idle
+	Streams  int             // requests on one connection to a node
+	PerNode  int             // connections to one node
+	MostHeld int             // requests
+	Share    connlimit.Share // of the connections that nodes take
 }
 
 func platformBounds(settings json.RawMessage, proxies int) (Bounds, error) {
@@ -204,7 +204,7 @@
 	millis := func(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 	return Bounds{Connect: millis(l.ConnectTimeout), ConnIdle: millis(l.ConnIdle), Streams: l.StreamsPerConn,
 		PerNode: max(nodeTable/max(proxies, 1), 1), MostHeld: l.MostHeld,
-		Share: room.Share{Table: nodeTable, Proxies: proxies}}, nil
+		Share: connlimit.Share{Table: nodeTable, Proxies: proxies}}, nil
 }
 
 // Least figures of the limits.
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/room"
-	"mulleinpier/internal/wire"
+	"mulleinpier/internal/connlimit"
+	"mulleinpier/internal/simwire"
 	"mulleinpier/policy"
 )
 
@@ -41,10 +41,10 @@
 		if err != nil {
 			continue
 		}
-		var b room.Budget
+		var b connlimit.Budget
 		b.Set(config.Upstream.Share)
 		for _, nodes := range []int{1, 60} {
-			if most := b.Most(time.Second, nodes); most < room.Least || most > max(nodes*nodeTable, room.Least) {
+			if most := b.Most(time.Second, nodes); most < connlimit.Least || most > max(nodes*nodeTable, connlimit.Least) {
 				t.Errorf("%q proxies: %d connections to %d nodes", c.proxies, most, nodes)
 			}
 		}
@@ -181,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := wire.ParseSettings(string(text))
+	set, err := simwire.ParseSettings(string(text))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"testing"
 
-	"mulleinpier/internal/standin/deaf"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/unresponsive"
+	"mulleinpier/internal/testutil"
 )
 
 // These tests guard what is owed when the proxy ends: every request that was taken has its answer, and the end comes
@@ -16,7 +16,7 @@
 // late waits until a drain takes nothing more on any connection.
 func (f *fleet) late() {
 	f.t.Helper()
-	testwait.Until(f.t, "the drain to take nothing more", func() bool {
+	testutil.Until(f.t, "the drain to take nothing more", func() bool {
 		f.server.mu.Lock()
 		defer f.server.mu.Unlock()
 		for c := range f.server.clients {
@@ -38,7 +38,7 @@
 			f := startFleetWith(t, 256, once, startNode(t, func(c command) { arrived <- c.id })) // which answers nothing
 			u := f.connect()
 			u.send("%s", request("hung"))
-			testwait.Receive(t, "the request to come to the node", arrived)
+			testutil.Receive(t, "the request to come to the node", arrived)
 			f.stop()
 			f.late()
 			const more = 5
@@ -54,7 +54,7 @@
 				}
 			}
 			u.expect("")
-			testwait.Receive(t, "the server's end", f.ended())
+			testutil.Receive(t, "the server's end", f.ended())
 			for len(arrived) > 0 {
 				if id := <-arrived; strings.HasPrefix(id, "late") {
 					t.Errorf("%s was sent on", id)
@@ -88,15 +88,15 @@
 		})
 	}
 	waiting := f.connect() // in the backlog
-	testwait.Until(t, "all places to be taken", func() bool { n, _ := f.server.Load(); return n >= f.server.most })
+	testutil.Until(t, "all places to be taken", func() bool { n, _ := f.server.Load(); return n >= f.server.most })
 	f.stop()
-	testwait.Receive(t, "the server's end", f.ended())
+	testutil.Receive(t, "the server's end", f.ended())
 	waiting.socket.Close()
 }
 
 // TestHungConnectionsDoNotHoldUpTheEnd: a connection to a node is coming up, and would for long.
 func TestHungConnectionsDoNotHoldUpTheEnd(t *testing.T) {
-	d, err := deaf.Start()
+	d, err := unresponsive.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 		u.send("%s", request(strings.ReplaceAll(class, " ", "")))
 		users = append(users, u)
 	}
-	testwait.Until(t, "all to wait", func() bool { return f.server.core.Open() == len(users) })
+	testutil.Until(t, "all to wait", func() bool { return f.server.core.Open() == len(users) })
 	f.stop()
 	for _, u := range users {
 		if got := u.line(); !strings.HasPrefix(got, "SERVER_ERROR busy ") {
@@ -119,7 +119,7 @@
 		}
 		u.expect("")
 	}
-	testwait.Receive(t, "the server's end", f.ended())
+	testutil.Receive(t, "the server's end", f.ended())
 }
 
 // TestWhatCannotBeFinishedIsAnswered: the end comes before a request's own, as where a process got no core for a while. It has an
@@ -134,7 +134,7 @@
 	for class, request := range classes {
 		users[class] = f.connect()
 		users[class].send("%s", strings.ReplaceAll(request(strings.ReplaceAll(class, " ", "")), "d=1900", "d=1999"))
-		testwait.Receive(t, "the request to come to the node", arrived)
+		testutil.Receive(t, "the request to come to the node", arrived)
 	}
 	f.stop()
 	for class, u := range users {
@@ -146,5 +146,5 @@
 			t.Errorf("%s: answered %q, want %q", class, got, want)
 		}
 	}
-	testwait.Receive(t, "the server's end", f.ended())
+	testutil.Receive(t, "the server's end", f.ended())
 }
--- a/internal/proxy/ends_test.go
+++ b/internal/proxy/ends_test.go
@@ -7,18 +7,18 @@
 	"testing"
 
 	"mulleinpier/internal/discovery"
-	"mulleinpier/internal/standin/list"
-	"mulleinpier/internal/standin/script"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/endpointlist"
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/testutil"
 )
 
 // TestEndsOfNodeConnections ends connections to nodes in every way under requests of every effect: each request has one answer, and
 // nothing of an unsafe class comes to nodes twice; of a keyed one, what came more than once came with its key.
 func TestEndsOfNodeConnections(t *testing.T) {
-	nodes, err := script.Start(script.Meta, 3, func(_ int, a script.Asked) script.Reaction {
+	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
 		_, kind, _ := strings.Cut(a.ID, "-") // the key is for the id, which is new with each try of the client's
 		kind, _, _ = strings.Cut(kind, "-")
-		return script.Reaction(kind)
+		return scriptednode.Reaction(kind)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	}
 	sent := 0
 	for class, request := range classes {
-		for _, kind := range []script.Reaction{script.Reset, script.Half, script.Noise, script.Other, script.Surplus, script.Endless, script.Fail, script.Hang} {
+		for _, kind := range []scriptednode.Reaction{scriptednode.Reset, scriptednode.Half, scriptednode.Noise, scriptednode.Other, scriptednode.Surplus, scriptednode.Endless, scriptednode.Fail, scriptednode.Hang} {
 			for i := range 3 {
 				id := fmt.Sprintf("%s-%s-%d", strings.ReplaceAll(class, " ", ""), kind, i)
 				u := f.connect()
@@ -42,11 +42,11 @@
 				sent++
 				switch got := u.line(); {
 				case strings.HasPrefix(got, "VA ") && strings.HasSuffix(got, " O"+id):
-					if u.line(); kind != script.Surplus && kind != script.Half {
+					if u.line(); kind != scriptednode.Surplus && kind != scriptednode.Half {
 						t.Errorf("%s: served", id)
 					}
 				case strings.HasPrefix(got, "HD O"+id):
-					if kind != script.Surplus && kind != script.Half {
+					if kind != scriptednode.Surplus && kind != scriptednode.Half {
 						t.Errorf("%s: served", id)
 					}
 				case !strings.HasPrefix(got, "SERVER_ERROR "):
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	testwait.Until(t, "nothing to be open", func() bool { return f.server.core.Open() == 0 })
+	testutil.Until(t, "nothing to be open", func() bool { return f.server.core.Open() == 0 })
 	times := make(map[string]int)
 	for _, a := range nodes.Asked() {
 		if times[a.ID]++; a.Class == "put" && a.Idempotency == "" {
@@ -88,11 +88,11 @@
 		bodies := f.server.doors[0].host.Bodies.Free()
 		u := f.connect()
 		u.send("%s", request("x"))
-		testwait.Until(t, "the request to wait", func() bool { return f.server.core.Open() == 1 })
+		testutil.Until(t, "the request to wait", func() bool { return f.server.core.Open() == 1 })
 		leave(u.socket)
-		testwait.Until(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
+		testutil.Until(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
 		f.idle(t, bodies)
-		service := list.New([]list.Entry{{Name: "n", Address: address, Status: "up", Weight: 1}})
+		service := endpointlist.New([]endpointlist.Entry{{Name: "n", Address: address, Status: "up", Weight: 1}})
 		t.Cleanup(service.Close)
 		at, err := service.Open(0)
 		if err != nil {
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/standin/deaf"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/fake/unresponsive"
+	"mulleinpier/internal/testutil"
 )
 
 // These tests guard what is owed, or not, to clients that leave while their requests wait: nothing of
@@ -79,8 +79,8 @@
 // idle waits until nothing is open at the proxy and all budgets are whole.
 func (f *fleet) idle(t *testing.T, bodies int) {
 	t.Helper()
-	testwait.Until(t, "nothing to be open", func() bool { return f.server.core.Open() == 0 })
-	testwait.Until(t, "the bytes of bodies to be free", func() bool { return f.server.doors[0].host.Bodies.Free() == bodies })
+	testutil.Until(t, "nothing to be open", func() bool { return f.server.core.Open() == 0 })
+	testutil.Until(t, "the bytes of bodies to be free", func() bool { return f.server.doors[0].host.Bodies.Free() == bodies })
 }
 
 // ended passes the server's end on as a value.
@@ -113,7 +113,7 @@
 			text.WriteString(request(fmt.Sprint("x", i)))
 		}
 		u.send("%s", text.String())
-		testwait.Until(t, "as many as may be at work to be", func() bool {
+		testutil.Until(t, "as many as may be at work to be", func() bool {
 			f.server.mu.Lock()
 			defer f.server.mu.Unlock()
 			for c := range f.server.clients {
@@ -121,9 +121,9 @@
 			}
 			return false
 		})
-		testwait.Receive(t, "the first", arrived)
+		testutil.Receive(t, "the first", arrived)
 		leave(u.socket)
-		testwait.Until(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
+		testutil.Until(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
 		close(goOn)
 		f.idle(t, bodies)
 		for _, id := range came.all() {
@@ -142,7 +142,7 @@
 }
 
 // written tells what is written to a node's connections.
-func written(t *testing.T, d *deaf.Node) <-chan string {
+func written(t *testing.T, d *unresponsive.Node) <-chan string {
 	wrote := make(chan string, 100)
 	go func() {
 		for {
@@ -170,7 +170,7 @@
 	for _, drain := range []bool{false, true} {
 		t.Run(fmt.Sprint("in a drain ", drain), func(t *testing.T) {
 			everyCase(t, []string{"safe", "keyed", "unsafe"}, func(t *testing.T, request func(string) string, leave func(net.Conn)) {
-				d, err := deaf.Start()
+				d, err := unresponsive.Start()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -179,22 +179,22 @@
 				bodies := f.server.doors[0].host.Bodies.Free()
 				u := f.connect()
 				u.send("%s", request("x"))
-				testwait.Until(t, "the request to wait", func() bool { return f.server.core.Open() == 1 })
+				testutil.Until(t, "the request to wait", func() bool { return f.server.core.Open() == 1 })
 				if drain {
 					f.stop()
 					f.late()
 				}
 				leave(u.socket)
-				testwait.Until(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
+				testutil.Until(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
 				f.idle(t, bodies)
 				wrote := written(t, d)
 				if drain {
-					testwait.Receive(t, "the server's end", f.ended())
+					testutil.Receive(t, "the server's end", f.ended())
 					d.Close()
 				} else {
 					other := f.connect()
 					other.read("other")
-					if got := testwait.Receive(t, "the other's request", wrote); !strings.Contains(got, "Oother") {
+					if got := testutil.Receive(t, "the other's request", wrote); !strings.Contains(got, "Oother") {
 						t.Errorf("the node got %q", got)
 					}
 				}
@@ -267,9 +267,9 @@
 			t.Fatalf("the usual client was answered %q", got)
 		}
 	}
-	testwait.Until(t, "the places to be free", func() bool { n, _ := f.server.Load(); return n <= 1 })
+	testutil.Until(t, "the places to be free", func() bool { n, _ := f.server.Load(); return n <= 1 })
 	f.idle(t, bodies)
-	testwait.Until(t, "the bytes of answers to be free", func() bool { return f.server.doors[0].host.Answers.Free() == answers })
+	testutil.Until(t, "the bytes of answers to be free", func() bool { return f.server.doors[0].host.Answers.Free() == answers })
 	// Connections to the node come and go by themselves; there are no more than it takes of one proxy.
-	testwait.Until(t, "the descriptors to be free", func() bool { return descriptors() <= before+2*f.server.config.Upstream.PerNode })
+	testutil.Until(t, "the descriptors to be free", func() bool { return descriptors() <= before+2*f.server.config.Upstream.PerNode })
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -17,10 +17,10 @@
 
 	codec "mulleinpier/internal/binary"
 	"mulleinpier/internal/core"
-	"mulleinpier/internal/front"
-	"mulleinpier/internal/front/binary"
-	"mulleinpier/internal/front/meta"
-	"mulleinpier/internal/service"
+	"mulleinpier/internal/frontend"
+	"mulleinpier/internal/frontend/binary"
+	"mulleinpier/internal/frontend/meta"
+	"mulleinpier/internal/overload"
 )
 
 const (
@@ -52,7 +52,7 @@
 
 	mu       sync.Mutex
 	changed  sync.Cond
-	clients  map[*front.Conn]struct{}
+	clients  map[*frontend.Conn]struct{}
 	longest  time.Duration // deadline of any request that may be open
 	hurried  bool
 	draining bool
@@ -66,7 +66,7 @@
 type door struct {
 	*net.TCPListener
 	shared bool // another process holds it too
-	host   *front.Host
+	host   *frontend.Host
 	empty  time.Duration // when nothing waited to be accepted, last; by the core's clock
 }
 
@@ -91,17 +91,17 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{core: core, config: config, log: log, most: config.Clients, memory: config.Memory, clients: make(map[*front.Conn]struct{}),
+	s := &Server{core: core, config: config, log: log, most: config.Clients, memory: config.Memory, clients: make(map[*frontend.Conn]struct{}),
 		longest: longestDeadline(&config.Policy)}
 	s.changed.L = &s.mu
 	s.begun = time.Now()
 	s.binary = binary.New(s.stats)
 	s.binary.Put(config.binaryRules())
-	bodies, answers := front.NewBudget(config.BodyBytes), front.NewBudget(config.AnswerBytes)
-	open := func(address string, listener *net.TCPListener, session func(*front.Host, *front.Conn, byte) front.Session) error {
+	bodies, answers := frontend.NewBudget(config.BodyBytes), frontend.NewBudget(config.AnswerBytes)
+	open := func(address string, listener *net.TCPListener, session func(*frontend.Host, *frontend.Conn, byte) frontend.Session) error {
 		d := &door{TCPListener: listener, shared: listener != nil}
-		d.host = &front.Host{Core: core, Bodies: bodies, Answers: answers, Stats: s.stats}
-		d.host.Session = func(c *front.Conn, first byte) front.Session { return session(d.host, c, first) }
+		d.host = &frontend.Host{Core: core, Bodies: bodies, Answers: answers, Stats: s.stats}
+		d.host.Session = func(c *frontend.Conn, first byte) frontend.Session { return session(d.host, c, first) }
 		if !d.shared {
 			lc := net.ListenConfig{KeepAlive: -1}
 			opened, err := lc.Listen(context.Background(), "tcp", address)
@@ -114,14 +114,14 @@
 		return nil
 	}
 	own := config.binaryListen()
-	err = open(config.Listen, listener, func(host *front.Host, c *front.Conn, first byte) front.Session {
+	err = open(config.Listen, listener, func(host *frontend.Host, c *frontend.Conn, first byte) frontend.Session {
 		if first == codec.RequestMagic && own == "" && s.binary.On() {
 			return s.binary.Session(host, c, MainListener)
 		}
 		return meta.New(host, c)
 	})
 	if err == nil && own != "" {
-		err = open(own, nil, func(host *front.Host, c *front.Conn, _ byte) front.Session {
+		err = open(own, nil, func(host *frontend.Host, c *frontend.Conn, _ byte) frontend.Session {
 			return s.binary.Session(host, c, BinaryListener)
 		})
 	}
@@ -372,7 +372,7 @@
 
 // admit takes a client's connection. It ends with the client, or with drain.
 func (s *Server) admit(d *door, socket *net.TCPConn) {
-	c := front.New(d.host, socket, d.empty)
+	c := frontend.New(d.host, socket, d.empty)
 	s.mu.Lock()
 	s.clients[c] = struct{}{}
 	s.mu.Unlock()
@@ -399,7 +399,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.clients) >= s.most-headroom {
-		var oldest *front.Conn
+		var oldest *frontend.Conn
 		since := time.Now().Add(-idleLeast)
 		for c := range s.clients {
 			if at, idle := c.IdleSince(); idle && at.Before(since) {
@@ -462,15 +462,15 @@
 // Where handovers go first, half as many idle: a place that is free takes one at once.
 //
 // It returns those whose readers would not notice that they leave.
-func (s *Server) tidy(now time.Time) (stalled []*front.Conn) {
+func (s *Server) tidy(now time.Time) (stalled []*frontend.Conn) {
 	kept := s.most / idlePart
-	if s.core.Level() >= service.Handovers {
+	if s.core.Level() >= overload.Handovers {
 		kept /= 2
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	type idler struct {
-		client *front.Conn
+		client *frontend.Conn
 		since  time.Time
 	}
 	var idlers []idler
@@ -481,7 +481,7 @@
 		}
 		if at := c.StuckSince(); !at.IsZero() && now.Sub(woke) > s.longest && now.Sub(at) > s.longest {
 			c.Close("takes no answer")
-		} else if at, idle := c.IdleSince(); idle && now.Sub(at) > front.IdleTime {
+		} else if at, idle := c.IdleSince(); idle && now.Sub(at) > frontend.IdleTime {
 			c.CloseIdle()
 		} else if idle {
 			idlers = append(idlers, idler{c, at})
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -8,19 +8,19 @@
 	"testing"
 	"time"
 
+	"mulleinpier/internal/fake/consul"
+	"mulleinpier/internal/fake/endpointlist"
+	"mulleinpier/internal/fake/rawclient"
+	"mulleinpier/internal/fake/scriptednode"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/standin/caller"
-	"mulleinpier/internal/standin/consul"
-	"mulleinpier/internal/standin/list"
-	"mulleinpier/internal/standin/script"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // TestReloadBetweenSources moves a proxy under load from the platform's source to Consul
 // and back. Each has the same first node and another second one, so a move shows; no
 // request is lost, and what only the old source had gets nothing once the new one has told.
 func TestReloadBetweenSources(t *testing.T) {
-	nodes, err := script.Start(script.Meta, 3, func(int, script.Asked) script.Reaction { return script.Serve })
+	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,10 +30,10 @@
 		fmt.Sscan(text, &port)
 		return host, port
 	}
-	entry := func(i int) list.Entry {
-		return list.Entry{Name: fmt.Sprint("n", i), Address: nodes.Address(i), Status: "up", Weight: 1}
+	entry := func(i int) endpointlist.Entry {
+		return endpointlist.Entry{Name: fmt.Sprint("n", i), Address: nodes.Address(i), Status: "up", Weight: 1}
 	}
-	service := list.New([]list.Entry{entry(0), entry(1)})
+	service := endpointlist.New([]endpointlist.Entry{entry(0), entry(1)})
 	t.Cleanup(service.Close)
 	at, err := service.Open(0)
 	if err != nil {
@@ -52,13 +52,13 @@
 	platform := fmt.Sprintf("[nodes]\ndiscovery = %q\n", at)
 	catalogue := fmt.Sprintf("[nodes]\nconsul = %q\n[consul]\nservice = \"cache\"\n", agent.Address())
 	g := startWith(t, platform)
-	testwait.Receive(t, "the first list", closed(g.server.Known()))
+	testutil.Receive(t, "the first list", closed(g.server.Known()))
 	var stop atomic.Bool
 	var served, refused atomic.Int64
 	var clients sync.WaitGroup
 	for i := range 4 {
 		clients.Go(func() {
-			l, err := caller.Dial(script.Meta, g.server.Address().String(), 2*testwait.Patience)
+			l, err := rawclient.Dial(scriptednode.Meta, g.server.Address().String(), 2*testutil.Patience)
 			if err != nil {
 				t.Error(err)
 				return
@@ -84,7 +84,7 @@
 	more := func() {
 		t.Helper()
 		before := served.Load()
-		testwait.Until(t, "requests to be served", func() bool { return served.Load() > before+500 })
+		testutil.Until(t, "requests to be served", func() bool { return served.Load() > before+500 })
 	}
 	// last returns when a node was last asked.
 	last := func(node int) (at time.Time) {
@@ -105,7 +105,7 @@
 			if err := g.server.Reload(g.config(k.to).Proxy); err != nil {
 				t.Fatal(err)
 			}
-			testwait.Until(t, "the new source's node to be asked", func() bool { return last(k.new).After(moved) })
+			testutil.Until(t, "the new source's node to be asked", func() bool { return last(k.new).After(moved) })
 			// Nothing new half a second after the list was in force.
 			time.Sleep(500 * time.Millisecond)
 			quiet := time.Now()
@@ -135,7 +135,7 @@
 // TestListsThatCollapse plays at the sockets what membership decides of an agent whose
 // list is empty for a moment and for good, and of one that truly loses most of its nodes.
 func TestListsThatCollapse(t *testing.T) {
-	nodes, err := script.Start(script.Meta, 4, func(int, script.Asked) script.Reaction { return script.Serve })
+	nodes, err := scriptednode.Start(scriptednode.Meta, 4, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,8 +153,8 @@
 	}
 	t.Cleanup(agent.Close)
 	g := startWith(t, fmt.Sprintf("[nodes]\nconsul = %q\n[consul]\nservice = \"cache\"\n[consul.list]\nfailing_time = \"2s\"\n", agent.Address()))
-	testwait.Receive(t, "the first list", closed(g.server.Known()))
-	l, err := caller.Dial(script.Meta, g.server.Address().String(), 4*testwait.Patience)
+	testutil.Receive(t, "the first list", closed(g.server.Known()))
+	l, err := rawclient.Dial(scriptednode.Meta, g.server.Address().String(), 4*testutil.Patience)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 	steady(300 * time.Millisecond)
 	queries, _, _ := agent.Stats()
 	agent.Fail(consul.Empty)
-	testwait.Until(t, "the empty list to be told, and looked at again", func() bool {
+	testutil.Until(t, "the empty list to be told, and looked at again", func() bool {
 		_, looks, _ := agent.Stats()
 		return looks > 0
 	})
@@ -190,9 +190,9 @@
 	agent.Fail(consul.Well)
 	steady(2500 * time.Millisecond) // past the time of the doubt, which is over
 	agent.Fail(consul.Empty)
-	testwait.Until(t, "an empty list to be believed after all", func() bool { return ask("k") == request.Busy })
+	testutil.Until(t, "an empty list to be believed after all", func() bool { return ask("k") == request.Busy })
 	agent.Fail(consul.Well)
-	testwait.Until(t, "the nodes to be back", func() bool { return ask("k") == request.Value })
+	testutil.Until(t, "the nodes to be back", func() bool { return ask("k") == request.Value })
 	if now, _, _ := agent.Stats(); now <= queries {
 		t.Error("the agent was never asked")
 	}
@@ -201,7 +201,7 @@
 		c.Remove("host", fmt.Sprint("n", i))
 	}
 	var told time.Time
-	testwait.Until(t, "the agent to have written it", func() bool {
+	testutil.Until(t, "the agent to have written it", func() bool {
 		ask("k")
 		at, ok := agent.Wrote("host", "n0")
 		told = at
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -13,7 +13,7 @@
 import (
 	"time"
 
-	"mulleinpier/internal/still"
+	"mulleinpier/internal/pause"
 )
 
 // Verb is a request's kind.
@@ -35,7 +35,7 @@
 	Tenant      string
 	Idempotency string        // "" for none
 	Wait        time.Duration // how long the client waits; negative if it did not say
-	Age         still.Age     // when its last byte may have come, by the core's clock; zero for just now
+	Age         pause.Age     // when its last byte may have come, by the core's clock; zero for just now
 	Retry       bool          // marked by the client as a repetition
 	Flags       uint32        // of a Set: kept with the value by nodes whose dialect has room for it
 	Changes     bool          // set by the core: a repeat may do harm, as the settings have its class
--- a/internal/notify/notify.go
+++ b/internal/sdnotify/notify.go
@@ -1,11 +1,11 @@
-// Package notify speaks the service manager's notification protocol and takes
+// Package sdnotify speaks the service manager's notification protocol and takes
 // the sockets that it passes in, as the manual pages sd_notify(3) and
 // sd_listen_fds(3) describe them.
 //
 // The common library for it writes without a time limit: a manager that reads
 // nothing would stop the daemon. Here a message that finds no room in time is
 // given up, and the daemon goes on.
-package notify
+package sdnotify
 
 import (
 	"errors"
--- a/internal/notify/notify_test.go
+++ b/internal/sdnotify/notify_test.go
@@ -1,4 +1,4 @@
-package notify
+package sdnotify
 
 import (
 	"net"
@@ -22,7 +22,7 @@
 }
 
 func TestMessagesReachTheManager(t *testing.T) {
-	for _, name := range []string{filepath.Join(t.TempDir(), "notify"), "@yarrowspan-test-" + strconv.Itoa(os.Getpid())} {
+	for _, name := range []string{filepath.Join(t.TempDir(), "notify"), "@mulleinpier-test-" + strconv.Itoa(os.Getpid())} {
 		socket, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: name, Net: "unixgram"})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/model/homes_test.go
+++ b/internal/simulation/homes_test.go
@@ -1,10 +1,10 @@
-package model
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"mulleinpier/internal/room"
+	"mulleinpier/internal/connlimit"
 )
 
 // dear is the fleet of eighty where connections are few and have a price; homes says whether proxies
@@ -13,7 +13,7 @@
 	p := eighty(seed)
 	p.Settings.Prices.Origin, p.Settings.Prices.CrossZone, p.Settings.Prices.Handshake = 0.15, 0.02, 0.115
 	if homes {
-		p.Settings.Links = room.Share{Table: p.Node.Table, Proxies: p.Proxies}.Each()
+		p.Settings.Links = connlimit.Share{Table: p.Node.Table, Proxies: p.Proxies}.Each()
 	}
 	return p
 }
--- a/internal/model/model.go
+++ b/internal/simulation/model.go
@@ -1,4 +1,4 @@
-// Package model plays a whole fleet in one seeded loop of events, in virtual time: many
+// Package simulation plays a whole fleet in one seeded loop of events, in virtual time: many
 // instances of the module that decides (package policy) and of the share of connections
 // (package room), with nodes, an origin, a list service and clients.
 //
@@ -10,7 +10,7 @@
 // It does no I/O, reads no clock and starts no goroutine. What is modelled of the outside is
 // coarse: a node is workers behind a queue, a cache forgets by time alone, and a message takes
 // the same time on every way.
-package model
+package simulation
 
 import (
 	"container/heap"
--- a/internal/model/proxy.go
+++ b/internal/simulation/proxy.go
@@ -1,10 +1,10 @@
-package model
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"mulleinpier/internal/room"
+	"mulleinpier/internal/connlimit"
 	"mulleinpier/policy"
 )
 
@@ -13,7 +13,7 @@
 	fleet   *Fleet
 	index   int
 	modules *policy.Balancer
-	budget  room.Budget
+	budget  connlimit.Budget
 	dead    bool
 	open    map[uint64]*held
 	conns   map[string]*conn
@@ -56,7 +56,7 @@
 	}
 	p := &proxy{fleet: f, index: i, modules: b, open: make(map[uint64]*held), conns: make(map[string]*conn),
 		told: make(map[string]policy.Member)}
-	p.budget.Set(room.Share{Table: f.Node.Table, Proxies: set.Proxies})
+	p.budget.Set(connlimit.Share{Table: f.Node.Table, Proxies: set.Proxies})
 	f.proxies[i] = p
 	p.hear(policy.ListStored, f.members())
 	return nil
--- a/internal/model/sizes_test.go
+++ b/internal/simulation/sizes_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the simulator's line dialect.
-package wire
+// Package simwire reads and writes the simulator's line dialect.
+package simwire
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"errors"
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -4,7 +4,7 @@
 	"net"
 	"testing"
 
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // pair returns both ends of a connection.
@@ -43,13 +43,13 @@
 				}
 				if before != "" {
 					far.Write([]byte(before))
-					testwait.Until(t, "the bytes to come", func() bool { return Pending(near) })
+					testutil.Until(t, "the bytes to come", func() bool { return Pending(near) })
 					if Ended(near) {
 						t.Error("a connection with unread bytes passes for ended")
 					}
 				}
 				end(far)
-				testwait.Until(t, "the end to be seen", func() bool { return Ended(near) })
+				testutil.Until(t, "the end to be seen", func() bool { return Ended(near) })
 			})
 		}
 	}
--- a/internal/takeover/desk/desk.go
+++ b/internal/takeover/coordinator/desk.go
@@ -1,7 +1,7 @@
-// Package desk carries out what package takeover decides, in a real process: it asks other proxies for leave, holds
+// Package coordinator carries out what package takeover decides, in a real process: it asks other proxies for leave, holds
 // works for them, takes over what was lost, and tells what came of it. One goroutine owns the register and all errands;
 // one for each other proxy carries messages to it, as many at a time as there are.
-package desk
+package coordinator
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"mulleinpier/internal/peer"
-	"mulleinpier/internal/peer/talk"
+	"mulleinpier/internal/peer/rpc"
 	"mulleinpier/internal/request"
 	"mulleinpier/internal/takeover"
 )
@@ -62,7 +62,7 @@
 
 // letter is what proxies say to one another. All of it may be lost.
 type letter struct {
-	talk.Head
+	rpc.Head
 	From    takeover.Owner `cbor:"3,keyasint"`
 	To      takeover.Owner `cbor:"4,keyasint"`
 	Asks    []ask          `cbor:"5,keyasint,omitempty"`
@@ -195,7 +195,7 @@
 	return &Desk{o: o, core: core, wake: make(chan struct{}, 1), errands: make(map[uint64]*errand), asked: make(map[uint64]asker),
 		works: make(map[uint64]*errand), members: make(map[string]*member), gone: make(map[takeover.Owner]bool), away: make(map[string]time.Duration),
 		register: takeover.NewRegister(takeover.Usual, o.Self, o.Clock()),
-		http:     &http.Client{Timeout: talk.LinkTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: talk.IdleTime}}}
+		http:     &http.Client{Timeout: rpc.LinkTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: rpc.IdleTime}}}
 }
 
 // Strict tells whether a work is refused where no holder can be had.
@@ -252,7 +252,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+path, d.take)
 	mux.HandleFunc("GET "+ListPath, d.list)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, ReadTimeout: 2 * time.Second, WriteTimeout: 2 * time.Second, IdleTimeout: talk.IdleTime,
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, ReadTimeout: 2 * time.Second, WriteTimeout: 2 * time.Second, IdleTimeout: rpc.IdleTime,
 		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	tasks.Go(func() { server.Serve(listener) })
 	tick := time.NewTicker(tickTime)
@@ -330,7 +330,7 @@
 // take takes a letter of another proxy.
 func (d *Desk) take(w http.ResponseWriter, r *http.Request) {
 	var l letter
-	if !talk.Read(w, r, d.o.Fleet, &l) {
+	if !rpc.Read(w, r, d.o.Fleet, &l) {
 		return
 	}
 	if l.To != d.o.Self { // for a process that was here before
@@ -756,7 +756,7 @@
 	var since time.Time // that outcomes can't be told
 	for {
 		m.mu.Lock()
-		l := letter{Head: talk.In(d.o.Fleet), From: d.o.Self, To: m.Owner}
+		l := letter{Head: rpc.In(d.o.Fleet), From: d.o.Self, To: m.Owner}
 		l.Asks, m.asks = cut(m.asks)
 		l.Answers, m.say = cut(m.say)
 		l.Settles, m.tell = cut(m.tell)
@@ -771,7 +771,7 @@
 			continue
 		}
 		d.count(func(c *Counts) { c.Letters, c.Parts = c.Letters+1, c.Parts+parts })
-		if err := talk.Post(ctx, d.http, m.address, path, l, nil); err == nil {
+		if err := rpc.Post(ctx, d.http, m.address, path, l, nil); err == nil {
 			since = time.Time{}
 			continue
 		}
--- a/internal/testwait/testwait.go
+++ b/internal/testutil/testwait.go
@@ -1,6 +1,6 @@
-// Package testwait is how tests wait: for a condition, with one generous bound.
+// Package testutil is how tests wait: for a condition, with one generous bound.
 // No test may depend on how long a wait took.
-package testwait
+package testutil
 
 import (
 	"testing"
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
+	"mulleinpier/internal/fake/unresponsive"
 	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
 	"mulleinpier/internal/socket"
-	"mulleinpier/internal/standin/deaf"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // These tests make the ends of connections come at the instants in which something is still owed.
@@ -88,7 +88,7 @@
 	t.Cleanup(func() {
 		g.open()
 		stop()
-		testwait.Receive(t, "the end of all connections", ran)
+		testutil.Receive(t, "the end of all connections", ran)
 	})
 	return nodes, g, accepted, listener.Addr().String()
 }
@@ -117,8 +117,8 @@
 		t.Run(fmt.Sprint("may ", may), func(t *testing.T) {
 			nodes, g, accepted, _ := startGated(t, usual)
 			first := get(t, nodes, "first")
-			testwait.Receive(t, "the first's look", g.looks)
-			node := testwait.Receive(t, "a connection", accepted)
+			testutil.Receive(t, "the first's look", g.looks)
+			node := testutil.Receive(t, "a connection", accepted)
 			nodes.mu.Lock()
 			nodes.nodes["n"].conns[0].socket.SetWriteBuffer(128 << 10)
 			nodes.mu.Unlock()
@@ -129,13 +129,13 @@
 			}
 			late := get(t, nodes, "late")
 			g.goOn <- struct{}{}
-			batch := testwait.Receive(t, "the look at the others", g.looks)
+			batch := testutil.Receive(t, "the look at the others", g.looks)
 			if len(batch) != bigs+1 {
 				t.Fatalf("%d in the batch", len(batch))
 			}
 			// The first look lets it begin, as if what forbids it came a moment later.
 			g.goOn <- struct{}{}
-			testwait.Until(t, "what has not begun to wait again", func() bool {
+			testutil.Until(t, "what has not begun to wait again", func() bool {
 				nodes.mu.Lock()
 				defer nodes.mu.Unlock()
 				c := nodes.nodes["n"].conns[0]
@@ -162,7 +162,7 @@
 					serve(id, node)
 				}
 			}()
-			again := testwait.Receive(t, "a second look at what has not begun", g.looks)
+			again := testutil.Receive(t, "a second look at what has not begun", g.looks)
 			if again[len(again)-1] != late || again[0] == big[0] {
 				t.Fatalf("looked again at %d, from %s on", len(again), again[0].Request.ID)
 			}
@@ -207,8 +207,8 @@
 	nodes, g, accepted, address := startGated(t, limits)
 	nodes.Set([]Node{{Name: "other", Address: address}})
 	a := get(t, nodes, "a")
-	testwait.Receive(t, "its look", g.looks)
-	node := testwait.Receive(t, "a connection", accepted)
+	testutil.Receive(t, "its look", g.looks)
+	node := testutil.Receive(t, "a connection", accepted)
 	command, err := meta.ParseCommand("mg k v Ob Pc=read")
 	if err != nil {
 		t.Fatal(err)
@@ -237,28 +237,28 @@
 	g.answered = make(chan struct{}, 100)
 	g.goOn <- struct{}{}
 	first := get(t, nodes, "first")
-	testwait.Receive(t, "its look", g.looks)
-	node := testwait.Receive(t, "a connection", accepted)
+	testutil.Receive(t, "its look", g.looks)
+	node := testutil.Receive(t, "a connection", accepted)
 	in := bufio.NewReader(node)
 	in.ReadString('\n')
 	second := put(t, nodes, "second", 2)
-	testwait.Receive(t, "its look", g.looks)
+	testutil.Receive(t, "its look", g.looks)
 	g.goOn <- struct{}{}
 	in.ReadString('\n')
 	in.ReadString('\n')
 	serve("first", node) // its taker waits for the test, so that the next answer is not read
 	g.expectServed(t, first)
 	third := get(t, nodes, "third")
-	testwait.Receive(t, "its look", g.looks)
+	testutil.Receive(t, "its look", g.looks)
 	fmt.Fprint(node, "HD Osecond c7\r\n")
 	node.SetLinger(0)
 	node.Close()
 	nodes.mu.Lock()
 	c := nodes.nodes["n"].conns[0]
 	nodes.mu.Unlock()
-	testwait.Until(t, "the reset to come", func() bool { return socket.Ended(c.socket) })
+	testutil.Until(t, "the reset to come", func() bool { return socket.Ended(c.socket) })
 	g.goOn <- struct{}{} // the third's write fails
-	testwait.Until(t, "the write to fail", func() bool {
+	testutil.Until(t, "the write to fail", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
 		return c.broken || c.closed
@@ -279,7 +279,7 @@
 
 // TestDialsEndWithAll: connections that are coming up, to a node that says nothing, don't hold up the end.
 func TestDialsEndWithAll(t *testing.T) {
-	silent, err := deaf.Start()
+	silent, err := unresponsive.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -307,10 +307,10 @@
 			t.Run(fmt.Sprint(name, " that changes: ", changes), func(t *testing.T) {
 				nodes, g, accepted, _ := startGated(t, usual)
 				a := send(t, nodes)
-				testwait.Receive(t, "its look", g.looks)
+				testutil.Receive(t, "its look", g.looks)
 				a.Request.Changes = changes
 				g.goOn <- struct{}{}
-				node := testwait.Receive(t, "a connection", accepted)
+				node := testutil.Receive(t, "a connection", accepted)
 				node.SetReadDeadline(time.Now().Add(patience))
 				in := bufio.NewReader(node)
 				if line, err := in.ReadString('\n'); err != nil || !strings.Contains(line, "Ox") {
@@ -334,20 +334,20 @@
 func TestEndBetweenLookAndWrite(t *testing.T) {
 	nodes, g, accepted, _ := startGated(t, usual)
 	a := get(t, nodes, "a")
-	testwait.Receive(t, "its look", g.looks)
-	first := testwait.Receive(t, "a connection", accepted)
+	testutil.Receive(t, "its look", g.looks)
+	first := testutil.Receive(t, "a connection", accepted)
 	first.Close()
-	testwait.Until(t, "the connection's end to be noticed", func() bool {
+	testutil.Until(t, "the connection's end to be noticed", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
 		return len(nodes.nodes["n"].conns) == 0
 	})
 	g.goOn <- struct{}{}
-	if again := testwait.Receive(t, "another look", g.looks); len(again) != 1 || again[0] != a {
+	if again := testutil.Receive(t, "another look", g.looks); len(again) != 1 || again[0] != a {
 		t.Fatalf("looked at %d", len(again))
 	}
 	g.goOn <- struct{}{}
-	second := testwait.Receive(t, "another connection", accepted)
+	second := testutil.Receive(t, "another connection", accepted)
 	second.SetReadDeadline(time.Now().Add(patience))
 	if line, err := bufio.NewReader(second).ReadString('\n'); err != nil || !strings.Contains(line, "Oa") {
 		t.Fatalf("the node got %q, %v", line, err)
@@ -361,8 +361,8 @@
 func TestResetInTheMiddleOfABatch(t *testing.T) {
 	nodes, g, accepted, _ := startGated(t, usual)
 	get(t, nodes, "first")
-	testwait.Receive(t, "the first's look", g.looks)
-	node := testwait.Receive(t, "a connection", accepted)
+	testutil.Receive(t, "the first's look", g.looks)
+	node := testutil.Receive(t, "a connection", accepted)
 	nodes.mu.Lock()
 	nodes.nodes["n"].conns[0].socket.SetWriteBuffer(128 << 10)
 	nodes.mu.Unlock()
@@ -371,9 +371,9 @@
 		put(t, nodes, fmt.Sprint("big", i), 60000)
 	}
 	g.goOn <- struct{}{}
-	testwait.Receive(t, "the look at the others", g.looks)
+	testutil.Receive(t, "the look at the others", g.looks)
 	g.goOn <- struct{}{}
-	testwait.Until(t, "what has not begun to wait again", func() bool {
+	testutil.Until(t, "what has not begun to wait again", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
 		return len(nodes.nodes["n"].conns[0].out) > 0 || len(g.looks) > 0
@@ -383,13 +383,13 @@
 	nodes.mu.Unlock()
 	node.SetLinger(0)
 	node.Close()
-	testwait.Until(t, "the reset to be noticed", func() bool {
+	testutil.Until(t, "the reset to be noticed", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
 		return broken.closed
 	})
 	g.open()
-	second := testwait.Receive(t, "another connection", accepted)
+	second := testutil.Receive(t, "another connection", accepted)
 	again := make(map[string]bool)
 	go func() {
 		for in := bufio.NewReader(second); ; {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
+	"mulleinpier/internal/connlimit"
 	"mulleinpier/internal/eventlog"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/room"
 	"mulleinpier/internal/socket"
 )
 
@@ -75,13 +75,13 @@
 
 // Limits bound the connections.
 type Limits struct {
-	PerNode int           // connections to one node
-	All     int           // connections to all nodes
-	Streams int           // attempts out on one connection
-	Connect time.Duration // how long one may take to come up
-	Idle    time.Duration // how long one may stand idle
-	Silent  time.Duration // how long one with attempts out may say nothing
-	Share   room.Share    // what all proxies together may keep; zero for no bound
+	PerNode int             // connections to one node
+	All     int             // connections to all nodes
+	Streams int             // attempts out on one connection
+	Connect time.Duration   // how long one may take to come up
+	Idle    time.Duration   // how long one may stand idle
+	Silent  time.Duration   // how long one with attempts out may say nothing
+	Share   connlimit.Share // what all proxies together may keep; zero for no bound
 }
 
 // SetLimits puts other limits into force. Connections over them are not closed
@@ -117,7 +117,7 @@
 	warned time.Time
 	hushed int // warnings left out since
 	counts Counts
-	budget room.Budget
+	budget connlimit.Budget
 	start  time.Time
 	end    time.Duration // endTime, but in tests
 	// Dials end with Run: one to a node that says nothing would hold up the end of the process.
@@ -283,7 +283,7 @@
 // spare closes the connections that have idled longest while there are more than
 // the budget keeps. ns.mu is held.
 func (ns *Nodes) spare() {
-	if ns.conns <= room.Least {
+	if ns.conns <= connlimit.Least {
 		return
 	}
 	for most := ns.budget.Most(time.Since(ns.start), len(ns.nodes)); ns.conns > most; {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
+	"mulleinpier/internal/connlimit"
 	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
-	"mulleinpier/internal/room"
-	"mulleinpier/internal/testwait"
+	"mulleinpier/internal/testutil"
 )
 
 // patience bounds each wait of these tests; none of them depends on its length.
@@ -274,11 +274,11 @@
 	address := nodes.nodes["n"].Address
 	nodes.mu.Unlock()
 	limits := nodes.limits
-	limits.Share = room.Share{Table: 1, Proxies: 1000} // room.Least, then
+	limits.Share = connlimit.Share{Table: 1, Proxies: 1000} // room.Least, then
 	limits.All = 100
 	nodes.SetLimits(limits)
 	var list []Node
-	for i := range 3 * room.Least {
+	for i := range 3 * connlimit.Least {
 		list = append(list, Node{Name: fmt.Sprint("m", i), Address: address})
 	}
 	nodes.Set(list)
@@ -293,8 +293,8 @@
 	}
 	nodes.mu.Lock()
 	defer nodes.mu.Unlock()
-	if nodes.conns > room.Least {
-		t.Errorf("%d connections are kept, want %d", nodes.conns, room.Least)
+	if nodes.conns > connlimit.Least {
+		t.Errorf("%d connections are kept, want %d", nodes.conns, connlimit.Least)
 	}
 	if len(nodes.nodes["n"].conns) != 1 {
 		t.Error("the connection used all along was closed")
@@ -321,7 +321,7 @@
 	d := dozes{handler, make(chan int, 10)}
 	nodes.handler = d
 	a := get(t, nodes, "a")
-	if n := testwait.Receive(t, "the late write to be told", d.late); n != 1 {
+	if n := testutil.Receive(t, "the late write to be told", d.late); n != 1 {
 		t.Errorf("%d were written late", n)
 	}
 	d.expectServed(t, a)
--- a/policy/health.go
+++ b/policy/health.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mulleinpier/internal/odds"
+	"mulleinpier/internal/outlier"
 )
 
 // This file tells sick servers from a bad hour of all.
@@ -25,16 +25,16 @@
 
 // memory is how long what is seen of one server counts: long enough for some samples.
 func (b *Balancer) memory() time.Duration {
-	b.ends.Fade(b.now, odds.Memory)
-	rate := b.ends.Ended / odds.Memory.Seconds() / float64(max(len(b.list), 1))
-	return max(odds.Memory, min(healthLongest, time.Duration(healthSamples/max(rate, 1e-3)*float64(time.Second))))
+	b.ends.Fade(b.now, outlier.Memory)
+	rate := b.ends.Ended / outlier.Memory.Seconds() / float64(max(len(b.list), 1))
+	return max(outlier.Memory, min(healthLongest, time.Duration(healthSamples/max(rate, 1e-3)*float64(time.Second))))
 }
 
 // rest is the share of what well servers are asked that fails.
 func (b *Balancer) rest(class int) float64 {
 	all, well := &b.health[class], &b.well[class]
-	all.Fade(b.now, odds.Memory)
-	well.Fade(b.now, odds.Memory)
+	all.Fade(b.now, outlier.Memory)
+	well.Fade(b.now, outlier.Memory)
 	ill := 0.0
 	for _, s := range b.list {
 		if s.health[class].Above > 0 {
@@ -53,13 +53,13 @@
 	p := 0.0
 	if own := &s.health[class]; own.Above > 0 {
 		own.Fade(b.now, b.memory())
-		p = own.Chance() - odds.Prior
+		p = own.Chance() - outlier.Prior
 	}
-	if z := s.Zone; z >= 0 && z < len(b.zones) && len(b.zones) > 1 && b.zones[z].Above > 0 && b.now-s.heard > odds.Memory/8 {
+	if z := s.Zone; z >= 0 && z < len(b.zones) && len(b.zones) > 1 && b.zones[z].Above > 0 && b.now-s.heard > outlier.Memory/8 {
 		// A lost zone's servers are each met seldom; together they tell within some requests. It
 		// might hurt a server that is reached all the same: whoever was heard of just now is left out.
-		b.zones[z].Fade(b.now, odds.Memory)
-		p = max(p, b.zones[z].Chance()-odds.Prior)
+		b.zones[z].Fade(b.now, outlier.Memory)
+		p = max(p, b.zones[z].Chance()-outlier.Prior)
 	}
 	return p
 }
@@ -73,7 +73,7 @@
 	if p <= least {
 		return 0
 	}
-	if b.memory() == odds.Memory {
+	if b.memory() == outlier.Memory {
 		least = sickOdds
 	}
 	return max(p-least, 0) / (1 - least)
@@ -106,6 +106,6 @@
 	own.Add(b.now, b.memory(), failed, rest)
 	b.health[class].Count(b.now, 1, failed)
 	if s.Zone >= 0 && s.Zone < len(b.zones) {
-		b.zones[s.Zone].Add(b.now, odds.Memory, unreached, rest)
+		b.zones[s.Zone].Add(b.now, outlier.Memory, unreached, rest)
 	}
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mulleinpier/internal/odds"
+	"mulleinpier/internal/outlier"
 )
 
 // fleet is a balancer as one of many proxies over sixty servers in four zones.
@@ -179,7 +179,7 @@
 // is answered, so a failure that was out with another must count again once something was answered between
 // them. Without that two failures a second stood against nine that went well.
 func TestSlowServerOfManyRequestsIsFoundOut(t *testing.T) {
-	if p := mixed(t, 4, func(i int) bool { return i*7%10 < 7 }); p < sickOdds-odds.Prior {
+	if p := mixed(t, 4, func(i int) bool { return i*7%10 < 7 }); p < sickOdds-outlier.Prior {
 		t.Errorf("a server that fails seven in ten of thirty requests a second is sick with a chance of %.2f", p)
 	}
 	if p := mixed(t, 4, func(i int) bool { return i%12 == 0 }); p > oneFailure {
@@ -259,7 +259,7 @@
 			t.Errorf("%s is well and sick with a chance of %.2f", s.Server, p)
 		}
 	}
-	if rest := b.rest(0); rest > 2*odds.WellShare {
+	if rest := b.rest(0); rest > 2*outlier.WellShare {
 		t.Errorf("%.2f of what well servers are asked passes for failed", rest)
 	}
 	b = flow(t, 6*time.Second, func(s string, i int) (time.Duration, Note) {
@@ -291,7 +291,7 @@
 			b.ends.Count(b.now, 1, 0)
 		}
 		s := b.list[0]
-		s.health[0].Fade(b.now, odds.Memory)
+		s.health[0].Fade(b.now, outlier.Memory)
 		s.health[0].Above = c.above
 		if got := b.detour(s, 0); got > 0 != c.round {
 			t.Errorf("%s: chance %.2f, a detour costs %.2f", c.name, b.sick(s, 0), got)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"mulleinpier/internal/bloom"
-	"mulleinpier/internal/odds"
+	"mulleinpier/internal/outlier"
 )
 
 const (
@@ -65,23 +65,23 @@
 	hash     uint64
 	listed   bool
 	record   bloom.Record
-	inFlight float64       // own attempts out
-	given    float64       // own attempts given up whose work may go on, fading
-	faded    time.Duration // time of given
-	load     float64       // its smoothed value
-	fastest  float64       // RTT-SW: fastest recent answer, seconds
-	work     float64       // smoothed latency above that, seconds
-	worth    float64       // share of hits when the record promised one
-	sampled  time.Duration // time of the last sample
-	answers  int           // that were measured since its start
-	fails    int           // in a row
-	failed   time.Duration // time of the last of them
-	blamed   time.Duration // time of the last failure that counted for its health
-	until    time.Duration // not to be chosen before, if others are left
-	health   []odds.Odds   // by class
-	heard    time.Duration // time of the last answer of any kind
-	unlisted time.Duration // time at which the list dropped it
-	credit   float64       // sends a cold server may get
+	inFlight float64        // own attempts out
+	given    float64        // own attempts given up whose work may go on, fading
+	faded    time.Duration  // time of given
+	load     float64        // its smoothed value
+	fastest  float64        // RTT-SW: fastest recent answer, seconds
+	work     float64        // smoothed latency above that, seconds
+	worth    float64        // share of hits when the record promised one
+	sampled  time.Duration  // time of the last sample
+	answers  int            // that were measured since its start
+	fails    int            // in a row
+	failed   time.Duration  // time of the last of them
+	blamed   time.Duration  // time of the last failure that counted for its health
+	until    time.Duration  // not to be chosen before, if others are left
+	health   []outlier.Odds // by class
+	heard    time.Duration  // time of the last answer of any kind
+	unlisted time.Duration  // time at which the list dropped it
+	credit   float64        // sends a cold server may get
 	gate     gate
 	used     time.Duration // last send over a connection that is still open
 }
@@ -174,13 +174,13 @@
 	ranks  map[bool]*ranks // of what comes to each
 	keyed  gate            // of keyed requests, at all servers
 	shares []share         // by tenant
-	health []odds.Share    // of all servers, by class
-	well   []odds.Share    // of what succeeded, and of failures that a success followed at the same server
-	zones  []odds.Odds     // of not being reached
+	health []outlier.Share // of all servers, by class
+	well   []outlier.Share // of what succeeded, and of failures that a success followed at the same server
+	zones  []outlier.Odds  // of not being reached
 	level  Service
-	seen   Condition  // since it was last asked for
-	ends   odds.Share // of attempts at all servers, failed where their connection ended
-	near   bool       // keys have a home in each zone
+	seen   Condition     // since it was last asked for
+	ends   outlier.Share // of attempts at all servers, failed where their connection ended
+	near   bool          // keys have a home in each zone
 }
 
 // The kinds of timers, in the low bits of a token; the rest is a request's ID.
@@ -200,8 +200,8 @@
 	return &Balancer{set: &set, kinds: slices.Repeat([]float64{0.05}, len(set.Kinds)),
 		weights: slices.Repeat([]float64{1}, len(set.Kinds)), rng: rand.New(rand.NewPCG(seed, 1)),
 		servers: make(map[string]*server), requests: make(map[uint64]*request), retries: retryCap,
-		origin: 0.1, calm: 0.1, work: 0.05, fastest: 0.001, health: make([]odds.Share, len(set.Classes)),
-		well: make([]odds.Share, len(set.Classes)), zones: make([]odds.Odds, len(set.Zones)),
+		origin: 0.1, calm: 0.1, work: 0.05, fastest: 0.001, health: make([]outlier.Share, len(set.Classes)),
+		well: make([]outlier.Share, len(set.Classes)), zones: make([]outlier.Odds, len(set.Zones)),
 		ranks: map[bool]*ranks{true: {}, false: {}},
 		keyed: gate{keep: gateKeep},
 		gates: map[bool]*gate{true: {keep: gateKeep}, false: {keep: gateKeep}}}, nil
@@ -359,7 +359,7 @@
 	s.fastest, s.work, s.load, s.worth, s.fails, s.until, s.sampled, s.answers = 0, 0, s.inFlight, 1, 0, 0, 0, 0
 	s.blamed = 0
 	s.credit, s.gate = b.rng.Float64(), gate{}
-	s.health = make([]odds.Odds, len(b.health))
+	s.health = make([]outlier.Odds, len(b.health))
 }
 
 func (b *Balancer) jitter(d time.Duration) time.Duration {
