--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -34,70 +34,70 @@
 
 // Scenario is one rehearsal.
 type Scenario struct {
-	Name   string `toml:"-"`
-	About  string
-	Seed   uint64
-	Fleet  FleetPart
-	Load   LoadPart
-	Phases []Phase `toml:"phase"`
-	Events []Event `toml:"event"`
+	Name   string    `toml:"-"`
+	About  string    `toml:"about"`
+	Seed   uint64    `toml:"seed"`
+	Fleet  FleetPart `toml:"fleet"`
+	Load   LoadPart  `toml:"load"`
+	Phases []Phase   `toml:"phase"`
+	Events []Event   `toml:"event"`
 }
 
 // FleetPart says what there is.
 type FleetPart struct {
-	Proxies      int
-	Nodes        int
-	Zones        []string
-	Slots        int  // of a node
-	Queue        int  // of a node
-	Work         span // of a node for a request
-	Capacity     int  // keys that a node keeps
-	Connections  int  // that a node holds
-	Window       span // in which nodes drop repeats
-	OriginSlots  int  `toml:"origin_slots"`
-	OriginQueue  int  `toml:"origin_queue"`
-	OriginWork   span `toml:"origin_work"`
-	MemoryMB     int  `toml:"memory_mb"` // of a proxy
-	Sockets      int  // of a proxy
-	PerNode      int  `toml:"connections_per_node"` // of a proxy
-	PassedSocket int  `toml:"passed_socket"`        // every so many-th proxy is passed its listener; 0 for none
-	Binary       bool // proxies take binary clients too
-	BinaryNodes  int  `toml:"binary_nodes"` // every so many-th node speaks binary; 0 for none
-	Consul       bool // proxies follow Consul agents, one a zone
-	Unreduced    bool // proxies don't reduce service
-	SleepAt      span `toml:"sleep_at"`  // the proxies' machine seems to sleep, so long after a proxy's start
-	SleepFor     span `toml:"sleep_for"` // and for so long; 0 for no sleep
+	Proxies      int      `toml:"proxies"`
+	Nodes        int      `toml:"nodes"`
+	Zones        []string `toml:"zones"`
+	Slots        int      `toml:"slots"`       // of a node
+	Queue        int      `toml:"queue"`       // of a node
+	Work         span     `toml:"work"`        // of a node for a request
+	Capacity     int      `toml:"capacity"`    // keys that a node keeps
+	Connections  int      `toml:"connections"` // that a node holds
+	Window       span     `toml:"window"`      // in which nodes drop repeats
+	OriginSlots  int      `toml:"origin_slots"`
+	OriginQueue  int      `toml:"origin_queue"`
+	OriginWork   span     `toml:"origin_work"`
+	MemoryMB     int      `toml:"memory_mb"`            // of a proxy
+	Sockets      int      `toml:"sockets"`              // of a proxy
+	PerNode      int      `toml:"connections_per_node"` // of a proxy
+	PassedSocket int      `toml:"passed_socket"`        // every so many-th proxy is passed its listener; 0 for none
+	Binary       bool     `toml:"binary"`               // proxies take binary clients too
+	BinaryNodes  int      `toml:"binary_nodes"`         // every so many-th node speaks binary; 0 for none
+	Consul       bool     `toml:"consul"`               // proxies follow Consul agents, one a zone
+	Unreduced    bool     `toml:"unreduced"`            // proxies don't reduce service
+	SleepAt      span     `toml:"sleep_at"`             // the proxies' machine seems to sleep, so long after a proxy's start
+	SleepFor     span     `toml:"sleep_for"`            // and for so long; 0 for no sleep
 	// Drift is by how much of itself the clock that counts sleep runs off the other; every other proxy's lags.
-	Drift float64
+	Drift float64 `toml:"drift"`
 	// Permits is how many proxies may restart at once, by leave of the fleet, of which the first three are voters; 0 for
 	// proxies that know nothing of each other.
-	Permits int
+	Permits int `toml:"permits"`
 	// Takeover, plain or strict, has such a fleet's proxies hold works in hand at Holders others.
-	Takeover string
-	Holders  int
+	Takeover string `toml:"takeover"`
+	Holders  int    `toml:"holders"`
 	// Leaderless has proxies of such a fleet find no voter at all.
-	Leaderless bool
-	Lacks      string // the origin has no key that begins so
+	Leaderless bool   `toml:"leaderless"`
+	Lacks      string `toml:"lacks"` // the origin has no key that begins so
 }
 
 // LoadPart says what clients do.
 type LoadPart struct {
-	Rate      float64 // requests a second, first tries
-	Handovers float64 // share of them
-	Keys      int     // of reads
-	Skew      float64 // of their popularity, above 1
-	OneOff    float64 `toml:"one_off"` // share of reads for keys wanted once
-	Retries   int
-	Marked    float64 // share of clients that mark retries
-	Honour    float64 // share of clients that heed a refusal's advice
-	Pipelines int     // connections that pipeline reads, besides
-	Depth     int     // of such a pipeline
-	Tenants   []string
-	Quota     int     // of a tenant, requests a second over all proxies; 1000
-	Binary    float64 // share of requests from binary clients; every other pipeline is theirs too
-	Again     int     // how often a till asks again for a handover whose outcome it doesn't know, 2 to 10 s later each time
-	Late      float64 // share of tills that ask again only then
-	Library   float64 // share of the others that come through the client library
+	Rate      float64  `toml:"rate"`      // requests a second, first tries
+	Handovers float64  `toml:"handovers"` // share of them
+	Keys      int      `toml:"keys"`      // of reads
+	Skew      float64  `toml:"skew"`      // of their popularity, above 1
+	OneOff    float64  `toml:"one_off"`   // share of reads for keys wanted once
+	Retries   int      `toml:"retries"`
+	Marked    float64  `toml:"marked"`    // share of clients that mark retries
+	Honour    float64  `toml:"honour"`    // share of clients that heed a refusal's advice
+	Pipelines int      `toml:"pipelines"` // connections that pipeline reads, besides
+	Depth     int      `toml:"depth"`     // of such a pipeline
+	Tenants   []string `toml:"tenants"`
+	Quota     int      `toml:"quota"`   // of a tenant, requests a second over all proxies; 1000
+	Binary    float64  `toml:"binary"`  // share of requests from binary clients; every other pipeline is theirs too
+	Again     int      `toml:"again"`   // how often a till asks again for a handover whose outcome it doesn't know, 2 to 10 s later each time
+	Late      float64  `toml:"late"`    // share of tills that ask again only then
+	Library   float64  `toml:"library"` // share of the others that come through the client library
 }
 
 // WithBinary has one client in four speak binary, if there are any, and one node in four.
@@ -110,12 +110,12 @@
 
 // Phase is a stretch of time whose figures stand together.
 type Phase struct {
-	Name   string
-	For    span
-	Rate   float64 // times the load's; 1
-	Swing  float64 // share by which the rate swings round that
-	Period span    // of the swing
-	Flood  float64 // times its part that the first tenant asks for; 1
+	Name   string  `toml:"name"`
+	For    span    `toml:"for"`
+	Rate   float64 `toml:"rate"`   // times the load's; 1
+	Swing  float64 `toml:"swing"`  // share by which the rate swings round that
+	Period span    `toml:"period"` // of the swing
+	Flood  float64 `toml:"flood"`  // times its part that the first tenant asks for; 1
 }
 
 // rate is the rate at a time since the phase began, in times of the load's.
@@ -135,23 +135,24 @@
 
 // Event is something done to the fleet at a time.
 type Event struct {
-	At    span
-	Do    string
-	Proxy int    // its number; -1 for all
-	Node  int    // its number
-	Mode  string // of restart and wave: old first (gap), or new first (overlap)
-	Every span   // between the proxies of a wave, or the times of a hangup
-	Times int    // how often
-	With  string // of hangup: what the configuration is like
-	Kind  string // of fault
-	By    span   // of fault
-	Part  int    // of fault: one request in so many
-	Zone  string // of dark and light
-	For   span   // of stop, link, starve and crowd: how long
+	At    span   `toml:"at"`
+	Do    string `toml:"do"`
+	Proxy int    `toml:"proxy"` // its number; -1 for all
+	Node  int    `toml:"node"`  // its number
+	Mode  string `toml:"mode"`  // of restart and wave: old first (gap), or new first (overlap)
+	Every span   `toml:"every"` // between the proxies of a wave, or the times of a hangup
+	Times int    `toml:"times"` // how often
+	With  string `toml:"with"`  // of hangup: what the configuration is like
+	Kind  string `toml:"kind"`  // of fault
+	By    span   `toml:"by"`    // of fault
+	Part  int    `toml:"part"`  // of fault: one request in so many
+	Zone  string `toml:"zone"`  // of dark and light
+	For   span   `toml:"for"`   // of stop, link, starve and crowd: how long
 	// Of stop, link, starve and crowd: which proxies (none for that of Proxy), and of a link to
 	// nodes which of them (none for all).
-	Proxies, Nodes []int
-	Between        string // of link: clients, nodes or list, to each of which the proxies are linked
+	Proxies []int  `toml:"proxies"`
+	Nodes   []int  `toml:"nodes"`
+	Between string `toml:"between"` // of link: clients, nodes or list, to each of which the proxies are linked
 }
 
 // what events there are, and what they do.
