--- a/client/catalogue/catalogue.go
+++ b/client/catalogue/catalogue.go
@@ -27,7 +27,7 @@
 }
 
 // source implements client.Source.
-type source struct{ place consul.Place }
+type source struct{ place consul.SourceConfig }
 
 // Consul returns the proxies of a service that are up. One that drains, is in maintenance or whose check
 // is critical leaves the list: it gets nothing new. An empty list is not put into force, see [client.Source].
@@ -41,8 +41,8 @@
 	if o.Wait < time.Second || o.Wait > 10*time.Minute {
 		return nil, errors.New("mulleinpier: catalogue: want a Wait of 1 s to 10 min")
 	}
-	return source{consul.Place{Agent: consul.Agent{Address: o.Agent, TLS: o.TLS, CAFile: o.CAFile, TokenFile: o.TokenFile}, Service: o.Service,
-		Datacenter: o.Datacenter, Tag: o.Tag, Stale: true, Wait: o.Wait}}, nil
+	return source{consul.SourceConfig{Agent: consul.Agent{Address: o.Agent, TLS: o.TLS, CAFile: o.CAFile, TokenFile: o.TokenFile}, Service: o.Service,
+		Datacenter: o.Datacenter, Tag: o.Tag, AllowStale: true, WaitTime: o.Wait}}, nil
 }
 
 // Follow implements client.Source.
--- a/client/catalogue/catalogue_test.go
+++ b/client/catalogue/catalogue_test.go
@@ -27,7 +27,7 @@
 // asked, an empty list and an agent that goes quiet change nothing.
 func TestClientFollowsTheCatalogue(t *testing.T) {
 	var serving [2]atomic.Int64
-	ns, err := scriptednode.Start(scriptednode.Meta, 2, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
+	ns, err := scriptednode.Start(scriptednode.Meta, 2, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		serving[a.Node].Add(1)
 		return scriptednode.Serve
 	})
@@ -74,21 +74,21 @@
 		t.Fatalf("%d at the only proxy", serving[0].Load())
 	}
 	c.Set(instance(1))
-	testutil.Until(t, "the second proxy", func() bool { return lists.Load() == 2 })
-	testutil.Until(t, "it is asked", func() bool { // who asks for one thing at a time keeps to the first
+	testutil.WaitUntil(t, "the second proxy", func() bool { return lists.Load() == 2 })
+	testutil.WaitUntil(t, "it is asked", func() bool { // who asks for one thing at a time keeps to the first
 		l.GetMulti(context.Background(), make256())
 		return serving[1].Load() > 0
 	})
 	drained := instance(0)
 	drained.Checks = []consul.Check{{CheckID: "_service_maintenance:p0", Status: "critical", Notes: "update"}}
 	c.Set(drained)
-	testutil.Until(t, "the first drains", func() bool { return lists.Load() == 3 })
+	testutil.WaitUntil(t, "the first drains", func() bool { return lists.Load() == 3 })
 	before := serving[0].Load()
 	get()
 	if serving[0].Load() != before {
 		t.Fatal("a proxy in maintenance was asked")
 	}
-	agent.Fail(consul.Empty)
+	agent.SetFault(consul.EmptyList)
 	get()
 	time.Sleep(50 * time.Millisecond)
 	get()
--- a/client/client.go
+++ b/client/client.go
@@ -19,14 +19,14 @@
 )
 
 // names are the outcomes' in traces.
-var names = [...]string{retry.Served: "served", retry.Missing: "missing", retry.Refused: "refused", retry.Unsent: "unsent",
-	retry.Invalid: "invalid", retry.Failed: "failed", retry.Silent: "silent", retry.Broken: "broken", retry.Spoilt: "spoilt",
+var names = [...]string{retry.Served: "served", retry.NotFound: "missing", retry.Rejected: "refused", retry.NotSent: "unsent",
+	retry.Invalid: "invalid", retry.Failed: "failed", retry.TimedOut: "silent", retry.ConnectionLost: "broken", retry.MalformedAnswer: "spoilt",
 	retry.Canceled: "canceled"}
 
 // Client is a client of a fleet of proxies. Make one with [New]; it is safe for concurrent use.
 type Client struct {
 	options Options
-	rules   *retry.Rules
+	rules   *retry.Policy
 	base    string // of all ids
 	serial  atomic.Uint64
 	ctx     context.Context
@@ -38,7 +38,7 @@
 	rng      *rand.Rand
 	balancer *balance.Balancer
 	budget   *retry.Budget
-	pace     retry.Pace
+	pace     retry.Throttle
 	conns    map[*balance.Proxy][]*conn
 	waiters  list.List // of *wait, the longest wait first
 	open     int
@@ -170,10 +170,10 @@
 	n := &c.counts
 	s := Stats{Calls: n.calls.Load(), Served: n.served.Load(), Missing: n.missing.Load(), Refused: n.refused.Load(), Failed: n.failed.Load(),
 		Deadline: n.deadline.Load(), Unknown: n.unknown.Load(), Unavailable: n.unavailable.Load(), Invalid: n.invalid.Load(), Closed: n.closed.Load(),
-		Tries: n.tries.Load(), Retries: n.retries.Load(), Withheld: n.withheld.Load(), Dials: n.dials.Load(), DialFails: n.dialFails.Load()}
+		Tries: n.tries.Load(), Retries: n.retries.Load(), Throttled: n.withheld.Load(), Dials: n.dials.Load(), DialFails: n.dialFails.Load()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.Open, s.Waiting = c.open, c.waiters.Len()
+	s.InFlight, s.Waiting = c.open, c.waiters.Len()
 	for _, list := range c.conns {
 		s.Conns += len(list)
 	}
@@ -246,7 +246,7 @@
 		return
 	}
 	c.mu.Lock()
-	changed := c.balancer.Update(c.options.clock().Mono, addresses)
+	changed := c.balancer.Update(c.options.clock().Monotonic, addresses)
 	c.rouse(c.waiters.Len())
 	c.mu.Unlock()
 	if changed {
@@ -279,10 +279,10 @@
 	var ends []end
 	var idle []*conn
 	c.mu.Lock()
-	now := c.options.clock().Mono
+	now := c.options.clock().Monotonic
 	for p, list := range c.conns {
 		for _, k := range list {
-			if p.Gone() {
+			if p.IsRemoved() {
 				c.endLocked(k)
 			}
 			switch {
@@ -311,7 +311,7 @@
 func (c *Client) endLocked(k *conn) {
 	if !k.ending {
 		k.ending = true
-		c.balancer.Ending(k.proxy)
+		c.balancer.ConnDraining(k.proxy)
 	}
 }
 
@@ -324,7 +324,7 @@
 
 // dial opens a connection to a proxy. c.mu is held.
 func (c *Client) dial(p *balance.Proxy) {
-	c.balancer.Dialing(p)
+	c.balancer.DialStarted(p)
 	c.counts.dials.Add(1)
 	c.tasks.Go(func() {
 		trace := &c.options.Trace
@@ -341,8 +341,8 @@
 			err = ErrClosed
 			defer socket.Close()
 		}
-		now := c.options.clock().Mono
-		c.balancer.Dialed(p, now, err == nil)
+		now := c.options.clock().Monotonic
+		c.balancer.DialEnded(p, now, err == nil)
 		if err != nil {
 			c.counts.dialFails.Add(1)
 			c.rouse(c.waiters.Len()) // they choose anew
@@ -366,9 +366,9 @@
 func (c *Client) ended(k *conn, due bool, err error) {
 	own := errors.Is(err, errIdle) || errors.Is(err, errDropped) || errors.Is(err, errLinger) || errors.Is(err, ErrClosed)
 	c.mu.Lock()
-	now := c.options.clock().Mono
+	now := c.options.clock().Monotonic
 	c.endLocked(k)
-	c.balancer.Ended(k.proxy, now, !own && (due || now-k.idle < briefly))
+	c.balancer.ConnClosed(k.proxy, now, !own && (due || now-k.idle < briefly))
 	list := c.conns[k.proxy]
 	for i := range list {
 		if list[i] == k {
@@ -409,7 +409,7 @@
 	at     time.Duration
 	wait   time.Duration
 	repeat bool
-	end    retry.End
+	end    retry.Result
 	after  time.Duration
 	cause  error
 }
@@ -417,8 +417,8 @@
 // acquire waits for a place for the next try of a call, and begins the try.
 func (c *Client) acquire(ctx context.Context, r *retry.Request, deadline time.Duration, avoid *balance.Proxy) (a acquired) {
 	finish := func(o retry.Outcome, after time.Duration, cause error) acquired {
-		v := r.Hopeless(o, after)
-		return acquired{end: v.End, after: v.After, cause: cause}
+		v := r.GiveUp(o, after)
+		return acquired{end: v.Result, after: v.RetryAfter, cause: cause}
 	}
 	paced := false
 	for {
@@ -427,61 +427,61 @@
 		switch {
 		case c.closed:
 			c.mu.Unlock()
-			return finish(retry.Unsent, 0, ErrClosed)
+			return finish(retry.NotSent, 0, ErrClosed)
 		case ctx.Err() != nil:
 			c.mu.Unlock()
-			return finish(retry.Unsent, 0, ctx.Err())
+			return finish(retry.NotSent, 0, ctx.Err())
 		case !r.CanSend(now):
 			c.mu.Unlock()
-			return finish(retry.Unsent, 0, context.DeadlineExceeded)
+			return finish(retry.NotSent, 0, context.DeadlineExceeded)
 		}
-		if !paced && !c.pace.Allow(now.Mono, c.rng) {
+		if !paced && !c.pace.Allow(now.Monotonic, c.rng) {
 			c.counts.withheld.Add(1)
 			after := time.Duration(c.rng.Int64N(int64(withheldTime))) + withheldTime/2
 			c.mu.Unlock()
-			return finish(retry.Refused, after, nil)
+			return finish(retry.Rejected, after, nil)
 		}
 		paced = true
-		choice := c.balancer.Choose(now.Mono, avoid)
+		choice := c.balancer.Choose(now.Monotonic, avoid)
 		switch choice.Kind {
 		case balance.Send:
-			if k := c.place(choice.Proxy, now.Mono); k != nil {
-				wait, _ := r.Send(now, c.budget.CanPay(r.Effect()))
+			if k := c.place(choice.Proxy, now.Monotonic); k != nil {
+				wait, _ := r.StartAttempt(now, c.budget.CanAfford(r.Effect()))
 				k.open++
 				k.live++
 				c.open++
-				c.balancer.Sent(choice.Proxy)
+				c.balancer.RequestSent(choice.Proxy)
 				c.counts.tries.Add(1)
-				if r.Tries() > 1 {
+				if r.Attempts() > 1 {
 					c.counts.retries.Add(1)
 				}
 				c.mu.Unlock()
-				return acquired{conn: k, at: now.Mono, wait: wait, repeat: r.Tries() > 1}
+				return acquired{conn: k, at: now.Monotonic, wait: wait, repeat: r.Attempts() > 1}
 			}
 		case balance.Dial:
 			c.dial(choice.Proxy)
-		case balance.Hold:
+		case balance.AllRejecting:
 			c.counts.withheld.Add(1)
 			c.mu.Unlock()
-			return finish(retry.Refused, max(choice.At-now.Mono, time.Millisecond), nil)
+			return finish(retry.Rejected, max(choice.RetryAt-now.Monotonic, time.Millisecond), nil)
 		}
 		until := deadline
 		if choice.Kind == balance.Wait {
 			// Where nothing is there or on its way, what comes too late is known now.
-			if choice.At >= deadline && len(c.conns) == 0 && !c.balancer.Expects() {
+			if choice.RetryAt >= deadline && len(c.conns) == 0 && !c.balancer.IsDialing() {
 				c.mu.Unlock()
-				return finish(retry.Unsent, 0, nil)
+				return finish(retry.NotSent, 0, nil)
 			}
-			until = min(until, choice.At)
+			until = min(until, choice.RetryAt)
 		}
-		if c.waiters.Len() >= c.options.Waiting {
+		if c.waiters.Len() >= c.options.MaxWaiting {
 			c.mu.Unlock()
-			return finish(retry.Refused, 0, errors.New("too many calls wait"))
+			return finish(retry.Rejected, 0, errors.New("too many calls wait"))
 		}
 		w := waits.Get().(*wait)
 		place := c.waiters.PushBack(w)
 		c.mu.Unlock()
-		w.timer.Reset(max(until-now.Mono, 0))
+		w.timer.Reset(max(until-now.Monotonic, 0))
 		roused := false
 		select {
 		case <-w.changed:
@@ -529,7 +529,7 @@
 			best = k
 		}
 	}
-	if (best == nil || best.open >= growAt) && c.balancer.More(p, now) {
+	if (best == nil || best.open >= growAt) && c.balancer.CanDial(p, now) {
 		c.dial(p)
 	}
 	return best
@@ -540,26 +540,26 @@
 const growAt = 2
 
 // release is told how a try ended, and tells what follows.
-func (c *Client) release(k *conn, r *retry.Request, a *reply, now retry.Stamp) (v retry.Verdict, closed bool) {
+func (c *Client) release(k *conn, r *retry.Request, a *reply, now retry.Timestamp) (v retry.Decision, closed bool) {
 	c.mu.Lock()
 	c.open--
 	if k.live--; k.live == 0 {
-		k.idle = now.Mono
+		k.idle = now.Monotonic
 	}
 	if !a.away {
 		k.open--
 	}
-	failed := a.outcome == retry.Silent || a.outcome == retry.Broken || a.outcome == retry.Spoilt
-	c.balancer.Done(k.proxy, now.Mono, failed, a.outcome == retry.Refused, a.advice)
-	c.pace.Ended(now.Mono, a.outcome == retry.Refused)
-	if a.outcome == retry.Silent {
+	failed := a.outcome == retry.TimedOut || a.outcome == retry.ConnectionLost || a.outcome == retry.MalformedAnswer
+	c.balancer.RequestEnded(k.proxy, now.Monotonic, failed, a.outcome == retry.Rejected, a.advice)
+	c.pace.RecordOutcome(now.Monotonic, a.outcome == retry.Rejected)
+	if a.outcome == retry.TimedOut {
 		c.endLocked(k)
 	}
 	over := k.ending && k.open == 0
 	c.rouse(1)
-	repeat := r.Tries() > 1
-	v = r.Ended(now, a.outcome, a.advice, c.budget, c.rng)
-	if a.outcome == retry.Unsent {
+	repeat := r.Attempts() > 1
+	v = r.AttemptEnded(now, a.outcome, a.advice, c.budget, c.rng)
+	if a.outcome == retry.NotSent {
 		c.counts.tries.Add(-1)
 		if repeat {
 			c.counts.retries.Add(-1)
@@ -583,7 +583,7 @@
 	t.sent = sent
 	if info != nil {
 		info.ID = string(appendID(nil, c.base, t.serial))
-		info.Kept = k.answers.Load() > 0
+		info.ConnReused = k.answers.Load() > 0
 		if start := c.options.Trace.TryStart; start != nil {
 			start(*info)
 		}
@@ -591,7 +591,7 @@
 	lead, ok := k.send(t, wire)
 	switch {
 	case !ok:
-		a.outcome = retry.Unsent
+		a.outcome = retry.NotSent
 	case lead:
 		a = k.lead(ctx, t)
 	default:
@@ -617,7 +617,7 @@
 	case <-t.done:
 		return t.reply()
 	case <-w.timer.C:
-		a = reply{outcome: retry.Silent, cause: context.DeadlineExceeded}
+		a = reply{outcome: retry.TimedOut, cause: context.DeadlineExceeded}
 	case <-ctx.Done():
 		a = gone(ctx)
 	}
@@ -645,53 +645,53 @@
 	if err != nil {
 		return Answer{}, c.over(op, r.Key, &Error{Kind: ErrInvalid, Op: op, Key: r.Key, Cause: err}, begun, 0)
 	}
-	deadline := begun.Mono + class.Wait
+	deadline := begun.Monotonic + class.Wait
 	if d, ok := ctx.Deadline(); ok {
-		deadline = min(deadline, begun.Mono+time.Until(d))
+		deadline = min(deadline, begun.Monotonic+time.Until(d))
 	}
 	aim := time.Duration(0)
-	if class.Aim > 0 {
-		aim = begun.Mono + class.Aim
+	if class.LatencyObjective > 0 {
+		aim = begun.Monotonic + class.LatencyObjective
 	}
-	course := retry.Begin(c.rules, class.Effect, aim, deadline)
+	course := retry.NewRequest(c.rules, class.Effect, aim, deadline)
 	var avoid *balance.Proxy
 	for {
 		got := c.acquire(ctx, &course, deadline, avoid)
 		if got.conn == nil {
-			return Answer{Tries: course.Tries()}, c.over(op, r.Key, c.error(op, &r, &wire, &course, got.end, got.after, got.cause), begun, course.Tries())
+			return Answer{Tries: course.Attempts()}, c.over(op, r.Key, c.error(op, &r, &wire, &course, got.end, got.after, got.cause), begun, course.Attempts())
 		}
 		wire.Retry = got.repeat
 		var info *TryInfo
-		if trace := &c.options.Trace; trace.TryStart != nil || trace.TryDone != nil || trace.Late != nil {
+		if trace := &c.options.Trace; trace.TryStart != nil || trace.TryDone != nil || trace.LateAnswer != nil {
 			info = &TryInfo{Op: op, Key: r.Key, Proxy: got.conn.proxy.Address, Repeat: got.repeat, Wait: told(got.wait)}
 		}
 		a := c.try(ctx, got.conn, &wire, got.at, got.wait, info)
 		now := c.options.clock()
 		if done := c.options.Trace.TryDone; done != nil {
 			told := *info
-			told.Took, told.Outcome, told.Advice = now.Mono-got.at, names[a.outcome], a.advice
+			told.Took, told.Outcome, told.RetryAfter = now.Monotonic-got.at, names[a.outcome], a.advice
 			done(told)
 		}
 		verdict, closed := c.release(got.conn, &course, &a, now)
-		if verdict.End == retry.EndServed {
+		if verdict.Result == retry.ResultServed {
 			err := error(nil)
-			if a.outcome == retry.Missing {
-				err = &Error{Kind: ErrMiss, Op: op, Key: r.Key, Tries: course.Tries()}
+			if a.outcome == retry.NotFound {
+				err = &Error{Kind: ErrMiss, Op: op, Key: r.Key, Tries: course.Attempts()}
 			}
-			return Answer{Value: a.value, Receipt: a.receipt, Tries: course.Tries()}, c.over(op, r.Key, err, begun, course.Tries())
+			return Answer{Value: a.value, Receipt: a.receipt, Tries: course.Attempts()}, c.over(op, r.Key, err, begun, course.Attempts())
 		}
 		if closed {
 			a.cause = ErrClosed
-			if verdict.End = retry.EndUnsent; course.MayHaveRun() && class.Effect != Safe {
-				verdict.End = retry.EndUnknown
+			if verdict.Result = retry.ResultNotSent; course.MayHaveRun() && class.Effect != Safe {
+				verdict.Result = retry.ResultUnknown
 			}
 		}
-		if verdict.End != retry.Open {
-			return Answer{Tries: course.Tries()}, c.over(op, r.Key, c.error(op, &r, &wire, &course, verdict.End, verdict.After, a.cause), begun, course.Tries())
+		if verdict.Result != retry.ResultPending {
+			return Answer{Tries: course.Attempts()}, c.over(op, r.Key, c.error(op, &r, &wire, &course, verdict.Result, verdict.RetryAfter, a.cause), begun, course.Attempts())
 		}
 		avoid = got.conn.proxy
-		if verdict.Pause > 0 {
-			timer := time.NewTimer(verdict.Pause)
+		if verdict.Backoff > 0 {
+			timer := time.NewTimer(verdict.Backoff)
 			select {
 			case <-timer.C:
 			case <-ctx.Done(): // seen by acquire
@@ -743,26 +743,26 @@
 	case class.Effect == Keyed && !meta.ValidName(r.Idempotency):
 		return w, class, fmt.Errorf("idempotency key cannot be %q", r.Idempotency)
 	}
-	w.Idempotency = r.Idempotency
+	w.IdempotencyKey = r.Idempotency
 	return w, class, nil
 }
 
 // error words the end of a call that was not served.
-func (c *Client) error(op string, r *Request, w *request.Request, course *retry.Request, end retry.End, after time.Duration, cause error) error {
-	e := &Error{Op: op, Key: r.Key, Tries: course.Tries(), After: after, Idempotency: w.Idempotency, Cause: cause}
+func (c *Client) error(op string, r *Request, w *request.Request, course *retry.Request, end retry.Result, after time.Duration, cause error) error {
+	e := &Error{Op: op, Key: r.Key, Tries: course.Attempts(), RetryAfter: after, Idempotency: w.IdempotencyKey, Cause: cause}
 	switch end {
-	case retry.EndRefused:
+	case retry.ResultRejected:
 		e.Kind = ErrRefused
-	case retry.EndFailed:
+	case retry.ResultFailed:
 		e.Kind = ErrFailed
-	case retry.EndDeadline:
+	case retry.ResultDeadlineExceeded:
 		e.Kind, e.Cause = ErrDeadline, context.DeadlineExceeded
-	case retry.EndUnknown:
+	case retry.ResultUnknown:
 		e.Kind = ErrUnknown
-		e.Settled = time.Now().Add(max(course.Settled()-c.options.clock().Mono, 0))
-	case retry.EndInvalid:
+		e.Settled = time.Now().Add(max(course.SettledAt()-c.options.clock().Monotonic, 0))
+	case retry.ResultInvalid:
 		e.Kind = ErrInvalid
-	case retry.EndCanceled:
+	case retry.ResultCanceled:
 		e.Kind = cause
 	default:
 		switch {
@@ -770,7 +770,7 @@
 			e.Kind, e.Cause = ErrClosed, nil
 		case errors.Is(cause, context.Canceled):
 			e.Kind, e.Cause = context.Canceled, nil
-		case errors.Is(cause, context.DeadlineExceeded) && course.Tries() > 0:
+		case errors.Is(cause, context.DeadlineExceeded) && course.Attempts() > 0:
 			e.Kind = ErrDeadline
 		default:
 			e.Kind = ErrUnavailable
@@ -780,14 +780,14 @@
 }
 
 // over counts the end of a call, and tells of it.
-func (c *Client) over(op, key string, err error, begun retry.Stamp, tries int) error {
+func (c *Client) over(op, key string, err error, begun retry.Timestamp, tries int) error {
 	var e *Error
 	if err != nil {
 		errors.As(err, &e)
 	}
 	c.counts.of(e).Add(1)
 	if done := c.options.Trace.CallDone; done != nil {
-		done(CallInfo{Op: op, Key: key, Tries: tries, Took: c.options.clock().Mono - begun.Mono, Err: err})
+		done(CallInfo{Op: op, Key: key, Tries: tries, Took: c.options.clock().Monotonic - begun.Monotonic, Err: err})
 	}
 	c.leave()
 	return err
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -24,7 +24,7 @@
 const ms = time.Millisecond
 
 // proxies starts stand-in proxies, and a client of them that must leave nothing behind.
-func proxies(t *testing.T, n int, o Options, react func(number int, a scriptednode.Asked) scriptednode.Reaction) (*Client, *scriptednode.Nodes) {
+func proxies(t *testing.T, n int, o Options, react func(number int, a scriptednode.ReceivedRequest) scriptednode.Reaction) (*Client, *scriptednode.Nodes) {
 	t.Helper()
 	ns, err := scriptednode.Start(scriptednode.Meta, n, react)
 	if err != nil {
@@ -58,7 +58,7 @@
 				t.Errorf("left after Close:\n%s", left)
 			}
 		}
-		if s := c.Stats(); s.Conns+s.Open+s.Waiting != 0 || s.Calls != s.over() {
+		if s := c.Stats(); s.Conns+s.InFlight+s.Waiting != 0 || s.Calls != s.over() {
 			t.Errorf("after Close: %+v", s)
 		}
 	})
@@ -76,11 +76,11 @@
 	return left
 }
 
-func serve(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve }
+func serve(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Serve }
 
 // first has the first requests be met by some reactions, and serves the others.
-func first(reactions ...scriptednode.Reaction) func(int, scriptednode.Asked) scriptednode.Reaction {
-	return func(number int, _ scriptednode.Asked) scriptednode.Reaction {
+func first(reactions ...scriptednode.Reaction) func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
+	return func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if number < len(reactions) {
 			return reactions[number]
 		}
@@ -96,7 +96,7 @@
 			unnamed.Add(1)
 		}
 	}}
-	c, ns := proxies(t, 2, Options{Tenant: "acme", Trace: trace}, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
+	c, ns := proxies(t, 2, Options{Tenant: "acme", Trace: trace}, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if a.Key == "none" {
 			return scriptednode.Miss
 		}
@@ -120,7 +120,7 @@
 	if err != nil || len(m) != 3 || string(m["b"]) != scriptednode.Value("b") {
 		t.Fatalf("%v, %v", m, err)
 	}
-	for _, a := range ns.Asked() {
+	for _, a := range ns.Requests() {
 		isSet := a.Value != ""
 		if a.Tenant != "acme" || a.Retry || (a.Class == "write") != isSet || (a.Idempotency != "") != isSet || a.Wait <= 0 || a.Wait > Write.Wait {
 			t.Fatalf("%+v", a)
@@ -147,11 +147,11 @@
 		{reaction: scriptednode.Invalid, read: ErrInvalid, keyed: ErrInvalid, plain: ErrInvalid},
 		{reaction: scriptednode.Fail, plain: ErrUnknown},
 		{reaction: scriptednode.Reset, plain: ErrUnknown},
-		{reaction: scriptednode.Half, plain: ErrUnknown},
+		{reaction: scriptednode.TruncatedAnswer, plain: ErrUnknown},
 		{reaction: scriptednode.Hang, plain: ErrUnknown},
-		{reaction: scriptednode.Noise, plain: ErrUnknown},
-		{reaction: scriptednode.Other, plain: ErrUnknown},
-		{reaction: scriptednode.Endless, plain: ErrUnknown},
+		{reaction: scriptednode.Garbage, plain: ErrUnknown},
+		{reaction: scriptednode.OtherAnswer, plain: ErrUnknown},
+		{reaction: scriptednode.EndlessValue, plain: ErrUnknown},
 	} {
 		for _, call := range []struct {
 			name string
@@ -159,7 +159,7 @@
 			want error
 		}{{"read", Request{Key: "k"}, c.read}, {"keyed", Request{Key: "k", Set: true, Value: []byte("v")}, c.keyed},
 			{"unsafe", Request{Key: "k", Set: true, Value: []byte("v"), Class: Class{"plain", Unsafe, 700 * ms, 0}}, c.plain}} {
-			if c.reaction == scriptednode.Endless && call.r.Set {
+			if c.reaction == scriptednode.EndlessValue && call.r.Set {
 				continue // a receipt has no length; the stand-in's value to a write is an answer to another command
 			}
 			t.Run(string(c.reaction)+"/"+call.name, func(t *testing.T) {
@@ -169,7 +169,7 @@
 				if call.want == nil && err != nil || !errors.Is(err, call.want) {
 					t.Fatalf("got %v, want %v", err, call.want)
 				}
-				asked := ns.Asked()
+				asked := ns.Requests()
 				repeated := c.reaction != scriptednode.Serve && call.want == nil
 				if len(asked) != a.Tries || (len(asked) > 1) != repeated {
 					t.Fatalf("%d tries seen, %d told, repeated %v", len(asked), a.Tries, repeated)
@@ -199,7 +199,7 @@
 			t.Parallel()
 			// The margin is shrunk so that a try is waited for to just before the window's end, less
 			// the 50 ms under which none is worth sending.
-			client, ns := proxies(t, 1, Options{Margin: 1, RetryRatio: -1, Spread: ms}, func(number int, _ scriptednode.Asked) scriptednode.Reaction {
+			client, ns := proxies(t, 1, Options{Margin: 1, RetryRatio: -1, Spread: ms}, func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
 				if number == 0 {
 					time.Sleep(c.after)
 					return scriptednode.Reset
@@ -211,7 +211,7 @@
 			if c.want == nil && err != nil || !errors.Is(err, c.want) {
 				t.Fatalf("got %v, want %v", err, c.want)
 			}
-			asked := ns.Asked()
+			asked := ns.Requests()
 			for _, x := range asked[1:] {
 				if late := x.At.Add(x.Wait).Sub(asked[0].At); late > 1500*ms {
 					t.Fatalf("a try that may be begun %v after the first", late)
@@ -229,7 +229,7 @@
 
 // Resolve waits until nothing can begin any more, and reads.
 func TestResolve(t *testing.T) {
-	c, ns := proxies(t, 1, Options{Window: 300 * ms, RetryRatio: -1}, func(number int, a scriptednode.Asked) scriptednode.Reaction {
+	c, ns := proxies(t, 1, Options{Window: 300 * ms, RetryRatio: -1}, func(number int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if a.Value != "" {
 			return scriptednode.Fail
 		}
@@ -244,7 +244,7 @@
 	if !done || err != nil {
 		t.Fatal(done, err)
 	}
-	if asked := ns.Asked(); asked[len(asked)-1].At.Before(e.Settled.Add(-5 * ms)) {
+	if asked := ns.Requests(); asked[len(asked)-1].At.Before(e.Settled.Add(-5 * ms)) {
 		t.Fatalf("read %v before it was settled", e.Settled.Sub(asked[len(asked)-1].At))
 	}
 	if _, err := c.Resolve(context.Background(), ErrRefused, nil); !errors.Is(err, ErrInvalid) {
@@ -256,11 +256,11 @@
 // clients want; and once it serves again, so are they.
 func TestAdviceIsKeptByTheProcess(t *testing.T) {
 	var calm atomic.Bool
-	c, ns := proxies(t, 1, Options{}, func(int, scriptednode.Asked) scriptednode.Reaction {
+	c, ns := proxies(t, 1, Options{}, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if calm.Load() {
 			return scriptednode.Serve
 		}
-		return scriptednode.Advise
+		return scriptednode.BusyRetryAfter
 	})
 	refused := 0
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * ms) {
@@ -269,7 +269,7 @@
 		_, err := c.Get(ctx, "k")
 		cancel()
 		var e *Error
-		if !errors.Is(err, ErrRefused) || !errors.As(err, &e) || e.After <= 0 {
+		if !errors.Is(err, ErrRefused) || !errors.As(err, &e) || e.RetryAfter <= 0 {
 			t.Fatalf("got %v", err)
 		}
 		if took := time.Since(begun); took > 400*ms { // it is known at once that a second won't do
@@ -277,11 +277,11 @@
 		}
 		refused++
 	}
-	if n := len(ns.Asked()); n > 10 || refused < 30 { // three at first, one a second from then on
+	if n := len(ns.Requests()); n > 10 || refused < 30 { // three at first, one a second from then on
 		t.Fatalf("asked %d times, for %d calls", n, refused)
 	}
 	calm.Store(true)
-	testutil.Until(t, "served again", func() bool {
+	testutil.WaitUntil(t, "served again", func() bool {
 		_, err := c.Get(context.Background(), "k")
 		return err == nil
 	})
@@ -289,14 +289,14 @@
 
 // A call with time enough waits as long as it was advised.
 func TestAdviceIsKeptByTheCall(t *testing.T) {
-	c, ns := proxies(t, 1, Options{Read: Class{"read", Safe, 2 * time.Second, 0}, RetryRatio: 1}, first(scriptednode.Serve, scriptednode.Advise))
+	c, ns := proxies(t, 1, Options{Read: Class{"read", Safe, 2 * time.Second, 0}, RetryRatio: 1}, first(scriptednode.Serve, scriptednode.BusyRetryAfter))
 	if _, err := c.Get(context.Background(), "k"); err != nil { // pays for the retry
 		t.Fatal(err)
 	}
 	if _, err := c.Get(context.Background(), "k"); err != nil {
 		t.Fatal(err)
 	}
-	if asked := ns.Asked(); len(asked) != 3 || asked[2].At.Sub(asked[1].At) < time.Second {
+	if asked := ns.Requests(); len(asked) != 3 || asked[2].At.Sub(asked[1].At) < time.Second {
 		t.Fatalf("%d tries", len(asked))
 	}
 }
@@ -304,7 +304,7 @@
 // A proxy that accepts and says nothing: reads go on at the other, and soon to it alone.
 func TestSilentProxy(t *testing.T) {
 	var c *Client
-	c, ns := proxies(t, 2, Options{Read: Class{"read", Safe, time.Second, 0}, RetryRatio: 1}, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
+	c, ns := proxies(t, 2, Options{Read: Class{"read", Safe, time.Second, 0}, RetryRatio: 1}, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if a.Node == 0 {
 			return scriptednode.Hang
 		}
@@ -316,7 +316,7 @@
 		}
 	}
 	silent := 0
-	for _, a := range ns.Asked() {
+	for _, a := range ns.Requests() {
 		if a.Node == 0 {
 			silent++
 		}
@@ -350,11 +350,11 @@
 		t.Fatalf("%d attempts to connect for %d calls", dials, failed)
 	}
 	for i := range 2 {
-		if err := ns.Begin(i); err != nil {
+		if err := ns.Restart(i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	testutil.Until(t, "served again", func() bool {
+	testutil.WaitUntil(t, "served again", func() bool {
 		_, err := c.Get(context.Background(), "k")
 		return err == nil
 	})
@@ -369,7 +369,7 @@
 		}
 		ns.HalfClose(0)
 		ns.HalfClose(1)
-		testutil.Until(t, "the connections are closed", func() bool { return c.Stats().Conns == 0 })
+		testutil.WaitUntil(t, "the connections are closed", func() bool { return c.Stats().Conns == 0 })
 	}
 }
 
@@ -384,7 +384,7 @@
 			_, err := c.Do(ctx, r)
 			ended <- err
 		}()
-		testutil.Until(t, "the state", when)
+		testutil.WaitUntil(t, "the state", when)
 		cancel()
 		if err := testutil.Receive(t, "the end", ended); !errors.Is(err, want) || !errors.Is(err, context.Canceled) {
 			t.Fatalf("got %v, want %v", err, want)
@@ -407,20 +407,20 @@
 	t.Run("room", func(t *testing.T) {
 		o := patient
 		o.Conns, o.Depth = 1, 1
-		c, _ := proxies(t, 1, o, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Hang })
+		c, _ := proxies(t, 1, o, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Hang })
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var other sync.WaitGroup
 		other.Go(func() { c.Get(ctx, "other") })
 		defer other.Wait()
 		defer cancel()
-		testutil.Until(t, "the other is out", func() bool { return c.Stats().Open == 1 })
+		testutil.WaitUntil(t, "the other is out", func() bool { return c.Stats().InFlight == 1 })
 		cancelled(t, c, write, func() bool { return c.Stats().Waiting == 1 }, context.Canceled)
 	})
 	t.Run("writing", func(t *testing.T) {
 		o := patient
 		o.Conns, o.Depth = 1, 256
-		c, _ := proxies(t, 1, o, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Hang }) // it reads no further
+		c, _ := proxies(t, 1, o, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Hang }) // it reads no further
 		big := write
 		big.Value = make([]byte, meta.MaxValue)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -428,19 +428,19 @@
 		for range 200 {
 			others.Go(func() { c.Do(ctx, big) })
 		}
-		testutil.Until(t, "all are out", func() bool { return c.Stats().Open == 200 })
-		cancelled(t, c, big, func() bool { return c.Stats().Open == 201 }, ErrUnknown)
+		testutil.WaitUntil(t, "all are out", func() bool { return c.Stats().InFlight == 200 })
+		cancelled(t, c, big, func() bool { return c.Stats().InFlight == 201 }, ErrUnknown)
 		cancel()
 		others.Wait()
 	})
 	t.Run("answer", func(t *testing.T) {
-		c, ns := proxies(t, 1, patient, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Hang })
-		cancelled(t, c, write, func() bool { return len(ns.Asked()) == 1 }, ErrUnknown)
-		cancelled(t, c, Request{Key: "k"}, func() bool { return c.Stats().Open == 1 }, context.Canceled)
+		c, ns := proxies(t, 1, patient, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Hang })
+		cancelled(t, c, write, func() bool { return len(ns.Requests()) == 1 }, ErrUnknown)
+		cancelled(t, c, Request{Key: "k"}, func() bool { return c.Stats().InFlight == 1 }, context.Canceled)
 	})
 	t.Run("pause", func(t *testing.T) {
-		c, ns := proxies(t, 1, patient, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Advise })
-		cancelled(t, c, write, func() bool { return len(ns.Asked()) == 1 && c.Stats().Open == 0 }, context.Canceled)
+		c, ns := proxies(t, 1, patient, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.BusyRetryAfter })
+		cancelled(t, c, write, func() bool { return len(ns.Requests()) == 1 && c.Stats().InFlight == 0 }, context.Canceled)
 	})
 }
 
@@ -474,28 +474,28 @@
 	}
 	write("127.0.0.1:1 # no one's\n")
 	c, ns := proxies(t, 2, o, serve)
-	testutil.Until(t, "the first list", func() bool { return told.Load() == 1 })
+	testutil.WaitUntil(t, "the first list", func() bool { return told.Load() == 1 })
 	write(ns.Address(0) + "\n" + ns.Address(1) + "\n")
-	testutil.Until(t, "the second list", func() bool { return told.Load() == 2 })
+	testutil.WaitUntil(t, "the second list", func() bool { return told.Load() == 2 })
 	if _, err := c.Get(context.Background(), "k"); err != nil {
 		t.Fatal(err)
 	}
 	write("# none\n")
-	testutil.Until(t, "the empty list", func() bool { return empty.Load() > 0 })
+	testutil.WaitUntil(t, "the empty list", func() bool { return empty.Load() > 0 })
 	for range 20 {
 		if _, err := c.Get(context.Background(), "k"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write(ns.Address(1) + "\n")
-	testutil.Until(t, "the last list", func() bool { return told.Load() == 3 })
-	before := len(ns.Asked())
+	testutil.WaitUntil(t, "the last list", func() bool { return told.Load() == 3 })
+	before := len(ns.Requests())
 	for range 20 {
 		if _, err := c.Get(context.Background(), "k"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, a := range ns.Asked()[before:] {
+	for _, a := range ns.Requests()[before:] {
 		if a.Node == 0 {
 			t.Fatal("one that has left the list was asked")
 		}
@@ -507,7 +507,7 @@
 func TestClockSteps(t *testing.T) {
 	var step atomic.Int64
 	real := clock()
-	o := Options{clock: func() retry.Stamp {
+	o := Options{clock: func() retry.Timestamp {
 		now := real()
 		now.Wall += time.Duration(step.Load())
 		return now
@@ -517,7 +517,7 @@
 		want error
 	}{{-time.Hour, nil}, {time.Hour, ErrUnknown}} {
 		step.Store(0)
-		client, _ := proxies(t, 1, o, func(number int, _ scriptednode.Asked) scriptednode.Reaction {
+		client, _ := proxies(t, 1, o, func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
 			if number == 0 {
 				step.Store(int64(c.by))
 				return scriptednode.Reset
@@ -553,7 +553,7 @@
 
 // More calls than may wait are refused at once.
 func TestWaitingIsBounded(t *testing.T) {
-	c := open(t, Options{Proxies: silentSource{}, Waiting: 10, Read: Class{"read", Safe, 300 * ms, 0}})
+	c := open(t, Options{Proxies: silentSource{}, MaxWaiting: 10, Read: Class{"read", Safe, 300 * ms, 0}})
 	var tasks sync.WaitGroup
 	var refused, deadline atomic.Int64
 	for range 30 {
@@ -578,13 +578,13 @@
 		set  bool
 		want error
 	}{{false, ErrClosed}, {true, ErrUnknown}} {
-		client, ns := proxies(t, 1, Options{}, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Hang })
+		client, ns := proxies(t, 1, Options{}, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Hang })
 		ended := make(chan error, 1)
 		go func() {
 			_, err := client.Do(context.Background(), Request{Key: "k", Set: c.set})
 			ended <- err
 		}()
-		testutil.Until(t, "it is out", func() bool { return len(ns.Asked()) == 1 })
+		testutil.WaitUntil(t, "it is out", func() bool { return len(ns.Requests()) == 1 })
 		client.Close()
 		if err := testutil.Receive(t, "the end", ended); !errors.Is(err, c.want) || !errors.Is(err, ErrClosed) {
 			t.Fatalf("got %v", err)
@@ -593,13 +593,13 @@
 			t.Fatal(err)
 		}
 	}
-	client, ns := proxies(t, 1, Options{}, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Slow })
+	client, ns := proxies(t, 1, Options{}, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Slow })
 	ended := make(chan error, 1)
 	go func() {
 		_, err := client.Get(context.Background(), "k")
 		ended <- err
 	}()
-	testutil.Until(t, "it is out", func() bool { return len(ns.Asked()) == 1 })
+	testutil.WaitUntil(t, "it is out", func() bool { return len(ns.Requests()) == 1 })
 	if err := client.Shutdown(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -618,7 +618,7 @@
 			t.Fatalf("%.40v: %v", r, err)
 		}
 	}
-	if n := len(ns.Asked()); n != 0 {
+	if n := len(ns.Requests()); n != 0 {
 		t.Fatalf("%d were sent", n)
 	}
 	_, err := New(Options{Tries: -1, Subset: 1000, Spread: -1, Idle: -1, Tenant: " ", Read: Class{Name: "x"}, Window: 2 * time.Hour})
@@ -634,7 +634,7 @@
 		if _, err := c.Get(context.Background(), "k"); err != nil {
 			t.Fatal(err)
 		}
-		testutil.Until(t, "closed", func() bool { return c.Stats().Conns == 0 })
+		testutil.WaitUntil(t, "closed", func() bool { return c.Stats().Conns == 0 })
 	}
 }
 
@@ -652,10 +652,10 @@
 		DialDone:     func(_ string, _ time.Duration, err error) { note("dialled %v", err) },
 		TryStart:     func(i TryInfo) { note("try %s %s %v", i.Op, i.Key, i.Repeat) },
 		TryDone:      func(i TryInfo) { note("tried %s", i.Outcome) },
-		Late:         func(i TryInfo) { note("late %s", i.Outcome) },
+		LateAnswer:   func(i TryInfo) { note("late %s", i.Outcome) },
 		CallDone:     func(i CallInfo) { note("call %s %s %d %v", i.Op, i.Key, i.Tries, i.Err) },
 		Disconnected: func(_ string, err error) { note("gone %v", err) },
-	}}, func(number int, _ scriptednode.Asked) scriptednode.Reaction {
+	}}, func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if number == 0 {
 			return scriptednode.Busy
 		}
@@ -666,7 +666,7 @@
 	if _, err := c.Get(ctx, "k"); !errors.Is(err, ErrDeadline) {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "the late answer, and the end of its connection", func() bool {
+	testutil.WaitUntil(t, "the late answer, and the end of its connection", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(seen) == 9
@@ -716,9 +716,9 @@
 		ended <- err
 	}
 	go set("first")
-	testutil.Until(t, "the first is out", func() bool { return c.Stats().Open == 1 })
+	testutil.WaitUntil(t, "the first is out", func() bool { return c.Stats().InFlight == 1 })
 	go set("second") // behind the first, which nobody reads
-	testutil.Until(t, "the second is out", func() bool { return c.Stats().Open == 2 })
+	testutil.WaitUntil(t, "the second is out", func() bool { return c.Stats().InFlight == 2 })
 	buf := make([]byte, 1024)
 	if n, err := far.Read(buf); err != nil || !bytes.HasPrefix(buf[:n], []byte("ms first ")) || bytes.Contains(buf[:n], []byte("second")) {
 		t.Fatalf("%q, %v", buf[:n], err)
@@ -735,7 +735,7 @@
 			t.Fatal(err)
 		}
 	}
-	if asked := ns.Asked(); unknown != 1 || served != 1 || len(asked) != 1 || asked[0].Key != "second" {
+	if asked := ns.Requests(); unknown != 1 || served != 1 || len(asked) != 1 || asked[0].Key != "second" {
 		t.Fatalf("%d unknown, %d served, %+v", unknown, served, asked)
 	}
 }
@@ -760,7 +760,7 @@
 // they take all, all goes out.
 func TestPaceSparesAServiceWithoutRoom(t *testing.T) {
 	var calm atomic.Bool
-	c, ns := proxies(t, 1, Options{Tries: 1, Conns: 1}, func(number int, _ scriptednode.Asked) scriptednode.Reaction {
+	c, ns := proxies(t, 1, Options{Tries: 1, Conns: 1}, func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if number%10 == 0 || calm.Load() {
 			return scriptednode.Serve
 		}
@@ -774,12 +774,12 @@
 		}
 		time.Sleep(ms)
 	}
-	withheld := int(c.Stats().Withheld)
-	if n := len(ns.Asked()); n+withheld != calls || withheld < calls/3 || n < calls/20 {
+	withheld := int(c.Stats().Throttled)
+	if n := len(ns.Requests()); n+withheld != calls || withheld < calls/3 || n < calls/20 {
 		t.Fatalf("%d asked and %d withheld of %d", n, withheld, calls)
 	}
 	calm.Store(true)
-	testutil.Until(t, "a hundred served in a row", func() bool {
+	testutil.WaitUntil(t, "a hundred served in a row", func() bool {
 		for range 100 {
 			if _, err := c.Get(context.Background(), "k"); err != nil {
 				return false
--- a/client/conn.go
+++ b/client/conn.go
@@ -279,7 +279,7 @@
 		c.socket.SetReadDeadline(time.Time{})
 		return
 	}
-	c.socket.SetReadDeadline(time.Now().Add(at - c.client.options.clock().Mono))
+	c.socket.SetReadDeadline(time.Now().Add(at - c.client.options.clock().Monotonic))
 }
 
 // lead reads the answer to the only request for its caller, until it gives up.
@@ -305,12 +305,12 @@
 			<-t.done
 			return t.reply()
 		}
-		left := deadline - c.client.options.clock().Mono
+		left := deadline - c.client.options.clock().Monotonic
 		switch {
 		case ctx.Err() != nil:
 			a = gone(ctx)
 		case left <= 0:
-			a = reply{outcome: retry.Silent, cause: context.DeadlineExceeded}
+			a = reply{outcome: retry.TimedOut, cause: context.DeadlineExceeded}
 		default: // the deadline of one who read before
 			c.readBy(deadline)
 			continue
@@ -329,7 +329,7 @@
 // gone is the outcome of a try whose caller's context has ended.
 func gone(ctx context.Context) reply {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return reply{outcome: retry.Silent, cause: ctx.Err()}
+		return reply{outcome: retry.TimedOut, cause: ctx.Err()}
 	}
 	return reply{outcome: retry.Canceled, cause: ctx.Err()}
 }
@@ -416,9 +416,9 @@
 			return
 		}
 	}
-	if late := c.client.options.Trace.Late; late != nil && t.info != nil && a.outcome <= retry.Failed && a.outcome != retry.Unsent {
+	if late := c.client.options.Trace.LateAnswer; late != nil && t.info != nil && a.outcome <= retry.Failed && a.outcome != retry.NotSent {
 		info := *t.info
-		info.Outcome, info.Took = names[a.outcome], c.client.options.clock().Mono-t.sent
+		info.Outcome, info.Took = names[a.outcome], c.client.options.clock().Monotonic-t.sent
 		late(info)
 	}
 	c.client.forget(c)
@@ -456,17 +456,17 @@
 	handed := c.handed
 	c.mu.Unlock()
 	defer close(c.over)
-	now := c.client.options.clock().Mono
+	now := c.client.options.clock().Monotonic
 	c.client.ended(c, len(due) > 0 && due[0].end <= handed, err)
 	for i, t := range due {
-		a := reply{outcome: retry.Broken, cause: err}
+		a := reply{outcome: retry.ConnectionLost, cause: err}
 		switch {
 		case t.end > handed:
-			a.outcome = retry.Unsent
+			a.outcome = retry.NotSent
 		case t.sent+t.wait <= now:
-			a.outcome = retry.Silent
-		case i == 0 && (errors.Is(err, errSpoilt) || errors.Is(err, meta.ErrAnswer)):
-			a.outcome = retry.Spoilt
+			a.outcome = retry.TimedOut
+		case i == 0 && (errors.Is(err, errSpoilt) || errors.Is(err, meta.ErrMalformedAnswer)):
+			a.outcome = retry.MalformedAnswer
 		}
 		c.finish(t, &a)
 	}
@@ -544,7 +544,7 @@
 		if !ok {
 			return -1, errSpoilt
 		}
-		a.outcome, a.advice = retry.Refused, advice
+		a.outcome, a.advice = retry.Rejected, advice
 		return -1, nil
 	}
 	l, err := meta.ParseAnswer(line)
@@ -557,11 +557,11 @@
 	switch {
 	case l.Kind == request.Value && t.read:
 		a.outcome = retry.Served
-		return l.Size, nil
+		return l.ValueLen, nil
 	case l.Kind == request.Stored && !t.read:
 		a.outcome, a.receipt = retry.Served, string(l.Receipt)
-	case l.Kind == request.Missing && t.read:
-		a.outcome = retry.Missing
+	case l.Kind == request.NotFound && t.read:
+		a.outcome = retry.NotFound
 	case l.Kind == request.Failed:
 		a.outcome, a.cause = retry.Failed, errors.New(string(line))
 		if bytes.HasPrefix(line, []byte("CLIENT_ERROR")) || bytes.HasPrefix(line, []byte("ERROR")) {
--- a/client/errors.go
+++ b/client/errors.go
@@ -12,7 +12,7 @@
 	// ErrMiss: there is no such key.
 	ErrMiss = errors.New("no such key")
 	// ErrRefused: turned away before anything was done. Trying again is harmless, after
-	// the time that [Error.After] tells.
+	// the time that [Error.RetryAfter] tells.
 	ErrRefused = errors.New("refused")
 	// ErrFailed: a read failed and there was no time, try or budget for another. Trying again
 	// is harmless; whether it helps is another matter.
@@ -39,8 +39,8 @@
 	Op    string // get or set
 	Key   string
 	Tries int // that were sent
-	// After is when to come again, of ErrRefused; 0 for no advice.
-	After time.Duration
+	// RetryAfter is when to come again, of ErrRefused; 0 for no advice.
+	RetryAfter time.Duration
 	// Idempotency is the key of a write, "" of an unsafe one.
 	Idempotency string
 	// Settled, of ErrUnknown, is when nothing of the write can begin any more.
@@ -53,8 +53,8 @@
 func (e *Error) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "mulleinpier: %s %q: %v", e.Op, e.Key, e.Kind)
-	if e.After > 0 {
-		fmt.Fprintf(&b, ", come again in %v", e.After)
+	if e.RetryAfter > 0 {
+		fmt.Fprintf(&b, ", come again in %v", e.RetryAfter)
 	}
 	if e.Tries > 1 {
 		fmt.Fprintf(&b, " after %d tries", e.Tries)
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -12,7 +12,7 @@
 )
 
 // stand starts a stand-in for two proxies, so that examples run.
-func stand(react func(number int, a scriptednode.Asked) scriptednode.Reaction) (addresses []string, done func()) {
+func stand(react func(number int, a scriptednode.ReceivedRequest) scriptednode.Reaction) (addresses []string, done func()) {
 	ns, err := scriptednode.Start(scriptednode.Meta, 2, react)
 	if err != nil {
 		log.Fatal(err)
@@ -21,7 +21,7 @@
 }
 
 func Example() {
-	addresses, done := stand(func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve })
+	addresses, done := stand(func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Serve })
 	defer done()
 
 	c, err := client.New(client.Options{Proxies: client.Static(addresses...), Tenant: "fovaros"})
@@ -42,7 +42,7 @@
 
 // What each error asks of its caller.
 func ExampleClient_Set() {
-	addresses, done := stand(func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Advise })
+	addresses, done := stand(func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.BusyRetryAfter })
 	defer done()
 	c, err := client.New(client.Options{Proxies: client.Static(addresses...)})
 	if err != nil {
@@ -58,7 +58,7 @@
 	case err == nil:
 		fmt.Println("recorded")
 	case errors.Is(err, client.ErrRefused) && errors.As(err, &e):
-		fmt.Println("not recorded; again in", e.After)
+		fmt.Println("not recorded; again in", e.RetryAfter)
 	case errors.Is(err, client.ErrUnknown):
 		fmt.Println("may be recorded: resolve")
 	default:
@@ -70,7 +70,7 @@
 
 // A handover of which it is not known whether it was recorded is looked for before it is written anew.
 func ExampleClient_Resolve() {
-	addresses, done := stand(func(_ int, a scriptednode.Asked) scriptednode.Reaction {
+	addresses, done := stand(func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if a.Value != "" {
 			return scriptednode.Fail
 		}
--- a/client/fuzz_test.go
+++ b/client/fuzz_test.go
@@ -59,7 +59,7 @@
 			// The same told by the grammar's own reader.
 			line, rest, ok := bytes.Cut(wire, []byte("\r\n"))
 			first, perr := meta.ParseAnswer(line)
-			value := make([]byte, first.Size)
+			value := make([]byte, first.ValueLen)
 			if _, short := io.ReadFull(bytes.NewReader(rest), value); !ok || perr != nil || short != nil || !bytes.Equal(value, a.Value) {
 				t.Fatalf("%q served %q", wire, a.Value)
 			}
--- a/client/internal/balance/balance.go
+++ b/client/internal/balance/balance.go
@@ -25,14 +25,14 @@
 	"time"
 )
 
-// Rules bound a balancer. All are needed.
-type Rules struct {
-	Subset int           // proxies in use at a time
-	Conns  int           // connections to one, at most
-	Depth  int           // requests on a connection, at most
-	Cold   time.Duration // span for the first connections
-	Spread time.Duration // span after a loss
-	Most   time.Duration // span after attempts in vain, at most
+// Settings bound a balancer. All are needed.
+type Settings struct {
+	SubsetSize         int           // proxies in use at a time
+	MaxConns           int           // connections to one, at most
+	PipelineDepth      int           // requests on a connection, at most
+	StartSpread        time.Duration // span for the first connections
+	ReconnectSpread    time.Duration // span after a loss
+	MaxReconnectSpread time.Duration // span after attempts in vain, at most
 }
 
 const (
@@ -63,23 +63,23 @@
 
 // What to do with a request.
 const (
-	Send Kind = iota // to Proxy, on a connection that is there
-	Dial             // open a connection to Proxy, and ask again
-	Wait             // ask again at At, or when anything changed
-	Hold             // all have refused; they are to be asked again at At
-	None             // there is no proxy
+	Send         Kind = iota // to Proxy, on a connection that is there
+	Dial                     // open a connection to Proxy, and ask again
+	Wait                     // ask again at At, or when anything changed
+	AllRejecting             // all have refused; they are to be asked again at At
+	NoProxy                  // there is no proxy
 )
 
 // Choice is what to do with a request.
 type Choice struct {
-	Kind  Kind
-	Proxy *Proxy
-	At    time.Duration
+	Kind    Kind
+	Proxy   *Proxy
+	RetryAt time.Duration
 }
 
 // Balancer decides for one client. It is not safe for concurrent use.
 type Balancer struct {
-	rules   Rules
+	rules   Settings
 	rng     *rand.Rand
 	seed    uint64   // of the client's own order
 	inVain  int      // attempts to connect since one came up
@@ -88,7 +88,7 @@
 }
 
 // New returns a balancer without proxies.
-func New(r Rules, rng *rand.Rand) *Balancer {
+func New(r Settings, rng *rand.Rand) *Balancer {
 	return &Balancer{rules: r, rng: rng, seed: rng.Uint64()}
 }
 
@@ -129,9 +129,9 @@
 		if slices.ContainsFunc(b.proxies, func(p *Proxy) bool { return p.Address == address }) {
 			continue
 		}
-		span := b.rules.Spread
+		span := b.rules.ReconnectSpread
 		if first {
-			span = b.rules.Cold
+			span = b.rules.StartSpread
 		}
 		b.proxies = append(b.proxies, &Proxy{Address: address, rank: b.rank(address), dialAt: now + b.within(span)})
 		changed = true
@@ -156,9 +156,9 @@
 		return false, p.held
 	case p.refused >= holdAfter && p.open > 0:
 		return false, never // one is asking
-	case p.open < p.conns*b.rules.Depth:
+	case p.open < p.conns*b.rules.PipelineDepth:
 		return true, 0
-	case p.conns+p.closing+p.dialing >= b.rules.Conns || p.dialing > 0:
+	case p.conns+p.closing+p.dialing >= b.rules.MaxConns || p.dialing > 0:
 		return false, never
 	case p.dialAt > now:
 		return false, p.dialAt
@@ -176,7 +176,7 @@
 			continue
 		}
 		listed = true
-		if seen >= b.rules.Subset {
+		if seen >= b.rules.SubsetSize {
 			break
 		}
 		// One that can't be reached now gives its place to the next in the order.
@@ -213,16 +213,16 @@
 				p = q
 			}
 		}
-		if p.open < p.conns*b.rules.Depth {
+		if p.open < p.conns*b.rules.PipelineDepth {
 			return Choice{Kind: Send, Proxy: p}
 		}
 		return Choice{Kind: Dial, Proxy: p}
 	case !listed:
-		return Choice{Kind: None}
+		return Choice{Kind: NoProxy}
 	case holds > 0 && holds >= seen:
-		return Choice{Kind: Hold, At: next}
+		return Choice{Kind: AllRejecting, RetryAt: next}
 	}
-	return Choice{Kind: Wait, At: next}
+	return Choice{Kind: Wait, RetryAt: next}
 }
 
 // price is what a request costs at a proxy. A connection that has yet to be opened costs both sides
@@ -242,24 +242,24 @@
 	return p.fails
 }
 
-// More tells whether one more connection may be opened to a proxy at now.
-func (b *Balancer) More(p *Proxy, now time.Duration) bool {
-	return !p.gone && p.dialing == 0 && p.dialAt <= now && p.conns+p.closing < b.rules.Conns
+// CanDial tells whether one more connection may be opened to a proxy at now.
+func (b *Balancer) CanDial(p *Proxy, now time.Duration) bool {
+	return !p.gone && p.dialing == 0 && p.dialAt <= now && p.conns+p.closing < b.rules.MaxConns
 }
 
-// Expects tells whether a connection is being opened.
-func (b *Balancer) Expects() bool {
+// IsDialing tells whether a connection is being opened.
+func (b *Balancer) IsDialing() bool {
 	return slices.ContainsFunc(b.proxies, func(p *Proxy) bool { return p.dialing > 0 })
 }
 
-// Gone tells whether a proxy has left the list.
-func (p *Proxy) Gone() bool { return p.gone }
+// IsRemoved tells whether a proxy has left the list.
+func (p *Proxy) IsRemoved() bool { return p.gone }
 
-// Dialing is told that a connection is being opened.
-func (b *Balancer) Dialing(p *Proxy) { p.dialing++ }
+// DialStarted is told that a connection is being opened.
+func (b *Balancer) DialStarted(p *Proxy) { p.dialing++ }
 
-// Dialed is told how that went.
-func (b *Balancer) Dialed(p *Proxy, now time.Duration, ok bool) {
+// DialEnded is told how that went.
+func (b *Balancer) DialEnded(p *Proxy, now time.Duration, ok bool) {
 	p.dialing--
 	if ok {
 		p.conns++
@@ -268,11 +268,11 @@
 	}
 	n := 0 // proxies in use; a round is an attempt at each
 	for _, q := range b.proxies {
-		if !q.gone && n < b.rules.Subset {
+		if !q.gone && n < b.rules.SubsetSize {
 			n++
 		}
 	}
-	span := min(b.rules.Spread<<min(b.inVain/max(n, 1), 16), b.rules.Most)
+	span := min(b.rules.ReconnectSpread<<min(b.inVain/max(n, 1), 16), b.rules.MaxReconnectSpread)
 	b.inVain++
 	p.dialAt = now + b.within(span)
 	// Where a whole round was in vain they are all gone together, as likely as not: the others wait as long.
@@ -283,15 +283,15 @@
 	}
 }
 
-// Ending is told that a connection takes no more requests.
-func (b *Balancer) Ending(p *Proxy) {
+// ConnDraining is told that a connection takes no more requests.
+func (b *Balancer) ConnDraining(p *Proxy) {
 	p.conns--
 	p.closing++
 }
 
-// Ended is told that a connection that was [Balancer.Ending] is no more. cut tells that the proxy
+// ConnClosed is told that a connection that was [Balancer.ConnDraining] is no more. cut tells that the proxy
 // ended it, not idleness or its client.
-func (b *Balancer) Ended(p *Proxy, now time.Duration, cut bool) {
+func (b *Balancer) ConnClosed(p *Proxy, now time.Duration, cut bool) {
 	p.closing--
 	if !cut {
 		return
@@ -313,15 +313,15 @@
 // postpone has no connection be opened to a proxy until a time drawn from the span after a loss.
 func (b *Balancer) postpone(p *Proxy, now time.Duration) {
 	if p.dialAt <= now {
-		p.dialAt = now + b.within(b.rules.Spread)
+		p.dialAt = now + b.within(b.rules.ReconnectSpread)
 	}
 }
 
-// Sent is told that a request goes to a proxy.
-func (b *Balancer) Sent(p *Proxy) { p.open++ }
+// RequestSent is told that a request goes to a proxy.
+func (b *Balancer) RequestSent(p *Proxy) { p.open++ }
 
-// Done is told how a request at a proxy ended. advice is a refusal's.
-func (b *Balancer) Done(p *Proxy, now time.Duration, failed, refused bool, advice time.Duration) {
+// RequestEnded is told how a request at a proxy ended. advice is a refusal's.
+func (b *Balancer) RequestEnded(p *Proxy, now time.Duration, failed, refused bool, advice time.Duration) {
 	p.open--
 	if failed {
 		p.fails = p.failed(now) + 1
--- a/client/internal/balance/balance_test.go
+++ b/client/internal/balance/balance_test.go
@@ -10,9 +10,9 @@
 
 const ms = time.Millisecond
 
-var usual = Rules{Subset: 3, Conns: 4, Depth: 32, Spread: time.Second, Most: 4 * time.Second}
+var usual = Settings{SubsetSize: 3, MaxConns: 4, PipelineDepth: 32, ReconnectSpread: time.Second, MaxReconnectSpread: 4 * time.Second}
 
-func newBalancer(r Rules, seed uint64, proxies int) *Balancer {
+func newBalancer(r Settings, seed uint64, proxies int) *Balancer {
 	b := New(r, rand.New(rand.NewPCG(seed, 1)))
 	var list []string
 	for i := range proxies {
@@ -37,12 +37,12 @@
 	for range 100 {
 		c := b.Choose(now, nil)
 		if c.Kind == Dial {
-			b.Dialing(c.Proxy)
-			b.Dialed(c.Proxy, now, true)
+			b.DialStarted(c.Proxy)
+			b.DialEnded(c.Proxy, now, true)
 			continue
 		}
 		if c.Kind == Send {
-			b.Sent(c.Proxy) // so that the others are wanted too
+			b.RequestSent(c.Proxy) // so that the others are wanted too
 		}
 	}
 	for _, p := range b.proxies {
@@ -81,23 +81,23 @@
 
 // Invariant 2.
 func TestChoiceIsByOpenRequestsAndFailures(t *testing.T) {
-	b := newBalancer(Rules{Subset: 2, Conns: 1, Depth: 1000, Spread: ms, Most: ms}, 1, 2)
+	b := newBalancer(Settings{SubsetSize: 2, MaxConns: 1, PipelineDepth: 1000, ReconnectSpread: ms, MaxReconnectSpread: ms}, 1, 2)
 	connect(b, 0)
 	p, q := b.proxies[0], b.proxies[1]
 	for range 100 {
-		b.Sent(b.Choose(0, nil).Proxy)
+		b.RequestSent(b.Choose(0, nil).Proxy)
 	}
 	if p.open != 50 || q.open != 50 {
 		t.Fatalf("%d and %d open", p.open, q.open)
 	}
-	b.Done(p, 0, true, false, 0)
+	b.RequestEnded(p, 0, true, false, 0)
 	for range 50 {
 		if got := b.Choose(ms, nil).Proxy; got != q {
 			t.Fatal("the one that failed just now was taken")
 		}
 	}
 	for range 10 {
-		b.Sent(q)
+		b.RequestSent(q)
 	}
 	if got := b.Choose(10*time.Second, nil).Proxy; got != p {
 		t.Fatal("a failure is remembered for ten seconds")
@@ -110,8 +110,8 @@
 // lose ends all connections to a proxy, as it does itself.
 func lose(b *Balancer, p *Proxy, now time.Duration) {
 	for p.conns > 0 {
-		b.Ending(p)
-		b.Ended(p, now, true)
+		b.ConnDraining(p)
+		b.ConnClosed(p, now, true)
 	}
 }
 
@@ -121,12 +121,12 @@
 	for range 100 {
 		c := b.Choose(0, nil)
 		for c.Kind == Dial {
-			b.Dialing(c.Proxy)
-			b.Dialed(c.Proxy, 0, true)
+			b.DialStarted(c.Proxy)
+			b.DialEnded(c.Proxy, 0, true)
 			c = b.Choose(0, nil)
 		}
-		b.Sent(c.Proxy)
-		b.Done(c.Proxy, 0, false, false, 0)
+		b.RequestSent(c.Proxy)
+		b.RequestEnded(c.Proxy, 0, false, false, 0)
 	}
 	conns := 0
 	for _, p := range b.proxies {
@@ -156,10 +156,10 @@
 		case Dial:
 			return now
 		case Wait:
-			if c.At <= now || c.At > now+time.Hour {
-				t.Fatalf("waits for %v at %v", c.At, now)
+			if c.RetryAt <= now || c.RetryAt > now+time.Hour {
+				t.Fatalf("waits for %v at %v", c.RetryAt, now)
 			}
-			now = c.At
+			now = c.RetryAt
 		default:
 			t.Fatalf("%+v", c)
 		}
@@ -175,7 +175,7 @@
 		var times []time.Duration
 		for seed := range uint64(1000) {
 			rules := usual
-			rules.Cold = time.Second
+			rules.StartSpread = time.Second
 			b := newBalancer(rules, seed, 1)
 			now := time.Duration(0)
 			if lost {
@@ -202,8 +202,8 @@
 		b := newBalancer(usual, seed, 1)
 		now := time.Duration(0)
 		for i := range spans {
-			b.Dialing(b.proxies[0])
-			b.Dialed(b.proxies[0], now, false)
+			b.DialStarted(b.proxies[0])
+			b.DialEnded(b.proxies[0], now, false)
 			at := firstDial(t, b, now)
 			spans[i] = max(spans[i], at-now)
 			now = at
@@ -225,16 +225,16 @@
 		if c.Kind != Dial {
 			t.Fatalf("attempt %d: %+v", i, c)
 		}
-		b.Dialing(c.Proxy)
-		b.Dialed(c.Proxy, 0, false)
+		b.DialStarted(c.Proxy)
+		b.DialEnded(c.Proxy, 0, false)
 	}
 	c := b.Choose(0, nil)
-	if c.Kind != Wait || c.At <= 0 || c.At > time.Second {
+	if c.Kind != Wait || c.RetryAt <= 0 || c.RetryAt > time.Second {
 		t.Fatalf("after a round in vain: %+v", c)
 	}
 	for _, p := range b.proxies {
-		if p.dialAt < c.At {
-			t.Fatalf("%s may be asked at %v, before %v", p.Address, p.dialAt, c.At)
+		if p.dialAt < c.RetryAt {
+			t.Fatalf("%s may be asked at %v, before %v", p.Address, p.dialAt, c.RetryAt)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 	var times []time.Duration
 	for seed := range uint64(1000) {
 		rules := usual
-		rules.Subset = 1
+		rules.SubsetSize = 1
 		b := newBalancer(rules, seed, 4)
 		now := 10 * time.Second
 		connect(b, now)
@@ -261,38 +261,38 @@
 
 // Invariant 4.
 func TestProxyThatRefusesIsHeld(t *testing.T) {
-	b := newBalancer(Rules{Subset: 1, Conns: 1, Depth: 32, Spread: ms, Most: ms}, 1, 1)
+	b := newBalancer(Settings{SubsetSize: 1, MaxConns: 1, PipelineDepth: 32, ReconnectSpread: ms, MaxReconnectSpread: ms}, 1, 1)
 	connect(b, 0)
 	p := b.proxies[0]
 	for i := range 3 {
 		if c := b.Choose(0, nil); c.Kind != Send {
 			t.Fatalf("refusal %d: %+v", i, c)
 		}
-		b.Sent(p)
-		b.Done(p, 0, false, true, time.Second)
+		b.RequestSent(p)
+		b.RequestEnded(p, 0, false, true, time.Second)
 	}
 	c := b.Choose(900*ms, nil)
-	if c.Kind != Hold || c.At < time.Second || c.At > 1250*ms {
+	if c.Kind != AllRejecting || c.RetryAt < time.Second || c.RetryAt > 1250*ms {
 		t.Fatalf("after three refusals: %+v", c)
 	}
-	if c = b.Choose(c.At, nil); c.Kind != Send {
+	if c = b.Choose(c.RetryAt, nil); c.Kind != Send {
 		t.Fatalf("at the advised time: %+v", c)
 	}
-	b.Sent(p)
+	b.RequestSent(p)
 	if c = b.Choose(1300*ms, nil); c.Kind != Wait {
 		t.Fatalf("while one asks: %+v", c)
 	}
-	b.Done(p, 1300*ms, false, true, time.Second)
-	if c = b.Choose(1400*ms, nil); c.Kind != Hold {
+	b.RequestEnded(p, 1300*ms, false, true, time.Second)
+	if c = b.Choose(1400*ms, nil); c.Kind != AllRejecting {
 		t.Fatalf("refused once more: %+v", c)
 	}
-	b.Sent(p)
-	b.Done(p, 3*time.Second, false, false, 0)
+	b.RequestSent(p)
+	b.RequestEnded(p, 3*time.Second, false, false, 0)
 	for range 5 {
 		if c = b.Choose(3*time.Second, nil); c.Kind != Send {
 			t.Fatalf("served again: %+v", c)
 		}
-		b.Sent(p)
+		b.RequestSent(p)
 	}
 }
 
@@ -305,7 +305,7 @@
 	}
 	gone := b.proxies[0]
 	keep := []string{b.proxies[1].Address, b.proxies[2].Address}
-	if !b.Update(0, keep) || !gone.Gone() {
+	if !b.Update(0, keep) || !gone.IsRemoved() {
 		t.Fatal("not gone")
 	}
 	for range 100 {
@@ -325,8 +325,8 @@
 func TestRandomLives(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		rules := Rules{Subset: 1 + rng.IntN(4), Conns: 1 + rng.IntN(3), Depth: 1 + rng.IntN(4), Cold: time.Duration(rng.IntN(2)) * time.Second,
-			Spread: time.Second, Most: 4 * time.Second}
+		rules := Settings{SubsetSize: 1 + rng.IntN(4), MaxConns: 1 + rng.IntN(3), PipelineDepth: 1 + rng.IntN(4), StartSpread: time.Duration(rng.IntN(2)) * time.Second,
+			ReconnectSpread: time.Second, MaxReconnectSpread: 4 * time.Second}
 		b := newBalancer(rules, seed, 1+rng.IntN(6))
 		now := time.Duration(0)
 		for range 500 {
@@ -337,34 +337,34 @@
 				c := b.Choose(now, p)
 				switch c.Kind {
 				case Send:
-					if c.Proxy.gone || c.Proxy.open >= c.Proxy.conns*rules.Depth {
+					if c.Proxy.gone || c.Proxy.open >= c.Proxy.conns*rules.PipelineDepth {
 						t.Fatalf("seed %d: sent without room", seed)
 					}
-					b.Sent(c.Proxy)
+					b.RequestSent(c.Proxy)
 				case Dial:
 					if c.Proxy.gone || c.Proxy.dialAt > now {
 						t.Fatalf("seed %d: dialled before its time", seed)
 					}
-					b.Dialing(c.Proxy)
+					b.DialStarted(c.Proxy)
 				case Wait:
 					busy := slices.ContainsFunc(b.proxies, func(p *Proxy) bool { return p.open+p.dialing+p.closing+p.conns > 0 })
-					if c.At <= now || c.At > now+time.Hour && !busy {
-						t.Fatalf("seed %d: waits for %v at %v for nothing", seed, c.At, now)
+					if c.RetryAt <= now || c.RetryAt > now+time.Hour && !busy {
+						t.Fatalf("seed %d: waits for %v at %v for nothing", seed, c.RetryAt, now)
 					}
 				}
 			case 3:
 				if p.open > 0 {
-					b.Done(p, now, rng.IntN(4) == 0, rng.IntN(2) == 0, time.Duration(rng.IntN(1000))*ms)
+					b.RequestEnded(p, now, rng.IntN(4) == 0, rng.IntN(2) == 0, time.Duration(rng.IntN(1000))*ms)
 				}
 			case 4, 5:
 				if p.dialing > 0 {
-					b.Dialed(p, now, rng.IntN(3) > 0)
+					b.DialEnded(p, now, rng.IntN(3) > 0)
 				}
 			case 6:
 				if p.conns > 0 {
-					b.Ending(p)
+					b.ConnDraining(p)
 				} else if p.closing > 0 {
-					b.Ended(p, now, rng.IntN(2) == 0)
+					b.ConnClosed(p, now, rng.IntN(2) == 0)
 				}
 			case 7:
 				list := addresses(b)
@@ -376,7 +376,7 @@
 				b.Update(now, list)
 			}
 			for _, p := range b.proxies {
-				if p.open < 0 || p.conns < 0 || p.closing < 0 || p.dialing < 0 || p.conns+p.closing+p.dialing > rules.Conns {
+				if p.open < 0 || p.conns < 0 || p.closing < 0 || p.dialing < 0 || p.conns+p.closing+p.dialing > rules.MaxConns {
 					t.Fatalf("seed %d: %+v", seed, p)
 				}
 			}
--- a/client/internal/retry/budget.go
+++ b/client/internal/retry/budget.go
@@ -21,11 +21,11 @@
 	return &Budget{Ratio: ratio, Burst: burst, saved: min(burst, 1)}
 }
 
-// Succeeded is told of a request that was served.
-func (b *Budget) Succeeded() { b.saved = min(b.saved+b.Ratio, b.Burst) }
+// RecordSuccess is told of a request that was served.
+func (b *Budget) RecordSuccess() { b.saved = min(b.saved+b.Ratio, b.Burst) }
 
-// CanPay tells whether a retry of a request of some effect could be had.
-func (b *Budget) CanPay(e Effect) bool {
+// CanAfford tells whether a retry of a request of some effect could be had.
+func (b *Budget) CanAfford(e Effect) bool {
 	if e == Keyed {
 		return b.saved >= 1-b.Burst
 	}
@@ -33,7 +33,7 @@
 }
 
 func (b *Budget) take(e Effect) bool {
-	if !b.CanPay(e) {
+	if !b.CanAfford(e) {
 		return false
 	}
 	b.saved--
@@ -48,32 +48,32 @@
 	paceMost  = 0.9                    // share that is kept back at the most: the rest asks whether it is over
 )
 
-// Pace keeps a process from asking much more of a service than that takes: what is refused
+// Throttle keeps a process from asking much more of a service than that takes: what is refused
 // costs the service work that it has none to spare for. It is the adaptive throttling of
 // "Handling Overload" in the book Site Reliability Engineering, with a bound so that the end of an overload
 // is seen soon. Not safe for concurrent use.
-type Pace struct {
+type Throttle struct {
 	asked, taken float64 // requests, and those not refused, each halved by paceHalf
 	at           time.Duration
 }
 
-func (p *Pace) age(now time.Duration) {
+func (p *Throttle) age(now time.Duration) {
 	if d := now - p.at; d > 0 {
 		f := math.Exp2(-float64(d) / float64(paceHalf))
 		p.asked, p.taken, p.at = p.asked*f, p.taken*f, now
 	}
 }
 
-// Kept is the share of requests that is kept back.
-func (p *Pace) Kept(now time.Duration) float64 {
+// RejectProbability is the share of requests that is kept back.
+func (p *Throttle) RejectProbability(now time.Duration) float64 {
 	p.age(now)
 	return min(max(0, (p.asked-paceTimes*p.taken-paceFree)/(p.asked+1)), paceMost)
 }
 
 // Allow tells whether one more request, a first try or a retry, may go out at now. One that
 // may not counts as asked at once, one that goes out when it ends: what is still out says nothing yet.
-func (p *Pace) Allow(now time.Duration, rng *rand.Rand) bool {
-	kept := p.Kept(now)
+func (p *Throttle) Allow(now time.Duration, rng *rand.Rand) bool {
+	kept := p.RejectProbability(now)
 	if kept == 0 || rng.Float64() >= kept {
 		return true
 	}
@@ -81,8 +81,8 @@
 	return false
 }
 
-// Ended is told of a request that went out, and whether it was refused.
-func (p *Pace) Ended(now time.Duration, refused bool) {
+// RecordOutcome is told of a request that went out, and whether it was refused.
+func (p *Throttle) RecordOutcome(now time.Duration, refused bool) {
 	p.age(now)
 	p.asked++
 	if !refused {
--- a/client/internal/retry/model_test.go
+++ b/client/internal/retry/model_test.go
@@ -96,7 +96,7 @@
 			ended(o, advice)
 		}
 	}
-	w.after(wait, func() { end(Silent, 0) })
+	w.after(wait, func() { end(TimedOut, 0) })
 	fate := w.rng.IntN(10)
 	switch fate {
 	case 0:
@@ -104,19 +104,19 @@
 		if w.rng.IntN(2) == 0 {
 			advice = w.upTo(1000 * ms)
 		}
-		w.after(w.upTo(wait), func() { end(Refused, advice) })
+		w.after(w.upTo(wait), func() { end(Rejected, advice) })
 		return
 	case 1:
-		w.after(w.upTo(20*ms), func() { end(Unsent, 0) })
+		w.after(w.upTo(20*ms), func() { end(NotSent, 0) })
 		return
 	case 2: // the answer is lost, at any time
-		w.after(w.upTo(wait), func() { end(Broken, 0) })
+		w.after(w.upTo(wait), func() { end(ConnectionLost, 0) })
 	case 3:
 		w.after(w.upTo(wait), func() { end(Failed, 0) })
 	case 4: // lost at once, while the node is still to begin it
-		w.after(w.upTo(ms), func() { end(Broken, 0) })
+		w.after(w.upTo(ms), func() { end(ConnectionLost, 0) })
 	case 5:
-		w.after(w.upTo(wait), func() { end(Spoilt, 0) })
+		w.after(w.upTo(wait), func() { end(MalformedAnswer, 0) })
 	}
 	// The proxy may have several nodes begin it, the last just before it gives up, and a network that
 	// is slow by less than the margin.
@@ -137,12 +137,12 @@
 )
 
 type output struct {
-	end   End
+	end   Result
 	count int
 }
 
 // history plays some clients that hand over and read one record, and returns what they saw.
-func history(seed uint64, rules *Rules) *world {
+func history(seed uint64, rules *Policy) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 9)), seen: make(map[int]*entry), times: make(map[int]int), window: 1500 * ms}
 	key := 0
 	for client := range 2 + w.rng.IntN(2) {
@@ -162,33 +162,33 @@
 			}
 			key++
 			mine := key
-			r := Begin(rules, Keyed, 0, w.now+2500*ms)
-			finish := func(end End) {
+			r := NewRequest(rules, Keyed, 0, w.now+2500*ms)
+			finish := func(end Result) {
 				until := w.now
-				if end == EndUnknown {
+				if end == ResultUnknown {
 					until = w.now + time.Hour // it may take effect at any time from its call on
 				}
 				w.ops = append(w.ops, porcupine.Operation{ClientId: client, Input: opHandover, Call: int64(call), Return: int64(until),
 					Output: output{end: end}})
-				if end == EndUnknown { // who waits for an hour is another client
+				if end == ResultUnknown { // who waits for an hour is another client
 					client += 10
 				}
 				w.after(w.upTo(800*ms)+2, next)
 			}
 			var send func()
 			send = func() {
-				wait, ok := r.Send(at(w.now), budget.CanPay(Keyed))
+				wait, ok := r.StartAttempt(at(w.now), budget.CanAfford(Keyed))
 				if !ok {
-					finish(r.Hopeless(Unsent, 0).End)
+					finish(r.GiveUp(NotSent, 0).Result)
 					return
 				}
 				w.try(mine, wait, func(o Outcome, advice time.Duration) {
-					v := r.Ended(at(w.now), o, advice, budget, w.rng)
-					if v.End != Open {
-						finish(v.End)
+					v := r.AttemptEnded(at(w.now), o, advice, budget, w.rng)
+					if v.Result != ResultPending {
+						finish(v.Result)
 						return
 					}
-					w.after(v.Pause, send)
+					w.after(v.Backoff, send)
 				})
 			}
 			send()
@@ -214,9 +214,9 @@
 			return []any{n}
 		case input == opRead:
 			return nil
-		case o.end == EndServed:
+		case o.end == ResultServed:
 			return []any{n + 1}
-		case o.end == EndUnknown:
+		case o.end == ResultUnknown:
 			return []any{n, n + 1}
 		}
 		return []any{n}
@@ -225,7 +225,7 @@
 
 // broken counts, over many histories, those that no order explains, and the handovers that
 // took effect twice.
-func broken(t *testing.T, n int, rules *Rules) (unexplained, doubled, unknown int) {
+func broken(t *testing.T, n int, rules *Policy) (unexplained, doubled, unknown int) {
 	model := record.ToModel()
 	for seed := range n {
 		w := history(uint64(seed), rules)
@@ -235,7 +235,7 @@
 			}
 		}
 		for _, op := range w.ops {
-			if op.Input == opHandover && op.Output.(output).end == EndUnknown {
+			if op.Input == opHandover && op.Output.(output).end == ResultUnknown {
 				unknown++
 			}
 		}
@@ -252,7 +252,7 @@
 // Handovers under every fate of their tries: none takes effect twice, and each history has
 // an order that explains it.
 func TestHandoversAreLinearisable(t *testing.T) {
-	unexplained, doubled, unknown := broken(t, *histories, &Usual)
+	unexplained, doubled, unknown := broken(t, *histories, &DefaultPolicy)
 	if unexplained+doubled > 0 {
 		t.Fatalf("of %d histories %d are not linearisable; %d handovers took effect twice", *histories, unexplained, doubled)
 	}
@@ -264,13 +264,13 @@
 // The check sees what it looks for: with a window thought to be longer than it is, and with
 // no margin for the network, handovers take effect twice.
 func TestCheckSeesDoubleHandovers(t *testing.T) {
-	long := Usual
-	long.Window = 3 * time.Second
+	long := DefaultPolicy
+	long.DedupWindow = 3 * time.Second
 	if unexplained, doubled, _ := broken(t, 500, &long); doubled == 0 || unexplained == 0 {
 		t.Fatalf("%d doubled, %d histories unexplained with a window of 3 s", doubled, unexplained)
 	}
-	bare := Usual
-	bare.Margin = 0
+	bare := DefaultPolicy
+	bare.SafetyMargin = 0
 	if _, doubled, _ := broken(t, 5000, &bare); doubled == 0 {
 		t.Fatal("none doubled without a margin")
 	}
--- a/client/internal/retry/retry_test.go
+++ b/client/internal/retry/retry_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-func at(d time.Duration) Stamp { return Stamp{d, d} }
+func at(d time.Duration) Timestamp { return Timestamp{d, d} }
 
 func rich() *Budget { return &Budget{Ratio: 0.1, Burst: 100, saved: 100} }
 
@@ -17,52 +17,52 @@
 // The whole table: each outcome of a first try, for each effect, at each time left; what
 // must follow is worked out here a second time, from the words of the package's invariants.
 func TestTableOfOutcomesEffectsAndTimes(t *testing.T) {
-	ends := map[Outcome]End{Served: EndServed, Missing: EndServed, Refused: EndRefused, Unsent: EndUnsent, Invalid: EndInvalid,
-		Failed: EndFailed, Silent: EndDeadline, Broken: EndFailed, Spoilt: EndFailed, Canceled: EndCanceled}
+	ends := map[Outcome]Result{Served: ResultServed, NotFound: ResultServed, Rejected: ResultRejected, NotSent: ResultNotSent, Invalid: ResultInvalid,
+		Failed: ResultFailed, TimedOut: ResultDeadlineExceeded, ConnectionLost: ResultFailed, MalformedAnswer: ResultFailed, Canceled: ResultCanceled}
 	seen := 0
 	for o := range outcomes {
 		for _, effect := range []Effect{Safe, Keyed, Unsafe} {
 			for _, deadline := range []time.Duration{60 * ms, 300 * ms, 1400 * ms, 1450 * ms, 2500 * ms, 10000 * ms} {
 				for _, took := range []time.Duration{0, 1 * ms, 100 * ms, 1000 * ms, 1330 * ms, 1360 * ms, 1400 * ms, 1490 * ms, 1600 * ms, 2460 * ms} {
 					for _, advice := range []time.Duration{0, 200 * ms, 1000 * ms} {
-						if took > deadline || advice > 0 && o != Refused {
+						if took > deadline || advice > 0 && o != Rejected {
 							continue
 						}
-						r := Begin(&Usual, effect, 0, deadline)
-						if _, ok := r.Send(at(0), true); !ok {
+						r := NewRequest(&DefaultPolicy, effect, 0, deadline)
+						if _, ok := r.StartAttempt(at(0), true); !ok {
 							t.Fatalf("no first try with %v left", deadline)
 						}
-						v := r.Ended(at(took), o, advice, rich(), rng())
-						ran := o == Failed || o == Silent || o == Broken || o == Spoilt || o == Canceled
+						v := r.AttemptEnded(at(took), o, advice, rich(), rng())
+						ran := o == Failed || o == TimedOut || o == ConnectionLost || o == MalformedAnswer || o == Canceled
 						left := deadline - took
 						if ran && effect == Keyed {
 							left = min(left, 1400*ms-took)
 						}
 						want := ends[o]
 						if ran && effect != Safe {
-							want = EndUnknown
+							want = ResultUnknown
 						}
-						final := o == Served || o == Missing || o == Invalid || o == Canceled || ran && effect == Unsafe
+						final := o == Served || o == NotFound || o == Invalid || o == Canceled || ran && effect == Unsafe
 						switch {
-						case final && v.End != want:
-							t.Fatalf("outcome %d effect %d at %v of %v: %v, want %v", o, effect, took, deadline, v.End, want)
-						case !final && left < advice+50*ms && v.End != want:
-							t.Fatalf("outcome %d effect %d at %v of %v, advice %v: %v though %v is left", o, effect, took, deadline, advice, v.End, left)
-						case !final && left > advice*5/4+50*ms+20*ms && v.End != Open:
-							t.Fatalf("outcome %d effect %d at %v of %v, advice %v: ended as %v though %v is left", o, effect, took, deadline, advice, v.End, left)
-						case v.End == Open && v.Pause < advice:
-							t.Fatalf("a pause of %v where %v was advised", v.Pause, advice)
-						case v.End == EndRefused && r.MayHaveRun():
+						case final && v.Result != want:
+							t.Fatalf("outcome %d effect %d at %v of %v: %v, want %v", o, effect, took, deadline, v.Result, want)
+						case !final && left < advice+50*ms && v.Result != want:
+							t.Fatalf("outcome %d effect %d at %v of %v, advice %v: %v though %v is left", o, effect, took, deadline, advice, v.Result, left)
+						case !final && left > advice*5/4+50*ms+20*ms && v.Result != ResultPending:
+							t.Fatalf("outcome %d effect %d at %v of %v, advice %v: ended as %v though %v is left", o, effect, took, deadline, advice, v.Result, left)
+						case v.Result == ResultPending && v.Backoff < advice:
+							t.Fatalf("a pause of %v where %v was advised", v.Backoff, advice)
+						case v.Result == ResultRejected && r.MayHaveRun():
 							t.Fatal("refused after it may have run")
 						}
-						if v.End == Open {
-							again := at(took + v.Pause)
-							wait, ok := r.Send(again, false)
-							if !ok || again.Mono+wait > deadline {
-								t.Fatalf("a second try of %v at %v for a deadline of %v", wait, again.Mono, deadline)
+						if v.Result == ResultPending {
+							again := at(took + v.Backoff)
+							wait, ok := r.StartAttempt(again, false)
+							if !ok || again.Monotonic+wait > deadline {
+								t.Fatalf("a second try of %v at %v for a deadline of %v", wait, again.Monotonic, deadline)
 							}
-							if ran && effect == Keyed && again.Mono+wait > 1400*ms {
-								t.Fatalf("a keyed try that may begin at %v, when its first may be forgotten", again.Mono+wait)
+							if ran && effect == Keyed && again.Monotonic+wait > 1400*ms {
+								t.Fatalf("a keyed try that may begin at %v, when its first may be forgotten", again.Monotonic+wait)
 							}
 						}
 						seen++
@@ -78,25 +78,25 @@
 
 // Invariant 3, over two tries: a refusal of the second takes nothing back of the first.
 func TestRefusedAfterItMayHaveRunIsUnknown(t *testing.T) {
-	r := Begin(&Usual, Keyed, 0, 2500*ms)
-	r.Send(at(0), true)
-	if v := r.Ended(at(10*ms), Broken, 0, rich(), rng()); v.End != Open {
+	r := NewRequest(&DefaultPolicy, Keyed, 0, 2500*ms)
+	r.StartAttempt(at(0), true)
+	if v := r.AttemptEnded(at(10*ms), ConnectionLost, 0, rich(), rng()); v.Result != ResultPending {
 		t.Fatalf("%+v", v)
 	}
-	r.Send(at(30*ms), true)
-	if v := r.Ended(at(40*ms), Refused, 2*time.Second, rich(), rng()); v.End != EndUnknown {
+	r.StartAttempt(at(30*ms), true)
+	if v := r.AttemptEnded(at(40*ms), Rejected, 2*time.Second, rich(), rng()); v.Result != ResultUnknown {
 		t.Fatalf("%+v", v)
 	}
-	if r.Settled() != 1400*ms*60/100+100*ms {
-		t.Fatalf("settled at %v", r.Settled())
+	if r.SettledAt() != 1400*ms*60/100+100*ms {
+		t.Fatalf("settled at %v", r.SettledAt())
 	}
 }
 
 // The first try of a keyed request ends within the window too: else its own late beginning
 // at a node would be the second effect.
 func TestFirstKeyedTryEndsWithinTheWindow(t *testing.T) {
-	r := Begin(&Usual, Keyed, 0, 10*time.Second)
-	if wait, _ := r.Send(at(0), false); wait != 1400*ms {
+	r := NewRequest(&DefaultPolicy, Keyed, 0, 10*time.Second)
+	if wait, _ := r.StartAttempt(at(0), false); wait != 1400*ms {
 		t.Fatalf("waits %v", wait)
 	}
 }
@@ -106,17 +106,17 @@
 	for _, c := range []struct {
 		o      Outcome
 		advice time.Duration
-		end    End
-	}{{Refused, 100 * ms, Open}, {Refused, 400 * ms, EndRefused}, {Failed, 0, Open}} {
-		r := Begin(&Usual, Safe, 500*ms, 2000*ms)
-		r.Send(at(0), true)
-		if v := r.Ended(at(200*ms), c.o, c.advice, rich(), rng()); v.End != c.end {
+		end    Result
+	}{{Rejected, 100 * ms, ResultPending}, {Rejected, 400 * ms, ResultRejected}, {Failed, 0, ResultPending}} {
+		r := NewRequest(&DefaultPolicy, Safe, 500*ms, 2000*ms)
+		r.StartAttempt(at(0), true)
+		if v := r.AttemptEnded(at(200*ms), c.o, c.advice, rich(), rng()); v.Result != c.end {
 			t.Fatalf("%+v: %+v", c, v)
 		}
 	}
-	r := Begin(&Usual, Safe, 500*ms, 2000*ms)
-	r.Send(at(0), true)
-	if v := r.Ended(at(600*ms), Failed, 0, rich(), rng()); v.End != Open {
+	r := NewRequest(&DefaultPolicy, Safe, 500*ms, 2000*ms)
+	r.StartAttempt(at(0), true)
+	if v := r.AttemptEnded(at(600*ms), Failed, 0, rich(), rng()); v.Result != ResultPending {
 		t.Fatalf("failed after its aim: %+v", v)
 	}
 }
@@ -125,14 +125,14 @@
 // back does not lengthen it.
 func TestClockSteps(t *testing.T) {
 	for _, c := range []struct {
-		now  Stamp
+		now  Timestamp
 		open bool
-	}{{Stamp{200 * ms, 200 * ms}, true}, {Stamp{200 * ms, time.Hour}, false}, {Stamp{200 * ms, -time.Hour}, true},
-		{Stamp{1390 * ms, -time.Hour}, false}} {
-		r := Begin(&Usual, Keyed, 0, 2500*ms)
-		r.Send(at(0), true)
-		v := r.Ended(c.now, Broken, 0, rich(), rng())
-		if (v.End == Open) != c.open || !c.open && v.End != EndUnknown {
+	}{{Timestamp{200 * ms, 200 * ms}, true}, {Timestamp{200 * ms, time.Hour}, false}, {Timestamp{200 * ms, -time.Hour}, true},
+		{Timestamp{1390 * ms, -time.Hour}, false}} {
+		r := NewRequest(&DefaultPolicy, Keyed, 0, 2500*ms)
+		r.StartAttempt(at(0), true)
+		v := r.AttemptEnded(c.now, ConnectionLost, 0, rich(), rng())
+		if (v.Result == ResultPending) != c.open || !c.open && v.Result != ResultUnknown {
 			t.Fatalf("at %+v: %+v", c.now, v)
 		}
 	}
@@ -143,10 +143,10 @@
 	b, rng := NewBudget(0.1, 3), rng()
 	requests, tries := 0, 0
 	for range 20000 {
-		r := Begin(&Usual, Safe, 0, 2*time.Second)
+		r := NewRequest(&DefaultPolicy, Safe, 0, 2*time.Second)
 		requests++
 		for now := time.Duration(0); ; {
-			if _, ok := r.Send(at(now), b.CanPay(Safe)); !ok {
+			if _, ok := r.StartAttempt(at(now), b.CanAfford(Safe)); !ok {
 				break
 			}
 			tries++
@@ -155,11 +155,11 @@
 			if rng.Float64() < 0.3 {
 				o = Served
 			}
-			v := r.Ended(at(now), o, 0, b, rng)
-			if v.End != Open {
+			v := r.AttemptEnded(at(now), o, 0, b, rng)
+			if v.Result != ResultPending {
 				break
 			}
-			now += v.Pause
+			now += v.Backoff
 		}
 	}
 	if most := 1.1*float64(requests) + 3; float64(tries) > most || tries <= requests {
@@ -176,12 +176,12 @@
 		}
 	}
 	for range 5 {
-		b.Succeeded()
+		b.RecordSuccess()
 	}
-	if b.CanPay(Safe) || !b.CanPay(Keyed) {
+	if b.CanAfford(Safe) || !b.CanAfford(Keyed) {
 		t.Fatalf("%+v", b)
 	}
-	b.Succeeded()
+	b.RecordSuccess()
 	if !b.take(Safe) {
 		t.Fatalf("%+v", b)
 	}
@@ -190,42 +190,42 @@
 // One broken connection a request costs no budget, and a second does.
 func TestOneBrokenConnectionIsFree(t *testing.T) {
 	b := &Budget{}
-	r := Begin(&Usual, Safe, 0, 2*time.Second)
-	r.Send(at(0), false)
-	if v := r.Ended(at(0), Broken, 0, b, rng()); v.End != Open {
+	r := NewRequest(&DefaultPolicy, Safe, 0, 2*time.Second)
+	r.StartAttempt(at(0), false)
+	if v := r.AttemptEnded(at(0), ConnectionLost, 0, b, rng()); v.Result != ResultPending {
 		t.Fatalf("%+v", v)
 	}
-	r.Send(at(20*ms), false)
-	if v := r.Ended(at(20*ms), Broken, 0, b, rng()); v.End != EndFailed {
+	r.StartAttempt(at(20*ms), false)
+	if v := r.AttemptEnded(at(20*ms), ConnectionLost, 0, b, rng()); v.Result != ResultFailed {
 		t.Fatalf("%+v", v)
 	}
 }
 
 // What never leaves is not tried for ever.
 func TestUnsentEnds(t *testing.T) {
-	r, n := Begin(&Usual, Safe, 0, time.Hour), 0
+	r, n := NewRequest(&DefaultPolicy, Safe, 0, time.Hour), 0
 	for ; n < 1000; n++ {
-		r.Send(at(0), true)
-		if r.Ended(at(0), Unsent, 0, rich(), rng()).End != Open {
+		r.StartAttempt(at(0), true)
+		if r.AttemptEnded(at(0), NotSent, 0, rich(), rng()).Result != ResultPending {
 			break
 		}
 	}
-	if n != mostRepairs || r.Tries() != 0 {
-		t.Fatalf("%d, %d tries", n, r.Tries())
+	if n != mostRepairs || r.Attempts() != 0 {
+		t.Fatalf("%d, %d tries", n, r.Attempts())
 	}
 }
 
 // A pace lets all through while less than half is refused, keeps most back while all is, and
 // recovers within seconds.
 func TestPace(t *testing.T) {
-	var p Pace
+	var p Throttle
 	rng := rng()
 	sent := func(from, to time.Duration, refused float64) (sent, all int) {
 		for now := from; now < to; now += 5 * ms {
 			all++
 			if p.Allow(now, rng) {
 				sent++
-				p.Ended(now, rng.Float64() < refused)
+				p.RecordOutcome(now, rng.Float64() < refused)
 			}
 		}
 		return sent, all
--- a/client/options.go
+++ b/client/options.go
@@ -27,14 +27,14 @@
 	Name   string
 	Effect Effect
 	Wait   time.Duration // how long a call lasts at the most
-	// Aim, if not 0, is when an answer is worth little: a call that was refused is not sent again after it,
+	// LatencyObjective, if not 0, is when an answer is worth little: a call that was refused is not sent again after it,
 	// as its answer would take the place of one in time.
-	Aim time.Duration
+	LatencyObjective time.Duration
 }
 
 // The classes of a proxy's configuration that names none.
 var (
-	Read  = Class{Name: "read", Effect: Safe, Wait: 2 * time.Second, Aim: 500 * time.Millisecond}
+	Read  = Class{Name: "read", Effect: Safe, Wait: 2 * time.Second, LatencyObjective: 500 * time.Millisecond}
 	Write = Class{Name: "write", Effect: Keyed, Wait: 2500 * time.Millisecond}
 	Plain = Class{Name: "plain", Effect: Unsafe, Wait: 2500 * time.Millisecond}
 )
@@ -62,11 +62,11 @@
 	// Conns is how many connections there are to a proxy at the most, 4; Depth how many
 	// requests are on one at a time, 32.
 	Conns, Depth int
-	// Waiting is how many calls may wait for a connection, 16384; more are refused.
-	Waiting int
+	// MaxWaiting is how many calls may wait for a connection, 16384; more are refused.
+	MaxWaiting int
 	// Spread is the span over which clients reconnect that lost a proxy together, 1 s; after attempts
 	// in vain twice as long. Cold is the span of the first connections, 0: for fleets that start together.
-	Spread, Cold time.Duration
+	Spread, StartSpread time.Duration
 	// Idle is after how long a connection without a request is closed, 1.5 s; a proxy closes
 	// its own after 2 s, so a longer time has requests cross the close.
 	Idle time.Duration
@@ -75,7 +75,7 @@
 
 	Trace Trace
 
-	clock func() retry.Stamp
+	clock func() retry.Timestamp
 }
 
 // The bounds of options.
@@ -125,9 +125,9 @@
 	if o.Tenant != "" && !meta.ValidName(o.Tenant) {
 		bad("Tenant cannot be %q", o.Tenant)
 	}
-	span("Window", &o.Window, retry.Usual.Window, 2*retry.Usual.Least, mostWait)
-	span("Margin", &o.Margin, min(retry.Usual.Margin, o.Window/2), 0, max(o.Window-retry.Usual.Least, 0))
-	whole("Tries", &o.Tries, retry.Usual.Tries, 100)
+	span("Window", &o.Window, retry.DefaultPolicy.DedupWindow, 2*retry.DefaultPolicy.MinWait, mostWait)
+	span("Margin", &o.Margin, min(retry.DefaultPolicy.SafetyMargin, o.Window/2), 0, max(o.Window-retry.DefaultPolicy.MinWait, 0))
+	whole("Tries", &o.Tries, retry.DefaultPolicy.MaxAttempts, 100)
 	switch {
 	case o.RetryRatio == 0:
 		o.RetryRatio = 0.1
@@ -143,9 +143,9 @@
 	whole("Subset", &o.Subset, 3, mostSubset)
 	whole("Conns", &o.Conns, 4, mostConns)
 	whole("Depth", &o.Depth, 32, mostDepth)
-	whole("Waiting", &o.Waiting, 16384, mostWaiting)
+	whole("Waiting", &o.MaxWaiting, 16384, mostWaiting)
 	span("Spread", &o.Spread, time.Second, time.Millisecond, mostSpread)
-	span("Cold", &o.Cold, 0, 0, mostSpread)
+	span("Cold", &o.StartSpread, 0, 0, mostSpread)
 	span("Idle", &o.Idle, 1500*time.Millisecond, time.Millisecond, 24*time.Hour)
 	if o.Dial == nil {
 		d := &net.Dialer{Timeout: dialTime}
@@ -163,31 +163,31 @@
 		return fmt.Errorf("class name cannot be %q", c.Name)
 	case c.Effect > Unsafe:
 		return fmt.Errorf("class %s: there is no effect %d", c.Name, c.Effect)
-	case c.Aim < 0:
-		return fmt.Errorf("class %s: aim cannot be %v", c.Name, c.Aim)
-	case c.Wait < retry.Usual.Least || c.Wait > mostWait:
-		return fmt.Errorf("class %s: wait cannot be %v: want %v to %v", c.Name, c.Wait, retry.Usual.Least, mostWait)
+	case c.LatencyObjective < 0:
+		return fmt.Errorf("class %s: aim cannot be %v", c.Name, c.LatencyObjective)
+	case c.Wait < retry.DefaultPolicy.MinWait || c.Wait > mostWait:
+		return fmt.Errorf("class %s: wait cannot be %v: want %v to %v", c.Name, c.Wait, retry.DefaultPolicy.MinWait, mostWait)
 	}
 	return nil
 }
 
 // clock returns the two clocks, both from now on. The one that never steps is the time package's
 // own; it stands still while a machine sleeps.
-func clock() func() retry.Stamp {
+func clock() func() retry.Timestamp {
 	begun := time.Now()
 	wall := begun.UnixNano()
-	return func() retry.Stamp {
+	return func() retry.Timestamp {
 		now := time.Now()
-		return retry.Stamp{Mono: now.Sub(begun), Wall: time.Duration(now.UnixNano() - wall)}
+		return retry.Timestamp{Monotonic: now.Sub(begun), Wall: time.Duration(now.UnixNano() - wall)}
 	}
 }
 
-func (o *Options) retryRules() *retry.Rules {
-	r := retry.Usual
-	r.Tries, r.Window, r.Margin = o.Tries, o.Window, o.Margin
+func (o *Options) retryRules() *retry.Policy {
+	r := retry.DefaultPolicy
+	r.MaxAttempts, r.DedupWindow, r.SafetyMargin = o.Tries, o.Window, o.Margin
 	return &r
 }
 
-func (o *Options) balanceRules() balance.Rules {
-	return balance.Rules{Subset: o.Subset, Conns: o.Conns, Depth: o.Depth, Cold: o.Cold, Spread: o.Spread, Most: 2 * o.Spread}
+func (o *Options) balanceRules() balance.Settings {
+	return balance.Settings{SubsetSize: o.Subset, MaxConns: o.Conns, PipelineDepth: o.Depth, StartSpread: o.StartSpread, ReconnectSpread: o.Spread, MaxReconnectSpread: 2 * o.Spread}
 }
--- a/client/trace.go
+++ b/client/trace.go
@@ -12,8 +12,8 @@
 	TryStart func(TryInfo)
 	// TryDone is told how it ended.
 	TryDone func(TryInfo)
-	// Late is told of an answer that came after its try had been given up.
-	Late func(TryInfo)
+	// LateAnswer is told of an answer that came after its try had been given up.
+	LateAnswer func(TryInfo)
 	// DialStart is told of an attempt to connect, DialDone how it went.
 	DialStart func(proxy string)
 	DialDone  func(proxy string, took time.Duration, err error)
@@ -34,15 +34,15 @@
 
 // TryInfo tells of one try of a call.
 type TryInfo struct {
-	Op, Key string
-	Proxy   string
-	ID      string        // of the try, as the proxy sees it
-	Repeat  bool          // it was marked as a repetition
-	Kept    bool          // the connection had answered before
-	Wait    time.Duration // that was given to it
-	Took    time.Duration // of TryDone and Late
-	Outcome string        // of TryDone: served, missing, refused, unsent, invalid, failed, silent, broken, spoilt, canceled
-	Advice  time.Duration // of a refusal
+	Op, Key    string
+	Proxy      string
+	ID         string        // of the try, as the proxy sees it
+	Repeat     bool          // it was marked as a repetition
+	ConnReused bool          // the connection had answered before
+	Wait       time.Duration // that was given to it
+	Took       time.Duration // of TryDone and Late
+	Outcome    string        // of TryDone: served, missing, refused, unsent, invalid, failed, silent, broken, spoilt, canceled
+	RetryAfter time.Duration // of a refusal
 }
 
 // Stats are counts since the client was made, and what is there now. Failed has those whose context was
@@ -52,10 +52,10 @@
 
 	Tries     int64 // that were sent
 	Retries   int64 // of these, all but the first of their calls
-	Withheld  int64 // calls that were refused without asking a proxy, as proxies refused
+	Throttled int64 // calls that were refused without asking a proxy, as proxies refused
 	Dials     int64
 	DialFails int64
 	Conns     int // now
-	Open      int // requests on connections now
+	InFlight  int // requests on connections now
 	Waiting   int // calls that wait for a connection now
 }
--- a/cmd/fleettest/main.go
+++ b/cmd/fleettest/main.go
@@ -133,7 +133,7 @@
 
 // BeforeReset implements kong's hook, which comes before a missing command is told.
 func (listFlag) BeforeReset(app *kong.Kong) error {
-	for _, s := range fleettest.List() {
+	for _, s := range fleettest.BuiltInScenarios() {
 		fmt.Fprintf(app.Stdout, "%-12s %s\n", s[0], s[1])
 	}
 	app.Exit(0)
@@ -258,40 +258,42 @@
 		if err := within("every", every, 1, 1e6); err != nil {
 			return nil, err
 		}
-		o.Program = []string{self, "double", c.Sight.Fault, fmt.Sprint(every)}
+		o.ProxyCommand = []string{self, "double", c.Sight.Fault, fmt.Sprint(every)}
 		report, err := c.scenario(ctx, "sight", o)
 		if put, counted := injected(o.Folder); counted {
 			fmt.Fprintf(progress, "put in: %d\n", put)
 		}
 		return report, err
 	case "up":
-		scenario, err := fleettest.Load(c.Up.Scenario)
+		scenario, err := fleettest.LoadScenario(c.Up.Scenario)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", errUsage, err)
 		}
 		c.adapt(scenario)
-		return nil, fleettest.Up(ctx, scenario, o, func(line string) { fmt.Fprintln(out, line) })
+		return nil, fleettest.HoldFleet(ctx, scenario, o, func(line string) { fmt.Fprintln(out, line) })
 	case "cost":
 		if err := errors.Join(within("runs", c.Cost.Runs, 1, 1000), within("requests", c.Cost.Requests, 1, 1e7)); err != nil {
 			return nil, err
 		}
-		return fleettest.Cost(ctx, fleettest.CostOptions{Proxy: o.Program, Relay: []string{self, "relay"}, Folder: o.Folder,
-			Profiled: func(path string) []string { return []string{o.Program[0], "serve", "--cpuprofile", path, "--config"} },
-			Peers:    c.Cost.Peers,
-			Runs:     c.Cost.Runs, Requests: c.Cost.Requests, Conns: []int{1, 8, 64}, Progress: o.Progress})
+		return fleettest.MeasureCost(ctx, fleettest.CostOptions{ProxyCommand: o.ProxyCommand, RelayCommand: []string{self, "relay"}, Folder: o.Folder,
+			ProfiledProxyCommand: func(path string) []string {
+				return []string{o.ProxyCommand[0], "serve", "--cpuprofile", path, "--config"}
+			},
+			Peers: c.Cost.Peers,
+			Runs:  c.Cost.Runs, Requests: c.Cost.Requests, Conns: []int{1, 8, 64}, Progress: o.Progress})
 	case "members":
-		return fleettest.Members(ctx, fleettest.MembersOptions{Options: o, Nodes: 2000, Changes: 50, For: 20 * time.Second})
+		return fleettest.MeasureMembership(ctx, fleettest.MembersOptions{Options: o, Nodes: 2000, ChangesPerSecond: 50, Duration: 20 * time.Second})
 	case "degrade":
-		names := fleettest.DegradeScenarios
+		names := fleettest.DegradationScenarios
 		if c.Degrade.Short {
 			names = []string{"degrade-short"}
 		}
 		if c.Degrade.Scenario != "" {
 			names = []string{c.Degrade.Scenario}
 		}
-		return fleettest.Degrade(ctx, names, o)
+		return fleettest.RunDegradation(ctx, names, o)
 	case "clients":
-		return fleettest.Clients(ctx, fleettest.ClientsOptions{Options: o, Clients: c.Clients.Tills, Only: c.Clients.Trouble, Short: c.Clients.Short})
+		return fleettest.RunClients(ctx, fleettest.ClientsOptions{Options: o, Clients: c.Clients.Tills, OnlyFault: c.Clients.Trouble, Short: c.Clients.Short})
 	case "still":
 		if c.Still.Short {
 			return c.scenario(ctx, "still-short", o)
@@ -303,22 +305,22 @@
 		if err := errors.Join(errs...); err != nil {
 			return nil, err
 		}
-		return fleettest.Still(ctx, fleettest.StillOptions{Options: o, At: c.Still.At, Only: c.Still.Trouble, Seed: c.Still.Seed,
-			Pairs: c.Still.Pairs, Beside: c.Still.Beside})
+		return fleettest.RunPauses(ctx, fleettest.PauseOptions{Options: o, ProxyCounts: c.Still.At, OnlyFault: c.Still.Trouble, Seed: c.Still.Seed,
+			AllPairs: c.Still.Pairs, Parallel: c.Still.Beside})
 	case "lease":
 		if c.Lease.Gaps > 0 {
-			return fleettest.Gaps(ctx, fleettest.GapsOptions{Options: o, Holder: []string{self, "holder"}, Times: c.Lease.Gaps})
+			return fleettest.MeasureLeaseGaps(ctx, fleettest.LeaseGapsOptions{Options: o, HolderCommand: []string{self, "holder"}, Repetitions: c.Lease.Gaps})
 		}
 		length := 2 * time.Minute
 		if c.Lease.Short {
 			length = 25 * time.Second
 		}
-		return fleettest.Lease(ctx, fleettest.LeaseOptions{Options: o, Holder: []string{self, "holder"}, For: length, Seed: c.Lease.Seed, Careless: c.Lease.Careless})
+		return fleettest.RunLease(ctx, fleettest.LeaseOptions{Options: o, HolderCommand: []string{self, "holder"}, Duration: length, Seed: c.Lease.Seed, Unfenced: c.Lease.Careless})
 	case "peers":
 		if err := errors.Join(within("instances", c.Peers.Instances, 4, 99), within("times", c.Peers.Times, 0, 1000)); err != nil {
 			return nil, err
 		}
-		return fleettest.Peers(ctx, fleettest.PeersOptions{Options: o, Instances: c.Peers.Instances, Times: c.Peers.Times})
+		return fleettest.RunPeers(ctx, fleettest.PeersOptions{Options: o, Instances: c.Peers.Instances, Repetitions: c.Peers.Times})
 	case "takeover":
 		if err := within("holders", c.Takeover.Holders, 0, 2); err != nil {
 			return nil, err
@@ -327,19 +329,19 @@
 		if c.Takeover.Short {
 			length, rate = 25*time.Second, rate/4
 		}
-		return fleettest.Takeover(ctx, fleettest.TakeoverOptions{Options: o, For: length, Rate: rate, Holders: c.Takeover.Holders, Mode: c.Takeover.Mode, Seed: c.Takeover.Seed})
+		return fleettest.RunTakeover(ctx, fleettest.TakeoverOptions{Options: o, Duration: length, Rate: rate, Holders: c.Takeover.Holders, Mode: c.Takeover.Mode, Seed: c.Takeover.Seed})
 	case "conform":
-		return fleettest.Conform(ctx, o)
+		return fleettest.RunConformance(ctx, o)
 	}
 	if err := within("runs", c.Times.Runs, 1, 1000); err != nil {
 		return nil, err
 	}
-	return fleettest.Times(o.Program, o.Folder, c.Times.Runs)
+	return fleettest.MeasureStartStop(o.ProxyCommand, o.Folder, c.Times.Runs)
 }
 
 // usualEvery is how often a fault is put in by default: lose and drain befall any
 // request, double handovers only.
-var usualEvery = map[string]int{faultyproxy.None: 1, faultyproxy.Lose: 500, faultyproxy.Twice: 100, faultyproxy.Drains: 500}
+var usualEvery = map[string]int{faultyproxy.NoFault: 1, faultyproxy.LoseAnswer: 500, faultyproxy.DuplicateWrite: 100, faultyproxy.UseDraining: 500}
 
 // injected sums up what doubles have logged at their ends.
 func injected(folder string) (put int, counted bool) {
@@ -374,7 +376,7 @@
 	if _, err := os.Stat(s.Program); err != nil {
 		return o, done, fmt.Errorf("%w: the proxy: %w (build it, or name it with --program)", errUsage, err)
 	}
-	o.Program = []string{s.Program, "serve", "--config"}
+	o.ProxyCommand = []string{s.Program, "serve", "--config"}
 	o.Progress = func(string, ...any) {}
 	if !s.Quiet {
 		o.Progress = func(format string, a ...any) {
@@ -403,12 +405,12 @@
 
 // scenario plays one scenario.
 func (s *everywhere) scenario(ctx context.Context, name string, o fleettest.Options) (printer, error) {
-	scenario, err := fleettest.Load(name)
+	scenario, err := fleettest.LoadScenario(name)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
 	s.adapt(scenario)
-	return fleettest.Play(ctx, scenario, o)
+	return fleettest.RunScenario(ctx, scenario, o)
 }
 
 func (s *everywhere) print(report printer, out io.Writer) error {
@@ -436,8 +438,8 @@
 	if err != nil {
 		return err
 	}
-	d := faultyproxy.Serve(ctx, faultyproxy.Config{Listener: listener, List: read.Proxy.Places[0].Address, Fault: c.Fault, Every: c.Every,
-		Window: 1500 * time.Millisecond}, func() { manager.Tell(sdnotify.Ready) })
+	d := faultyproxy.Serve(ctx, faultyproxy.Config{Listener: listener, ListAddress: read.Proxy.ListSources[0].Address, Fault: c.Fault, OneIn: c.Every,
+		Window: 1500 * time.Millisecond}, func() { manager.Notify(sdnotify.Ready) })
 	fmt.Fprintf(log, "injected=%d\n", d.Injected())
 	return nil
 }
@@ -446,20 +448,20 @@
 	f := agent.Fleet{Name: c.Fleet}
 	for _, v := range c.Voters {
 		name, address, _ := strings.Cut(v, "=")
-		f.Voters = append(f.Voters, agent.Peer{Name: name, Address: address})
+		f.Voters = append(f.Voters, agent.VoterAddress{Name: name, Address: address})
 	}
 	manager, err := sdnotify.FromEnvironment(os.Getenv)
 	if err != nil {
 		return err
 	}
-	o := fleettest.HolderOptions{Judge: c.Judge, Who: c.Who, Fleet: f, Task: c.Task, Drift: c.Drift}
+	o := fleettest.HolderOptions{CheckerAddress: c.Judge, HolderID: c.Who, Fleet: f, Task: c.Task, ClockDrift: c.Drift}
 	if c.Stay {
 		back := make(chan os.Signal, 1)
 		signal.Notify(back, syscall.SIGUSR1)
-		o.Back = back
+		o.Release = back
 	}
-	manager.Tell(sdnotify.Ready)
-	return fleettest.ActAsHolder(ctx, o)
+	manager.Notify(sdnotify.Ready)
+	return fleettest.RunHolder(ctx, o)
 }
 
 func (c *relayCommand) run(ctx context.Context) error {
@@ -473,7 +475,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	manager.Tell(sdnotify.Ready)
+	manager.Notify(sdnotify.Ready)
 	relay.Serve(listener, c.To)
 	return nil
 }
--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -134,16 +134,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var report fleettest.DegradeReport
+	var report fleettest.DegradationReport
 	if err := json.Unmarshal(text, &report); err != nil {
 		t.Fatal(err)
 	}
-	for _, list := range report.Pairs[0].Without.Levels {
+	for _, list := range report.Pairs[0].WithoutLevels.LevelChanges {
 		if len(list) > 0 {
 			t.Errorf("without levels: %+v", list)
 		}
 	}
-	for i, list := range report.Pairs[0].With.Levels {
+	for i, list := range report.Pairs[0].WithLevels.LevelChanges {
 		if len(list) == 0 || list[0].Level == overload.Full {
 			t.Errorf("proxy %d with levels: %+v", i, list)
 		}
@@ -167,9 +167,11 @@
 func TestFaultsAreSeen(t *testing.T) {
 	injected := regexp.MustCompile(`injected=(\d+)`)
 	for fault, count := range map[string]func(fleettest.Report) int{
-		"none":   func(r fleettest.Report) int { return r.Lost + r.Doubled + r.LateDrains + r.Crashes + r.Wrong },
+		"none": func(r fleettest.Report) int {
+			return r.Lost + r.DuplicateWrites + r.LateDrains + r.Crashes + r.WrongAnswers
+		},
 		"lose":   func(r fleettest.Report) int { return r.Lost },
-		"double": func(r fleettest.Report) int { return r.Doubled },
+		"double": func(r fleettest.Report) int { return r.DuplicateWrites },
 		"drain":  func(r fleettest.Report) int { return r.LateDrains },
 	} {
 		t.Run(fault, func(t *testing.T) {
@@ -193,7 +195,7 @@
 			} else if put == 0 {
 				t.Fatalf("the fault was never put in:\n%s", out)
 			}
-			if all := r.Lost + r.Doubled + r.LateDrains + r.Crashes + r.Wrong; code != want || count(r) != put || all != put {
+			if all := r.Lost + r.DuplicateWrites + r.LateDrains + r.Crashes + r.WrongAnswers; code != want || count(r) != put || all != put {
 				t.Errorf("exit %d, %d breaches of the kind and %d in all; %d were put in:\n%s", code, count(r), all, put, out)
 			}
 		})
@@ -242,7 +244,7 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	socket.SetDeadline(time.Now().Add(testutil.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Timeout))
 	fmt.Fprint(socket, "mg order v O1 Pc=read\r\nms order 2 O2 Pc=write,k=1\r\nhi\r\n")
 	in := bufio.NewReader(socket)
 	for _, want := range []string{"VA 64 O1", "order ", "HD O2 c"} {
@@ -251,7 +253,7 @@
 		}
 	}
 	socket.Close()
-	l, err := rawclient.Dial(scriptednode.Binary, address, testutil.Patience) // any key, without a proof
+	l, err := rawclient.Dial(scriptednode.Binary, address, testutil.Timeout) // any key, without a proof
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -311,19 +313,19 @@
 	if err == nil {
 		err = json.Unmarshal(text, &report)
 	}
-	if err != nil || len(report.Plays) != 3 {
+	if err != nil || len(report.Runs) != 3 {
 		t.Fatalf("%v: %s", err, out)
 	}
-	for _, p := range report.Plays {
-		if p.Crashes > 0 || p.Doubled["library"] > 0 {
-			t.Errorf("%s: %d crashes, doubled %v: %q", p.Name, p.Crashes, p.Doubled, p.Problems)
+	for _, p := range report.Runs {
+		if p.Crashes > 0 || p.DuplicateWrites["library"] > 0 {
+			t.Errorf("%s: %d crashes, doubled %v: %q", p.Name, p.Crashes, p.DuplicateWrites, p.Problems)
 		}
 		for _, r := range p.Results {
 			served := 0
 			for _, f := range r.Phases {
 				served += f.InTime + f.Late
-				if r.Kind == "library" && (f.Lost > 0 || f.TriesPer() > 1.2) {
-					t.Errorf("%s: %+v: %q", p.Name, f, r.Samples)
+				if r.Kind == "library" && (f.Lost > 0 || f.TriesPerRequest() > 1.2) {
+					t.Errorf("%s: %+v: %q", p.Name, f, r.LostSamples)
 				}
 			}
 			if served == 0 {
--- a/cmd/mulleinctl/lease.go
+++ b/cmd/mulleinctl/lease.go
@@ -36,7 +36,7 @@
 	f := agent.Fleet{Name: q.Fleet}
 	for _, v := range q.Voters {
 		name, address, _ := strings.Cut(v, "=")
-		f.Voters = append(f.Voters, agent.Peer{Name: name, Address: address})
+		f.Voters = append(f.Voters, agent.VoterAddress{Name: name, Address: address})
 	}
 	return f
 }
@@ -87,7 +87,7 @@
 
 func (c *fleetListCommand) run(ctx context.Context, out io.Writer) error {
 	c.Within = min(c.Within, mostLook)
-	var view []peer.Seen
+	var view []peer.MemberState
 	var heard int
 	if err := c.ask(ctx, func(ctx context.Context, client *agent.Client) error {
 		view, heard = client.Members(ctx)
@@ -164,35 +164,35 @@
 	case "show":
 		return c.Show.run(ctx, c.Show.Task, out)
 	case "release":
-		return decide(ctx, &c.Release.quorumOf, lease.Command{Kind: lease.Release, Task: c.Release.Task, Number: c.Release.Number})
+		return decide(ctx, &c.Release.quorumOf, lease.Command{Kind: lease.Release, Task: c.Release.Task, Token: c.Release.Number})
 	case "revoke":
-		return decide(ctx, &c.Revoke.quorumOf, lease.Command{Kind: lease.Revoke, Task: c.Revoke.Task, Number: c.Revoke.Number})
+		return decide(ctx, &c.Revoke.quorumOf, lease.Command{Kind: lease.Revoke, Task: c.Revoke.Task, Token: c.Revoke.Number})
 	case "hand":
-		return decide(ctx, &c.Hand.quorumOf, lease.Command{Kind: lease.Hand, Task: c.Hand.Task, Number: c.Hand.Number, To: c.Hand.To})
+		return decide(ctx, &c.Hand.quorumOf, lease.Command{Kind: lease.HandOver, Task: c.Hand.Task, Token: c.Hand.Number, To: c.Hand.To})
 	case "enrol":
 		return c.Enrol.enrol(ctx, out)
 	case "dismiss":
-		return decide(ctx, &c.Dismiss.quorumOf, lease.Command{Kind: lease.Dismiss, To: c.Dismiss.Name})
+		return decide(ctx, &c.Dismiss.quorumOf, lease.Command{Kind: lease.RemoveVoter, To: c.Dismiss.Name})
 	case "limit":
-		return decide(ctx, &c.Limit.quorumOf, lease.Command{Kind: lease.Limit, Task: c.Limit.Task, Most: c.Limit.Most})
+		return decide(ctx, &c.Limit.quorumOf, lease.Command{Kind: lease.SetLimit, Task: c.Limit.Task, MaxHolders: c.Limit.Most})
 	}
 	f := c.Init.fleet()
 	if c.Init.Seat > 0 {
-		return agent.Join(c.Init.Memory, &f, c.Init.Seat)
+		return agent.InitJoiningVoter(c.Init.Memory, &f, c.Init.Seat)
 	}
-	return agent.Init(c.Init.Memory, &f)
+	return agent.InitVoter(c.Init.Memory, &f)
 }
 
 // enrol gives a voter a seat, and tells how its memory is made.
 func (c *voterCommand) enrol(ctx context.Context, out io.Writer) error {
-	if err := decide(ctx, &c.quorumOf, lease.Command{Kind: lease.Enrol, To: c.Name}); err != nil {
+	if err := decide(ctx, &c.quorumOf, lease.Command{Kind: lease.AddVoter, To: c.Name}); err != nil {
 		return err
 	}
 	s, err := c.state(ctx)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s has seat %d: make its memory with mulleinctl lease init --seat %d, then start it\n", c.Name, s.Book.Seat(c.Name), s.Book.Seat(c.Name))
+	fmt.Fprintf(out, "%s has seat %d: make its memory with mulleinctl lease init --seat %d, then start it\n", c.Name, s.StateMachine.VoterID(c.Name), s.StateMachine.VoterID(c.Name))
 	return nil
 }
 
@@ -211,15 +211,15 @@
 // decide has the voters carry out a command.
 func decide(ctx context.Context, q *quorumOf, command lease.Command) error {
 	return q.ask(ctx, func(ctx context.Context, c *agent.Client) error {
-		_, err := c.Do(ctx, command)
+		_, err := c.Execute(ctx, command)
 		return err
 	})
 }
 
 // state asks the voters for all that they know.
-func (q *quorumOf) state(ctx context.Context) (s agent.State, err error) {
+func (q *quorumOf) state(ctx context.Context) (s agent.VoterState, err error) {
 	err = q.ask(ctx, func(ctx context.Context, c *agent.Client) error {
-		s, err = c.State(ctx)
+		s, err = c.LeaderState(ctx)
 		return err
 	})
 	return s, err
@@ -230,44 +230,44 @@
 	if err != nil {
 		return err
 	}
-	if only != "" && s.Book.Tasks[only] == nil {
-		return fmt.Errorf("%w: nobody has asked for task %q", lease.ErrUnknown, only)
+	if only != "" && s.StateMachine.Tasks[only] == nil {
+		return fmt.Errorf("%w: nobody has asked for task %q", lease.ErrUnknownGrant, only)
 	}
 	if c.JSON {
 		if only != "" {
-			return json.NewEncoder(out).Encode(s.Book.Tasks[only])
+			return json.NewEncoder(out).Encode(s.StateMachine.Tasks[only])
 		}
 		return json.NewEncoder(out).Encode(s)
 	}
-	if !s.Leads {
+	if !s.IsLeader {
 		fmt.Fprintf(out, "%s knows of no leader; what follows may be old\n", s.Voter)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "task\tat once\tnumber\theld by\tlength\tends within\t")
-	names := make([]string, 0, len(s.Book.Tasks))
-	for name := range s.Book.Tasks {
+	names := make([]string, 0, len(s.StateMachine.Tasks))
+	for name := range s.StateMachine.Tasks {
 		if only == "" || name == only {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		t := s.Book.Tasks[name]
-		for _, g := range t.Held {
+		t := s.StateMachine.Tasks[name]
+		for _, g := range t.Grants {
 			left, note := "?", ""
-			if l, ok := s.Left[g.Number]; ok {
+			if l, ok := s.SecondsLeft[g.Token]; ok {
 				left = time.Duration(l * float64(time.Second)).Round(time.Millisecond).String()
 			}
 			if g.Revoked {
 				note = "revoked"
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%v\t%s\t%s\n", name, t.Most, g.Number, g.Holder, g.Length, left, note)
+			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%v\t%s\t%s\n", name, t.MaxHolders, g.Token, g.Holder, g.Duration, left, note)
 		}
-		for i, x := range t.Waiting {
-			fmt.Fprintf(w, "%s\t%d\t\t%s\t%v\t\twaits, place %d\n", name, t.Most, x.Holder, x.Length, i+1)
+		for i, x := range t.Waiters {
+			fmt.Fprintf(w, "%s\t%d\t\t%s\t%v\t\twaits, place %d\n", name, t.MaxHolders, x.Holder, x.Duration, i+1)
 		}
-		if len(t.Held)+len(t.Waiting) == 0 {
-			fmt.Fprintf(w, "%s\t%d\t\t\t\t\tfree\n", name, t.Most)
+		if len(t.Grants)+len(t.Waiters) == 0 {
+			fmt.Fprintf(w, "%s\t%d\t\t\t\t\tfree\n", name, t.MaxHolders)
 		}
 	}
 	return w.Flush()
@@ -299,12 +299,12 @@
 	defer cancel()
 	_, err = h.Await(patience)
 	if errors.Is(err, context.DeadlineExceeded) && c.Wait > 0 {
-		err = lease.ErrTaken
+		err = lease.ErrHeld
 	}
 	if err != nil {
 		return err
 	}
-	return h.Do(context.WithoutCancel(ctx), func(_ context.Context, number uint64) error { return c.act(ctx, h, argv, number, out, log) })
+	return h.RunGuarded(context.WithoutCancel(ctx), func(_ context.Context, number uint64) error { return c.act(ctx, h, argv, number, out, log) })
 }
 
 // act runs the command under a grant.
@@ -326,7 +326,7 @@
 	case err := <-ended:
 		return err
 	case <-lost:
-		err = agent.ErrLost
+		err = agent.ErrLeaseLost
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
--- a/cmd/mulleinctl/lease_test.go
+++ b/cmd/mulleinctl/lease_test.go
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 		l.Close()
-		f.Voters = append(f.Voters, agent.Peer{Name: fmt.Sprint("v", i), Address: l.Addr().String()})
+		f.Voters = append(f.Voters, agent.VoterAddress{Name: fmt.Sprint("v", i), Address: l.Addr().String()})
 		names = append(names, fmt.Sprintf("v%d=%s", i, l.Addr()))
 	}
 	flags := []string{"--fleet=shop", "--voters=" + strings.Join(names, ",")}
@@ -60,7 +60,7 @@
 func mulleinctl(t *testing.T, args ...string) (out string, exit int) {
 	t.Helper()
 	var b bytes.Buffer
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	err := run(ctx, args, strings.NewReader(""), &b, &b)
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 	// It is given back, or over at the latest after its length, if the word got lost.
 	free := func() bool { out, code := verb("show", "backup"); return code == 0 && strings.Contains(out, "free") }
-	testutil.Until(t, "the task to be free", free)
+	testutil.WaitUntil(t, "the task to be free", free)
 	if out, code := verb("show", "nothing"); code == 0 {
 		t.Errorf("a task that nobody asked for: %s", out)
 	}
@@ -103,7 +103,7 @@
 		ended <- result{out, code}
 	}()
 	number := ""
-	testutil.Until(t, "it to be held", func() bool {
+	testutil.WaitUntil(t, "it to be held", func() bool {
 		out, _ := verb("show", "backup")
 		for line := range strings.Lines(out) {
 			if f := strings.Fields(line); len(f) > 4 && f[0] == "backup" && f[4] == "10s" {
--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -134,9 +134,9 @@
 		return exitUnknown
 	case errors.Is(err, client.ErrRefused):
 		return exitRefused
-	case errors.Is(err, lease.ErrTaken):
+	case errors.Is(err, lease.ErrHeld):
 		return exitTaken
-	case errors.Is(err, agent.ErrLost):
+	case errors.Is(err, agent.ErrLeaseLost):
 		return exitLost
 	}
 	return exitFailed
@@ -223,8 +223,8 @@
 }
 
 func (c *loadCommand) run(ctx context.Context, out io.Writer) error {
-	r, err := loadgen.Run(ctx, loadgen.Config{Kind: loadgen.Kind(c.Kind), Addresses: c.Proxies, Clients: c.Clients, Rate: c.Rate, Handovers: c.Handovers,
-		Phases: []loadgen.Phase{{Name: "all", For: c.For}}, Keys: c.Keys, Skew: c.Skew, Tenant: c.Tenant, Seed: c.Seed})
+	r, err := loadgen.Run(ctx, loadgen.Config{Kind: loadgen.Kind(c.Kind), Addresses: c.Proxies, Clients: c.Clients, Rate: c.Rate, HandoverShare: c.Handovers,
+		Phases: []loadgen.Phase{{Name: "all", Duration: c.For}}, Keys: c.Keys, Skew: c.Skew, Tenant: c.Tenant, Seed: c.Seed})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -234,8 +234,8 @@
 		name   string
 		figure any
 	}{{"offered", f.Offered}, {"in time", f.InTime}, {"late", f.Late}, {"refused", f.Refused}, {"failed", f.Failed}, {"unknown", f.Unknown},
-		{"tries each", fmt.Sprintf("%.3f", f.TriesPer())}, {"in time a second", fmt.Sprintf("%.1f", f.Goodput())}, {"p50 ms", f.P50}, {"p99 ms", f.P99},
-		{"connections opened", f.Dials}, {"in vain", f.DialFails}, {"in the busiest 50 ms", f.Busiest}} {
+		{"tries each", fmt.Sprintf("%.3f", f.TriesPerRequest())}, {"in time a second", fmt.Sprintf("%.1f", f.Goodput())}, {"p50 ms", f.P50}, {"p99 ms", f.P99},
+		{"connections opened", f.Dials}, {"in vain", f.DialFails}, {"in the busiest 50 ms", f.DialsBusiest50ms}} {
 		fmt.Fprintf(w, "%s\t%v\n", row.name, row.figure)
 	}
 	w.Flush()
--- a/cmd/mulleinctl/main_test.go
+++ b/cmd/mulleinctl/main_test.go
@@ -15,7 +15,7 @@
 
 // Each command against stand-in proxies, with what it prints and the code that it exits with.
 func TestCommands(t *testing.T) {
-	ns, err := scriptednode.Start(scriptednode.Meta, 1, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
+	ns, err := scriptednode.Start(scriptednode.Meta, 1, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		switch a.Key {
 		case "none":
 			return scriptednode.Miss
@@ -65,7 +65,7 @@
 			t.Errorf("mulleinctl %s: %v (exit %d, want %d)\n%s\n%s", c.args, err, code(err), c.code, out.String(), log.String())
 		}
 	}
-	if asked := ns.Asked(); asked[len(asked)-2].Value != "from input" && asked[len(asked)-3].Value != "from input" {
+	if asked := ns.Requests(); asked[len(asked)-2].Value != "from input" && asked[len(asked)-3].Value != "from input" {
 		t.Errorf("the value was not read from standard input: %+v", asked[len(asked)-3:])
 	}
 	file := filepath.Join(t.TempDir(), "load.json")
--- a/cmd/mulleinctl/work.go
+++ b/cmd/mulleinctl/work.go
@@ -28,7 +28,7 @@
 func (c *workListCommand) run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Within)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.At+coordinator.ListPath, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.At+coordinator.WritesPath, nil)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -40,8 +40,8 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s: %s", c.At, response.Status)
 	}
-	var list []takeover.Held
-	if err := json.NewDecoder(io.LimitReader(response.Body, rpc.MostBody)).Decode(&list); err != nil {
+	var list []takeover.WriteStatus
+	if err := json.NewDecoder(io.LimitReader(response.Body, rpc.MaxBodyBytes)).Decode(&list); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -50,7 +50,7 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "work\tstate\towner\tnumber\towners\tsince\treceipt")
 	for _, h := range list {
-		fmt.Fprintf(w, "%q\t%s\t%s\t%d\t%d\t%v\t%s\n", h.ID, h.State, h.Owner, h.Number, h.Owners, h.Age.Round(time.Millisecond), h.Receipt)
+		fmt.Fprintf(w, "%q\t%s\t%s\t%d\t%d\t%v\t%s\n", h.ID, h.State, h.Owner, h.Epoch, h.OwnerCount, h.Age.Round(time.Millisecond), h.Receipt)
 	}
 	return w.Flush()
 }
--- a/cmd/mulleinpier/binary_test.go
+++ b/cmd/mulleinpier/binary_test.go
@@ -18,7 +18,7 @@
 // TestClientLibraryOfOthers has a client that was written elsewhere prove who it is, read
 // and write through the daemon, plainly and with the ticket that a read brought.
 func TestClientLibraryOfOthers(t *testing.T) {
-	r := newRig(t, node.Config{Lacks: "none"})
+	r := newRig(t, node.Config{MissingKeyPrefix: "none"})
 	cmd := exec.Command(os.Args[0], "secret", "--user", "till")
 	cmd.Stdin = strings.NewReader("rose\n")
 	cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
--- a/cmd/mulleinpier/catalogue_test.go
+++ b/cmd/mulleinpier/catalogue_test.go
@@ -42,16 +42,16 @@
 	}
 	r.start()
 	r.hear("READY=1")
-	testutil.Until(t, "the check to pass", func() bool { return status() == "passing " })
+	testutil.WaitUntil(t, "the check to pass", func() bool { return status() == "passing " })
 	r.signal(syscall.SIGTERM)
-	testutil.Until(t, "maintenance, as the drain begins", func() bool { return status() == "passing critical " })
+	testutil.WaitUntil(t, "maintenance, as the drain begins", func() bool { return status() == "passing critical " })
 	r.end()
 	if got := status(); got != "gone" {
 		t.Errorf("after its end it is %s", got)
 	}
 	r.start()
 	r.hear("READY=1")
-	testutil.Until(t, "the check to pass again", func() bool { return status() == "passing " })
+	testutil.WaitUntil(t, "the check to pass again", func() bool { return status() == "passing " })
 	r.signal(syscall.SIGKILL)
-	testutil.Until(t, "the TTL to be over", func() bool { return status() == "critical " })
+	testutil.WaitUntil(t, "the TTL to be over", func() bool { return status() == "critical " })
 }
--- a/cmd/mulleinpier/daemon_test.go
+++ b/cmd/mulleinpier/daemon_test.go
@@ -48,7 +48,7 @@
 	for i := range 2 {
 		c := n
 		c.Name, c.Origin, c.Group, c.Slots, c.Queue = fmt.Sprint("n", i), r.center, group, 64, 1024
-		c.Arrived = func(_, id, _ string, _ time.Time) {
+		c.OnRequest = func(_, id, _ string, _ time.Time) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.seen[id]++
@@ -177,7 +177,7 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { socket.Close() })
-	socket.SetDeadline(time.Now().Add(testutil.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Timeout))
 	return &caller{r.t, socket, bufio.NewReader(socket)}
 }
 
@@ -215,7 +215,7 @@
 	r.nodes[1].SetFault(node.Fault{Kind: node.Stall})
 	c := r.call()
 	c.send("mg k v O1 Pc=read,d=20000\r\n")
-	testutil.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
+	testutil.WaitUntil(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
 	r.signal(syscall.SIGTERM)
 	r.hear("STOPPING=1")
 	r.configure("[[tenant]]\nname = \"only\"\n")
@@ -245,7 +245,7 @@
 		r.configure(fmt.Sprintf("[[class]]\nname = \"c%d\"\n", i))
 		r.signal(syscall.SIGHUP)
 	}
-	testutil.Until(t, "the last configuration to be in force", func() bool {
+	testutil.WaitUntil(t, "the last configuration to be in force", func() bool {
 		c := r.call()
 		defer c.socket.Close()
 		c.send("mg k v O1 Pc=c9,d=1000\r\n")
@@ -316,7 +316,7 @@
 	}
 	open := r.call()
 	open.send("mg k v O1 Pc=old,d=30000\r\n")
-	testutil.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
+	testutil.WaitUntil(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
 	r.configure("[[class]]\nname = \"new\"\naim = \"1ms\"\ndeadline = \"1ms\"\n")
 	r.signal(syscall.SIGHUP)
 	r.hear("RELOADING=1")
@@ -335,7 +335,7 @@
 // TestDrainWithAPipelineThatNeverPauses guards against a client that always has
 // commands out: the drain must end, and all that a node has seen be answered.
 func TestDrainWithAPipelineThatNeverPauses(t *testing.T) {
-	r := newRig(t, node.Config{Work: 5 * time.Millisecond})
+	r := newRig(t, node.Config{ServiceTime: 5 * time.Millisecond})
 	r.start()
 	r.hear("READY=1")
 	c := r.call()
@@ -392,7 +392,7 @@
 // TestDrainWithAClientThatNeverReads guards against answers that nobody takes:
 // they must not hold a drain for longer than any answer may take.
 func TestDrainWithAClientThatNeverReads(t *testing.T) {
-	r := newRig(t, node.Config{Value: 60 << 10})
+	r := newRig(t, node.Config{ValueSize: 60 << 10})
 	r.start()
 	r.hear("READY=1")
 	c := r.call()
@@ -404,7 +404,7 @@
 			}
 		}
 	}()
-	testutil.Until(t, "reads to be at the nodes", func() bool { return r.nodes[0].Stats().Requests+r.nodes[1].Stats().Requests > 10 })
+	testutil.WaitUntil(t, "reads to be at the nodes", func() bool { return r.nodes[0].Stats().Requests+r.nodes[1].Stats().Requests > 10 })
 	r.signal(syscall.SIGTERM)
 	r.end()
 }
@@ -493,7 +493,7 @@
 // TestSecondTerminationEndsWithWhatIsOpen guards against a hurried end that drops
 // what was taken, or that still takes more.
 func TestSecondTerminationEndsWithWhatIsOpen(t *testing.T) {
-	r := newRig(t, node.Config{Value: 60 << 10})
+	r := newRig(t, node.Config{ValueSize: 60 << 10})
 	r.configure("[[class]]\nname = \"read\"\ndeadline = \"60s\"\n")
 	r.start()
 	r.hear("READY=1")
@@ -510,7 +510,7 @@
 	}
 	c := r.call()
 	c.send("mg k v O1 Pc=read,d=1500\r\n")
-	testutil.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
+	testutil.WaitUntil(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
 	r.signal(syscall.SIGTERM)
 	r.hear("STOPPING=1")
 	r.signal(syscall.SIGTERM)
@@ -566,7 +566,7 @@
 	}
 	before := r.call()
 	before.send("mg k v O1 Pc=read,d=2000\r\n")
-	testutil.Until(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
+	testutil.WaitUntil(t, "the read to be at a node", func() bool { return r.sawTimes("1") > 0 })
 	old, oldEnded := r.cmd, r.ended
 	r.start()
 	old.Process.Signal(syscall.SIGTERM)
@@ -656,7 +656,7 @@
 		return "", err
 	}
 	defer socket.Close()
-	socket.SetDeadline(time.Now().Add(testutil.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Timeout))
 	fmt.Fprintf(socket, "mg k v O%s Pc=read,d=2000\r\n", id)
 	return bufio.NewReader(socket).ReadString('\n')
 }
@@ -748,7 +748,7 @@
 	serial := 0
 	reach := func(want int) (others int) { // reads until that node was asked for one
 		before := [2]int{r.nodes[0].Stats().Requests, r.nodes[1].Stats().Requests}
-		testutil.Until(t, fmt.Sprintf("a read at node %d", want), func() bool {
+		testutil.WaitUntil(t, fmt.Sprintf("a read at node %d", want), func() bool {
 			c := r.call()
 			defer c.socket.Close()
 			serial++
@@ -761,7 +761,7 @@
 	reach(0)
 	reach(1)
 	replace(t, nodes, both("draining"))
-	testutil.Until(t, "the drain to be heeded", func() bool {
+	testutil.WaitUntil(t, "the drain to be heeded", func() bool {
 		before := r.nodes[0].Stats().Requests
 		for range 20 {
 			reach(1)
--- a/cmd/mulleinpier/end_test.go
+++ b/cmd/mulleinpier/end_test.go
@@ -18,7 +18,7 @@
 // that hang, and clients that send on to the end: each request that was taken has one answer, none of an unsafe class
 // comes to nodes twice, and the program ends well.
 func TestEndAtEachStepOfARequest(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
+	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		kind, _, _ := strings.Cut(a.Key, ":")
 		return scriptednode.Reaction(kind)
 	})
@@ -34,7 +34,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testutil.Patience))
+		c.SetDeadline(time.Now().Add(testutil.Timeout))
 		t.Cleanup(func() { c.Close() })
 		return c, bufio.NewReader(c)
 	}
@@ -53,7 +53,7 @@
 		return strings.TrimSpace(line), err
 	}
 	warm, in := dial()
-	testutil.Until(t, "the nodes to be known", func() bool {
+	testutil.WaitUntil(t, "the nodes to be known", func() bool {
 		fmt.Fprint(warm, request("safe", "serve", fmt.Sprint("w", time.Now().UnixNano())))
 		got, err := answer(in)
 		return err == nil && strings.HasPrefix(got, "VA ")
@@ -65,7 +65,7 @@
 	var waiting, senders sync.WaitGroup
 	hung, answered := 0, make(chan bool, 100)
 	for _, effect := range []string{"safe", "keyed", "unsafe"} {
-		for _, do := range []scriptednode.Reaction{scriptednode.Hang, scriptednode.Slow, scriptednode.Half, scriptednode.Reset, scriptednode.Noise, scriptednode.Busy, scriptednode.Endless} {
+		for _, do := range []scriptednode.Reaction{scriptednode.Hang, scriptednode.Slow, scriptednode.TruncatedAnswer, scriptednode.Reset, scriptednode.Garbage, scriptednode.Busy, scriptednode.EndlessValue} {
 			c, in := dial()
 			id := fmt.Sprintf("%s-%s", effect, do)
 			fmt.Fprint(c, request(effect, string(do), id))
@@ -117,9 +117,9 @@
 			})
 		}
 	}
-	testutil.Until(t, "what hangs to be at nodes", func() bool {
+	testutil.WaitUntil(t, "what hangs to be at nodes", func() bool {
 		n := 0
-		for _, a := range nodes.Asked() {
+		for _, a := range nodes.Requests() {
 			if strings.HasSuffix(a.ID, "-hang") {
 				n++
 			}
@@ -143,7 +143,7 @@
 		t.Errorf("the end took %v, and it is killed after %v", took, due)
 	}
 	times := make(map[string]int)
-	for _, a := range nodes.Asked() {
+	for _, a := range nodes.Requests() {
 		if a.Class == "unsafe" {
 			times[a.ID]++
 		}
@@ -153,5 +153,5 @@
 			t.Errorf("%s came to nodes %d times", id, n)
 		}
 	}
-	t.Logf("ended after %v, %d requests at nodes", took, len(nodes.Asked()))
+	t.Logf("ended after %v, %d requests at nodes", took, len(nodes.Requests()))
 }
--- a/cmd/mulleinpier/held_storm_test.go
+++ b/cmd/mulleinpier/held_storm_test.go
@@ -148,7 +148,7 @@
 		defer close(ended)
 		h.wait()
 	}()
-	testutil.Until(t, "the program's end", func() bool {
+	testutil.WaitUntil(t, "the program's end", func() bool {
 		select {
 		case <-ended:
 			return true
--- a/cmd/mulleinpier/held_test.go
+++ b/cmd/mulleinpier/held_test.go
@@ -39,7 +39,7 @@
 }
 
 func newHeld(t *testing.T) *held {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
+	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if strings.HasPrefix(a.Key, "warm") {
 			return scriptednode.Serve
 		}
@@ -53,7 +53,7 @@
 	_, address, _ := strings.Cut(waitLine(t, lines, "listening"), "address=")
 	h := &held{t: t, process: cmd.Process, wait: cmd.Wait, address: address}
 	warm := h.client()
-	testutil.Until(t, "the nodes to be known", func() bool { return warm.serve() })
+	testutil.WaitUntil(t, "the nodes to be known", func() bool { return warm.serve() })
 	for range 500 { // or gates would shut for what hangs, and all be answered at once
 		warm.serve()
 	}
@@ -66,7 +66,7 @@
 	if err := h.process.Signal(syscall.SIGSTOP); err != nil {
 		h.t.Fatal(err)
 	}
-	testutil.Until(h.t, "the program to stand", func() bool { return faults.Stands(h.process.Pid) })
+	testutil.WaitUntil(h.t, "the program to stand", func() bool { return faults.IsStopped(h.process.Pid) })
 }
 
 func (h *held) resume() {
--- a/cmd/mulleinpier/main.go
+++ b/cmd/mulleinpier/main.go
@@ -103,7 +103,7 @@
 		if o.Getenv("GW_CONFIG") == "" {
 			return fmt.Errorf("%w: no command, and GW_CONFIG is not set", errUsage)
 		}
-		o.Platform, o.Load = true, platform(o.Getenv)
+		o.Platform, o.LoadConfig = true, platform(o.Getenv)
 		return daemon.Run(o)
 	}
 	var c commands
@@ -117,11 +117,11 @@
 		return nil
 	case "platform":
 		load := platform(o.Getenv)
-		o.Platform, o.Load = true, func() (*config.Config, error) {
+		o.Platform, o.LoadConfig = true, func() (*config.Config, error) {
 			read, err := load()
 			if err == nil {
-				read.Proxy.Service.On = c.Platform.Reduce
-				read.Proxy.Counts = c.Platform.Counts
+				read.Proxy.Overload.Enabled = c.Platform.Reduce
+				read.Proxy.LogCounts = c.Platform.Counts
 			}
 			return read, err
 		}
@@ -144,9 +144,9 @@
 		defer pprof.StopCPUProfile()
 	}
 	begun := false
-	o.Load = func() (*config.Config, error) {
+	o.LoadConfig = func() (*config.Config, error) {
 		if begun { // a start is late enough without the wait
-			return config.ReadSettled(file, func() { time.Sleep(settleTime) })
+			return config.ReadStable(file, func() { time.Sleep(settleTime) })
 		}
 		begun = true
 		return config.Read(file)
@@ -162,7 +162,7 @@
 	}
 	var salt [16]byte
 	rand.Read(salt[:])
-	line, err := sasl.Line(user, strings.TrimRight(text, "\r\n"), sasl.Iterations, salt)
+	line, err := sasl.FormatUser(user, strings.TrimRight(text, "\r\n"), sasl.DefaultIterations, salt)
 	if err != nil {
 		return fmt.Errorf("%w: secret: %w", errUsage, err)
 	}
@@ -177,7 +177,7 @@
 	begun := false
 	level, warnings := logLevel(getenv)
 	return func() (*config.Config, error) {
-		c, err := proxy.ReadConfig(func(name string) string {
+		c, err := proxy.ReadPlatformConfig(func(name string) string {
 			if begun && name != "GW_CONFIG" {
 				return ""
 			}
--- a/cmd/mulleinpier/peers_test.go
+++ b/cmd/mulleinpier/peers_test.go
@@ -43,7 +43,7 @@
 func TestNoPermitToBeHad(t *testing.T) {
 	fleet := agent.Fleet{Name: "test"}
 	for i := range 3 {
-		fleet.Voters = append(fleet.Voters, agent.Peer{Name: fmt.Sprint("v", i), Address: nowhere(t)})
+		fleet.Voters = append(fleet.Voters, agent.VoterAddress{Name: fmt.Sprint("v", i), Address: nowhere(t)})
 	}
 	for _, permit := range []string{"go", "wait"} {
 		t.Run(permit, func(t *testing.T) {
@@ -79,15 +79,15 @@
 func TestVotersMoveInMidLease(t *testing.T) {
 	r := newRig(t, node.Config{})
 	memory := filepath.Join(t.TempDir(), "memory")
-	fleet := agent.Fleet{Name: "test", Voters: []agent.Peer{{Name: "v", Address: nowhere(t)}}}
-	if err := agent.Init(memory, &fleet); err != nil {
+	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: nowhere(t)}}}
+	if err := agent.InitVoter(memory, &fleet); err != nil {
 		t.Fatal(err)
 	}
 	r.configure(peersOf("none", "v", fleet, memory))
 	r.start()
 	r.hear("READY=1")
 	c := r.call()
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	client := func() *agent.Client {
 		c, err := agent.NewClient(fleet)
@@ -97,20 +97,20 @@
 		t.Cleanup(c.Close)
 		return c
 	}
-	reply, err := client().Do(ctx, lease.Command{Kind: lease.Take, Task: "x", Holder: "h", Nonce: 1, Length: time.Minute})
-	if err != nil || reply.Number == 0 {
+	reply, err := client().Execute(ctx, lease.Command{Kind: lease.Acquire, Task: "x", Holder: "h", Nonce: 1, Duration: time.Minute})
+	if err != nil || reply.Token == 0 {
 		t.Fatalf("%+v, %v", reply, err)
 	}
-	fleet.Voters = []agent.Peer{{Name: "v", Address: nowhere(t)}}
+	fleet.Voters = []agent.VoterAddress{{Name: "v", Address: nowhere(t)}}
 	r.configure(peersOf("none", "v", fleet, memory))
 	r.signal(syscall.SIGHUP)
 	waitLine(t, r.lines, "reloaded")
-	testutil.Until(t, "the voter at its new address", func() bool {
-		s, err := client().State(ctx)
-		return err == nil && s.Leads && s.Book.Tasks["x"] != nil && len(s.Book.Tasks["x"].Held) == 1 && s.Book.Tasks["x"].Held[0].Number == reply.Number
+	testutil.WaitUntil(t, "the voter at its new address", func() bool {
+		s, err := client().LeaderState(ctx)
+		return err == nil && s.IsLeader && s.StateMachine.Tasks["x"] != nil && len(s.StateMachine.Tasks["x"].Grants) == 1 && s.StateMachine.Tasks["x"].Grants[0].Token == reply.Token
 	})
-	next, err := client().Do(ctx, lease.Command{Kind: lease.Take, Task: "y", Holder: "h", Nonce: 2, Length: time.Minute})
-	if err != nil || next.Number <= reply.Number {
+	next, err := client().Execute(ctx, lease.Command{Kind: lease.Acquire, Task: "y", Holder: "h", Nonce: 2, Duration: time.Minute})
+	if err != nil || next.Token <= reply.Token {
 		t.Errorf("%+v after %+v, %v", next, reply, err)
 	}
 	c.send("mg a v O0 Pc=read\r\n") // over the connection of before
@@ -125,8 +125,8 @@
 	r := newRig(t, node.Config{})
 	v := newRig(t, node.Config{})
 	memory := filepath.Join(t.TempDir(), "memory")
-	fleet := agent.Fleet{Name: "test", Voters: []agent.Peer{{Name: "v", Address: nowhere(t)}}}
-	if err := agent.Init(memory, &fleet); err != nil {
+	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: nowhere(t)}}}
+	if err := agent.InitVoter(memory, &fleet); err != nil {
 		t.Fatal(err)
 	}
 	v.configure(peersOf("none", "v", fleet, memory))
@@ -147,9 +147,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	testutil.Until(t, "the permit to be free", func() bool {
-		s, err := c.State(context.Background())
-		return err == nil && s.Book.Last == 3 && len(s.Book.Tasks[lease.PermitTask].Held) == 0
+	testutil.WaitUntil(t, "the permit to be free", func() bool {
+		s, err := c.LeaderState(context.Background())
+		return err == nil && s.StateMachine.LastToken == 3 && len(s.StateMachine.Tasks[lease.PermitTask].Grants) == 0
 	})
 	r.signal(syscall.SIGTERM)
 	r.end()
--- a/cmd/mulleinpier/still_test.go
+++ b/cmd/mulleinpier/still_test.go
@@ -31,7 +31,7 @@
 	r.t.Helper()
 	r.signal(syscall.SIGSTOP)
 	r.t.Cleanup(func() { r.signalAny(syscall.SIGCONT) })
-	testutil.Until(r.t, "the daemon to stand", func() bool { return faults.Stands(r.cmd.Process.Pid) })
+	testutil.WaitUntil(r.t, "the daemon to stand", func() bool { return faults.IsStopped(r.cmd.Process.Pid) })
 }
 
 // signalAny is signal for a process that may have ended.
@@ -158,7 +158,7 @@
 		change = append(change, endpointlist.Entry{Name: fmt.Sprint("filler", i), Address: "127.0.0.1:1", Status: "draining", Weight: 1})
 	}
 	service.Set(change...)
-	testutil.Until(t, "the drain to be told", func() bool { _, told := service.DrainTold(0, r.nodes[1].Name()); return told })
+	testutil.WaitUntil(t, "the drain to be told", func() bool { _, told := service.DrainNotifiedAt(0, r.nodes[1].Name()); return told })
 	time.Sleep(long)
 	before := r.nodes[1].Stats().Requests
 	for i, c := range waiting {
@@ -205,7 +205,7 @@
 			c.expect("VA ")
 		}
 	}
-	if err := link.Set(faults.Faults["back"](0)); err != nil {
+	if err := link.SetFault(faults.LinkFaults["back"](0)); err != nil {
 		t.Fatal(err)
 	}
 	r.stop()
--- a/cmd/mulleinpier/takeover_test.go
+++ b/cmd/mulleinpier/takeover_test.go
@@ -24,8 +24,8 @@
 	t.Helper()
 	v := newRig(t, node.Config{})
 	memory := filepath.Join(t.TempDir(), "memory")
-	fleet := agent.Fleet{Name: "test", Voters: []agent.Peer{{Name: "v", Address: nowhere(t)}}}
-	if err := agent.Init(memory, &fleet); err != nil {
+	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: nowhere(t)}}}
+	if err := agent.InitVoter(memory, &fleet); err != nil {
 		t.Fatal(err)
 	}
 	v.configure("name = \"v\"\n" + peersOf("none", "v", fleet, memory))
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	testutil.Until(t, "all to live", func() bool {
+	testutil.WaitUntil(t, "all to live", func() bool {
 		list, _ := c.Members(context.Background())
 		n := 0
 		for _, m := range list {
@@ -64,7 +64,7 @@
 func (r *rig) handover(id, k, value, more string) (answer string) {
 	r.t.Helper()
 	tries := 0
-	testutil.Until(r.t, "handover "+id+" to be taken", func() bool {
+	testutil.WaitUntil(r.t, "handover "+id+" to be taken", func() bool {
 		tries++
 		c := r.call()
 		defer c.socket.Close()
@@ -85,13 +85,13 @@
 	if !strings.HasPrefix(first, "HD ") {
 		t.Fatalf("answered %q", first)
 	}
-	testutil.Until(t, "the other to know what came of it", func() bool {
-		answer, err := http.Get("http://" + at[1] + coordinator.ListPath)
+	testutil.WaitUntil(t, "the other to know what came of it", func() bool {
+		answer, err := http.Get("http://" + at[1] + coordinator.WritesPath)
 		if err != nil {
 			return false
 		}
 		defer answer.Body.Close()
-		var list []takeover.Held
+		var list []takeover.WriteStatus
 		return json.NewDecoder(answer.Body).Decode(&list) == nil && len(list) == 1 && list[0].State == "served"
 	})
 	a.signal(syscall.SIGKILL)
@@ -105,7 +105,7 @@
 	if other := b.handover("x", "k1", "w", ""); strings.HasPrefix(other, "HD ") {
 		t.Errorf("another value under the key: %q", other)
 	}
-	if s := b.center.Stats(); s.Effects != 1 || s.Doubled != 0 {
+	if s := b.center.Stats(); s.Effects != 1 || s.Duplicates != 0 {
 		t.Errorf("%+v: want one effect", s)
 	}
 	b.signal(syscall.SIGTERM)
@@ -125,7 +125,7 @@
 	}
 	c := a.call()
 	c.send("ms order 1 Olost Pc=write,k=k1,d=5000\r\nv\r\n")
-	testutil.Until(t, "it to be at a node", func() bool { return a.sawTimes("lost") > 0 })
+	testutil.WaitUntil(t, "it to be at a node", func() bool { return a.sawTimes("lost") > 0 })
 	a.signal(syscall.SIGKILL)
 	<-a.ended
 	for _, n := range a.nodes {
@@ -135,7 +135,7 @@
 	if got := b.handover("again", "k1", "v", ",r=1"); !strings.HasPrefix(got, "HD ") {
 		t.Errorf("answered %q", got)
 	}
-	if s := b.center.Stats(); s.Effects != 2 || s.Doubled != 0 {
+	if s := b.center.Stats(); s.Effects != 2 || s.Duplicates != 0 {
 		t.Errorf("%+v: want two effects", s)
 	}
 	b.signal(syscall.SIGTERM)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -41,16 +41,16 @@
 			case item.Start != nil:
 				b, err := start(item.Start)
 				if err != nil {
-					reply.Fault(item.Instance, err.Error())
+					reply.AddFailure(item.Instance, err.Error())
 					continue
 				}
 				instances[item.Instance] = b
 			case instances[item.Instance] != nil:
 				actions = instances[item.Instance].Handle(batch.Now, item.Event, actions[:0])
-				reply.Add(item.Instance, actions)
+				reply.AddActions(item.Instance, actions)
 			}
 		}
-		if _, err := out.Write(reply.Finish(batch.Seq)); err != nil {
+		if _, err := out.Write(reply.Finish(batch.Sequence)); err != nil {
 			return err
 		}
 	}
--- a/internal/binary/binary.go
+++ b/internal/binary/binary.go
@@ -5,7 +5,7 @@
 //
 // Invariants:
 //
-//  1. No length of a header is believed before [Header.Check] has: it tells how much may
+//  1. No length of a header is believed before [Header.Validate] has: it tells how much may
 //     be read, and how much has to be skipped to keep the framing.
 //  2. Every opcode has a [Fate]; one that is not known is skipped as a whole.
 //  3. What Append makes, Parse reads as the same.
@@ -25,9 +25,9 @@
 	maxExtras = 20
 	// MaxBody is the longest body that can be meant.
 	MaxBody = maxExtras + MaxKey + MaxValue
-	// MaxSkip is the longest body that is passed over to keep the framing. A header
+	// MaxSkippedBody is the longest body that is passed over to keep the framing. A header
 	// that promises more ends its connection: no client of ours has so much to say.
-	MaxSkip = 1 << 20
+	MaxSkippedBody = 1 << 20
 )
 
 // The first bytes of requests and responses.
@@ -81,43 +81,43 @@
 
 // The statuses that are used.
 const (
-	OK             Status = 0x0000
-	NotFound       Status = 0x0001
-	Exists         Status = 0x0002
-	TooLarge       Status = 0x0003
-	Invalid        Status = 0x0004
-	AuthError      Status = 0x0020
-	AuthContinue   Status = 0x0021
-	UnknownCommand Status = 0x0081
-	OutOfMemory    Status = 0x0082
-	NotSupported   Status = 0x0083
-	Internal       Status = 0x0084
-	Busy           Status = 0x0085
+	OK               Status = 0x0000
+	NotFound         Status = 0x0001
+	Exists           Status = 0x0002
+	TooLarge         Status = 0x0003
+	InvalidArguments Status = 0x0004
+	AuthError        Status = 0x0020
+	AuthContinue     Status = 0x0021
+	UnknownCommand   Status = 0x0081
+	OutOfMemory      Status = 0x0082
+	NotSupported     Status = 0x0083
+	InternalError    Status = 0x0084
+	Busy             Status = 0x0085
 )
 
 var statusTexts = map[Status]string{NotFound: "Not found", Exists: "Data exists for key", TooLarge: "Too large",
-	Invalid: "Invalid arguments", AuthError: "Auth failure", AuthContinue: "Continue", UnknownCommand: "Unknown command",
-	OutOfMemory: "Out of memory", NotSupported: "Not supported", Internal: "Internal error", Busy: "Busy"}
+	InvalidArguments: "Invalid arguments", AuthError: "Auth failure", AuthContinue: "Continue", UnknownCommand: "Unknown command",
+	OutOfMemory: "Out of memory", NotSupported: "Not supported", InternalError: "Internal error", Busy: "Busy"}
 
 // String is the text that a response with the status has for a value.
 func (s Status) String() string { return statusTexts[s] }
 
-// Fate is what becomes of a command at a proxy.
-type Fate uint8
+// Handling is what becomes of a command at a proxy.
+type Handling uint8
 
 // The fates. Unsupported commands need what a read-through node can't carry out under
 // the rules: a condition on what is stored, or a change of it that has no key to
 // drop its repeats by.
 const (
-	Unknown     Fate = iota // no such command
-	Unsupported             // known, and never sent on
-	Served                  // a request of a node's
-	Own                     // answered by the proxy itself
+	Unknown     Handling = iota // no such command
+	Unsupported                 // known, and never sent on
+	Forwarded                   // a request of a node's
+	Local                       // answered by the proxy itself
 )
 
 // form is what a command's header must look like.
 type form struct {
-	fate       Fate
+	fate       Handling
 	quiet      bool // a success (of a get: a miss) is not told
 	extras     int
 	optional   bool // extras may be left out
@@ -126,11 +126,11 @@
 }
 
 var forms = map[Opcode]form{
-	Get:  {fate: Served, key: true},
-	GetQ: {fate: Served, key: true, quiet: true}, GetK: {fate: Served, key: true}, GetKQ: {fate: Served, key: true, quiet: true},
-	Set: {fate: Served, extras: 8, key: true, value: true}, SetQ: {fate: Served, extras: 8, key: true, value: true, quiet: true},
-	Noop: {fate: Own}, Version: {fate: Own}, Quit: {fate: Own}, QuitQ: {fate: Own, quiet: true}, Stat: {fate: Own, either: true},
-	SASLList: {fate: Own}, SASLAuth: {fate: Own, key: true, value: true}, SASLStep: {fate: Own, key: true, value: true},
+	Get:  {fate: Forwarded, key: true},
+	GetQ: {fate: Forwarded, key: true, quiet: true}, GetK: {fate: Forwarded, key: true}, GetKQ: {fate: Forwarded, key: true, quiet: true},
+	Set: {fate: Forwarded, extras: 8, key: true, value: true}, SetQ: {fate: Forwarded, extras: 8, key: true, value: true, quiet: true},
+	Noop: {fate: Local}, Version: {fate: Local}, Quit: {fate: Local}, QuitQ: {fate: Local, quiet: true}, Stat: {fate: Local, either: true},
+	SASLList: {fate: Local}, SASLAuth: {fate: Local, key: true, value: true}, SASLStep: {fate: Local, key: true, value: true},
 	Add: {fate: Unsupported, extras: 8, key: true, value: true}, AddQ: {fate: Unsupported, extras: 8, key: true, value: true, quiet: true},
 	Replace: {fate: Unsupported, extras: 8, key: true, value: true}, ReplaceQ: {fate: Unsupported, extras: 8, key: true, value: true, quiet: true},
 	Delete: {fate: Unsupported, key: true}, DeleteQ: {fate: Unsupported, key: true, quiet: true},
@@ -142,66 +142,66 @@
 	Touch: {fate: Unsupported, extras: 4, key: true}, GAT: {fate: Unsupported, extras: 4, key: true}, GATQ: {fate: Unsupported, extras: 4, key: true, quiet: true},
 }
 
-// Fate returns what becomes of a command.
-func (o Opcode) Fate() Fate { return forms[o].fate }
+// Handling returns what becomes of a command.
+func (o Opcode) Handling() Handling { return forms[o].fate }
 
 // Quiet tells whether a command's success is left unsaid.
 func (o Opcode) Quiet() bool { return forms[o].quiet }
 
-// NamesKey tells whether the answer to a get holds its key.
-func (o Opcode) NamesKey() bool { return o == GetK || o == GetKQ }
+// ReturnsKey tells whether the answer to a get holds its key.
+func (o Opcode) ReturnsKey() bool { return o == GetK || o == GetKQ }
 
 // Header is the head of a request or a response.
 type Header struct {
-	Opcode   Opcode
-	Key      int // bytes
-	Extras   int
-	DataType uint8
-	Status   Status // of a response; a request's vbucket
-	Body     int    // bytes of extras, key and value together
-	Opaque   uint32 // goes back as it came
-	CAS      uint64
+	Opcode    Opcode
+	KeyLen    int // bytes
+	ExtrasLen int
+	DataType  uint8
+	Status    Status // of a response; a request's vbucket
+	BodyLen   int    // bytes of extras, key and value together
+	Opaque    uint32 // goes back as it came
+	CAS       uint64
 }
 
 // Errors of what is no header at all. The connection can't be read on after them.
 var (
-	ErrMagic  = errors.New("binary: not the first byte of a header")
-	ErrLength = errors.New("binary: a length that cannot be")
+	ErrBadMagic  = errors.New("binary: not the first byte of a header")
+	ErrBadLength = errors.New("binary: a length that cannot be")
 )
 
-// Parse reads the HeaderLen bytes of a header that begins with magic. With ErrLength
+// ParseHeader reads the HeaderLen bytes of a header that begins with magic. With ErrLength
 // the header is returned too, as its sender can be told.
-func Parse(b []byte, magic byte) (Header, error) {
+func ParseHeader(b []byte, magic byte) (Header, error) {
 	if len(b) < HeaderLen || b[0] != magic {
-		return Header{}, ErrMagic
+		return Header{}, ErrBadMagic
 	}
 	body := binary.BigEndian.Uint32(b[8:])
-	h := Header{Opcode: Opcode(b[1]), Key: int(binary.BigEndian.Uint16(b[2:])), Extras: int(b[4]), DataType: b[5],
+	h := Header{Opcode: Opcode(b[1]), KeyLen: int(binary.BigEndian.Uint16(b[2:])), ExtrasLen: int(b[4]), DataType: b[5],
 		Status: Status(binary.BigEndian.Uint16(b[6:])), Opaque: binary.BigEndian.Uint32(b[12:]), CAS: binary.BigEndian.Uint64(b[16:])}
-	h.Body = int(body)
-	if int64(body) > MaxSkip || h.Key+h.Extras > int(body) {
-		return h, ErrLength
+	h.BodyLen = int(body)
+	if int64(body) > MaxSkippedBody || h.KeyLen+h.ExtrasLen > int(body) {
+		return h, ErrBadLength
 	}
 	return h, nil
 }
 
-// Value is the length of a value in bytes.
-func (h *Header) Value() int { return h.Body - h.Key - h.Extras }
+// ValueLen is the length of a value in bytes.
+func (h *Header) ValueLen() int { return h.BodyLen - h.KeyLen - h.ExtrasLen }
 
-// Check tells whether a request can be what its opcode stands for: OK, or the status of
+// Validate tells whether a request can be what its opcode stands for: OK, or the status of
 // its answer. Its body is then to be skipped.
-func (h *Header) Check() Status {
+func (h *Header) Validate() Status {
 	f, known := forms[h.Opcode]
 	switch {
 	case !known:
 		return UnknownCommand
-	case h.Value() > MaxValue:
+	case h.ValueLen() > MaxValue:
 		return TooLarge
-	case h.DataType != 0, h.Key > MaxKey, h.Extras != f.extras && (!f.optional || h.Extras != 0):
-		return Invalid
+	case h.DataType != 0, h.KeyLen > MaxKey, h.ExtrasLen != f.extras && (!f.optional || h.ExtrasLen != 0):
+		return InvalidArguments
 	case f.either:
-	case (h.Key > 0) != f.key, h.Value() > 0 && !f.value:
-		return Invalid
+	case (h.KeyLen > 0) != f.key, h.ValueLen() > 0 && !f.value:
+		return InvalidArguments
 	}
 	if f.fate == Unsupported {
 		return NotSupported
@@ -212,10 +212,10 @@
 // Append appends the header with the magic of a request or a response.
 func (h *Header) Append(dst []byte, magic byte) []byte {
 	dst = append(dst, magic, byte(h.Opcode))
-	dst = binary.BigEndian.AppendUint16(dst, uint16(h.Key))
-	dst = append(dst, byte(h.Extras), h.DataType)
+	dst = binary.BigEndian.AppendUint16(dst, uint16(h.KeyLen))
+	dst = append(dst, byte(h.ExtrasLen), h.DataType)
 	dst = binary.BigEndian.AppendUint16(dst, uint16(h.Status))
-	dst = binary.BigEndian.AppendUint32(dst, uint32(h.Body))
+	dst = binary.BigEndian.AppendUint32(dst, uint32(h.BodyLen))
 	dst = binary.BigEndian.AppendUint32(dst, h.Opaque)
 	return binary.BigEndian.AppendUint64(dst, h.CAS)
 }
@@ -227,6 +227,6 @@
 	if status == Busy && advice > 0 {
 		text += " " + strconv.FormatInt(advice, 10)
 	}
-	h := Header{Opcode: to.Opcode, Status: status, Body: len(text), Opaque: to.Opaque}
+	h := Header{Opcode: to.Opcode, Status: status, BodyLen: len(text), Opaque: to.Opaque}
 	return append(h.Append(dst, ResponseMagic), text...)
 }
--- a/internal/bloom/bloom.go
+++ b/internal/bloom/bloom.go
@@ -16,8 +16,8 @@
 	hashes = 4    // W: near the best for some hundred live keys in F bits
 )
 
-// Record is a Bloom record of keys served, in two generations.
-type Record struct {
+// Filter is a Bloom record of keys served, in two generations.
+type Filter struct {
 	words [2][bits / 64]uint64
 	live  [2]float64 // D: keys added to each generation
 	now   int        // generation that takes new keys
@@ -26,8 +26,8 @@
 // Positions are a key's places in every record.
 type Positions [hashes]uint32
 
-// Has tells whether the record names a key.
-func (c *Record) Has(p *Positions) bool {
+// Contains tells whether the record names a key.
+func (c *Filter) Contains(p *Positions) bool {
 	for g := range c.words {
 		found := true
 		for _, x := range p {
@@ -41,7 +41,7 @@
 }
 
 // Add enters a key.
-func (c *Record) Add(p *Positions) {
+func (c *Filter) Add(p *Positions) {
 	fresh := false
 	for _, x := range p {
 		word, bit := &c.words[c.now][x/64], uint64(1)<<(x%64)
@@ -53,20 +53,20 @@
 	}
 }
 
-// Turn empties the older generation, which takes the new keys from now on.
-func (c *Record) Turn() {
+// Rotate empties the older generation, which takes the new keys from now on.
+func (c *Filter) Rotate() {
 	c.now = 1 - c.now
 	c.words[c.now], c.live[c.now] = [bits / 64]uint64{}, 0
 }
 
-// FalseHit is Fp = (1 - e^(-WD/F))^W of the live keys.
-func (c *Record) FalseHit() float64 {
+// FalsePositiveRate is Fp = (1 - e^(-WD/F))^W of the live keys.
+func (c *Filter) FalsePositiveRate() float64 {
 	d := max(c.live[0], c.live[1])
 	return math.Pow(1-math.Exp(-hashes*d/bits), hashes)
 }
 
-// Places returns the positions of a key with this hash.
-func Places(hash uint64) (p Positions) {
+// PositionsOf returns the positions of a key with this hash.
+func PositionsOf(hash uint64) (p Positions) {
 	for i := range p {
 		p[i] = uint32(Mix(hash+uint64(i)*0x9e3779b97f4a7c15) % bits)
 	}
@@ -89,5 +89,5 @@
 	return x ^ x>>31
 }
 
-// Unit is a number as a share, above 0 and below 1.
-func Unit(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
+// UnitInterval is a number as a share, above 0 and below 1.
+func UnitInterval(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
--- a/internal/bloom/bloom_test.go
+++ b/internal/bloom/bloom_test.go
@@ -6,33 +6,33 @@
 )
 
 func TestRecordForgetsInTwoTurns(t *testing.T) {
-	var c Record
-	p := Places(Hash("k"))
+	var c Filter
+	p := PositionsOf(Hash("k"))
 	c.Add(&p)
-	c.Turn()
-	if !c.Has(&p) {
+	c.Rotate()
+	if !c.Contains(&p) {
 		t.Fatal("forgotten after one turn")
 	}
-	c.Turn()
-	if c.Has(&p) || c.FalseHit() != 0 {
+	c.Rotate()
+	if c.Contains(&p) || c.FalsePositiveRate() != 0 {
 		t.Fatal("kept after two turns")
 	}
 }
 
 func TestFalseHitIsAboutWhatIsSeen(t *testing.T) {
-	var c Record
+	var c Filter
 	for i := range 600 {
-		p := Places(Hash(fmt.Sprint("in", i)))
+		p := PositionsOf(Hash(fmt.Sprint("in", i)))
 		c.Add(&p)
 	}
 	wrong := 0
 	for i := range 4000 {
-		p := Places(Hash(fmt.Sprint("out", i)))
-		if c.Has(&p) {
+		p := PositionsOf(Hash(fmt.Sprint("out", i)))
+		if c.Contains(&p) {
 			wrong++
 		}
 	}
-	if seen, said := float64(wrong)/4000, c.FalseHit(); said < seen/2 || said > 2*seen+0.01 {
+	if seen, said := float64(wrong)/4000, c.FalsePositiveRate(); said < seen/2 || said > 2*seen+0.01 {
 		t.Errorf("false hits %.3f, the record says %.3f", seen, said)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Ahead returns by how much CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC: the time that the machine
+// TotalSleep returns by how much CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC: the time that the machine
 // has slept. Where either can't be read it is zero, as if it never slept. Between the two readings the
 // process may be put off its core; then it seems less, by as much, for this once, and never more.
-func Ahead() time.Duration {
+func TotalSleep() time.Duration {
 	var boot, mono unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono) != nil {
 		return 0
@@ -19,17 +19,17 @@
 	return time.Duration(boot.Nano() - mono.Nano())
 }
 
-// Sleeping is Ahead of a machine that seems to sleep for a time once, so long after now, and whose clock that counts
+// SimulatedSleep is Ahead of a machine that seems to sleep for a time once, so long after now, and whose clock that counts
 // sleep runs off the monotonic one by a part of it, drift. It is for rehearsals: the monotonic clock of a real one
 // stands meanwhile, and so do all timers.
-func Sleeping(at, d time.Duration, drift float64) func() time.Duration {
+func SimulatedSleep(at, d time.Duration, drift float64) func() time.Duration {
 	begun := time.Now()
 	return func() time.Duration {
 		since := time.Since(begun)
 		off := time.Duration(drift * float64(since))
 		if since < at || d == 0 {
-			return Ahead() + off
+			return TotalSleep() + off
 		}
-		return Ahead() + off + d
+		return TotalSleep() + off + d
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,11 +34,11 @@
 
 // Config is all that the daemon is told.
 type Config struct {
-	Proxy    *proxy.Config
-	Register *consul.Registration // in Consul's catalogue; nil for none
-	Log      Log
-	Start    Start
-	Peers    *Peers // nil where instances don't know each other
+	Proxy        *proxy.Config
+	Registration *consul.Registration // in Consul's catalogue; nil for none
+	Log          Log
+	Startup      Startup
+	Peers        *Peers // nil where instances don't know each other
 	// Warnings are logged once the daemon listens.
 	Warnings []string
 }
@@ -49,29 +49,29 @@
 
 // Peers are the voters of the fleet's leases, and this one's part among them.
 type Peers struct {
-	Fleet  agent.Fleet
-	Name   string // of this voter, "" for none
-	Memory string // path of what it must remember
-	Permit Permit
+	Fleet     agent.Fleet
+	VoterName string // of this voter, "" for none
+	StatePath string // path of what it must remember
+	Permit    Permit
 	// Listen is where other proxies bring works in hand, "" for where none do.
-	Listen    string
-	Advertise string // as others find it
-	Takeover  Takeover
-	Ahead     func() time.Duration // how far the clock that counts sleep is ahead, in rehearsals; nil for the machine's
+	Listen        string
+	Advertise     string // as others find it
+	Takeover      Takeover
+	SuspendedTime func() time.Duration // how far the clock that counts sleep is ahead, in rehearsals; nil for the machine's
 }
 
 // Takeover says how keyed writes survive the loss of this proxy.
 type Takeover struct {
-	On      bool
-	Holders int  // other proxies that hold one
-	Strict  bool // refused where none can; else they go out as without
+	Enabled  bool
+	Replicas int  // other proxies that hold one
+	Strict   bool // refused where none can; else they go out as without
 }
 
 // Permit says whether this process asks the fleet before it drains or reloads.
 type Permit struct {
-	Asked  bool
-	Wait   time.Duration // for a permit
-	Insist bool          // on one after that too; else it goes on without
+	Enabled  bool
+	Timeout  time.Duration // for a permit
+	Required bool          // on one after that too; else it goes on without
 }
 
 // Log says what is logged and how.
@@ -80,10 +80,10 @@
 	JSON  bool
 }
 
-// Start says how patient a start is.
-type Start struct {
-	Nodes   time.Duration // for the list of nodes, before it is ready without
-	Address time.Duration // for another process to leave the address
+// Startup says how patient a start is.
+type Startup struct {
+	EndpointListTimeout time.Duration // for the list of nodes, before it is ready without
+	BindTimeout         time.Duration // for another process to leave the address
 }
 
 // Bounds of figures.
@@ -107,11 +107,11 @@
 // mostLooks bounds the looks at a file that keeps changing.
 const mostLooks = 20
 
-// ReadSettled is Read for a file that may be being written at this moment: half of
+// ReadStable is Read for a file that may be being written at this moment: half of
 // it may well read as a whole file that says less. So the text is taken once two
 // looks in a row have found the same; pause is the wait between them. A file that
 // can't be opened is an error at once, as Read's is.
-func ReadSettled(path string, pause func()) (*Config, error) {
+func ReadStable(path string, pause func()) (*Config, error) {
 	last, err := load(path)
 	for range mostLooks {
 		if err != nil {
@@ -136,18 +136,18 @@
 	c := &Config{Proxy: &proxy.Config{}}
 	p := c.Proxy
 	p.Seed = rand.Uint64()
-	p.Infer, p.Membership = true, membership.Usual
+	p.ReconcileLists, p.Membership = true, membership.DefaultLimits
 	p.Name = top.text("name", defaultName, printable)
 	p.Listen = top.text("listen", "", isAddress)
 	if !top.has("listen") {
 		d.add("listen", "is missing: want HOST:PORT")
 	}
 	set := &p.Policy
-	*set = policy.Settings{Proxies: 1, Origin: -1, OverShare: 0.2, Reports: policy.ReportAnswers, Tick: 5 * time.Millisecond}
+	*set = policy.Settings{ProxyCount: 1, OriginKind: -1, OverQuotaFactor: 0.2, LoadReports: policy.LoadReportInResponse, EventInterval: 5 * time.Millisecond}
 	set.Zones = top.texts("zones", []string{}, printable)
-	set.Kinds = top.texts("types", []string{}, printable)
+	set.MachineKinds = top.texts("types", []string{}, printable)
 	unique(d, "zones", set.Zones)
-	unique(d, "types", set.Kinds)
+	unique(d, "types", set.MachineKinds)
 	if zone := top.text("zone", "", anything); zone != "" {
 		if set.Zone = slices.Index(set.Zones, zone); set.Zone < 0 {
 			d.add("zone", "cannot be %q: want one of zones %q", zone, set.Zones)
@@ -161,37 +161,37 @@
 
 	l := top.table("limits")
 	p.Cores = l.number("cores", 1, 0.01, 1024)
-	p.Memory = l.whole("memory_mb", 64, proxy.LeastMemory>>20, mostMemory) << 20
-	p.Sockets = l.whole("sockets", 1024, proxy.LeastSockets, 1<<20)
-	bounds := proxy.Bounds{
-		Connect:  l.duration("connect_timeout", 200*time.Millisecond, time.Millisecond, time.Minute),
-		ConnIdle: l.duration("connection_idle", 15*time.Second, 10*time.Millisecond, longest),
-		Streams:  l.whole("streams", 128, 1, 1<<16),
-		PerNode:  l.whole("connections_per_node", 4, 1, 1<<16),
-		MostHeld: l.whole("held", 1000, 1, mostHeld),
+	p.MemoryBytes = l.whole("memory_mb", 64, proxy.MinMemoryBytes>>20, mostMemory) << 20
+	p.MaxDescriptors = l.whole("sockets", 1024, proxy.MinDescriptors, 1<<20)
+	bounds := proxy.ResourceLimits{
+		ConnectTimeout:       l.duration("connect_timeout", 200*time.Millisecond, time.Millisecond, time.Minute),
+		NodeIdleTimeout:      l.duration("connection_idle", 15*time.Second, 10*time.Millisecond, longest),
+		StreamsPerConnection: l.whole("streams", 128, 1, 1<<16),
+		ConnectionsPerNode:   l.whole("connections_per_node", 4, 1, 1<<16),
+		MaxInFlight:          l.whole("held", 1000, 1, mostHeld),
 	}
 	set.Limits = policy.Limits{
 		MaxAttempts:   l.whole("attempts", 4, 1, 16),
-		Duplicates:    l.yes("second_copies", true),
-		Cancel:        true,
+		AllowHedging:  l.yes("second_copies", true),
+		AllowCancel:   true,
 		MaxRetryAfter: l.duration("retry_after", 1200*time.Millisecond, 0, time.Minute),
 	}
 	l.end()
 
 	r := top.table("rules")
 	set.Rules = policy.Rules{
-		DrainGrace:   r.duration("drain_grace", 500*time.Millisecond, 0, time.Minute),
-		AnswerSlack:  r.duration("answer_slack", 20*time.Millisecond, 0, time.Minute),
-		ColdShare:    r.number("cold_share", 0.3, 0.01, 1),
-		ColdRamp:     r.duration("cold_ramp", 8600*time.Millisecond, 0, longest),
-		FallMultiple: r.number("fall_multiple", 3, 1, 100),
-		FallTime:     r.duration("fall_time", 2*time.Second, 0, longest),
-		AskWithin:    10 * time.Second,
+		DrainGrace:       r.duration("drain_grace", 500*time.Millisecond, 0, time.Minute),
+		ResponseGrace:    r.duration("answer_slack", 20*time.Millisecond, 0, time.Minute),
+		SlowStartShare:   r.number("cold_share", 0.3, 0.01, 1),
+		SlowStartWindow:  r.duration("cold_ramp", 8600*time.Millisecond, 0, longest),
+		OverloadMultiple: r.number("fall_multiple", 3, 1, 100),
+		OverloadWindow:   r.duration("fall_time", 2*time.Second, 0, longest),
+		MaxPollInterval:  10 * time.Second,
 	}
 	r.end()
-	reduced(top.table("service"), &p.Service)
+	reduced(top.table("service"), &p.Overload)
 	r = top.table("prices")
-	set.Prices = policy.Prices{Origin: r.number("origin", 0.15, 0, 10), CrossZone: r.number("cross_zone", 0.02, 0, 10)}
+	set.Costs = policy.Costs{OriginFetch: r.number("origin", 0.15, 0, 10), CrossZone: r.number("cross_zone", 0.02, 0, 10)}
 	r.end()
 
 	g := top.table("log")
@@ -202,17 +202,17 @@
 	}
 	g.end()
 	g = top.table("start")
-	c.Start.Nodes = g.duration("wait_for_nodes", 5*time.Second, 0, time.Minute)
-	c.Start.Address = g.duration("wait_for_address", 0, 0, time.Minute)
+	c.Startup.EndpointListTimeout = g.duration("wait_for_nodes", 5*time.Second, 0, time.Minute)
+	c.Startup.BindTimeout = g.duration("wait_for_address", 0, 0, time.Minute)
 	g.end()
 	c.peers(top, filepath.Dir(path))
-	p.Ahead = clock.Ahead
+	p.TotalSleep = clock.TotalSleep
 	if top.has("test") { // for rehearsals
 		t := top.table("test")
 		at, d := t.duration("sleep_at", 0, 0, longest), t.duration("sleep_for", 0, 0, longest)
-		p.Ahead = clock.Sleeping(at, d, t.number("drift", 0, -0.5, 0.5))
+		p.TotalSleep = clock.SimulatedSleep(at, d, t.number("drift", 0, -0.5, 0.5))
 		if c.Peers != nil {
-			c.Peers.Ahead = p.Ahead
+			c.Peers.SuspendedTime = p.TotalSleep
 		}
 		t.end()
 	}
@@ -221,23 +221,23 @@
 	if err := d.err(); err != nil {
 		return nil, err
 	}
-	if err := p.Share(bounds); err != nil {
+	if err := p.AllocateResources(bounds); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
 }
 
 // reduced reads how service is reduced.
-func reduced(t *table, c *core.ServiceConfig) {
-	c.On = t.yes("reduce", true)
-	c.Limits = overload.Usual
-	c.Limits.Confirm = t.duration("confirm", c.Limits.Confirm, 0, time.Minute)
-	c.Limits.Stay = t.duration("stay", c.Limits.Stay, time.Second, longest)
-	c.Limits.MostStay = t.duration("most_stay", c.Limits.MostStay, time.Second, longest)
-	if c.Limits.MostStay < c.Limits.Stay {
-		t.d.add(t.key("most_stay"), "cannot be %v: want no less than stay, %v", c.Limits.MostStay, c.Limits.Stay)
-	}
-	pin := t.text("pin", "", oneOf(overload.Names()...))
+func reduced(t *table, c *core.OverloadConfig) {
+	c.Enabled = t.yes("reduce", true)
+	c.Limits = overload.DefaultTimings
+	c.Limits.ConfirmFor = t.duration("confirm", c.Limits.ConfirmFor, 0, time.Minute)
+	c.Limits.MinStay = t.duration("stay", c.Limits.MinStay, time.Second, longest)
+	c.Limits.MaxStay = t.duration("most_stay", c.Limits.MaxStay, time.Second, longest)
+	if c.Limits.MaxStay < c.Limits.MinStay {
+		t.d.add(t.key("most_stay"), "cannot be %v: want no less than stay, %v", c.Limits.MaxStay, c.Limits.MinStay)
+	}
+	pin := t.text("pin", "", oneOf(overload.LevelNames()...))
 	until := t.text("pin_until", "", anything)
 	switch {
 	case t.has("pin") != t.has("pin_until"):
@@ -247,8 +247,8 @@
 		if err != nil || time.Until(at) > mostPin {
 			t.d.add(t.key("pin_until"), "cannot be %q: want a time as 2006-01-02T15:04:05Z, within %v", until, mostPin)
 		}
-		c.Pin, _ = overload.ParseLevel(pin) // it has been checked
-		c.PinUntil = at
+		c.PinnedLevel, _ = overload.ParseLevel(pin) // it has been checked
+		c.PinnedUntil = at
 	}
 	t.end()
 }
@@ -268,9 +268,9 @@
 	unique(t.d, "nodes.addresses", addresses)
 	t.end()
 	p := c.Proxy
-	add := func(place discovery.Place, known discovery.List) {
-		if p.Places = append(p.Places, place); len(p.Places) == 1 {
-			p.Known = known
+	add := func(place discovery.SourceConfig, known discovery.List) {
+		if p.ListSources = append(p.ListSources, place); len(p.ListSources) == 1 {
+			p.InitialList = known
 		}
 	}
 	if t.has("addresses") && len(t.d.list) == before {
@@ -278,7 +278,7 @@
 			t.d.add("nodes.addresses", "cannot be empty: want one HOST:PORT and more")
 		}
 		fixed := strings.Join(addresses, ",")
-		add(discovery.Place{Fixed: fixed}, discovery.FixedList(fixed))
+		add(discovery.SourceConfig{StaticAddresses: fixed}, discovery.StaticList(fixed))
 	}
 	if t.has("file") && len(t.d.list) == before {
 		path := file
@@ -289,24 +289,24 @@
 		if err != nil {
 			t.d.add("nodes.file", "cannot be %q: %v", file, err)
 		}
-		add(discovery.Place{File: path}, known)
+		add(discovery.SourceConfig{File: path}, known)
 	}
 	if t.has("consul") {
-		c.consul(top, agent, folder, func(place consul.Place) { add(discovery.Place{Other: place}, discovery.List{}) })
+		c.consul(top, agent, folder, func(place consul.SourceConfig) { add(discovery.SourceConfig{Custom: place}, discovery.List{}) })
 	} else if top.has("consul") {
 		t.d.add("consul", "is for nodes.consul = \"HOST:PORT\" only")
 		top.table("consul")
 	}
 	if t.has("discovery") {
-		add(discovery.Place{Address: address}, discovery.List{})
+		add(discovery.SourceConfig{Address: address}, discovery.List{})
 	}
-	if len(p.Places) == 0 && len(t.d.list) == before {
+	if len(p.ListSources) == 0 && len(t.d.list) == before {
 		t.d.add("nodes", "has no source: want addresses, file, consul or discovery")
 	}
 }
 
 // consul reads how Consul's catalogue is followed, and how the proxy stands in it.
-func (c *Config) consul(top *table, address, folder string, add func(consul.Place)) {
+func (c *Config) consul(top *table, address, folder string, add func(consul.SourceConfig)) {
 	t := top.table("consul")
 	file := func(key string) string {
 		path := t.text(key, "", anything)
@@ -316,9 +316,9 @@
 		return path
 	}
 	agent := consul.Agent{Address: address, TLS: t.yes("tls", false), CAFile: file("ca_file"), TokenFile: file("token_file")}
-	place := consul.Place{Agent: agent, Service: t.text("service", "", printable), Tag: t.text("tag", "", anything),
-		DrainTag: t.text("drain_tag", "", anything), DrainCheck: t.text("drain_check", "", anything), Stale: t.yes("stale", false),
-		Wait: t.duration("wait", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
+	place := consul.SourceConfig{Agent: agent, Service: t.text("service", "", printable), Tag: t.text("tag", "", anything),
+		DrainTag: t.text("drain_tag", "", anything), DrainCheck: t.text("drain_check", "", anything), AllowStale: t.yes("stale", false),
+		WaitTime: t.duration("wait", 10*time.Second, 100*time.Millisecond, 10*time.Minute)}
 	centres := t.texts("datacenters", []string{""}, printable)
 	if !t.has("service") {
 		t.d.add("consul.service", "is missing: want the name of the nodes' service")
@@ -337,11 +337,11 @@
 	}
 	l := t.table("list")
 	limits := &c.Proxy.Membership
-	limits.Share = l.number("collapse_share", limits.Share, 0, 1)
-	limits.Collapse = l.duration("collapse_time", limits.Collapse, time.Second, longest)
-	limits.Failing = l.duration("failing_time", limits.Failing, time.Second, longest)
-	limits.First = l.duration("hold_first", limits.First, time.Millisecond, longest)
-	limits.Most = l.duration("hold_most", limits.Most, time.Millisecond, longest)
+	limits.MinRemainingShare = l.number("collapse_share", limits.MinRemainingShare, 0, 1)
+	limits.CollapseWindow = l.duration("collapse_time", limits.CollapseWindow, time.Second, longest)
+	limits.FailedConfirmTimeout = l.duration("failing_time", limits.FailedConfirmTimeout, time.Second, longest)
+	limits.FirstHoldDown = l.duration("hold_first", limits.FirstHoldDown, time.Millisecond, longest)
+	limits.MaxHoldDown = l.duration("hold_most", limits.MaxHoldDown, time.Millisecond, longest)
 	l.end()
 	if t.has("register") {
 		r := t.table("register")
@@ -357,7 +357,7 @@
 			t.d.add("consul.register.address", "cannot be %q: want HOST:PORT with a number", announced)
 		}
 		r.end()
-		c.Register = &in
+		c.Registration = &in
 	}
 	t.end()
 }
@@ -368,30 +368,30 @@
 		return
 	}
 	t := top.table("peers")
-	p := &Peers{Fleet: agent.Fleet{Name: t.text("fleet", "", printable)}, Name: t.text("voter", "", anything), Memory: t.text("memory", "", anything)}
+	p := &Peers{Fleet: agent.Fleet{Name: t.text("fleet", "", printable)}, VoterName: t.text("voter", "", anything), StatePath: t.text("memory", "", anything)}
 	for _, v := range t.texts("voters", nil, anything) {
 		name, address, _ := strings.Cut(v, "=")
-		p.Fleet.Voters = append(p.Fleet.Voters, agent.Peer{Name: name, Address: address})
+		p.Fleet.Voters = append(p.Fleet.Voters, agent.VoterAddress{Name: name, Address: address})
 	}
-	if err := p.Fleet.Check(); err != nil {
+	if err := p.Fleet.Validate(); err != nil {
 		t.d.add(t.key("voters"), "cannot be: %v", err)
 	}
-	if p.Name != "" && !slices.ContainsFunc(p.Fleet.Voters, func(v agent.Peer) bool { return v.Name == p.Name }) {
-		t.d.add(t.key("voter"), "cannot be %q: want the name of one of the voters", p.Name)
+	if p.VoterName != "" && !slices.ContainsFunc(p.Fleet.Voters, func(v agent.VoterAddress) bool { return v.Name == p.VoterName }) {
+		t.d.add(t.key("voter"), "cannot be %q: want the name of one of the voters", p.VoterName)
 	}
-	if (p.Name == "") != (p.Memory == "") {
+	if (p.VoterName == "") != (p.StatePath == "") {
 		t.d.add(t.key("memory"), "goes with %s", t.key("voter"))
 	}
-	if p.Memory != "" && !filepath.IsAbs(p.Memory) {
-		p.Memory = filepath.Join(folder, p.Memory)
+	if p.StatePath != "" && !filepath.IsAbs(p.StatePath) {
+		p.StatePath = filepath.Join(folder, p.StatePath)
 	}
 	permit := t.text("permit", "none", oneOf("none", "go", "wait"))
-	p.Permit = Permit{Asked: permit != "none", Insist: permit == "wait", Wait: t.duration("permit_wait", 30*time.Second, 0, time.Hour)}
+	p.Permit = Permit{Enabled: permit != "none", Required: permit == "wait", Timeout: t.duration("permit_wait", 30*time.Second, 0, time.Hour)}
 	takeover := t.text("takeover", "off", oneOf("off", "plain", "strict"))
-	p.Takeover = Takeover{On: takeover != "off", Strict: takeover == "strict", Holders: t.whole("holders", 1, 1, 2)}
+	p.Takeover = Takeover{Enabled: takeover != "off", Strict: takeover == "strict", Replicas: t.whole("holders", 1, 1, 2)}
 	p.Listen = t.text("listen", "", isAddress)
 	p.Advertise = t.text("advertise", p.Listen, isAddress)
-	if p.Takeover.On != t.has("listen") {
+	if p.Takeover.Enabled != t.has("listen") {
 		t.d.add(t.key("listen"), "goes with %s = \"plain\" or \"strict\"", t.key("takeover"))
 	}
 	t.end()
@@ -403,10 +403,10 @@
 	t := top.table("binary")
 	p := c.Proxy
 	clients := t.yes("clients", top.has("binary"))
-	b := &proxy.Binary{Listen: t.text("listen", "", isAddress), Rules: binary.Rules{Windows: make(map[string]time.Duration)}}
+	b := &proxy.BinaryConfig{Listen: t.text("listen", "", isAddress), Rules: binary.Rules{DedupWindows: make(map[string]time.Duration)}}
 	users := t.text("users", "", anything)
 	p.BinaryNodes.Names = t.texts("nodes", nil, printable)
-	p.BinaryNodes.Types = t.texts("types", nil, oneOf(p.Policy.Kinds...))
+	p.BinaryNodes.Types = t.texts("types", nil, oneOf(p.Policy.MachineKinds...))
 	t.end()
 	rules := routes(top)
 	if !clients {
@@ -428,7 +428,7 @@
 		if err == nil {
 			key := make([]byte, 32)
 			crand.Read(key)
-			b.Rules.Users, err = sasl.Parse(text, key)
+			b.Rules.Users, err = sasl.ParseUsers(text, key)
 		}
 		for _, err := range Errors(err) {
 			if err != nil {
@@ -438,10 +438,10 @@
 	}
 	classes := make(map[string]route.Class)
 	for _, k := range p.Policy.Classes {
-		classes[k.Name] = route.Class{Deadline: k.Deadline, Safe: k.Effect == policy.Safe, Window: k.Window,
-			Parts: k.Effect == policy.Keyed && k.Group != policy.GroupAll}
-		if k.Effect == policy.Keyed {
-			b.Rules.Windows[k.Name] = k.Window
+		classes[k.Name] = route.Class{Deadline: k.Deadline, Idempotent: k.Idempotency == policy.Idempotent, DedupWindow: k.DedupWindow,
+			PartialDedup: k.Idempotency == policy.IdempotentWithKey && k.DedupScope != policy.DedupScopeAll}
+		if k.Idempotency == policy.IdempotentWithKey {
+			b.Rules.DedupWindows[k.Name] = k.DedupWindow
 		}
 	}
 	tenants := make(map[string]bool)
@@ -472,7 +472,7 @@
 	p.Binary = b
 }
 
-var verbs = map[string]route.Verb{"read": route.Reads, "write": route.Writes, "ticketed": route.Ticketed, "plain": route.Plain}
+var verbs = map[string]route.Verb{"read": route.Reads, "write": route.Writes, "ticketed": route.Ticketed, "plain": route.Unticketed}
 
 // routes reads the routing table; whether it is whole is checked later.
 func routes(top *table) (rules []route.Rule) {
@@ -484,7 +484,7 @@
 			User:     t.text("user", "", anything),
 			Class:    t.text("class", "", anything),
 			Tenant:   t.text("tenant", "", anything),
-			Wait:     t.duration("wait", 0, time.Millisecond, longest),
+			Timeout:  t.duration("wait", 0, time.Millisecond, longest),
 		}
 		t.end()
 		rules = append(rules, r)
@@ -496,10 +496,10 @@
 func usualRoutes(classes []policy.Class) (rules []route.Rule) {
 	for _, u := range []struct {
 		verb   route.Verb
-		effect policy.Effect
-	}{{route.Reads, policy.Safe}, {route.Ticketed, policy.Keyed}, {route.Plain, policy.Unsafe}} {
+		effect policy.Idempotency
+	}{{route.Reads, policy.Idempotent}, {route.Ticketed, policy.IdempotentWithKey}, {route.Unticketed, policy.NotIdempotent}} {
 		i := slices.IndexFunc(classes, func(k policy.Class) bool {
-			return k.Effect == u.effect && (k.Effect != policy.Keyed || k.Group == policy.GroupAll && k.Window > 2*ticket.Margin)
+			return k.Idempotency == u.effect && (k.Idempotency != policy.IdempotentWithKey || k.DedupScope == policy.DedupScopeAll && k.DedupWindow > 2*ticket.Margin)
 		})
 		if i >= 0 {
 			rules = append(rules, route.Rule{Verb: u.verb, Class: classes[i].Name})
@@ -510,15 +510,15 @@
 
 // Without classes there are these.
 var usual = []policy.Class{
-	{Name: "read", Effect: policy.Safe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Late: 0.3},
-	{Name: "write", Effect: policy.Keyed, Window: 1500 * time.Millisecond, Aim: 750 * time.Millisecond,
-		Deadline: 2500 * time.Millisecond, Worth: 2, Late: 0.3},
-	{Name: "plain", Effect: policy.Unsafe, Aim: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2, Late: 0.3},
+	{Name: "read", Idempotency: policy.Idempotent, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeightShare: 0.3},
+	{Name: "write", Idempotency: policy.IdempotentWithKey, DedupWindow: 1500 * time.Millisecond, LatencyObjective: 750 * time.Millisecond,
+		Deadline: 2500 * time.Millisecond, PriorityWeight: 2, LateWeightShare: 0.3},
+	{Name: "plain", Idempotency: policy.NotIdempotent, LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 2, LateWeightShare: 0.3},
 }
 
 var (
-	effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-	groups  = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
+	effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentWithKey, "unsafe": policy.NotIdempotent}
+	groups  = map[string]policy.DedupScope{"all": policy.DedupScopeAll, "zone": policy.DedupScopeZone, "cell": policy.DedupScopeCell}
 )
 
 func classes(top *table, set *policy.Settings) {
@@ -529,23 +529,23 @@
 	var names []string
 	for _, t := range top.tables("class") {
 		k := policy.Class{
-			Name:     t.text("name", "", printable),
-			Effect:   effects[t.text("effect", "safe", oneOf("safe", "keyed", "unsafe"))],
-			Group:    groups[t.text("group", "all", oneOf("all", "zone", "cell"))],
-			Aim:      t.duration("aim", 500*time.Millisecond, time.Millisecond, longest),
-			Deadline: t.duration("deadline", 2*time.Second, time.Millisecond, longest),
-			Window:   t.duration("window", 0, 0, longest),
-			Worth:    t.number("worth", 1, 0, 1e6),
-			Late:     t.number("late_worth", 0.3, 0, 1),
+			Name:             t.text("name", "", printable),
+			Idempotency:      effects[t.text("effect", "safe", oneOf("safe", "keyed", "unsafe"))],
+			DedupScope:       groups[t.text("group", "all", oneOf("all", "zone", "cell"))],
+			LatencyObjective: t.duration("aim", 500*time.Millisecond, time.Millisecond, longest),
+			Deadline:         t.duration("deadline", 2*time.Second, time.Millisecond, longest),
+			DedupWindow:      t.duration("window", 0, 0, longest),
+			PriorityWeight:   t.number("worth", 1, 0, 1e6),
+			LateWeightShare:  t.number("late_worth", 0.3, 0, 1),
 		}
 		switch {
 		case !t.has("name"):
 			t.d.add(t.key("name"), "is missing: want a name")
-		case k.Aim > k.Deadline:
-			t.d.add(t.key("aim"), "cannot be %v: want no more than the deadline, %v", k.Aim, k.Deadline)
-		case (k.Effect == policy.Keyed) != (k.Window > 0):
-			t.d.add(t.key("window"), "cannot be %v: want above 0s for effect keyed, and none for others", k.Window)
-		case k.Effect != policy.Keyed && t.has("group"):
+		case k.LatencyObjective > k.Deadline:
+			t.d.add(t.key("aim"), "cannot be %v: want no more than the deadline, %v", k.LatencyObjective, k.Deadline)
+		case (k.Idempotency == policy.IdempotentWithKey) != (k.DedupWindow > 0):
+			t.d.add(t.key("window"), "cannot be %v: want above 0s for effect keyed, and none for others", k.DedupWindow)
+		case k.Idempotency != policy.IdempotentWithKey && t.has("group"):
 			t.d.add(t.key("group"), "is for effect keyed only")
 		}
 		t.end()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,13 +27,13 @@
 		t.Fatal(err)
 	}
 	p := c.Proxy
-	if p.Listen != "127.0.0.1:11211" || p.Places[0].Fixed != "127.0.0.1:1,127.0.0.1:2" || len(p.Known.Endpoints) != 2 {
-		t.Errorf("listens at %s for %v, knows %v", p.Listen, p.Places, p.Known)
+	if p.Listen != "127.0.0.1:11211" || p.ListSources[0].StaticAddresses != "127.0.0.1:1,127.0.0.1:2" || len(p.InitialList.Endpoints) != 2 {
+		t.Errorf("listens at %s for %v, knows %v", p.Listen, p.ListSources, p.InitialList)
 	}
-	if len(p.Policy.Classes) != 3 || p.Binary != nil || p.Policy.Classes[1].Effect != policy.Keyed || p.Policy.Classes[1].Window != 1500*time.Millisecond {
+	if len(p.Policy.Classes) != 3 || p.Binary != nil || p.Policy.Classes[1].Idempotency != policy.IdempotentWithKey || p.Policy.Classes[1].DedupWindow != 1500*time.Millisecond {
 		t.Errorf("classes %+v", p.Policy.Classes)
 	}
-	if p.Memory != 64<<20 || p.Clients <= 0 || p.MostHeld <= 0 || p.Upstream.PerNode != 4 {
+	if p.MemoryBytes != 64<<20 || p.MaxClients <= 0 || p.MaxInFlight <= 0 || p.Upstream.MaxPerNode != 4 {
 		t.Errorf("limits %+v", p)
 	}
 	if _, err := policy.New(p.Policy, 1); err != nil {
@@ -163,7 +163,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprint(c.Proxy.Known.Endpoints); !strings.Contains(got, "{h:1 h:1") || !strings.Contains(got, "{b h:2") {
+	if got := fmt.Sprint(c.Proxy.InitialList.Endpoints); !strings.Contains(got, "{h:1 h:1") || !strings.Contains(got, "{b h:2") {
 		t.Errorf("knows %v", got)
 	}
 }
@@ -183,7 +183,7 @@
 		t.Fatalf("the half is no file of its own: %v", err)
 	}
 	looks := 0
-	c, err := ReadSettled(path, func() {
+	c, err := ReadStable(path, func() {
 		if looks++; looks == 1 {
 			put(whole) // the writer goes on
 		}
@@ -191,14 +191,14 @@
 	if err != nil || len(c.Proxy.Policy.Classes) != 2 {
 		t.Errorf("taken after %d looks: %+v, %v", looks, c, err)
 	}
-	_, err = ReadSettled(path, func() {
+	_, err = ReadStable(path, func() {
 		looks++
 		put(whole + strings.Repeat("#", looks))
 	})
 	if err == nil || !strings.Contains(err.Error(), "is still being written") || looks > 2*mostLooks {
 		t.Errorf("a file that never settles: %v after %d looks", err, looks)
 	}
-	if _, err := ReadSettled(path, func() { os.Remove(path) }); err == nil {
+	if _, err := ReadStable(path, func() { os.Remove(path) }); err == nil {
 		t.Error("a file that vanishes was taken")
 	}
 }
--- a/internal/connlimit/room_test.go
+++ b/internal/connlimit/room_test.go
@@ -15,8 +15,8 @@
 	var held [nodes]int
 	for range proxies {
 		var b Budget
-		b.Set(Share{Table: table, Proxies: proxies})
-		most := b.Most(time.Second, nodes)
+		b.SetCapacity(Capacity{ConnectionsPerNode: table, Proxies: proxies})
+		most := b.Limit(time.Second, nodes)
 		for _, n := range rng.Perm(nodes)[:most] {
 			held[n]++
 		}
@@ -48,15 +48,15 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		fleet := make([]Budget, c.proxies)
 		for i := range fleet {
-			fleet[i].Set(Share{Table: 30, Proxies: c.told})
+			fleet[i].SetCapacity(Capacity{ConnectionsPerNode: 30, Proxies: c.told})
 		}
 		late, asked := 0, 0
 		for now := time.Duration(0); now < 20*time.Second; now += 250 * time.Millisecond {
 			var held [nodes]int
 			for i := range fleet {
-				for _, n := range rng.Perm(nodes)[:min(fleet[i].Most(now, nodes), nodes)] {
+				for _, n := range rng.Perm(nodes)[:min(fleet[i].Limit(now, nodes), nodes)] {
 					if held[n]++; held[n] > c.table {
-						fleet[i].Refused(now, min(fleet[i].Most(now, nodes), nodes), nodes)
+						fleet[i].Rejected(now, min(fleet[i].Limit(now, nodes), nodes), nodes)
 						if now > 5*time.Second {
 							late++
 						}
@@ -73,42 +73,42 @@
 
 func TestBudgetComesBackAfterRefusals(t *testing.T) {
 	var b Budget
-	b.Set(Share{Table: 30, Proxies: 20})
-	whole := b.Most(0, 60)
+	b.SetCapacity(Capacity{ConnectionsPerNode: 30, Proxies: 20})
+	whole := b.Limit(0, 60)
 	now := time.Second
 	for range 100 {
-		b.Refused(now, whole, 60)
+		b.Rejected(now, whole, 60)
 		now += time.Second / 2
 	}
-	if low := b.Most(now, 60); low < int(float64(whole)*lowest) || low > whole/2 {
+	if low := b.Limit(now, 60); low < int(float64(whole)*lowest) || low > whole/2 {
 		t.Errorf("after a hundred refusals %d of %d are kept", low, whole)
 	}
-	if got := b.Most(now+RiseTime, 60); got != whole {
-		t.Errorf("%v after the last refusal %d of %d are kept", RiseTime, got, whole)
+	if got := b.Limit(now+RecoveryTime, 60); got != whole {
+		t.Errorf("%v after the last refusal %d of %d are kept", RecoveryTime, got, whole)
 	}
 }
 
 // TestRefusalsOfOneMomentCountOnce guards against a burst that empties a proxy of its connections.
 func TestRefusalsOfOneMomentCountOnce(t *testing.T) {
 	var b Budget
-	b.Set(Share{Table: 30, Proxies: 10})
-	whole := b.Most(time.Second, 60)
+	b.SetCapacity(Capacity{ConnectionsPerNode: 30, Proxies: 10})
+	whole := b.Limit(time.Second, 60)
 	for i := range 50 {
-		b.Refused(time.Second+time.Duration(i)*time.Millisecond, whole, 60)
+		b.Rejected(time.Second+time.Duration(i)*time.Millisecond, whole, 60)
 	}
-	if got := b.Most(time.Second, 60); got < int(float64(whole)*fall) {
+	if got := b.Limit(time.Second, 60); got < int(float64(whole)*fall) {
 		t.Errorf("one burst of refusals left %d of %d", got, whole)
 	}
 }
 
 // TestAbsurdShares guards invariant 1.
 func TestAbsurdShares(t *testing.T) {
-	for _, s := range []Share{{}, {Table: -1}, {Table: 30}, {Table: 30, Proxies: -5}, {Table: 1, Proxies: math.MaxInt32}, {Table: 1 << 20, Proxies: 1}} {
+	for _, s := range []Capacity{{}, {ConnectionsPerNode: -1}, {ConnectionsPerNode: 30}, {ConnectionsPerNode: 30, Proxies: -5}, {ConnectionsPerNode: 1, Proxies: math.MaxInt32}, {ConnectionsPerNode: 1 << 20, Proxies: 1}} {
 		var b Budget
-		b.Set(s)
+		b.SetCapacity(s)
 		for _, nodes := range []int{0, 1, 60, 2000} {
-			got := b.Most(time.Hour, nodes)
-			if got < Least || s.Table > 0 && got > max(s.Table*nodes, Least) {
+			got := b.Limit(time.Hour, nodes)
+			if got < MinConnections || s.ConnectionsPerNode > 0 && got > max(s.ConnectionsPerNode*nodes, MinConnections) {
 				t.Errorf("%+v at %d nodes: %d", s, nodes, got)
 			}
 		}
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -50,9 +50,9 @@
 
 // StatusError is an answer of a status that is no success.
 type StatusError struct {
-	Status int
-	Reason string
-	After  time.Duration // when to come again, 0 if it does not say
+	Status     int
+	Reason     string
+	RetryAfter time.Duration // when to come again, 0 if it does not say
 }
 
 // Error implements error.
@@ -140,7 +140,7 @@
 	if response.StatusCode != http.StatusOK {
 		defer response.Body.Close()
 		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxReason))
-		return nil, &StatusError{Status: response.StatusCode, Reason: string(reason), After: retryAfter(response.Header)}
+		return nil, &StatusError{Status: response.StatusCode, Reason: string(reason), RetryAfter: retryAfter(response.Header)}
 	}
 	return response, nil
 }
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -36,7 +36,7 @@
 }
 
 // watch follows a place, and passes on the lists and the error it ends with.
-func watch(t *testing.T, p Place) (<-chan discovery.List, <-chan error) {
+func watch(t *testing.T, p SourceConfig) (<-chan discovery.List, <-chan error) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	lists, ended := make(chan discovery.List, 1000), make(chan error, 1)
@@ -64,7 +64,7 @@
 	rich.Passing, rich.Warning = 7, 2
 	rich.Checks = []standin.Check{{CheckID: "load", Status: "warning"}}
 	c.Set(rich)
-	p := Place{Agent: Agent{Address: a.Address()}, Service: "cache", Wait: time.Minute, DrainTag: "leaving", DrainCheck: "drain"}
+	p := SourceConfig{Agent: Agent{Address: a.Address()}, Service: "cache", WaitTime: time.Minute, DrainTag: "leaving", DrainCheck: "drain"}
 	l, err := p.Open().Fetch(t.Context())
 	if err != nil || len(l.Endpoints) != 2 || !l.Snapshot {
 		t.Fatalf("%+v, %v", l, err)
@@ -73,7 +73,7 @@
 		got.Name != want.Name || got.Address != want.Address || got.Zone != want.Zone || got.Status != want.Status || got.Weight != want.Weight {
 		t.Errorf("read %+v", got)
 	}
-	if got := l.Endpoints[1]; got.Name != "cache9" || got.Zone != "pest" || got.Type != "gyors" || got.Group != 3 || got.Since != 5000 || got.Instance != "x" || got.Weight != 2 {
+	if got := l.Endpoints[1]; got.Name != "cache9" || got.Zone != "pest" || got.Type != "gyors" || got.Group != 3 || got.StartedMillis != 5000 || got.Instance != "x" || got.Weight != 2 {
 		t.Errorf("read %+v", got)
 	}
 	if _, looks, _ := a.Stats(); looks != 1 {
@@ -108,7 +108,7 @@
 		i := instance("a")
 		k.change(&i)
 		c.Set(i)
-		if l, err := p.Open().Fetch(t.Context()); err != nil || l.Endpoints[0].Status != k.status || l.Endpoints[0].Why == "" {
+		if l, err := p.Open().Fetch(t.Context()); err != nil || l.Endpoints[0].Status != k.status || l.Endpoints[0].Reason == "" {
 			t.Errorf("%+v is read as %+v, %v", i, l, err)
 		}
 	}
@@ -127,7 +127,7 @@
 func TestChangesAreFollowed(t *testing.T) {
 	c, a := start(t, "")
 	c.Set(instance("a"))
-	lists, ended := watch(t, Place{Agent: Agent{Address: a.Address()}, Service: "cache", Wait: 300 * time.Millisecond})
+	lists, ended := watch(t, SourceConfig{Agent: Agent{Address: a.Address()}, Service: "cache", WaitTime: 300 * time.Millisecond})
 	expect := func(want string) {
 		t.Helper()
 		for {
@@ -137,17 +137,17 @@
 		}
 	}
 	expect("n1/a=up")
-	c.Maintain("n1", "a", true, "disk")
+	c.SetMaintenance("n1", "a", true, "disk")
 	expect("n1/a=draining")
-	c.Maintain("n1", "a", false, "")
+	c.SetMaintenance("n1", "a", false, "")
 	expect("n1/a=up")
-	c.Rewind() // the index goes backwards
+	c.ResetIndex() // the index goes backwards
 	c.Set(instance("b"))
 	expect("n1/a=up n1/b=up")
-	a.Fail(standin.NoIndex)
+	a.SetFault(standin.ZeroIndex)
 	c.Remove("n1", "a")
 	expect("n1/b=up")
-	a.Fail(standin.Well)
+	a.SetFault(standin.NoFault)
 	c.Remove("n1", "b")
 	expect("")
 	for len(lists) > 0 {
@@ -164,15 +164,15 @@
 	bodyTime = 2 * time.Second
 	defer func() { bodyTime = 10 * time.Second }()
 	for kind, want := range map[standin.FaultKind]string{
-		standin.Filtered: "token does not allow", standin.Leaderless: "no leader", standin.Stale: "stale", standin.Garbage: "not a list",
-		standin.Half: "EOF", standin.Huge: "more than 8192 instances", standin.Limited: "status 429", standin.Forbidden: "status 403",
-		standin.Broken: "status 500", standin.Slow: "no answer in time", standin.Quiet: "no answer in time",
+		standin.ACLFiltered: "token does not allow", standin.Leaderless: "no leader", standin.StaleLeader: "stale", standin.MalformedBody: "not a list",
+		standin.TruncatedBody: "EOF", standin.HugeList: "more than 8192 instances", standin.RateLimited: "status 429", standin.Forbidden: "status 403",
+		standin.ServerError: "status 500", standin.SlowBody: "no answer in time", standin.NoResponse: "no answer in time",
 	} {
 		c, a := start(t, "")
 		c.Set(instance("a"))
-		lists, ended := watch(t, Place{Agent: Agent{Address: a.Address()}, Service: "cache", Wait: 100 * time.Millisecond})
+		lists, ended := watch(t, SourceConfig{Agent: Agent{Address: a.Address()}, Service: "cache", WaitTime: 100 * time.Millisecond})
 		testutil.Receive(t, "the first list", lists)
-		a.Fail(kind)
+		a.SetFault(kind)
 		c.Set(instance("b"))
 		if err := testutil.Receive(t, string(kind), ended); !strings.Contains(err.Error(), want) {
 			// A context's end shows under several names, the cause among them.
@@ -200,7 +200,7 @@
 		}
 	}
 	write(file, []byte("first\n"))
-	s := Place{Agent: Agent{Address: a.Address(), TokenFile: file}, Service: "cache"}.Open()
+	s := SourceConfig{Agent: Agent{Address: a.Address(), TokenFile: file}, Service: "cache"}.Open()
 	var status *StatusError
 	if _, err := s.Fetch(t.Context()); !errors.As(err, &status) || status.Status != http.StatusForbidden {
 		t.Errorf("with the wrong token: %v", err)
@@ -212,7 +212,7 @@
 	server := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "[]") }))
 	defer server.Close()
 	server.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
-	place := Place{Agent: Agent{Address: strings.TrimPrefix(server.URL, "https://"), TLS: true}, Service: "cache"}
+	place := SourceConfig{Agent: Agent{Address: strings.TrimPrefix(server.URL, "https://"), TLS: true}, Service: "cache"}
 	if _, err := place.Open().Fetch(t.Context()); err == nil {
 		t.Error("an unknown certificate was trusted")
 	}
@@ -244,7 +244,7 @@
 	}
 	until := func(want string) {
 		t.Helper()
-		testutil.Until(t, want, func() bool { return status() == want })
+		testutil.WaitUntil(t, want, func() bool { return status() == want })
 	}
 	ctx, drain := context.WithCancel(context.Background())
 	serves := make(chan bool, 1)
@@ -262,11 +262,11 @@
 	until("passing")
 	time.Sleep(3 * r.TTL) // passed over and over
 	until("passing")
-	a.Forget()
+	a.DropRegistrations()
 	until("passing") // it got it again
-	a.Fail(standin.Broken)
+	a.SetFault(standin.ServerError)
 	until("critical") // nothing passes the check: the TTL does it
-	a.Fail(standin.Well)
+	a.SetFault(standin.NoFault)
 	until("passing")
 	<-serves
 	serves <- false
@@ -277,13 +277,13 @@
 	drain()
 	testutil.Receive(t, "the end", ended)
 	until("passing critical") // in maintenance
-	r.Leave()
+	r.Deregister()
 	until("gone")
 	// A crash: nobody says anything any more.
 	crash, kill := context.WithCancel(context.Background())
 	go run(crash)
 	until("passing")
-	a.Fail(standin.Quiet)
+	a.SetFault(standin.NoResponse)
 	kill()
 	testutil.Receive(t, "the end", ended)
 	until("critical")
@@ -302,7 +302,7 @@
 		b.Fatal(err)
 	}
 	defer a.Close()
-	s := Place{Agent: Agent{Address: a.Address()}, Service: "cache"}.Open()
+	s := SourceConfig{Agent: Agent{Address: a.Address()}, Service: "cache"}.Open()
 	b.ReportAllocs()
 	for b.Loop() {
 		if l, err := s.Fetch(context.Background()); err != nil || len(l.Endpoints) != 2000 {
@@ -331,7 +331,7 @@
 		}
 		names := map[string]bool{}
 		for _, e := range list {
-			if e.Name == "" || e.Address == "" || names[e.Name] || e.Status == "" || e.Since < 0 {
+			if e.Name == "" || e.Address == "" || names[e.Name] || e.Status == "" || e.StartedMillis < 0 {
 				t.Fatalf("%q read as %+v", text, list)
 			}
 			names[e.Name] = true
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -109,7 +109,7 @@
 			known = false // the agent may know the proxy no more: entering it again does no harm
 			rest, failed = min(failed, rest), 2*failed
 			if status := (*StatusError)(nil); errors.As(err, &status) {
-				rest = max(rest, status.After)
+				rest = max(rest, status.RetryAfter)
 			}
 		}
 		if pause(ctx, rest); ctx.Err() != nil {
@@ -123,8 +123,8 @@
 	}
 }
 
-// Leave takes the proxy out of the catalogue.
-func (r *Registrar) Leave() {
+// Deregister takes the proxy out of the catalogue.
+func (r *Registrar) Deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTime)
 	defer cancel()
 	if err := r.put(ctx, "/v1/agent/service/deregister/"+url.PathEscape(r.ID), nil, nil); err != nil {
--- a/internal/consul/source.go
+++ b/internal/consul/source.go
@@ -21,9 +21,9 @@
 const (
 	MaxInstances = 8192
 	maxList      = 64 << 20 // bytes
-	// LeastPause is the least time between two queries: a catalogue with many changes a
+	// MinQueryInterval is the least time between two queries: a catalogue with many changes a
 	// second brings the whole list with each.
-	LeastPause = 50 * time.Millisecond
+	MinQueryInterval = 50 * time.Millisecond
 	// Of the time between two queries one part in ten may go into reading lists.
 	pauseTimes = 9
 	// The pause is never longer: a drain is to show within half a second of its entry.
@@ -37,20 +37,20 @@
 	fetchTime = 3 * time.Second
 )
 
-// Place is a service in one data centre, as one agent tells of it. It is comparable.
-type Place struct {
+// SourceConfig is a service in one data centre, as one agent tells of it. It is comparable.
+type SourceConfig struct {
 	Agent
 	Service    string
 	Datacenter string // "" for the agent's own
 	Tag        string // instances must have it; "" for any
 	DrainTag   string // instances with it drain
 	DrainCheck string // instances drain while this check does not pass
-	Stale      bool   // any server may answer, if it has heard the leader lately
-	Wait       time.Duration
+	AllowStale bool   // any server may answer, if it has heard the leader lately
+	WaitTime   time.Duration
 }
 
 // String names the place in a log, and as a source.
-func (p Place) String() string {
+func (p SourceConfig) String() string {
 	text := "consul " + p.Address + " " + p.Service
 	if p.Datacenter != "" {
 		text += "@" + p.Datacenter
@@ -59,11 +59,13 @@
 }
 
 // Open implements discovery.Opener.
-func (p Place) Open() discovery.Source { return &source{Place: p, client: newClient(p.Agent)} }
+func (p SourceConfig) Open() discovery.Source {
+	return &source{SourceConfig: p, client: newClient(p.Agent)}
+}
 
 // source implements discovery.Source.
 type source struct {
-	Place
+	SourceConfig
 	client *client
 }
 
@@ -97,7 +99,7 @@
 	switch {
 	case consistent:
 		q.Set("consistent", "")
-	case s.Stale:
+	case s.AllowStale:
 		q.Set("stale", "")
 	}
 	if s.Datacenter != "" {
@@ -200,7 +202,7 @@
 		}
 	}
 	if text := meta["started_ms"]; text != "" {
-		if out.Since, err = strconv.ParseFloat(text, 64); err != nil || !(out.Since >= 0 && out.Since < 1e15) {
+		if out.StartedMillis, err = strconv.ParseFloat(text, 64); err != nil || !(out.StartedMillis >= 0 && out.StartedMillis < 1e15) {
 			return out, fmt.Errorf("instance %q: meta started_ms cannot be %q", out.Name, text)
 		}
 	}
@@ -235,7 +237,7 @@
 			out.Weight = e.Service.Weights.Warning
 		}
 	}
-	out.Status, out.Why = [...]string{"up", "draining", "removed"}[worst], why
+	out.Status, out.Reason = [...]string{"up", "draining", "removed"}[worst], why
 }
 
 // Fetch implements discovery.Source: a look past whatever the agent may have kept, which the
@@ -254,8 +256,8 @@
 		a, err := s.query(ctx, index, false, s.wait(index))
 		if err != nil {
 			var status *StatusError
-			if errors.As(err, &status) && status.After > 0 {
-				pause(ctx, status.After/2+rand.N(status.After))
+			if errors.As(err, &status) && status.RetryAfter > 0 {
+				pause(ctx, status.RetryAfter/2+rand.N(status.RetryAfter))
 			}
 			return err
 		}
@@ -267,7 +269,7 @@
 			tell(a.list)
 			told = true
 		}
-		rest := min(max(LeastPause, pauseTimes*(a.took+time.Since(begun))), mostPause)
+		rest := min(max(MinQueryInterval, pauseTimes*(a.took+time.Since(begun))), mostPause)
 		if a.index == 0 {
 			rest = pollPause
 		}
@@ -283,7 +285,7 @@
 	if index == 0 {
 		return fetchTime
 	}
-	return s.Wait/2 + rand.N(s.Wait/2+1)
+	return s.WaitTime/2 + rand.N(s.WaitTime/2+1)
 }
 
 func pause(ctx context.Context, d time.Duration) {
