--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,42 +26,42 @@
 	Release()
 }
 
-// Client is a Reply that can tell, without waiting, whether its client has gone.
-type Client interface{ Left() bool }
+// DisconnectChecker is a Reply that can tell, without waiting, whether its client has gone.
+type DisconnectChecker interface{ Disconnected() bool }
 
 // Config is what a core is told.
 type Config struct {
-	// Places are those of the list of nodes, in order of precedence. On the platform
+	// ListSources are those of the list of nodes, in order of precedence. On the platform
 	// there is exactly one.
-	Places   []discovery.Place
-	Seed     uint64
-	Known    discovery.List
-	Policy   policy.Settings
-	Upstream upstream.Limits
-	MostHeld int // requests at a time
-	// Infer has membership work out what sources don't tell, and doubt lists that
+	ListSources []discovery.SourceConfig
+	Seed        uint64
+	InitialList discovery.List
+	Policy      policy.Settings
+	Upstream    upstream.Limits
+	MaxInFlight int // requests at a time
+	// ReconcileLists has membership work out what sources don't tell, and doubt lists that
 	// collapse. Without it the one source's list is passed on as it is.
-	Infer       bool
-	Membership  membership.Limits
-	BinaryNodes Speakers
-	Service     ServiceConfig
-	// Ahead is how far the clock that counts the machine's sleep is ahead of the monotonic one;
+	ReconcileLists bool
+	Membership     membership.Limits
+	BinaryNodes    NodeSelector
+	Overload       OverloadConfig
+	// TotalSleep is how far the clock that counts the machine's sleep is ahead of the monotonic one;
 	// nil where it is not to be asked.
-	Ahead  func() time.Duration
-	Counts bool // log a line of counts a second; not with levels of service
+	TotalSleep func() time.Duration
+	LogCounts  bool // log a line of counts a second; not with levels of service
 }
 
-// Speakers names the nodes that speak the binary protocol: by their own names, and by
+// NodeSelector names the nodes that speak the binary protocol: by their own names, and by
 // their types.
-type Speakers struct{ Names, Types []string }
+type NodeSelector struct{ Names, Types []string }
 
 // has tells whether a node is one of them.
-func (s *Speakers) has(n *membership.Node) bool {
+func (s *NodeSelector) has(n *membership.Node) bool {
 	return slices.Contains(s.Names, n.Name) || slices.Contains(s.Types, n.Type)
 }
 
-// Held is a client's request that the core holds. It is guarded by Core.mu.
-type Held struct {
+// InFlightRequest is a client's request that the core holds. It is guarded by Core.mu.
+type InFlightRequest struct {
 	id       uint64
 	taken    time.Duration // when it was
 	request  *request.Request
@@ -77,8 +77,8 @@
 
 type attempt struct {
 	upstream.Attempt
-	client Client // nil where nobody can tell whether it has gone
-	begun  bool   // its first byte may have been written
+	client DisconnectChecker // nil where nobody can tell whether it has gone
+	begun  bool              // its first byte may have been written
 	server string
 	sent   time.Duration
 	ended  bool
@@ -92,10 +92,10 @@
 	infer   bool
 	zones   []string // what the list's names are the indices of
 	kinds   []string
-	binary  Speakers
+	binary  NodeSelector
 	log     *slog.Logger
 	record  *eventlog.Recorder
-	nodes   *upstream.Nodes
+	nodes   *upstream.Pool
 	start   time.Time
 	known   chan struct{} // closed once a list has come
 
@@ -104,14 +104,14 @@
 	heard     bool             // known is closed
 	registry  discovery.Source // without infer
 	settled   discovery.Source // the one that has told something last
-	places    []discovery.Place
-	members   *membership.Module
+	places    []discovery.SourceConfig
+	members   *membership.Reconciler
 	news      []membership.Action // room for them
 	balancer  *policy.Balancer
 	actions   []policy.Action
 	events    []policy.Event // that carrying out actions has brought
 	handling  bool
-	requests  map[uint64]*Held
+	requests  map[uint64]*InFlightRequest
 	open      map[string]struct{} // the clients' ids of requests
 	last      uint64              // request's number
 	version   uint64              // of the list
@@ -126,7 +126,7 @@
 	counting  bool
 	counts    counts
 	still     stillness
-	desk      Desk // nil where works are this proxy's alone
+	desk      TakeoverCoordinator // nil where works are this proxy's alone
 }
 
 // rules are what a request is checked against as it comes. They are replaced
@@ -139,7 +139,7 @@
 }
 
 func newRules(config *Config) *rules {
-	r := &rules{set: config.Policy, classes: make(map[string]int), tenants: make(map[string]int), mostHeld: config.MostHeld}
+	r := &rules{set: config.Policy, classes: make(map[string]int), tenants: make(map[string]int), mostHeld: config.MaxInFlight}
 	for i, class := range r.set.Classes {
 		r.classes[class.Name] = i
 	}
@@ -155,22 +155,22 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{askList: config.Policy.AskList, infer: config.Infer, zones: config.Policy.Zones, kinds: config.Policy.Kinds, binary: config.BinaryNodes,
-		rules: newRules(config), log: log, registry: config.Places[0].Open(), places: config.Places, start: time.Now(), known: make(chan struct{}),
-		balancer: balancer, requests: make(map[uint64]*Held), open: make(map[string]struct{}), wake: make(chan struct{}, 1),
+	c := &Core{askList: config.Policy.EndpointsOnRequest, infer: config.ReconcileLists, zones: config.Policy.Zones, kinds: config.Policy.MachineKinds, binary: config.BinaryNodes,
+		rules: newRules(config), log: log, registry: config.ListSources[0].Open(), places: config.ListSources, start: time.Now(), known: make(chan struct{}),
+		balancer: balancer, requests: make(map[uint64]*InFlightRequest), open: make(map[string]struct{}), wake: make(chan struct{}, 1),
 		subscribe: make(chan struct{}, 1), moved: make(chan struct{}, 1), fetch: make(chan struct{}, 1),
-		look: make(chan string, 8), failed: make(map[string]bool), counting: config.Counts}
-	c.still.init(config.Ahead)
-	c.levels = newLevels(&config.Service)
+		look: make(chan string, 8), failed: make(map[string]bool), counting: config.LogCounts}
+	c.still.init(config.TotalSleep)
+	c.levels = newLevels(&config.Overload)
 	c.levels.asks = asks(config)
 	c.record = eventlog.New(log)
-	c.nodes = upstream.New(config.Upstream, meta.Node{}, c, log)
-	c.nodes.Record(c.record)
-	c.members = membership.New(membership.Settings{Limits: config.Membership, Sources: sourcesOf(config.Places), Infer: config.Infer})
-	if len(config.Known.Endpoints) > 0 || !config.Infer {
-		c.learn(c.place(), config.Known, policy.ListStored)
+	c.nodes = upstream.New(config.Upstream, meta.NodeDialect{}, c, log)
+	c.nodes.SetRecorder(c.record)
+	c.members = membership.New(membership.Settings{Limits: config.Membership, Sources: sourcesOf(config.ListSources), InferRestarts: config.ReconcileLists})
+	if len(config.InitialList.Endpoints) > 0 || !config.ReconcileLists {
+		c.learn(c.place(), config.InitialList, policy.EndpointsCached)
 	}
-	c.logLevels(c.adopt(&config.Service, c.now()))
+	c.logLevels(c.adopt(&config.Overload, c.now()))
 	return c, nil
 }
 
@@ -185,7 +185,7 @@
 	c.rules = newRules(next)
 	c.nodes.SetLimits(next.Upstream)
 	c.levels.asks = asks(next)
-	changed := c.adopt(&next.Service, c.now())
+	changed := c.adopt(&next.Overload, c.now())
 	c.mu.Unlock()
 	c.logLevels(changed)
 	return nil
@@ -243,17 +243,17 @@
 		if r := c.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 			c.giveUp(r, r.attempts[a.Attempt], policy.Cancelled)
 		}
-	case policy.Refuse:
+	case policy.Reject:
 		if r := c.requests[a.ID]; r != nil {
 			c.counts.refused++
-			c.answer(r, &request.Answer{Kind: request.Busy, After: a.After}, a.Reason.String())
+			c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: a.After}, a.Reason.String())
 		}
 	case policy.Fail:
 		if r := c.requests[a.ID]; r != nil {
 			if c.unsent(r) {
 				// What waits has not begun, and never will now: that is no failure, which would promise nothing.
 				c.counts.refused++
-				c.answer(r, &request.Answer{Kind: request.Busy, After: c.advice(r)}, a.Reason.String()+", never sent")
+				c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: c.advice(r)}, a.Reason.String()+", never sent")
 				return
 			}
 			c.counts.failed++
@@ -263,11 +263,11 @@
 		c.setTimer(timer{at: c.now() + a.After, id: a.Token, attempt: moduleTimer})
 	case policy.Subscribe:
 		post(c.subscribe)
-	case policy.FetchList:
+	case policy.FetchEndpoints:
 		post(c.fetch)
 	case policy.CloseIdle:
 		c.nodes.CloseIdle(a.Server)
-	case policy.Probe: // the protocol has no room for it where probes are off
+	case policy.HealthCheck: // the protocol has no room for it where probes are off
 	}
 }
 
@@ -278,11 +278,11 @@
 	}
 }
 
-// Arrive takes a request whose last byte has come. The answer goes to reply.
-func (c *Core) Arrive(in *request.Request, reply Reply) *Held {
-	bad := func(reason string) *Held {
+// Submit takes a request whose last byte has come. The answer goes to reply.
+func (c *Core) Submit(in *request.Request, reply Reply) *InFlightRequest {
+	bad := func(reason string) *InFlightRequest {
 		c.recordRefusal(in, reply, reason)
-		reply.Finish(&request.Answer{Kind: request.Bad, Reason: reason})
+		reply.Finish(&request.Answer{Kind: request.Invalid, Reason: reason})
 		return nil
 	}
 	c.mu.Lock()
@@ -292,7 +292,7 @@
 	if !known {
 		return bad("unknown class")
 	}
-	if in.Changes = rules.set.Classes[class].Effect != policy.Safe; in.Changes {
+	if in.SideEffects = rules.set.Classes[class].Idempotency != policy.Idempotent; in.SideEffects {
 		c.seeSleep()
 	}
 	c.seeClocks()
@@ -302,14 +302,14 @@
 			return bad("unknown tenant")
 		}
 	}
-	if rules.set.Classes[class].Effect == policy.Keyed && in.Idempotency == "" {
+	if rules.set.Classes[class].Idempotency == policy.IdempotentWithKey && in.IdempotencyKey == "" {
 		return bad("missing k") // nothing could drop its repeats
 	}
 	// Nobody waits longer than the class allows; a request that claims to would
 	// hold its place and its timers for as long.
 	wait := rules.set.Classes[class].Deadline
-	if in.Wait >= 0 {
-		wait = min(wait, in.Wait)
+	if in.Timeout >= 0 {
+		wait = min(wait, in.Timeout)
 	}
 	// Answers are told apart by the id alone, and so are copies.
 	if _, taken := c.open[in.ID]; taken {
@@ -317,20 +317,20 @@
 	}
 	if !c.roomFor(rules, class) {
 		c.recordRefusal(in, reply, "no room")
-		reply.Finish(&request.Answer{Kind: request.Busy, After: c.balancer.Advice(class)})
+		reply.Finish(&request.Answer{Kind: request.Busy, RetryAfter: c.balancer.RetryAfter(class)})
 		return nil
 	}
 	deadline, aged := c.judge(in, &rules.set.Classes[class], wait)
 	if aged {
 		c.still.aged++
 		c.recordRefusal(in, reply, "aged")
-		reply.Finish(&request.Answer{Kind: request.Busy, After: c.balancer.Advice(class)})
+		reply.Finish(&request.Answer{Kind: request.Busy, RetryAfter: c.balancer.RetryAfter(class)})
 		return nil
 	}
 	c.last++
 	c.counts.arrived++
 	in.Serial = uint32(c.last)
-	r := &Held{id: c.last, taken: c.now(), request: in, reply: reply, deadline: deadline,
+	r := &InFlightRequest{id: c.last, taken: c.now(), request: in, reply: reply, deadline: deadline,
 		expires: time.Now().Add(deadline - c.now())}
 	c.requests[r.id] = r
 	c.open[in.ID] = struct{}{}
@@ -338,51 +338,51 @@
 	c.setTimer(timer{at: r.deadline, id: r.id, attempt: allAttempts})
 	if !c.asksLeave(r, &rules.set.Classes[class]) {
 		c.handle(policy.Arrival{ID: r.id, Class: class, Tenant: tenant, Key: in.Key, Deadline: r.deadline,
-			Write: in.Verb == request.Set, Repeat: in.Retry})
+			Write: in.Verb == request.Set, IsRetry: in.Retry})
 	}
 	return r
 }
 
-// Refuse answers a request that has come too late to be taken: it is never sent.
-func (c *Core) Refuse(in *request.Request, reply Reply) {
+// Reject answers a request that has come too late to be taken: it is never sent.
+func (c *Core) Reject(in *request.Request, reply Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a := &request.Answer{Kind: request.Busy}
 	if class, known := c.rules.classes[in.Class]; known {
-		a.After = c.balancer.Advice(class)
+		a.RetryAfter = c.balancer.RetryAfter(class)
 	}
 	c.counts.refused++
 	c.recordRefusal(in, reply, "draining")
 	reply.Finish(a)
 }
 
-// Keyed tells whether a class is one whose repeats are dropped by their keys.
-func (c *Core) Keyed(class string) bool {
+// IsKeyed tells whether a class is one whose repeats are dropped by their keys.
+func (c *Core) IsKeyed(class string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i, known := c.rules.classes[class]
-	return known && c.rules.set.Classes[i].Effect == policy.Keyed
+	return known && c.rules.set.Classes[i].Idempotency == policy.IdempotentWithKey
 }
 
-// Known is closed once the source has told its list of nodes.
-func (c *Core) Known() <-chan struct{} { return c.known }
+// ListReceived is closed once the source has told its list of nodes.
+func (c *Core) ListReceived() <-chan struct{} { return c.known }
 
-// Serves tells whether there is any node that requests can go to.
-func (c *Core) Serves() bool {
+// HasServingNodes tells whether there is any node that requests can go to.
+func (c *Core) HasServingNodes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.members.Serving() > 0
 }
 
-// Open counts the requests that are open.
-func (c *Core) Open() int {
+// InFlight counts the requests that are open.
+func (c *Core) InFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.requests)
 }
 
-// OpenFor returns how long the last of the open requests may yet take.
-func (c *Core) OpenFor() (longest time.Duration) {
+// LongestRemaining returns how long the last of the open requests may yet take.
+func (c *Core) LongestRemaining() (longest time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.requests {
@@ -393,8 +393,8 @@
 	return longest
 }
 
-// GiveUp answers all that is open at once: the process ends before it can be finished.
-func (c *Core) GiveUp() {
+// AbortAll answers all that is open at once: the process ends before it can be finished.
+func (c *Core) AbortAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.requests {
@@ -402,22 +402,22 @@
 			continue
 		}
 		a := &request.Answer{Kind: request.Failed}
-		if !r.request.Changes || c.unsent(r) {
-			a = &request.Answer{Kind: request.Busy, After: c.advice(r)}
+		if !r.request.SideEffects || c.unsent(r) {
+			a = &request.Answer{Kind: request.Busy, RetryAfter: c.advice(r)}
 		}
 		c.log.Warn("given up at the end", "id", r.request.ID, "attempts", len(r.attempts))
 		c.answer(r, a, "process ends")
-		c.handle(policy.Departure{ID: r.id})
+		c.handle(policy.ClientLeft{ID: r.id})
 	}
 }
 
 // unsent tells whether nothing of a request has gone out. Once it is over nothing will.
-func (c *Core) unsent(r *Held) bool {
+func (c *Core) unsent(r *InFlightRequest) bool {
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.begun })
 }
 
-// Leave ends the requests of a client that has gone.
-func (c *Core) Leave(unanswered []*Held) {
+// ClientDisconnected ends the requests of a client that has gone.
+func (c *Core) ClientDisconnected(unanswered []*InFlightRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range unanswered {
@@ -426,14 +426,14 @@
 }
 
 // leave ends a request whose client has gone. c.mu is held.
-func (c *Core) leave(r *Held) {
+func (c *Core) leave(r *InFlightRequest) {
 	if r.over || c.outlives(r) {
 		return
 	}
 	r.over = true
 	c.counts.left++
 	c.recordLeft(r)
-	c.handle(policy.Departure{ID: r.id})
+	c.handle(policy.ClientLeft{ID: r.id})
 	for _, a := range r.attempts { // what has not begun takes no place any more
 		if !a.ended && (a.parked || c.nodes.Withdraw(&a.Attempt)) {
 			c.end(r, a, policy.NotSent, nil)
@@ -443,7 +443,7 @@
 }
 
 // answer ends a request, once. The reason is for the log.
-func (c *Core) answer(r *Held, a *request.Answer, reason string) {
+func (c *Core) answer(r *InFlightRequest, a *request.Answer, reason string) {
 	if r.over {
 		return
 	}
@@ -456,7 +456,7 @@
 
 // drop forgets a request that is over and has nothing out, once: what ends its last
 // attempt may do so from within the end of another.
-func (c *Core) drop(r *Held) {
+func (c *Core) drop(r *InFlightRequest) {
 	if r.over && r.open == 0 && c.requests[r.id] == r {
 		delete(c.requests, r.id)
 		delete(c.open, r.request.ID)
@@ -472,8 +472,8 @@
 	now := c.now()
 	a := &attempt{server: action.Server, sent: now, Attempt: upstream.Attempt{ID: r.id,
 		Number: len(r.attempts), Request: r.request, Deadline: r.expires}}
-	a.Owner = a
-	a.client, _ = r.reply.(Client)
+	a.HandlerState = a
+	a.client, _ = r.reply.(DisconnectChecker)
 	r.attempts = append(r.attempts, a)
 	r.open++
 	c.counts.sent++
@@ -492,7 +492,7 @@
 }
 
 // giveUp stops waiting for an attempt.
-func (c *Core) giveUp(r *Held, a *attempt, as policy.Result) {
+func (c *Core) giveUp(r *InFlightRequest, a *attempt, as policy.Result) {
 	if a.ended {
 		return
 	}
@@ -504,7 +504,7 @@
 }
 
 // end tells the module how an attempt ended, once.
-func (c *Core) end(r *Held, a *attempt, result policy.Result, answer *request.Answer) {
+func (c *Core) end(r *InFlightRequest, a *attempt, result policy.Result, answer *request.Answer) {
 	if a.ended {
 		return
 	}
@@ -517,28 +517,28 @@
 	if answer != nil {
 		switch {
 		case answer.Hit:
-			o.Note = policy.NoteHit
+			o.CacheStatus = policy.CacheHit
 			c.counts.hits++
-		case answer.Miss && answer.Shared:
-			o.Note = policy.NoteMissShared
+		case answer.Miss && answer.Coalesced:
+			o.CacheStatus = policy.CacheMissCoalesced
 			c.counts.misses++
 		case answer.Miss:
-			o.Note = policy.NoteMiss
+			o.CacheStatus = policy.CacheMiss
 			c.counts.misses++
 		}
-		o.Report = c.parseReport(answer.Load)
+		o.LoadReport = c.parseReport(answer.LoadReport)
 	}
 	c.handle(o)
 	c.drop(r)
 }
 
 // parseReport reads a load report; a malformed one is none.
-func (c *Core) parseReport(load []byte) *policy.Report {
+func (c *Core) parseReport(load []byte) *policy.LoadReport {
 	if len(load) == 0 {
 		return nil
 	}
-	p := policy.Report{InFlight: -1, Queue: -1, Utilization: -1, Rate: -1, ErrorRate: -1, X0: -1, X1: -1, Latency: -1}
-	err := meta.EachLoad(load, func(name string, figure float64) {
+	p := policy.LoadReport{InFlight: -1, Queue: -1, Utilization: -1, Rate: -1, ErrorRate: -1, X0: -1, X1: -1, Latency: -1}
+	err := meta.EachLoadFigure(load, func(name string, figure float64) {
 		switch name {
 		case "inflight", "active":
 			p.InFlight = figure
@@ -565,7 +565,7 @@
 }
 
 // find returns an attempt that has not ended, and its request.
-func (c *Core) find(u *upstream.Attempt) (*Held, *attempt) {
+func (c *Core) find(u *upstream.Attempt) (*InFlightRequest, *attempt) {
 	r := c.requests[u.ID]
 	if r == nil || r.attempts[u.Number].ended {
 		return nil, nil
@@ -573,15 +573,15 @@
 	return r, r.attempts[u.Number]
 }
 
-// Begin implements upstream.Handler. An attempt may have waited, for its connection, between tries,
+// BeforeWrite implements upstream.Handler. An attempt may have waited, for its connection, between tries,
 // behind others or for this process, and what allowed it may be over: its client, too, may have gone
 // meanwhile, and its reader not have come to that. Whatever its class, nobody waits for its answer then.
-func (c *Core) Begin(batch []*upstream.Attempt) []*upstream.Attempt {
+func (c *Core) BeforeWrite(batch []*upstream.Attempt) []*upstream.Attempt {
 	changes := false
 	batch = slices.DeleteFunc(batch, func(u *upstream.Attempt) bool {
-		changes = changes || u.Request.Changes
-		a := u.Owner.(*attempt)
-		return a.client != nil && a.client.Left() && c.desert(a)
+		changes = changes || u.Request.SideEffects
+		a := u.HandlerState.(*attempt)
+		return a.client != nil && a.client.Disconnected() && c.desert(a)
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -595,11 +595,11 @@
 		if r == nil {
 			continue
 		}
-		if r.over || !c.balancer.Allowed(c.now(), r.id, a.Number) || r.stage == given && c.now() >= r.leave {
+		if r.over || !c.balancer.MaySend(c.now(), r.id, a.Number) || r.stage == given && c.now() >= r.leave {
 			c.end(r, a, policy.NotSent, nil)
 			continue
 		}
-		if c.still.module.Stays() && c.park(r, a) {
+		if c.still.module.HoldsWrites() && c.park(r, a) {
 			continue
 		}
 		if r.expires.Before(u.Deadline) { // the machine slept
@@ -647,16 +647,16 @@
 	}
 	c.end(r, a, results[result], answer)
 	switch result {
-	case upstream.NoConnect, upstream.Broken:
+	case upstream.NotWritten, upstream.ConnectionLost:
 		c.sight(a.server, membership.Failed)
-	case upstream.Busy, upstream.Failed, upstream.NoRoom:
+	case upstream.Busy, upstream.Failed, upstream.ConnectionLimitReached:
 		c.sight(a.server, membership.Answered)
 	}
 }
 
-var results = [...]policy.Result{upstream.Busy: policy.Full, upstream.Failed: policy.Errored,
-	upstream.NoConnect: policy.ConnectFailed, upstream.Broken: policy.Reset, upstream.Spoilt: policy.Spoilt,
-	upstream.NoRoom: policy.NoRoom}
+var results = [...]policy.Result{upstream.Busy: policy.Rejected, upstream.Failed: policy.Errored,
+	upstream.NotWritten: policy.ConnectFailed, upstream.ConnectionLost: policy.Reset, upstream.Malformed: policy.Malformed,
+	upstream.ConnectionLimitReached: policy.ConnectionLimitReached}
 
 // timer is due at a time: one of the module's, with its token as id, or the
 // end of the wait for attempts of a request.
@@ -711,12 +711,12 @@
 		}
 		switch t.attempt {
 		case moduleTimer:
-			c.handle(policy.Timer{Token: t.id})
+			c.handle(policy.TimerFired{Token: t.id})
 			continue
 		case stillTimer: // it was looked at
 			continue
 		case memberTimer:
-			c.member(membership.Tick{})
+			c.member(membership.TimerFired{})
 			continue
 		}
 		r := c.requests[t.id]
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -16,8 +16,8 @@
 // within one another's ends must give back what it took once only.
 func TestRequestIsReleasedOnce(t *testing.T) {
 	reply := &releases{}
-	r := &Held{id: 7, request: &request.Request{ID: "x"}, reply: reply, open: 1}
-	c := &Core{requests: map[uint64]*Held{7: r}, open: map[string]struct{}{"x": {}}}
+	r := &InFlightRequest{id: 7, request: &request.Request{ID: "x"}, reply: reply, open: 1}
+	c := &Core{requests: map[uint64]*InFlightRequest{7: r}, open: map[string]struct{}{"x": {}}}
 	c.drop(r)
 	c.answer(r, &request.Answer{Kind: request.Failed}, "")
 	if reply.released != 0 {
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -13,8 +13,8 @@
 type counts struct {
 	arrived, served, refused, failed, left int
 	sent, hits, misses                     int
-	ends                                   [policy.NoRoom + 1]int // attempts, by result
-	told, lost                             int                    // news of the list, calls and watches that failed
+	ends                                   [policy.ConnectionLimitReached + 1]int // attempts, by result
+	told, lost                             int                                    // news of the list, calls and watches that failed
 }
 
 // countPause is the time between two lines.
@@ -31,22 +31,22 @@
 		case <-tick.C:
 		}
 		c.mu.Lock()
-		n, open, cond := c.counts, len(c.requests), c.balancer.Condition()
+		n, open, cond := c.counts, len(c.requests), c.balancer.TakeCounters()
 		c.counts = counts{}
 		stops := c.still.attrs()
-		known, other := c.balancer.Gates()
+		known, other := c.balancer.AdmissionShares()
 		c.mu.Unlock()
 		u := c.nodes.TakeCounts()
 		c.log.LogAttrs(ctx, slog.LevelInfo, "counts", slog.Int("arrived", n.arrived), slog.Int("served", n.served),
 			slog.Int("refused", n.refused), slog.Int("failed", n.failed), slog.Int("left", n.left), slog.Int("open", open),
 			slog.Int("sent", n.sent), slog.Int("hits", n.hits), slog.Int("misses", n.misses),
-			slog.Int("errored", n.ends[policy.Errored]), slog.Int("full", n.ends[policy.Full]),
+			slog.Int("errored", n.ends[policy.Errored]), slog.Int("full", n.ends[policy.Rejected]),
 			slog.Int("timed_out", n.ends[policy.TimedOut]), slog.Int("unconnected", n.ends[policy.ConnectFailed]),
-			slog.Int("reset", n.ends[policy.Reset]), slog.Int("cancelled", n.ends[policy.Cancelled]), slog.Int("spoilt", n.ends[policy.Spoilt]),
-			slog.Int("told", n.told), slog.Int("lost", n.lost), slog.Int("nodes", cond.Servers), slog.Int("out", cond.Out),
-			slog.Int("asked", cond.Asked), slog.Int("turned", cond.Turned), slog.Int("hopeless", cond.Hopeless), slog.Int("pending", cond.Held),
+			slog.Int("reset", n.ends[policy.Reset]), slog.Int("cancelled", n.ends[policy.Cancelled]), slog.Int("spoilt", n.ends[policy.Malformed]),
+			slog.Int("told", n.told), slog.Int("lost", n.lost), slog.Int("nodes", cond.Servers), slog.Int("out", cond.Ejected),
+			slog.Int("asked", cond.Offered), slog.Int("turned", cond.Rejected), slog.Int("hopeless", cond.DeadlineRejections), slog.Int("pending", cond.WaitsForServer),
 			slog.Float64("gate_known", known), slog.Float64("gate_other", other),
-			slog.Int("dials", u.Dials), slog.Int("refusals", u.Refusals), slog.Int("conns", u.Conns),
-			slog.Int("no_room", u.NoRoom), slog.Int("closed", u.Closed), slog.Any("still", slog.GroupValue(stops...)))
+			slog.Int("dials", u.Dials), slog.Int("refusals", u.DialFailures), slog.Int("conns", u.Connections),
+			slog.Int("no_room", u.ConnectionLimitReached), slog.Int("closed", u.IdleClosed), slog.Any("still", slog.GroupValue(stops...)))
 	}
 }
--- a/internal/core/level.go
+++ b/internal/core/level.go
@@ -16,63 +16,63 @@
 // tells the decision module and remembers what changed.
 
 const (
-	// ServiceTick is the time between two samples of the signals.
-	ServiceTick = 250 * time.Millisecond
-	recordsKept = 64
-	// KeptPart: one part in so many of held requests and bodies is kept for keyed writes where they go first.
-	KeptPart = 4
+	// OverloadSampleInterval is the time between two samples of the signals.
+	OverloadSampleInterval = 250 * time.Millisecond
+	recordsKept            = 64
+	// ReservedDivisor: one part in so many of held requests and bodies is kept for keyed writes where they go first.
+	ReservedDivisor = 4
 )
 
-// ServiceConfig says how service is reduced.
-type ServiceConfig struct {
-	On       bool
-	Limits   overload.Limits
-	Pin      overload.Level
-	PinUntil time.Time // zero for no pin
+// OverloadConfig says how service is reduced.
+type OverloadConfig struct {
+	Enabled     bool
+	Limits      overload.Timings
+	PinnedLevel overload.Level
+	PinnedUntil time.Time // zero for no pin
 }
 
 // levels is the state of the level of service. It is guarded by Core.mu.
 type levels struct {
 	on      bool
-	module  *overload.Module
+	module  *overload.Controller
 	meter   overload.Meter
 	last    overload.Level // as the decision module was told
 	lag     time.Duration  // of timers, the most since the last sample
 	told    time.Duration  // when a source last said something
 	asks    bool           // there is a source that says something time and again
-	kept    [recordsKept]overload.Record
+	kept    [recordsKept]overload.Transition
 	changes int // ever
 	pin     overload.Level
 	until   time.Time // of the pin in force
 }
 
-func newLevels(c *ServiceConfig) levels {
-	return levels{on: c.On, module: overload.New(c.Limits)}
+func newLevels(c *OverloadConfig) levels {
+	return levels{on: c.Enabled, module: overload.New(c.Limits)}
 }
 
 // adopt puts a configuration into force. What the module knows stays, and a pin that is
 // the one in force is not begun anew.
-func (c *Core) adopt(next *ServiceConfig, now time.Duration) (changed []overload.Record) {
+func (c *Core) adopt(next *OverloadConfig, now time.Duration) (changed []overload.Transition) {
 	l := &c.levels
-	if next.On && !l.on { // what went on meanwhile was not sampled, and is no sign of now
-		c.balancer.Condition()
+	if next.Enabled && !l.on { // what went on meanwhile was not sampled, and is no sign of now
+		c.balancer.TakeCounters()
 		l.meter, l.lag = overload.Meter{}, 0
 	}
-	l.on = next.On
-	l.module.SetLimits(next.Limits)
+	l.on = next.Enabled
+	l.module.SetTimings(next.Limits)
 	if !l.on {
 		if l.last > overload.Full {
-			changed = []overload.Record{{At: now, From: l.last.String(), To: overload.Full.String(), Cause: "off"}}
+			changed = []overload.Transition{{At: now, From: l.last.String(), To: overload.Full.String(), Cause: "off"}}
 		}
 		l.module, l.until = overload.New(next.Limits), time.Time{}
 		c.keep(changed)
 		c.tellLevel(overload.Full)
 		return changed
 	}
-	if left := time.Until(next.PinUntil); left > 0 {
-		if !l.until.Equal(next.PinUntil) || l.pin != next.Pin {
-			l.pin, l.until = next.Pin, next.PinUntil
-			changed = l.module.Handle(now, overload.Pin{Level: next.Pin, For: left}, nil)
+	if left := time.Until(next.PinnedUntil); left > 0 {
+		if !l.until.Equal(next.PinnedUntil) || l.pin != next.PinnedLevel {
+			l.pin, l.until = next.PinnedLevel, next.PinnedUntil
+			changed = l.module.Handle(now, overload.Pin{Level: next.PinnedLevel, Duration: left}, nil)
 		}
 	} else {
 		l.until = time.Time{}
@@ -83,30 +83,30 @@
 	return changed
 }
 
-// Sample takes the signals that only the connections know, as shares of their limits
+// SampleOverload takes the signals that only the connections know, as shares of their limits
 // (negative for unknown), adds its own, and puts the level that follows into force. It is
 // called every ServiceTick.
-func (c *Core) Sample(memory, sockets float64) {
+func (c *Core) SampleOverload(memory, sockets float64) {
 	c.mu.Lock()
 	now, l := c.now(), &c.levels
 	if !l.on {
 		c.mu.Unlock()
 		return
 	}
-	seen := c.balancer.Condition()
-	l.meter.Add(now, overload.Counts{Reads: float64(seen.Reads), LateReads: float64(seen.LateReads), Handovers: float64(seen.Keyed),
-		LateHandovers: float64(seen.LateKeyed), Asked: float64(seen.Asked), Turned: float64(seen.Turned),
+	seen := c.balancer.TakeCounters()
+	l.meter.Add(now, overload.Counts{Reads: float64(seen.Reads), LateReads: float64(seen.LateReads), Handovers: float64(seen.Handovers),
+		LateHandovers: float64(seen.LateHandovers), Offered: float64(seen.Offered), Rejected: float64(seen.Rejected),
 		Fetches: float64(seen.Fetches), FailedFetches: float64(seen.FailedFetches),
-		Timed: float64(seen.Timed), FetchTime: seen.FetchTime})
-	signals := overload.NoSignals()
+		TimedFetches: float64(seen.TimedFetches), FetchTimeSum: seen.FetchTimeSum})
+	signals := overload.UnknownSignals()
 	l.meter.Fill(&signals)
-	signals[overload.Lag], l.lag = l.lag.Seconds(), 0
+	signals[overload.TimerLag], l.lag = l.lag.Seconds(), 0
 	signals[overload.Memory], signals[overload.Sockets] = memory, sockets
 	if seen.Servers > 0 {
-		signals[overload.Out] = float64(seen.Out) / float64(seen.Servers)
+		signals[overload.EjectedNodes] = float64(seen.Ejected) / float64(seen.Servers)
 	}
 	if l.asks && l.told > 0 {
-		signals[overload.Age] = (now - l.told).Seconds()
+		signals[overload.EndpointListAge] = (now - l.told).Seconds()
 	}
 	changed := l.module.Handle(now, overload.Sample{Signals: signals}, nil)
 	c.keep(changed)
@@ -118,11 +118,11 @@
 // asks tells whether a source of the list gives a sign time and again, so that its silence
 // means something.
 func asks(c *Config) bool {
-	return c.Infer && slices.ContainsFunc(c.Places, discovery.Place.Doubted)
+	return c.ReconcileLists && slices.ContainsFunc(c.ListSources, discovery.SourceConfig.NeedsConfirmation)
 }
 
 // keep remembers changes. c.mu is held.
-func (c *Core) keep(changed []overload.Record) {
+func (c *Core) keep(changed []overload.Transition) {
 	for _, r := range changed {
 		c.levels.kept[c.levels.changes%recordsKept] = r
 		c.levels.changes++
@@ -133,20 +133,20 @@
 func (c *Core) tellLevel(level overload.Level) {
 	if level != c.levels.last {
 		c.levels.last = level
-		c.handle(policy.ServiceChange{Level: policy.Service(level)})
+		c.handle(policy.LevelChange{Level: policy.DegradationLevel(level)})
 	}
 }
 
 // logLevels logs changes, without a lock.
-func (c *Core) logLevels(changed []overload.Record) {
+func (c *Core) logLevels(changed []overload.Transition) {
 	for _, r := range changed {
-		c.log.Warn("service level", "from", r.From, "to", r.To, "cause", r.Cause, "figure", r.Figure, "bound", r.Bound, "stay_s", r.Stay,
-			"also", r.Also, "pinned", r.Pinned)
+		c.log.Warn("service level", "from", r.From, "to", r.To, "cause", r.Cause, "figure", r.Value, "bound", r.Threshold, "stay_s", r.MinStaySeconds,
+			"also", r.OtherCauses, "pinned", r.Pinned)
 	}
 }
 
-// Level is the level of service in force.
-func (c *Core) Level() overload.Level {
+// OverloadLevel is the level of service in force.
+func (c *Core) OverloadLevel() overload.Level {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.levels.last
@@ -155,9 +155,9 @@
 // Stat is one figure, as a client may ask for it.
 type Stat struct{ Name, Value string }
 
-// ServiceStats tell the level in force, the figures behind it and the changes that are
+// OverloadStats tell the level in force, the figures behind it and the changes that are
 // kept, the latest first, each a record in JSON.
-func (c *Core) ServiceStats() (list []Stat) {
+func (c *Core) OverloadStats() (list []Stat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := &c.levels
@@ -174,9 +174,9 @@
 	left, pinned := l.module.Pinned()
 	add("service_pinned", pinned)
 	add("service_pinned_for_s", math.Ceil(left.Seconds()))
-	for i, figure := range l.module.Figures() {
+	for i, figure := range l.module.Signals() {
 		if !math.IsNaN(figure) {
-			add("service_"+overload.Trouble(i).String(), math.Round(figure*1e4)/1e4)
+			add("service_"+overload.Signal(i).String(), math.Round(figure*1e4)/1e4)
 		}
 	}
 	add("service_changes", l.changes)
@@ -190,8 +190,8 @@
 // all places is theirs. c.mu is held.
 func (c *Core) roomFor(rules *rules, class int) bool {
 	most := rules.mostHeld
-	if c.levels.last >= overload.Handovers && rules.set.Classes[class].Effect != policy.Keyed {
-		most -= most / KeptPart
+	if c.levels.last >= overload.Handovers && rules.set.Classes[class].Idempotency != policy.IdempotentWithKey {
+		most -= most / ReservedDivisor
 	}
 	return len(c.requests) < most
 }
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -34,20 +34,20 @@
 	return call{name: c.places[0].String(), source: c.registry, known: c.version}
 }
 
-// Move makes places those of the list.
-func (c *Core) Move(places []discovery.Place) {
+// SetListSources makes places those of the list.
+func (c *Core) SetListSources(places []discovery.SourceConfig) {
 	c.mu.Lock()
 	c.places = places
 	c.registry, c.version = places[0].Open(), 0
-	c.member(membership.Followed{Sources: sourcesOf(places)})
+	c.member(membership.SourcesChanged{Sources: sourcesOf(places)})
 	c.mu.Unlock()
 	post(c.moved)
 }
 
 // sourcesOf names the sources at places.
-func sourcesOf(places []discovery.Place) (list []membership.Source) {
+func sourcesOf(places []discovery.SourceConfig) (list []membership.Source) {
 	for _, p := range places {
-		list = append(list, membership.Source{Name: p.String(), Doubted: p.Doubted()})
+		list = append(list, membership.Source{Name: p.String(), NeedsConfirmation: p.NeedsConfirmation()})
 	}
 	return list
 }
@@ -68,37 +68,37 @@
 
 func (c *Core) fetched(from call, l discovery.List, err error) {
 	if err == nil {
-		c.learn(from, l, policy.ListFull)
+		c.learn(from, l, policy.EndpointsFull)
 		return
 	}
 	c.log.Warn("list call failed", "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handle(policy.ListUpdate{Version: c.version, Kind: policy.ListLost})
+	c.handle(policy.EndpointUpdate{Version: c.version, Kind: policy.EndpointsUnavailable})
 }
 
 // learn takes news of the list from one of the platform's places, unless they are none: a list that was asked
 // for before a change must not undo what a watch has told since, nor the place before what the one now has told. A
 // version below that known as the call began is no older one, but that of a service that has begun anew.
-func (c *Core) learn(from call, l discovery.List, kind policy.ListKind) {
+func (c *Core) learn(from call, l discovery.List, kind policy.EndpointUpdateKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case from.source != c.registry && c.settled == c.registry:
 		return
 	case from.source == c.registry:
-		if kind != policy.ListStored && l.Index < c.version && l.Index >= from.known {
+		if kind != policy.EndpointsCached && l.Index < c.version && l.Index >= from.known {
 			c.log.Info("an older list is passed over", "index", l.Index, "known", c.version)
 			return
 		}
 		c.version = l.Index
 	}
-	if kind != policy.ListStored {
+	if kind != policy.EndpointsCached {
 		c.settled = from.source
 		c.counts.told++
 		c.hear()
 	}
-	c.member(membership.Told{Source: from.name, Whole: l.Snapshot || kind != policy.ListChanges, Nodes: l.Nodes()})
+	c.member(membership.ListReceived{Source: from.name, Complete: l.Snapshot || kind != policy.EndpointsDelta, Nodes: l.Nodes()})
 }
 
 // hear notes that a list has come. c.mu is held.
@@ -113,23 +113,23 @@
 // the decision module never names a node that they don't know. c.mu is held.
 func (c *Core) member(event membership.Event) {
 	now := c.now()
-	if _, told := event.(membership.Told); told {
+	if _, told := event.(membership.ListReceived); told {
 		c.levels.told = now
 	}
 	c.news = c.members.Handle(now, event, c.news[:0])
-	update := policy.ListUpdate{Version: c.version, Kind: policy.ListChanges}
+	update := policy.EndpointUpdate{Version: c.version, Kind: policy.EndpointsDelta}
 	var there []upstream.Node
 	var gone []string
 	for _, action := range c.news {
 		switch a := action.(type) {
 		case membership.Change:
 			keyless := c.binary.has(&a.Node)
-			update.Members = append(update.Members, policy.Member{Server: a.Name, Zone: place(c.zones, a.Zone), Kind: place(c.kinds, a.Type),
-				Cell: a.Group, Mode: modes[a.Status], Weight: a.Weight, Started: a.Started, Keyless: keyless})
+			update.Endpoints = append(update.Endpoints, policy.Endpoint{Server: a.Name, Zone: place(c.zones, a.Zone), MachineKind: place(c.kinds, a.Type),
+				Cell: a.Group, State: modes[a.Status], Weight: a.Weight, StartedAt: a.Started, NoDeduplication: keyless})
 			if c.infer && c.heard { // what it was started with is in its configuration
-				c.log.Info("node", "name", a.Name, "address", a.Address, "is", a.Status.String(), "was", a.Before.String(), "source", a.Source, "why", a.Why)
+				c.log.Info("node", "name", a.Name, "address", a.Address, "is", a.Status.String(), "was", a.Previous.String(), "source", a.Source, "why", a.Reason)
 			}
-			c.record.Record(eventlog.NodeListed{Node: a.Name, Mode: a.Status.String(), Version: c.version})
+			c.record.Record(eventlog.NodeUpdated{Node: a.Name, Mode: a.Status.String(), Version: c.version})
 			if a.Status == membership.Gone {
 				gone = append(gone, a.Name)
 				delete(c.failed, a.Name)
@@ -140,27 +140,27 @@
 				n.Started = time.Unix(0, int64(a.Started))
 			}
 			if keyless { // its dialect has no room for an idempotency key
-				n.Dialect = binary.Node{}
+				n.Dialect = binary.NodeDialect{}
 			}
 			there = append(there, n)
-		case membership.Look:
-			c.log.Warn("list collapsed, looking again", "source", a.Source, "in_doubt", len(c.members.Doubted(a.Source)))
+		case membership.Refetch:
+			c.log.Warn("list collapsed, looking again", "source", a.Source, "in_doubt", len(c.members.Unconfirmed(a.Source)))
 			select {
 			case c.look <- a.Source:
 			default: // many are asked for already; a doubt ends without one as well
 			}
-		case membership.Wake:
+		case membership.SetTimer:
 			c.setTimer(timer{at: c.now() + a.After, attempt: memberTimer})
 		}
 	}
-	c.nodes.Set(there)
-	if _, told := event.(membership.Told); told || len(update.Members) > 0 {
+	c.nodes.UpdateNodes(there)
+	if _, told := event.(membership.ListReceived); told || len(update.Endpoints) > 0 {
 		c.handle(update)
 	}
-	c.nodes.Remove(gone)
+	c.nodes.RemoveNodes(gone)
 }
 
-var modes = map[membership.Status]policy.Mode{membership.Up: policy.Serving, membership.Draining: policy.Draining, membership.Gone: policy.Gone}
+var modes = map[membership.Status]policy.EndpointState{membership.Up: policy.Serving, membership.Draining: policy.Draining, membership.Gone: policy.Removed}
 
 // place is the index of a name, behind the known ones for one that is not known.
 func place(names []string, name string) int {
@@ -171,20 +171,20 @@
 }
 
 // sight tells membership what connections see of a node. c.mu is held.
-func (c *Core) sight(node string, sight membership.Sight) {
+func (c *Core) sight(node string, sight membership.Observation) {
 	if c.infer && (sight == membership.Failed || c.failed[node]) {
 		if sight == membership.Failed {
 			c.failed[node] = true
 		} else {
 			delete(c.failed, node)
 		}
-		c.member(membership.Seen{Node: node, Sight: sight})
+		c.member(membership.ConnectionObserved{Node: node, Observation: sight})
 	}
 }
 
 // follower is one source that is followed.
 type follower struct {
-	place  discovery.Place
+	place  discovery.SourceConfig
 	source discovery.Source
 	cancel context.CancelFunc
 }
@@ -219,7 +219,7 @@
 		places := c.places
 		c.mu.Unlock()
 		for name, f := range followers {
-			if !slices.ContainsFunc(places, func(p discovery.Place) bool { return p.String() == name }) {
+			if !slices.ContainsFunc(places, func(p discovery.SourceConfig) bool { return p.String() == name }) {
 				f.cancel()
 				delete(followers, name)
 			}
@@ -255,7 +255,7 @@
 			}
 			c.mu.Lock()
 			c.hear()
-			c.member(membership.Told{Source: name, Whole: l.Snapshot, Nodes: l.Nodes()})
+			c.member(membership.ListReceived{Source: name, Complete: l.Snapshot, Nodes: l.Nodes()})
 			c.mu.Unlock()
 			if first {
 				first = false
@@ -290,8 +290,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.member(membership.LookFailed{Source: f.place.String()})
+		c.member(membership.RefetchFailed{Source: f.place.String()})
 		return
 	}
-	c.member(membership.Told{Source: f.place.String(), Whole: true, Look: true, Nodes: l.Nodes()})
+	c.member(membership.ListReceived{Source: f.place.String(), Complete: true, Refetched: true, Nodes: l.Nodes()})
 }
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -27,55 +27,55 @@
 }
 
 // left returns the time until a request's deadline.
-func (c *Core) left(r *Held) time.Duration { return r.deadline - c.now() }
+func (c *Core) left(r *InFlightRequest) time.Duration { return r.deadline - c.now() }
 
-func (c *Core) recordTaken(r *Held) {
+func (c *Core) recordTaken(r *InFlightRequest) {
 	if !c.record.Enabled() {
 		return
 	}
 	age := time.Duration(0)
-	if r.request.Age.Latest > 0 {
-		age = c.mono() - r.request.Age.Latest
+	if r.request.Arrival.Latest > 0 {
+		age = c.mono() - r.request.Arrival.Latest
 	}
-	c.record.Record(eventlog.RequestTaken{ID: r.request.ID, Class: r.request.Class, Client: addressOf(r.reply),
-		Wait: r.request.Wait, Age: age, Left: c.left(r)})
+	c.record.Record(eventlog.RequestAccepted{ID: r.request.ID, Class: r.request.Class, Client: addressOf(r.reply),
+		Timeout: r.request.Timeout, Age: age, Remaining: c.left(r)})
 }
 
 func (c *Core) recordRefusal(in *request.Request, reply Reply, reason string) {
 	if c.record.Enabled() {
-		c.record.Record(eventlog.RequestRefused{ID: in.ID, Client: addressOf(reply), Reason: reason})
+		c.record.Record(eventlog.RequestRejected{ID: in.ID, Client: addressOf(reply), Reason: reason})
 	}
 }
 
-func (c *Core) recordSent(r *Held, a *attempt, reason policy.Reason) {
+func (c *Core) recordSent(r *InFlightRequest, a *attempt, reason policy.Reason) {
 	if c.record.Enabled() {
-		c.record.Record(eventlog.AttemptSent{ID: r.request.ID, Attempt: a.Number, Node: a.server, Reason: reason.String()})
+		c.record.Record(eventlog.AttemptDispatched{ID: r.request.ID, Attempt: a.Number, Node: a.server, Reason: reason.String()})
 	}
 }
 
-func (c *Core) recordBegun(r *Held, a *attempt) {
+func (c *Core) recordBegun(r *InFlightRequest, a *attempt) {
 	if c.record.Enabled() {
-		c.record.Record(eventlog.AttemptBegun{ID: r.request.ID, Attempt: a.Number, Node: a.server, Left: time.Until(a.Deadline)})
+		c.record.Record(eventlog.AttemptStarted{ID: r.request.ID, Attempt: a.Number, Node: a.server, Remaining: time.Until(a.Deadline)})
 	}
 }
 
-func (c *Core) recordEnd(r *Held, a *attempt, result policy.Result) {
+func (c *Core) recordEnd(r *InFlightRequest, a *attempt, result policy.Result) {
 	if c.record.Enabled() {
 		c.record.Record(eventlog.AttemptEnded{ID: r.request.ID, Attempt: a.Number, Node: a.server, Result: result.String(),
-			Took: c.now() - a.sent})
+			Duration: c.now() - a.sent})
 	}
 }
 
-func (c *Core) recordAnswer(r *Held, a *request.Answer, reason string) {
+func (c *Core) recordAnswer(r *InFlightRequest, a *request.Answer, reason string) {
 	if c.record.Enabled() {
 		c.record.Record(eventlog.RequestAnswered{ID: r.request.ID, Answer: a.Kind.String(), Reason: reason,
-			Took: c.now() - r.taken, Left: c.left(r)})
+			Duration: c.now() - r.taken, Remaining: c.left(r)})
 	}
 }
 
-func (c *Core) recordLeft(r *Held) {
+func (c *Core) recordLeft(r *InFlightRequest) {
 	if c.record.Enabled() {
-		c.record.Record(eventlog.ClientLeft{ID: r.request.ID, Took: c.now() - r.taken, Left: c.left(r)})
+		c.record.Record(eventlog.RequestAbandoned{ID: r.request.ID, Duration: c.now() - r.taken, Remaining: c.left(r)})
 	}
 }
 
--- a/internal/core/still.go
+++ b/internal/core/still.go
@@ -20,28 +20,28 @@
 
 // stillness is what the core knows of stops. It is guarded by Core.mu, but for the atomics.
 type stillness struct {
-	module  *pause.Module
+	module  *pause.Detector
 	actions []pause.Action
-	slept   time.Duration             // as ahead said last
-	ahead   func() time.Duration      // how far the clock that counts sleep is ahead; nil where it is not asked
-	asleep  atomic.Int64              // of the machine so far: time that the monotonic clock has not counted
-	looked  atomic.Int64              // when somebody looked last, by the monotonic clock
-	gap     atomic.Pointer[pause.Gap] // the latest, nil for none
-	parked  []*attempt                // sends that are held
-	owners  []*Held                   // of each
+	slept   time.Duration                  // as ahead said last
+	ahead   func() time.Duration           // how far the clock that counts sleep is ahead; nil where it is not asked
+	asleep  atomic.Int64                   // of the machine so far: time that the monotonic clock has not counted
+	looked  atomic.Int64                   // when somebody looked last, by the monotonic clock
+	gap     atomic.Pointer[pause.Interval] // the latest, nil for none
+	parked  []*attempt                     // sends that are held
+	owners  []*InFlightRequest             // of each
 	awake   chan struct{}
 	ask     chan struct{} // the lists are to be asked for
 	stops   int
 	stood   time.Duration // in all
 	aged    int           // requests refused for their age
 	late    int           // writes that a stop fell into
-	pauses  pause.Pauses
-	pause   atomic.Pointer[pause.Gap] // the latest pause, nil for none
-	pauseN  int                       // pauses so far
-	paused  time.Duration             // in all
-	used    time.Duration             // processor time at the latest tick
-	warned  time.Duration             // when a pause was last logged
-	hushed  int                       // pauses since
+	pauses  pause.StallTracker
+	pause   atomic.Pointer[pause.Interval] // the latest pause, nil for none
+	pauseN  int                            // pauses so far
+	paused  time.Duration                  // in all
+	used    time.Duration                  // processor time at the latest tick
+	warned  time.Duration                  // when a pause was last logged
+	hushed  int                            // pauses since
 }
 
 func (s *stillness) init(ahead func() time.Duration) {
@@ -51,17 +51,17 @@
 	if ahead != nil {
 		s.slept = ahead()
 	}
-	s.module = pause.New(pause.Usual, pause.Reading{Ahead: s.slept})
+	s.module = pause.New(pause.DefaultLimits, pause.ClockReading{TotalSleep: s.slept})
 }
 
 // mono is the clock of stops: the time since the core's start, by the monotonic clock.
 func (c *Core) mono() time.Duration { return time.Since(c.start) }
 
-// Now returns the time by the core's clock, as [Core.Age] takes it, and looks whether the process
+// Now returns the time by the core's clock, as [Core.EstimateArrival] takes it, and looks whether the process
 // stood still. It costs a look at the clock; only who finds a stop takes the lock.
 func (c *Core) Now() time.Duration {
 	now := c.mono()
-	if last := c.still.looked.Load(); c.still.module != nil && now-time.Duration(last) >= pause.LeastPause {
+	if last := c.still.looked.Load(); c.still.module != nil && now-time.Duration(last) >= pause.MinStall {
 		c.mu.Lock()
 		c.seeClocks()
 		c.mu.Unlock()
@@ -69,11 +69,11 @@
 	return now
 }
 
-// At says a time by the core's clock as others have it.
-func (c *Core) At(t time.Duration) time.Time { return c.start.Add(t) }
+// WallTime says a time by the core's clock as others have it.
+func (c *Core) WallTime(t time.Duration) time.Time { return c.start.Add(t) }
 
-// Tick is to be called every still.Usual.Tick.
-func (c *Core) Tick() {
+// CheckClocks is to be called every pause.DefaultLimits.Tick.
+func (c *Core) CheckClocks() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeSleep()
@@ -85,35 +85,35 @@
 func (c *Core) seeClocks() {
 	now := c.mono()
 	last := time.Duration(c.still.looked.Swap(int64(now)))
-	if last > 0 && c.still.pauses.Look(last, now) {
+	if last > 0 && c.still.pauses.Observe(last, now) {
 		c.notePause(c.still.pauses.Latest())
 	}
-	c.stands(now, pause.Look{Ahead: c.still.slept})
+	c.stands(now, pause.ClockChecked{TotalSleep: c.still.slept})
 }
 
 // notePause keeps a pause in view of connections' readers, and logs it. c.mu is held.
-func (c *Core) notePause(pause pause.Gap) {
+func (c *Core) notePause(pause pause.Interval) {
 	s := &c.still
 	s.pause.Store(&pause)
 	s.pauseN++
-	s.paused += pause.Long()
-	if s.hushed++; pause.To-s.warned < time.Second {
+	s.paused += pause.Duration()
+	if s.hushed++; pause.End-s.warned < time.Second {
 		return
 	}
-	c.record.Warn(eventlog.HeldUp{For: pause.Long(), CPU: processorTime() - s.used, Times: s.hushed, Open: len(c.requests)})
-	s.warned, s.hushed = pause.To, 0
+	c.record.Warn(eventlog.ProcessStalled{Duration: pause.Duration(), CPUTime: processorTime() - s.used, Count: s.hushed, InFlight: len(c.requests)})
+	s.warned, s.hushed = pause.End, 0
 }
 
-// Pause returns the latest pause, by the core's clock.
-func (c *Core) Pause() (pause pause.Gap) {
+// LastStall returns the latest pause, by the core's clock.
+func (c *Core) LastStall() (pause pause.Interval) {
 	if known := c.still.pause.Load(); known != nil {
 		pause = *known
 	}
 	return pause
 }
 
-// WorstPause returns the longest pause of late.
-func (c *Core) WorstPause() time.Duration {
+// WorstStall returns the longest pause of late.
+func (c *Core) WorstStall() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.still.pauses.Worst(c.mono())
@@ -131,17 +131,17 @@
 // stands gives the module an event, and does what it asks. c.mu is held.
 func (c *Core) stands(now time.Duration, event pause.Event) {
 	s := &c.still
-	s.module.Held(len(s.parked))
+	s.module.SetHeldSends(len(s.parked))
 	s.actions = s.module.Handle(now, event, s.actions[:0])
 	for _, action := range s.actions {
 		switch a := action.(type) {
-		case pause.Stood:
-			c.wakeUp(a.Gap)
-		case pause.Release:
-			c.release(a.Most)
-		case pause.Again:
+		case pause.Paused:
+			c.wakeUp(a.Interval)
+		case pause.ReleaseSends:
+			c.release(a.Max)
+		case pause.CheckAgain:
 			c.setTimer(timer{at: c.now() + a.After, attempt: stillTimer})
-		case pause.Awake:
+		case pause.Resumed:
 			close(s.awake)
 			c.log.Info("at work again", "after", a.After)
 		}
@@ -149,23 +149,23 @@
 }
 
 // wakeUp keeps a stop out of all that is learnt, and has the lists asked for. c.mu is held.
-func (c *Core) wakeUp(gap pause.Gap) {
+func (c *Core) wakeUp(gap pause.Interval) {
 	s := &c.still
 	s.gap.Store(&gap)
 	s.stops++
-	s.stood += gap.Long()
-	if gap.Asleep > 0 { // of clients' time as well
-		s.asleep.Add(int64(gap.Asleep))
+	s.stood += gap.Duration()
+	if gap.Slept > 0 { // of clients' time as well
+		s.asleep.Add(int64(gap.Slept))
 		for _, r := range c.requests {
-			r.expires = r.expires.Add(-gap.Asleep)
+			r.expires = r.expires.Add(-gap.Slept)
 		}
 	}
 	if isClosed(s.awake) {
 		s.awake = make(chan struct{})
 	}
-	c.levels.told += gap.Long() // it was not the sources that were silent
-	c.handle(policy.Stood{For: gap.Long()})
-	c.log.Warn("stood still", "for", gap.Long(), "asleep", gap.Asleep, "open", len(c.requests))
+	c.levels.told += gap.Duration() // it was not the sources that were silent
+	c.handle(policy.ProcessPaused{Duration: gap.Duration()})
+	c.log.Warn("stood still", "for", gap.Duration(), "asleep", gap.Slept, "open", len(c.requests))
 	post(s.ask)
 }
 
@@ -178,30 +178,30 @@
 	}
 }
 
-// Awake is closed while no stop holds what is sent.
-func (c *Core) Awake() <-chan struct{} {
+// Resumed is closed while no stop holds what is sent.
+func (c *Core) Resumed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeClocks()
 	return c.still.awake
 }
 
-// Age is when what was read may have come. Kernel is asked only where a stop makes a difference.
-func (c *Core) Age(r pause.Read, kernel func() pause.Kernel) pause.Age {
-	gap := c.Gap()
-	k := pause.Kernel{}
-	if gap.To > 0 && r.Clean < gap.To {
+// EstimateArrival is when what was read may have come. Kernel is asked only where a stop makes a difference.
+func (c *Core) EstimateArrival(r pause.ReadTiming, kernel func() pause.KernelInfo) pause.Arrival {
+	gap := c.LastPause()
+	k := pause.KernelInfo{}
+	if gap.End > 0 && r.DrainedAt < gap.End {
 		k = kernel()
 	}
-	age := pause.AgeOf(r, gap, k)
-	if since, delayed := pause.Delayed(r, c.Pause()); delayed {
-		age.Oldest, age.Latest = min(age.Oldest, since), min(age.Latest, since)
+	age := pause.EstimateArrival(r, gap, k)
+	if since, delayed := pause.DelayedByStall(r, c.LastStall()); delayed {
+		age.Earliest, age.Latest = min(age.Earliest, since), min(age.Latest, since)
 	}
 	return age
 }
 
-// Gap returns the latest stop, by the core's clock.
-func (c *Core) Gap() (gap pause.Gap) {
+// LastPause returns the latest stop, by the core's clock.
+func (c *Core) LastPause() (gap pause.Interval) {
 	if known := c.still.gap.Load(); known != nil {
 		gap = *known
 	}
@@ -209,30 +209,30 @@
 }
 
 // wokenAt is when the latest stop ended, by the module's clock.
-func (c *Core) wokenAt() time.Duration { return c.Gap().To + c.now() - c.mono() }
+func (c *Core) wokenAt() time.Duration { return c.LastPause().End + c.now() - c.mono() }
 
 // judge decides on a request by its age. The deadline is when its answer is due here, which is sooner than
 // its client's time is up where this process is held up time and again. c.mu is held.
 func (c *Core) judge(in *request.Request, class *policy.Class, wait time.Duration) (deadline time.Duration, refuse bool) {
-	now, effect := c.mono(), pause.Safe
-	switch class.Effect {
-	case policy.Keyed:
-		effect = pause.Keyed
-	case policy.Unsafe:
-		effect = pause.Unsafe
+	now, effect := c.mono(), pause.Idempotent
+	switch class.Idempotency {
+	case policy.IdempotentWithKey:
+		effect = pause.IdempotentWithKey
+	case policy.NotIdempotent:
+		effect = pause.NotIdempotent
 	}
-	age := in.Age
-	if age == (pause.Age{}) {
-		age = pause.Age{Oldest: now, Latest: now}
+	age := in.Arrival
+	if age == (pause.Arrival{}) {
+		age = pause.Arrival{Earliest: now, Latest: now}
 	}
-	v := pause.Judge(now, effect, wait, class.Window, age)
-	due := v.Until - c.still.pauses.Margin(now, wait)
-	return due + c.now() - now, v.Refuse || now >= due
+	v := pause.DecideByAge(now, effect, wait, class.DedupWindow, age)
+	due := v.SendBefore - c.still.pauses.SafetyMargin(now, wait)
+	return due + c.now() - now, v.Reject || now >= due
 }
 
 // park holds an attempt back, and tells whether it does. c.mu is held.
-func (c *Core) park(r *Held, a *attempt) bool {
-	if !c.still.module.Holds() {
+func (c *Core) park(r *InFlightRequest, a *attempt) bool {
+	if !c.still.module.HoldsSends() {
 		return false
 	}
 	c.still.parked, c.still.owners = append(c.still.parked, a), append(c.still.owners, r)
@@ -259,12 +259,12 @@
 	}
 }
 
-// Late implements upstream.Handler: what allowed these writes may not have held any more.
-func (c *Core) Late(batch []*upstream.Attempt, by time.Duration) {
+// WrittenLate implements upstream.Handler: what allowed these writes may not have held any more.
+func (c *Core) WrittenLate(batch []*upstream.Attempt, by time.Duration) {
 	c.mu.Lock()
 	changing := 0
 	for _, u := range batch {
-		if u.Request.Changes {
+		if u.Request.SideEffects {
 			changing++
 		}
 	}
@@ -282,17 +282,17 @@
 			return
 		case <-c.still.ask:
 		}
-		c.nodes.Refresh()
+		c.nodes.CloseStale()
 		c.askAll(ctx)
 		c.mu.Lock()
-		c.stands(c.mono(), pause.Heard{})
+		c.stands(c.mono(), pause.ListsRefreshed{})
 		c.mu.Unlock()
 	}
 }
 
 // askAll asks all sources of the list at once, and waits no longer than sends are held.
 func (c *Core) askAll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, pause.Usual.Wake)
+	ctx, cancel := context.WithTimeout(ctx, pause.DefaultLimits.MaxHold)
 	defer cancel()
 	c.mu.Lock()
 	places := c.places
@@ -314,10 +314,10 @@
 				c.log.Warn("no list after standing still", "source", p.String(), "error", err)
 			case c.infer:
 				c.mu.Lock()
-				c.member(membership.Told{Source: p.String(), Whole: true, Nodes: l.Nodes()})
+				c.member(membership.ListReceived{Source: p.String(), Complete: true, Nodes: l.Nodes()})
 				c.mu.Unlock()
 			default:
-				c.learn(call, l, policy.ListFull)
+				c.learn(call, l, policy.EndpointsFull)
 			}
 		})
 	}
--- a/internal/core/still_test.go
+++ b/internal/core/still_test.go
@@ -47,37 +47,37 @@
 		}
 	}()
 	at := listener.Addr().String()
-	c, err := New(&Config{Places: []discovery.Place{{Fixed: at}}, Known: discovery.FixedList(at), Infer: true, Membership: membership.Usual, MostHeld: 100,
-		Policy: policy.Settings{Proxies: 1, Origin: -1, Tick: 5 * time.Millisecond, Limits: policy.Limits{MaxAttempts: 1},
-			Classes: []policy.Class{{Name: "read", Aim: 20 * time.Second, Deadline: time.Minute, Worth: 1}}},
-		Upstream: upstream.Limits{PerNode: 4, All: 4, Streams: 64, Connect: time.Minute, Idle: time.Minute, Silent: time.Minute}}, slog.New(slog.DiscardHandler))
+	c, err := New(&Config{ListSources: []discovery.SourceConfig{{StaticAddresses: at}}, InitialList: discovery.StaticList(at), ReconcileLists: true, Membership: membership.DefaultLimits, MaxInFlight: 100,
+		Policy: policy.Settings{ProxyCount: 1, OriginKind: -1, EventInterval: 5 * time.Millisecond, Limits: policy.Limits{MaxAttempts: 1},
+			Classes: []policy.Class{{Name: "read", LatencyObjective: 20 * time.Second, Deadline: time.Minute, PriorityWeight: 1}}},
+		Upstream: upstream.Limits{MaxPerNode: 4, MaxConnections: 4, MaxPipelined: 64, ConnectTimeout: time.Minute, IdleTimeout: time.Minute, SilenceTimeout: time.Minute}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := pause.Limits{Tick: pause.Usual.Tick, Least: time.Minute, Wake: time.Hour, Burst: 4, Pause: time.Minute}
+	limits := pause.Limits{CheckInterval: pause.DefaultLimits.CheckInterval, MinPause: time.Minute, MaxHold: time.Hour, ReleaseBatch: 4, ReleaseInterval: time.Minute}
 	now := 2 * time.Minute // ahead of the clock, so that no look of others counts
 	tell := func(event pause.Event) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.stands(now, event)
 	}
-	c.still.module = pause.New(limits, pause.Reading{})
-	tell(pause.Look{})
+	c.still.module = pause.New(limits, pause.ClockReading{})
+	tell(pause.ClockChecked{})
 	reply := &replies{}
 	for i := range 10 {
-		c.Arrive(&request.Request{Verb: request.Get, Key: fmt.Sprint(i), ID: fmt.Sprint(i), Class: "read", Wait: -1}, reply)
+		c.Submit(&request.Request{Verb: request.Get, Key: fmt.Sprint(i), ID: fmt.Sprint(i), Class: "read", Timeout: -1}, reply)
 	}
-	if n := len(c.still.parked); n != 10 || reply.finished.Load() != 0 || isClosed(c.Awake()) {
-		t.Fatalf("%d held, %d answered, awake: %v", n, reply.finished.Load(), isClosed(c.Awake()))
+	if n := len(c.still.parked); n != 10 || reply.finished.Load() != 0 || isClosed(c.Resumed()) {
+		t.Fatalf("%d held, %d answered, awake: %v", n, reply.finished.Load(), isClosed(c.Resumed()))
 	}
 	for _, want := range []int64{4, 8} {
-		tell(pause.Heard{})
-		testutil.Until(t, fmt.Sprint(want, " to be written"), func() bool { return written.Load() == want })
-		now += limits.Pause
+		tell(pause.ListsRefreshed{})
+		testutil.WaitUntil(t, fmt.Sprint(want, " to be written"), func() bool { return written.Load() == want })
+		now += limits.ReleaseInterval
 	}
-	tell(pause.Heard{})
-	testutil.Until(t, "all to be written", func() bool { return written.Load() == 10 })
-	if !isClosed(c.Awake()) {
+	tell(pause.ListsRefreshed{})
+	testutil.WaitUntil(t, "all to be written", func() bool { return written.Load() == 10 })
+	if !isClosed(c.Resumed()) {
 		t.Error("not awake, with nothing held")
 	}
 }
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -150,7 +150,7 @@
 		defer cancel()
 		err := x.call.source.Watch(ctx, x.call.known, func(l discovery.List) {
 			if ctx.Err() == nil {
-				w.learn(x.call, l, policy.ListChanges)
+				w.learn(x.call, l, policy.EndpointsDelta)
 				x.call.known = l.Index
 				w.say(ctx, x, told)
 			}
@@ -205,7 +205,7 @@
 	default:
 		w.mu.Lock()
 		w.counts.lost++
-		w.handle(policy.ListUpdate{Version: w.version, Kind: policy.ListLost})
+		w.handle(policy.EndpointUpdate{Version: w.version, Kind: policy.EndpointsUnavailable})
 		w.mu.Unlock()
 	}
 }
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -113,7 +113,7 @@
 // gone waits until the proxy has ended a call.
 func (c *inquiry) gone(t *testing.T) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(testutil.Patience))
+	c.SetReadDeadline(time.Now().Add(testutil.Timeout))
 	if _, err := io.Copy(io.Discard, c); err != nil && strings.Contains(err.Error(), "timeout") {
 		t.Fatal("a call that is of no use any more is kept")
 	}
@@ -121,10 +121,10 @@
 
 func startCore(t *testing.T, ask bool, address string) *Core {
 	t.Helper()
-	c, err := New(&Config{Places: []discovery.Place{{Address: address}}, MostHeld: 10,
-		Upstream: upstream.Limits{PerNode: 1, All: 4, Streams: 4, Connect: time.Second, Idle: time.Hour, Silent: time.Hour},
-		Policy: policy.Settings{Proxies: 1, AskList: ask, Classes: []policy.Class{{Name: "read", Aim: time.Second, Deadline: time.Second}},
-			Limits: policy.Limits{MaxAttempts: 3}, Rules: policy.Rules{AskWithin: 400 * time.Millisecond}}}, slog.New(slog.DiscardHandler))
+	c, err := New(&Config{ListSources: []discovery.SourceConfig{{Address: address}}, MaxInFlight: 10,
+		Upstream: upstream.Limits{MaxPerNode: 1, MaxConnections: 4, MaxPipelined: 4, ConnectTimeout: time.Second, IdleTimeout: time.Hour, SilenceTimeout: time.Hour},
+		Policy: policy.Settings{ProxyCount: 1, EndpointsOnRequest: ask, Classes: []policy.Class{{Name: "read", LatencyObjective: time.Second, Deadline: time.Second}},
+			Limits: policy.Limits{MaxAttempts: 3}, Rules: policy.Rules{MaxPollInterval: 400 * time.Millisecond}}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,8 +135,8 @@
 		c.Run(ctx)
 	}()
 	go func() { // as the proxy does
-		for tick := time.NewTicker(pause.Usual.Tick); ctx.Err() == nil; <-tick.C {
-			c.Tick()
+		for tick := time.NewTicker(pause.DefaultLimits.CheckInterval); ctx.Err() == nil; <-tick.C {
+			c.CheckClocks()
 		}
 	}()
 	t.Cleanup(func() {
@@ -158,7 +158,7 @@
 
 func (c *Core) expect(t *testing.T, what string, serves bool) {
 	t.Helper()
-	testutil.Until(t, what, func() bool { return c.Serves() == serves })
+	testutil.WaitUntil(t, what, func() bool { return c.HasServingNodes() == serves })
 }
 
 // TestSilentWatchIsOpenedAnew: a watch that falls silent, ends, is reset or stops in the middle of an object is opened
@@ -260,7 +260,7 @@
 		list.Close()
 		post(c.fetch)
 		list = a.next(t, "one more call for the list") // calls come in turn: the one before is taken
-		if c.Serves() {
+		if c.HasServingNodes() {
 			t.Errorf("a list from before it has undone that the node is %s", status)
 		}
 		list.head()
@@ -288,7 +288,7 @@
 			c := startCore(t, ask, old.address())
 			watch := old.up(t, c, 50)
 			watch.beat(t)
-			c.Move([]discovery.Place{{Address: deaf.address()}})
+			c.SetListSources([]discovery.SourceConfig{{Address: deaf.address()}})
 			hung := deaf.next(t, "a watch of the new place")
 			watch.tell(51, false, "draining")
 			c.expect(t, "a drain told by the old place to be heeded", false)
@@ -296,7 +296,7 @@
 			if !hung.open() {
 				t.Error("asked again only after the call before was given up")
 			}
-			c.Move([]discovery.Place{{Address: next.address()}})
+			c.SetListSources([]discovery.SourceConfig{{Address: next.address()}})
 			hung.gone(t)
 			beside.gone(t)
 			watch.tell(52, false, "up")
@@ -338,10 +338,10 @@
 	a, next := startAgent(t), startAgent(t)
 	c := startCore(t, true, a.address())
 	a.up(t, c, 1)
-	c.Move([]discovery.Place{{Address: next.address()}})
+	c.SetListSources([]discovery.SourceConfig{{Address: next.address()}})
 	moved := next.next(t, "a watch of the new place")
 	post(c.subscribe)
-	testutil.Until(t, "the wish to be heard", func() bool { return len(c.subscribe) == 0 })
+	testutil.WaitUntil(t, "the wish to be heard", func() bool { return len(c.subscribe) == 0 })
 	time.Sleep(agentWait / 4)
 	if n := len(next.calls); n > 0 || !moved.open() {
 		t.Errorf("%d calls more, the first open: %v", n, moved.open())
@@ -356,10 +356,10 @@
 	a, dead, next := startAgent(t), startAgent(t), startAgent(t)
 	c := startCore(t, true, a.address())
 	a.up(t, c, 1).beat(t)
-	c.Move([]discovery.Place{{Address: dead.address()}})
+	c.SetListSources([]discovery.SourceConfig{{Address: dead.address()}})
 	dead.next(t, "a watch of the new place").Close()
 	time.Sleep(movedPause / 5)
-	c.Move([]discovery.Place{{Address: next.address()}})
+	c.SetListSources([]discovery.SourceConfig{{Address: next.address()}})
 	next.next(t, "a watch of the newest place").Close()
 	again := next.next(t, "one more watch of the newest place")
 	again.head()
--- a/internal/core/work.go
+++ b/internal/core/work.go
@@ -10,19 +10,19 @@
 
 // This file has keyed writes go out only with leave of those who would go on with them if this proxy were lost.
 
-// Desk asks for leave, and hears what came of works. Its calls come under the core's lock: none of them may wait, or call
+// TakeoverCoordinator asks for leave, and hears what came of works. Its calls come under the core's lock: none of them may wait, or call
 // back at once.
-type Desk interface {
-	// Ask asks for leave to send a write; [Core.Permit] follows before it expires. It tells whether there is room.
-	Ask(id uint64, in *request.Request, window time.Duration, expires time.Time) bool
-	// Settle tells what came of a work that was given leave.
-	Settle(id uint64, outcome takeover.Outcome, receipt string)
-	// Strict tells whether a work is refused where there is no room.
-	Strict() bool
+type TakeoverCoordinator interface {
+	// Claim asks for leave to send a write; [Core.ClaimDecided] follows before it expires. It tells whether there is room.
+	Claim(id uint64, in *request.Request, window time.Duration, expires time.Time) bool
+	// Complete tells what came of a work that was given leave.
+	Complete(id uint64, outcome takeover.Outcome, receipt string)
+	// RequiresReplica tells whether a work is refused where there is no room.
+	RequiresReplica() bool
 }
 
-// SetDesk has keyed writes be held with others from now on. It is for before the first request.
-func (c *Core) SetDesk(d Desk) {
+// SetTakeoverCoordinator has keyed writes be held with others from now on. It is for before the first request.
+func (c *Core) SetTakeoverCoordinator(d TakeoverCoordinator) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.desk = d
@@ -38,16 +38,16 @@
 )
 
 // asksLeave tells whether a request that has just come needs leave, and asks for it. c.mu is held.
-func (c *Core) asksLeave(r *Held, class *policy.Class) bool {
-	if c.desk == nil || class.Effect != policy.Keyed || r.request.Verb != request.Set {
+func (c *Core) asksLeave(r *InFlightRequest, class *policy.Class) bool {
+	if c.desk == nil || class.Idempotency != policy.IdempotentWithKey || r.request.Verb != request.Set {
 		return false
 	}
 	r.stage = asking
 	switch {
-	case c.desk.Ask(r.id, r.request, class.Window, r.expires):
-	case c.desk.Strict():
+	case c.desk.Claim(r.id, r.request, class.DedupWindow, r.expires):
+	case c.desk.RequiresReplica():
 		c.counts.refused++
-		c.answer(r, &request.Answer{Kind: request.Busy, After: time.Second}, "taken over")
+		c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: time.Second}, "taken over")
 	default:
 		r.stage = free
 		return false
@@ -55,8 +55,8 @@
 	return true
 }
 
-// Permit tells what was decided on a work: with Send it may go out for a time yet. It tells whether it was still wanted.
-func (c *Core) Permit(id uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool {
+// ClaimDecided tells what was decided on a work: with Send it may go out for a time yet. It tells whether it was still wanted.
+func (c *Core) ClaimDecided(id uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeSleep()
@@ -66,34 +66,34 @@
 	}
 	r.stage = free
 	switch verdict {
-	case takeover.Send:
+	case takeover.Proceed:
 		r.stage, r.leave = given, c.now()+within
 		c.arrive(r)
-	case takeover.Receipt:
+	case takeover.ReturnReceipt:
 		c.counts.served++
 		c.answer(r, &request.Answer{Kind: request.Stored, Receipt: receipt}, "taken over")
-	case takeover.Unsure:
+	case takeover.OutcomeUnknown:
 		c.counts.failed++
 		c.answer(r, &request.Answer{Kind: request.Failed}, "taken over")
-	case takeover.Clash:
-		c.answer(r, &request.Answer{Kind: request.Bad, Reason: "k belongs to another write"}, "taken over")
+	case takeover.KeyConflict:
+		c.answer(r, &request.Answer{Kind: request.Invalid, Reason: "k belongs to another write"}, "taken over")
 	default:
 		c.counts.refused++
-		c.answer(r, &request.Answer{Kind: request.Busy, After: c.advice(r)}, "taken over")
+		c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: c.advice(r)}, "taken over")
 	}
 	return true
 }
 
 // advice is when a refused request may come again.
-func (c *Core) advice(r *Held) time.Duration {
+func (c *Core) advice(r *InFlightRequest) time.Duration {
 	if class, ok := c.rules.classes[r.request.Class]; ok {
-		return c.balancer.Advice(class)
+		return c.balancer.RetryAfter(class)
 	}
 	return 0
 }
 
 // arrive gives a request to the decision module. What it named may be gone since it came.
-func (c *Core) arrive(r *Held) {
+func (c *Core) arrive(r *InFlightRequest) {
 	class, known := c.rules.classes[r.request.Class]
 	tenant := 0
 	if known && len(c.rules.tenants) > 0 {
@@ -104,7 +104,7 @@
 		return
 	}
 	c.handle(policy.Arrival{ID: r.id, Class: class, Tenant: tenant, Key: r.request.Key, Deadline: r.deadline,
-		Write: r.request.Verb == request.Set, Repeat: r.request.Retry})
+		Write: r.request.Verb == request.Set, IsRetry: r.request.Retry})
 }
 
 // nobody is the reply of a work that no client waits for.
@@ -117,9 +117,9 @@
 	}
 }
 
-// Adopt takes a work over that another proxy had in hand: it may be sent for a time yet, and Desk.Settle tells of its id
+// ResumeWrite takes a work over that another proxy had in hand: it may be sent for a time yet, and TakeoverCoordinator.Complete tells of its id
 // what came of it.
-func (c *Core) Adopt(in *request.Request, within time.Duration) (id uint64, ok bool) {
+func (c *Core) ResumeWrite(in *request.Request, within time.Duration) (id uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeSleep()
@@ -128,9 +128,9 @@
 		return 0, false
 	}
 	c.last++
-	in.Serial, in.Changes = uint32(c.last), true
+	in.Serial, in.SideEffects = uint32(c.last), true
 	wait := c.rules.set.Classes[class].Deadline
-	r := &Held{id: c.last, request: in, reply: nobody{}, deadline: c.now() + wait, expires: time.Now().Add(wait), stage: given, leave: c.now() + within}
+	r := &InFlightRequest{id: c.last, request: in, reply: nobody{}, deadline: c.now() + wait, expires: time.Now().Add(wait), stage: given, leave: c.now() + within}
 	c.requests[r.id] = r
 	c.open[in.ID] = struct{}{}
 	c.setTimer(timer{at: r.deadline, id: r.id, attempt: allAttempts})
@@ -139,7 +139,7 @@
 }
 
 // settle tells what a request with leave came to. c.mu is held.
-func (c *Core) settle(r *Held, a *request.Answer) {
+func (c *Core) settle(r *InFlightRequest, a *request.Answer) {
 	if r.stage != given {
 		return
 	}
@@ -149,17 +149,17 @@
 	}
 	switch a.Kind {
 	case request.Stored:
-		c.desk.Settle(r.id, takeover.Served, a.Receipt)
-	case request.Busy, request.Bad:
-		c.desk.Settle(r.id, takeover.NotRun, "")
+		c.desk.Complete(r.id, takeover.Served, a.Receipt)
+	case request.Busy, request.Invalid:
+		c.desk.Complete(r.id, takeover.NotExecuted, "")
 	default:
-		c.desk.Settle(r.id, takeover.Unknown, "")
+		c.desk.Complete(r.id, takeover.Unknown, "")
 	}
 }
 
 // outlives has a work with leave go on without its client, and tells whether it does: who asks again for it, anywhere,
 // wants to know what came of it. c.mu is held.
-func (c *Core) outlives(r *Held) bool {
+func (c *Core) outlives(r *InFlightRequest) bool {
 	if r.stage != given {
 		return false
 	}
--- a/internal/core/work_test.go
+++ b/internal/core/work_test.go
@@ -31,7 +31,7 @@
 	settled map[uint64]takeover.Outcome
 }
 
-func (d *fakeDesk) Ask(id uint64, _ *request.Request, _ time.Duration, _ time.Time) bool {
+func (d *fakeDesk) Claim(id uint64, _ *request.Request, _ time.Duration, _ time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.full {
@@ -40,13 +40,13 @@
 	return !d.full
 }
 
-func (d *fakeDesk) Settle(id uint64, outcome takeover.Outcome, _ string) {
+func (d *fakeDesk) Complete(id uint64, outcome takeover.Outcome, _ string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.settled[id] = outcome
 }
 
-func (d *fakeDesk) Strict() bool { return d.strict }
+func (d *fakeDesk) RequiresReplica() bool { return d.strict }
 
 // outcome is what a work was settled as, 0 for not yet.
 func (d *fakeDesk) outcome(id uint64) takeover.Outcome {
@@ -97,15 +97,15 @@
 		}
 	}()
 	at := listener.Addr().String()
-	c, err = New(&Config{Places: []discovery.Place{{Fixed: at}}, Known: discovery.FixedList(at), Infer: true, Membership: membership.Usual, MostHeld: 100,
-		Policy: policy.Settings{Proxies: 1, Origin: -1, Tick: 5 * time.Millisecond, Limits: policy.Limits{MaxAttempts: 1},
-			Classes: []policy.Class{{Name: "write", Aim: 20 * time.Second, Deadline: time.Minute, Worth: 1, Effect: policy.Keyed, Window: 30 * time.Second}}},
-		Upstream: upstream.Limits{PerNode: 4, All: 4, Streams: 64, Connect: time.Minute, Idle: time.Minute, Silent: time.Minute}}, slog.New(slog.DiscardHandler))
+	c, err = New(&Config{ListSources: []discovery.SourceConfig{{StaticAddresses: at}}, InitialList: discovery.StaticList(at), ReconcileLists: true, Membership: membership.DefaultLimits, MaxInFlight: 100,
+		Policy: policy.Settings{ProxyCount: 1, OriginKind: -1, EventInterval: 5 * time.Millisecond, Limits: policy.Limits{MaxAttempts: 1},
+			Classes: []policy.Class{{Name: "write", LatencyObjective: 20 * time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: policy.IdempotentWithKey, DedupWindow: 30 * time.Second}}},
+		Upstream: upstream.Limits{MaxPerNode: 4, MaxConnections: 4, MaxPipelined: 64, ConnectTimeout: time.Minute, IdleTimeout: time.Minute, SilenceTimeout: time.Minute}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.settled = make(map[uint64]takeover.Outcome)
-	c.SetDesk(d)
+	c.SetTakeoverCoordinator(d)
 	ctx, cancel := context.WithCancel(context.Background())
 	var task sync.WaitGroup
 	task.Go(func() { c.Run(ctx) })
@@ -122,7 +122,7 @@
 }
 
 func handover(id string) *request.Request {
-	return &request.Request{Verb: request.Set, Key: "order", ID: id, Class: "write", Idempotency: "k" + id, Value: []byte("x\r\n")[:1], Wait: -1}
+	return &request.Request{Verb: request.Set, Key: "order", ID: id, Class: "write", IdempotencyKey: "k" + id, Value: []byte("x\r\n")[:1], Timeout: -1}
 }
 
 // TestNothingGoesOutWithoutLeave walks a keyed write through each verdict: only with leave does anything come to a node, and
@@ -132,17 +132,17 @@
 	c, came := withDesk(t, d)
 	for i, x := range []struct {
 		verdict takeover.Verdict
-		want    request.Kind
-	}{{takeover.Receipt, request.Stored}, {takeover.Unsure, request.Failed}, {takeover.Clash, request.Bad}, {takeover.Refuse, request.Busy}} {
+		want    request.AnswerKind
+	}{{takeover.ReturnReceipt, request.Stored}, {takeover.OutcomeUnknown, request.Failed}, {takeover.KeyConflict, request.Invalid}, {takeover.Reject, request.Busy}} {
 		h := newHeard()
-		c.Arrive(handover(fmt.Sprint(i)), h)
-		if !c.Permit(d.asked[i], x.verdict, 0, "r") {
+		c.Submit(handover(fmt.Sprint(i)), h)
+		if !c.ClaimDecided(d.asked[i], x.verdict, 0, "r") {
 			t.Errorf("verdict %d is not wanted", x.verdict)
 		}
-		if a := testutil.Receive(t, "an answer", h.answers); a.Kind != x.want || x.verdict == takeover.Receipt && a.Receipt != "r" {
+		if a := testutil.Receive(t, "an answer", h.answers); a.Kind != x.want || x.verdict == takeover.ReturnReceipt && a.Receipt != "r" {
 			t.Errorf("verdict %d: answered %+v", x.verdict, a)
 		}
-		if c.Permit(d.asked[i], takeover.Send, time.Minute, "") {
+		if c.ClaimDecided(d.asked[i], takeover.Proceed, time.Minute, "") {
 			t.Errorf("verdict %d: it is wanted twice", x.verdict)
 		}
 	}
@@ -150,32 +150,32 @@
 		t.Errorf("came to the node: %q", lines)
 	}
 	h := newHeard()
-	c.Arrive(handover("sent"), h)
+	c.Submit(handover("sent"), h)
 	id := d.asked[4]
-	c.Permit(id, takeover.Send, time.Minute, "")
+	c.ClaimDecided(id, takeover.Proceed, time.Minute, "")
 	if a := testutil.Receive(t, "an answer", h.answers); a.Kind != request.Stored || d.outcome(id) != takeover.Served {
 		t.Errorf("answered %+v, settled %d", a, d.outcome(id))
 	}
 	h = newHeard()
-	c.Arrive(handover("late"), h)
+	c.Submit(handover("late"), h)
 	id = d.asked[5]
-	c.Permit(id, takeover.Send, 0, "") // its leave is over before anything can go out
+	c.ClaimDecided(id, takeover.Proceed, 0, "") // its leave is over before anything can go out
 	if a := testutil.Receive(t, "an answer", h.answers); a.Kind == request.Stored {
 		t.Errorf("sent after its leave: %+v", a)
 	}
-	testutil.Until(t, "it to be settled", func() bool { return d.outcome(id) != 0 })
+	testutil.WaitUntil(t, "it to be settled", func() bool { return d.outcome(id) != 0 })
 	if lines := came(); len(lines) != 1 {
 		t.Errorf("came to the node: %q", lines)
 	}
 	d.full, d.strict = true, true
 	h = newHeard()
-	c.Arrive(handover("full"), h)
+	c.Submit(handover("full"), h)
 	if a := testutil.Receive(t, "an answer", h.answers); a.Kind != request.Busy {
 		t.Errorf("no room, strict: %+v", a)
 	}
 	d.strict = false
 	h = newHeard()
-	c.Arrive(handover("plain"), h)
+	c.Submit(handover("plain"), h)
 	if a := testutil.Receive(t, "an answer", h.answers); a.Kind != request.Stored {
 		t.Errorf("no room, plainly: %+v", a)
 	}
@@ -186,26 +186,26 @@
 func TestWorkOutlivesItsClient(t *testing.T) {
 	d := &fakeDesk{}
 	c, came := withDesk(t, d)
-	early := c.Arrive(handover("early"), newHeard())
-	c.Leave([]*Held{early}) // before any leave: nothing is to be sent
-	if c.Permit(d.asked[0], takeover.Send, time.Minute, "") {
+	early := c.Submit(handover("early"), newHeard())
+	c.ClientDisconnected([]*InFlightRequest{early}) // before any leave: nothing is to be sent
+	if c.ClaimDecided(d.asked[0], takeover.Proceed, time.Minute, "") {
 		t.Error("leave for one whose client had left")
 	}
 	h := newHeard()
-	held := c.Arrive(handover("a"), h)
+	held := c.Submit(handover("a"), h)
 	c.mu.Lock() // its client leaves before its node can answer
 	held.stage, held.leave = given, c.now()+time.Minute
 	c.mu.Unlock()
-	c.Leave([]*Held{held})
+	c.ClientDisconnected([]*InFlightRequest{held})
 	c.mu.Lock()
 	c.arrive(held)
 	c.mu.Unlock()
-	testutil.Until(t, "it to be settled", func() bool { return d.outcome(d.asked[1]) == takeover.Served })
-	id, ok := c.Adopt(handover("b"), time.Minute)
+	testutil.WaitUntil(t, "it to be settled", func() bool { return d.outcome(d.asked[1]) == takeover.Served })
+	id, ok := c.ResumeWrite(handover("b"), time.Minute)
 	if !ok {
 		t.Fatal("not adopted")
 	}
-	testutil.Until(t, "the adopted one to be settled", func() bool { return d.outcome(id) == takeover.Served })
+	testutil.WaitUntil(t, "the adopted one to be settled", func() bool { return d.outcome(id) == takeover.Served })
 	if lines := came(); len(lines) != 2 || len(h.answers) != 0 {
 		t.Errorf("came to the node: %q; %d answers to a client that had left", lines, len(h.answers))
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,8 +27,8 @@
 
 // Options say what to run.
 type Options struct {
-	// Load reads the configuration, at the start and at each hangup.
-	Load func() (*config.Config, error)
+	// LoadConfig reads the configuration, at the start and at each hangup.
+	LoadConfig func() (*config.Config, error)
 	// Platform follows of a new configuration only what the platform changes in
 	// service; otherwise it is put into force whole or refused.
 	Platform bool
@@ -49,7 +49,7 @@
 type daemon struct {
 	Options
 	machine lifecycle.Machine
-	manager *sdnotify.Manager
+	manager *sdnotify.Notifier
 	level   slog.LevelVar
 	log     *slog.Logger // nil until the configuration has been read
 	server  *proxy.Server
@@ -86,8 +86,8 @@
 	d := &daemon{Options: o, manager: manager, drain: drain, news: make(chan news)}
 	d.tasks.Go(func() { d.serve(ctx, passed) })
 	var pings <-chan time.Time
-	if manager.Watchdog > 0 {
-		tick := time.NewTicker(max(manager.Watchdog/2, time.Millisecond))
+	if manager.WatchdogInterval > 0 {
+		tick := time.NewTicker(max(manager.WatchdogInterval/2, time.Millisecond))
 		defer tick.Stop()
 		pings = tick.C
 	}
@@ -98,7 +98,7 @@
 		case <-d.Terminations:
 			d.handle(lifecycle.Terminate)
 		case <-pings:
-			d.handle(lifecycle.Ping)
+			d.handle(lifecycle.WatchdogTick)
 		case n := <-d.news:
 			d.take(n)
 		}
@@ -122,14 +122,14 @@
 func (d *daemon) take(n news) {
 	if n.server != nil {
 		if d.server, d.log = n.server, n.log; d.machine.State() == lifecycle.Stopping {
-			d.server.Hurry() // what asked for it came before there was a server
+			d.server.ShortenDrain() // what asked for it came before there was a server
 		}
 		return // no event: it is told ready later
 	}
 	switch n.event {
-	case lifecycle.ReadGood:
+	case lifecycle.ConfigValid:
 		d.read = n.config
-	case lifecycle.ReadBad:
+	case lifecycle.ConfigInvalid:
 		for _, err := range config.Errors(n.err) {
 			d.log.Error("reload failed, the old configuration stays", "error", err)
 		}
@@ -147,46 +147,46 @@
 
 func (d *daemon) do(action lifecycle.Action) {
 	switch action {
-	case lifecycle.TellReady:
+	case lifecycle.NotifyReady:
 		d.tell(sdnotify.Ready + "\n" + d.status())
-	case lifecycle.TellReloading:
+	case lifecycle.NotifyReloading:
 		d.tell(sdnotify.Reloading())
-	case lifecycle.TellStopping:
+	case lifecycle.NotifyStopping:
 		d.tell(sdnotify.Stopping)
-	case lifecycle.TellAlive:
-		d.tell(sdnotify.Alive + "\n" + d.status())
-	case lifecycle.Read:
+	case lifecycle.NotifyWatchdog:
+		d.tell(sdnotify.WatchdogPing + "\n" + d.status())
+	case lifecycle.ReadConfig:
 		d.tasks.Go(func() {
 			permit := d.peers.ask("reload")
 			defer permit.giveBack()
-			c, err := d.Load()
-			n := news{event: lifecycle.ReadGood, config: c, err: err}
+			c, err := d.LoadConfig()
+			n := news{event: lifecycle.ConfigValid, config: c, err: err}
 			if err != nil {
-				n.event = lifecycle.ReadBad
+				n.event = lifecycle.ConfigInvalid
 			}
 			d.news <- n
 		})
-	case lifecycle.Apply:
+	case lifecycle.ApplyConfig:
 		d.apply(d.read)
-	case lifecycle.Discard:
+	case lifecycle.DiscardConfig:
 		d.read = nil
-	case lifecycle.LogIgnored:
+	case lifecycle.LogReloadIgnored:
 		d.warn("reload ignored: the daemon is ending", nil)
-	case lifecycle.Ask:
+	case lifecycle.RequestPermit:
 		if !d.peers.asks() {
-			d.handle(lifecycle.Permitted)
+			d.handle(lifecycle.DrainPermitted)
 			return
 		}
 		d.tasks.Go(func() {
 			d.peers.keep(d.peers.ask("drain"))
-			d.news <- news{event: lifecycle.Permitted}
+			d.news <- news{event: lifecycle.DrainPermitted}
 		})
-	case lifecycle.Drain:
+	case lifecycle.StartDrain:
 		d.peers.leave()
 		d.drain()
-	case lifecycle.Hurry:
+	case lifecycle.ShortenDrain:
 		if d.server != nil {
-			d.server.Hurry()
+			d.server.ShortenDrain()
 		}
 	case lifecycle.Exit:
 		d.exit = nil
@@ -201,7 +201,7 @@
 func (d *daemon) apply(c *config.Config) {
 	d.read = nil
 	if d.Platform {
-		d.server.Follow(c.Proxy)
+		d.server.ReloadSources(c.Proxy)
 		return
 	}
 	if err := d.server.Reload(c.Proxy); err != nil {
@@ -210,7 +210,7 @@
 	}
 	d.level.Set(c.Log.Level)
 	d.peers.follow(c)
-	d.log.Info("reloaded", "nodes", c.Proxy.Sources())
+	d.log.Info("reloaded", "nodes", c.Proxy.SourceNames())
 }
 
 // status describes the daemon. It goes through the locks that all requests go
@@ -226,7 +226,7 @@
 
 // tell tells the service manager. That it does not listen is logged, once.
 func (d *daemon) tell(text string) {
-	if err := d.manager.Tell(text); err != nil && !d.muted {
+	if err := d.manager.Notify(text); err != nil && !d.muted {
 		d.muted = d.log != nil // else it is told once there is a log
 		d.warn("the service manager does not listen", err)
 	}
@@ -246,7 +246,7 @@
 // serve is the task that starts the proxy and runs it to its end. It ends with
 // exactly one of StartFailed and Answered.
 func (d *daemon) serve(ctx context.Context, passed *net.TCPListener) {
-	c, err := d.Load()
+	c, err := d.LoadConfig()
 	if err != nil {
 		d.news <- news{event: lifecycle.StartFailed, err: err}
 		return
@@ -254,7 +254,7 @@
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Proxy.Cores)), 1))
 	// Collecting seldom saves CPU while memory is plenty; the limit sees to the rest.
 	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(int64(c.Proxy.Memory) / 10 * 6)
+	debug.SetMemoryLimit(int64(c.Proxy.MemoryBytes) / 10 * 6)
 	d.level.Set(c.Log.Level)
 	options := &slog.HandlerOptions{Level: &d.level}
 	var handler slog.Handler = slog.NewTextHandler(d.Log, options)
@@ -281,36 +281,36 @@
 	d.peers.end()
 	leave()
 	log.Info("all answered")
-	d.news <- news{event: lifecycle.Answered}
+	d.news <- news{event: lifecycle.ServingEnded}
 }
 
 // register keeps the proxy in Consul's catalogue from when it can serve until the drain
 // begins. What it returns takes the proxy out, once that has been told.
 func (d *daemon) register(ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger) (leave func()) {
-	if c.Register == nil {
+	if c.Registration == nil {
 		return func() {}
 	}
-	r := consul.NewRegistrar(*c.Register, log)
+	r := consul.NewRegistrar(*c.Registration, log)
 	var task sync.WaitGroup
 	entered := false
 	task.Go(func() {
 		select {
-		case <-server.Known():
+		case <-server.EndpointListReady():
 			entered = true
-			r.Run(ctx, server.Serves)
+			r.Run(ctx, server.CanServe)
 		case <-ctx.Done():
 		}
 	})
 	return func() {
 		if task.Wait(); entered {
-			r.Leave()
+			r.Deregister()
 		}
 	}
 }
 
 // listen opens the address, waiting for a while for another process to leave it.
 func listen(ctx context.Context, c *config.Config, passed *net.TCPListener, log *slog.Logger) (*proxy.Server, error) {
-	until := time.Now().Add(c.Start.Address)
+	until := time.Now().Add(c.Startup.BindTimeout)
 	for {
 		server, err := proxy.Listen(c.Proxy, passed, log)
 		if !errors.Is(err, syscall.EADDRINUSE) || ctx.Err() != nil || !time.Now().Before(until) {
@@ -324,13 +324,13 @@
 // have not been told for as long as the configuration allows. On the platform
 // the proxy answers from the start.
 func (d *daemon) awaitNodes(ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger) {
-	if !d.Platform && len(c.Proxy.Known.Endpoints) == 0 {
-		late := time.NewTimer(c.Start.Nodes)
+	if !d.Platform && len(c.Proxy.InitialList.Endpoints) == 0 {
+		late := time.NewTimer(c.Startup.EndpointListTimeout)
 		defer late.Stop()
 		select {
-		case <-server.Known():
+		case <-server.EndpointListReady():
 		case <-late.C:
-			log.Warn("no list of nodes yet", "source", c.Proxy.Sources())
+			log.Warn("no list of nodes yet", "source", c.Proxy.SourceNames())
 		case <-ctx.Done():
 			return
 		}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -32,7 +32,7 @@
 	log    *slog.Logger
 	run    uint64
 	client *agent.Client
-	self   *transport.Instance
+	self   *transport.Client
 	stop   func()
 	permit *permit // for the drain
 	ctx    context.Context
@@ -64,8 +64,8 @@
 	if c.Peers == nil {
 		return
 	}
-	if c.Peers.Ahead != nil {
-		agent.RehearseClock(c.Peers.Ahead)
+	if c.Peers.SuspendedTime != nil {
+		agent.OverrideClockOffset(c.Peers.SuspendedTime)
 	}
 	client, err := agent.NewClient(c.Peers.Fleet)
 	if err != nil { // the configuration has been checked
@@ -77,11 +77,11 @@
 	for _, v := range c.Peers.Fleet.Voters {
 		watchers = append(watchers, transport.Watcher{Name: v.Name, Address: v.Address})
 	}
-	member := peer.Member{Name: p.name, Run: p.run, Address: c.Peers.Advertise}
+	member := peer.Member{Name: p.name, Incarnation: p.run, Address: c.Peers.Advertise}
 	if set := &c.Proxy.Policy; set.Zone < len(set.Zones) {
 		member.Zone = set.Zones[set.Zone]
 	}
-	self := transport.NewInstance(c.Peers.Fleet.Name, member, watchers, agent.Now, p.log)
+	self := transport.NewClient(c.Peers.Fleet.Name, member, watchers, agent.Now, p.log)
 	ctx, stop := context.WithCancel(p.ctx)
 	var tasks sync.WaitGroup
 	tasks.Go(func() { self.Run(ctx) })
@@ -99,8 +99,8 @@
 
 // hold has works in hand be held with other proxies, until what it returns is called. Where it can't, it says so, and they
 // go out as without.
-func (p *peers) hold(c *config.Peers, self peer.Member, fleet *transport.Instance) (end func()) {
-	if !c.Takeover.On {
+func (p *peers) hold(c *config.Peers, self peer.Member, fleet *transport.Client) (end func()) {
+	if !c.Takeover.Enabled {
 		return func() {}
 	}
 	listener, err := net.Listen("tcp", c.Listen)
@@ -108,14 +108,14 @@
 		p.log.Error("takeover: this process holds no works", "error", err)
 		return func() {}
 	}
-	t := coordinator.New(p.core, coordinator.Options{Fleet: c.Fleet.Name, Self: takeover.Owner{Name: self.Name, Run: self.Run}, Zone: self.Zone, Others: c.Takeover.Holders,
-		Strict: c.Takeover.Strict, Clock: agent.Now, Log: p.log})
+	t := coordinator.New(p.core, coordinator.Options{Fleet: c.Fleet.Name, Self: takeover.Owner{Name: self.Name, Incarnation: self.Incarnation}, Zone: self.Zone, Replicas: c.Takeover.Replicas,
+		RequireReplica: c.Takeover.Strict, Clock: agent.Now, Log: p.log})
 	ctx, stop := context.WithCancel(p.ctx)
 	var task sync.WaitGroup
 	task.Go(func() { t.Run(ctx, listener, fleet) })
-	p.core.SetDesk(t)
+	p.core.SetTakeoverCoordinator(t)
 	return func() {
-		p.core.SetDesk(nil)
+		p.core.SetTakeoverCoordinator(nil)
 		stop()
 		task.Wait()
 		p.log.Info("takeover", "counts", t.Counts())
@@ -139,7 +139,7 @@
 		return a == b
 	}
 	x, y := *a, *b
-	x.Ahead, y.Ahead = nil, nil
+	x.SuspendedTime, y.SuspendedTime = nil, nil
 	return reflect.DeepEqual(x, y)
 }
 
@@ -147,7 +147,7 @@
 func (p *peers) asks() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.config != nil && p.config.Permit.Asked
+	return p.config != nil && p.config.Permit.Enabled
 }
 
 // ask waits for a permit as the configuration says, while this process serves on.
@@ -160,14 +160,14 @@
 	p.mu.Unlock()
 	begun := time.Now()
 	for ctx.Err() == nil {
-		h, err := client.Hold(life, lease.PermitTask, name, lease.PermitLength, true)
+		h, err := client.Hold(life, lease.PermitTask, name, lease.PermitDuration, true)
 		if err != nil {
 			p.log.Error("permit", "for", what, "error", err)
 			return nil
 		}
 		patience, cancel := ctx, context.CancelFunc(func() {})
-		if !c.Insist {
-			patience, cancel = context.WithDeadline(ctx, begun.Add(c.Wait))
+		if !c.Required {
+			patience, cancel = context.WithDeadline(ctx, begun.Add(c.Timeout))
 		}
 		number, err := h.Await(patience)
 		cancel()
@@ -176,7 +176,7 @@
 			return &permit{h}
 		}
 		h.Close()
-		if lease.WithoutPermit(time.Since(begun), c.Wait, c.Insist) == lease.GoAhead {
+		if lease.DecideWithoutPermit(time.Since(begun), c.Timeout, c.Required) == lease.ProceedWithoutPermit {
 			p.log.Warn("no permit, going on without", "for", what, "after", time.Since(begun).Round(time.Millisecond), "error", err)
 			return nil
 		}
@@ -209,7 +209,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.self != nil {
-		p.self.Leave()
+		p.self.MarkLeaving()
 	}
 	if p.hurry != nil { // who waits for a permit waits no more
 		p.hurry()
@@ -222,7 +222,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.permit != nil {
-		if p.self != nil && p.self.Replaced() {
+		if p.self != nil && p.self.IsReplaced() {
 			p.permit.holder.Close()
 		} else {
 			p.permit.holder.Abandon()
@@ -246,13 +246,13 @@
 	p.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
-	s, err := client.State(ctx)
+	s, err := client.LeaderState(ctx)
 	if err != nil {
 		p.log.Warn("permit of the process before", "error", err)
 		return // it runs out by itself
 	}
-	for _, number := range lease.Left(s.Book.Tasks[lease.PermitTask], name, os.Getpid(), runs) {
-		if _, err := client.Do(ctx, lease.Command{Kind: lease.Release, Task: lease.PermitTask, Number: number}); err != nil {
+	for _, number := range lease.OrphanedTokens(s.StateMachine.Tasks[lease.PermitTask], name, os.Getpid(), runs) {
+		if _, err := client.Execute(ctx, lease.Command{Kind: lease.Release, Task: lease.PermitTask, Token: number}); err != nil {
 			p.log.Warn("permit of the process before", "number", number, "error", err)
 		}
 	}
--- a/internal/daemon/vote.go
+++ b/internal/daemon/vote.go
@@ -13,20 +13,20 @@
 // vote has this process vote on the fleet's leases, if it is to, until what it returns is called. Where it can't,
 // it says so, and serving goes on: no request waits for a voter.
 func vote(p *config.Peers, log *slog.Logger) (end func()) {
-	if p == nil || p.Name == "" {
+	if p == nil || p.VoterName == "" {
 		return func() {}
 	}
 	failed := func(err error) func() {
 		log.Error("leases: this process does not vote", "error", err)
 		return func() {}
 	}
-	v, err := agent.Open(p.Memory, p.Fleet, p.Name, log)
+	v, err := agent.Open(p.StatePath, p.Fleet, p.VoterName, log)
 	if err != nil {
 		return failed(err)
 	}
 	at := ""
 	for _, peer := range p.Fleet.Voters {
-		if peer.Name == p.Name {
+		if peer.Name == p.VoterName {
 			at = peer.Address
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -35,17 +35,17 @@
 
 // Endpoint is a node's entry.
 type Endpoint struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"`
-	Weight  float64 `json:"weight"`
-	Since   float64 `json:"since_ms"`
+	Name          string  `json:"name"`
+	Address       string  `json:"address"`
+	Zone          string  `json:"zone"`
+	Type          string  `json:"type"`
+	Group         int     `json:"group"`
+	Status        string  `json:"status"`
+	Weight        float64 `json:"weight"`
+	StartedMillis float64 `json:"since_ms"`
 	// Of sources that can tell: what changes with each start, and why a node is not up.
 	Instance string `json:"-"`
-	Why      string `json:"-"`
+	Reason   string `json:"-"`
 }
 
 // Parse reads a list, and takes none that is partly wrong.
@@ -72,7 +72,7 @@
 		if _, _, err := net.SplitHostPort(e.Address); err != nil && e.Status != "removed" {
 			return fmt.Errorf("list of nodes: address of %s: %w", e.Name, err)
 		}
-		if e.Since < 0 || e.Since > math.MaxInt64/1e6 {
+		if e.StartedMillis < 0 || e.StartedMillis > math.MaxInt64/1e6 {
 			return fmt.Errorf("list of nodes: since_ms of %s is out of range", e.Name)
 		}
 	}
@@ -87,8 +87,8 @@
 	for i := range l.Endpoints {
 		e := &l.Endpoints[i]
 		nodes = append(nodes, membership.Node{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Group: e.Group,
-			Weight: e.Weight, Status: statuses[e.Status], Started: time.Duration(e.Since * float64(time.Millisecond)),
-			Instance: e.Instance, Why: e.Why})
+			Weight: e.Weight, Status: statuses[e.Status], Started: time.Duration(e.StartedMillis * float64(time.Millisecond)),
+			Instance: e.Instance, Reason: e.Reason})
 	}
 	return nodes
 }
@@ -102,12 +102,12 @@
 	Watch(ctx context.Context, from uint64, tell func(List)) error
 }
 
-// Place names a source: exactly one of its fields is set.
-type Place struct {
-	Address string // HOST:PORT of a service that speaks the platform's form
-	File    string // path of a node file
-	Fixed   string // addresses of nodes that never change, by commas
-	Other   Opener // any other kind; comparable
+// SourceConfig names a source: exactly one of its fields is set.
+type SourceConfig struct {
+	Address         string // HOST:PORT of a service that speaks the platform's form
+	File            string // path of a node file
+	StaticAddresses string // addresses of nodes that never change, by commas
+	Custom          Opener // any other kind; comparable
 }
 
 // Opener is the place of another kind of source.
@@ -116,35 +116,35 @@
 	String() string
 }
 
-// Doubted tells whether the source gives whole lists only, which may collapse when it
+// NeedsConfirmation tells whether the source gives whole lists only, which may collapse when it
 // fails. Others name who leaves, or are what an operator wrote.
-func (p Place) Doubted() bool { return p.Other != nil }
+func (p SourceConfig) NeedsConfirmation() bool { return p.Custom != nil }
 
 // String names the place in a log.
-func (p Place) String() string {
+func (p SourceConfig) String() string {
 	switch {
 	case p.File != "":
 		return "file " + p.File
-	case p.Fixed != "":
-		return "addresses " + p.Fixed
-	case p.Other != nil:
-		return p.Other.String()
+	case p.StaticAddresses != "":
+		return "addresses " + p.StaticAddresses
+	case p.Custom != nil:
+		return p.Custom.String()
 	}
 	return p.Address
 }
 
 // Open returns the source at a place. It does no I/O. Each is one of its own, and
 // comparable.
-func (p Place) Open() Source {
+func (p SourceConfig) Open() Source {
 	switch {
 	case p.File != "":
 		return &file{path: p.File}
-	case p.Fixed != "":
-		return &fixed{FixedList(p.Fixed)}
-	case p.Other != nil:
-		return p.Other.Open()
+	case p.StaticAddresses != "":
+		return &fixed{StaticList(p.StaticAddresses)}
+	case p.Custom != nil:
+		return p.Custom.Open()
 	}
-	return New(p.Address)
+	return NewClient(p.Address)
 }
 
 // Client asks one discovery service.
@@ -153,8 +153,8 @@
 	http http.Client
 }
 
-// New returns a Client of the service at address.
-func New(address string) *Client {
+// NewClient returns a Client of the service at address.
+func NewClient(address string) *Client {
 	return &Client{base: "http://" + address + "/api/targets", http: http.Client{
 		Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 16 << 10,
 			DialContext: (&net.Dialer{Timeout: dialWait, KeepAlive: -1}).DialContext}}}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -28,7 +28,7 @@
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", <-answers)
 	}))
 	t.Cleanup(server.Close)
-	return New(strings.TrimPrefix(server.URL, "http://"))
+	return NewClient(strings.TrimPrefix(server.URL, "http://"))
 }
 
 // TestListsThatCannotBeRead guards against news made of a broken answer: cut at any length, or
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -62,7 +62,7 @@
 	seen := make(map[string]bool)
 	for _, n := range in.Node {
 		e := Endpoint{Name: n.Name, Address: n.Address, Zone: n.Zone, Type: n.Type, Group: n.Group, Status: n.Status,
-			Weight: 1, Since: n.Since}
+			Weight: 1, StartedMillis: n.Since}
 		if e.Name == "" {
 			e.Name = e.Address
 		}
@@ -137,9 +137,9 @@
 // fixed is a list that never changes.
 type fixed struct{ list List }
 
-// FixedList is the list of nodes at addresses given by commas, each named by its
+// StaticList is the list of nodes at addresses given by commas, each named by its
 // address.
-func FixedList(addresses string) List {
+func StaticList(addresses string) List {
 	l := List{Index: 1, Snapshot: true}
 	for address := range strings.SplitSeq(addresses, ",") {
 		l.Endpoints = append(l.Endpoints, Endpoint{Name: address, Address: address, Status: "up", Weight: 1})
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -15,7 +15,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	news, wrong := make(chan List, 100), make(chan error, 100)
 	done := make(chan struct{})
-	source := Place{File: path}.Open()
+	source := SourceConfig{File: path}.Open()
 	go func() {
 		defer close(done)
 		for ctx.Err() == nil {
@@ -52,7 +52,7 @@
 	}
 	put(t, path, two)
 	l := testutil.Receive(t, "a change", news)
-	if len(l.Endpoints) != 2 || l.Endpoints[1] != (Endpoint{Name: "b", Address: "127.0.0.1:2", Status: "draining", Since: 7}) {
+	if len(l.Endpoints) != 2 || l.Endpoints[1] != (Endpoint{Name: "b", Address: "127.0.0.1:2", Status: "draining", StartedMillis: 7}) {
 		t.Errorf("told %+v", l)
 	}
 	put(t, path, "[[node")
@@ -92,7 +92,7 @@
 }
 
 func TestFixedListStays(t *testing.T) {
-	source := Place{Fixed: "127.0.0.1:1,127.0.0.1:2"}.Open()
+	source := SourceConfig{StaticAddresses: "127.0.0.1:1,127.0.0.1:2"}.Open()
 	ctx, stop := context.WithCancel(context.Background())
 	told := make(chan List, 2)
 	ended := make(chan error, 1)
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -24,7 +24,7 @@
 // TestEventsKeepTheirTime guards guarantee 2.
 func TestEventsKeepTheirTime(t *testing.T) {
 	r, out := recorderAt(slog.LevelDebug)
-	r.Record(ClientLeft{ID: "a1", Took: 40 * time.Millisecond})
+	r.Record(RequestAbandoned{ID: "a1", Duration: 40 * time.Millisecond})
 	before := time.Now()
 	time.Sleep(20 * time.Millisecond)
 	run(r)
@@ -42,7 +42,7 @@
 func TestWhatFindsNoPlaceIsCounted(t *testing.T) {
 	r, out := recorderAt(slog.LevelDebug)
 	for range queueLength + 3 {
-		r.Record(HeldUp{})
+		r.Record(ProcessStalled{})
 	}
 	run(r)
 	if lines := strings.Count(out.String(), "held up"); lines != queueLength || !strings.Contains(out.String(), "msg=\"events dropped\" count=3") {
@@ -52,9 +52,9 @@
 
 func TestNothingIsTakenBelowDebug(t *testing.T) {
 	r, out := recorderAt(slog.LevelInfo)
-	r.Record(HeldUp{})
+	r.Record(ProcessStalled{})
 	run(r)
-	(*Recorder)(nil).Record(HeldUp{})
+	(*Recorder)(nil).Record(ProcessStalled{})
 	if out.Len() > 0 || len(r.queue) > 0 {
 		t.Errorf("wrote %q", out.String())
 	}
--- a/internal/fake/consul/agent.go
+++ b/internal/fake/consul/agent.go
@@ -46,21 +46,21 @@
 
 // The ways to fail.
 const (
-	Well       FaultKind = ""
-	Quiet      FaultKind = "quiet"      // connections come up, nothing is answered, also not what waits
-	Slow       FaultKind = "slow"       // bodies come a byte at a time
-	Empty      FaultKind = "empty"      // lists are empty, and all looks well
-	Filtered   FaultKind = "filtered"   // the same, as ACLs have filtered them, which the header tells
-	Part       FaultKind = "part"       // lists lack every other instance, once each query
-	Leaderless FaultKind = "leaderless" // no leader is known
-	Stale      FaultKind = "stale"      // the leader has long not been heard
-	Garbage    FaultKind = "garbage"    // bodies are no JSON
-	Half       FaultKind = "half"       // bodies end half way
-	Huge       FaultKind = "huge"       // lists have 100,000 instances
-	Limited    FaultKind = "limited"    // 429, with a Retry-After of a second
-	Forbidden  FaultKind = "forbidden"  // 403
-	Broken     FaultKind = "broken"     // 500
-	NoIndex    FaultKind = "noindex"    // the index is zero
+	NoFault       FaultKind = ""
+	NoResponse    FaultKind = "quiet"      // connections come up, nothing is answered, also not what waits
+	SlowBody      FaultKind = "slow"       // bodies come a byte at a time
+	EmptyList     FaultKind = "empty"      // lists are empty, and all looks well
+	ACLFiltered   FaultKind = "filtered"   // the same, as ACLs have filtered them, which the header tells
+	PartialList   FaultKind = "part"       // lists lack every other instance, once each query
+	Leaderless    FaultKind = "leaderless" // no leader is known
+	StaleLeader   FaultKind = "stale"      // the leader has long not been heard
+	MalformedBody FaultKind = "garbage"    // bodies are no JSON
+	TruncatedBody FaultKind = "half"       // bodies end half way
+	HugeList      FaultKind = "huge"       // lists have 100,000 instances
+	RateLimited   FaultKind = "limited"    // 429, with a Retry-After of a second
+	Forbidden     FaultKind = "forbidden"  // 403
+	ServerError   FaultKind = "broken"     // 500
+	ZeroIndex     FaultKind = "noindex"    // the index is zero
 )
 
 // Catalogue is what agents tell of. It is safe for concurrent use.
@@ -124,8 +124,8 @@
 	return true
 }
 
-// Check sets the status of a check of an instance, adding it if need be; "" takes it away.
-func (c *Catalogue) Check(node, id, check, status string) bool {
+// SetCheck sets the status of a check of an instance, adding it if need be; "" takes it away.
+func (c *Catalogue) SetCheck(node, id, check, status string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i := c.instances[node+"/"+id]
@@ -155,8 +155,8 @@
 	i.modified = c.touch()
 }
 
-// Maintain turns an instance to maintenance or back.
-func (c *Catalogue) Maintain(node, id string, on bool, reason string) bool {
+// SetMaintenance turns an instance to maintenance or back.
+func (c *Catalogue) SetMaintenance(node, id string, on bool, reason string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i := c.instances[node+"/"+id]
@@ -183,8 +183,8 @@
 	return list
 }
 
-// Rewind has the index begin anew, as in a cluster that was restored.
-func (c *Catalogue) Rewind() {
+// ResetIndex has the index begin anew, as in a cluster that was restored.
+func (c *Catalogue) ResetIndex() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index = 1
@@ -259,9 +259,9 @@
 // Close ends the agent.
 func (a *Agent) Close() { a.server.Close() }
 
-// Fail makes the agent fail in a way from now on, also what waits; Well makes it well. It
+// SetFault makes the agent fail in a way from now on, also what waits; Well makes it well. It
 // counts as a change: what is told with an old index is no news to anybody.
-func (a *Agent) Fail(kind FaultKind) {
+func (a *Agent) SetFault(kind FaultKind) {
 	a.catalogue.mu.Lock()
 	a.catalogue.touch()
 	a.catalogue.mu.Unlock()
@@ -272,9 +272,9 @@
 	a.faulted = make(chan struct{})
 }
 
-// Forget takes out of the catalogue all that was registered here, as an agent does that
+// DropRegistrations takes out of the catalogue all that was registered here, as an agent does that
 // has lost its state.
-func (a *Agent) Forget() {
+func (a *Agent) DropRegistrations() {
 	c := a.catalogue
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -290,9 +290,9 @@
 	}
 }
 
-// Wrote returns when the agent first wrote that an instance drains, has failed or is gone,
+// LeavingWrittenAt returns when the agent first wrote that an instance drains, has failed or is gone,
 // and false while it tells that it is up.
-func (a *Agent) Wrote(node, id string) (time.Time, bool) {
+func (a *Agent) LeavingWrittenAt(node, id string) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	at, ok := a.wrote[node+"/"+id]
@@ -321,10 +321,10 @@
 			return
 		}
 		switch fault, _ := a.state(); fault {
-		case Quiet:
-			for fault == Quiet && r.Context().Err() == nil {
+		case NoResponse:
+			for fault == NoResponse && r.Context().Err() == nil {
 				var changed chan struct{}
-				if fault, changed = a.state(); fault == Quiet {
+				if fault, changed = a.state(); fault == NoResponse {
 					select {
 					case <-changed:
 					case <-r.Context().Done():
@@ -332,12 +332,12 @@
 				}
 			}
 			panic(http.ErrAbortHandler)
-		case Limited:
+		case RateLimited:
 			w.Header().Set("Retry-After", "1")
 			http.Error(w, "rate limit exceeded, try again later", http.StatusTooManyRequests)
 		case Forbidden:
 			http.Error(w, "Permission denied", http.StatusForbidden)
-		case Broken:
+		case ServerError:
 			http.Error(w, "rpc error: No cluster leader", http.StatusInternalServerError)
 		default:
 			next.ServeHTTP(w, r)
@@ -361,16 +361,16 @@
 		now, changed := a.catalogue.index, a.catalogue.changed
 		a.catalogue.mu.Unlock()
 		fault, faulted := a.state()
-		if fault == Quiet {
+		if fault == NoResponse {
 			return 0, false
 		}
-		if index == 0 || now != index || fault != Well && fault != Slow {
+		if index == 0 || now != index || fault != NoFault && fault != SlowBody {
 			return now, true
 		}
 		select {
 		case <-changed:
 		case <-faulted:
-			if fault, _ := a.state(); fault != Quiet {
+			if fault, _ := a.state(); fault != NoResponse {
 				return now, true
 			}
 		case <-late.C:
@@ -415,7 +415,7 @@
 func (a *Agent) health(w http.ResponseWriter, r *http.Request) {
 	index, ok := a.await(r)
 	if !ok { // silent until the agent is another way: then the connection ends
-		for fault, changed := a.state(); fault == Quiet && r.Context().Err() == nil; fault, changed = a.state() {
+		for fault, changed := a.state(); fault == NoResponse && r.Context().Err() == nil; fault, changed = a.state() {
 			select {
 			case <-changed:
 			case <-r.Context().Done():
@@ -434,7 +434,7 @@
 	list := []healthJSON{}
 	for n, i := range a.catalogue.Instances(r.PathValue("name")) {
 		dc := cmp.Or(q.Get("dc"), "dc1")
-		if i.Datacenter != dc || q.Get("tag") != "" && !slices.Contains(i.Tags, q.Get("tag")) || fault == Part && n%2 == 0 {
+		if i.Datacenter != dc || q.Get("tag") != "" && !slices.Contains(i.Tags, q.Get("tag")) || fault == PartialList && n%2 == 0 {
 			continue
 		}
 		if q.Has("passing") && slices.ContainsFunc(i.Checks, func(k Check) bool { return k.Status != "passing" }) {
@@ -449,18 +449,18 @@
 	h.Set("X-Consul-LastContact", "0")
 	h.Set("X-Consul-Effective-Consistency", "leader")
 	switch fault {
-	case Empty:
+	case EmptyList:
 		list = list[:0]
-	case Filtered:
+	case ACLFiltered:
 		list = list[:0]
 		h.Set("X-Consul-Results-Filtered-By-ACLs", "true")
 	case Leaderless:
 		h.Set("X-Consul-KnownLeader", "false")
-	case Stale:
+	case StaleLeader:
 		h.Set("X-Consul-LastContact", "60000")
-	case NoIndex:
+	case ZeroIndex:
 		h.Set("X-Consul-Index", "0")
-	case Huge:
+	case HugeList:
 		a.huge(w)
 		return
 	}
@@ -470,13 +470,13 @@
 		return
 	}
 	switch fault {
-	case Garbage:
+	case MalformedBody:
 		text = []byte("<html>proxy error</html>")
-	case Half:
+	case TruncatedBody:
 		h.Set("Content-Length", strconv.Itoa(len(text)))
 		w.Write(text[:len(text)/2])
 		panic(http.ErrAbortHandler)
-	case Slow:
+	case SlowBody:
 		for _, b := range text {
 			if _, err := w.Write([]byte{b}); err != nil || r.Context().Err() != nil {
 				return
@@ -484,7 +484,7 @@
 			w.(http.Flusher).Flush()
 			time.Sleep(100 * time.Millisecond)
 		}
-	case Well, NoIndex:
+	case NoFault, ZeroIndex:
 		a.note(list)
 	}
 	a.mu.Lock()
@@ -613,7 +613,7 @@
 		http.Error(w, "Missing value for enable", http.StatusBadRequest)
 		return
 	}
-	if !a.catalogue.Maintain(a.Node, id, on == "true", r.URL.Query().Get("reason")) {
+	if !a.catalogue.SetMaintenance(a.Node, id, on == "true", r.URL.Query().Get("reason")) {
 		http.Error(w, fmt.Sprintf("Unknown service ID %q", id), http.StatusNotFound)
 	}
 }
--- a/internal/fake/consul/agent_test.go
+++ b/internal/fake/consul/agent_test.go
@@ -126,24 +126,24 @@
 	}
 	c.Set(Instance{Node: "n", ID: "a", Service: "cache", Address: "10.0.0.1", Port: 1})
 	ask()
-	c.Maintain("n", "a", true, "")
-	if _, ok := a.Wrote("n", "a"); ok {
+	c.SetMaintenance("n", "a", true, "")
+	if _, ok := a.LeavingWrittenAt("n", "a"); ok {
 		t.Error("noted before it was asked for")
 	}
 	ask()
-	first, ok := a.Wrote("n", "a")
+	first, ok := a.LeavingWrittenAt("n", "a")
 	ask()
-	if again, _ := a.Wrote("n", "a"); !ok || again != first {
+	if again, _ := a.LeavingWrittenAt("n", "a"); !ok || again != first {
 		t.Error("not noted, or noted anew")
 	}
-	c.Maintain("n", "a", false, "")
+	c.SetMaintenance("n", "a", false, "")
 	ask()
-	if _, ok := a.Wrote("n", "a"); ok {
+	if _, ok := a.LeavingWrittenAt("n", "a"); ok {
 		t.Error("still noted when it is up")
 	}
 	c.Remove("n", "a")
 	ask()
-	if _, ok := a.Wrote("n", "a"); !ok {
+	if _, ok := a.LeavingWrittenAt("n", "a"); !ok {
 		t.Error("its removal was not noted")
 	}
 }
--- a/internal/fake/endpointlist/list.go
+++ b/internal/fake/endpointlist/list.go
@@ -16,14 +16,14 @@
 
 // Entry is a node's entry, as the platform's form has it.
 type Entry struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"` // up, draining, removed
-	Weight  float64 `json:"weight"`
-	Since   int64   `json:"since_ms"`
+	Name          string  `json:"name"`
+	Address       string  `json:"address"`
+	Zone          string  `json:"zone"`
+	Type          string  `json:"type"`
+	Group         int     `json:"group"`
+	Status        string  `json:"status"` // up, draining, removed
+	Weight        float64 `json:"weight"`
+	StartedMillis int64   `json:"since_ms"`
 }
 
 type message struct {
@@ -44,9 +44,9 @@
 
 // Service is a stand-in list service. It is safe for concurrent use.
 type Service struct {
-	// Placed, if set before use, is where a proxy finds a node: the address of an entry may differ
+	// AddressFor, if set before use, is where a proxy finds a node: the address of an entry may differ
 	// from one proxy to the next.
-	Placed func(proxy int, e *Entry) string
+	AddressFor func(proxy int, e *Entry) string
 
 	mu      sync.Mutex
 	changed chan struct{} // closed at each change
@@ -179,9 +179,9 @@
 	s.changed = make(chan struct{})
 }
 
-// DrainTold tells since when a proxy knows that a node drains or is gone; false
+// DrainNotifiedAt tells since when a proxy knows that a node drains or is gone; false
 // if it was not told so, or has been told since that the node is up.
-func (s *Service) DrainTold(proxy int, node string) (time.Time, bool) {
+func (s *Service) DrainNotifiedAt(proxy int, node string) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, ok := s.told[proxy][node]
@@ -274,10 +274,10 @@
 				m.Endpoints = []Entry{}
 			}
 			s.tell(proxy, &m)
-			if s.Placed != nil {
+			if s.AddressFor != nil {
 				m.Endpoints = slices.Clone(m.Endpoints) // the log's own hold the real addresses
 				for i := range m.Endpoints {
-					m.Endpoints[i].Address = s.Placed(proxy, &m.Endpoints[i])
+					m.Endpoints[i].Address = s.AddressFor(proxy, &m.Endpoints[i])
 				}
 			}
 			if out.Encode(m) != nil {
--- a/internal/fake/endpointlist/list_test.go
+++ b/internal/fake/endpointlist/list_test.go
@@ -17,7 +17,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ended <- discovery.New(address).Watch(ctx, from, func(l discovery.List) { news <- l })
+		ended <- discovery.NewClient(address).Watch(ctx, from, func(l discovery.List) { news <- l })
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -42,7 +42,7 @@
 	if l := testutil.Receive(t, "the list", news); !l.Snapshot || len(l.Endpoints) != 2 {
 		t.Errorf("first told %+v", l)
 	}
-	if _, told := s.DrainTold(7, "a"); told {
+	if _, told := s.DrainNotifiedAt(7, "a"); told {
 		t.Error("a drain was told before there was one")
 	}
 	before := time.Now()
@@ -50,15 +50,15 @@
 	if l := testutil.Receive(t, "a drain", news); l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Status != "draining" {
 		t.Errorf("told %+v", l)
 	}
-	if at, told := s.DrainTold(7, "a"); !told || at.Before(before) || at.After(time.Now()) {
+	if at, told := s.DrainNotifiedAt(7, "a"); !told || at.Before(before) || at.After(time.Now()) {
 		t.Errorf("told at %v, %v", at, told)
 	}
-	if _, told := s.DrainTold(8, "a"); told {
+	if _, told := s.DrainNotifiedAt(8, "a"); told {
 		t.Error("a proxy that does not watch was told")
 	}
 	s.Set(Entry{Name: "a", Address: "127.0.0.1:1", Status: "up"})
 	testutil.Receive(t, "the end of the drain", news)
-	if _, told := s.DrainTold(7, "a"); told {
+	if _, told := s.DrainNotifiedAt(7, "a"); told {
 		t.Error("the drain is over, and still told")
 	}
 }
@@ -72,15 +72,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := discovery.New(address).Fetch(context.Background()); err != nil {
+	if _, err := discovery.NewClient(address).Fetch(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	s.Set(Entry{Name: "b", Status: "removed"})
-	l, err := discovery.New(address).Fetch(context.Background())
+	l, err := discovery.NewClient(address).Fetch(context.Background())
 	if err != nil || len(l.Endpoints) != 1 {
 		t.Fatalf("fetched %+v, %v", l, err)
 	}
-	if _, told := s.DrainTold(0, "b"); !told {
+	if _, told := s.DrainNotifiedAt(0, "b"); !told {
 		t.Error("its absence was not taken for told")
 	}
 }
@@ -96,11 +96,11 @@
 	testutil.Receive(t, "the list", news)
 	s.SetDown(true)
 	testutil.Receive(t, "the watch to end", ended)
-	if _, err := discovery.New(address).Fetch(context.Background()); err == nil {
+	if _, err := discovery.NewClient(address).Fetch(context.Background()); err == nil {
 		t.Error("a call to a service that is down succeeded")
 	}
 	s.SetDown(false)
-	if _, err := discovery.New(address).Fetch(context.Background()); err != nil {
+	if _, err := discovery.NewClient(address).Fetch(context.Background()); err != nil {
 		t.Error(err)
 	}
 }
@@ -118,10 +118,10 @@
 	if err != nil || now == old {
 		t.Fatalf("moved from %s to %s, %v", old, now, err)
 	}
-	if _, err := discovery.New(old).Fetch(context.Background()); err == nil {
+	if _, err := discovery.NewClient(old).Fetch(context.Background()); err == nil {
 		t.Error("the old address takes connections")
 	}
-	if _, err := discovery.New(now).Fetch(context.Background()); err != nil {
+	if _, err := discovery.NewClient(now).Fetch(context.Background()); err != nil {
 		t.Error(err)
 	}
 	testutil.Receive(t, "the old watch to end", ended)
--- a/internal/fake/faultyproxy/double.go
+++ b/internal/fake/faultyproxy/double.go
@@ -24,22 +24,22 @@
 
 // The faults that can be put in. None is a proxy that does no wrong.
 const (
-	None   = "none"
-	Lose   = "lose"   // an answer is never passed on
-	Twice  = "double" // a handover is sent again when its repeat is dropped no more
-	Drains = "drain"  // a request goes to a node that drains
+	NoFault        = "none"
+	LoseAnswer     = "lose"   // an answer is never passed on
+	DuplicateWrite = "double" // a handover is sent again when its repeat is dropped no more
+	UseDraining    = "drain"  // a request goes to a node that drains
 )
 
 // Faults are all of them.
-var Faults = []string{None, Lose, Twice, Drains}
+var Faults = []string{NoFault, LoseAnswer, DuplicateWrite, UseDraining}
 
 // Config says what to run.
 type Config struct {
-	Listener net.Listener
-	List     string // address of the list service
-	Fault    string
-	Every    int           // one in so many befalls it
-	Window   time.Duration // of the nodes
+	Listener    net.Listener
+	ListAddress string // address of the list service
+	Fault       string
+	OneIn       int           // one in so many befalls it
+	Window      time.Duration // of the nodes
 }
 
 type entry struct {
@@ -47,8 +47,8 @@
 	since                 time.Time // of its status
 }
 
-// Double is one at work.
-type Double struct {
+// Proxy is one at work.
+type Proxy struct {
 	config   Config
 	injected atomic.Int64
 	count    atomic.Int64 // requests that the fault might befall
@@ -60,12 +60,12 @@
 }
 
 // Injected tells how often the fault was put in.
-func (d *Double) Injected() int64 { return d.injected.Load() }
+func (d *Proxy) Injected() int64 { return d.injected.Load() }
 
 // Serve works until ctx ends and all is answered. known is called once the list
 // of nodes has come.
-func Serve(ctx context.Context, c Config, known func()) *Double {
-	d := &Double{config: c, nodes: make(map[string]entry), conns: make(map[net.Conn]bool)}
+func Serve(ctx context.Context, c Config, known func()) *Proxy {
+	d := &Proxy{config: c, nodes: make(map[string]entry), conns: make(map[net.Conn]bool)}
 	d.tasks.Go(func() { d.watch(ctx, known) })
 	d.tasks.Go(func() {
 		for {
@@ -93,9 +93,9 @@
 	return d
 }
 
-func (d *Double) watch(ctx context.Context, known func()) {
+func (d *Proxy) watch(ctx context.Context, known func()) {
 	for told := false; ctx.Err() == nil; {
-		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.config.List+"/api/targets?watch=1&from=0", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.config.ListAddress+"/api/targets?watch=1&from=0", nil)
 		if err != nil {
 			return
 		}
@@ -130,12 +130,12 @@
 }
 
 // due tells whether the fault befalls this one of those that it might.
-func (d *Double) due() bool {
-	return d.count.Add(1)%int64(max(d.config.Every, 1)) == 0
+func (d *Proxy) due() bool {
+	return d.count.Add(1)%int64(max(d.config.OneIn, 1)) == 0
 }
 
 // choose returns the address of a node for a key.
-func (d *Double) choose(key string) string {
+func (d *Proxy) choose(key string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var up, draining []string
@@ -146,7 +146,7 @@
 			draining = append(draining, e.Address)
 		}
 	}
-	if d.config.Fault == Drains && len(draining) > 0 && d.due() {
+	if d.config.Fault == UseDraining && len(draining) > 0 && d.due() {
 		d.injected.Add(1)
 		return draining[0]
 	}
@@ -159,7 +159,7 @@
 	return up[int(h.Sum32()>>4)%len(up)]
 }
 
-func (d *Double) serve(socket net.Conn) {
+func (d *Proxy) serve(socket net.Conn) {
 	nodes := make(map[string]*upstream)
 	defer func() {
 		socket.Close()
@@ -194,7 +194,7 @@
 		}
 		var body []byte
 		if c.Verb == request.Set {
-			body = make([]byte, c.Size+2)
+			body = make([]byte, c.ValueLen+2)
 			if _, err := io.ReadFull(in, body); err != nil {
 				return
 			}
@@ -204,10 +204,10 @@
 			answer = ask(nodes, d.choose(c.Key), &c, body)
 		}
 		switch {
-		case d.config.Fault == Lose && d.due():
+		case d.config.Fault == LoseAnswer && d.due():
 			d.injected.Add(1)
 			answer = ""
-		case d.config.Fault == Twice && c.Verb == request.Set && strings.HasPrefix(answer, "HD") && d.due():
+		case d.config.Fault == DuplicateWrite && c.Verb == request.Set && strings.HasPrefix(answer, "HD") && d.due():
 			d.injected.Add(1)
 			d.tasks.Go(func() {
 				time.Sleep(d.config.Window + d.config.Window/5)
@@ -226,7 +226,7 @@
 }
 
 // rest marks a connection as idle, and tells whether it is to be closed.
-func (d *Double) rest(socket net.Conn) (ending bool) {
+func (d *Proxy) rest(socket net.Conn) (ending bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.conns[socket] = false
@@ -251,8 +251,8 @@
 			nodes[address] = n
 			again = 1
 		}
-		n.socket.SetDeadline(time.Now().Add(max(c.Wait, 100*time.Millisecond)))
-		n.socket.Write(append(meta.Node{}.AppendHead(nil, &c.Request, c.Wait), body...))
+		n.socket.SetDeadline(time.Now().Add(max(c.Timeout, 100*time.Millisecond)))
+		n.socket.Write(append(meta.NodeDialect{}.AppendHead(nil, &c.Request, c.Timeout), body...))
 		first, err := n.in.ReadString('\n')
 		if err == nil {
 			if size := 0; strings.HasPrefix(first, "VA ") {
--- a/internal/fake/node/node.go
+++ b/internal/fake/node/node.go
@@ -26,33 +26,33 @@
 
 // Config says what a node is and can do. Zero stands for the usual.
 type Config struct {
-	Name     string
-	Slots    int           // requests in work at a time; 8
-	Queue    int           // that may wait; 64
-	Work     time.Duration // for one request, give or take a quarter; none
-	Capacity int           // keys kept; 4096
-	Conns    int           // connections held; 64
-	Idle     time.Duration // after which a connection is closed; 15 s
-	Value    int           // bytes of a value; 64
-	Report   bool          // answers tell the load
-	Binary   bool          // it speaks the binary protocol, and nothing else
-	Lacks    string        // the origin has no key that begins so; "" for none such
-	// ByValue has the ledger tell writes apart by their values, as a rehearsal does whose
+	Name             string
+	Slots            int           // requests in work at a time; 8
+	Queue            int           // that may wait; 64
+	ServiceTime      time.Duration // for one request, give or take a quarter; none
+	Capacity         int           // keys kept; 4096
+	MaxConns         int           // connections held; 64
+	IdleTimeout      time.Duration // after which a connection is closed; 15 s
+	ValueSize        int           // bytes of a value; 64
+	ReportLoad       bool          // answers tell the load
+	Binary           bool          // it speaks the binary protocol, and nothing else
+	MissingKeyPrefix string        // the origin has no key that begins so; "" for none such
+	// LedgerByValue has the ledger tell writes apart by their values, as a rehearsal does whose
 	// clients write each value once: so a repeat shows under whatever key it came.
-	ByValue bool
+	LedgerByValue bool
 
-	Cold         bool          // it starts now, and empty
-	ColdShare    float64       // of its capacity at the start; 0.3
-	ColdRamp     time.Duration // until it is warm; 8.6 s
-	FallMultiple float64       // of what it can do while cold, for FallTime: it falls; 3
-	FallTime     time.Duration // 2 s
+	Cold               bool          // it starts now, and empty
+	ColdCapacityShare  float64       // of its capacity at the start; 0.3
+	WarmUpTime         time.Duration // until it is warm; 8.6 s
+	CollapseLoadFactor float64       // of what it can do while cold, for FallTime: it falls; 3
+	CollapseTime       time.Duration // 2 s
 
 	Seed   uint64
 	Origin *origin.Origin // needed
 	Group  *Group         // needed
-	// Arrived, if set, is told each request: its id or, where its dialect has none, "", its
+	// OnRequest, if set, is told each request: its id or, where its dialect has none, "", its
 	// value, and when its first byte came.
-	Arrived func(node, id, value string, at time.Time)
+	OnRequest func(node, id, value string, at time.Time)
 }
 
 func (c *Config) fill() {
@@ -64,22 +64,22 @@
 	set(&c.Slots, 8)
 	set(&c.Queue, 64)
 	set(&c.Capacity, 4096)
-	set(&c.Conns, 64)
-	set(&c.Value, 64)
-	if c.Idle == 0 {
-		c.Idle = 15 * time.Second
+	set(&c.MaxConns, 64)
+	set(&c.ValueSize, 64)
+	if c.IdleTimeout == 0 {
+		c.IdleTimeout = 15 * time.Second
 	}
-	if c.ColdShare == 0 {
-		c.ColdShare = 0.3
+	if c.ColdCapacityShare == 0 {
+		c.ColdCapacityShare = 0.3
 	}
-	if c.ColdRamp == 0 {
-		c.ColdRamp = 8600 * time.Millisecond
+	if c.WarmUpTime == 0 {
+		c.WarmUpTime = 8600 * time.Millisecond
 	}
-	if c.FallMultiple == 0 {
-		c.FallMultiple = 3
+	if c.CollapseLoadFactor == 0 {
+		c.CollapseLoadFactor = 3
 	}
-	if c.FallTime == 0 {
-		c.FallTime = 2 * time.Second
+	if c.CollapseTime == 0 {
+		c.CollapseTime = 2 * time.Second
 	}
 }
 
@@ -88,32 +88,32 @@
 
 // The ways to fail.
 const (
-	Well    FaultKind = ""
-	Stall   FaultKind = "stall"   // nothing is begun or answered, connections come up
-	Reset   FaultKind = "reset"   // the connection is reset once a request has been carried out
-	Late    FaultKind = "late"    // an answer comes Fault.By later
-	Busy    FaultKind = "busy"    // requests are turned away unseen
-	Garbage FaultKind = "garbage" // what comes for an answer can't be read; the request has run
-	Refuse  FaultKind = "refuse"  // the process is gone: connections are reset and refused
-	Vanish  FaultKind = "vanish"  // the machine is gone: nothing is said, no connection comes up
+	NoFault     FaultKind = ""
+	Stall       FaultKind = "stall"   // nothing is begun or answered, connections come up
+	Reset       FaultKind = "reset"   // the connection is reset once a request has been carried out
+	Late        FaultKind = "late"    // an answer comes Fault.By later
+	Busy        FaultKind = "busy"    // requests are turned away unseen
+	Garbage     FaultKind = "garbage" // what comes for an answer can't be read; the request has run
+	ProcessDown FaultKind = "refuse"  // the process is gone: connections are reset and refused
+	MachineDown FaultKind = "vanish"  // the machine is gone: nothing is said, no connection comes up
 )
 
 // Faults are all ways to fail.
-var Faults = []FaultKind{Well, Stall, Reset, Late, Busy, Garbage, Refuse, Vanish}
+var Faults = []FaultKind{NoFault, Stall, Reset, Late, Busy, Garbage, ProcessDown, MachineDown}
 
 // Fault is a way to fail, and for how many. Reset, Late, Busy and Garbage
 // befall one request in Every (all for 0 and 1).
 type Fault struct {
 	Kind  FaultKind
-	Every int
-	By    time.Duration
+	OneIn int
+	Delay time.Duration
 }
 
 // Stats count what came to a node.
 type Stats struct {
 	Requests, Hits, Misses, Writes, Repeats, Busy int
-	Conns, MostConns                              int
-	Fallen                                        bool
+	Conns, MaxConns                               int
+	Collapsed                                     bool
 }
 
 // host is a loopback address that no connection goes out from: while a node is
@@ -135,7 +135,7 @@
 	started  time.Time // zero for long ago
 	draining bool
 	fault    Fault
-	faulted  int // requests counted for Fault.Every
+	faulted  int // requests counted for Fault.OneIn
 	listener *net.TCPListener
 	fill     []net.Conn // that keep the backlog full while vanished
 	conns    map[*conn]struct{}
@@ -231,14 +231,14 @@
 		n.mu.Lock()
 		c := &conn{node: n, socket: socket}
 		c.changed.L = &n.mu
-		if n.closed || n.listener != listener || len(n.conns) >= n.config.Conns {
+		if n.closed || n.listener != listener || len(n.conns) >= n.config.MaxConns {
 			n.mu.Unlock()
 			socket.SetLinger(0) // a full table resets
 			socket.Close()
 			continue
 		}
 		n.conns[c] = struct{}{}
-		n.stats.MostConns = max(n.stats.MostConns, len(n.conns))
+		n.stats.MaxConns = max(n.stats.MaxConns, len(n.conns))
 		n.mu.Unlock()
 		n.tasks.Go(c.read)
 		n.tasks.Go(c.write)
@@ -295,7 +295,7 @@
 	n.down()
 	n.cache = newCache(n.config.Capacity)
 	n.started, n.draining, n.fault, n.arrivals = time.Now(), false, Fault{}, nil
-	n.stats.Fallen = false
+	n.stats.Collapsed = false
 	n.stalled.Broadcast()
 	return n.listen(n.address)
 }
@@ -314,7 +314,7 @@
 	before := n.fault.Kind
 	n.fault, n.faulted = f, 0
 	n.stalled.Broadcast()
-	if before == Vanish {
+	if before == MachineDown {
 		for _, c := range n.fill {
 			c.Close()
 		}
@@ -322,9 +322,9 @@
 		n.down() // a machine that is back knows none of its connections
 	}
 	switch {
-	case f.Kind == Refuse:
+	case f.Kind == ProcessDown:
 		n.down()
-	case f.Kind == Vanish:
+	case f.Kind == MachineDown:
 		return n.vanish()
 	case n.listener == nil && !n.closed:
 		return n.listen(n.address)
@@ -361,26 +361,26 @@
 // warmth is the share of its capacity that the node has. n.mu is held.
 func (n *Node) warmth(now time.Time) float64 {
 	age := now.Sub(n.started)
-	if n.started.IsZero() || age >= n.config.ColdRamp {
+	if n.started.IsZero() || age >= n.config.WarmUpTime {
 		return 1
 	}
-	share := n.config.ColdShare
-	return share + (1-share)*float64(age)/float64(n.config.ColdRamp)
+	share := n.config.ColdCapacityShare
+	return share + (1-share)*float64(age)/float64(n.config.WarmUpTime)
 }
 
 // overrun tells whether a cold node has been sent more than it stands. n.mu is held.
 func (n *Node) overrun(now time.Time) bool {
 	warmth := n.warmth(now)
-	if warmth >= 1 || n.config.Work <= 0 {
+	if warmth >= 1 || n.config.ServiceTime <= 0 {
 		n.arrivals = nil
 		return false
 	}
 	n.arrivals = append(n.arrivals, now)
-	for now.Sub(n.arrivals[0]) > n.config.FallTime {
+	for now.Sub(n.arrivals[0]) > n.config.CollapseTime {
 		n.arrivals = n.arrivals[1:]
 	}
-	able := warmth * float64(n.config.Slots) * float64(n.config.FallTime) / float64(n.config.Work)
-	return float64(len(n.arrivals)) > n.config.FallMultiple*able
+	able := warmth * float64(n.config.Slots) * float64(n.config.CollapseTime) / float64(n.config.ServiceTime)
+	return float64(len(n.arrivals)) > n.config.CollapseLoadFactor*able
 }
 
 // read takes commands until the connection ends.
@@ -388,12 +388,12 @@
 	n := c.node
 	in := bufio.NewReaderSize(c.socket, 4<<10)
 	for {
-		c.socket.SetReadDeadline(time.Now().Add(n.config.Idle))
+		c.socket.SetReadDeadline(time.Now().Add(n.config.IdleTimeout))
 		if _, err := in.Peek(1); err != nil {
 			break
 		}
 		at := time.Now()
-		c.socket.SetReadDeadline(at.Add(n.config.Idle))
+		c.socket.SetReadDeadline(at.Add(n.config.IdleTimeout))
 		j := &job{conn: c}
 		ask := n.readMeta
 		if n.config.Binary {
@@ -403,8 +403,8 @@
 		if !more {
 			break
 		}
-		if j.answer == nil && n.config.Arrived != nil {
-			n.config.Arrived(n.config.Name, j.command.ID, string(j.command.Value), at)
+		if j.answer == nil && n.config.OnRequest != nil {
+			n.config.OnRequest(n.config.Name, j.command.ID, string(j.command.Value), at)
 		}
 		n.mu.Lock()
 		for len(c.replies) >= pipelined && !c.gone {
@@ -453,11 +453,11 @@
 	command, err := meta.ParseCommand(text)
 	command.Flags = uint32(flags)
 	if err == nil && command.Verb == request.Set {
-		body := make([]byte, command.Size+2)
+		body := make([]byte, command.ValueLen+2)
 		if _, err := io.ReadFull(in, body); err != nil {
 			return false, err
 		}
-		command.Value = body[:command.Size]
+		command.Value = body[:command.ValueLen]
 	}
 	j.command = command
 	switch {
@@ -477,22 +477,22 @@
 	if err != nil {
 		return false, err
 	}
-	h, err := binary.Parse(b, binary.RequestMagic)
+	h, err := binary.ParseHeader(b, binary.RequestMagic)
 	if err != nil {
 		return false, err
 	}
 	in.Discard(binary.HeaderLen) // it has been peeked at
-	body := make([]byte, h.Body)
+	body := make([]byte, h.BodyLen)
 	if _, err := io.ReadFull(in, body); err != nil {
 		return false, err
 	}
 	j.head = h
-	j.command.Wait = -1
-	status := h.Check()
+	j.command.Timeout = -1
+	status := h.Validate()
 	switch {
 	case status == binary.OK && (h.Opcode == binary.Get || h.Opcode == binary.Set):
-		if j.command.Key = string(body[h.Extras : h.Extras+h.Key]); h.Opcode == binary.Set {
-			j.command.Verb, j.command.Value = request.Set, body[h.Extras+h.Key:]
+		if j.command.Key = string(body[h.ExtrasLen : h.ExtrasLen+h.KeyLen]); h.Opcode == binary.Set {
+			j.command.Verb, j.command.Value = request.Set, body[h.ExtrasLen+h.KeyLen:]
 		}
 		return true, nil
 	case status == binary.OK && h.Opcode != binary.Noop:
@@ -524,7 +524,7 @@
 			return
 		}
 		n.mu.Unlock()
-		c.socket.SetWriteDeadline(time.Now().Add(n.config.Idle))
+		c.socket.SetWriteDeadline(time.Now().Add(n.config.IdleTimeout))
 		_, err := c.socket.Write(j.answer)
 		n.mu.Lock()
 		c.replies[0] = nil
@@ -538,27 +538,27 @@
 
 // silent tells whether the node says nothing at all. n.mu is held.
 func (n *Node) silent() bool {
-	return !n.closed && (n.fault.Kind == Stall || n.fault.Kind == Vanish)
+	return !n.closed && (n.fault.Kind == Stall || n.fault.Kind == MachineDown)
 }
 
 // admit takes a request, or turns it away. n.mu is held.
 func (n *Node) admit(j *job, now time.Time) {
 	n.stats.Requests++
-	if n.overrun(now) && !n.stats.Fallen {
-		n.stats.Fallen = true
+	if n.overrun(now) && !n.stats.Collapsed {
+		n.stats.Collapsed = true
 	}
 	if k := n.fault.Kind; k == Reset || k == Late || k == Busy || k == Garbage {
-		if n.faulted++; n.fault.Every <= 1 || n.faulted%n.fault.Every == 0 {
+		if n.faulted++; n.fault.OneIn <= 1 || n.faulted%n.fault.OneIn == 0 {
 			j.fault = k
 		}
 	}
-	if j.fault == Busy || n.draining || n.stats.Fallen || len(n.waiting) >= n.config.Queue && n.running >= n.config.Slots {
+	if j.fault == Busy || n.draining || n.stats.Collapsed || len(n.waiting) >= n.config.Queue && n.running >= n.config.Slots {
 		n.stats.Busy++
 		n.reply(j, request.Busy, "", "")
 		return
 	}
-	if j.until = now.Add(time.Hour); j.command.Wait >= 0 {
-		j.until = now.Add(j.command.Wait)
+	if j.until = now.Add(time.Hour); j.command.Timeout >= 0 {
+		j.until = now.Add(j.command.Timeout)
 	}
 	n.waiting = append(n.waiting, j)
 	n.next()
@@ -575,7 +575,7 @@
 			continue
 		}
 		n.running++
-		took := time.Duration(float64(n.config.Work) * (0.75 + n.rng.Float64()/2) / n.warmth(time.Now()))
+		took := time.Duration(float64(n.config.ServiceTime) * (0.75 + n.rng.Float64()/2) / n.warmth(time.Now()))
 		if took <= 0 {
 			n.running--
 			n.carryOut(j)
@@ -602,8 +602,8 @@
 		first := false
 		run := func(done func(string, error)) {
 			first = true
-			effect := c.Idempotency
-			if n.config.ByValue {
+			effect := c.IdempotencyKey
+			if n.config.LedgerByValue {
 				effect = string(c.Value)
 			}
 			n.config.Origin.Write(key, effect, func(err error) {
@@ -624,8 +624,8 @@
 			}
 		}
 		n.mu.Unlock()
-		if c.Idempotency != "" {
-			n.config.Group.once(c.Idempotency, run, finish)
+		if c.IdempotencyKey != "" {
+			n.config.Group.once(c.IdempotencyKey, run, finish)
 		} else {
 			run(finish)
 		}
@@ -648,8 +648,8 @@
 				n.reply(j, request.Failed, "", "")
 				return
 			}
-			if n.config.Lacks != "" && strings.HasPrefix(key, n.config.Lacks) {
-				n.reply(j, request.Missing, "", "")
+			if n.config.MissingKeyPrefix != "" && strings.HasPrefix(key, n.config.MissingKeyPrefix) {
+				n.reply(j, request.NotFound, "", "")
 				return
 			}
 			n.cache.add(key)
@@ -663,7 +663,7 @@
 func (n *Node) value(c *meta.Command) string {
 	n.serial++
 	text := fmt.Sprintf("%s %s %d ", c.Key, n.config.Name, n.serial)
-	if short := n.config.Value - len(text); short > 0 {
+	if short := n.config.ValueSize - len(text); short > 0 {
 		text += strings.Repeat(".", short)
 	}
 	return text
@@ -681,19 +681,19 @@
 }
 
 // say is an answer in the node's dialect. n.mu is held.
-func (n *Node) say(j *job, kind request.Kind, text, flag string) []byte {
+func (n *Node) say(j *job, kind request.AnswerKind, text, flag string) []byte {
 	if n.config.Binary {
 		h := binary.Header{Opcode: j.head.Opcode, Opaque: j.head.Opaque}
 		switch kind {
 		case request.Value:
-			h.Extras, h.Body, h.CAS = 4, 4+len(text), uint64(n.serial)
+			h.ExtrasLen, h.BodyLen, h.CAS = 4, 4+len(text), uint64(n.serial)
 			return append(h.Append(nil, binary.ResponseMagic), "\x00\x00\x00\x00"+text...)
 		case request.Stored:
 			h.CAS, _ = strconv.ParseUint(text, 10, 64)
 			return h.Append(nil, binary.ResponseMagic)
 		}
-		return binary.AppendStatus(nil, &j.head, map[request.Kind]binary.Status{request.Busy: binary.Busy, request.Missing: binary.NotFound,
-			request.Failed: binary.Internal}[kind], 0)
+		return binary.AppendStatus(nil, &j.head, map[request.AnswerKind]binary.Status{request.Busy: binary.Busy, request.NotFound: binary.NotFound,
+			request.Failed: binary.InternalError}[kind], 0)
 	}
 	id := j.command.ID
 	switch kind {
@@ -702,14 +702,14 @@
 	case request.Stored:
 		return fmt.Appendf(nil, "HD O%s c%s%s\r\n", id, text, n.load())
 	}
-	return []byte(map[request.Kind]string{request.Busy: "SERVER_ERROR busy\r\n", request.Missing: "EN\r\n",
+	return []byte(map[request.AnswerKind]string{request.Busy: "SERVER_ERROR busy\r\n", request.NotFound: "EN\r\n",
 		request.Failed: "SERVER_ERROR failed\r\n"}[kind])
 }
 
 // noise is what comes in place of a spoilt answer.
 func (n *Node) noise(j *job) []byte {
 	if n.config.Binary {
-		h := binary.Header{Opcode: j.head.Opcode, Opaque: j.head.Opaque + 1, Extras: 4, Body: 3000000000}
+		h := binary.Header{Opcode: j.head.Opcode, Opaque: j.head.Opaque + 1, ExtrasLen: 4, BodyLen: 3000000000}
 		return append(h.Append(nil, binary.ResponseMagic), "noise"...)
 	}
 	return []byte("VA 3000000000 O" + j.command.ID + "\r\n\x00noise")
@@ -717,14 +717,14 @@
 
 // load is the report that ends a first line. n.mu is held.
 func (n *Node) load() string {
-	if !n.config.Report {
+	if !n.config.ReportLoad {
 		return ""
 	}
 	return fmt.Sprintf(" Linflight=%d,x1=%d", n.running+len(n.waiting), n.fetching)
 }
 
 // reply answers a request, spoilt or late if that is its lot. n.mu is held.
-func (n *Node) reply(j *job, kind request.Kind, text, flag string) {
+func (n *Node) reply(j *job, kind request.AnswerKind, text, flag string) {
 	answer := n.say(j, kind, text, flag)
 	put := func() {
 		j.answer = answer
@@ -734,7 +734,7 @@
 	case Garbage:
 		answer = n.noise(j)
 	case Late:
-		time.AfterFunc(n.fault.By, func() {
+		time.AfterFunc(n.fault.Delay, func() {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			put()
@@ -744,8 +744,8 @@
 	put()
 }
 
-// Holds tells whether a node keeps a copy of a key.
-func (n *Node) Holds(key string) bool {
+// HasCached tells whether a node keeps a copy of a key.
+func (n *Node) HasCached(key string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_, ok := n.cache.place[key]
--- a/internal/fake/node/node_test.go
+++ b/internal/fake/node/node_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { socket.Close() })
-	socket.SetDeadline(time.Now().Add(testutil.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Timeout))
 	return &peer{t, socket, bufio.NewReader(socket)}
 }
 
@@ -70,7 +70,7 @@
 }
 
 func TestReadsThroughOnceAndKeeps(t *testing.T) {
-	n, o := start(t, Config{Name: "n", Report: true})
+	n, o := start(t, Config{Name: "n", ReportLoad: true})
 	p := dial(t, n)
 	for i, flag := range []string{"h0", "h1", "h1"} {
 		p.send("mg k v O%d Pc=read,d=1000\r\n", i)
@@ -99,10 +99,10 @@
 	if _, receipt, ok := strings.Cut(first, " c"); !ok || second != "HD O3 c"+receipt {
 		t.Errorf("the repeat was answered %q after %q", second, first)
 	}
-	if o.Times("k", "x") != 1 || b.Stats().Repeats != 1 {
-		t.Errorf("carried out %d times", o.Times("k", "x"))
+	if o.EffectCount("k", "x") != 1 || b.Stats().Repeats != 1 {
+		t.Errorf("carried out %d times", o.EffectCount("k", "x"))
 	}
-	if b.Holds("k") {
+	if b.HasCached("k") {
 		t.Error("a copy outlived the write")
 	}
 }
@@ -116,8 +116,8 @@
 		p.send("ms k 2 O%d Pc=write,k=x\r\nhi\r\n", i)
 		p.answer()
 	}
-	if o.Times("k", "x") != 2 {
-		t.Errorf("carried out %d times, want 2", o.Times("k", "x"))
+	if o.EffectCount("k", "x") != 2 {
+		t.Errorf("carried out %d times, want 2", o.EffectCount("k", "x"))
 	}
 }
 
@@ -138,7 +138,7 @@
 	silent := func(p *peer) bool {
 		p.socket.SetDeadline(time.Now().Add(100 * time.Millisecond))
 		_, err := p.in.Peek(1)
-		p.socket.SetDeadline(time.Now().Add(testutil.Patience))
+		p.socket.SetDeadline(time.Now().Add(testutil.Timeout))
 		return errors.Is(err, os.ErrDeadlineExceeded)
 	}
 	for _, kind := range Faults {
@@ -147,12 +147,12 @@
 			before := dial(t, n)
 			before.send("mg k v O0 Pc=read\r\n")
 			before.answer()
-			if err := n.SetFault(Fault{Kind: kind, By: 50 * time.Millisecond}); err != nil {
+			if err := n.SetFault(Fault{Kind: kind, Delay: 50 * time.Millisecond}); err != nil {
 				t.Fatal(err)
 			}
 			before.send("mg k v O1 Pc=read\r\n")
 			switch kind {
-			case Well:
+			case NoFault:
 				if got := before.answer(); !strings.HasPrefix(got, "VA ") {
 					t.Errorf("answered %q", got)
 				}
@@ -181,7 +181,7 @@
 				if got := before.answer(); !strings.HasPrefix(got, "VA 3000000000 ") {
 					t.Errorf("answered %q", got)
 				}
-			case Refuse:
+			case ProcessDown:
 				if got := before.answer(); got != "" {
 					t.Errorf("answered %q", got)
 				}
@@ -189,7 +189,7 @@
 					c.Close()
 					t.Error("a connection came up")
 				}
-			case Vanish:
+			case MachineDown:
 				if !silent(before) {
 					t.Error("a vanished machine spoke")
 				}
@@ -206,7 +206,7 @@
 // TestFaultsBefallTheirPart guards counts that scenarios rely on.
 func TestFaultsBefallTheirPart(t *testing.T) {
 	n, _ := start(t, Config{})
-	n.SetFault(Fault{Kind: Busy, Every: 3})
+	n.SetFault(Fault{Kind: Busy, OneIn: 3})
 	p := dial(t, n)
 	busy := 0
 	for i := range 12 {
@@ -222,15 +222,15 @@
 
 // TestBoundsHold guards the queue, the table of connections and the cache.
 func TestBoundsHold(t *testing.T) {
-	n, _ := start(t, Config{Slots: 1, Queue: 2, Work: time.Hour, Conns: 1})
+	n, _ := start(t, Config{Slots: 1, Queue: 2, ServiceTime: time.Hour, MaxConns: 1})
 	p := dial(t, n)
 	for i := range 5 {
 		p.send("mg k v O%d Pc=read\r\n", i)
 	}
-	testutil.Until(t, "two to be turned away", func() bool { return n.Stats().Busy == 2 })
+	testutil.WaitUntil(t, "two to be turned away", func() bool { return n.Stats().Busy == 2 })
 	if socket, err := net.Dial("tcp", n.Address()); err == nil { // else it is reset as it comes up
 		defer socket.Close()
-		socket.SetDeadline(time.Now().Add(testutil.Patience))
+		socket.SetDeadline(time.Now().Add(testutil.Timeout))
 		if b, err := io.ReadAll(socket); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("a connection past the table was answered %q, %v", b, err)
 		}
@@ -247,23 +247,23 @@
 // TestColdNodeFallsWhenOverrun guards the fourth rule's witness: a cold node does
 // less, and one that is sent far more than it can do falls and stays down.
 func TestColdNodeFallsWhenOverrun(t *testing.T) {
-	c := Config{Slots: 2, Queue: 1000, Work: 100 * time.Millisecond, Cold: true, ColdShare: 0.1, ColdRamp: time.Hour, FallTime: time.Hour,
-		FallMultiple: 0.001} // 7.2 requests in the hour
+	c := Config{Slots: 2, Queue: 1000, ServiceTime: 100 * time.Millisecond, Cold: true, ColdCapacityShare: 0.1, WarmUpTime: time.Hour, CollapseTime: time.Hour,
+		CollapseLoadFactor: 0.001} // 7.2 requests in the hour
 	n, _ := start(t, c)
 	p := dial(t, n)
 	for i := range 7 {
 		p.send("mg k v O%d Pc=read\r\n", i)
 	}
-	testutil.Until(t, "seven to have come", func() bool { return n.Stats().Requests == 7 })
-	if n.Stats().Fallen {
+	testutil.WaitUntil(t, "seven to have come", func() bool { return n.Stats().Requests == 7 })
+	if n.Stats().Collapsed {
 		t.Fatal("it fell within what it stands")
 	}
 	p.send("mg k v O8 Pc=read\r\n")
-	testutil.Until(t, "the node to fall", func() bool { return n.Stats().Fallen })
+	testutil.WaitUntil(t, "the node to fall", func() bool { return n.Stats().Collapsed })
 	if err := n.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if n.Stats().Fallen || n.Started().IsZero() || n.Holds("k") {
+	if n.Stats().Collapsed || n.Started().IsZero() || n.HasCached("k") {
 		t.Error("a restart left something behind")
 	}
 }
@@ -281,7 +281,7 @@
 // TestBinaryNodeSpeaksNothingElse guards the other dialect: reads, writes, misses,
 // refusals and noise as binary nodes say them.
 func TestBinaryNodeSpeaksNothingElse(t *testing.T) {
-	n, o := start(t, Config{Name: "b", Binary: true, Lacks: "none", ByValue: true})
+	n, o := start(t, Config{Name: "b", Binary: true, MissingKeyPrefix: "none", LedgerByValue: true})
 	p := dial(t, n)
 	next := func(status binary.Status) rawclient.Response {
 		t.Helper()
@@ -291,22 +291,22 @@
 		}
 		return r
 	}
-	p.send("%s", rawclient.AppendKeyed(nil, binary.Get, "k", 5))
+	p.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "k", 5))
 	if r := next(binary.OK); !strings.HasPrefix(r.Value, "k b 1 ") {
 		t.Errorf("read %q", r.Value)
 	}
-	p.send("%s", rawclient.AppendKeyed(nil, binary.Get, "none", 5))
+	p.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "none", 5))
 	next(binary.NotFound)
 	p.send("%s", rawclient.AppendSet(nil, binary.Set, "k", "v", 5, 0))
-	if r := next(binary.OK); r.CAS == 0 || o.Times("k", "v") != 1 {
-		t.Errorf("receipt %d, carried out %d times", r.CAS, o.Times("k", "v"))
+	if r := next(binary.OK); r.CAS == 0 || o.EffectCount("k", "v") != 1 {
+		t.Errorf("receipt %d, carried out %d times", r.CAS, o.EffectCount("k", "v"))
 	}
 	n.SetDraining(true)
-	p.send("%s", rawclient.AppendKeyed(nil, binary.Get, "k", 5))
+	p.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "k", 5))
 	next(binary.Busy)
 	n.SetDraining(false)
 	n.SetFault(Fault{Kind: Garbage})
-	p.send("%s", rawclient.AppendKeyed(nil, binary.Get, "k", 5))
+	p.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "k", 5))
 	if r, err := rawclient.ReadResponse(p.in); err == nil {
 		t.Errorf("noise was read as %+v", r)
 	}
--- a/internal/fake/origin/origin.go
+++ b/internal/fake/origin/origin.go
@@ -19,16 +19,16 @@
 
 // Config says what an origin can do.
 type Config struct {
-	Slots int           // pieces of work at a time; at least 1
-	Queue int           // pieces that may wait
-	Work  time.Duration // for one piece, give or take a quarter
-	Seed  uint64
+	Slots       int           // pieces of work at a time; at least 1
+	Queue       int           // pieces that may wait
+	ServiceTime time.Duration // for one piece, give or take a quarter
+	Seed        uint64
 }
 
 // Effect is one line of the ledger: a write by its record and idempotency key.
 type Effect struct {
 	Record, Key string
-	Times       int // carried out so often
+	Count       int // carried out so often
 	First, Last time.Time
 }
 
@@ -57,8 +57,8 @@
 
 // Stats count what an origin did.
 type Stats struct {
-	Fetches, Writes, Full int
-	Effects, Doubled      int // distinct writes, and those carried out more than once
+	Fetches, Writes, QueueFull int
+	Effects, Duplicates        int // distinct writes, and those carried out more than once
 }
 
 type job struct{ done func() }
@@ -89,7 +89,7 @@
 	case o.down || o.closed:
 		err = ErrDown
 	case o.running >= o.config.Slots && len(o.waiting) >= o.config.Queue:
-		o.stats.Full++
+		o.stats.QueueFull++
 		err = ErrFull
 	}
 	if err != nil {
@@ -114,7 +114,7 @@
 // begin starts a piece of work. o.mu is held.
 func (o *Origin) begin(j *job) {
 	o.running++
-	work := o.config.Work
+	work := o.config.ServiceTime
 	if o.slow > 0 {
 		work = o.slow
 	}
@@ -150,10 +150,10 @@
 		o.order = append(o.order, name)
 		o.stats.Effects++
 	}
-	e.Times++
+	e.Count++
 	e.Last = now
-	if e.Times == 2 {
-		o.stats.Doubled++
+	if e.Count == 2 {
+		o.stats.Duplicates++
 		if len(o.doubled) < mostDoubled {
 			o.doubled = append(o.doubled, *e)
 		}
@@ -167,8 +167,8 @@
 	o.down = down
 }
 
-// SetWork changes the time for one piece of work that begins from now on, 0 for the usual.
-func (o *Origin) SetWork(d time.Duration) {
+// SetServiceTime changes the time for one piece of work that begins from now on, 0 for the usual.
+func (o *Origin) SetServiceTime(d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.slow = d
@@ -181,20 +181,20 @@
 	return o.stats
 }
 
-// Doubled returns effects that were had more than once, as they were when that
+// DuplicateEffects returns effects that were had more than once, as they were when that
 // was found.
-func (o *Origin) Doubled() []Effect {
+func (o *Origin) DuplicateEffects() []Effect {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.doubled)
 }
 
-// Times tells how often a write was carried out.
-func (o *Origin) Times(record, key string) int {
+// EffectCount tells how often a write was carried out.
+func (o *Origin) EffectCount(record, key string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if e := o.ledger[record+" "+key]; e != nil {
-		return e.Times
+		return e.Count
 	}
 	return 0
 }
--- a/internal/fake/origin/origin_test.go
+++ b/internal/fake/origin/origin_test.go
@@ -10,7 +10,7 @@
 
 // TestLedgerCountsEveryEffect guards what all doubles are seen by.
 func TestLedgerCountsEveryEffect(t *testing.T) {
-	o := New(Config{Slots: 4, Queue: 10, Work: time.Millisecond})
+	o := New(Config{Slots: 4, Queue: 10, ServiceTime: time.Millisecond})
 	defer o.Close()
 	done := make(chan error, 10)
 	for _, key := range []string{"a", "b", "a", "a"} {
@@ -21,19 +21,19 @@
 			t.Fatal(err)
 		}
 	}
-	if s := o.Stats(); s.Writes != 4 || s.Effects != 2 || s.Doubled != 1 {
+	if s := o.Stats(); s.Writes != 4 || s.Effects != 2 || s.Duplicates != 1 {
 		t.Errorf("counted %+v", s)
 	}
-	if o.Times("record", "a") != 3 || o.Times("record", "b") != 1 || o.Times("other", "a") != 0 {
+	if o.EffectCount("record", "a") != 3 || o.EffectCount("record", "b") != 1 || o.EffectCount("other", "a") != 0 {
 		t.Error("the ledger has other times")
 	}
-	if d := o.Doubled(); len(d) != 1 || d[0].Key != "a" {
+	if d := o.DuplicateEffects(); len(d) != 1 || d[0].Key != "a" {
 		t.Errorf("doubled %v", d)
 	}
 }
 
 func TestFullAndDownHaveNoEffect(t *testing.T) {
-	o := New(Config{Slots: 1, Queue: 1, Work: time.Hour})
+	o := New(Config{Slots: 1, Queue: 1, ServiceTime: time.Hour})
 	defer o.Close()
 	for range 2 {
 		o.Write("r", "k", func(error) { t.Error("an endless write ended") })
@@ -45,7 +45,7 @@
 	}
 	o.SetDown(true)
 	o.Fetch(func(err error) { got = err })
-	if s := o.Stats(); !errors.Is(got, ErrDown) || s.Full != 1 || s.Writes != 0 || s.Fetches != 0 {
+	if s := o.Stats(); !errors.Is(got, ErrDown) || s.QueueFull != 1 || s.Writes != 0 || s.Fetches != 0 {
 		t.Errorf("a down origin said %v and counted %+v", got, s)
 	}
 }
--- a/internal/fake/rawclient/caller.go
+++ b/internal/fake/rawclient/caller.go
@@ -20,33 +20,33 @@
 	"mulleinpier/internal/ticket"
 )
 
-// ErrAnswer is the error of what is no answer.
-var ErrAnswer = errors.New("caller: malformed answer")
+// ErrMalformedAnswer is the error of what is no answer.
+var ErrMalformedAnswer = errors.New("caller: malformed answer")
 
-// AppendKeyed appends a command that is a key and nothing else, or not even that.
-func AppendKeyed(dst []byte, op codec.Opcode, key string, opaque uint32) []byte {
-	h := codec.Header{Opcode: op, Key: len(key), Body: len(key), Opaque: opaque}
+// AppendKeyOnly appends a command that is a key and nothing else, or not even that.
+func AppendKeyOnly(dst []byte, op codec.Opcode, key string, opaque uint32) []byte {
+	h := codec.Header{Opcode: op, KeyLen: len(key), BodyLen: len(key), Opaque: opaque}
 	return append(h.Append(dst, codec.RequestMagic), key...)
 }
 
 // AppendSet appends a set without flags.
 func AppendSet(dst []byte, op codec.Opcode, key, value string, opaque uint32, cas uint64) []byte {
-	h := codec.Header{Opcode: op, Key: len(key), Extras: 8, Body: 8 + len(key) + len(value), Opaque: opaque, CAS: cas}
+	h := codec.Header{Opcode: op, KeyLen: len(key), ExtrasLen: 8, BodyLen: 8 + len(key) + len(value), Opaque: opaque, CAS: cas}
 	dst = append(h.Append(dst, codec.RequestMagic), 0, 0, 0, 0, 0, 0, 0, 0)
 	return append(append(dst, key...), value...)
 }
 
-// AppendAuth appends a proof by the mechanism PLAIN.
-func AppendAuth(dst []byte, user, secret string, opaque uint32) []byte {
+// AppendSASLPlain appends a proof by the mechanism PLAIN.
+func AppendSASLPlain(dst []byte, user, secret string, opaque uint32) []byte {
 	text := "PLAIN\x00" + user + "\x00" + secret
-	h := codec.Header{Opcode: codec.SASLAuth, Key: 5, Body: len(text), Opaque: opaque}
+	h := codec.Header{Opcode: codec.SASLAuth, KeyLen: 5, BodyLen: len(text), Opaque: opaque}
 	return append(h.Append(dst, codec.RequestMagic), text...)
 }
 
 // Response is a whole response of the binary protocol.
 type Response struct {
 	codec.Header
-	Name, Value string
+	KeyText, Value string
 }
 
 // ReadResponse reads a response.
@@ -55,19 +55,19 @@
 	if _, err = io.ReadFull(in, head[:]); err != nil {
 		return r, err
 	}
-	if r.Header, err = codec.Parse(head[:], codec.ResponseMagic); err != nil {
-		return r, fmt.Errorf("%w: %w", ErrAnswer, err)
+	if r.Header, err = codec.ParseHeader(head[:], codec.ResponseMagic); err != nil {
+		return r, fmt.Errorf("%w: %w", ErrMalformedAnswer, err)
 	}
-	body := make([]byte, r.Body)
+	body := make([]byte, r.BodyLen)
 	if _, err = io.ReadFull(in, body); err != nil {
 		return r, err
 	}
-	r.Name, r.Value = string(body[r.Extras:r.Extras+r.Key]), string(body[r.Extras+r.Key:])
+	r.KeyText, r.Value = string(body[r.ExtrasLen:r.ExtrasLen+r.KeyLen]), string(body[r.ExtrasLen+r.KeyLen:])
 	return r, nil
 }
 
-// Advice is when a refusal says to come again, 0 for none.
-func (r *Response) Advice() time.Duration {
+// RetryAfter is when a refusal says to come again, 0 for none.
+func (r *Response) RetryAfter() time.Duration {
 	_, text, _ := strings.Cut(r.Value, " ")
 	ms, _ := strconv.Atoi(text)
 	return time.Duration(ms) * time.Millisecond
@@ -82,10 +82,10 @@
 	Unsafe Effect = "plain"
 )
 
-// Caller is a client's connection. It is not safe for concurrent use.
-type Caller struct {
+// Client is a client's connection. It is not safe for concurrent use.
+type Client struct {
 	Socket  net.Conn
-	In      *bufio.Reader
+	Reader  *bufio.Reader
 	dialect scriptednode.Dialect
 	opaque  uint32
 	expect  []expected
@@ -100,19 +100,19 @@
 var serial atomic.Uint64
 
 // Dial returns a connection to a proxy. All that is said on it ends within limit.
-func Dial(dialect scriptednode.Dialect, address string, limit time.Duration) (*Caller, error) {
+func Dial(dialect scriptednode.Dialect, address string, limit time.Duration) (*Client, error) {
 	socket, err := net.DialTimeout("tcp", address, limit)
 	if err != nil {
 		return nil, err
 	}
 	socket.SetDeadline(time.Now().Add(limit))
-	return &Caller{Socket: socket, In: bufio.NewReader(socket), dialect: dialect}, nil
+	return &Client{Socket: socket, Reader: bufio.NewReader(socket), dialect: dialect}, nil
 }
 
 // Read asks for a key.
-func (c *Caller) Read(key string) error {
+func (c *Client) Read(key string) error {
 	if c.dialect == scriptednode.Binary {
-		return c.binary(func(opaque uint32) []byte { return AppendKeyed(nil, codec.Get, key, opaque) })
+		return c.binary(func(opaque uint32) []byte { return AppendKeyOnly(nil, codec.Get, key, opaque) })
 	}
 	id := c.id()
 	_, err := fmt.Fprintf(c.Socket, "mg %s v O%s Pc=read\r\n", key, id)
@@ -121,7 +121,7 @@
 
 // Write writes a key. Of a keyed write, its name tells it from others: a
 // client of the binary protocol has a ticket in its place, as if it had just read.
-func (c *Caller) Write(key, value string, effect Effect, name string) error {
+func (c *Client) Write(key, value string, effect Effect, name string) error {
 	if c.dialect == scriptednode.Binary {
 		cas := uint64(0)
 		if effect == Keyed {
@@ -137,13 +137,13 @@
 	return err
 }
 
-func (c *Caller) id() string {
+func (c *Client) id() string {
 	id := fmt.Sprintf("c%d", serial.Add(1))
 	c.expect = append(c.expect, expected{id: id})
 	return id
 }
 
-func (c *Caller) binary(text func(opaque uint32) []byte) error {
+func (c *Client) binary(text func(opaque uint32) []byte) error {
 	c.opaque++
 	c.expect = append(c.expect, expected{opaque: c.opaque})
 	_, err := c.Socket.Write(text(c.opaque))
@@ -152,9 +152,9 @@
 
 // Answer is what came back.
 type Answer struct {
-	Kind  request.Kind // Bad for what says that the request can't be meant
-	Text  string       // the value, or the receipt
-	After time.Duration
+	Kind       request.AnswerKind // Bad for what says that the request can't be meant
+	Text       string             // the value, or the receipt
+	RetryAfter time.Duration
 }
 
 // String says an answer in one word, and its text.
@@ -163,14 +163,14 @@
 	if len(text) > 40 {
 		text = fmt.Sprintf("%d bytes", len(text))
 	}
-	words := map[request.Kind]string{request.Value: "value", request.Stored: "stored", request.Busy: "busy", request.Failed: "failed",
-		request.Missing: "missing", request.Bad: "bad"}
+	words := map[request.AnswerKind]string{request.Value: "value", request.Stored: "stored", request.Busy: "busy", request.Failed: "failed",
+		request.NotFound: "missing", request.Invalid: "bad"}
 	return strings.TrimSpace(words[a.Kind] + " " + text)
 }
 
 // Next reads the answer to the oldest command that has none, and fails where it is
 // another's.
-func (c *Caller) Next() (a Answer, err error) {
+func (c *Client) Next() (a Answer, err error) {
 	if len(c.expect) == 0 {
 		return a, errors.New("caller: nothing was asked")
 	}
@@ -179,17 +179,17 @@
 	if c.dialect == scriptednode.Binary {
 		return c.nextBinary(due)
 	}
-	line, err := c.In.ReadString('\n')
+	line, err := c.Reader.ReadString('\n')
 	if err != nil {
 		return a, err
 	}
 	line = strings.TrimSuffix(line, "\r\n")
 	if advice, ok := strings.CutPrefix(line, "SERVER_ERROR busy"); ok {
 		ms, _ := strconv.Atoi(strings.TrimSpace(advice))
-		return Answer{Kind: request.Busy, After: time.Duration(ms) * time.Millisecond}, nil
+		return Answer{Kind: request.Busy, RetryAfter: time.Duration(ms) * time.Millisecond}, nil
 	}
 	if strings.HasPrefix(line, "CLIENT_ERROR") {
-		return Answer{Kind: request.Bad}, nil
+		return Answer{Kind: request.Invalid}, nil
 	}
 	first, err := meta.ParseAnswer([]byte(line))
 	if err != nil {
@@ -197,25 +197,25 @@
 	}
 	a.Kind, a.Text = first.Kind, string(first.Receipt)
 	if (a.Kind == request.Value || a.Kind == request.Stored) && string(first.ID) != due.id {
-		return a, fmt.Errorf("%w: to %q where %q is due", ErrAnswer, first.ID, due.id)
+		return a, fmt.Errorf("%w: to %q where %q is due", ErrMalformedAnswer, first.ID, due.id)
 	}
 	if a.Kind == request.Value {
-		value := make([]byte, first.Size+2)
-		if _, err := io.ReadFull(c.In, value); err != nil {
+		value := make([]byte, first.ValueLen+2)
+		if _, err := io.ReadFull(c.Reader, value); err != nil {
 			return a, err
 		}
-		a.Text = string(value[:first.Size])
+		a.Text = string(value[:first.ValueLen])
 	}
 	return a, nil
 }
 
-func (c *Caller) nextBinary(due expected) (a Answer, err error) {
-	r, err := ReadResponse(c.In)
+func (c *Client) nextBinary(due expected) (a Answer, err error) {
+	r, err := ReadResponse(c.Reader)
 	if err != nil {
 		return a, err
 	}
 	if r.Opaque != due.opaque {
-		return a, fmt.Errorf("%w: to opaque %d where %d is due", ErrAnswer, r.Opaque, due.opaque)
+		return a, fmt.Errorf("%w: to opaque %d where %d is due", ErrMalformedAnswer, r.Opaque, due.opaque)
 	}
 	switch r.Status {
 	case codec.OK:
@@ -224,11 +224,11 @@
 		}
 		return Answer{Kind: request.Stored, Text: strconv.FormatUint(r.CAS, 10)}, nil
 	case codec.NotFound:
-		return Answer{Kind: request.Missing}, nil
+		return Answer{Kind: request.NotFound}, nil
 	case codec.Busy:
-		return Answer{Kind: request.Busy, After: r.Advice()}, nil
-	case codec.Internal:
+		return Answer{Kind: request.Busy, RetryAfter: r.RetryAfter()}, nil
+	case codec.InternalError:
 		return Answer{Kind: request.Failed}, nil
 	}
-	return Answer{Kind: request.Bad}, nil
+	return Answer{Kind: request.Invalid}, nil
 }
--- a/internal/fake/scriptednode/script.go
+++ b/internal/fake/scriptednode/script.go
@@ -32,20 +32,20 @@
 // The reactions. Surplus, Other, Noise, Half and Endless are spoilt answers, and the
 // request has run.
 const (
-	Serve   Reaction = "serve"   // with the value of [Value], or [Receipt]
-	Slow    Reaction = "slow"    // the same 150 ms later; what follows on the connection waits
-	Miss    Reaction = "miss"    // there is no such key
-	Busy    Reaction = "busy"    // turned away unseen
-	Advise  Reaction = "advise"  // turned away unseen, to come again in a second; in meta alone
-	Invalid Reaction = "invalid" // it says that the request can't be meant; in meta alone
-	Fail    Reaction = "fail"    // it may have run
-	Reset   Reaction = "reset"   // the connection ends in place of an answer
-	Half    Reaction = "half"    // it ends within the answer
-	Hang    Reaction = "hang"    // nothing ever comes
-	Noise   Reaction = "noise"   // what can't be read
-	Other   Reaction = "other"   // another request's answer
-	Surplus Reaction = "surplus" // a good answer, and the same once more
-	Endless Reaction = "endless" // a length of 3 GB, and bytes that keep coming for a while
+	Serve           Reaction = "serve"   // with the value of [Value], or [Receipt]
+	Slow            Reaction = "slow"    // the same 150 ms later; what follows on the connection waits
+	Miss            Reaction = "miss"    // there is no such key
+	Busy            Reaction = "busy"    // turned away unseen
+	BusyRetryAfter  Reaction = "advise"  // turned away unseen, to come again in a second; in meta alone
+	Invalid         Reaction = "invalid" // it says that the request can't be meant; in meta alone
+	Fail            Reaction = "fail"    // it may have run
+	Reset           Reaction = "reset"   // the connection ends in place of an answer
+	TruncatedAnswer Reaction = "half"    // it ends within the answer
+	Hang            Reaction = "hang"    // nothing ever comes
+	Garbage         Reaction = "noise"   // what can't be read
+	OtherAnswer     Reaction = "other"   // another request's answer
+	DuplicateAnswer Reaction = "surplus" // a good answer, and the same once more
+	EndlessValue    Reaction = "endless" // a length of 3 GB, and bytes that keep coming for a while
 )
 
 // Receipt is that of every write.
@@ -60,8 +60,8 @@
 	return "v:" + key
 }
 
-// Asked is a request as a node got it.
-type Asked struct {
+// ReceivedRequest is a request as a node got it.
+type ReceivedRequest struct {
 	Node        int
 	At          time.Time // of its first byte
 	Verb        request.Verb
@@ -78,12 +78,12 @@
 // Nodes are scripted nodes. They are safe for concurrent use.
 type Nodes struct {
 	dialect   Dialect
-	react     func(number int, a Asked) Reaction
+	react     func(number int, a ReceivedRequest) Reaction
 	listeners []net.Listener
 	tasks     sync.WaitGroup
 
 	mu       sync.Mutex
-	asked    []Asked
+	asked    []ReceivedRequest
 	accepted int
 	conns    map[net.Conn]int // by node
 	done     chan struct{}
@@ -91,7 +91,7 @@
 
 // Start returns so many nodes that listen on loopback. react is asked what to do
 // with each request, by its number over all nodes from 0.
-func Start(dialect Dialect, nodes int, react func(number int, a Asked) Reaction) (*Nodes, error) {
+func Start(dialect Dialect, nodes int, react func(number int, a ReceivedRequest) Reaction) (*Nodes, error) {
 	ns := &Nodes{dialect: dialect, react: react, conns: make(map[net.Conn]int), done: make(chan struct{})}
 	for i := range nodes {
 		l, err := net.Listen("tcp", "127.0.0.2:0")
@@ -108,8 +108,8 @@
 // Address returns where a node listens.
 func (ns *Nodes) Address(i int) string { return ns.listeners[i].Addr().String() }
 
-// Refuse closes a node's listener for good.
-func (ns *Nodes) Refuse(i int) { ns.listeners[i].Close() }
+// CloseListener closes a node's listener for good.
+func (ns *Nodes) CloseListener(i int) { ns.listeners[i].Close() }
 
 // Stop ends a node as its process's end would: connections are reset, new ones refused.
 func (ns *Nodes) Stop(i int) {
@@ -133,8 +133,8 @@
 	}
 }
 
-// Begin has a node that was stopped listen at its address again.
-func (ns *Nodes) Begin(i int) error {
+// Restart has a node that was stopped listen at its address again.
+func (ns *Nodes) Restart(i int) error {
 	l, err := net.Listen("tcp", ns.listeners[i].Addr().String())
 	if err != nil {
 		return err
@@ -151,11 +151,11 @@
 	return ns.accepted, len(ns.conns)
 }
 
-// Asked returns what the nodes were asked so far, in order.
-func (ns *Nodes) Asked() []Asked {
+// Requests returns what the nodes were asked so far, in order.
+func (ns *Nodes) Requests() []ReceivedRequest {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
-	return append([]Asked(nil), ns.asked...)
+	return append([]ReceivedRequest(nil), ns.asked...)
 }
 
 // Close ends the nodes and waits for their goroutines.
@@ -226,7 +226,7 @@
 	head binary.Header
 }
 
-func readMeta(in *bufio.Reader) (r asked, a Asked, err error) {
+func readMeta(in *bufio.Reader) (r asked, a ReceivedRequest, err error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return r, a, err
@@ -235,37 +235,37 @@
 	if err != nil {
 		return r, a, err
 	}
-	body := make([]byte, c.Size+2)
+	body := make([]byte, c.ValueLen+2)
 	if c.Verb == request.Set {
 		if _, err := io.ReadFull(in, body); err != nil {
 			return r, a, err
 		}
 	}
 	return asked{verb: c.Verb, key: c.Key, id: c.ID},
-		Asked{Verb: c.Verb, Key: c.Key, Value: string(body[:c.Size]), Idempotency: c.Idempotency, ID: c.ID, Class: c.Class, Tenant: c.Tenant,
-			Wait: c.Wait, Retry: c.Retry}, nil
+		ReceivedRequest{Verb: c.Verb, Key: c.Key, Value: string(body[:c.ValueLen]), Idempotency: c.IdempotencyKey, ID: c.ID, Class: c.Class, Tenant: c.Tenant,
+			Wait: c.Timeout, Retry: c.Retry}, nil
 }
 
-func readBinary(in *bufio.Reader) (r asked, a Asked, err error) {
+func readBinary(in *bufio.Reader) (r asked, a ReceivedRequest, err error) {
 	var head [binary.HeaderLen]byte
 	if _, err = io.ReadFull(in, head[:]); err != nil {
 		return r, a, err
 	}
-	if r.head, err = binary.Parse(head[:], binary.RequestMagic); err != nil {
+	if r.head, err = binary.ParseHeader(head[:], binary.RequestMagic); err != nil {
 		return r, a, err
 	}
-	body := make([]byte, r.head.Body)
+	body := make([]byte, r.head.BodyLen)
 	if _, err = io.ReadFull(in, body); err != nil {
 		return r, a, err
 	}
-	if r.head.Check() != binary.OK || r.head.Opcode != binary.Get && r.head.Opcode != binary.Set {
+	if r.head.Validate() != binary.OK || r.head.Opcode != binary.Get && r.head.Opcode != binary.Set {
 		return r, a, errors.New("neither a get nor a set")
 	}
 	if r.head.Opcode == binary.Set {
 		r.verb = request.Set
 	}
-	r.key = string(body[r.head.Extras : r.head.Extras+r.head.Key])
-	return r, Asked{Verb: r.verb, Key: r.key, Value: string(body[r.head.Extras+r.head.Key:])}, nil
+	r.key = string(body[r.head.ExtrasLen : r.head.ExtrasLen+r.head.KeyLen])
+	return r, ReceivedRequest{Verb: r.verb, Key: r.key, Value: string(body[r.head.ExtrasLen+r.head.KeyLen:])}, nil
 }
 
 // carryOut does what a reaction asks for, and tells whether the connection goes on.
@@ -289,10 +289,10 @@
 	}
 	text := say(do, r)
 	switch do {
-	case Half:
+	case TruncatedAnswer:
 		c.Write(text[:len(text)-1])
 		return false
-	case Endless:
+	case EndlessValue:
 		c.Write(text)
 		c.Write(make([]byte, 1<<20)) // a bound: it has been given up long before
 		<-ns.done
@@ -309,24 +309,24 @@
 		return []byte("EN\r\n")
 	case Busy:
 		return []byte("SERVER_ERROR busy\r\n")
-	case Advise:
+	case BusyRetryAfter:
 		return []byte("SERVER_ERROR busy 1000\r\n")
 	case Invalid:
 		return []byte("CLIENT_ERROR bad class\r\n")
 	case Fail:
 		return []byte("SERVER_ERROR failed\r\n")
-	case Noise:
+	case Garbage:
 		return []byte("\x00\x17noise\xff\r\n")
-	case Endless:
+	case EndlessValue:
 		return []byte("VA 3000000000 O" + id + " h1\r\n")
-	case Other:
+	case OtherAnswer:
 		id += "x"
 	}
 	text := fmt.Sprintf("VA %d O%s h1\r\n%s\r\n", len(value), id, value)
 	if r.verb == request.Set {
 		text = fmt.Sprintf("HD O%s c%s\r\n", id, Receipt)
 	}
-	if do == Surplus {
+	if do == DuplicateAnswer {
 		text += text
 	}
 	return []byte(text)
@@ -339,25 +339,25 @@
 	case Busy:
 		return binary.AppendStatus(nil, &r.head, binary.Busy, 0)
 	case Fail:
-		return binary.AppendStatus(nil, &r.head, binary.Internal, 0)
-	case Noise:
+		return binary.AppendStatus(nil, &r.head, binary.InternalError, 0)
+	case Garbage:
 		return []byte("\x00\x17noise\xff that is longer than a header")
 	}
 	h := binary.Header{Opcode: r.head.Opcode, Opaque: r.head.Opaque, CAS: 7}
 	value := ""
 	if r.verb == request.Get {
 		value = "\x00\x00\x00\x00" + Value(r.key)
-		h.Extras, h.Body = 4, len(value)
+		h.ExtrasLen, h.BodyLen = 4, len(value)
 	}
 	switch do {
-	case Other:
+	case OtherAnswer:
 		h.Opaque++
-	case Endless:
-		h.Extras, h.Body = 4, 3000000000
+	case EndlessValue:
+		h.ExtrasLen, h.BodyLen = 4, 3000000000
 		value = ""
 	}
 	text := string(h.Append(nil, binary.ResponseMagic)) + value
-	if do == Surplus {
+	if do == DuplicateAnswer {
 		text += text
 	}
 	return []byte(text)
--- a/internal/fleettest/binary.go
+++ b/internal/fleettest/binary.go
@@ -22,18 +22,18 @@
 	if e.kind.write {
 		return rawclient.AppendSet(nil, codec.Set, e.key, e.value, l.opaque, e.ticket), e.value
 	}
-	return rawclient.AppendKeyed(nil, codec.Get, e.key, l.opaque), fmt.Sprintf("opaque-%d", l.opaque)
+	return rawclient.AppendKeyOnly(nil, codec.Get, e.key, l.opaque), fmt.Sprintf("opaque-%d", l.opaque)
 }
 
 // binaryAnswer reads the answer to the last command as one of the other dialect would
 // be read. A ticket that lives no more is of kind Bad.
-func (l *link) binaryAnswer() (a meta.Line, value []byte, cas uint64, err error) {
+func (l *link) binaryAnswer() (a meta.AnswerLine, value []byte, cas uint64, err error) {
 	r, err := rawclient.ReadResponse(l.in)
 	if err != nil {
 		return a, nil, 0, err
 	}
 	if r.Opaque != l.opaque {
-		return a, nil, 0, fmt.Errorf("%w: opaque %d where %d is due", rawclient.ErrAnswer, r.Opaque, l.opaque)
+		return a, nil, 0, fmt.Errorf("%w: opaque %d where %d is due", rawclient.ErrMalformedAnswer, r.Opaque, l.opaque)
 	}
 	a.Kind = request.Failed
 	switch r.Status {
@@ -43,12 +43,12 @@
 			a.Kind = request.Value
 		}
 	case codec.NotFound:
-		a.Kind = request.Missing
+		a.Kind = request.NotFound
 	case codec.Exists:
-		a.Kind = request.Bad
+		a.Kind = request.Invalid
 	case codec.Busy:
 		a.Kind = request.Busy
-		a.Size = int(r.Advice().Milliseconds())
+		a.ValueLen = int(r.RetryAfter().Milliseconds())
 	}
 	return a, []byte(r.Value), r.CAS, nil
 }
@@ -59,9 +59,9 @@
 	sent := time.Now()
 	c.tally.sent()
 	l.socket.SetDeadline(sent.Add(wait))
-	_, err := l.socket.Write(rawclient.AppendKeyed(nil, codec.Get, e.key, l.opaque))
+	_, err := l.socket.Write(rawclient.AppendKeyOnly(nil, codec.Get, e.key, l.opaque))
 	if err == nil {
-		var a meta.Line
+		var a meta.AnswerLine
 		var value []byte
 		var cas uint64
 		if a, value, cas, err = l.binaryAnswer(); err == nil {
@@ -113,18 +113,18 @@
 	var text []byte
 	keys := map[uint32]string{}
 	from := l.opaque
-	for i := range c.load.Depth {
+	for i := range c.load.PipelineDepth {
 		l.opaque++
 		key := fmt.Sprintf("quiet%d.%d", number, i)
-		if lacks := c.fleet.scenario.Fleet.Lacks; lacks != "" && i%4 == 3 {
+		if lacks := c.fleet.scenario.Fleet.MissingKeyPrefix; lacks != "" && i%4 == 3 {
 			key = lacks + key
 		}
 		keys[l.opaque] = key
-		text = rawclient.AppendKeyed(text, codec.GetKQ, key, l.opaque)
+		text = rawclient.AppendKeyOnly(text, codec.GetKQ, key, l.opaque)
 		c.tally.sent()
 	}
 	l.opaque++
-	text = rawclient.AppendKeyed(text, codec.Noop, "", l.opaque)
+	text = rawclient.AppendKeyOnly(text, codec.Noop, "", l.opaque)
 	wait := c.kinds[0].deadline
 	l.socket.SetDeadline(time.Now().Add(wait + watchTime + c.tally.slackNow()))
 	_, err := l.socket.Write(text)
@@ -135,17 +135,17 @@
 		}
 		if r.Opaque <= last || r.Opaque > l.opaque {
 			c.tally.wrong("proxy %d answered opaque %d after %d in a quiet pipeline", d.index, r.Opaque, last)
-			return rawclient.ErrAnswer
+			return rawclient.ErrMalformedAnswer
 		}
 		if last = r.Opaque; r.Opcode == codec.Noop {
 			l.used = true
 			return nil
 		}
 		key := keys[r.Opaque]
-		if lacks := c.fleet.scenario.Fleet.Lacks; r.Status == codec.NotFound || r.Status == codec.OK &&
-			(r.Name != key || !strings.HasPrefix(r.Value, key+" ") || lacks != "" && strings.HasPrefix(key, lacks)) {
+		if lacks := c.fleet.scenario.Fleet.MissingKeyPrefix; r.Status == codec.NotFound || r.Status == codec.OK &&
+			(r.KeyText != key || !strings.HasPrefix(r.Value, key+" ") || lacks != "" && strings.HasPrefix(key, lacks)) {
 			c.tally.wrong("proxy %d answered %q of a quiet pipeline with status %d and %q", d.index, key, r.Status, r.Value)
-			return rawclient.ErrAnswer
+			return rawclient.ErrMalformedAnswer
 		}
 	}
 	if isTimeout(err) {
--- a/internal/fleettest/client.go
+++ b/internal/fleettest/client.go
@@ -44,7 +44,7 @@
 // answers, each with its own retries, over kept connections.
 type clients struct {
 	fleet *fleet
-	load  LoadPart
+	load  LoadSettings
 	kinds [2]kind // read, write
 	tally *tally
 
@@ -54,7 +54,7 @@
 
 	// Of those that use the client library, one for each tenant.
 	library []*client.Client
-	audit   *loadgen.Audit
+	audit   *loadgen.TraceAuditor
 
 	mu    sync.Mutex
 	rng   *rand.Rand
@@ -85,7 +85,7 @@
 		pools: make([][]*link, 2*len(f.proxies)),
 		kinds: [2]kind{{name: "read", aim: 500 * time.Millisecond, deadline: 2 * time.Second},
 			{name: "write", write: true, aim: 750 * time.Millisecond, deadline: 2500 * time.Millisecond,
-				window: time.Duration(f.scenario.Fleet.Window)}}}
+				window: time.Duration(f.scenario.Fleet.DedupWindow)}}}
 	c.shares = slices.Grow(c.shares, len(l.Tenants))[:len(l.Tenants)]
 	for i := range c.shares {
 		c.shares[i].at = t.began
@@ -114,19 +114,19 @@
 	defer c.mu.Unlock()
 	r := c.rng
 	e := &errand{plan: plan{kind: c.kinds[0], retries: c.load.Retries, pause: time.Duration(20+r.IntN(140)) * time.Millisecond,
-		honour: r.Float64() < c.load.Honour}, share: 0.3 + r.Float64()*0.25, marked: r.Float64() < c.load.Marked}
-	e.binary = c.load.Binary > 0 && r.Float64() < c.load.Binary
-	e.library = c.load.Library > 0 && !e.binary && r.Float64() < c.load.Library
+		honour: r.Float64() < c.load.HonourRetryAfterShare}, share: 0.3 + r.Float64()*0.25, marked: r.Float64() < c.load.MarkedRetryShare}
+	e.binary = c.load.BinaryShare > 0 && r.Float64() < c.load.BinaryShare
+	e.library = c.load.LibraryShare > 0 && !e.binary && r.Float64() < c.load.LibraryShare
 	switch {
-	case r.Float64() < c.load.Handovers:
+	case r.Float64() < c.load.HandoverShare:
 		e.kind = c.kinds[1]
 		e.key = fmt.Sprint("h", r.IntN(c.load.Keys))
 		e.idempotency = fmt.Sprintf("%x", c.serial.Add(1))
 		e.value = "h" + e.idempotency
-		if c.load.Again > 0 {
-			e.late, e.marked = r.Float64() < c.load.Late, true
+		if c.load.LateRetries > 0 {
+			e.late, e.marked = r.Float64() < c.load.LateRetryShare, true
 		}
-	case r.Float64() < c.load.OneOff:
+	case r.Float64() < c.load.OneOffKeyShare:
 		e.key = fmt.Sprint("once", c.serial.Add(1))
 	default:
 		e.key = fmt.Sprint("k", c.zipf.Uint64())
@@ -135,7 +135,7 @@
 	if n := len(c.load.Tenants); n > 0 {
 		tenant := r.IntN(n)
 		// In a flood the first asks for several times its part, the others for theirs.
-		if p := phase.Flood; p > 1 && r.Float64() < (p-1)/(p-1+float64(n)) {
+		if p := phase.FirstTenantFactor; p > 1 && r.Float64() < (p-1)/(p-1+float64(n)) {
 			tenant = 0
 		}
 		e.tenant, e.over = c.load.Tenants[tenant], !c.within(tenant)
@@ -145,7 +145,7 @@
 
 // within tells whether a tenant's next request is within its share. c.mu is held.
 func (c *clients) within(tenant int) bool {
-	s, now, quota := &c.shares[tenant], time.Now(), float64(c.load.Quota)
+	s, now, quota := &c.shares[tenant], time.Now(), float64(c.load.TenantQuota)
 	s.left, s.at = min(s.left+now.Sub(s.at).Seconds()*quota, quota), now
 	if s.left < 1 {
 		return false
@@ -158,7 +158,7 @@
 func (c *clients) run(ctx context.Context) {
 	defer c.closeLibrary()
 	for i := range c.load.Pipelines {
-		if c.load.Binary > 0 && i%2 == 1 {
+		if c.load.BinaryShare > 0 && i%2 == 1 {
 			c.tasks.Go(func() { c.quietPipeline(ctx, i) })
 			continue
 		}
@@ -213,7 +213,7 @@
 		now := time.Since(begun)
 		again, pause, most := e.next(now, as, advice)
 		unsure := as != served && (as != refused || e.mayRun) && as != unopened || as == unopened && e.mayRun
-		if e.kind.write && unsure && e.asked < c.load.Again && (!again || e.late) {
+		if e.kind.write && unsure && e.asked < c.load.LateRetries && (!again || e.late) {
 			e.asked++
 			c.tally.retry(note)
 			c.mu.Lock()
@@ -309,7 +309,7 @@
 // command is a request's text for a proxy, and the id that it was given.
 func (c *clients) command(e *errand, proxy int, wait time.Duration, repeat bool) (text []byte, id string) {
 	id = fmt.Sprintf("p%d-%x", proxy, c.serial.Add(1))
-	r := request.Request{Key: e.key, Class: e.kind.name, Tenant: e.tenant, Idempotency: e.idempotency, Retry: repeat && e.marked}
+	r := request.Request{Key: e.key, Class: e.kind.name, Tenant: e.tenant, IdempotencyKey: e.idempotency, Retry: repeat && e.marked}
 	if e.kind.write {
 		r.Verb, r.Value = request.Set, []byte(e.value)
 	}
@@ -351,10 +351,10 @@
 	c.tally.sent()
 	l.socket.SetDeadline(sent.Add(wait))
 	if _, err = l.socket.Write(text); err == nil {
-		var answer meta.Line
+		var answer meta.AnswerLine
 		var value []byte
 		if answer, value, err = l.answer(); err == nil {
-			if e.binary && answer.Kind == request.Bad && !e.mayRun {
+			if e.binary && answer.Kind == request.Invalid && !e.mayRun {
 				e.ticket = 0 // too old, and nothing was done under it: the next try reads anew
 				c.keep(d, l)
 				return refused, 0
@@ -370,7 +370,7 @@
 
 // silence judges a try whose answer did not come whole.
 func (c *clients) silence(d *proxyDoor, l *link, id string, sent time.Time, wait time.Duration, err error) (ending, time.Duration) {
-	if way := c.fleet.links.clients[d.index]; isTimeout(err) && way != nil && way.TroubledSince(sent) {
+	if way := c.fleet.links.clients[d.index]; isTimeout(err) && way != nil && way.FaultySince(sent) {
 		// What waits on the way is to come with its end behind it, as that of tills which give up: nothing that comes
 		// yet could be held against the proxy.
 		l.socket.Close()
@@ -383,7 +383,7 @@
 		return silent, 0
 	}
 	l.socket.Close()
-	if errors.Is(err, meta.ErrAnswer) || errors.Is(err, rawclient.ErrAnswer) {
+	if errors.Is(err, meta.ErrMalformedAnswer) || errors.Is(err, rawclient.ErrMalformedAnswer) {
 		c.tally.wrong("proxy %d answered %s with what can't be read", d.index, id)
 		return failed, 0
 	}
@@ -453,7 +453,7 @@
 }
 
 // judge tells what an answer is worth, and keeps its connection.
-func (c *clients) judge(d *proxyDoor, l *link, e *errand, id string, a *meta.Line, value []byte) (ending, time.Duration) {
+func (c *clients) judge(d *proxyDoor, l *link, e *errand, id string, a *meta.AnswerLine, value []byte) (ending, time.Duration) {
 	if l.in.Buffered() > 0 {
 		l.socket.Close()
 		c.tally.wrong("proxy %d sent more than one answer to %s", d.index, id)
@@ -475,38 +475,38 @@
 	}
 	c.keep(d, l)
 	if a.Kind == request.Busy {
-		return refused, time.Duration(a.Size) * time.Millisecond
+		return refused, time.Duration(a.ValueLen) * time.Millisecond
 	}
 	return failed, 0
 }
 
 // answer reads one answer. Of a refusal, Size is the advice in milliseconds.
-func (l *link) answer() (meta.Line, []byte, error) {
+func (l *link) answer() (meta.AnswerLine, []byte, error) {
 	if l.binary {
 		a, value, _, err := l.binaryAnswer()
 		return a, value, err
 	}
 	line, err := l.in.ReadSlice('\n')
 	if err != nil {
-		return meta.Line{}, nil, err
+		return meta.AnswerLine{}, nil, err
 	}
 	line = bytes.TrimSuffix(line, []byte("\r\n"))
 	if advice, ok := bytes.CutPrefix(line, []byte("SERVER_ERROR busy")); ok {
 		ms, _ := strconv.Atoi(string(bytes.TrimSpace(advice)))
-		return meta.Line{Kind: request.Busy, Size: ms}, nil, nil
+		return meta.AnswerLine{Kind: request.Busy, ValueLen: ms}, nil, nil
 	}
 	a, err := meta.ParseAnswer(bytes.Clone(line))
 	if err != nil || a.Kind != request.Value {
 		return a, nil, err
 	}
-	value := make([]byte, a.Size+2)
+	value := make([]byte, a.ValueLen+2)
 	if _, err := io.ReadFull(l.in, value); err != nil {
 		return a, nil, err
 	}
 	if !bytes.HasSuffix(value, []byte("\r\n")) {
-		return a, nil, meta.ErrAnswer
+		return a, nil, meta.ErrMalformedAnswer
 	}
-	return a, value[:a.Size], nil
+	return a, value[:a.ValueLen], nil
 }
 
 // pipeline is a client that writes many reads at once and takes the answers in
@@ -535,7 +535,7 @@
 		wait := c.kinds[0].deadline
 		var text []byte
 		var ids, keys []string
-		for i := range c.load.Depth {
+		for i := range c.load.PipelineDepth {
 			e := &errand{plan: plan{kind: c.kinds[0]}, key: fmt.Sprintf("pipe%d.%d", number, i)}
 			if n := len(c.load.Tenants); n > 0 {
 				e.tenant = c.load.Tenants[number%n]
@@ -548,7 +548,7 @@
 		_, err := l.socket.Write(text)
 		for i, id := range ids {
 			c.tally.sent()
-			var a meta.Line
+			var a meta.AnswerLine
 			var value []byte
 			if err == nil {
 				a, value, err = l.answer()
--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -19,18 +19,18 @@
 
 // ClientsReport compares tills that use the client library with such as the operators describe.
 type ClientsReport struct {
-	Plays []ClientsPlay `json:"plays"`
+	Runs []ClientsRun `json:"plays"`
 }
 
-// ClientsPlay is one trouble, met by one kind of tills or by both at once.
-type ClientsPlay struct {
-	Name     string            `json:"name"`
-	About    string            `json:"about"`
-	Results  []*loadgen.Result `json:"results"`
-	Doubled  map[string]int    `json:"doubled"` // handovers carried out twice, by kind
-	Crashes  int               `json:"crashes"`
-	Problems []string          `json:"problems"`
-	Fetches  int               `json:"fetches"`
+// ClientsRun is one trouble, met by one kind of tills or by both at once.
+type ClientsRun struct {
+	Name            string            `json:"name"`
+	Description     string            `json:"about"`
+	Results         []*loadgen.Result `json:"results"`
+	DuplicateWrites map[string]int    `json:"doubled"` // handovers carried out twice, by kind
+	Crashes         int               `json:"crashes"`
+	Problems        []string          `json:"problems"`
+	Fetches         int               `json:"fetches"`
 }
 
 // trouble is what befalls a fleet in the middle of three phases.
@@ -48,15 +48,15 @@
 const startTime = 2 * time.Second
 
 func (t *trouble) phases() []loadgen.Phase {
-	return []loadgen.Phase{{Name: "start", For: startTime}, {Name: "calm", For: t.calm}, {Name: "trouble", For: t.bad}, {Name: "after", For: t.end}}
+	return []loadgen.Phase{{Name: "start", Duration: startTime}, {Name: "calm", Duration: t.calm}, {Name: "trouble", Duration: t.bad}, {Name: "after", Duration: t.end}}
 }
 
 // ClientsOptions say what to play.
 type ClientsOptions struct {
 	Options
-	Clients int    // tills of each kind
-	Only    string // one trouble, "" for all
-	Short   bool
+	Clients   int    // tills of each kind
+	OnlyFault string // one trouble, "" for all
+	Short     bool
 }
 
 // gone is how long all proxies are gone.
@@ -116,67 +116,67 @@
 			}
 		}
 	}
-	each(func(n *node.Node) error { return n.SetFault(node.Fault{Kind: node.Refuse}) })
+	each(func(n *node.Node) error { return n.SetFault(node.Fault{Kind: node.ProcessDown}) })
 	sleep(ctx, d)
 	each((*node.Node).Restart)
 }
 
 // clientsFleet is the fleet that tills of a load ask.
 func clientsFleet(t *trouble) *Scenario {
-	s, err := Load("up")
+	s, err := LoadScenario("up")
 	if err != nil {
 		panic(err) // it is built in, and a test loads it
 	}
-	s.Name, s.About, s.Seed = "clients-"+t.name, t.about, 11
+	s.Name, s.Description, s.Seed = "clients-"+t.name, t.about, 11
 	s.Fleet.Proxies, s.Fleet.Nodes, s.Fleet.Zones = t.proxies, 8, []string{"a"}
-	s.Fleet.Slots, s.Fleet.Queue, s.Fleet.Work = t.slots, 32, span(25*time.Millisecond)
-	s.Fleet.OriginSlots, s.Fleet.OriginQueue, s.Fleet.OriginWork = 32, 256, span(40*time.Millisecond)
-	s.Fleet.Sockets, s.Fleet.MemoryMB, s.Fleet.PerNode, s.Fleet.Connections = 8192, 128, 8, 128
+	s.Fleet.Slots, s.Fleet.Queue, s.Fleet.ServiceTime = t.slots, 32, span(25*time.Millisecond)
+	s.Fleet.OriginSlots, s.Fleet.OriginQueue, s.Fleet.OriginServiceTime = 32, 256, span(40*time.Millisecond)
+	s.Fleet.MaxSockets, s.Fleet.MemoryMB, s.Fleet.ConnectionsPerNode, s.Fleet.Connections = 8192, 128, 8, 128
 	for _, p := range t.phases() {
-		s.Phases = append(s.Phases, Phase{Name: p.Name, For: span(p.For)})
+		s.Phases = append(s.Phases, Phase{Name: p.Name, Duration: span(p.Duration)})
 	}
 	return s
 }
 
-// Clients plays all troubles, each by turns with both kinds of tills, or with both at once.
-func Clients(ctx context.Context, o ClientsOptions) (*ClientsReport, error) {
+// RunClients plays all troubles, each by turns with both kinds of tills, or with both at once.
+func RunClients(ctx context.Context, o ClientsOptions) (*ClientsReport, error) {
 	report := &ClientsReport{}
 	for _, t := range troubles(o.Short) {
-		if o.Only != "" && o.Only != t.name {
+		if o.OnlyFault != "" && o.OnlyFault != t.name {
 			continue
 		}
 		if t.together {
-			p, err := o.play(ctx, &t, loadgen.Library, loadgen.Brief)
+			p, err := o.play(ctx, &t, loadgen.Library, loadgen.Naive)
 			if err != nil {
 				return nil, err
 			}
-			report.Plays = append(report.Plays, *p)
+			report.Runs = append(report.Runs, *p)
 			continue
 		}
-		for _, kind := range []loadgen.Kind{loadgen.Library, loadgen.Brief} {
+		for _, kind := range []loadgen.Kind{loadgen.Library, loadgen.Naive} {
 			p, err := o.play(ctx, &t, kind)
 			if err != nil {
 				return nil, err
 			}
-			report.Plays = append(report.Plays, *p)
+			report.Runs = append(report.Runs, *p)
 		}
 	}
 	return report, nil
 }
 
-func (o *ClientsOptions) play(ctx context.Context, t *trouble, kinds ...loadgen.Kind) (*ClientsPlay, error) {
+func (o *ClientsOptions) play(ctx context.Context, t *trouble, kinds ...loadgen.Kind) (*ClientsRun, error) {
 	s := clientsFleet(t)
 	folder := filepath.Join(o.Folder, fmt.Sprint(t.name, "-", kinds[0]))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
 	o.Progress("%s: %s; %d tills each of %v", t.name, t.about, o.Clients, kinds)
-	f, err := startFleet(s, o.Program, folder, o.Progress)
+	f, err := startFleet(s, o.ProxyCommand, folder, o.Progress)
 	if err != nil {
 		return nil, err
 	}
 	defer f.close()
-	p := &ClientsPlay{Name: t.name, About: t.about, Results: make([]*loadgen.Result, len(kinds)), Doubled: make(map[string]int)}
+	p := &ClientsRun{Name: t.name, Description: t.about, Results: make([]*loadgen.Result, len(kinds)), DuplicateWrites: make(map[string]int)}
 	var addresses []string
 	for _, d := range f.proxies {
 		addresses = append(addresses, d.front)
@@ -184,10 +184,10 @@
 	var tasks sync.WaitGroup
 	errs := make([]error, len(kinds))
 	for i, kind := range kinds {
-		c := loadgen.Config{Kind: kind, Addresses: addresses, Clients: o.Clients, Rate: t.rate, Handovers: 0.06, Keys: 3000, Skew: 1.2, Seed: 3,
-			Seen: f.wasSeen, Excused: f.killedLately,
+		c := loadgen.Config{Kind: kind, Addresses: addresses, Clients: o.Clients, Rate: t.rate, HandoverShare: 0.06, Keys: 3000, Skew: 1.2, Seed: 3,
+			SeenByNode: f.wasSeen, RecentlyKilled: f.killedLately,
 			Phases:  t.phases(),
-			Options: client.Options{Window: time.Duration(s.Fleet.Window), Cold: time.Second}}
+			Options: client.Options{Window: time.Duration(s.Fleet.DedupWindow), StartSpread: time.Second}}
 		tasks.Go(func() { p.Results[i], errs[i] = loadgen.Run(ctx, c) })
 	}
 	tasks.Go(func() {
@@ -203,14 +203,14 @@
 	f.stop()
 	settle(func() int { return f.origin.Stats().Writes })
 	p.Fetches = f.origin.Stats().Fetches
-	for _, e := range f.origin.Doubled() {
+	for _, e := range f.origin.DuplicateEffects() {
 		name := e.Record + " " + e.Key
-		for _, kind := range []loadgen.Kind{loadgen.Library, loadgen.Brief} {
+		for _, kind := range []loadgen.Kind{loadgen.Library, loadgen.Naive} {
 			if strings.HasPrefix(e.Key, strings.ToUpper(string(kind[:1]))) {
 				name = string(kind)
 			}
 		}
-		p.Doubled[name]++
+		p.DuplicateWrites[name]++
 		if name == string(loadgen.Library) && len(p.Problems) < 20 {
 			p.Problems = append(p.Problems, fmt.Sprintf("handover %s of %s was carried out again %v after the first time", e.Key, e.Record, e.Last.Sub(e.First).Round(time.Millisecond)))
 		}
@@ -242,7 +242,7 @@
 )
 
 // broken lists what the library's tills did not keep.
-func (p *ClientsPlay) broken() (list []string) {
+func (p *ClientsRun) broken() (list []string) {
 	say := func(format string, a ...any) { list = append(list, p.Name+": "+fmt.Sprintf(format, a...)) }
 	if p.Crashes > 0 {
 		say("%d crashes", p.Crashes)
@@ -251,19 +251,19 @@
 		if r.Kind != loadgen.Library {
 			continue
 		}
-		if n := p.Doubled[string(loadgen.Library)]; n > 0 {
+		if n := p.DuplicateWrites[string(loadgen.Library)]; n > 0 {
 			say("%d handovers were carried out twice", n)
 		}
 		for _, f := range r.Phases {
 			if f.Lost > 0 {
 				say("%s: %d requests lost", f.Phase, f.Lost)
 			}
-			if f.Offered > 0 && f.TriesPer() > mostTriesPer {
-				say("%s: %.3f tries for each request", f.Phase, f.TriesPer())
+			if f.Offered > 0 && f.TriesPerRequest() > mostTriesPer {
+				say("%s: %.3f tries for each request", f.Phase, f.TriesPerRequest())
 			}
 		}
-		if bad := r.Phases[2]; p.Name == "restart" && float64(bad.Busiest) > busiestTimes*bad.Mean {
-			say("%d attempts to connect in the busiest 50 ms, %.1f in the mean", bad.Busiest, bad.Mean)
+		if bad := r.Phases[2]; p.Name == "restart" && float64(bad.DialsBusiest50ms) > busiestTimes*bad.DialsMean50ms {
+			say("%d attempts to connect in the busiest 50 ms, %.1f in the mean", bad.DialsBusiest50ms, bad.DialsMean50ms)
 		}
 	}
 	return list
@@ -271,24 +271,24 @@
 
 // OK tells whether the library's tills kept what they have to.
 func (r *ClientsReport) OK() bool {
-	for i := range r.Plays {
-		if len(r.Plays[i].broken()) > 0 {
+	for i := range r.Runs {
+		if len(r.Runs[i].broken()) > 0 {
 			return false
 		}
 	}
-	return len(r.Plays) > 0
+	return len(r.Runs) > 0
 }
 
 // Print writes the report as tables, its verdict last.
 func (r *ClientsReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "trouble\ttills\tphase\toffered\tin time\tlate\trefused\tfailed\tunknown\ttries each\tgoodput\thandovers\tin time\tp50 ms\tp99 ms\tdials\tin vain\tbusiest 50 ms\tmean\ttimes\tlost\t")
-	for _, p := range r.Plays {
+	for _, p := range r.Runs {
 		for _, x := range p.Results {
 			for _, f := range x.Phases {
 				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.0f\t%d\t%d\t%.1f\t%.1f\t%d\t%d\t%d\t%.1f\t%.1f\t%d\t\n", p.Name, x.Kind, f.Phase, f.Offered, f.InTime, f.Late,
-					f.Refused, f.Failed, f.Unknown, f.TriesPer(), f.Goodput(), f.Handovers, f.HandedIn, f.P50, f.P99, f.Dials, f.DialFails, f.Busiest, f.Mean,
-					float64(f.Busiest)/max(f.Mean, 1e-9), f.Lost)
+					f.Refused, f.Failed, f.Unknown, f.TriesPerRequest(), f.Goodput(), f.Handovers, f.HandoversInTime, f.P50, f.P99, f.Dials, f.DialFails, f.DialsBusiest50ms, f.DialsMean50ms,
+					float64(f.DialsBusiest50ms)/max(f.DialsMean50ms, 1e-9), f.Lost)
 			}
 		}
 	}
@@ -298,19 +298,19 @@
 		word = "BROKEN"
 	}
 	doubled := make(map[string]int)
-	for _, p := range r.Plays {
-		fmt.Fprintf(out, "%s: %s; doubled %v, %d fetches\n", p.Name, p.About, p.Doubled, p.Fetches)
-		for kind, n := range p.Doubled {
+	for _, p := range r.Runs {
+		fmt.Fprintf(out, "%s: %s; doubled %v, %d fetches\n", p.Name, p.Description, p.DuplicateWrites, p.Fetches)
+		for kind, n := range p.DuplicateWrites {
 			doubled[kind] += n
 		}
 		for _, x := range p.Results {
 			crossed, excused, overdue := 0, 0, 0
 			for _, f := range x.Phases {
-				crossed, excused, overdue = crossed+f.Crossed, excused+f.Excused, overdue+f.Overdue
+				crossed, excused, overdue = crossed+f.CrossedClose, excused+f.KilledInFlight, overdue+f.Overdue
 			}
 			fmt.Fprintf(out, "  %s: no breach: %d crossed a close, %d were out at a killed proxy, %d answered just after they were given up, %d not offered\n", x.Kind, crossed, excused,
 				overdue, x.NotOffered)
-			for _, s := range x.Samples {
+			for _, s := range x.LostSamples {
 				fmt.Fprintln(out, "  "+s)
 			}
 		}
@@ -318,5 +318,5 @@
 			fmt.Fprintln(out, "  "+strings.ReplaceAll(s, "\n", " | "))
 		}
 	}
-	fmt.Fprintf(out, "verdict: %s plays=%d doubled_library=%d doubled_brief=%d\n", word, len(r.Plays), doubled[string(loadgen.Library)], doubled[string(loadgen.Brief)])
+	fmt.Fprintf(out, "verdict: %s plays=%d doubled_library=%d doubled_brief=%d\n", word, len(r.Runs), doubled[string(loadgen.Library)], doubled[string(loadgen.Naive)])
 }
