--- a/internal/fleettest/conform.go
+++ b/internal/fleettest/conform.go
@@ -82,12 +82,12 @@
 	{name: "read turned away", react: []scriptednode.Reaction{scriptednode.Busy}, steps: []step{read("k", "busy")}, sent: 1, quick: true},
 	{name: "read that failed", react: []scriptednode.Reaction{scriptednode.Fail}, steps: []step{read("k", "busy")}, sent: 1, quick: true},
 	{name: "read reset", react: []scriptednode.Reaction{scriptednode.Reset}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read ended within its answer", react: []scriptednode.Reaction{scriptednode.Half}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read answered by noise", react: []scriptednode.Reaction{scriptednode.Noise}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read answered by another's", react: []scriptednode.Reaction{scriptednode.Other}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read answered by 3 GB", react: []scriptednode.Reaction{scriptednode.Endless}, steps: []step{read("k", "value v:k")}, sent: 2},
-	{name: "read answered twice", react: []scriptednode.Reaction{scriptednode.Surplus}, steps: []step{read("k", "value v:k")}, sent: 1},
-	{name: "read after one answered twice", react: []scriptednode.Reaction{scriptednode.Surplus}, turns: true, sent: 2,
+	{name: "read ended within its answer", react: []scriptednode.Reaction{scriptednode.TruncatedAnswer}, steps: []step{read("k", "value v:k")}, sent: 2},
+	{name: "read answered by noise", react: []scriptednode.Reaction{scriptednode.Garbage}, steps: []step{read("k", "value v:k")}, sent: 2},
+	{name: "read answered by another's", react: []scriptednode.Reaction{scriptednode.OtherAnswer}, steps: []step{read("k", "value v:k")}, sent: 2},
+	{name: "read answered by 3 GB", react: []scriptednode.Reaction{scriptednode.EndlessValue}, steps: []step{read("k", "value v:k")}, sent: 2},
+	{name: "read answered twice", react: []scriptednode.Reaction{scriptednode.DuplicateAnswer}, steps: []step{read("k", "value v:k")}, sent: 1},
+	{name: "read after one answered twice", react: []scriptednode.Reaction{scriptednode.DuplicateAnswer}, turns: true, sent: 2,
 		steps: []step{read("k", "value v:k"), read("k", "value v:k")}},
 	{name: "read at a node that hangs", react: []scriptednode.Reaction{scriptednode.Hang}, steps: []step{read("k", "busy")}, sent: 1, most: 4},
 	{name: "read where all nodes hang", react: slices.Repeat([]scriptednode.Reaction{scriptednode.Hang}, 20), steps: []step{read("k", "busy")},
@@ -97,7 +97,7 @@
 	{name: "pipeline of reads, some slow", steps: reads(30), sent: 30, warm: true,
 		by: map[string]scriptednode.Reaction{"k0": scriptednode.Slow, "k7": scriptednode.Slow, "k12": scriptednode.Slow}},
 	{name: "pipeline of reads, some spoilt", steps: reads(20), sent: 20, most: 60, warm: true,
-		react: []scriptednode.Reaction{scriptednode.Serve, scriptednode.Other, scriptednode.Serve, scriptednode.Half, scriptednode.Noise, scriptednode.Serve, scriptednode.Reset}},
+		react: []scriptednode.Reaction{scriptednode.Serve, scriptednode.OtherAnswer, scriptednode.Serve, scriptednode.TruncatedAnswer, scriptednode.Garbage, scriptednode.Serve, scriptednode.Reset}},
 	{name: "pipeline of all kinds", sent: -1, by: map[string]scriptednode.Reaction{"none": scriptednode.Miss, "full": scriptednode.Busy},
 		steps: []step{read("a", "value v:a"), read("none", "missing"), write(rawclient.Unsafe, "b", "stored 7"), read("full", "busy"),
 			read("c", "value v:c"), {key: "\x7f", want: "bad"}, read("big", largest), read("none", "missing"), read("d", "value v:d")}},
@@ -105,8 +105,8 @@
 	{name: "unsafe write turned away", react: []scriptednode.Reaction{scriptednode.Busy}, steps: []step{write(rawclient.Unsafe, "k", "busy")}, sent: 1, quick: true},
 	{name: "unsafe write that failed", react: []scriptednode.Reaction{scriptednode.Fail}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
 	{name: "unsafe write reset", react: []scriptednode.Reaction{scriptednode.Reset}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
-	{name: "unsafe write answered by noise", react: []scriptednode.Reaction{scriptednode.Noise}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
-	{name: "unsafe write answered by another's", react: []scriptednode.Reaction{scriptednode.Other}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
+	{name: "unsafe write answered by noise", react: []scriptednode.Reaction{scriptednode.Garbage}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
+	{name: "unsafe write answered by another's", react: []scriptednode.Reaction{scriptednode.OtherAnswer}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1, quick: true},
 	{name: "unsafe write at a node that hangs", react: []scriptednode.Reaction{scriptednode.Hang}, steps: []step{write(rawclient.Unsafe, "k", "failed")}, sent: 1},
 	{name: "unsafe write where one node listens", dead: true, steps: []step{write(rawclient.Unsafe, "k", "stored 7")}, sent: 1},
 	{name: "unsafe write of the largest value", steps: []step{{key: "k", value: strings.Repeat("v", meta.MaxValue), effect: rawclient.Unsafe, want: "stored 7"}}, sent: 1},
@@ -114,21 +114,21 @@
 	{name: "keyed write", steps: []step{keyed("k", "stored 7")}, sent: 1, none: true, quick: true},
 	{name: "keyed write turned away", react: []scriptednode.Reaction{scriptednode.Busy}, steps: []step{keyed("k", "busy")}, sent: 1, none: true, quick: true},
 	{name: "keyed write reset", react: []scriptednode.Reaction{scriptednode.Reset}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
-	{name: "keyed write answered by noise", react: []scriptednode.Reaction{scriptednode.Noise}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
-	{name: "keyed write answered by another's", react: []scriptednode.Reaction{scriptednode.Other}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
+	{name: "keyed write answered by noise", react: []scriptednode.Reaction{scriptednode.Garbage}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
+	{name: "keyed write answered by another's", react: []scriptednode.Reaction{scriptednode.OtherAnswer}, steps: []step{keyed("k", "stored 7")}, sent: 2, none: true, same: true},
 	{name: "keyed write where a node drains", drain: true, steps: []step{keyed("k", "stored 7")}, sent: 1, none: true},
 }
 
-// ConformRow is what one case came to, by client and node: "" where it is as wanted.
-type ConformRow struct {
-	Case  string            `json:"case"`
-	Wrong map[string]string `json:"wrong"`
+// ConformanceRow is what one case came to, by client and node: "" where it is as wanted.
+type ConformanceRow struct {
+	Case     string            `json:"case"`
+	Failures map[string]string `json:"wrong"`
 }
 
-// ConformReport is what the suite found.
-type ConformReport struct {
-	Played int          `json:"played"`
-	Rows   []ConformRow `json:"rows"`
+// ConformanceReport is what the suite found.
+type ConformanceReport struct {
+	CasesRun int              `json:"played"`
+	Rows     []ConformanceRow `json:"rows"`
 }
 
 // combinations are client and node.
@@ -143,16 +143,16 @@
 // conformAtOnce bounds the fleets of the suite that are up at a time.
 const conformAtOnce = 6
 
-// Conform plays the suite.
-func Conform(ctx context.Context, o Options) (*ConformReport, error) {
-	report := &ConformReport{}
+// RunConformance plays the suite.
+func RunConformance(ctx context.Context, o Options) (*ConformanceReport, error) {
+	report := &ConformanceReport{}
 	var mu sync.Mutex
 	var errs []error
 	var tasks sync.WaitGroup
 	places := make(chan struct{}, conformAtOnce)
 	for i := range conformCases {
 		k := &conformCases[i]
-		row := ConformRow{Case: k.name, Wrong: make(map[string]string)}
+		row := ConformanceRow{Case: k.name, Failures: make(map[string]string)}
 		for _, c := range combinations {
 			places <- struct{}{}
 			if ctx.Err() != nil {
@@ -164,12 +164,12 @@
 				wrong, err := k.play(o, c[0], c[1], filepath.Join(o.Folder, fmt.Sprintf("conform-%d-%s-%s", i, c[0], c[1])))
 				mu.Lock()
 				defer mu.Unlock()
-				report.Played++
+				report.CasesRun++
 				if err != nil {
 					errs = append(errs, fmt.Errorf("%s, %s: %w", k.name, combination(c), err))
 				}
 				if wrong != "" {
-					row.Wrong[combination(c)] = wrong
+					row.Failures[combination(c)] = wrong
 				}
 			})
 		}
@@ -186,7 +186,7 @@
 func (k *conformCase) play(o Options, client, dialect scriptednode.Dialect, path string) (wrong string, err error) {
 	var mu sync.Mutex
 	left := slices.Clone(k.react)
-	nodes, err := scriptednode.Start(dialect, 3, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
+	nodes, err := scriptednode.Start(dialect, 3, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		mu.Lock()
 		defer mu.Unlock()
 		if strings.HasPrefix(a.Key, warmKey) {
@@ -214,7 +214,7 @@
 		}
 		entries = append(entries, e)
 		if k.dead && i < 2 {
-			nodes.Refuse(i)
+			nodes.CloseListener(i)
 		}
 	}
 	service := endpointlist.New(entries)
@@ -234,7 +234,7 @@
 	if err := os.WriteFile(path+".toml", []byte(text), 0o600); err != nil {
 		return "", err
 	}
-	p, err := startProcess(append(slices.Clone(o.Program), path+".toml"), nil, path+".log")
+	p, err := startProcess(append(slices.Clone(o.ProxyCommand), path+".toml"), nil, path+".log")
 	if err != nil {
 		return "", err
 	}
@@ -275,7 +275,7 @@
 	if took := time.Since(begun); k.quick && took > conformDeadline*2/3 {
 		return fmt.Sprintf("given up after %v of %v", took, conformDeadline), nil
 	}
-	asked := slices.DeleteFunc(nodes.Asked(), func(a scriptednode.Asked) bool { return strings.HasPrefix(a.Key, warmKey) })
+	asked := slices.DeleteFunc(nodes.Requests(), func(a scriptednode.ReceivedRequest) bool { return strings.HasPrefix(a.Key, warmKey) })
 	return k.judge(asked, dialect, drained), nil
 }
 
@@ -284,7 +284,7 @@
 	e.Status = "draining"
 	service.Set(e)
 	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if told, ok := service.DrainTold(0, e.Name); ok {
+		if told, ok := service.DrainNotifiedAt(0, e.Name); ok {
 			time.Sleep(time.Until(told.Add(drainGrace)))
 			return told.Add(drainGrace), nil
 		}
@@ -293,7 +293,7 @@
 }
 
 // ask does the steps and tells what was not answered as wanted.
-func (k *conformCase) ask(c *rawclient.Caller, dialect scriptednode.Dialect) string {
+func (k *conformCase) ask(c *rawclient.Client, dialect scriptednode.Dialect) string {
 	send := func(i int) error {
 		if s := k.steps[i]; s.effect != "" {
 			return c.Write(s.key, s.value, s.effect, fmt.Sprint("w", i))
@@ -322,7 +322,7 @@
 		if got.String() != want {
 			return fmt.Sprintf("answer %d is %q, want %q", i, got, want)
 		}
-		if got.Kind == request.Busy && got.After <= 0 && k.quick && s.unlike == "" {
+		if got.Kind == request.Busy && got.RetryAfter <= 0 && k.quick && s.unlike == "" {
 			return fmt.Sprintf("answer %d is busy without advice", i)
 		}
 	}
@@ -330,7 +330,7 @@
 }
 
 // judge tells what was sent to nodes that must not have been, or was not.
-func (k *conformCase) judge(asked []scriptednode.Asked, dialect scriptednode.Dialect, drained time.Time) string {
+func (k *conformCase) judge(asked []scriptednode.ReceivedRequest, dialect scriptednode.Dialect, drained time.Time) string {
 	least, most := k.sent, max(k.sent, k.most)
 	if k.none && dialect == scriptednode.Binary {
 		least, most = 0, 0
@@ -350,13 +350,13 @@
 }
 
 // OK tells whether all is as wanted.
-func (r *ConformReport) OK() bool {
-	return !slices.ContainsFunc(r.Rows, func(row ConformRow) bool { return len(row.Wrong) > 0 }) &&
-		r.Played == len(conformCases)*len(combinations)
+func (r *ConformanceReport) OK() bool {
+	return !slices.ContainsFunc(r.Rows, func(row ConformanceRow) bool { return len(row.Failures) > 0 }) &&
+		r.CasesRun == len(conformCases)*len(combinations)
 }
 
 // Print writes the report as a table.
-func (r *ConformReport) Print(out io.Writer) {
+func (r *ConformanceReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(w, "client/node")
 	for _, c := range combinations {
@@ -366,7 +366,7 @@
 	for _, row := range r.Rows {
 		fmt.Fprint(w, row.Case)
 		for _, c := range combinations {
-			if row.Wrong[combination(c)] == "" {
+			if row.Failures[combination(c)] == "" {
 				fmt.Fprint(w, "\tok")
 			} else {
 				fmt.Fprint(w, "\tWRONG")
@@ -376,9 +376,9 @@
 	}
 	w.Flush()
 	for _, row := range r.Rows {
-		for c, wrong := range row.Wrong {
+		for c, wrong := range row.Failures {
 			fmt.Fprintf(out, "%s, %s: %s\n", row.Case, c, wrong)
 		}
 	}
-	fmt.Fprintf(out, "verdict: %s, %d played\n", map[bool]string{true: "ok", false: "WRONG"}[r.OK()], r.Played)
+	fmt.Fprintf(out, "verdict: %s, %d played\n", map[bool]string{true: "ok", false: "WRONG"}[r.OK()], r.CasesRun)
 }
--- a/internal/fleettest/cost.go
+++ b/internal/fleettest/cost.go
@@ -29,32 +29,32 @@
 
 // CostOptions say how to measure what a proxy costs.
 type CostOptions struct {
-	Proxy    []string // starts a proxy; its configuration's path follows
-	Profiled func(path string) []string
-	Relay    []string // starts a byte relay; ADDRESS TO follow
-	Folder   string
-	Peers    bool // the proxy is one of a fleet, whose voters run beside it
-	Runs     int
-	Requests int // of one measurement
-	Conns    []int
-	Progress func(format string, a ...any)
+	ProxyCommand         []string // starts a proxy; its configuration's path follows
+	ProfiledProxyCommand func(path string) []string
+	RelayCommand         []string // starts a byte relay; ADDRESS TO follow
+	Folder               string
+	Peers                bool // the proxy is one of a fleet, whose voters run beside it
+	Runs                 int
+	Requests             int // of one measurement
+	Conns                []int
+	Progress             func(format string, a ...any)
 }
 
 // CostReport is what was measured. Costs are CPU time in ms for 1,000 requests.
 type CostReport struct {
-	Rows    []CostRow `json:"rows"`
-	Hottest []string  `json:"hottest"` // functions by their own CPU time
+	Rows             []CostRow `json:"rows"`
+	HottestFunctions []string  `json:"hottest"` // functions by their own CPU time
 }
 
 // CostRow is of one number of connections; a figure for each run.
 type CostRow struct {
-	Conns      int       `json:"conns"`
-	Proxy      []float64 `json:"proxy_ms"`
-	Binary     []float64 `json:"binary_ms"` // the proxy, with binary clients
-	Relay      []float64 `json:"relay_ms"`
-	Ratio      []float64 `json:"ratio"`
-	Rate       []float64 `json:"proxy_requests_a_second"`
-	BinaryRate []float64 `json:"binary_requests_a_second"`
+	Conns                   int       `json:"conns"`
+	ProxyMillis             []float64 `json:"proxy_ms"`
+	BinaryMillis            []float64 `json:"binary_ms"` // the proxy, with binary clients
+	RelayMillis             []float64 `json:"relay_ms"`
+	Ratio                   []float64 `json:"ratio"`
+	RequestsPerSecond       []float64 `json:"proxy_requests_a_second"`
+	BinaryRequestsPerSecond []float64 `json:"binary_requests_a_second"`
 }
 
 // cpuTime is the CPU time that a process has had, all its threads together.
@@ -68,7 +68,7 @@
 }
 
 // startVoters starts three processes that vote and serve nobody.
-func startVoters(program []string, folder string) (list []agent.Peer, end func(), err error) {
+func startVoters(program []string, folder string) (list []agent.VoterAddress, end func(), err error) {
 	f, err := newVoters(folder, newPorts())
 	if err != nil {
 		return nil, nil, err
@@ -97,12 +97,12 @@
 	return f.Voters, end, nil
 }
 
-// Cost measures a proxy and a byte relay side by side, turn by turn.
-func Cost(ctx context.Context, o CostOptions) (*CostReport, error) {
-	center := origin.New(origin.Config{Slots: 64, Queue: 1024, Work: time.Millisecond})
+// MeasureCost measures a proxy and a byte relay side by side, turn by turn.
+func MeasureCost(ctx context.Context, o CostOptions) (*CostReport, error) {
+	center := origin.New(origin.Config{Slots: 64, Queue: 1024, ServiceTime: time.Millisecond})
 	defer center.Close()
 	most := slices.Max(o.Conns)
-	n, err := node.Start(node.Config{Name: "n0", Conns: 2*most + 64, Queue: 4 * most, Slots: 4 * most, Origin: center,
+	n, err := node.Start(node.Config{Name: "n0", MaxConns: 2*most + 64, Queue: 4 * most, Slots: 4 * most, Origin: center,
 		Group: node.NewGroup(time.Second)})
 	if err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	config := filepath.Join(o.Folder, "cost.toml")
 	text := fmt.Sprintf("listen = %q\nnodes.addresses = [%q]\nbinary.clients = true\n[limits]\nsockets = 1024\nconnections_per_node = %d\n", proxyAt, n.Address(), most)
 	if o.Peers {
-		voters, end, err := startVoters(o.Proxy, o.Folder)
+		voters, end, err := startVoters(o.ProxyCommand, o.Folder)
 		if err != nil {
 			return nil, err
 		}
@@ -126,7 +126,7 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
-	proxy, err := startProcess(append(slices.Clone(o.Proxy), config), nil, filepath.Join(o.Folder, "proxy.log"))
+	proxy, err := startProcess(append(slices.Clone(o.ProxyCommand), config), nil, filepath.Join(o.Folder, "proxy.log"))
 	if err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		return nil, err
 	}
-	relay, err := startProcess(append(slices.Clone(o.Relay), relayAt, n.Address()), nil, filepath.Join(o.Folder, "relay.log"))
+	relay, err := startProcess(append(slices.Clone(o.RelayCommand), relayAt, n.Address()), nil, filepath.Join(o.Folder, "relay.log"))
 	if err != nil {
 		return nil, err
 	}
@@ -166,14 +166,14 @@
 				cost[j], rate[j] = cpu*1e6/float64(o.Requests), float64(o.Requests)/took
 			}
 			if run > 0 {
-				row.Proxy, row.Relay = append(row.Proxy, cost[0]), append(row.Relay, cost[1])
-				row.Ratio, row.Rate = append(row.Ratio, cost[0]/cost[1]), append(row.Rate, rate[0])
-				row.Binary, row.BinaryRate = append(row.Binary, cost[2]), append(row.BinaryRate, rate[2])
+				row.ProxyMillis, row.RelayMillis = append(row.ProxyMillis, cost[0]), append(row.RelayMillis, cost[1])
+				row.Ratio, row.RequestsPerSecond = append(row.Ratio, cost[0]/cost[1]), append(row.RequestsPerSecond, rate[0])
+				row.BinaryMillis, row.BinaryRequestsPerSecond = append(row.BinaryMillis, cost[2]), append(row.BinaryRequestsPerSecond, rate[2])
 				o.Progress("run %d, %d connections: proxy %.1f ms, relay %.1f ms, proxy with binary clients %.1f ms", run, row.Conns, cost[0], cost[1], cost[2])
 			}
 		}
 	}
-	r.Hottest, err = hottest(ctx, o, config, proxyAt, proxy)
+	r.HottestFunctions, err = hottest(ctx, o, config, proxyAt, proxy)
 	return r, err
 }
 
@@ -249,11 +249,11 @@
 				var err error
 				if l.binary {
 					l.opaque++
-					_, err = l.socket.Write(rawclient.AppendKeyed(nil, binary.Get, fmt.Sprintf("k%d", id%64), l.opaque))
+					_, err = l.socket.Write(rawclient.AppendKeyOnly(nil, binary.Get, fmt.Sprintf("k%d", id%64), l.opaque))
 				} else {
 					_, err = fmt.Fprintf(l.socket, "mg k%d v O%x Pc=read,d=2000\r\n", id%64, id)
 				}
-				var a meta.Line
+				var a meta.AnswerLine
 				if err == nil {
 					a, _, err = l.answer()
 				}
@@ -285,7 +285,7 @@
 		return nil, err
 	}
 	path := filepath.Join(o.Folder, "cpu.profile")
-	p, err := startProcess(append(o.Profiled(path), config), nil, filepath.Join(o.Folder, "profiled.log"))
+	p, err := startProcess(append(o.ProfiledProxyCommand(path), config), nil, filepath.Join(o.Folder, "profiled.log"))
 	if err != nil {
 		return nil, err
 	}
@@ -341,11 +341,11 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "CPU ms for 1,000 reads\tproxy\tbyte relay\tratio\treads a second\tbinary clients\treads a second\t")
 	for _, row := range r.Rows {
-		fmt.Fprintf(w, "%d connections\t%s\t%s\t%s\t%s\t%s\t%s\t\n", row.Conns, spread(row.Proxy), spread(row.Relay), spread(row.Ratio), spread(row.Rate), spread(row.Binary), spread(row.BinaryRate))
+		fmt.Fprintf(w, "%d connections\t%s\t%s\t%s\t%s\t%s\t%s\t\n", row.Conns, spread(row.ProxyMillis), spread(row.RelayMillis), spread(row.Ratio), spread(row.RequestsPerSecond), spread(row.BinaryMillis), spread(row.BinaryRequestsPerSecond))
 	}
 	w.Flush()
 	fmt.Fprintln(out, "median (least to most) of", len(r.Rows[0].Ratio), "runs; the proxy's hottest functions:")
-	for _, line := range r.Hottest {
+	for _, line := range r.HottestFunctions {
 		fmt.Fprintln(out, "  "+line)
 	}
 }
--- a/internal/fleettest/degrade.go
+++ b/internal/fleettest/degrade.go
@@ -18,23 +18,23 @@
 	"mulleinpier/internal/overload"
 )
 
-// Change is one change of a proxy's level of service, as it keeps it, at seconds from the
+// LevelChange is one change of a proxy's level of service, as it keeps it, at seconds from the
 // rehearsal's beginning.
-type Change struct {
+type LevelChange struct {
 	At float64 `json:"at_s"`
-	overload.Record
+	overload.Transition
 }
 
 // levels asks all proxies for the changes of their levels.
-func (f *fleet) levels(began time.Time) (all [][]Change) {
+func (f *fleet) levels(began time.Time) (all [][]LevelChange) {
 	for _, d := range f.proxies {
 		records, err := askLevels(d.address)
 		if err != nil {
 			f.say("proxy %d tells no levels: %v", d.index, err)
 		}
-		var list []Change
+		var list []LevelChange
 		for _, r := range records {
-			list = append(list, Change{At: time.Duration(int64(r.At) - began.UnixNano()).Seconds(), Record: r})
+			list = append(list, LevelChange{At: time.Duration(int64(r.At) - began.UnixNano()).Seconds(), Transition: r})
 		}
 		all = append(all, list)
 	}
@@ -44,7 +44,7 @@
 var errStats = errors.New("no figures")
 
 // askLevels asks a proxy for the records that it keeps, the oldest first.
-func askLevels(address string) (records []overload.Record, err error) {
+func askLevels(address string) (records []overload.Transition, err error) {
 	socket, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil, err
@@ -66,34 +66,34 @@
 			return nil, errStats
 		}
 		if strings.HasPrefix(name, "service_change_") {
-			var r overload.Record
+			var r overload.Transition
 			if err := json.Unmarshal([]byte(value), &r); err != nil {
 				return nil, err
 			}
-			records = append([]overload.Record{r}, records...)
+			records = append([]overload.Transition{r}, records...)
 		}
 	}
 }
 
-// DegradeReport compares service that is reduced on purpose with service that is not, by
+// DegradationReport compares service that is reduced on purpose with service that is not, by
 // the same seeds.
-type DegradeReport struct {
-	Pairs []DegradePair `json:"pairs"`
+type DegradationReport struct {
+	Pairs []DegradationPair `json:"pairs"`
 }
 
-// DegradePair is one scenario, played without and with levels of service.
-type DegradePair struct {
-	Without *Report `json:"without"`
-	With    *Report `json:"with"`
+// DegradationPair is one scenario, played without and with levels of service.
+type DegradationPair struct {
+	WithoutLevels *Report `json:"without"`
+	WithLevels    *Report `json:"with"`
 }
 
-// DegradeScenarios are those that Degrade plays.
-var DegradeScenarios = []string{"degrade-swing", "degrade-origin", "degrade-late", "degrade-zone", "degrade-flood", "degrade-two"}
+// DegradationScenarios are those that Degrade plays.
+var DegradationScenarios = []string{"degrade-swing", "degrade-origin", "degrade-late", "degrade-zone", "degrade-flood", "degrade-two"}
 
-// Degrade plays scenarios side by side, each by turns without and with levels of service:
+// RunDegradation plays scenarios side by side, each by turns without and with levels of service:
 // a fleet of these takes a quarter of a core.
-func Degrade(ctx context.Context, names []string, o Options) (*DegradeReport, error) {
-	report := &DegradeReport{Pairs: make([]DegradePair, len(names))}
+func RunDegradation(ctx context.Context, names []string, o Options) (*DegradationReport, error) {
+	report := &DegradationReport{Pairs: make([]DegradationPair, len(names))}
 	errs := make([]error, len(names))
 	var tasks sync.WaitGroup
 	for i, name := range names {
@@ -103,13 +103,13 @@
 	return report, errors.Join(errs...)
 }
 
-func (p *DegradePair) play(ctx context.Context, name string, o Options) error {
-	for unreduced, into := range map[bool]**Report{true: &p.Without, false: &p.With} {
-		s, err := Load(name)
+func (p *DegradationPair) play(ctx context.Context, name string, o Options) error {
+	for unreduced, into := range map[bool]**Report{true: &p.WithoutLevels, false: &p.WithLevels} {
+		s, err := LoadScenario(name)
 		if err != nil {
 			return err
 		}
-		s.Fleet.Unreduced = unreduced
+		s.Fleet.DegradationOff = unreduced
 		own := o
 		own.Folder = filepath.Join(o.Folder, fmt.Sprintf("%s-%v", s.Name, !unreduced))
 		if err := os.MkdirAll(own.Folder, 0o755); err != nil {
@@ -118,7 +118,7 @@
 		own.Progress = func(format string, a ...any) {
 			o.Progress("%s, reduced %v: %s", s.Name, !unreduced, fmt.Sprintf(format, a...))
 		}
-		if *into, err = Play(ctx, s, own); err != nil {
+		if *into, err = RunScenario(ctx, s, own); err != nil {
 			return err
 		}
 	}
@@ -126,12 +126,12 @@
 }
 
 // OK tells whether all rules held, and every change had a cause.
-func (r *DegradeReport) OK() bool {
+func (r *DegradationReport) OK() bool {
 	for _, p := range r.Pairs {
-		if !p.Without.OK() || !p.With.OK() {
+		if !p.WithoutLevels.OK() || !p.WithLevels.OK() {
 			return false
 		}
-		for _, changes := range p.With.Levels {
+		for _, changes := range p.WithLevels.LevelChanges {
 			for _, c := range changes {
 				if c.Cause == "" {
 					return false
@@ -147,8 +147,8 @@
 	for _, p := range r.Phases {
 		sum.Handovers += p.Handovers
 		sum.HandoversInTime += p.HandoversInTime
-		sum.Worth += p.Worth
-		sum.Earned += p.Earned
+		sum.OfferedWeight += p.OfferedWeight
+		sum.ServedWeight += p.ServedWeight
 		sum.Offered += p.Offered
 		sum.InTime += p.InTime
 		sum.Retries += p.Retries
@@ -165,7 +165,7 @@
 	for _, p := range r.Phases[:max(len(r.Phases)-1, 0)] {
 		calm += p.Seconds
 	}
-	for _, list := range r.Levels {
+	for _, list := range r.LevelChanges {
 		n += len(list)
 		for _, c := range list {
 			worst = max(worst, c.Level)
@@ -185,18 +185,18 @@
 func part(a, b float64) float64 { return a / max(b, 1e-9) }
 
 // Print writes the report as tables, its verdict last.
-func (r *DegradeReport) Print(out io.Writer) {
+func (r *DegradationReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "scenario\treduced\thandovers\tin time\tworth\tearned\treads in time\tretries\tfetches\tchanges\tworst level\tfull after s\t")
 	for _, p := range r.Pairs {
 		for _, x := range []struct {
 			reduced string
 			r       *Report
-		}{{"no", p.Without}, {"yes", p.With}} {
+		}{{"no", p.WithoutLevels}, {"yes", p.WithLevels}} {
 			s := x.r.whole()
 			n, worst, full := x.r.changes()
 			fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%.0f\t%.4f\t%.4f\t%d\t%d\t%d\t%s\t%.1f\t\n", x.r.Scenario, x.reduced, s.Handovers,
-				part(float64(s.HandoversInTime), float64(s.Handovers)), s.Worth, part(s.Earned, s.Worth),
+				part(float64(s.HandoversInTime), float64(s.Handovers)), s.OfferedWeight, part(s.ServedWeight, s.OfferedWeight),
 				part(float64(s.InTime-s.HandoversInTime), float64(s.Offered-s.Handovers)), s.Retries, s.Fetches, n, worst, full)
 		}
 	}
@@ -204,20 +204,20 @@
 	fmt.Fprintln(out, "by phase: handovers in time, worth earned, without and with")
 	w = tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	for _, p := range r.Pairs {
-		for i, a := range p.Without.Phases {
-			b := p.With.Phases[i]
-			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t\n", p.With.Scenario, a.Name, part(float64(a.HandoversInTime), float64(a.Handovers)),
-				part(float64(b.HandoversInTime), float64(b.Handovers)), part(a.Earned, a.Worth), part(b.Earned, b.Worth))
+		for i, a := range p.WithoutLevels.Phases {
+			b := p.WithLevels.Phases[i]
+			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t\n", p.WithLevels.Scenario, a.Name, part(float64(a.HandoversInTime), float64(a.Handovers)),
+				part(float64(b.HandoversInTime), float64(b.Handovers)), part(a.ServedWeight, a.OfferedWeight), part(b.ServedWeight, b.OfferedWeight))
 		}
 	}
 	w.Flush()
 	for _, p := range r.Pairs {
-		for i, list := range p.With.Levels {
+		for i, list := range p.WithLevels.LevelChanges {
 			for _, c := range list {
-				fmt.Fprintf(out, "  %s proxy %d %6.1f s: %s to %s by %s %.3f (bound %.3f)\n", p.With.Scenario, i, c.At, c.From, c.To, c.Cause, c.Figure, c.Bound)
+				fmt.Fprintf(out, "  %s proxy %d %6.1f s: %s to %s by %s %.3f (bound %.3f)\n", p.WithLevels.Scenario, i, c.At, c.From, c.To, c.Cause, c.Value, c.Threshold)
 			}
 		}
-		for _, x := range []*Report{p.Without, p.With} {
+		for _, x := range []*Report{p.WithoutLevels, p.WithLevels} {
 			fmt.Fprintf(out, "%s: %s\n", x.Scenario, x.Verdict())
 			if !x.OK() {
 				for _, problem := range x.Problems {
--- a/internal/fleettest/directory.go
+++ b/internal/fleettest/directory.go
@@ -37,7 +37,7 @@
 // newPlatformList has each proxy find a node where placed says.
 func newPlatformList(entries []endpointlist.Entry, placed func(proxy int, e *endpointlist.Entry) string) *platformList {
 	service := endpointlist.New(entries)
-	service.Placed = placed
+	service.AddressFor = placed
 	return &platformList{service: service, at: make(map[int]string)}
 }
 
@@ -55,7 +55,7 @@
 }
 
 func (d *platformList) told(proxy int, node string) (time.Time, bool) {
-	return d.service.DrainTold(proxy, node)
+	return d.service.DrainNotifiedAt(proxy, node)
 }
 func (d *platformList) set(e endpointlist.Entry) { d.service.Set(e) }
 func (d *platformList) fail(kind string)         { d.service.SetDown(kind != "") }
@@ -114,7 +114,7 @@
 }
 
 func (d *catalogue) told(proxy int, node string) (time.Time, bool) {
-	return d.agent(proxy).Wrote("host-"+node, node)
+	return d.agent(proxy).LeavingWrittenAt("host-"+node, node)
 }
 
 // set enters a node as an agent beside it would: a drain is its maintenance.
@@ -128,8 +128,8 @@
 	i := consul.Instance{Node: host, ID: e.Name, Service: consulService, Address: address, Port: port,
 		Meta:   map[string]string{"name": e.Name, "zone": e.Zone, "type": e.Type, "group": fmt.Sprint(e.Group)},
 		Checks: []consul.Check{{CheckID: "tcp", Status: "passing"}}}
-	if e.Since > 0 {
-		i.Meta["started_ms"] = fmt.Sprint(e.Since)
+	if e.StartedMillis > 0 {
+		i.Meta["started_ms"] = fmt.Sprint(e.StartedMillis)
 	}
 	if e.Status == "draining" {
 		i.Checks = append(i.Checks, consul.Check{CheckID: "_service_maintenance:" + e.Name, Status: "critical", Notes: "fleettestd"})
@@ -145,13 +145,13 @@
 
 func (d *catalogue) fail(kind string) {
 	if kind == "rewind" {
-		d.catalogue.Rewind()
+		d.catalogue.ResetIndex()
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range d.agents {
-		a.Fail(consul.FaultKind(kind))
+		a.SetFault(consul.FaultKind(kind))
 	}
 }
 
--- a/internal/fleettest/disturb.go
+++ b/internal/fleettest/disturb.go
@@ -40,10 +40,10 @@
 func (l *links) plan(s *Scenario) {
 	for i := range s.Events {
 		e := &s.Events[i]
-		if e.Do != "link" {
+		if e.Action != "link" {
 			continue
 		}
-		switch e.Between {
+		switch e.LinkTo {
 		case "clients":
 			l.clients = make(map[int]*faultinject.Link)
 		case "nodes":
@@ -113,13 +113,13 @@
 	l.mu.Lock()
 	link := l.held[proxy][node]
 	l.mu.Unlock()
-	return link != nil && link.TroubledSince(since.Add(-drainGrace))
+	return link != nil && link.FaultySince(since.Add(-drainGrace))
 }
 
 // listHeldSince tells whether what a proxy was told may have waited on its list's link since a time.
 func (l *links) listHeldSince(proxy int, since time.Time) bool {
 	link := l.list[proxy]
-	return link != nil && link.TroubledSince(since.Add(-drainGrace))
+	return link != nil && link.FaultySince(since.Add(-drainGrace))
 }
 
 func (l *links) close() {
@@ -141,7 +141,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, proxy := range e.proxies() {
-		switch e.Between {
+		switch e.LinkTo {
 		case "clients":
 			list = append(list, l.clients[proxy])
 		case "list":
@@ -167,24 +167,24 @@
 
 // checkFault tells what is wrong with an event of the rig's kinds.
 func (s *Scenario) checkFault(e *Event) error {
-	if e.Do != "stop" && e.Do != "link" && e.Do != "starve" && e.Do != "crowd" {
+	if e.Action != "stop" && e.Action != "link" && e.Action != "starve" && e.Action != "crowd" {
 		return nil
 	}
 	bad := func(i, n int) bool { return i < 0 || i >= n }
 	switch {
 	case slices.ContainsFunc(e.proxies(), func(i int) bool { return bad(i, s.Fleet.Proxies) }):
-		return fmt.Errorf("%s: there is no such proxy: %v", e.Do, e.proxies())
+		return fmt.Errorf("%s: there is no such proxy: %v", e.Action, e.proxies())
 	case slices.ContainsFunc(e.Nodes, func(i int) bool { return bad(i, s.Fleet.Nodes) }):
-		return fmt.Errorf("%s: there is no such node: %v", e.Do, e.Nodes)
-	case e.For <= 0 && e.Kind != "reset" || time.Duration(e.For) > 10*time.Minute:
-		return fmt.Errorf("%s: for cannot be %v: want above 0, to 10m", e.Do, time.Duration(e.For))
-	case e.Times > 10000:
-		return fmt.Errorf("%s: times cannot be %d: want 10000 at most", e.Do, e.Times)
-	case e.Do == "link" && !slices.Contains([]string{"clients", "nodes", "list"}, e.Between):
-		return fmt.Errorf("link: between cannot be %q: want clients, nodes or list", e.Between)
-	case e.Do == "link" && e.Kind != "reset" && faultinject.Faults[e.Kind] == nil:
-		return fmt.Errorf("link: there is no fault %q", e.Kind)
-	case e.Do == "link" && e.Between != "clients" && s.Fleet.Consul:
+		return fmt.Errorf("%s: there is no such node: %v", e.Action, e.Nodes)
+	case e.Duration <= 0 && e.FaultKind != "reset" || time.Duration(e.Duration) > 10*time.Minute:
+		return fmt.Errorf("%s: for cannot be %v: want above 0, to 10m", e.Action, time.Duration(e.Duration))
+	case e.Count > 10000:
+		return fmt.Errorf("%s: times cannot be %d: want 10000 at most", e.Action, e.Count)
+	case e.Action == "link" && !slices.Contains([]string{"clients", "nodes", "list"}, e.LinkTo):
+		return fmt.Errorf("link: between cannot be %q: want clients, nodes or list", e.LinkTo)
+	case e.Action == "link" && e.FaultKind != "reset" && faultinject.LinkFaults[e.FaultKind] == nil:
+		return fmt.Errorf("link: there is no fault %q", e.FaultKind)
+	case e.Action == "link" && e.LinkTo != "clients" && s.Fleet.Consul:
 		return errors.New("link: with Consul only those to clients can fail")
 	}
 	return nil
@@ -193,21 +193,21 @@
 // disturb puts in a fault of the rig's kinds, until its end, and tells whether the event is one.
 func (f *fleet) disturb(ctx context.Context, e *Event) bool {
 	var each func(ctx context.Context, d *proxyDoor) error
-	switch e.Do {
+	switch e.Action {
 	case "stop":
-		schedule := faultinject.Stop{For: time.Duration(e.For), Every: time.Duration(e.Every), Times: e.Times}
+		schedule := faultinject.StopSchedule{Duration: time.Duration(e.Duration), Interval: time.Duration(e.Interval), Count: e.Count}
 		each = func(ctx context.Context, d *proxyDoor) error { return d.stop(ctx, schedule) }
 	case "starve":
 		each = func(ctx context.Context, d *proxyDoor) error {
-			ctx, end := context.WithTimeout(ctx, time.Duration(e.For))
+			ctx, end := context.WithTimeout(ctx, time.Duration(e.Duration))
 			defer end()
-			return faultinject.Starve(ctx, d.current().cmd.Process.Pid, max(e.Times, 1))
+			return faultinject.StarveCPU(ctx, d.current().cmd.Process.Pid, max(e.Count, 1))
 		}
 	case "crowd":
 		each = func(ctx context.Context, d *proxyDoor) error {
-			ctx, end := context.WithTimeout(ctx, time.Duration(e.For))
+			ctx, end := context.WithTimeout(ctx, time.Duration(e.Duration))
 			defer end()
-			faultinject.Crowd(ctx, d.front, max(e.Times, 1))
+			faultinject.FillBacklog(ctx, d.front, max(e.Count, 1))
 			return nil
 		}
 	case "link":
@@ -220,7 +220,7 @@
 	for _, i := range e.proxies() {
 		tasks.Go(func() {
 			if err := each(ctx, f.proxies[i]); err != nil {
-				f.problem("%s of proxy %d: %v", e.Do, i, err)
+				f.problem("%s of proxy %d: %v", e.Action, i, err)
 			}
 		})
 	}
@@ -235,7 +235,7 @@
 		names[i] = n.Name()
 	}
 	chosen := f.links.chosen(e, names)
-	if e.Kind == "reset" {
+	if e.FaultKind == "reset" {
 		for _, l := range chosen {
 			l.Reset()
 		}
@@ -245,20 +245,20 @@
 		var tasks sync.WaitGroup
 		for _, l := range chosen {
 			tasks.Go(func() {
-				if err := l.Set(fault); err != nil {
+				if err := l.SetFault(fault); err != nil {
 					f.problem("link: %v", err)
 				}
 			})
 		}
 		tasks.Wait()
 	}
-	set(faultinject.Faults[e.Kind](time.Duration(e.By)))
-	sleep(ctx, time.Duration(e.For))
+	set(faultinject.LinkFaults[e.FaultKind](time.Duration(e.Delay)))
+	sleep(ctx, time.Duration(e.Duration))
 	set(faultinject.Fault{})
 }
 
 // stop stops the proxy's process by a schedule.
-func (d *proxyDoor) stop(ctx context.Context, schedule faultinject.Stop) error {
+func (d *proxyDoor) stop(ctx context.Context, schedule faultinject.StopSchedule) error {
 	at := -1
 	note := func(from, to time.Time) {
 		d.mu.Lock()
@@ -270,13 +270,13 @@
 		}
 		at = -1
 	}
-	if schedule.Times <= 1 { // its end is not known to those who ask meanwhile
+	if schedule.Count <= 1 { // its end is not known to those who ask meanwhile
 		d.mu.Lock()
 		at = len(d.stood)
 		d.stood = append(d.stood, stand{from: time.Now(), to: time.Now().Add(time.Hour)})
 		d.mu.Unlock()
 	}
-	return schedule.Do(ctx, d.current().cmd.Process.Pid, note)
+	return schedule.Run(ctx, d.current().cmd.Process.Pid, note)
 }
 
 // stoodAt tells whether the process stood still at a deadline, or until so shortly before it.
@@ -293,7 +293,7 @@
 		c.tally.stood()
 		return true
 	}
-	if link := c.fleet.links.clients[d.index]; link != nil && link.TroubledSince(sent) {
+	if link := c.fleet.links.clients[d.index]; link != nil && link.FaultySince(sent) {
 		c.tally.severed()
 		return true
 	}
--- a/internal/fleettest/faultinject/backlog.go
+++ b/internal/fleettest/faultinject/backlog.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Crowd opens connections to an address, so many at the most, and holds them without a word
+// FillBacklog opens connections to an address, so many at the most, and holds them without a word
 // until ctx ends: to a process that stands still they fill its backlog. It returns how many
 // came up.
-func Crowd(ctx context.Context, address string, most int) (up int) {
+func FillBacklog(ctx context.Context, address string, most int) (up int) {
 	var held []net.Conn
 	defer func() {
 		for _, c := range held {
--- a/internal/fleettest/faultinject/core.go
+++ b/internal/fleettest/faultinject/core.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Starve keeps a process on one core of the machine and takes most of that core from it,
+// StarveCPU keeps a process on one core of the machine and takes most of that core from it,
 // by so many busy processes beside it, until ctx ends. Then the process may use all cores that it
 // might before.
-func Starve(ctx context.Context, pid, threads int) error {
+func StarveCPU(ctx context.Context, pid, threads int) error {
 	var before, one unix.CPUSet
 	if err := unix.SchedGetaffinity(pid, &before); err != nil {
 		return fmt.Errorf("starve %d: %w", pid, err)
--- a/internal/fleettest/faultinject/disk.go
+++ b/internal/fleettest/faultinject/disk.go
@@ -19,7 +19,7 @@
 	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &full, nil); err != nil {
 		return fmt.Errorf("full disk of %d: %w", pid, err)
 	}
-	Wait(ctx, d)
+	Sleep(ctx, d)
 	unix.Prlimit(pid, unix.RLIMIT_FSIZE, &before, nil) // of one that has died meanwhile there is nothing to mend
 	return nil
 }
--- a/internal/fleettest/faultinject/link.go
+++ b/internal/fleettest/faultinject/link.go
@@ -12,29 +12,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// Way is what one direction of a link does with what comes.
-type Way struct {
-	Held  bool          // nothing passes; what comes waits and is delivered when it is not held any more
-	Delay time.Duration // a piece passes so much later
-	Rate  int           // bytes a second; 0 for no bound
+// Direction is what one direction of a link does with what comes.
+type Direction struct {
+	Blocked        bool          // nothing passes; what comes waits and is delivered when it is not held any more
+	Delay          time.Duration // a piece passes so much later
+	BytesPerSecond int           // bytes a second; 0 for no bound
 }
 
 // Fault is what a link does. The zero value passes all on.
 type Fault struct {
-	Forth, Back Way  // from who connects to who is connected to, and the other way
-	Closed      bool // no new connection comes up: the backlog is full
-	Twice       bool // what goes forth on a new connection goes on a second one too, whose answers nobody hears
+	Forward, Backward Direction // from who connects to who is connected to, and the other way
+	BacklogFull       bool      // no new connection comes up: the backlog is full
+	Duplicate         bool      // what goes forth on a new connection goes on a second one too, whose answers nobody hears
 }
 
-// Faults by name, as scenarios say them.
-var Faults = map[string]func(by time.Duration) Fault{
-	"":      func(time.Duration) Fault { return Fault{} },
-	"cut":   func(time.Duration) Fault { return Fault{Forth: Way{Held: true}, Back: Way{Held: true}, Closed: true} },
-	"forth": func(time.Duration) Fault { return Fault{Forth: Way{Held: true}} }, // what goes out never comes
-	"back":  func(time.Duration) Fault { return Fault{Back: Way{Held: true}} },  // calls go out and nothing comes
-	"delay": func(by time.Duration) Fault { return Fault{Forth: Way{Delay: by}, Back: Way{Delay: by}} },
-	"twice": func(time.Duration) Fault { return Fault{Twice: true} },
-	"slow":  func(time.Duration) Fault { return Fault{Forth: Way{Rate: slowRate}, Back: Way{Rate: slowRate}} },
+// LinkFaults by name, as scenarios say them.
+var LinkFaults = map[string]func(by time.Duration) Fault{
+	"": func(time.Duration) Fault { return Fault{} },
+	"cut": func(time.Duration) Fault {
+		return Fault{Forward: Direction{Blocked: true}, Backward: Direction{Blocked: true}, BacklogFull: true}
+	},
+	"forth": func(time.Duration) Fault { return Fault{Forward: Direction{Blocked: true}} },  // what goes out never comes
+	"back":  func(time.Duration) Fault { return Fault{Backward: Direction{Blocked: true}} }, // calls go out and nothing comes
+	"delay": func(by time.Duration) Fault {
+		return Fault{Forward: Direction{Delay: by}, Backward: Direction{Delay: by}}
+	},
+	"twice": func(time.Duration) Fault { return Fault{Duplicate: true} },
+	"slow": func(time.Duration) Fault {
+		return Fault{Forward: Direction{BytesPerSecond: slowRate}, Backward: Direction{BytesPerSecond: slowRate}}
+	},
 }
 
 const (
@@ -80,8 +86,8 @@
 // Address is where the link begins.
 func (l *Link) Address() string { return l.address }
 
-// Set puts a fault in, or takes it out with the zero value.
-func (l *Link) Set(f Fault) error {
+// SetFault puts a fault in, or takes it out with the zero value.
+func (l *Link) SetFault(f Fault) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -91,16 +97,16 @@
 	l.fault, l.troubled = f, time.Now()
 	l.changed.Broadcast()
 	switch {
-	case f.Closed && !before.Closed:
+	case f.BacklogFull && !before.BacklogFull:
 		return l.shut()
-	case !f.Closed && before.Closed:
+	case !f.BacklogFull && before.BacklogFull:
 		return l.reopen()
 	}
 	return nil
 }
 
-// TroubledSince tells whether a fault is in, or was at a time or later.
-func (l *Link) TroubledSince(at time.Time) bool {
+// FaultySince tells whether a fault is in, or was at a time or later.
+func (l *Link) FaultySince(at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault != (Fault{}) || l.troubled.After(at)
@@ -216,9 +222,9 @@
 	}
 	defer l.leave(out)
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(in, out, nil, func(f *Fault) *Way { return &f.Back }) })
+	both.Go(func() { l.pass(in, out, nil, func(f *Fault) *Direction { return &f.Backward }) })
 	again := l.second(&both)
-	l.pass(out, in, again, func(f *Fault) *Way { return &f.Forth })
+	l.pass(out, in, again, func(f *Fault) *Direction { return &f.Forward })
 	if again != nil {
 		again.(*net.TCPConn).CloseWrite()
 	}
@@ -228,7 +234,7 @@
 // second opens a second connection to the target where all is to come twice, nil else.
 func (l *Link) second(tasks *sync.WaitGroup) net.Conn {
 	l.mu.Lock()
-	twice := l.fault.Twice
+	twice := l.fault.Duplicate
 	l.mu.Unlock()
 	if !twice {
 		return nil
@@ -247,7 +253,7 @@
 
 // pass takes what comes from one end to the other, as its way's fault wants it.
 // Also, if there is one, gets all of it too.
-func (l *Link) pass(to, from, also net.Conn, way func(*Fault) *Way) {
+func (l *Link) pass(to, from, also net.Conn, way func(*Fault) *Direction) {
 	piece := make([]byte, pieceMost)
 	var last time.Time // of a read; before the first it may have waited in the backlog, for as long as a cut
 	for {
@@ -256,7 +262,7 @@
 		if !open {
 			return
 		}
-		held = held || l.TroubledSince(last)
+		held = held || l.FaultySince(last)
 		if last = time.Now(); held && broken(from) { // a sender that gave up with a reset sends nothing again
 			to.(*net.TCPConn).SetLinger(0)
 			to.Close()
@@ -295,10 +301,10 @@
 }
 
 // await waits while a way is held, and tells whether it did, and whether the link is open still.
-func (l *Link) await(way func(*Fault) *Way) (held, open bool) {
+func (l *Link) await(way func(*Fault) *Direction) (held, open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for way(&l.fault).Held && !l.closed {
+	for way(&l.fault).Blocked && !l.closed {
 		held = true
 		l.changed.Wait()
 	}
@@ -351,13 +357,13 @@
 const tcpClosed = 7
 
 // dawdle takes the time that a piece needs.
-func (l *Link) dawdle(size int, way func(*Fault) *Way) {
+func (l *Link) dawdle(size int, way func(*Fault) *Direction) {
 	l.mu.Lock()
 	w := *way(&l.fault)
 	l.mu.Unlock()
 	d := w.Delay
-	if w.Rate > 0 {
-		d += time.Duration(size) * time.Second / time.Duration(w.Rate)
+	if w.BytesPerSecond > 0 {
+		d += time.Duration(size) * time.Second / time.Duration(w.BytesPerSecond)
 	}
 	time.Sleep(min(d, 30*time.Second))
 }
--- a/internal/fleettest/faultinject/rig_test.go
+++ b/internal/fleettest/faultinject/rig_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testutil.Patience))
+	c.SetDeadline(time.Now().Add(testutil.Timeout))
 	return c, bufio.NewReader(c)
 }
 
@@ -102,7 +102,7 @@
 			say(t, c, "a\n")
 			hear(t, in, "a\n")
 			before := time.Now()
-			if err := l.Set(Faults[kind](0)); err != nil {
+			if err := l.SetFault(LinkFaults[kind](0)); err != nil {
 				t.Fatal(err)
 			}
 			say(t, c, "b\n")
@@ -111,19 +111,19 @@
 			if got, err := in.ReadString('\n'); err == nil {
 				t.Fatalf("%q came through", got)
 			}
-			c.SetReadDeadline(time.Now().Add(testutil.Patience))
+			c.SetReadDeadline(time.Now().Add(testutil.Timeout))
 			if kind == "cut" {
 				if n, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
 					n.Close()
 					t.Error("a connection came up")
 				}
 			}
-			if err := l.Set(Fault{}); err != nil {
+			if err := l.SetFault(Fault{}); err != nil {
 				t.Fatal(err)
 			}
 			hear(t, in, "b\n")
 			hear(t, in, "c\n")
-			if !l.TroubledSince(before) || l.TroubledSince(time.Now()) {
+			if !l.FaultySince(before) || l.FaultySince(time.Now()) {
 				t.Error("its trouble is not known")
 			}
 			again, in := dial(t, l.Address())
@@ -140,7 +140,7 @@
 	}
 	defer l.Close()
 	c, in := dial(t, l.Address())
-	if err := l.Set(Faults["delay"](50 * time.Millisecond)); err != nil {
+	if err := l.SetFault(LinkFaults["delay"](50 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	from := time.Now()
@@ -166,7 +166,7 @@
 	defer cmd.Process.Kill()
 	var stands []time.Duration
 	told := func(from, to time.Time) { stands = append(stands, to.Sub(from)) }
-	if err := (Stop{For: 50 * time.Millisecond, Every: 60 * time.Millisecond, Times: 3}).Do(context.Background(), cmd.Process.Pid, told); err != nil {
+	if err := (StopSchedule{Duration: 50 * time.Millisecond, Interval: 60 * time.Millisecond, Count: 3}).Run(context.Background(), cmd.Process.Pid, told); err != nil {
 		t.Fatal(err)
 	}
 	for _, d := range stands {
@@ -176,11 +176,11 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- Stop{For: time.Hour}.Do(ctx, cmd.Process.Pid, told) }()
-	testutil.Until(t, "the process to stand", func() bool { return Stands(cmd.Process.Pid) })
+	go func() { ended <- StopSchedule{Duration: time.Hour}.Run(ctx, cmd.Process.Pid, told) }()
+	testutil.WaitUntil(t, "the process to stand", func() bool { return IsStopped(cmd.Process.Pid) })
 	cancel()
 	testutil.Receive(t, "the stop to end", ended)
-	testutil.Until(t, "the process to go on", func() bool { return !Stands(cmd.Process.Pid) })
+	testutil.WaitUntil(t, "the process to go on", func() bool { return !IsStopped(cmd.Process.Pid) })
 	if len(stands) != 4 {
 		t.Errorf("%d stops told", len(stands))
 	}
@@ -195,12 +195,12 @@
 	defer cmd.Process.Kill()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	if err := Starve(ctx, cmd.Process.Pid, 1); err != nil {
+	if err := StarveCPU(ctx, cmd.Process.Pid, 1); err != nil {
 		t.Error(err)
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if up := Crowd(ctx, echo(t), 5); up != 5 {
+	if up := FillBacklog(ctx, echo(t), 5); up != 5 {
 		t.Errorf("%d connections, want 5", up)
 	}
 }
@@ -250,7 +250,7 @@
 			})
 		}
 		time.Sleep(2 * time.Millisecond)
-		if err := l.Set(Faults["cut"](0)); err != nil {
+		if err := l.SetFault(LinkFaults["cut"](0)); err != nil {
 			t.Fatal(err)
 		}
 		close(cut)
@@ -264,7 +264,7 @@
 			}
 			c.Close()
 		}
-		if err := l.Set(Fault{}); err != nil {
+		if err := l.SetFault(Fault{}); err != nil {
 			t.Fatal(err)
 		}
 		c, err := net.Dial("tcp", l.Address())
@@ -299,12 +299,12 @@
 		}
 		return info.Size()
 	}
-	testutil.Until(t, "a first line", func() bool { return size() > 0 })
+	testutil.WaitUntil(t, "a first line", func() bool { return size() > 0 })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- FullDisk(ctx, cmd.Process.Pid, time.Hour) }()
 	last, same := int64(-1), 0
-	testutil.Until(t, "the file to grow no more", func() bool {
+	testutil.WaitUntil(t, "the file to grow no more", func() bool {
 		time.Sleep(50 * time.Millisecond)
 		if now := size(); now == last {
 			same++
@@ -317,7 +317,7 @@
 	if err := testutil.Receive(t, "the fault to end", ended); err != nil {
 		t.Error(err)
 	}
-	testutil.Until(t, "the file to grow again", func() bool { return size() > last })
+	testutil.WaitUntil(t, "the file to grow again", func() bool { return size() > last })
 }
 
 // TestLinkDeliversTwice has what comes on a new connection come to the target on two.
@@ -332,7 +332,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := l.Set(Faults["twice"](0)); err != nil {
+	if err := l.SetFault(LinkFaults["twice"](0)); err != nil {
 		t.Fatal(err)
 	}
 	c, in := dial(t, l.Address())
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -70,10 +70,10 @@
 	list      directory
 	proxies   []*proxyDoor
 	links     links
-	ports     *ports                       // of the proxies
-	workLinks map[int]*faultinject.Link    // before where proxies take works in hand
-	voters    agent.Fleet                  // of permits, if there are any
-	found     func(proxy int) []agent.Peer // them, by each proxy; nil for as they are
+	ports     *ports                               // of the proxies
+	workLinks map[int]*faultinject.Link            // before where proxies take works in hand
+	voters    agent.Fleet                          // of permits, if there are any
+	found     func(proxy int) []agent.VoterAddress // them, by each proxy; nil for as they are
 
 	mu       sync.Mutex
 	entries  []endpointlist.Entry // of nodes, as last told
@@ -119,17 +119,17 @@
 }
 
 // startFleetBy is startFleet with the voters found by each proxy where seen says, once their addresses are known.
-func startFleetBy(s *Scenario, program []string, folder string, say func(string, ...any), seen func(real []agent.Peer) (func(proxy int) []agent.Peer, error)) (*fleet, error) {
+func startFleetBy(s *Scenario, program []string, folder string, say func(string, ...any), seen func(real []agent.VoterAddress) (func(proxy int) []agent.VoterAddress, error)) (*fleet, error) {
 	f := &fleet{ports: newPorts(), scenario: s, program: program, folder: folder, say: say, turned: time.Now(),
 		seen: [2]map[string]struct{}{{}, {}}}
 	p := s.Fleet
-	f.origin = origin.New(origin.Config{Slots: p.OriginSlots, Queue: p.OriginQueue, Work: time.Duration(p.OriginWork), Seed: s.Seed})
-	f.group = node.NewGroup(time.Duration(p.Window))
+	f.origin = origin.New(origin.Config{Slots: p.OriginSlots, Queue: p.OriginQueue, ServiceTime: time.Duration(p.OriginServiceTime), Seed: s.Seed})
+	f.group = node.NewGroup(time.Duration(p.DedupWindow))
 	f.links.plan(s)
 	for i := range p.Nodes {
-		n, err := node.Start(node.Config{Name: fmt.Sprintf("n%d", i), Slots: p.Slots, Queue: p.Queue, Work: time.Duration(p.Work),
-			Capacity: p.Capacity, Conns: p.Connections, Report: true, Seed: s.Seed + uint64(i), Origin: f.origin, Group: f.group,
-			Arrived: f.arrived, ByValue: true, Lacks: p.Lacks, Binary: f.speaksBinary(i)})
+		n, err := node.Start(node.Config{Name: fmt.Sprintf("n%d", i), Slots: p.Slots, Queue: p.Queue, ServiceTime: time.Duration(p.ServiceTime),
+			Capacity: p.Capacity, MaxConns: p.Connections, ReportLoad: true, Seed: s.Seed + uint64(i), Origin: f.origin, Group: f.group,
+			OnRequest: f.arrived, LedgerByValue: true, MissingKeyPrefix: p.MissingKeyPrefix, Binary: f.speaksBinary(i)})
 		if err != nil {
 			f.close()
 			return nil, err
@@ -183,7 +183,7 @@
 
 // speaksBinary tells whether a node does: the last of each so many.
 func (f *fleet) speaksBinary(i int) bool {
-	every := f.scenario.Fleet.BinaryNodes
+	every := f.scenario.Fleet.BinaryNodeEvery
 	return every > 0 && i%every == every-1
 }
 
@@ -196,13 +196,13 @@
 }
 
 func (f *fleet) newDoor(i int) (*proxyDoor, error) {
-	d := &proxyDoor{fleet: f, index: i, config: filepath.Join(f.folder, fmt.Sprintf("p%d.toml", i)), quota: f.scenario.Load.Quota}
+	d := &proxyDoor{fleet: f, index: i, config: filepath.Join(f.folder, fmt.Sprintf("p%d.toml", i)), quota: f.scenario.Load.TenantQuota}
 	listener, err := f.ports.reserve()
 	if err != nil {
 		return nil, err
 	}
 	d.address = listener.Addr().String()
-	if every := f.scenario.Fleet.PassedSocket; every > 0 && i%every == 0 {
+	if every := f.scenario.Fleet.PassedListenerEvery; every > 0 && i%every == 0 {
 		if d.listener, err = listener.(*net.TCPListener).File(); err != nil {
 			return nil, err
 		}
@@ -211,7 +211,7 @@
 	if d.front, err = f.links.toProxy(d); err != nil {
 		return nil, err
 	}
-	if f.scenario.Fleet.Takeover != "" {
+	if f.scenario.Fleet.TakeoverMode != "" {
 		if err := d.openWorks(); err != nil {
 			return nil, err
 		}
@@ -227,7 +227,7 @@
 func (d *proxyDoor) text(with string) ([]byte, error) {
 	var b bytes.Buffer
 	s, p := d.fleet.scenario, d.fleet.scenario.Fleet
-	sockets := p.Sockets
+	sockets := p.MaxSockets
 	if with == "fixed" {
 		sockets *= 2
 	}
@@ -246,22 +246,22 @@
 		}
 	}
 	fmt.Fprintf(&b, "%s[start]\nwait_for_address = \"10s\"\n", place)
-	fmt.Fprintf(&b, "[limits]\nmemory_mb = %d\nsockets = %d\nconnections_per_node = %d\n", p.MemoryMB, sockets, p.PerNode)
-	if p.Unreduced {
+	fmt.Fprintf(&b, "[limits]\nmemory_mb = %d\nsockets = %d\nconnections_per_node = %d\n", p.MemoryMB, sockets, p.ConnectionsPerNode)
+	if p.DegradationOff {
 		fmt.Fprintln(&b, "[service]\nreduce = false")
 	}
-	if p.SleepFor > 0 || p.Drift > 0 {
-		drift := p.Drift
+	if p.SuspendDuration > 0 || p.ClockDrift > 0 {
+		drift := p.ClockDrift
 		if d.index%2 == 1 {
 			drift = -drift
 		}
-		fmt.Fprintf(&b, "[test]\nsleep_at = %q\nsleep_for = %q\ndrift = %v\n", time.Duration(p.SleepAt), time.Duration(p.SleepFor), drift)
+		fmt.Fprintf(&b, "[test]\nsleep_at = %q\nsleep_for = %q\ndrift = %v\n", time.Duration(p.SuspendAt), time.Duration(p.SuspendDuration), drift)
 	}
 	d.peers(&b)
 	for _, t := range s.Load.Tenants {
 		fmt.Fprintf(&b, "[[tenant]]\nname = %q\nquota = %d\n", t, d.quota)
 	}
-	if p.Binary || p.BinaryNodes > 0 {
+	if p.Binary || p.BinaryNodeEvery > 0 {
 		fmt.Fprintf(&b, "[binary]\nclients = %v\ntypes = [\"b1\"]\n", p.Binary)
 		for _, t := range s.Load.Tenants[:min(len(s.Load.Tenants), 1)] { // without tenants the usual routes will do
 			for _, r := range [][2]string{{"read", "read"}, {"ticketed", "write"}, {"plain", "plain"}} {
@@ -436,7 +436,7 @@
 		d.mu.Unlock()
 		return true
 	}
-	if f.scenario.Fleet.Permits > 0 {
+	if f.scenario.Fleet.RestartPermits > 0 {
 		d.restartByLeave(old, begin)
 		return
 	}
--- a/internal/fleettest/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -27,28 +27,30 @@
 // gapPatience bounds the wait for a next holder.
 const gapPatience = 15 * time.Second
 
-// GapsOptions say what to measure.
-type GapsOptions struct {
+// LeaseGapsOptions say what to measure.
+type LeaseGapsOptions struct {
 	Options
-	Holder []string
-	Times  int // of each kind
+	HolderCommand []string
+	Repetitions   int // of each kind
 }
 
-// GapsReport is what was measured.
-type GapsReport struct {
-	Waits    []LeaseWait `json:"waits"`
-	Acts     int         `json:"acts"`
-	Overlaps int         `json:"overlaps"`
-	Backward int         `json:"backward"`
-	Problems []string    `json:"problems"`
+// LeaseGapsReport is what was measured.
+type LeaseGapsReport struct {
+	Gaps             []LeaseGap `json:"waits"`
+	Actions          int        `json:"acts"`
+	Overlaps         int        `json:"overlaps"`
+	TokenRegressions int        `json:"backward"`
+	Problems         []string   `json:"problems"`
 }
 
 // OK tells whether no two acts overlapped and all was measured.
-func (r *GapsReport) OK() bool { return r.Overlaps+r.Backward+len(r.Problems) == 0 && r.Acts > 0 }
+func (r *LeaseGapsReport) OK() bool {
+	return r.Overlaps+r.TokenRegressions+len(r.Problems) == 0 && r.Actions > 0
+}
 
 // Print writes the report, its verdict last.
-func (r *GapsReport) Print(out io.Writer) {
-	printWaits(out, r.Waits)
+func (r *LeaseGapsReport) Print(out io.Writer) {
+	printWaits(out, r.Gaps)
 	for _, p := range r.Problems {
 		fmt.Fprintln(out, "  "+p)
 	}
@@ -56,7 +58,7 @@
 	if !r.OK() {
 		word = "BROKEN"
 	}
-	fmt.Fprintf(out, "verdict: %s acts=%d overlaps=%d backward=%d\n", word, r.Acts, r.Overlaps, r.Backward)
+	fmt.Fprintf(out, "verdict: %s acts=%d overlaps=%d backward=%d\n", word, r.Actions, r.Overlaps, r.TokenRegressions)
 }
 
 // gapTask is one task with its two holders.
@@ -65,31 +67,31 @@
 	judge   *judge
 	holders [2]*process
 	ways    [2][]*faultinject.Link
-	seen    [2][]agent.Peer
+	seen    [2][]agent.VoterAddress
 	first   int // number of its first holder
 }
 
-// Gaps measures.
-func Gaps(ctx context.Context, o GapsOptions) (*GapsReport, error) {
+// MeasureLeaseGaps measures.
+func MeasureLeaseGaps(ctx context.Context, o LeaseGapsOptions) (*LeaseGapsReport, error) {
 	s, err := leaseScenario(time.Minute, 1)
 	if err != nil {
 		return nil, err
 	}
-	f, err := startFleet(s, o.Program, o.Folder, func(string, ...any) {})
+	f, err := startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {})
 	if err != nil {
 		return nil, err
 	}
 	defer f.close()
-	r := &GapsReport{}
+	r := &LeaseGapsReport{}
 	waits := make(map[string]*hdrhistogram.Histogram)
 	for _, kind := range gapKinds {
 		waits[kind] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	}
 	var mu sync.Mutex
 	var tasks sync.WaitGroup
-	for i := range min(gapTasks, o.Times) {
-		times := o.Times / gapTasks
-		if i < o.Times%gapTasks {
+	for i := range min(gapTasks, o.Repetitions) {
+		times := o.Repetitions / gapTasks
+		if i < o.Repetitions%gapTasks {
 			times++
 		}
 		tasks.Go(func() {
@@ -110,7 +112,7 @@
 			if t != nil {
 				t.judge.mu.Lock()
 				defer t.judge.mu.Unlock()
-				r.Acts, r.Overlaps, r.Backward = r.Acts+len(t.judge.committed), r.Overlaps+t.judge.overlaps(), r.Backward+t.judge.backward
+				r.Actions, r.Overlaps, r.TokenRegressions = r.Actions+len(t.judge.committed), r.Overlaps+t.judge.overlaps(), r.TokenRegressions+t.judge.backward
 			}
 		})
 	}
@@ -118,12 +120,12 @@
 	f.stop()
 	r.Problems = append(r.Problems, f.problems...)
 	for _, kind := range gapKinds {
-		r.Waits = append(r.Waits, waitOf(kind, waits[kind]))
+		r.Gaps = append(r.Gaps, waitOf(kind, waits[kind]))
 	}
 	return r, ctx.Err()
 }
 
-func newGapTask(f *fleet, o GapsOptions, i int) (*gapTask, error) {
+func newGapTask(f *fleet, o LeaseGapsOptions, i int) (*gapTask, error) {
 	j, err := newJudge()
 	if err != nil {
 		return nil, err
@@ -136,7 +138,7 @@
 				return t, err
 			}
 			t.ways[h] = append(t.ways[h], link)
-			t.seen[h] = append(t.seen[h], agent.Peer{Name: v.Name, Address: link.Address()})
+			t.seen[h] = append(t.seen[h], agent.VoterAddress{Name: v.Name, Address: link.Address()})
 		}
 		if err := t.start(o, h); err != nil {
 			return t, err
@@ -145,8 +147,8 @@
 	return t, nil
 }
 
-func (t *gapTask) start(o GapsOptions, h int) (err error) {
-	if t.holders[h], err = startHolder(o.Holder, t.judge, t.first+h, t.name, true, t.seen[h], o.Folder); err != nil {
+func (t *gapTask) start(o LeaseGapsOptions, h int) (err error) {
+	if t.holders[h], err = startHolder(o.HolderCommand, t.judge, t.first+h, t.name, true, t.seen[h], o.Folder); err != nil {
 		return err
 	}
 	return t.holders[h].awaitReady()
@@ -167,17 +169,17 @@
 // settled waits until one of the two acts and the other waits in the queue, and tells who acts and under which number.
 func (t *gapTask) settled(ctx context.Context, c *agent.Client) (holder int, number uint64, waits string, err error) {
 	for until := time.Now().Add(gapPatience); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		s, err := c.State(ctx)
-		if err != nil || s.Book.Tasks[t.name] == nil {
+		s, err := c.LeaderState(ctx)
+		if err != nil || s.StateMachine.Tasks[t.name] == nil {
 			continue
 		}
-		task := s.Book.Tasks[t.name]
+		task := s.StateMachine.Tasks[t.name]
 		t.judge.mu.Lock()
 		who, acts := t.judge.who, time.Since(t.judge.last) < 100*time.Millisecond
 		highest := t.judge.highest
 		t.judge.mu.Unlock()
-		if acts && len(task.Held) == 1 && len(task.Waiting) == 1 && task.Held[0].Number == highest {
-			return who - t.first, highest, task.Waiting[0].Holder, nil
+		if acts && len(task.Grants) == 1 && len(task.Waiters) == 1 && task.Grants[0].Token == highest {
+			return who - t.first, highest, task.Waiters[0].Holder, nil
 		}
 	}
 	return 0, 0, "", fmt.Errorf("%s: not one that acts and one that waits in %v", t.name, gapPatience)
@@ -197,7 +199,7 @@
 }
 
 // measure has each kind befall the holder so many times.
-func (t *gapTask) measure(ctx context.Context, f *fleet, o GapsOptions, times int, note func(string, time.Duration)) error {
+func (t *gapTask) measure(ctx context.Context, f *fleet, o LeaseGapsOptions, times int, note func(string, time.Duration)) error {
 	c, err := agent.NewClient(f.voters)
 	if err != nil {
 		return err
@@ -215,7 +217,7 @@
 			case "given back":
 				x.cmd.Process.Signal(syscall.SIGUSR1)
 			case "handed over":
-				if _, err := c.Do(ctx, lease.Command{Kind: lease.Hand, Task: t.name, Number: number, To: waits}); err != nil {
+				if _, err := c.Execute(ctx, lease.Command{Kind: lease.HandOver, Task: t.name, Token: number, To: waits}); err != nil {
 					return err
 				}
 			case "killed":
@@ -230,13 +232,13 @@
 				set := func(fault faultinject.Fault) error {
 					var err error
 					for _, l := range t.ways[h] {
-						if e := l.Set(fault); e != nil {
+						if e := l.SetFault(fault); e != nil {
 							err = e
 						}
 					}
 					return err
 				}
-				if err := set(faultinject.Faults["cut"](0)); err != nil {
+				if err := set(faultinject.LinkFaults["cut"](0)); err != nil {
 					return err
 				}
 				after = func() error { return set(faultinject.Fault{}) }
--- a/internal/fleettest/lease.go
+++ b/internal/fleettest/lease.go
@@ -29,18 +29,18 @@
 // LeaseOptions say what to play.
 type LeaseOptions struct {
 	Options
-	Holder []string // how a holder is started: the judge's address, a fleet and voters are put behind
-	For    time.Duration
-	Seed   uint64
-	// Careless has the resource compare no numbers: what a stop between look and act then does is seen.
-	Careless bool
+	HolderCommand []string // how a holder is started: the judge's address, a fleet and voters are put behind
+	Duration      time.Duration
+	Seed          uint64
+	// Unfenced has the resource compare no numbers: what a stop between look and act then does is seen.
+	Unfenced bool
 }
 
 const (
-	leaseVoters  = 3
-	leaseHolders = 5
-	leaseTask    = "act"
-	LeaseLength  = time.Second // of what holders take
+	leaseVoters   = 3
+	leaseHolders  = 5
+	leaseTask     = "act"
+	LeaseDuration = time.Second // of what holders take
 )
 
 // act is what a holder did at the resource.
@@ -203,38 +203,38 @@
 	return n
 }
 
-// LeaseWait is how long a task was without an act after something.
-type LeaseWait struct {
-	After string  `json:"after"`
-	Times int64   `json:"times"`
+// LeaseGap is how long a task was without an act after something.
+type LeaseGap struct {
+	Cause string  `json:"after"`
+	Count int64   `json:"times"`
 	P50   float64 `json:"p50_ms"`
 	P90   float64 `json:"p90_ms"`
 	P99   float64 `json:"p99_ms"`
-	Most  float64 `json:"most_ms"`
+	Max   float64 `json:"most_ms"`
 }
 
 // LeaseReport is what a play found.
 type LeaseReport struct {
-	Seconds  float64     `json:"seconds"`
-	Acts     int         `json:"acts"`
-	Numbers  uint64      `json:"numbers"`
-	Overlaps int         `json:"overlaps"`
-	Backward int         `json:"backward"`
-	Refused  int         `json:"refused"`
-	Beside   int         `json:"beside"`
-	Faults   int         `json:"faults"`
-	Crashes  int         `json:"crashes"`
-	Requests int         `json:"requests"` // of clients, at the voters, which serve meanwhile
-	Lost     int         `json:"lost"`
-	Doubled  int         `json:"doubled"`
-	Waits    []LeaseWait `json:"waits"`
-	Problems []string    `json:"problems"`
-	Closing  string      `json:"verdict"`
+	Seconds          float64    `json:"seconds"`
+	Actions          int        `json:"acts"`
+	HighestToken     uint64     `json:"numbers"`
+	Overlaps         int        `json:"overlaps"`
+	TokenRegressions int        `json:"backward"`
+	RejectedByToken  int        `json:"refused"`
+	ConcurrentStarts int        `json:"beside"`
+	Faults           int        `json:"faults"`
+	Crashes          int        `json:"crashes"`
+	Requests         int        `json:"requests"` // of clients, at the voters, which serve meanwhile
+	Lost             int        `json:"lost"`
+	DuplicateWrites  int        `json:"doubled"`
+	Gaps             []LeaseGap `json:"waits"`
+	Problems         []string   `json:"problems"`
+	VerdictLine      string     `json:"verdict"`
 }
 
 // OK tells whether nothing broke, and enough was seen.
 func (r *LeaseReport) OK() bool {
-	return r.Overlaps+r.Backward+r.Lost+r.Doubled+r.Crashes == 0 && r.Acts > 0 && r.Requests > 0
+	return r.Overlaps+r.TokenRegressions+r.Lost+r.DuplicateWrites+r.Crashes == 0 && r.Actions > 0 && r.Requests > 0
 }
 
 // Verdict is the closing line.
@@ -243,15 +243,15 @@
 	if !r.OK() {
 		word = "BROKEN"
 	}
-	return fmt.Sprintf("verdict: %s acts=%d overlaps=%d backward=%d lost=%d doubled=%d crashes=%d", word, r.Acts, r.Overlaps, r.Backward, r.Lost, r.Doubled, r.Crashes)
+	return fmt.Sprintf("verdict: %s acts=%d overlaps=%d backward=%d lost=%d doubled=%d crashes=%d", word, r.Actions, r.Overlaps, r.TokenRegressions, r.Lost, r.DuplicateWrites, r.Crashes)
 }
 
 // Print writes the report, its verdict last.
 func (r *LeaseReport) Print(out io.Writer) {
-	printWaits(out, r.Waits)
+	printWaits(out, r.Gaps)
 	fmt.Fprintf(out, "%d requests at the voters meanwhile\n", r.Requests)
 	fmt.Fprintf(out, "%d faults in %.0f s, numbers up to %d; %d begins beside an act that a stop or a cut had left open, %d words refused for their numbers\n",
-		r.Faults, r.Seconds, r.Numbers, r.Beside, r.Refused)
+		r.Faults, r.Seconds, r.HighestToken, r.ConcurrentStarts, r.RejectedByToken)
 	for _, p := range r.Problems {
 		fmt.Fprintln(out, "  "+p)
 	}
@@ -264,7 +264,7 @@
 	rng   *rand.Rand
 	judge *judge
 	fleet *fleet // its proxies are the voters
-	real  []agent.Peer
+	real  []agent.VoterAddress
 	ways  map[[2]int]*faultinject.Link // from a process (voters first, then holders) to a voter
 
 	mu      sync.Mutex
@@ -274,20 +274,20 @@
 
 // leaseScenario is what the voters serve meanwhile.
 func leaseScenario(length time.Duration, seed uint64) (*Scenario, error) {
-	s, err := Load("still")
+	s, err := LoadScenario("still")
 	if err != nil {
 		return nil, err
 	}
-	s.Name, s.About, s.Seed = "lease", "one task among eight processes", seed
-	s.Fleet.Proxies, s.Fleet.Nodes, s.Fleet.Permits = leaseVoters, 6, 1
-	s.Fleet.Drift = lease.Usual.Drift
+	s.Name, s.Description, s.Seed = "lease", "one task among eight processes", seed
+	s.Fleet.Proxies, s.Fleet.Nodes, s.Fleet.RestartPermits = leaseVoters, 6, 1
+	s.Fleet.ClockDrift = lease.DefaultParameters.MaxClockDrift
 	s.Load.Rate = 150
-	s.Phases, s.Events = []Phase{{Name: "all", For: span(length)}}, nil
+	s.Phases, s.Events = []Phase{{Name: "all", Duration: span(length)}}, nil
 	return s, s.check()
 }
 
-// Lease plays leases.
-func Lease(ctx context.Context, o LeaseOptions) (*LeaseReport, error) {
+// RunLease plays leases.
+func RunLease(ctx context.Context, o LeaseOptions) (*LeaseReport, error) {
 	if o.Progress == nil {
 		o.Progress = func(string, ...any) {}
 	}
@@ -296,15 +296,15 @@
 		return nil, err
 	}
 	defer j.close()
-	j.careless = o.Careless
-	p := &leasePlay{o: o, rng: rand.New(rand.NewPCG(o.Seed, 9)), judge: j, ways: make(map[[2]int]*faultinject.Link), report: &LeaseReport{Seconds: o.For.Seconds()},
+	j.careless = o.Unfenced
+	p := &leasePlay{o: o, rng: rand.New(rand.NewPCG(o.Seed, 9)), judge: j, ways: make(map[[2]int]*faultinject.Link), report: &LeaseReport{Seconds: o.Duration.Seconds()},
 		holders: make([]*process, leaseHolders)}
 	defer p.close()
-	s, err := leaseScenario(o.For, max(o.Seed, 1))
+	s, err := leaseScenario(o.Duration, max(o.Seed, 1))
 	if err != nil {
 		return nil, err
 	}
-	if p.fleet, err = startFleetBy(s, o.Program, o.Folder, o.Progress, p.open); err != nil {
+	if p.fleet, err = startFleetBy(s, o.ProxyCommand, o.Folder, o.Progress, p.open); err != nil {
 		return nil, err
 	}
 	defer p.fleet.close()
@@ -316,13 +316,13 @@
 	began := time.Now()
 	t := newTally(s.Phases, began)
 	c := newClients(p.fleet, t)
-	ctx, stop := context.WithTimeout(ctx, o.For)
+	ctx, stop := context.WithTimeout(ctx, o.Duration)
 	defer stop()
 	var tasks sync.WaitGroup
 	tasks.Go(func() { c.run(ctx) })
 	tasks.Go(func() { t.watchLag(ctx) })
 	p.trouble(ctx)
-	sleep(ctx, time.Until(began.Add(o.For)))
+	sleep(ctx, time.Until(began.Add(o.Duration)))
 	tasks.Wait()
 	p.end()
 	settle(func() int { return p.fleet.origin.Stats().Writes })
@@ -332,7 +332,7 @@
 }
 
 // open puts a link on every way to the voters.
-func (p *leasePlay) open(real []agent.Peer) (func(int) []agent.Peer, error) {
+func (p *leasePlay) open(real []agent.VoterAddress) (func(int) []agent.VoterAddress, error) {
 	p.real = real
 	for from := range leaseVoters + leaseHolders {
 		for to, v := range real {
@@ -350,7 +350,7 @@
 }
 
 // seen are the voters as a process finds them.
-func (p *leasePlay) seen(from int) (list []agent.Peer) {
+func (p *leasePlay) seen(from int) (list []agent.VoterAddress) {
 	for to, v := range p.real {
 		if link := p.ways[[2]int{from, to}]; link != nil {
 			v.Address = link.Address()
@@ -362,7 +362,7 @@
 
 // start starts a holder.
 func (p *leasePlay) start(i int) error {
-	x, err := startHolder(p.o.Holder, p.judge, leaseVoters+i, leaseTask, false, p.seen(leaseVoters+i), p.o.Folder)
+	x, err := startHolder(p.o.HolderCommand, p.judge, leaseVoters+i, leaseTask, false, p.seen(leaseVoters+i), p.o.Folder)
 	if err != nil {
 		return err
 	}
@@ -373,8 +373,8 @@
 }
 
 // startHolder starts a process that holds a task over and over, or stays with it.
-func startHolder(program []string, j *judge, who int, task string, stays bool, voters []agent.Peer, folder string) (*process, error) {
-	argv := append(append([]string(nil), program...), "--task="+task, fmt.Sprintf("--stay=%v", stays), fmt.Sprintf("--drift=%v", lease.Usual.Drift*float64(1-2*(who%2))), j.listener.Addr().String(), fmt.Sprint(who), permitFleet)
+func startHolder(program []string, j *judge, who int, task string, stays bool, voters []agent.VoterAddress, folder string) (*process, error) {
+	argv := append(append([]string(nil), program...), "--task="+task, fmt.Sprintf("--stay=%v", stays), fmt.Sprintf("--drift=%v", lease.DefaultParameters.MaxClockDrift*float64(1-2*(who%2))), j.listener.Addr().String(), fmt.Sprint(who), permitFleet)
 	for _, v := range voters {
 		argv = append(argv, v.Name+"="+v.Address)
 	}
@@ -450,7 +450,7 @@
 
 func (p *leasePlay) stop(ctx context.Context, i int, span time.Duration) {
 	if i < leaseVoters {
-		if err := p.fleet.proxies[i].stop(ctx, faultinject.Stop{For: span}); err != nil && ctx.Err() == nil {
+		if err := p.fleet.proxies[i].stop(ctx, faultinject.StopSchedule{Duration: span}); err != nil && ctx.Err() == nil {
 			p.problem("stop of voter %d: %v", i, err)
 		}
 		return
@@ -459,7 +459,7 @@
 	pid := p.holders[i-leaseVoters].cmd.Process.Pid
 	p.mu.Unlock()
 	p.judge.befell("holder stopped", i)
-	faultinject.Stop{For: span}.Do(ctx, pid, func(_, _ time.Time) {}) // one that has been killed meanwhile can't be
+	faultinject.StopSchedule{Duration: span}.Run(ctx, pid, func(_, _ time.Time) {}) // one that has been killed meanwhile can't be
 }
 
 // fillDisk has a voter's disk be full for a while. It stands down, serves on, and votes again once started anew.
@@ -482,12 +482,12 @@
 		link.Reset()
 		return
 	}
-	if link.Set(faultinject.Faults[kind](150*time.Millisecond)) == nil {
+	if link.SetFault(faultinject.LinkFaults[kind](150*time.Millisecond)) == nil {
 		if kind == "twice" { // which is for new connections
 			link.Reset()
 		}
 		sleep(ctx, span)
-		link.Set(faultinject.Fault{})
+		link.SetFault(faultinject.Fault{})
 	}
 }
 
@@ -522,66 +522,68 @@
 	j, r := p.judge, p.report
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	r.Acts, r.Numbers, r.Overlaps, r.Backward, r.Refused, r.Beside = len(j.committed), j.highest, j.overlaps(), j.backward, j.refused, j.beside
-	r.Requests, r.Lost, r.Doubled = served.Requests, served.Lost, served.Doubled
-	r.Crashes += served.Crashes + served.LateDrains + served.Wrong
+	r.Actions, r.HighestToken, r.Overlaps, r.TokenRegressions, r.RejectedByToken, r.ConcurrentStarts = len(j.committed), j.highest, j.overlaps(), j.backward, j.refused, j.beside
+	r.Requests, r.Lost, r.DuplicateWrites = served.Requests, served.Lost, served.DuplicateWrites
+	r.Crashes += served.Crashes + served.LateDrains + served.WrongAnswers
 	r.Problems = append(r.Problems, served.Problems...)
 	for _, what := range []string{"given back", "holder killed", "holder stopped", "holder's way cut"} {
 		if h := j.waits[what]; h != nil {
-			r.Waits = append(r.Waits, waitOf(what, h))
+			r.Gaps = append(r.Gaps, waitOf(what, h))
 		}
 	}
-	r.Closing = r.Verdict()
+	r.VerdictLine = r.Verdict()
 	return r
 }
 
-func waitOf(what string, h *hdrhistogram.Histogram) LeaseWait {
+func waitOf(what string, h *hdrhistogram.Histogram) LeaseGap {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	return LeaseWait{what, h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(90)), ms(h.ValueAtQuantile(99)), ms(h.Max())}
+	return LeaseGap{what, h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(90)), ms(h.ValueAtQuantile(99)), ms(h.Max())}
 }
 
 // printWaits writes times without an act as a table.
-func printWaits(out io.Writer, waits []LeaseWait) {
+func printWaits(out io.Writer, waits []LeaseGap) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "without an act after\ttimes\tp50 ms\tp90 ms\tp99 ms\tmost ms")
 	for _, x := range waits {
-		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\n", x.After, x.Times, x.P50, x.P90, x.P99, x.Most)
+		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\n", x.Cause, x.Count, x.P50, x.P90, x.P99, x.Max)
 	}
 	w.Flush()
 }
 
 // HolderOptions say how a holder's process behaves.
 type HolderOptions struct {
-	Judge string
-	Who   uint64
-	Fleet agent.Fleet
-	Task  string
-	Drift float64          // of its clock
-	Back  <-chan os.Signal // it gives the task back when told so; nil for after a while, by itself
+	CheckerAddress string
+	HolderID       uint64
+	Fleet          agent.Fleet
+	Task           string
+	ClockDrift     float64          // of its clock
+	Release        <-chan os.Signal // it gives the task back when told so; nil for after a while, by itself
 }
 
-// ActAsHolder is a holder's process: it takes the task, acts for a while at the judge, gives it back, over and over,
+// RunHolder is a holder's process: it takes the task, acts for a while at the judge, gives it back, over and over,
 // until ctx ends.
-func ActAsHolder(ctx context.Context, o HolderOptions) error {
-	agent.RehearseClock(clock.Sleeping(0, 0, o.Drift))
+func RunHolder(ctx context.Context, o HolderOptions) error {
+	agent.OverrideClockOffset(clock.SimulatedSleep(0, 0, o.ClockDrift))
 	client, err := agent.NewClient(o.Fleet)
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	rng := rand.New(rand.NewPCG(o.Who, uint64(os.Getpid())))
+	rng := rand.New(rand.NewPCG(o.HolderID, uint64(os.Getpid())))
 	for ctx.Err() == nil {
-		h, err := client.Hold(ctx, o.Task, "holder"+fmt.Sprint(o.Who), LeaseLength, true)
+		h, err := client.Hold(ctx, o.Task, "holder"+fmt.Sprint(o.HolderID), LeaseDuration, true)
 		if err != nil {
 			return err
 		}
 		if _, err := h.Await(ctx); err == nil {
 			span, end := context.WithCancel(ctx)
-			if o.Back == nil {
+			if o.Release == nil {
 				span, end = context.WithTimeout(ctx, time.Duration(300+rng.IntN(1500))*time.Millisecond)
 			}
-			for span.Err() == nil && !told(o.Back) {
-				if h.Do(span, func(ctx context.Context, number uint64) error { return actOnce(ctx, o.Judge, number, o.Who, rng) }) != nil {
+			for span.Err() == nil && !told(o.Release) {
+				if h.RunGuarded(span, func(ctx context.Context, number uint64) error {
+					return actOnce(ctx, o.CheckerAddress, number, o.HolderID, rng)
+				}) != nil {
 					break
 				}
 			}
--- a/internal/fleettest/library.go
+++ b/internal/fleettest/library.go
@@ -12,11 +12,11 @@
 // openLibrary makes the library's clients, one for each tenant, if any request goes through them. Their
 // tries are judged by the same tally as those of the rehearsal's own clients.
 func (c *clients) openLibrary() error {
-	if c.load.Library == 0 {
+	if c.load.LibraryShare == 0 {
 		return nil
 	}
 	t := c.tally
-	c.audit = &loadgen.Audit{Seen: c.fleet.wasSeen, Excused: c.fleet.killedLately, OnTry: t.sent, OnCrossed: t.crossed, OnExcused: t.excused,
+	c.audit = &loadgen.TraceAuditor{SeenByNode: c.fleet.wasSeen, RecentlyKilled: c.fleet.killedLately, OnTry: t.sent, OnCrossedClose: t.crossed, OnKilledInFlight: t.excused,
 		OnOverdue: t.overdue, OnLost: t.lose}
 	var addresses []string
 	for _, d := range c.fleet.proxies {
@@ -27,8 +27,8 @@
 		tenants = []string{""}
 	}
 	for _, tenant := range tenants {
-		l, err := client.New(client.Options{Proxies: client.Static(addresses...), Tenant: tenant, Window: time.Duration(c.fleet.scenario.Fleet.Window),
-			Subset: 8, Trace: client.Trace{TryDone: c.audit.TryDone, Late: c.audit.Late}})
+		l, err := client.New(client.Options{Proxies: client.Static(addresses...), Tenant: tenant, Window: time.Duration(c.fleet.scenario.Fleet.DedupWindow),
+			Subset: 8, Trace: client.Trace{TryDone: c.audit.TryDone, LateAnswer: c.audit.LateAnswer}})
 		if err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 // closeLibrary is called once all requests are over.
 func (c *clients) closeLibrary() {
 	if c.audit != nil {
-		c.audit.Settle()
+		c.audit.Finish()
 	}
 	for _, l := range c.library {
 		l.Close()
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -18,30 +18,30 @@
 // MembersOptions say how to measure what following a catalogue costs.
 type MembersOptions struct {
 	Options
-	Nodes   int
-	Changes int // a second
-	For     time.Duration
+	Nodes            int
+	ChangesPerSecond int // a second
+	Duration         time.Duration
 }
 
 // MembersReport is what was measured of one proxy without requests.
 type MembersReport struct {
-	Nodes     int     `json:"nodes"`
-	Changes   int     `json:"changes"`
-	Seconds   float64 `json:"seconds"`
-	CPU       float64 `json:"cpu_share"` // of one core
-	Resident  float64 `json:"resident_mb"`
-	Lists     int     `json:"lists"`
-	Bytes     float64 `json:"bytes_a_change"`
-	Missed    int     `json:"missed"` // changes that were never in force
-	P50       float64 `json:"in_force_p50_ms"`
-	P99       float64 `json:"in_force_p99_ms"`
-	Most      float64 `json:"in_force_most_ms"`
-	FromEntry float64 `json:"from_entry_p99_ms"`
+	Nodes            int     `json:"nodes"`
+	ChangesPerSecond int     `json:"changes"`
+	Seconds          float64 `json:"seconds"`
+	CPUShare         float64 `json:"cpu_share"` // of one core
+	ResidentMB       float64 `json:"resident_mb"`
+	ListsReceived    int     `json:"lists"`
+	BytesPerChange   float64 `json:"bytes_a_change"`
+	MissedChanges    int     `json:"missed"` // changes that were never in force
+	P50              float64 `json:"in_force_p50_ms"`
+	P99              float64 `json:"in_force_p99_ms"`
+	Max              float64 `json:"in_force_most_ms"`
+	FromEntryP99     float64 `json:"from_entry_p99_ms"`
 }
 
-// Members measures a proxy that follows a large catalogue with many changes: each node is
+// MeasureMembership measures a proxy that follows a large catalogue with many changes: each node is
 // turned to maintenance once.
-func Members(ctx context.Context, o MembersOptions) (*MembersReport, error) {
+func MeasureMembership(ctx context.Context, o MembersOptions) (*MembersReport, error) {
 	c := consul.New()
 	name := func(i int) (host, id string) { return fmt.Sprintf("host-%d", i), fmt.Sprintf("cache-%d", i) }
 	for i := range o.Nodes {
@@ -64,7 +64,7 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
-	p, err := startProcess(append(slices.Clone(o.Program), config), nil, log)
+	p, err := startProcess(append(slices.Clone(o.ProxyCommand), config), nil, log)
 	if err != nil {
 		return nil, err
 	}
@@ -82,22 +82,22 @@
 	r := &MembersReport{Nodes: o.Nodes}
 	begun := time.Now()
 	var entered []time.Time
-	for i := 0; i < o.Nodes && time.Since(begun) < o.For && ctx.Err() == nil; i++ {
+	for i := 0; i < o.Nodes && time.Since(begun) < o.Duration && ctx.Err() == nil; i++ {
 		host, id := name(i)
-		c.Maintain(host, id, true, "fleettestd")
+		c.SetMaintenance(host, id, true, "fleettestd")
 		entered = append(entered, time.Now())
-		sleep(ctx, time.Until(begun.Add(time.Duration(i+1)*time.Second/time.Duration(o.Changes))))
+		sleep(ctx, time.Until(begun.Add(time.Duration(i+1)*time.Second/time.Duration(o.ChangesPerSecond))))
 	}
-	r.Changes, r.Seconds = len(entered), time.Since(begun).Seconds()
+	r.ChangesPerSecond, r.Seconds = len(entered), time.Since(begun).Seconds()
 	after, err := cpuTime(p.cmd.Process.Pid)
 	if err != nil {
 		return nil, err
 	}
-	r.CPU = (after - before).Seconds() / r.Seconds
-	r.Resident, _ = footprintOf(p.cmd.Process.Pid)
+	r.CPUShare = (after - before).Seconds() / r.Seconds
+	r.ResidentMB, _ = footprintOf(p.cmd.Process.Pid)
 	sleep(ctx, time.Second)
 	lists, _, bytes := agent.Stats()
-	r.Lists, r.Bytes = lists-listsBefore, float64(bytes-bytesBefore)/float64(max(r.Changes, 1))
+	r.ListsReceived, r.BytesPerChange = lists-listsBefore, float64(bytes-bytesBefore)/float64(max(r.ChangesPerSecond, 1))
 	force, err := inForce(log)
 	if err != nil {
 		return nil, err
@@ -105,10 +105,10 @@
 	var took, all []float32
 	for i, at := range entered {
 		host, id := name(i)
-		told, wrote := agent.Wrote(host, id)
+		told, wrote := agent.LeavingWrittenAt(host, id)
 		known, ok := force[id]
 		if !ok || !wrote {
-			r.Missed++
+			r.MissedChanges++
 			continue
 		}
 		took = append(took, float32(max(known.Sub(told), 0).Seconds()))
@@ -116,7 +116,7 @@
 	}
 	slices.Sort(took)
 	slices.Sort(all)
-	r.P50, r.P99, r.Most, r.FromEntry = quantile(took, 0.5), quantile(took, 0.99), quantile(took, 1), quantile(all, 0.99)
+	r.P50, r.P99, r.Max, r.FromEntryP99 = quantile(took, 0.5), quantile(took, 0.99), quantile(took, 1), quantile(all, 0.99)
 	return r, ctx.Err()
 }
 
@@ -149,8 +149,8 @@
 
 // Print writes the report.
 func (r *MembersReport) Print(out io.Writer) {
-	fmt.Fprintf(out, "%d nodes, %d changes in %.1f s: CPU %.1f%% of a core, %.1f MB resident, %d lists, %.0f bytes a change\n", r.Nodes, r.Changes,
-		r.Seconds, 100*r.CPU, r.Resident, r.Lists, r.Bytes)
+	fmt.Fprintf(out, "%d nodes, %d changes in %.1f s: CPU %.1f%% of a core, %.1f MB resident, %d lists, %.0f bytes a change\n", r.Nodes, r.ChangesPerSecond,
+		r.Seconds, 100*r.CPUShare, r.ResidentMB, r.ListsReceived, r.BytesPerChange)
 	fmt.Fprintf(out, "from the agent's answer to the list in force: p50 %.0f ms, p99 %.0f ms, at the most %.0f ms; from the entry in the catalogue p99 %.0f ms; %d never\n",
-		r.P50, r.P99, r.Most, r.FromEntry, r.Missed)
+		r.P50, r.P99, r.Max, r.FromEntryP99, r.MissedChanges)
 }
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -23,55 +23,55 @@
 // PeersOptions say what to play.
 type PeersOptions struct {
 	Options
-	Instances int
-	Times     int // of each trouble; 0 for rest alone
+	Instances   int
+	Repetitions int // of each trouble; 0 for rest alone
 }
 
 // PeersReport is what was found.
 type PeersReport struct {
-	Instances int         `json:"instances"`
-	Known     []PeersRow  `json:"known"`
-	Rest      []PeersRest `json:"rest"`
-	False     int         `json:"false"`  // deaths of those that lived
-	Missed    int         `json:"missed"` // deaths that some never told
-	Problems  []string    `json:"problems"`
+	Instances      int                  `json:"instances"`
+	DetectionTimes []PeersDetectionTime `json:"known"`
+	IdleCosts      []PeersIdleCost      `json:"rest"`
+	FalseDeaths    int                  `json:"false"`  // deaths of those that lived
+	MissedDeaths   int                  `json:"missed"` // deaths that some never told
+	Problems       []string             `json:"problems"`
 }
 
-// PeersRow is when a trouble was known to each of the others, from its beginning.
-type PeersRow struct {
-	Trouble string  `json:"trouble"`
-	Times   int64   `json:"times"` // troubles by those who are to know
-	P50     float64 `json:"p50_ms"`
-	P99     float64 `json:"p99_ms"`
-	Most    float64 `json:"most_ms"`
+// PeersDetectionTime is when a trouble was known to each of the others, from its beginning.
+type PeersDetectionTime struct {
+	Fault string  `json:"trouble"`
+	Count int64   `json:"times"` // troubles by those who are to know
+	P50   float64 `json:"p50_ms"`
+	P99   float64 `json:"p99_ms"`
+	Max   float64 `json:"most_ms"`
 }
 
-// PeersRest is what instances take while nothing happens, a second each.
-type PeersRest struct {
-	Who      string  `json:"who"`
-	CPU      float64 `json:"cpu_ms"`
-	MB       float64 `json:"mb"`
-	Messages float64 `json:"messages"` // of the process; known of voters
-	Bytes    float64 `json:"bytes"`
-	Saves    float64 `json:"saves"` // syncs of the disk
+// PeersIdleCost is what instances take while nothing happens, a second each.
+type PeersIdleCost struct {
+	Process    string  `json:"who"`
+	CPUMillis  float64 `json:"cpu_ms"`
+	ResidentMB float64 `json:"mb"`
+	Messages   float64 `json:"messages"` // of the process; known of voters
+	Bytes      float64 `json:"bytes"`
+	DiskSyncs  float64 `json:"saves"` // syncs of the disk
 }
 
 // OK tells whether nobody was taken for dead that lived, and all deaths were known.
-func (r *PeersReport) OK() bool { return r.False+r.Missed+len(r.Problems) == 0 }
+func (r *PeersReport) OK() bool { return r.FalseDeaths+r.MissedDeaths+len(r.Problems) == 0 }
 
 // Print writes the report, its verdict last.
 func (r *PeersReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	if len(r.Known) > 0 {
+	if len(r.DetectionTimes) > 0 {
 		fmt.Fprintln(w, "known to each of the others after\ttimes\tp50 ms\tp99 ms\tmost ms")
-		for _, x := range r.Known {
-			fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%.0f\n", x.Trouble, x.Times, x.P50, x.P99, x.Most)
+		for _, x := range r.DetectionTimes {
+			fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%.0f\n", x.Fault, x.Count, x.P50, x.P99, x.Max)
 		}
 		w.Flush()
 	}
 	fmt.Fprintf(w, "at rest, a second, of %d instances\tCPU ms\tMB\tmessages\tbytes of bodies\tsyncs\n", r.Instances)
-	for _, x := range r.Rest {
-		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.0f\t%.0f\t%.2f\n", x.Who, x.CPU, x.MB, x.Messages, x.Bytes, x.Saves)
+	for _, x := range r.IdleCosts {
+		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.0f\t%.0f\t%.2f\n", x.Process, x.CPUMillis, x.ResidentMB, x.Messages, x.Bytes, x.DiskSyncs)
 	}
 	w.Flush()
 	for _, p := range r.Problems {
@@ -81,7 +81,7 @@
 	if !r.OK() {
 		word = "BROKEN"
 	}
-	fmt.Fprintf(out, "verdict: %s instances=%d false=%d missed=%d\n", word, r.Instances, r.False, r.Missed)
+	fmt.Fprintf(out, "verdict: %s instances=%d false=%d missed=%d\n", word, r.Instances, r.FalseDeaths, r.MissedDeaths)
 }
 
 // peersPlay is a play under way.
@@ -95,8 +95,8 @@
 // restTime is how long rest is measured.
 const restTime = 8 * time.Second
 
-// Peers plays instances that know each other.
-func Peers(ctx context.Context, o PeersOptions) (*PeersReport, error) {
+// RunPeers plays instances that know each other.
+func RunPeers(ctx context.Context, o PeersOptions) (*PeersReport, error) {
 	s, err := leaseScenario(time.Minute, 1)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	}
 	p := &peersPlay{o: o, ways: make([][]*faultinject.Link, o.Instances), report: &PeersReport{Instances: o.Instances}}
 	defer p.close()
-	if p.fleet, err = startFleetBy(s, o.Program, o.Folder, func(string, ...any) {}, p.open); err != nil {
+	if p.fleet, err = startFleetBy(s, o.ProxyCommand, o.Folder, func(string, ...any) {}, p.open); err != nil {
 		return nil, err
 	}
 	defer p.fleet.close()
@@ -115,7 +115,7 @@
 	if err := p.rest(ctx); err != nil {
 		return nil, err
 	}
-	if o.Times > 0 {
+	if o.Repetitions > 0 {
 		p.play(ctx)
 	}
 	p.fleet.stop()
@@ -124,11 +124,11 @@
 }
 
 // open puts links between instances and voters, where troubles are to be played.
-func (p *peersPlay) open(real []agent.Peer) (func(int) []agent.Peer, error) {
-	found := make([][]agent.Peer, p.o.Instances)
+func (p *peersPlay) open(real []agent.VoterAddress) (func(int) []agent.VoterAddress, error) {
+	found := make([][]agent.VoterAddress, p.o.Instances)
 	for i := range found {
 		for at, v := range real {
-			if p.o.Times > 0 && at != i {
+			if p.o.Repetitions > 0 && at != i {
 				link, err := faultinject.NewLink(linkHost, v.Address)
 				if err != nil {
 					return nil, err
@@ -139,7 +139,7 @@
 			found[i] = append(found[i], v)
 		}
 	}
-	return func(i int) []agent.Peer { return found[i] }, nil
+	return func(i int) []agent.VoterAddress { return found[i] }, nil
 }
 
 func (p *peersPlay) close() {
@@ -158,8 +158,8 @@
 	}
 	defer c.Close()
 	traffic := func() (messages, bytes, saves float64) {
-		for _, s := range c.Look(ctx) {
-			messages, bytes, saves = messages+float64(s.Traffic.Messages), bytes+float64(s.Traffic.Bytes), saves+float64(s.Saves)
+		for _, s := range c.VoterStates(ctx) {
+			messages, bytes, saves = messages+float64(s.Traffic.Messages), bytes+float64(s.Traffic.Bytes), saves+float64(s.DiskSyncs)
 		}
 		return messages, bytes, saves
 	}
@@ -172,8 +172,8 @@
 	messages, bytes, saves := traffic()
 	sleep(ctx, restTime)
 	messagesNow, bytesNow, savesNow := traffic()
-	var voters, others PeersRest
-	voters.Who, others.Who = "a voter", "one that does not vote"
+	var voters, others PeersIdleCost
+	voters.Process, others.Process = "a voter", "one that does not vote"
 	for i, d := range p.fleet.proxies {
 		into, of := &voters, float64(permitVoters)
 		if i >= permitVoters {
@@ -185,15 +185,15 @@
 		if err != nil {
 			return err
 		}
-		into.CPU += millis(now-cpu[i]) / restTime.Seconds() / of
-		into.MB += mb / of
+		into.CPUMillis += millis(now-cpu[i]) / restTime.Seconds() / of
+		into.ResidentMB += mb / of
 	}
 	voters.Messages = (messagesNow - messages) / restTime.Seconds() / permitVoters
 	voters.Bytes = (bytesNow - bytes) / restTime.Seconds() / permitVoters
-	voters.Saves = (savesNow - saves) / restTime.Seconds() / permitVoters
-	p.report.Rest = append(p.report.Rest, voters)
+	voters.DiskSyncs = (savesNow - saves) / restTime.Seconds() / permitVoters
+	p.report.IdleCosts = append(p.report.IdleCosts, voters)
 	if p.o.Instances > permitVoters {
-		p.report.Rest = append(p.report.Rest, others)
+		p.report.IdleCosts = append(p.report.IdleCosts, others)
 	}
 	return nil
 }
@@ -210,8 +210,10 @@
 			sleep(ctx, time.Second)
 			return d.start()
 		}},
-		{"stop of 300 ms", false, func(d *proxyDoor) error { return d.stop(ctx, faultinject.Stop{For: 300 * time.Millisecond}) }},
-		{"stop of 2 s", true, func(d *proxyDoor) error { return d.stop(ctx, faultinject.Stop{For: 2 * time.Second}) }},
+		{"stop of 300 ms", false, func(d *proxyDoor) error {
+			return d.stop(ctx, faultinject.StopSchedule{Duration: 300 * time.Millisecond})
+		}},
+		{"stop of 2 s", true, func(d *proxyDoor) error { return d.stop(ctx, faultinject.StopSchedule{Duration: 2 * time.Second}) }},
 		{"cut off for 2 s", true, func(d *proxyDoor) error { return p.cut(ctx, d.index, "cut") }},
 		{"answers held for 2 s", true, func(d *proxyDoor) error { return p.cut(ctx, d.index, "back") }},
 		{"connections reset", false, func(d *proxyDoor) error {
@@ -222,7 +224,7 @@
 		}},
 	} {
 		known := hdrhistogram.New(1, int64(time.Minute/time.Millisecond), 3)
-		for i := range p.o.Times {
+		for i := range p.o.Repetitions {
 			if ctx.Err() != nil {
 				return
 			}
@@ -240,16 +242,16 @@
 				at := p.gone(other, fmt.Sprint("p", victim), from)
 				switch {
 				case at.IsZero() && trouble.death:
-					p.report.Missed++
+					p.report.MissedDeaths++
 				case !at.IsZero() && !trouble.death:
-					p.report.False++
+					p.report.FalseDeaths++
 				case !at.IsZero():
 					known.RecordValue(max(at.Sub(from).Milliseconds(), 1))
 				}
 			}
 		}
 		if trouble.death {
-			p.report.Known = append(p.report.Known, PeersRow{trouble.name, known.TotalCount(), float64(known.ValueAtQuantile(50)),
+			p.report.DetectionTimes = append(p.report.DetectionTimes, PeersDetectionTime{trouble.name, known.TotalCount(), float64(known.ValueAtQuantile(50)),
 				float64(known.ValueAtQuantile(99)), float64(known.Max())})
 		}
 	}
@@ -259,11 +261,11 @@
 func (p *peersPlay) cut(ctx context.Context, i int, kind string) error {
 	var errs []error
 	for _, l := range p.ways[i] {
-		errs = append(errs, l.Set(faultinject.Faults[kind](0)))
+		errs = append(errs, l.SetFault(faultinject.LinkFaults[kind](0)))
 	}
 	sleep(ctx, 2*time.Second)
 	for _, l := range p.ways[i] {
-		errs = append(errs, l.Set(faultinject.Fault{}))
+		errs = append(errs, l.SetFault(faultinject.Fault{}))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/fleettest/permits.go
+++ b/internal/fleettest/permits.go
@@ -30,11 +30,11 @@
 		if err != nil {
 			return f, err
 		}
-		f.Voters = append(f.Voters, agent.Peer{Name: fmt.Sprint("p", i), Address: l.Addr().String()})
+		f.Voters = append(f.Voters, agent.VoterAddress{Name: fmt.Sprint("p", i), Address: l.Addr().String()})
 		l.Close()
 	}
 	for i := range permitVoters {
-		if err := agent.Init(memoryOf(folder, i), &f); err != nil {
+		if err := agent.InitVoter(memoryOf(folder, i), &f); err != nil {
 			return f, err
 		}
 	}
@@ -47,14 +47,14 @@
 
 // seatVoters has the first proxies be voters.
 func (f *fleet) seatVoters() (err error) {
-	if f.scenario.Fleet.Permits > 0 {
+	if f.scenario.Fleet.RestartPermits > 0 {
 		f.voters, err = newVoters(f.folder, f.ports)
 	}
 	return err
 }
 
 // peersText is a process's part in a fleet, as a configuration has it; voter is its number among the voters, -1 for none.
-func peersText(list []agent.Peer, folder string, voter int) string {
+func peersText(list []agent.VoterAddress, folder string, voter int) string {
 	var voters []string
 	for _, v := range list {
 		voters = append(voters, v.Name+"="+v.Address)
@@ -68,7 +68,7 @@
 
 // peers writes a proxy's part in the fleet.
 func (d *proxyDoor) peers(b io.Writer) {
-	if d.fleet.scenario.Fleet.Permits == 0 {
+	if d.fleet.scenario.Fleet.RestartPermits == 0 {
 		return
 	}
 	list, voter := d.fleet.voters.Voters, d.index
@@ -79,14 +79,14 @@
 		voter = -1
 	}
 	io.WriteString(b, peersText(list, d.fleet.folder, voter))
-	if f := &d.fleet.scenario.Fleet; f.Takeover != "" {
-		fmt.Fprintf(b, "listen = %q\nadvertise = %q\ntakeover = %q\nholders = %d\n", d.works, d.worksTold, f.Takeover, f.Holders)
+	if f := &d.fleet.scenario.Fleet; f.TakeoverMode != "" {
+		fmt.Fprintf(b, "listen = %q\nadvertise = %q\ntakeover = %q\nholders = %d\n", d.works, d.worksTold, f.TakeoverMode, f.TakeoverHolders)
 	}
 }
 
 // allowRestarts has the voters give so many permits at a time.
 func (f *fleet) allowRestarts() error {
-	if f.scenario.Fleet.Permits == 0 || f.scenario.Fleet.Leaderless {
+	if f.scenario.Fleet.RestartPermits == 0 || f.scenario.Fleet.Leaderless {
 		return nil
 	}
 	c, err := agent.NewClient(f.voters)
@@ -96,7 +96,7 @@
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	_, err = c.Do(ctx, lease.Command{Kind: lease.Limit, Task: lease.PermitTask, Most: f.scenario.Fleet.Permits})
+	_, err = c.Execute(ctx, lease.Command{Kind: lease.SetLimit, Task: lease.PermitTask, MaxHolders: f.scenario.Fleet.RestartPermits})
 	return err
 }
 
@@ -138,7 +138,7 @@
 
 // endForGood has a process end that nobody follows: told twice, it waits for no leave.
 func (d *proxyDoor) endForGood(p *process) error {
-	if d.fleet.scenario.Fleet.Permits > 0 {
+	if d.fleet.scenario.Fleet.RestartPermits > 0 {
 		p.mu.Lock()
 		p.planned = true
 		p.mu.Unlock()
--- a/internal/fleettest/play.go
+++ b/internal/fleettest/play.go
@@ -15,21 +15,21 @@
 
 // Options say how to play a scenario.
 type Options struct {
-	// Program starts a proxy; its configuration's path is put behind.
-	Program []string
+	// ProxyCommand starts a proxy; its configuration's path is put behind.
+	ProxyCommand []string
 	// Folder takes configurations and logs. It must exist.
 	Folder string
 	// Progress, if set, is told what happens while it happens.
 	Progress func(format string, a ...any)
 }
 
-// Play plays a scenario to its end, or until ctx ends, and tells how it went. An
+// RunScenario plays a scenario to its end, or until ctx ends, and tells how it went. An
 // error means that it could not be played; broken rules are in the report.
-func Play(ctx context.Context, s *Scenario, o Options) (*Report, error) {
+func RunScenario(ctx context.Context, s *Scenario, o Options) (*Report, error) {
 	if o.Progress == nil {
 		o.Progress = func(string, ...any) {}
 	}
-	f, err := startFleet(s, o.Program, o.Folder, o.Progress)
+	f, err := startFleet(s, o.ProxyCommand, o.Folder, o.Progress)
 	if err != nil {
 		return nil, err
 	}
@@ -42,8 +42,8 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, s.length())
 	defer stop()
-	stops := slices.ContainsFunc(s.Events, func(e Event) bool { return e.Do == "stop" })
-	report := &Report{Stops: stops, Scenario: s.Name, About: s.About, Proxies: s.Fleet.Proxies, Nodes: s.Fleet.Nodes}
+	stops := slices.ContainsFunc(s.Events, func(e Event) bool { return e.Action == "stop" })
+	report := &Report{ProcessesStopped: stops, Scenario: s.Name, Description: s.Description, Proxies: s.Fleet.Proxies, Nodes: s.Fleet.Nodes}
 	fetches := make([]int, len(s.Phases)+1)
 	var tasks sync.WaitGroup
 	tasks.Go(func() { c.run(ctx) })
@@ -51,18 +51,18 @@
 	tasks.Go(func() { f.script(ctx, began) })
 	at := time.Duration(0)
 	for i, p := range s.Phases {
-		o.Progress("%s: %d proxies, %v", p.Name, len(f.proxies), time.Duration(p.For))
-		at += time.Duration(p.For)
+		o.Progress("%s: %d proxies, %v", p.Name, len(f.proxies), time.Duration(p.Duration))
+		at += time.Duration(p.Duration)
 		sleep(ctx, time.Until(began.Add(at)))
 		fetches[i+1] = f.origin.Stats().Fetches
 		if i == 0 {
-			f.footprints(&report.Start)
+			f.footprints(&report.FirstFootprints)
 		}
 		o.Progress("%s", t.line(i))
 	}
 	tasks.Wait()
-	f.footprints(&report.End)
-	report.Levels = f.levels(began)
+	f.footprints(&report.LastFootprints)
+	report.LevelChanges = f.levels(began)
 	f.stop()
 	// What a proxy still had out at a node may take effect yet.
 	settle(func() int { return f.origin.Stats().Writes })
@@ -81,7 +81,7 @@
 	}
 }
 
-func sleep(ctx context.Context, d time.Duration) { faultinject.Wait(ctx, d) }
+func sleep(ctx context.Context, d time.Duration) { faultinject.Sleep(ctx, d) }
 
 func (f *fleet) footprints(into *[]Footprint) {
 	for _, d := range f.proxies {
@@ -107,13 +107,13 @@
 
 // String says an event as the progress does.
 func (e Event) String() string {
-	text := e.Do
-	for _, part := range []string{e.Mode, e.With, e.Between, e.Kind} {
+	text := e.Action
+	for _, part := range []string{e.Mode, e.ConfigVariant, e.LinkTo, e.FaultKind} {
 		if part != "" {
 			text += " " + part
 		}
 	}
-	switch e.Do {
+	switch e.Action {
 	case "restart", "kill", "hangup":
 		if len(e.Proxies) > 0 {
 			return text + fmt.Sprintf(" proxies %v", e.Proxies)
@@ -157,7 +157,7 @@
 	if f.disturb(ctx, &e) {
 		return
 	}
-	switch e.Do {
+	switch e.Action {
 	case "wave":
 		for i, d := range f.proxies {
 			begun := time.Now()
@@ -166,7 +166,7 @@
 				mode = modes[1+i%2]
 			}
 			d.restart(mode)
-			sleep(ctx, time.Duration(e.Every)-time.Since(begun))
+			sleep(ctx, time.Duration(e.Interval)-time.Since(begun))
 			if ctx.Err() != nil {
 				f.problem("the wave was cut short at proxy %d", i)
 				return
@@ -177,7 +177,7 @@
 	case "kill":
 		each((*proxyDoor).kill)
 	case "hangup":
-		each(func(d *proxyDoor) { d.hangup(e.With, e.Times, time.Duration(e.Every)) })
+		each(func(d *proxyDoor) { d.hangup(e.ConfigVariant, e.Count, time.Duration(e.Interval)) })
 	case "drain":
 		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "draining" })
 	case "undrain":
@@ -188,13 +188,13 @@
 		if err := n.Restart(); err != nil {
 			f.problem("node %d: %v", e.Node, err)
 		}
-		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status, x.Since = "up", n.Started().UnixMilli() })
+		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status, x.StartedMillis = "up", n.Started().UnixMilli() })
 	case "fault":
-		if err := n.SetFault(node.Fault{Kind: node.FaultKind(e.Kind), Every: e.Part, By: time.Duration(e.By)}); err != nil {
+		if err := n.SetFault(node.Fault{Kind: node.FaultKind(e.FaultKind), OneIn: e.OneIn, Delay: time.Duration(e.Delay)}); err != nil {
 			f.problem("node %d: %v", e.Node, err)
 		}
 	case "list-down":
-		kind := e.Kind
+		kind := e.FaultKind
 		if kind == "" {
 			kind = "quiet"
 		}
@@ -202,9 +202,9 @@
 	case "list-up":
 		f.list.fail("")
 	case "flap":
-		f.flap(e.Node, e.Times, time.Duration(e.Every), ctx.Done())
+		f.flap(e.Node, e.Count, time.Duration(e.Interval), ctx.Done())
 	case "die":
-		if err := n.SetFault(node.Fault{Kind: node.Refuse}); err != nil {
+		if err := n.SetFault(node.Fault{Kind: node.ProcessDown}); err != nil {
 			f.problem("node %d: %v", e.Node, err)
 		}
 	case "rename":
@@ -213,38 +213,42 @@
 			f.problem("node %d: %v", e.Node, err)
 		}
 		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "removed" })
-		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Name, x.Status, x.Since = old+"x", "up", n.Started().UnixMilli() })
+		f.tellNode(e.Node, func(x *endpointlist.Entry) {
+			x.Name, x.Status, x.StartedMillis = old+"x", "up", n.Started().UnixMilli()
+		})
 	case "reborn":
 		if err := n.Restart(); err != nil {
 			f.problem("node %d: %v", e.Node, err)
 		}
 	case "brown":
-		f.origin.SetWork(time.Duration(e.By))
+		f.origin.SetServiceTime(time.Duration(e.Delay))
 	case "dark", "light":
 		for i, n := range f.nodes {
 			if f.scenario.Fleet.Zones[i%len(f.scenario.Fleet.Zones)] != e.Zone {
 				continue
 			}
 			var err error
-			if e.Do == "dark" {
-				err = n.SetFault(node.Fault{Kind: node.Refuse})
+			if e.Action == "dark" {
+				err = n.SetFault(node.Fault{Kind: node.ProcessDown})
 			} else if err = n.Restart(); err == nil {
-				f.tellNode(i, func(x *endpointlist.Entry) { x.Status, x.Since = "up", n.Started().UnixMilli() })
+				f.tellNode(i, func(x *endpointlist.Entry) { x.Status, x.StartedMillis = "up", n.Started().UnixMilli() })
 			}
 			if err != nil {
 				f.problem("node %d: %v", i, err)
 			}
 		}
 	case "leave", "return":
-		for i := range e.Times {
-			f.tellNode(i, func(x *endpointlist.Entry) { x.Status = map[string]string{"leave": "removed", "return": "up"}[e.Do] })
+		for i := range e.Count {
+			f.tellNode(i, func(x *endpointlist.Entry) {
+				x.Status = map[string]string{"leave": "removed", "return": "up"}[e.Action]
+			})
 		}
 	}
 }
 
-// Up holds a fleet until ctx ends. It tells of each proxy and node by tell.
-func Up(ctx context.Context, s *Scenario, o Options, tell func(line string)) error {
-	f, err := startFleet(s, o.Program, o.Folder, func(string, ...any) {})
+// HoldFleet holds a fleet until ctx ends. It tells of each proxy and node by tell.
+func HoldFleet(ctx context.Context, s *Scenario, o Options, tell func(line string)) error {
+	f, err := startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {})
 	if err != nil {
 		return err
 	}
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -10,46 +10,46 @@
 
 // Report is what a rehearsal found.
 type Report struct {
-	Scenario string        `json:"scenario"`
-	About    string        `json:"about"`
-	Proxies  int           `json:"proxies"`
-	Nodes    int           `json:"nodes"`
-	Phases   []PhaseReport `json:"phases"`
-	Course   []Stretch     `json:"course"` // a quarter of a second each
-	Start    []Footprint   `json:"start"`  // by proxy, at the end of the first phase
-	End      []Footprint   `json:"end"`
-	Levels   [][]Change    `json:"levels"` // of service, by proxy
-	Restarts int           `json:"restarts"`
-	Reloads  int           `json:"reloads"`
+	Scenario        string             `json:"scenario"`
+	Description     string             `json:"about"`
+	Proxies         int                `json:"proxies"`
+	Nodes           int                `json:"nodes"`
+	Phases          []PhaseReport      `json:"phases"`
+	Timeline        []TimelineInterval `json:"course"` // a quarter of a second each
+	FirstFootprints []Footprint        `json:"start"`  // by proxy, at the end of the first phase
+	LastFootprints  []Footprint        `json:"end"`
+	LevelChanges    [][]LevelChange    `json:"levels"` // of service, by proxy
+	Restarts        int                `json:"restarts"`
+	Reloads         int                `json:"reloads"`
 
-	Permits  int `json:"permits,omitempty"`   // how many proxies may be down by leave at a time
-	MostDown int `json:"most_down,omitempty"` // and how many were
+	RestartPermits int `json:"permits,omitempty"`   // how many proxies may be down by leave at a time
+	MaxDown        int `json:"most_down,omitempty"` // and how many were
 
-	Requests    int      `json:"requests"`
-	Lost        int      `json:"lost"`
-	Doubled     int      `json:"doubled"`
-	LateDrains  int      `json:"late_drains"`
-	Crashes     int      `json:"crashes"`
-	Wrong       int      `json:"wrong"`
-	Fallen      int      `json:"fallen"` // nodes that were pushed over
-	LateBy      float64  `json:"late_drains_by_ms"`
-	LastBy      float64  `json:"last_at_a_drained_node_ms"`
-	Crossed     int      `json:"crossed"`
-	Excused     int      `json:"excused"`
-	Stops       bool     `json:"stops"`   // processes were stopped
-	Stood       int      `json:"stopped"` // requests out at them to beyond their deadlines
-	Unsure      int      `json:"unsure"`  // handovers whose tills never learnt what came of them
-	Severed     int      `json:"severed"`
-	Overdue     int      `json:"overdue"`
-	OverdueBy   float64  `json:"overdue_by_ms"`
-	Lag         float64  `json:"lag_ms"` // of the test itself, at the most
-	Unopened    int      `json:"unopened"`
-	NotOffered  int      `json:"not_offered"`
-	Effects     int      `json:"effects"`
-	OriginFull  int      `json:"origin_full"`
-	MostPerNode int      `json:"most_connections_of_a_node"`
-	Problems    []string `json:"problems"`
-	Closing     string   `json:"verdict"` // the closing line
+	Requests             int      `json:"requests"`
+	Lost                 int      `json:"lost"`
+	DuplicateWrites      int      `json:"doubled"`
+	LateDrains           int      `json:"late_drains"`
+	Crashes              int      `json:"crashes"`
+	WrongAnswers         int      `json:"wrong"`
+	CollapsedNodes       int      `json:"fallen"` // nodes that were pushed over
+	LateDrainMillis      float64  `json:"late_drains_by_ms"`
+	LastAfterDrainMillis float64  `json:"last_at_a_drained_node_ms"`
+	CrossedClose         int      `json:"crossed"`
+	KilledInFlight       int      `json:"excused"`
+	ProcessesStopped     bool     `json:"stops"`   // processes were stopped
+	InFlightAtStopped    int      `json:"stopped"` // requests out at them to beyond their deadlines
+	UnknownOutcomes      int      `json:"unsure"`  // handovers whose tills never learnt what came of them
+	InFlightAtCutLink    int      `json:"severed"`
+	Overdue              int      `json:"overdue"`
+	MaxOverdueMillis     float64  `json:"overdue_by_ms"`
+	MaxLagMillis         float64  `json:"lag_ms"` // of the test itself, at the most
+	FailedDials          int      `json:"unopened"`
+	NotOffered           int      `json:"not_offered"`
+	Effects              int      `json:"effects"`
+	OriginFull           int      `json:"origin_full"`
+	MaxConnsPerNode      int      `json:"most_connections_of_a_node"`
+	Problems             []string `json:"problems"`
+	VerdictLine          string   `json:"verdict"` // the closing line
 }
 
 // PhaseReport is of one phase. Offered counts first tries; each ended in time,
@@ -70,12 +70,14 @@
 	Handovers       int `json:"handovers"`
 	HandoversInTime int `json:"handovers_in_time"`
 	// What was asked for and served is worth, as tallies count it.
-	Worth  float64 `json:"worth"`
-	Earned float64 `json:"earned"`
+	OfferedWeight float64 `json:"worth"`
+	ServedWeight  float64 `json:"earned"`
 }
 
-// Share is the part of what was offered that was answered in time, in per cent.
-func (p *PhaseReport) Share() float64 { return 100 * float64(p.InTime) / float64(max(p.Offered, 1)) }
+// InTimePercent is the part of what was offered that was answered in time, in per cent.
+func (p *PhaseReport) InTimePercent() float64 {
+	return 100 * float64(p.InTime) / float64(max(p.Offered, 1))
+}
 
 func (t *tally) line(phase int) string {
 	t.mu.Lock()
@@ -87,47 +89,47 @@
 func (r *Report) fill(f *fleet, t *tally, fetches []int) {
 	var rules broken
 	r.Phases, rules = t.figures()
-	r.Course = t.course
+	r.Timeline = t.course
 	for i := range r.Phases {
 		r.Phases[i].Fetches = fetches[i+1] - fetches[i]
 	}
 	o := f.origin.Stats()
-	r.Requests, r.Lost, r.Wrong, r.Crossed, r.Excused = rules.requests, rules.lost, rules.wrong, rules.crossed, rules.excused
-	r.Stood, r.Severed, r.Unsure = rules.stood, rules.severed, rules.unsure
-	r.Overdue, r.OverdueBy = rules.overdue, millis(rules.overBy)
-	r.Lag = millis(t.most)
-	r.Unopened, r.NotOffered = t.refuse, t.unsent
-	r.Doubled, r.Effects, r.OriginFull = o.Doubled, o.Effects, o.Full
+	r.Requests, r.Lost, r.WrongAnswers, r.CrossedClose, r.KilledInFlight = rules.requests, rules.lost, rules.wrong, rules.crossed, rules.excused
+	r.InFlightAtStopped, r.InFlightAtCutLink, r.UnknownOutcomes = rules.stood, rules.severed, rules.unsure
+	r.Overdue, r.MaxOverdueMillis = rules.overdue, millis(rules.overBy)
+	r.MaxLagMillis = millis(t.most)
+	r.FailedDials, r.NotOffered = t.refuse, t.unsent
+	r.DuplicateWrites, r.Effects, r.OriginFull = o.Duplicates, o.Effects, o.QueueFull
 	for _, n := range f.nodes {
 		s := n.Stats()
-		r.MostPerNode = max(r.MostPerNode, s.MostConns)
-		if s.Fallen {
-			r.Fallen++
+		r.MaxConnsPerNode = max(r.MaxConnsPerNode, s.MaxConns)
+		if s.Collapsed {
+			r.CollapsedNodes++
 			f.problem("node %s was pushed over while cold", n.Name())
 		}
 	}
 	for _, d := range f.proxies {
 		r.Restarts, r.Reloads = r.Restarts+d.restarts, r.Reloads+d.reloads
 	}
-	r.Permits, r.MostDown = f.scenario.Fleet.Permits, f.mostDown()
+	r.RestartPermits, r.MaxDown = f.scenario.Fleet.RestartPermits, f.mostDown()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r.LateDrains, r.LateBy, r.LastBy, r.Crashes = f.late, millis(f.lateBy), millis(f.lastBy), f.crashes
+	r.LateDrains, r.LateDrainMillis, r.LastAfterDrainMillis, r.Crashes = f.late, millis(f.lateBy), millis(f.lastBy), f.crashes
 	r.Problems = append(append(r.Problems, rules.samples...), f.problems...)
-	for i, e := range f.origin.Doubled() {
+	for i, e := range f.origin.DuplicateEffects() {
 		if i < 20 {
 			r.Problems = append(r.Problems, fmt.Sprintf("handover %s of %s was carried out again %v after the first time", e.Key, e.Record,
 				e.Last.Sub(e.First).Round(time.Millisecond)))
 		}
 	}
-	r.Closing = r.Verdict()
+	r.VerdictLine = r.Verdict()
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // OK tells whether all rules held.
 func (r *Report) OK() bool {
-	return r.Lost+r.Doubled+r.LateDrains+r.Crashes+r.Wrong+r.Fallen == 0 && r.MostDown <= r.Permits
+	return r.Lost+r.DuplicateWrites+r.LateDrains+r.Crashes+r.WrongAnswers+r.CollapsedNodes == 0 && r.MaxDown <= r.RestartPermits
 }
 
 // Verdict is the closing line.
@@ -136,40 +138,40 @@
 	if !r.OK() {
 		word = "BROKEN"
 	}
-	line := fmt.Sprintf("verdict: %s requests=%d lost=%d doubled=%d late_drains=%d crashes=%d", word, r.Requests, r.Lost, r.Doubled,
+	line := fmt.Sprintf("verdict: %s requests=%d lost=%d doubled=%d late_drains=%d crashes=%d", word, r.Requests, r.Lost, r.DuplicateWrites,
 		r.LateDrains, r.Crashes)
-	if r.Stops {
-		line += fmt.Sprintf(" stopped=%d", r.Stood)
+	if r.ProcessesStopped {
+		line += fmt.Sprintf(" stopped=%d", r.InFlightAtStopped)
 	}
 	return line
 }
 
 // Print writes the report as tables, its verdict last.
 func (r *Report) Print(out io.Writer) {
-	fmt.Fprintf(out, "%s: %s (%d proxies, %d nodes)\n", r.Scenario, r.About, r.Proxies, r.Nodes)
+	fmt.Fprintf(out, "%s: %s (%d proxies, %d nodes)\n", r.Scenario, r.Description, r.Proxies, r.Nodes)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "phase\toffered\ta second\tin time\tshare\tlate\trefused\tfailed\tp50 ms\tp99 ms\tfetches\tretries\t")
 	for _, p := range r.Phases {
 		fmt.Fprintf(w, "%s\t%d\t%.0f\t%d\t%.2f%%\t%d\t%d\t%d\t%.1f\t%.1f\t%d\t%d\t\n", p.Name, p.Offered, float64(p.Offered)/max(p.Seconds, 1e-9), p.InTime,
-			p.Share(), p.Late, p.Refused, p.Failed, p.P50, p.P99, p.Fetches, p.Retries)
+			p.InTimePercent(), p.Late, p.Refused, p.Failed, p.P50, p.P99, p.Fetches, p.Retries)
 	}
 	w.Flush()
 	fmt.Fprintln(w, "proxy\tMB at first\tat the end\tdescriptors at first\tat the end\tgoroutines at first\tat the end\t")
-	for i := range min(len(r.Start), len(r.End)) {
-		a, b := r.Start[i], r.End[i]
+	for i := range min(len(r.FirstFootprints), len(r.LastFootprints)) {
+		a, b := r.FirstFootprints[i], r.LastFootprints[i]
 		fmt.Fprintf(w, "%d\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t\n", i, a.ResidentMB, b.ResidentMB, a.Descriptors, b.Descriptors, a.Goroutines, b.Goroutines)
 	}
 	w.Flush()
 	fmt.Fprintf(out, "%d restarts, %d reloads; %d effects; origin full %d times; %d connections to a node at most\n", r.Restarts, r.Reloads,
-		r.Effects, r.OriginFull, r.MostPerNode)
+		r.Effects, r.OriginFull, r.MaxConnsPerNode)
 	fmt.Fprintf(out, "no breach: the last request came to a draining node %.0f ms after its drain was told; %d requests crossed a close, %d were out at a killed proxy, %d at one that stood still, %d over a cut link, %d connections did not come up, %d answers "+
 		"came up to %.0f ms after their deadline, %d requests were not offered; the test itself was %.0f ms late at the most\n",
-		r.LastBy, r.Crossed, r.Excused, r.Stood, r.Severed, r.Unopened, r.Overdue, r.OverdueBy, r.NotOffered, r.Lag)
-	if r.Permits > 0 {
-		fmt.Fprintf(out, "by leave of the fleet %d proxies were down at a time at the most, of %d allowed\n", r.MostDown, r.Permits)
+		r.LastAfterDrainMillis, r.CrossedClose, r.KilledInFlight, r.InFlightAtStopped, r.InFlightAtCutLink, r.FailedDials, r.Overdue, r.MaxOverdueMillis, r.NotOffered, r.MaxLagMillis)
+	if r.RestartPermits > 0 {
+		fmt.Fprintf(out, "by leave of the fleet %d proxies were down at a time at the most, of %d allowed\n", r.MaxDown, r.RestartPermits)
 	}
-	if r.Wrong > 0 || r.Fallen > 0 {
-		fmt.Fprintf(out, "besides: %d wrong answers, %d nodes pushed over\n", r.Wrong, r.Fallen)
+	if r.WrongAnswers > 0 || r.CollapsedNodes > 0 {
+		fmt.Fprintf(out, "besides: %d wrong answers, %d nodes pushed over\n", r.WrongAnswers, r.CollapsedNodes)
 	}
 	for _, p := range r.Problems {
 		fmt.Fprintln(out, "  "+strings.ReplaceAll(p, "\n", " | "))
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -17,11 +17,11 @@
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(file.Name(), ".toml")
-		if s, err := Load(name); err != nil || s.About == "" {
+		if s, err := LoadScenario(name); err != nil || s.Description == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if n := len(List()); n != len(files) {
+	if n := len(BuiltInScenarios()); n != len(files) {
 		t.Errorf("%d listed of %d", n, len(files))
 	}
 }
@@ -46,7 +46,7 @@
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := LoadScenario(path); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %q", c.text, err, c.want)
 		}
 	}
@@ -55,7 +55,7 @@
 // TestTallyBooksByPhase guards the table's figures.
 func TestTallyBooksByPhase(t *testing.T) {
 	began := time.Now()
-	y := newTally([]Phase{{Name: "a", For: span(time.Second)}, {Name: "b", For: span(time.Second)}}, began)
+	y := newTally([]Phase{{Name: "a", Duration: span(time.Second)}, {Name: "b", Duration: span(time.Second)}}, began)
 	a, b, c := y.begin(began, true, false), y.begin(began.Add(1500*time.Millisecond), false, true), y.begin(began.Add(time.Hour), false, false)
 	y.end(a, 10*ms, served, 500*ms)
 	y.end(b, 600*ms, served, 500*ms)
@@ -64,10 +64,10 @@
 	y.retry(b)
 	y.lose("x %d", 7)
 	phases, rules := y.figures()
-	if p := phases[0]; p.Offered != 2 || p.InTime != 1 || p.Failed != 1 || p.P50 < 9.9 || p.P50 > 10.1 || p.Share() != 50 || p.Handovers != 1 || p.HandoversInTime != 1 || p.Worth != 3 || p.Earned != 2 {
+	if p := phases[0]; p.Offered != 2 || p.InTime != 1 || p.Failed != 1 || p.P50 < 9.9 || p.P50 > 10.1 || p.InTimePercent() != 50 || p.Handovers != 1 || p.HandoversInTime != 1 || p.OfferedWeight != 3 || p.ServedWeight != 2 {
 		t.Errorf("first phase %+v", p)
 	}
-	if p := phases[1]; p.Offered != 2 || p.Late != 1 || p.Refused != 1 || p.Retries != 1 || p.Worth != 1.2 || math.Abs(p.Earned-0.06) > 1e-9 {
+	if p := phases[1]; p.Offered != 2 || p.Late != 1 || p.Refused != 1 || p.Retries != 1 || p.OfferedWeight != 1.2 || math.Abs(p.ServedWeight-0.06) > 1e-9 {
 		t.Errorf("second phase %+v", p)
 	}
 	if rules.lost != 1 || len(rules.samples) != 1 || !strings.HasSuffix(rules.samples[0], "x 7") {
@@ -79,7 +79,7 @@
 	if r := (&Report{Requests: 5}); !r.OK() || r.Verdict() != "verdict: ok requests=5 lost=0 doubled=0 late_drains=0 crashes=0" {
 		t.Error(r.Verdict())
 	}
-	for _, r := range []Report{{Lost: 1}, {Doubled: 1}, {LateDrains: 1}, {Crashes: 1}, {Wrong: 1}, {Fallen: 1}} {
+	for _, r := range []Report{{Lost: 1}, {DuplicateWrites: 1}, {LateDrains: 1}, {Crashes: 1}, {WrongAnswers: 1}, {CollapsedNodes: 1}} {
 		if r.OK() || !strings.HasPrefix(r.Verdict(), "verdict: BROKEN ") {
 			t.Errorf("%+v passes", r)
 		}
--- a/internal/fleettest/still.go
+++ b/internal/fleettest/still.go
@@ -31,14 +31,14 @@
 // stopped is a trouble of proxies that stand still, and of what else happens meanwhile.
 func stopped(name string, seconds float64, more ...Event) stillTrouble {
 	return stillTrouble{name: name, lasts: time.Duration(second(seconds)), events: func(proxies []int) []Event {
-		return append([]Event{{Do: "stop", Proxies: proxies, For: second(seconds)}}, more...)
+		return append([]Event{{Action: "stop", Proxies: proxies, Duration: second(seconds)}}, more...)
 	}}
 }
 
 // linked is a trouble of the proxies' links.
 func linked(name, between, kind string, seconds float64, by time.Duration) stillTrouble {
 	return stillTrouble{name: name, lasts: time.Duration(second(seconds)), events: func(proxies []int) []Event {
-		return []Event{{Do: "link", Proxies: proxies, Between: between, Kind: kind, For: second(seconds), By: span(by)}}
+		return []Event{{Action: "link", Proxies: proxies, LinkTo: between, FaultKind: kind, Duration: second(seconds), Delay: span(by)}}
 	}}
 }
 
@@ -66,20 +66,20 @@
 // The faults that are neither a stop nor a link's.
 var (
 	bursts = stillTrouble{name: "bursts of 50 ms in 60", lasts: 10 * time.Second, events: func(proxies []int) []Event {
-		return []Event{{Do: "stop", Proxies: proxies, For: second(0.05), Every: second(0.06), Times: 166}}
+		return []Event{{Action: "stop", Proxies: proxies, Duration: second(0.05), Interval: second(0.06), Count: 166}}
 	}}
 	starved = stillTrouble{name: "core withheld", lasts: 4 * time.Second, events: func(proxies []int) []Event {
-		return []Event{{Do: "starve", Proxies: proxies, For: second(4), Times: 3}}
+		return []Event{{Action: "starve", Proxies: proxies, Duration: second(4), Count: 3}}
 	}}
 	crowded = stillTrouble{name: "backlog full", lasts: 3 * time.Second, events: func(proxies []int) []Event {
-		return []Event{{Do: "crowd", Proxies: proxies, For: second(3), Times: 600}}
+		return []Event{{Action: "crowd", Proxies: proxies, Duration: second(3), Count: 600}}
 	}}
 	stalled = stillTrouble{name: "nodes stopped 3 s", lasts: 3 * time.Second, events: func([]int) []Event {
-		return []Event{{Do: "fault", Node: 1, Kind: "stall"}, {Do: "fault", Node: 2, Kind: "stall"}, {At: second(3), Do: "fault", Node: 1}, {At: second(3), Do: "fault", Node: 2}}
+		return []Event{{Action: "fault", Node: 1, FaultKind: "stall"}, {Action: "fault", Node: 2, FaultKind: "stall"}, {At: second(3), Action: "fault", Node: 1}, {At: second(3), Action: "fault", Node: 2}}
 	}}
 	killed = stillTrouble{name: "killed", lasts: time.Second, events: func(proxies []int) (list []Event) {
 		for _, p := range proxies {
-			list = append(list, Event{Do: "kill", Proxy: p})
+			list = append(list, Event{Action: "kill", Proxy: p})
 		}
 		return list
 	}}
@@ -100,17 +100,17 @@
 	list := []stillTrouble{
 		stopped("stop 0.2 s", 0.2), stopped("stop 1 s", 1), stopped("stop 1.6 s", 1.6), stopped("stop 3 s", 3), stopped("stop 6 s", 6),
 		stopped("stop 30 s", 30), bursts, starved, crowded, stalled, killed, drifting,
-		stopped("stop 3 s, drain meanwhile", 3, Event{At: second(1), Do: "drain", Node: 3}),
-		stopped("stop 3 s, node replaced", 3, Event{At: second(1), Do: "cold", Node: 4}),
-		stopped("stop 3 s, node gone", 3, Event{At: second(1), Do: "remove", Node: 5}),
-		stopped("stop 3 s, another at a node's address", 3, Event{At: second(1), Do: "rename", Node: 6}),
-		eachProxy(stopped("stop 3 s, SIGTERM waiting", 3), Event{At: second(1), Do: "restart", Mode: "gap"}),
-		eachProxy(stopped("stop 3 s, SIGHUP waiting", 3), Event{At: second(1), Do: "hangup", With: "same", Times: 3, Every: second(0.2)}),
-		eachProxy(linked("clients stopped 3 s, SIGTERM meanwhile", "clients", "cut", 3, 0), Event{At: second(1), Do: "restart", Mode: "gap"}),
+		stopped("stop 3 s, drain meanwhile", 3, Event{At: second(1), Action: "drain", Node: 3}),
+		stopped("stop 3 s, node replaced", 3, Event{At: second(1), Action: "cold", Node: 4}),
+		stopped("stop 3 s, node gone", 3, Event{At: second(1), Action: "remove", Node: 5}),
+		stopped("stop 3 s, another at a node's address", 3, Event{At: second(1), Action: "rename", Node: 6}),
+		eachProxy(stopped("stop 3 s, SIGTERM waiting", 3), Event{At: second(1), Action: "restart", Mode: "gap"}),
+		eachProxy(stopped("stop 3 s, SIGHUP waiting", 3), Event{At: second(1), Action: "hangup", ConfigVariant: "same", Count: 3, Interval: second(0.2)}),
+		eachProxy(linked("clients stopped 3 s, SIGTERM meanwhile", "clients", "cut", 3, 0), Event{At: second(1), Action: "restart", Mode: "gap"}),
 	}
 	list = append(list, linkTroubles()...)
 	return append(list,
-		linked("list answers held 6 s", "list", "back", 6, 0).and(stopped("stop 1 s, drain meanwhile", 1, Event{At: second(0.5), Do: "drain", Node: 3})),
+		linked("list answers held 6 s", "list", "back", 6, 0).and(stopped("stop 1 s, drain meanwhile", 1, Event{At: second(0.5), Action: "drain", Node: 3})),
 		stopped("stop 3 s", 3).and(crowded), stopped("stop 3 s", 3).and(stalled), stopped("stop 1.6 s", 1.6).and(linked("nodes cut 3 s", "nodes", "cut", 3, 0)),
 		stopped("stop 3 s", 3).and(linked("list answers held 6 s", "list", "back", 6, 0)))
 }
@@ -136,18 +136,18 @@
 // linkOf tells which links a trouble is about, "" for none.
 func linkOf(t stillTrouble) string {
 	e := t.events([]int{0})
-	return e[0].Between
+	return e[0].LinkTo
 }
 
-// StillOptions say what to play.
-type StillOptions struct {
+// PauseOptions say what to play.
+type PauseOptions struct {
 	Options
-	At   []int  // at how many proxies each trouble is played; three if left out
-	Only string // troubles whose names hold it
-	Seed uint64
-	// Pairs has all pairs of faults be played in place of the usual troubles; Beside, how many plays run at a time.
-	Pairs  bool
-	Beside int
+	ProxyCounts []int  // at how many proxies each trouble is played; three if left out
+	OnlyFault   string // troubles whose names hold it
+	Seed        uint64
+	// AllPairs has all pairs of faults be played in place of the usual troubles; Beside, how many plays run at a time.
+	AllPairs bool
+	Parallel int
 }
 
 // stillProxies is how many proxies there are.
@@ -161,14 +161,14 @@
 
 // scenario is a trouble at so many proxies.
 func (t stillTrouble) scenario(at int, seed uint64) (*Scenario, error) {
-	s, err := Load("still")
+	s, err := LoadScenario("still")
 	if err != nil {
 		return nil, err
 	}
-	s.Name, s.About, s.Seed = t.name, fmt.Sprintf("%s at %d of %d proxies", t.name, at, stillProxies), seed
-	s.Load.Rate, s.Load.Handovers = 600, 0.3
-	s.Fleet.Proxies, s.Fleet.Drift = stillProxies, t.drift
-	s.Phases = []Phase{{Name: "calm", For: span(calmBefore)}, {Name: "trouble", For: span(t.lasts)}, {Name: "after", For: span(calmAfter)}}
+	s.Name, s.Description, s.Seed = t.name, fmt.Sprintf("%s at %d of %d proxies", t.name, at, stillProxies), seed
+	s.Load.Rate, s.Load.HandoverShare = 600, 0.3
+	s.Fleet.Proxies, s.Fleet.ClockDrift = stillProxies, t.drift
+	s.Phases = []Phase{{Name: "calm", Duration: span(calmBefore)}, {Name: "trouble", Duration: span(t.lasts)}, {Name: "after", Duration: span(calmAfter)}}
 	proxies := make([]int, at)
 	for i := range proxies {
 		proxies[i] = i * stillProxies / at
@@ -181,52 +181,52 @@
 	return s, s.check()
 }
 
-// StillRow is what one trouble cost.
-type StillRow struct {
-	Trouble string  `json:"trouble"`
-	At      int     `json:"proxies"`
-	Share   float64 `json:"in_time_percent"` // from the trouble's beginning on
-	Back    float64 `json:"back_s"`          // from the trouble's end until all is as before
-	Report  *Report `json:"report"`
+// PauseRow is what one trouble cost.
+type PauseRow struct {
+	Fault           string  `json:"trouble"`
+	Proxies         int     `json:"proxies"`
+	InTimePercent   float64 `json:"in_time_percent"` // from the trouble's beginning on
+	RecoverySeconds float64 `json:"back_s"`          // from the trouble's end until all is as before
+	Report          *Report `json:"report"`
 }
 
-// StillReport is of all troubles.
-type StillReport struct {
-	Rows    []StillRow `json:"rows"`
-	Closing string     `json:"verdict"`
+// PauseReport is of all troubles.
+type PauseReport struct {
+	Rows        []PauseRow `json:"rows"`
+	VerdictLine string     `json:"verdict"`
 }
 
-// Still plays all troubles.
-func Still(ctx context.Context, o StillOptions) (*StillReport, error) {
-	if len(o.At) == 0 {
-		o.At = []int{3}
+// RunPauses plays all troubles.
+func RunPauses(ctx context.Context, o PauseOptions) (*PauseReport, error) {
+	if len(o.ProxyCounts) == 0 {
+		o.ProxyCounts = []int{3}
 	}
 	troubles := stillTroubles()
-	if o.Pairs {
+	if o.AllPairs {
 		troubles = stillPairs()
 	}
-	r := &StillReport{}
+	r := &PauseReport{}
 	type play struct {
 		scenario *Scenario
 		end      time.Duration // of the trouble
 	}
 	var todo []play
 	for _, t := range troubles {
-		if !strings.Contains(t.name, o.Only) {
+		if !strings.Contains(t.name, o.OnlyFault) {
 			continue
 		}
-		for _, at := range o.At {
+		for _, at := range o.ProxyCounts {
 			s, err := t.scenario(at, max(o.Seed, 1))
 			if err != nil {
 				return nil, err
 			}
-			todo, r.Rows = append(todo, play{s, calmBefore + t.lasts}), append(r.Rows, StillRow{Trouble: t.name, At: at})
+			todo, r.Rows = append(todo, play{s, calmBefore + t.lasts}), append(r.Rows, PauseRow{Fault: t.name, Proxies: at})
 		}
 	}
 	errs := make([]error, len(todo))
 	next := make(chan int)
 	var tasks sync.WaitGroup
-	for range max(o.Beside, 1) {
+	for range max(o.Parallel, 1) {
 		tasks.Go(func() {
 			for i := range next {
 				o := o.Options
@@ -243,23 +243,23 @@
 	if err := errors.Join(append(errs, ctx.Err())...); err != nil {
 		return nil, err
 	}
-	r.Closing = r.Verdict()
+	r.VerdictLine = r.Verdict()
 	return r, nil
 }
 
 // play plays one trouble, which is over after a time, and fills its row.
-func (row *StillRow) play(ctx context.Context, s *Scenario, end time.Duration, o Options) error {
+func (row *PauseRow) play(ctx context.Context, s *Scenario, end time.Duration, o Options) error {
 	if ctx.Err() != nil {
 		return nil // told once
 	}
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
 		return err
 	}
-	report, err := Play(ctx, s, o)
+	report, err := RunScenario(ctx, s, o)
 	if err != nil {
-		return fmt.Errorf("%s: %w", row.Trouble, err)
+		return fmt.Errorf("%s: %w", row.Fault, err)
 	}
-	row.Share, row.Back, row.Report = shareFrom(report.Phases[1:]), report.backAfter(end), report
+	row.InTimePercent, row.RecoverySeconds, row.Report = shareFrom(report.Phases[1:]), report.backAfter(end), report
 	return nil
 }
 
@@ -268,13 +268,13 @@
 	for _, p := range phases {
 		all.Offered, all.InTime = all.Offered+p.Offered, all.InTime+p.InTime
 	}
-	return all.Share()
+	return all.InTimePercent()
 }
 
 // backAfter is how long after a time the share in time was last under 98 per cent in a
 // stretch of the course.
 func (r *Report) backAfter(end time.Duration) (back float64) {
-	for i, c := range r.Course {
+	for i, c := range r.Timeline {
 		from := time.Duration(i) * courseTick
 		if c.Offered > 0 && from >= end && float64(c.InTime) < 0.98*float64(c.Offered) {
 			back = (from + courseTick - end).Seconds()
@@ -284,7 +284,7 @@
 }
 
 // sum adds up a figure of all reports.
-func (r *StillReport) sum(of func(*Report) int) (n int) {
+func (r *PauseReport) sum(of func(*Report) int) (n int) {
 	for _, row := range r.Rows {
 		n += of(row.Report)
 	}
@@ -292,7 +292,7 @@
 }
 
 // OK tells whether all rules held in all troubles.
-func (r *StillReport) OK() bool {
+func (r *PauseReport) OK() bool {
 	return len(r.Rows) > 0 && r.sum(func(r *Report) int {
 		if r.OK() {
 			return 0
@@ -302,19 +302,19 @@
 }
 
 // Verdict is the closing line.
-func (r *StillReport) Verdict() string {
+func (r *PauseReport) Verdict() string {
 	word := "ok"
 	if !r.OK() {
 		word = "BROKEN"
 	}
 	return fmt.Sprintf("verdict: %s requests=%d lost=%d doubled=%d late_drains=%d crashes=%d stopped=%d", word,
 		r.sum(func(r *Report) int { return r.Requests }), r.sum(func(r *Report) int { return r.Lost }),
-		r.sum(func(r *Report) int { return r.Doubled }), r.sum(func(r *Report) int { return r.LateDrains }),
-		r.sum(func(r *Report) int { return r.Crashes }), r.sum(func(r *Report) int { return r.Stood }))
+		r.sum(func(r *Report) int { return r.DuplicateWrites }), r.sum(func(r *Report) int { return r.LateDrains }),
+		r.sum(func(r *Report) int { return r.Crashes }), r.sum(func(r *Report) int { return r.InFlightAtStopped }))
 }
 
 // Print writes the table, its verdict last.
-func (r *StillReport) Print(out io.Writer) {
+func (r *PauseReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "trouble\tproxies\tin time\tlost\tstopped\tsevered\tdoubled\tlate drains\trefused\tunknown\tback after s")
 	for _, row := range r.Rows {
@@ -323,14 +323,14 @@
 		for _, x := range p.Phases[1:] {
 			refused, failed = refused+x.Refused, failed+x.Failed
 		}
-		fmt.Fprintf(w, "%s\t%d\t%.2f%%\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\n", row.Trouble, row.At, row.Share, p.Lost, p.Stood, p.Severed, p.Doubled,
-			p.LateDrains, refused, failed, row.Back)
+		fmt.Fprintf(w, "%s\t%d\t%.2f%%\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\n", row.Fault, row.Proxies, row.InTimePercent, p.Lost, p.InFlightAtStopped, p.InFlightAtCutLink, p.DuplicateWrites,
+			p.LateDrains, refused, failed, row.RecoverySeconds)
 	}
 	w.Flush()
 	for _, row := range r.Rows {
 		for i, p := range row.Report.Problems {
 			if i < 5 {
-				fmt.Fprintf(out, "  %s at %d: %s\n", row.Trouble, row.At, strings.ReplaceAll(p, "\n", " | "))
+				fmt.Fprintf(out, "  %s at %d: %s\n", row.Fault, row.Proxies, strings.ReplaceAll(p, "\n", " | "))
 			}
 		}
 	}
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -21,25 +21,25 @@
 // TakeoverOptions say what to play.
 type TakeoverOptions struct {
 	Options
-	For     time.Duration
-	Rate    float64
-	Holders int    // 0 for works that are each proxy's own
-	Mode    string // plain or strict
-	Seed    uint64
+	Duration time.Duration
+	Rate     float64
+	Holders  int    // 0 for works that are each proxy's own
+	Mode     string // plain or strict
+	Seed     uint64
 }
 
 // TakeoverReport is what was found.
 type TakeoverReport struct {
-	Play      *Report        `json:"play"`
-	Handovers int            `json:"handovers"`
-	Taken     int            `json:"taken"`
-	Faults    map[string]int `json:"faults"`
-	P50       float64        `json:"handovers_p50_ms"`
-	Closing   string         `json:"verdict"`
+	Run         *Report        `json:"play"`
+	Handovers   int            `json:"handovers"`
+	TakenOver   int            `json:"taken"`
+	Faults      map[string]int `json:"faults"`
+	HandoverP50 float64        `json:"handovers_p50_ms"`
+	VerdictLine string         `json:"verdict"`
 }
 
 // OK tells whether all rules held.
-func (r *TakeoverReport) OK() bool { return r.Play.OK() && r.Handovers > 0 }
+func (r *TakeoverReport) OK() bool { return r.Run.OK() && r.Handovers > 0 }
 
 // Verdict is the closing line.
 func (r *TakeoverReport) Verdict() string {
@@ -47,22 +47,22 @@
 	if !r.OK() {
 		word = "BROKEN"
 	}
-	p := r.Play
-	return fmt.Sprintf("verdict: %s requests=%d handovers=%d taken=%d unknown=%d lost=%d doubled=%d late_drains=%d crashes=%d", word, p.Requests, r.Handovers, r.Taken,
-		p.Unsure, p.Lost, p.Doubled, p.LateDrains, p.Crashes)
+	p := r.Run
+	return fmt.Sprintf("verdict: %s requests=%d handovers=%d taken=%d unknown=%d lost=%d doubled=%d late_drains=%d crashes=%d", word, p.Requests, r.Handovers, r.TakenOver,
+		p.UnknownOutcomes, p.Lost, p.DuplicateWrites, p.LateDrains, p.Crashes)
 }
 
 // Print writes the report, its verdict last.
 func (r *TakeoverReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "phase\toffered\tin time\tlate\trefused\tfailed\thandovers\tin time")
-	for _, p := range r.Play.Phases {
+	for _, p := range r.Run.Phases {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Name, p.Offered, p.InTime, p.Late, p.Refused, p.Failed, p.Handovers, p.HandoversInTime)
 	}
 	w.Flush()
 	fmt.Fprintf(out, "faults %v; %d out at killed proxies, %d at stopped ones, %d over cut links; the test itself was %.0f ms late at the most\n", r.Faults,
-		r.Play.Excused, r.Play.Stood, r.Play.Severed, r.Play.Lag)
-	for _, p := range r.Play.Problems {
+		r.Run.KilledInFlight, r.Run.InFlightAtStopped, r.Run.InFlightAtCutLink, r.Run.MaxLagMillis)
+	for _, p := range r.Run.Problems {
 		fmt.Fprintln(out, "  "+p)
 	}
 	fmt.Fprintln(out, r.Verdict())
@@ -91,28 +91,28 @@
 // slowStretch is every third stretch of so long, in which the origin is slow.
 const slowStretch = 15 * time.Second
 
-// Takeover plays.
-func Takeover(ctx context.Context, o TakeoverOptions) (*TakeoverReport, error) {
-	s, err := Load("still")
+// RunTakeover plays.
+func RunTakeover(ctx context.Context, o TakeoverOptions) (*TakeoverReport, error) {
+	s, err := LoadScenario("still")
 	if err != nil {
 		return nil, err
 	}
-	s.Name, s.About, s.Seed = "takeover", "proxies killed, stopped and cut off with handovers in hand", max(o.Seed, 1)
-	s.Fleet.Permits, s.Fleet.Takeover, s.Fleet.Holders = 1, o.Mode, o.Holders
+	s.Name, s.Description, s.Seed = "takeover", "proxies killed, stopped and cut off with handovers in hand", max(o.Seed, 1)
+	s.Fleet.RestartPermits, s.Fleet.TakeoverMode, s.Fleet.TakeoverHolders = 1, o.Mode, o.Holders
 	if o.Holders == 0 {
-		s.Fleet.Takeover = ""
+		s.Fleet.TakeoverMode = ""
 	}
 	s.Fleet.Slots, s.Fleet.Queue, s.Fleet.OriginSlots, s.Fleet.OriginQueue, s.Fleet.Zones = 64, 512, 4096, 8192, []string{"a", "b", "c"}
-	s.Load.Rate, s.Load.Handovers, s.Load.Again, s.Load.Late = o.Rate, 0.2, 4, 1.0/3
+	s.Load.Rate, s.Load.HandoverShare, s.Load.LateRetries, s.Load.LateRetryShare = o.Rate, 0.2, 4, 1.0/3
 	const calm, after = 4 * time.Second, 4 * time.Second
-	s.Phases = []Phase{{Name: "calm", For: span(calm)}, {Name: "faults", For: span(o.For)}, {Name: "after", For: span(after)}}
+	s.Phases = []Phase{{Name: "calm", Duration: span(calm)}, {Name: "faults", Duration: span(o.Duration)}, {Name: "after", Duration: span(after)}}
 	// So that there are links between clients and proxies.
-	s.Events = []Event{{At: span(calm), Do: "link", Between: "clients", Kind: "reset", Proxies: []int{0}}}
+	s.Events = []Event{{At: span(calm), Action: "link", LinkTo: "clients", FaultKind: "reset", Proxies: []int{0}}}
 	if err := s.check(); err != nil {
 		return nil, err
 	}
 	var f *fleet
-	if f, err = startFleet(s, o.Program, o.Folder, func(string, ...any) {}); err != nil {
+	if f, err = startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {}); err != nil {
 		return nil, err
 	}
 	defer f.close()
@@ -127,14 +127,14 @@
 	tasks.Go(func() { c.run(span) })
 	tasks.Go(func() { t.watchLag(span) })
 	sleep(span, calm)
-	f.harass(span, began.Add(calm+o.For), rand.New(rand.NewPCG(s.Seed, 11)), r.Faults)
-	f.origin.SetWork(time.Duration(s.Fleet.OriginWork))
+	f.harass(span, began.Add(calm+o.Duration), rand.New(rand.NewPCG(s.Seed, 11)), r.Faults)
+	f.origin.SetServiceTime(time.Duration(s.Fleet.OriginServiceTime))
 	tasks.Wait() // tills that ask late among them
 	f.stop()
 	settle(func() int { return f.origin.Stats().Writes })
-	r.Play = &Report{Scenario: s.Name, About: s.About, Proxies: s.Fleet.Proxies, Nodes: s.Fleet.Nodes}
-	r.Play.fill(f, t, make([]int, len(s.Phases)+1))
-	for _, p := range r.Play.Phases {
+	r.Run = &Report{Scenario: s.Name, Description: s.Description, Proxies: s.Fleet.Proxies, Nodes: s.Fleet.Nodes}
+	r.Run.fill(f, t, make([]int, len(s.Phases)+1))
+	for _, p := range r.Run.Phases {
 		r.Handovers += p.Handovers
 	}
 	for i := range f.proxies {
@@ -142,9 +142,9 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Taken += bytes.Count(text, []byte(`msg="work taken over"`))
+		r.TakenOver += bytes.Count(text, []byte(`msg="work taken over"`))
 	}
-	r.Closing = r.Verdict()
+	r.VerdictLine = r.Verdict()
 	return r, ctx.Err()
 }
 
@@ -157,9 +157,9 @@
 	busy := make(map[int]time.Time)
 	for time.Until(until) > 2*time.Second && ctx.Err() == nil {
 		if stretch := int(time.Since(begun) / slowStretch); stretch%3 == 2 {
-			f.origin.SetWork(1200*time.Millisecond + time.Duration(rng.Int64N(int64(800*time.Millisecond))))
+			f.origin.SetServiceTime(1200*time.Millisecond + time.Duration(rng.Int64N(int64(800*time.Millisecond))))
 		} else {
-			f.origin.SetWork(time.Duration(f.scenario.Fleet.OriginWork))
+			f.origin.SetServiceTime(time.Duration(f.scenario.Fleet.OriginServiceTime))
 		}
 		i := rng.IntN(len(f.proxies))
 		for time.Now().Before(busy[i]) {
@@ -178,7 +178,7 @@
 			case "kill":
 				d.kill()
 			case "stop":
-				if err := d.stop(ctx, faultinject.Stop{For: 3 * time.Second}); err != nil && ctx.Err() == nil {
+				if err := d.stop(ctx, faultinject.StopSchedule{Duration: 3 * time.Second}); err != nil && ctx.Err() == nil {
 					f.problem("stop of proxy %d: %v", i, err)
 				}
 			case "clients cut":
@@ -193,11 +193,11 @@
 
 // cutFor cuts a link for three seconds.
 func (f *fleet) cutFor(ctx context.Context, l *faultinject.Link) {
-	if err := l.Set(faultinject.Faults["cut"](0)); err != nil {
+	if err := l.SetFault(faultinject.LinkFaults["cut"](0)); err != nil {
 		f.problem("link: %v", err)
 	}
 	sleep(ctx, 3*time.Second)
-	if err := l.Set(faultinject.Fault{}); err != nil {
+	if err := l.SetFault(faultinject.Fault{}); err != nil {
 		f.problem("link: %v", err)
 	}
 }
--- a/internal/fleettest/tally.go
+++ b/internal/fleettest/tally.go
@@ -15,7 +15,7 @@
 
 	mu     sync.Mutex
 	counts []count
-	course []Stretch // of courseTick each
+	course []TimelineInterval // of courseTick each
 	rules  broken
 	unsent int
 	refuse int // connections that did not come up
@@ -24,8 +24,8 @@
 	most   time.Duration // of it
 }
 
-// Stretch is what began in a short stretch of time, and what of it was in time.
-type Stretch struct {
+// TimelineInterval is what began in a short stretch of time, and what of it was in time.
+type TimelineInterval struct {
 	Offered int `json:"offered"`
 	InTime  int `json:"in_time"`
 }
@@ -120,7 +120,7 @@
 func (t *tally) place(at time.Time) (*Phase, time.Duration) {
 	i, since := t.phaseAt(at), at.Sub(t.began)
 	for _, p := range t.phases[:i] {
-		since -= time.Duration(p.For)
+		since -= time.Duration(p.Duration)
 	}
 	return &t.phases[i], since
 }
@@ -129,7 +129,7 @@
 func (t *tally) phaseAt(at time.Time) int {
 	since := at.Sub(t.began)
 	for i, p := range t.phases {
-		if since -= time.Duration(p.For); since < 0 {
+		if since -= time.Duration(p.Duration); since < 0 {
 			return i
 		}
 	}
@@ -143,7 +143,7 @@
 	c := &t.counts[n.phase]
 	c.offered++
 	for len(t.course) <= n.stretch {
-		t.course = append(t.course, Stretch{})
+		t.course = append(t.course, TimelineInterval{})
 	}
 	t.course[n.stretch].Offered++
 	c.worth += n.worth
@@ -234,10 +234,10 @@
 	defer t.mu.Unlock()
 	for i, c := range t.counts {
 		slices.Sort(c.latencies)
-		p := PhaseReport{Name: t.phases[i].Name, Seconds: time.Duration(t.phases[i].For).Seconds(), Offered: c.offered,
+		p := PhaseReport{Name: t.phases[i].Name, Seconds: time.Duration(t.phases[i].Duration).Seconds(), Offered: c.offered,
 			InTime: c.inTime, Late: c.late, Refused: c.refused, Failed: c.failed, Retries: c.retries,
 			P50: quantile(c.latencies, 0.5), P99: quantile(c.latencies, 0.99),
-			Handovers: c.handovers, HandoversInTime: c.handoversInTime, Worth: c.worth, Earned: c.earned}
+			Handovers: c.handovers, HandoversInTime: c.handoversInTime, OfferedWeight: c.worth, ServedWeight: c.earned}
 		list = append(list, p)
 	}
 	rules = t.rules
--- a/internal/fleettest/times.go
+++ b/internal/fleettest/times.go
@@ -14,15 +14,15 @@
 	"mulleinpier/internal/fake/origin"
 )
 
-// TimesReport tells how long a daemon takes to come and to go, in ms, a figure
+// StartStopReport tells how long a daemon takes to come and to go, in ms, a figure
 // for each run.
-type TimesReport struct {
-	Ready    []float64 `json:"exec_to_ready_ms"`
-	ExitIdle []float64 `json:"sigterm_to_exit_idle_ms"`
-	ExitOpen []float64 `json:"sigterm_to_exit_open_ms"`
+type StartStopReport struct {
+	ExecToReady     []float64 `json:"exec_to_ready_ms"`
+	ExitIdle        []float64 `json:"sigterm_to_exit_idle_ms"`
+	ExitWithRequest []float64 `json:"sigterm_to_exit_open_ms"`
 	// With a listener that was passed in there is no time to wait for the backlog.
-	ExitPassed []float64 `json:"sigterm_to_exit_idle_passed_ms"`
-	OpenFor    float64   `json:"open_request_takes_ms"`
+	ExitPassedListener []float64 `json:"sigterm_to_exit_idle_passed_ms"`
+	OpenRequestMillis  float64   `json:"open_request_takes_ms"`
 }
 
 func listenAt(host string) (*net.TCPListener, error) {
@@ -33,17 +33,17 @@
 	return l.(*net.TCPListener), nil
 }
 
-// Times measures starts and ends of a program, so many of each.
-func Times(program []string, folder string, runs int) (*TimesReport, error) {
+// MeasureStartStop measures starts and ends of a program, so many of each.
+func MeasureStartStop(program []string, folder string, runs int) (*StartStopReport, error) {
 	const work = 800 * time.Millisecond
 	center := origin.New(origin.Config{Slots: 4, Queue: 4})
 	defer center.Close()
-	n, err := node.Start(node.Config{Name: "n0", Work: work, Origin: center, Group: node.NewGroup(time.Second)})
+	n, err := node.Start(node.Config{Name: "n0", ServiceTime: work, Origin: center, Group: node.NewGroup(time.Second)})
 	if err != nil {
 		return nil, err
 	}
 	defer n.Close()
-	r := &TimesReport{OpenFor: millis(work)}
+	r := &StartStopReport{OpenRequestMillis: millis(work)}
 	one := func(passed, open bool) (ready, exit float64, err error) {
 		l, err := listenAt(newHost())
 		if err != nil {
@@ -115,17 +115,17 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Ready, r.ExitIdle = append(r.Ready, ready), append(r.ExitIdle, idle)
-		r.ExitOpen, r.ExitPassed = append(r.ExitOpen, open), append(r.ExitPassed, passed)
+		r.ExecToReady, r.ExitIdle = append(r.ExecToReady, ready), append(r.ExitIdle, idle)
+		r.ExitWithRequest, r.ExitPassedListener = append(r.ExitWithRequest, open), append(r.ExitPassedListener, passed)
 	}
 	return r, nil
 }
 
 // Print writes the report.
-func (r *TimesReport) Print(out io.Writer) {
-	fmt.Fprintf(out, "ms, median (least to most) of %d runs\n", len(r.Ready))
-	fmt.Fprintf(out, "exec to ready                                     %s\n", spread(r.Ready))
+func (r *StartStopReport) Print(out io.Writer) {
+	fmt.Fprintf(out, "ms, median (least to most) of %d runs\n", len(r.ExecToReady))
+	fmt.Fprintf(out, "exec to ready                                     %s\n", spread(r.ExecToReady))
 	fmt.Fprintf(out, "SIGTERM to exit, nothing open                     %s\n", spread(r.ExitIdle))
-	fmt.Fprintf(out, "SIGTERM to exit, nothing open, passed listener    %s\n", spread(r.ExitPassed))
-	fmt.Fprintf(out, "SIGTERM to exit, a read open that takes %.0f ms    %s\n", r.OpenFor, spread(r.ExitOpen))
+	fmt.Fprintf(out, "SIGTERM to exit, nothing open, passed listener    %s\n", spread(r.ExitPassedListener))
+	fmt.Fprintf(out, "SIGTERM to exit, a read open that takes %.0f ms    %s\n", r.OpenRequestMillis, spread(r.ExitWithRequest))
 }
--- a/internal/frontend/binary/binary.go
+++ b/internal/frontend/binary/binary.go
@@ -39,9 +39,9 @@
 
 // Rules are what a configuration says of binary clients. They are replaced whole.
 type Rules struct {
-	Routes  *route.Table
-	Windows map[string]time.Duration // of keyed classes, by name
-	Users   *sasl.Users              // nil where anybody may come
+	Routes       *route.Table
+	DedupWindows map[string]time.Duration // of keyed classes, by name
+	Users        *sasl.Users              // nil where anybody may come
 }
 
 const (
@@ -55,15 +55,15 @@
 	mostLogins = 16
 )
 
-// Front is what all binary clients of a proxy have in common.
-type Front struct {
+// Frontend is what all binary clients of a proxy have in common.
+type Frontend struct {
 	rules  atomic.Pointer[Rules]
 	prefix string // of ids: no other proxy's, nor another run's of this one
 	serial atomic.Uint64
 	stats  func(kind string) []core.Stat
 
 	mu    sync.Mutex
-	guard *sasl.Guard
+	guard *sasl.GuessLimiter
 
 	logins  chan struct{} // one place
 	waiting atomic.Int32
@@ -71,22 +71,22 @@
 
 // New returns a Front without rules, which serves nobody yet. stats are the figures of a
 // kind, as [front.Host] has them.
-func New(stats func(kind string) []core.Stat) *Front {
+func New(stats func(kind string) []core.Stat) *Frontend {
 	var random [8]byte
 	crand.Read(random[:])
-	return &Front{prefix: "b" + hex.EncodeToString(random[:]) + "-", stats: stats, guard: sasl.NewGuard(),
+	return &Frontend{prefix: "b" + hex.EncodeToString(random[:]) + "-", stats: stats, guard: sasl.NewGuessLimiter(),
 		logins: make(chan struct{}, 1)}
 }
 
-// Put puts rules into force for what comes from now on; nil turns the front off.
-func (f *Front) Put(r *Rules) { f.rules.Store(r) }
+// SetRules puts rules into force for what comes from now on; nil turns the front off.
+func (f *Frontend) SetRules(r *Rules) { f.rules.Store(r) }
 
-// On tells whether the front serves anybody.
-func (f *Front) On() bool { return f.rules.Load() != nil }
+// Enabled tells whether the front serves anybody.
+func (f *Frontend) Enabled() bool { return f.rules.Load() != nil }
 
 // session is the dialect on one connection.
 type session struct {
-	front    *Front
+	front    *Frontend
 	host     *frontend.Host
 	conn     *frontend.Conn
 	listener string
@@ -94,13 +94,13 @@
 	guesses  int
 }
 
-// Session begins a session of a client that came to a listener.
-func (f *Front) Session(host *frontend.Host, c *frontend.Conn, listener string) frontend.Session {
+// NewSession begins a session of a client that came to a listener.
+func (f *Frontend) NewSession(host *frontend.Host, c *frontend.Conn, listener string) frontend.Session {
 	return &session{front: f, host: host, conn: c, listener: listener}
 }
 
-// Slow implements front.Session. Half a command has no opaque to answer by.
-func (s *session) Slow() []byte { return nil }
+// TimeoutAnswer implements front.Session. Half a command has no opaque to answer by.
+func (s *session) TimeoutAnswer() []byte { return nil }
 
 // reply is the place of a request's answer.
 type reply struct {
@@ -112,7 +112,7 @@
 }
 
 // Release implements core.Reply.
-func (r *reply) Release() { r.host.Bodies.Give(r.size) }
+func (r *reply) Release() { r.host.BodyBudget.Release(r.size) }
 
 // Finish implements core.Reply.
 func (r *reply) Finish(a *request.Answer) {
@@ -120,7 +120,7 @@
 	switch a.Kind {
 	case request.Value:
 		var room [codec.HeaderLen + 4 + codec.MaxKey]byte
-		h := codec.Header{Opcode: r.head.Opcode, Key: len(r.key), Extras: 4, Body: 4 + len(r.key) + a.Size(), Opaque: r.head.Opaque,
+		h := codec.Header{Opcode: r.head.Opcode, KeyLen: len(r.key), ExtrasLen: 4, BodyLen: 4 + len(r.key) + a.ValueLen(), Opaque: r.head.Opaque,
 			CAS: ticket.New(time.Now(), rand.Uint64())}
 		head := binary.BigEndian.AppendUint32(h.Append(room[:0], codec.ResponseMagic), a.Flags)
 		r.Slot.FinishValue(a.Frame(append(head, r.key...), nil), func() []byte {
@@ -128,27 +128,27 @@
 		})
 	case request.Stored:
 		if quiet {
-			r.Silence()
+			r.FinishSilently()
 			return
 		}
 		h := codec.Header{Opcode: r.head.Opcode, Opaque: r.head.Opaque, CAS: receipt(a.Receipt)}
 		r.Slot.Finish(h.Append(nil, codec.ResponseMagic))
-	case request.Missing:
+	case request.NotFound:
 		switch {
 		case quiet:
-			r.Silence()
+			r.FinishSilently()
 		case r.key != "":
-			h := codec.Header{Opcode: r.head.Opcode, Key: len(r.key), Status: codec.NotFound, Body: len(r.key), Opaque: r.head.Opaque}
+			h := codec.Header{Opcode: r.head.Opcode, KeyLen: len(r.key), Status: codec.NotFound, BodyLen: len(r.key), Opaque: r.head.Opaque}
 			r.Slot.Finish(append(h.Append(nil, codec.ResponseMagic), r.key...))
 		default:
 			r.status(codec.NotFound, 0)
 		}
 	case request.Busy:
-		r.status(codec.Busy, a.After)
-	case request.Bad:
-		r.status(codec.Invalid, 0)
+		r.status(codec.Busy, a.RetryAfter)
+	case request.Invalid:
+		r.status(codec.InvalidArguments, 0)
 	default:
-		r.status(codec.Internal, 0)
+		r.status(codec.InternalError, 0)
 	}
 }
 
@@ -174,11 +174,11 @@
 	return h.Sum64()
 }
 
-func (s *session) say(text []byte) { s.conn.Add(new(frontend.Slot)).Finish(text) }
+func (s *session) say(text []byte) { s.conn.AddSlot(new(frontend.Slot)).Finish(text) }
 
 // refuse passes over a command's body and answers by a status.
 func (s *session) refuse(h *codec.Header, status codec.Status) (bool, error) {
-	if _, err := s.conn.In.Discard(h.Body); err != nil {
+	if _, err := s.conn.In.Discard(h.BodyLen); err != nil {
 		return false, err
 	}
 	s.say(codec.AppendStatus(nil, h, status, 0))
@@ -194,8 +194,8 @@
 	return false
 }
 
-// Command implements front.Session.
-func (s *session) Command() (lost bool, err error) {
+// ServeCommand implements front.Session.
+func (s *session) ServeCommand() (lost bool, err error) {
 	in := s.conn.In
 	first, err := in.Peek(1)
 	if err != nil {
@@ -208,11 +208,11 @@
 	if err != nil {
 		return false, err
 	}
-	h, err := codec.Parse(b, codec.RequestMagic)
+	h, err := codec.ParseHeader(b, codec.RequestMagic)
 	in.Discard(codec.HeaderLen) // it has been peeked at
-	if errors.Is(err, codec.ErrLength) {
-		status := codec.Invalid
-		if h.Body > codec.MaxSkip {
+	if errors.Is(err, codec.ErrBadLength) {
+		status := codec.InvalidArguments
+		if h.BodyLen > codec.MaxSkippedBody {
 			status = codec.TooLarge
 		}
 		s.say(codec.AppendStatus(nil, &h, status, 0))
@@ -227,13 +227,13 @@
 	}
 	if rules.Users != nil && !mayCome(h.Opcode) {
 		if s.user != nil {
-			s.user = rules.Users.Find(s.user) // its secret may have changed, or it may be gone
+			s.user = rules.Users.Revalidate(s.user) // its secret may have changed, or it may be gone
 		}
 		if s.user == nil {
 			return s.refuse(&h, codec.AuthError)
 		}
 	}
-	if status := h.Check(); status != codec.OK {
+	if status := h.Validate(); status != codec.OK {
 		return s.refuse(&h, status)
 	}
 	switch h.Opcode {
@@ -262,17 +262,17 @@
 
 // value answers a command by a text.
 func (s *session) value(h *codec.Header, text string) {
-	out := codec.Header{Opcode: h.Opcode, Body: len(text), Opaque: h.Opaque}
+	out := codec.Header{Opcode: h.Opcode, BodyLen: len(text), Opaque: h.Opaque}
 	s.say(append(out.Append(nil, codec.ResponseMagic), text...))
 }
 
 // stat answers by one response a figure, and an empty one. The key names their kind.
 func (s *session) stat(h *codec.Header) error {
-	if h.Body > codec.MaxKey {
+	if h.BodyLen > codec.MaxKey {
 		_, err := s.refuse(h, codec.NotFound)
 		return err
 	}
-	kind := make([]byte, h.Body)
+	kind := make([]byte, h.BodyLen)
 	if _, err := io.ReadFull(s.conn.In, kind); err != nil {
 		return err
 	}
@@ -283,7 +283,7 @@
 	}
 	var out []byte
 	for _, x := range list {
-		one := codec.Header{Opcode: h.Opcode, Key: len(x.Name), Body: len(x.Name) + len(x.Value), Opaque: h.Opaque}
+		one := codec.Header{Opcode: h.Opcode, KeyLen: len(x.Name), BodyLen: len(x.Name) + len(x.Value), Opaque: h.Opaque}
 		out = append(append(one.Append(out, codec.ResponseMagic), x.Name...), x.Value...)
 	}
 	last := codec.Header{Opcode: h.Opcode, Opaque: h.Opaque}
@@ -312,17 +312,17 @@
 
 func (s *session) get(h *codec.Header, rules *Rules) error {
 	var room [codec.MaxKey]byte
-	if _, err := io.ReadFull(s.conn.In, room[:h.Key]); err != nil {
+	if _, err := io.ReadFull(s.conn.In, room[:h.KeyLen]); err != nil {
 		return err
 	}
 	r := &reply{host: s.host, head: *h}
-	in := &request.Request{Verb: request.Get, Key: string(room[:h.Key]), Room: codec.HeaderLen + 4}
-	if h.Opcode.NamesKey() {
+	in := &request.Request{Verb: request.Get, Key: string(room[:h.KeyLen]), HeaderRoom: codec.HeaderLen + 4}
+	if h.Opcode.ReturnsKey() {
 		r.key = in.Key
-		in.Room += len(in.Key)
+		in.HeaderRoom += len(in.Key)
 	}
 	if !fits(in.Key) {
-		s.say(codec.AppendStatus(nil, h, codec.Invalid, 0))
+		s.say(codec.AppendStatus(nil, h, codec.InvalidArguments, 0))
 		return nil
 	}
 	if !rules.Routes.Route(in, false, s.from()) {
@@ -334,18 +334,18 @@
 }
 
 func (s *session) set(h *codec.Header, rules *Rules) error {
-	if !s.host.Bodies.Try(h.Body) {
+	if !s.host.BodyBudget.TryAcquire(h.BodyLen) {
 		_, err := s.refuse(h, codec.Busy)
 		return err
 	}
-	r := &reply{host: s.host, head: *h, size: h.Body}
-	body := make([]byte, h.Body)
+	r := &reply{host: s.host, head: *h, size: h.BodyLen}
+	body := make([]byte, h.BodyLen)
 	if _, err := io.ReadFull(s.conn.In, body); err != nil {
 		r.Release()
 		return err
 	}
-	in := &request.Request{Verb: request.Set, Flags: binary.BigEndian.Uint32(body), Key: string(body[h.Extras : h.Extras+h.Key]),
-		Value: body[h.Extras+h.Key:]}
+	in := &request.Request{Verb: request.Set, Flags: binary.BigEndian.Uint32(body), Key: string(body[h.ExtrasLen : h.ExtrasLen+h.KeyLen]),
+		Value: body[h.ExtrasLen+h.KeyLen:]}
 	if status := s.routeSet(in, h.CAS, rules); status != codec.OK {
 		r.Release()
 		s.say(codec.AppendStatus(nil, h, status, 0))
@@ -359,32 +359,32 @@
 // carried out is told by another status than OK.
 func (s *session) routeSet(in *request.Request, cas uint64, rules *Rules) codec.Status {
 	if !fits(in.Key) {
-		return codec.Invalid
+		return codec.InvalidArguments
 	}
 	if !rules.Routes.Route(in, cas != 0, s.from()) {
 		return codec.NotSupported
 	}
-	window := rules.Windows[in.Class]
+	window := rules.DedupWindows[in.Class]
 	switch {
 	case window == 0 && cas != 0:
 		return codec.NotSupported // no node of ours compares
 	case window == 0:
 		return codec.OK
 	case cas == 0:
-		return codec.Invalid // nothing could drop its repeats
+		return codec.InvalidArguments // nothing could drop its repeats
 	}
-	left := ticket.Left(cas, time.Now(), window)
+	left := ticket.Remaining(cas, time.Now(), window)
 	if left <= 0 {
 		return codec.Exists // a late repeat, for all that can be told: read, and see
 	}
-	in.Wait = min(in.Wait, left)
-	in.Idempotency = ticket.Key(cas, in.Key, in.Value)
+	in.Timeout = min(in.Timeout, left)
+	in.IdempotencyKey = ticket.IdempotencyKey(cas, in.Key, in.Value)
 	return codec.OK
 }
 
 func (s *session) arrive(in *request.Request, r *reply) {
 	in.ID = s.front.prefix + strconv.FormatUint(s.front.serial.Add(1), 36)
-	if s.conn.Take(in, &r.Slot, r); r.Held == nil {
+	if s.conn.Submit(in, &r.Slot, r); r.InFlight == nil {
 		r.Release()
 	}
 }
@@ -392,16 +392,16 @@
 // login looks at a client's proof. Three wrong ones end the connection, and how many are
 // looked at is bounded by their source.
 func (s *session) login(h *codec.Header, rules *Rules) (lost bool, err error) {
-	if h.Value() > maxResponse {
+	if h.ValueLen() > maxResponse {
 		return s.refuse(h, codec.AuthError)
 	}
-	body := make([]byte, h.Body)
+	body := make([]byte, h.BodyLen)
 	if _, err := io.ReadFull(s.conn.In, body); err != nil {
 		return false, err
 	}
 	status := codec.AuthError
-	name, secret, ok := sasl.Plain(body[h.Key:])
-	if ok && h.Opcode == codec.SASLAuth && string(body[:h.Key]) == "PLAIN" && rules.Users != nil {
+	name, secret, ok := sasl.ParsePlain(body[h.KeyLen:])
+	if ok && h.Opcode == codec.SASLAuth && string(body[:h.KeyLen]) == "PLAIN" && rules.Users != nil {
 		status = s.check(rules.Users, name, secret)
 	}
 	switch status {
@@ -419,7 +419,7 @@
 const loginPause = 200 * time.Millisecond
 
 func (s *session) check(users *sasl.Users, name, secret string) codec.Status {
-	f, source := s.front, s.conn.Peer()
+	f, source := s.front, s.conn.RemoteHost()
 	s.user = nil
 	if f.waiting.Add(1) > mostLogins {
 		f.waiting.Add(-1)
@@ -436,11 +436,11 @@
 	if !allowed {
 		return codec.AuthError
 	}
-	if s.user = users.Check(name, secret); s.user == nil {
+	if s.user = users.Authenticate(name, secret); s.user == nil {
 		return codec.AuthError
 	}
 	f.mu.Lock()
-	f.guard.Good(time.Now(), source)
+	f.guard.Refund(time.Now(), source)
 	f.mu.Unlock()
 	return codec.OK
 }
--- a/internal/frontend/budget.go
+++ b/internal/frontend/budget.go
@@ -15,26 +15,26 @@
 	return b
 }
 
-// Try takes n bytes if they are free.
-func (b *Budget) Try(n int) bool {
+// TryAcquire takes n bytes if they are free.
+func (b *Budget) TryAcquire(n int) bool {
 	if b.free.Add(-int64(n)) >= 0 {
 		return true
 	}
-	b.Give(n)
+	b.Release(n)
 	return false
 }
 
-// TryBut takes n bytes if they are free, and one part in so many of all besides.
-func (b *Budget) TryBut(n, part int) bool {
+// TryAcquireUnreserved takes n bytes if they are free, and one part in so many of all besides.
+func (b *Budget) TryAcquireUnreserved(n, part int) bool {
 	if b.free.Add(-int64(n)) >= b.all/int64(part) {
 		return true
 	}
-	b.Give(n)
+	b.Release(n)
 	return false
 }
 
-// Give gives them back.
-func (b *Budget) Give(n int) { b.free.Add(int64(n)) }
+// Release gives them back.
+func (b *Budget) Release(n int) { b.free.Add(int64(n)) }
 
-// Free returns how many bytes are free.
-func (b *Budget) Free() int { return int(b.free.Load()) }
+// Available returns how many bytes are free.
+func (b *Budget) Available() int { return int(b.free.Load()) }
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -36,13 +36,13 @@
 	// A connection without a request is closed after so long. It meets clients
 	// that connect and say nothing, or ask once and stay; whoever comes back
 	// later pays for a new connection.
-	IdleTime = 2100 * time.Millisecond
+	IdleTimeout = 2100 * time.Millisecond
 	// What a client may still send after its connection was half closed is
 	// read for so long, and so much of it: closing with unread bytes would reset
 	// the connection, and the reset can overtake the last answer. An endless
 	// sender is reset all the same, after it was told.
-	LingerTime  = 300 * time.Millisecond
-	lingerBytes = 256 << 10
+	LingerTimeout = 300 * time.Millisecond
+	lingerBytes   = 256 << 10
 	// A client whose last command was answered by silence has its answer only with
 	// the next one that speaks: it is waited for so long, also in a drain.
 	owedTime    = 2500 * time.Millisecond
@@ -52,33 +52,33 @@
 
 // Host is what the connections of a proxy have in common.
 type Host struct {
-	Core    *core.Core
-	Bodies  *Budget // of writes being read or held
-	Answers *Budget // of values that clients have yet to take
+	Core         *core.Core
+	BodyBudget   *Budget // of writes being read or held
+	AnswerBudget *Budget // of values that clients have yet to take
 	// Stats are the figures of a kind that clients may ask for, "" for the usual ones; nil
 	// where there is no such kind.
 	Stats func(kind string) []core.Stat
-	// Session begins the dialect of a connection whose client sent this byte first.
-	Session func(c *Conn, first byte) Session
+	// NewSession begins the dialect of a connection whose client sent this byte first.
+	NewSession func(c *Conn, first byte) Session
 }
 
-// RoomFor takes room for a write's body, if there is any. Where handovers go first a part of
+// ReserveBody takes room for a write's body, if there is any. Where handovers go first a part of
 // all room is theirs.
-func (h *Host) RoomFor(size int, keyed bool) bool {
-	if !keyed && h.Core.Level() >= overload.Handovers {
-		return h.Bodies.TryBut(size, core.KeptPart)
+func (h *Host) ReserveBody(size int, keyed bool) bool {
+	if !keyed && h.Core.OverloadLevel() >= overload.Handovers {
+		return h.BodyBudget.TryAcquireUnreserved(size, core.ReservedDivisor)
 	}
-	return h.Bodies.Try(size)
+	return h.BodyBudget.TryAcquire(size)
 }
 
 // Session is a dialect on one connection. Its methods are called by the
 // connection's reader only.
 type Session interface {
-	// Command carries out one command, of which the first byte has come. It returns
+	// ServeCommand carries out one command, of which the first byte has come. It returns
 	// true when what follows can't be read as commands, or is not to be.
-	Command() (lost bool, err error)
-	// Slow is what a client is told whose command took too long; nil for nothing.
-	Slow() []byte
+	ServeCommand() (lost bool, err error)
+	// TimeoutAnswer is what a client is told whose command took too long; nil for nothing.
+	TimeoutAnswer() []byte
 }
 
 // Conn is a client's connection.
@@ -111,13 +111,13 @@
 
 // Slot is the place of one command's answer among those of its connection.
 type Slot struct {
-	Held *core.Held // of a command that became a request; set by the session at once
-	conn *Conn
-	text []byte // nil until it is answered; under conn.mu
+	InFlight *core.InFlightRequest // of a command that became a request; set by the session at once
+	conn     *Conn
+	text     []byte // nil until it is answered; under conn.mu
 }
 
-// Peer returns the host that the client's connection comes from.
-func (c *Conn) Peer() string {
+// RemoteHost returns the host that the client's connection comes from.
+func (c *Conn) RemoteHost() string {
 	host, _, _ := net.SplitHostPort(c.socket.RemoteAddr().String())
 	return host
 }
@@ -155,7 +155,7 @@
 
 func (c *Conn) recordEnd(unanswered int) {
 	if record := c.host.Core.Recorder(); record.Enabled() {
-		record.Record(eventlog.ClientClosed{Client: c.Address(), Reason: c.reason, Unanswered: unanswered, Lived: time.Since(c.began)})
+		record.Record(eventlog.ClientDisconnected{Client: c.Address(), Reason: c.reason, Unanswered: unanswered, Duration: time.Since(c.began)})
 	}
 }
 
@@ -169,7 +169,7 @@
 		c.mu.Lock()
 		c.because("framing lost")
 		c.mu.Unlock()
-		c.End()
+		c.Drain()
 		c.linger()
 	}
 	c.mu.Lock()
@@ -179,14 +179,14 @@
 	c.mu.Unlock()
 	c.socket.Close()
 	writer.Wait()
-	var unanswered []*core.Held
+	var unanswered []*core.InFlightRequest
 	for _, r := range c.replies {
-		if r.Held != nil {
-			unanswered = append(unanswered, r.Held)
+		if r.InFlight != nil {
+			unanswered = append(unanswered, r.InFlight)
 		}
 	}
 	c.recordEnd(len(c.replies))
-	c.host.Core.Leave(unanswered)
+	c.host.Core.ClientDisconnected(unanswered)
 }
 
 // read takes commands until the client leaves. It returns true when what
@@ -202,11 +202,11 @@
 			if err != nil {
 				return false
 			}
-			c.session = c.host.Session(c, first[0])
+			c.session = c.host.NewSession(c, first[0])
 		}
-		if lost, err := c.session.Command(); isTimeout(err) {
-			if text := c.session.Slow(); text != nil {
-				c.Add(new(Slot)).Finish(text)
+		if lost, err := c.session.ServeCommand(); isTimeout(err) {
+			if text := c.session.TimeoutAnswer(); text != nil {
+				c.AddSlot(new(Slot)).Finish(text)
 			}
 			return true
 		} else if lost || err != nil {
@@ -226,7 +226,7 @@
 		if cutoff := c.cutoff(); cutoff.Before(until) {
 			// One that is to be refused still has to be read.
 			if until = cutoff; c.late() {
-				until = time.Now().Add(LingerTime / 3)
+				until = time.Now().Add(LingerTimeout / 3)
 			}
 		}
 	}
@@ -234,8 +234,8 @@
 	c.socket.SetReadDeadline(until)
 }
 
-// Add makes r the place of the next answer, and waits while there are too many.
-func (c *Conn) Add(r *Slot) *Slot {
+// AddSlot makes r the place of the next answer, and waits while there are too many.
+func (c *Conn) AddSlot(r *Slot) *Slot {
 	r.conn = c
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -257,19 +257,19 @@
 	c.stalled = false
 }
 
-// Stalled tells whether the reader would not notice that the client leaves: whoever
-// tidies up has to ask [Conn.Left] then.
-func (c *Conn) Stalled() bool {
+// ReaderBlocked tells whether the reader would not notice that the client leaves: whoever
+// tidies up has to ask [Conn.Disconnected] then.
+func (c *Conn) ReaderBlocked() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stalled
 }
 
-// Take gives the core a request that has come, with r as the place of its answer. In a drain
+// Submit gives the core a request that has come, with r as the place of its answer. In a drain
 // it may be too late for that: then it is refused at once, as a close would lose it. It is for sessions.
-func (c *Conn) Take(in *request.Request, r *Slot, reply core.Reply) {
-	in.Age = c.Age()
-	c.Add(r)
+func (c *Conn) Submit(in *request.Request, r *Slot, reply core.Reply) {
+	in.Arrival = c.CommandArrival()
+	c.AddSlot(r)
 	c.mu.Lock()
 	late, gone := c.late(), c.gone
 	if late {
@@ -278,11 +278,11 @@
 	c.mu.Unlock()
 	switch {
 	case gone:
-		c.host.Core.Recorder().Record(eventlog.RequestRefused{ID: in.ID, Client: c.Address(), Reason: "client gone"})
+		c.host.Core.Recorder().Record(eventlog.RequestRejected{ID: in.ID, Client: c.Address(), Reason: "client gone"})
 	case late:
-		c.host.Core.Refuse(in, reply)
+		c.host.Core.Reject(in, reply)
 	default:
-		r.Held = c.host.Core.Arrive(in, reply)
+		r.InFlight = c.host.Core.Submit(in, reply)
 	}
 }
 
@@ -334,7 +334,7 @@
 	until := time.Time{}
 	if c.closing || c.ending {
 		late := c.late()
-		waits := c.In.Buffered() > 0 || socket.Pending(c.socket) || !c.quiet()
+		waits := c.In.Buffered() > 0 || socket.Readable(c.socket) || !c.quiet()
 		switch {
 		case late && (!waits || c.refused >= pipelined):
 			c.because("drain, late")
@@ -380,19 +380,19 @@
 	c.socket.Close()
 }
 
-// End closes the connection as soon as nothing is under way on it. A client that
+// Drain closes the connection as soon as nothing is under way on it. A client that
 // always has a command out would never let it come to that: what it sends
 // after a moment more is not read, and it asks elsewhere.
-func (c *Conn) End() {
+func (c *Conn) Drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.ending {
-		c.endBy(time.Now().Add(LingerTime / 3))
+		c.endBy(time.Now().Add(LingerTimeout / 3))
 	}
 }
 
-// Hurry ends the connection and takes no further command.
-func (c *Conn) Hurry() {
+// DrainNow ends the connection and takes no further command.
+func (c *Conn) DrainNow() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endBy(time.Now())
@@ -407,8 +407,8 @@
 	c.wake()
 }
 
-// Late tells whether commands come too late to be taken.
-func (c *Conn) Late() bool {
+// RejectsCommands tells whether commands come too late to be taken.
+func (c *Conn) RejectsCommands() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.late()
@@ -438,7 +438,7 @@
 	c.finished = true
 	c.mu.Unlock()
 	c.socket.CloseWrite()
-	c.socket.SetReadDeadline(time.Now().Add(LingerTime))
+	c.socket.SetReadDeadline(time.Now().Add(LingerTimeout))
 	io.CopyN(io.Discard, c.In, lingerBytes)
 }
 
@@ -466,20 +466,20 @@
 	}
 }
 
-// StuckSince tells since when the client has taken nothing of what is being written.
-func (c *Conn) StuckSince() time.Time {
+// WriteBlockedSince tells since when the client has taken nothing of what is being written.
+func (c *Conn) WriteBlockedSince() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writing
 }
 
-// Left implements core.Client.
-func (r *Slot) Left() bool { return r.conn.Left() }
+// Disconnected implements core.DisconnectChecker.
+func (r *Slot) Disconnected() bool { return r.conn.Disconnected() }
 
-// Left tells whether the client has gone: closed, half closed or reset its connection, whatever of what it sent
+// Disconnected tells whether the client has gone: closed, half closed or reset its connection, whatever of what it sent
 // is unread. That ends the connection here too, with all that is open on it.
-func (c *Conn) Left() bool {
-	if !socket.Ended(c.socket) {
+func (c *Conn) Disconnected() bool {
+	if !socket.PeerClosed(c.socket) {
 		return false
 	}
 	c.mu.Lock()
@@ -491,8 +491,8 @@
 	return true
 }
 
-// Silence answers a command by nothing.
-func (r *Slot) Silence() { r.Finish([]byte{}) }
+// FinishSilently answers a command by nothing.
+func (r *Slot) FinishSilently() { r.Finish([]byte{}) }
 
 // Finish sets the answer of a command, whether or not there is room for it: it is
 // for what is small or the proxy's own.
@@ -510,8 +510,8 @@
 	}
 	if len(text) > smallAnswer {
 		if instead == nil {
-			c.host.Answers.Give(-len(text))
-		} else if !c.host.Answers.Try(len(text)) {
+			c.host.AnswerBudget.Release(-len(text))
+		} else if !c.host.AnswerBudget.TryAcquire(len(text)) {
 			text = instead()
 		}
 	}
@@ -527,7 +527,7 @@
 			held += len(text)
 		}
 	}
-	h.Answers.Give(held)
+	h.AnswerBudget.Release(held)
 }
 
 // write sends answers in the order of the commands.
--- a/internal/frontend/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -17,15 +17,15 @@
 // echo is a dialect whose commands are lines, each answered at once.
 type echo struct{ conn *Conn }
 
-func (e echo) Command() (bool, error) {
+func (e echo) ServeCommand() (bool, error) {
 	line, err := e.conn.In.ReadSlice('\n')
 	if err == nil {
-		e.conn.Add(new(Slot)).Finish([]byte(strings.ToUpper(string(line))))
+		e.conn.AddSlot(new(Slot)).Finish([]byte(strings.ToUpper(string(line))))
 	}
 	return false, err
 }
 
-func (e echo) Slow() []byte { return nil }
+func (e echo) TimeoutAnswer() []byte { return nil }
 
 // pair returns a client whose connection nothing serves, and its other end.
 func pair(t *testing.T) (*Conn, *net.TCPConn) {
@@ -45,8 +45,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { socket.Close() })
-	host := &Host{Core: new(core.Core), Bodies: NewBudget(1 << 20), Answers: NewBudget(1 << 20),
-		Session: func(c *Conn, _ byte) Session { return echo{c} }}
+	host := &Host{Core: new(core.Core), BodyBudget: NewBudget(1 << 20), AnswerBudget: NewBudget(1 << 20),
+		NewSession: func(c *Conn, _ byte) Session { return echo{c} }}
 	return New(host, socket.(*net.TCPConn), host.Core.Now()), peer.(*net.TCPConn)
 }
 
@@ -55,12 +55,12 @@
 func TestUnreadRequestIsNoIdling(t *testing.T) {
 	c, peer := pair(t)
 	fmt.Fprint(peer, "mn\r\n")
-	testutil.Until(t, "the request to come", func() bool { return socket.Pending(c.socket) })
+	testutil.WaitUntil(t, "the request to come", func() bool { return socket.Readable(c.socket) })
 	c.CloseIdle()
 	if got := c.rest(); got != resting || c.closing {
 		t.Errorf("with a request unread the connection is at %d", got)
 	}
-	c.End()
+	c.Drain()
 	if got := c.rest(); got != resting {
 		t.Errorf("in a drain, with a request unread, the connection is at %d", got)
 	}
@@ -70,7 +70,7 @@
 // the reader has read and could not tell of yet, as when it waits for the lock
 // or for the core. On the bench it once lost ten requests at a stroke.
 func TestRequestInTheReadersHandsIsNoIdling(t *testing.T) {
-	for name, end := range map[string]func(*Conn){"idle": (*Conn).CloseIdle, "drain": (*Conn).End} {
+	for name, end := range map[string]func(*Conn){"idle": (*Conn).CloseIdle, "drain": (*Conn).Drain} {
 		c, peer := pair(t)
 		served := make(chan struct{}, 1)
 		go func() {
@@ -78,7 +78,7 @@
 			served <- struct{}{}
 		}()
 		in := bufio.NewReader(peer)
-		peer.SetDeadline(time.Now().Add(testutil.Patience))
+		peer.SetDeadline(time.Now().Add(testutil.Timeout))
 		ask := func() {
 			if line, err := in.ReadString('\n'); line != "MN\r\n" {
 				t.Errorf("%s: answered %q, %v", name, line, err)
@@ -95,7 +95,7 @@
 			}()
 			fmt.Fprint(peer, "mn\r\n")
 			for range 100 {
-				if held = !socket.Pending(c.socket); held {
+				if held = !socket.Readable(c.socket); held {
 					break
 				}
 				time.Sleep(time.Millisecond)
@@ -119,7 +119,7 @@
 	c.since = time.Now().Add(-time.Hour)
 	c.socket.SetWriteBuffer(4 << 10)
 	peer.SetReadBuffer(64 << 10)
-	r := c.Add(new(Slot))
+	r := c.AddSlot(new(Slot))
 	done := make(chan struct{})
 	go func() {
 		c.write()
@@ -127,7 +127,7 @@
 	}()
 	value := strings.Repeat("v", 1<<19)
 	r.Finish([]byte(value))
-	testutil.Until(t, "the answer to be in writing", func() bool { return !c.StuckSince().IsZero() })
+	testutil.WaitUntil(t, "the answer to be in writing", func() bool { return !c.WriteBlockedSince().IsZero() })
 	if _, idle := c.IdleSince(); idle {
 		t.Error("a connection whose answer is being written counts as idle")
 	}
@@ -136,11 +136,11 @@
 		t.Error("a connection whose answer is being written is closed")
 	}
 	got := make([]byte, len(value))
-	peer.SetReadDeadline(time.Now().Add(testutil.Patience))
+	peer.SetReadDeadline(time.Now().Add(testutil.Timeout))
 	if n, err := io.ReadFull(peer, got); err != nil {
 		t.Errorf("%d bytes of the answer came: %v", n, err)
 	}
-	testutil.Until(t, "the write to end", func() bool { return c.StuckSince().IsZero() })
+	testutil.WaitUntil(t, "the write to end", func() bool { return c.WriteBlockedSince().IsZero() })
 	c.mu.Lock()
 	c.gone = true
 	c.changed.Broadcast()
--- a/internal/frontend/meta/meta.go
+++ b/internal/frontend/meta/meta.go
@@ -24,8 +24,8 @@
 	bad  int // commands in a row that can't be meant
 }
 
-// New begins a session.
-func New(host *frontend.Host, c *frontend.Conn) frontend.Session {
+// NewSession begins a session.
+func NewSession(host *frontend.Host, c *frontend.Conn) frontend.Session {
 	return &session{host: host, conn: c}
 }
 
@@ -34,26 +34,26 @@
 	frontend.Slot
 	host *frontend.Host
 	id   string
-	size int          // of its value, as budgeted
-	kind request.Kind // of its answer
+	size int                // of its value, as budgeted
+	kind request.AnswerKind // of its answer
 }
 
 // Finish implements core.Reply.
 func (r *reply) Finish(a *request.Answer) {
 	r.kind = a.Kind
-	r.Slot.FinishValue(meta.Append(a, r.id), noRoom)
+	r.Slot.FinishValue(meta.FormatAnswer(a, r.id), noRoom)
 }
 
 // noRoom is the answer in place of one that finds no room.
 func noRoom() []byte { return []byte("SERVER_ERROR out of memory\r\n") }
 
 // Release implements core.Reply.
-func (r *reply) Release() { r.host.Bodies.Give(r.size) }
+func (r *reply) Release() { r.host.BodyBudget.Release(r.size) }
 
-// Slow implements front.Session.
-func (s *session) Slow() []byte { return []byte("CLIENT_ERROR command took too long\r\n") }
+// TimeoutAnswer implements front.Session.
+func (s *session) TimeoutAnswer() []byte { return []byte("CLIENT_ERROR command took too long\r\n") }
 
-func (s *session) say(text string) { s.conn.Add(new(frontend.Slot)).Finish([]byte(text)) }
+func (s *session) say(text string) { s.conn.AddSlot(new(frontend.Slot)).Finish([]byte(text)) }
 
 // refuse answers what can't be read on from. It returns true.
 func (s *session) refuse(text string) bool {
@@ -61,8 +61,8 @@
 	return true
 }
 
-// Command implements front.Session.
-func (s *session) Command() (lost bool, err error) {
+// ServeCommand implements front.Session.
+func (s *session) ServeCommand() (lost bool, err error) {
 	if lost, err = s.command(); lost || err != nil || s.bad < badCommands {
 		return lost, err
 	}
@@ -104,14 +104,14 @@
 	var bad *meta.ClientError
 	switch {
 	case errors.As(err, &bad):
-		if bad.Skip > 0 {
-			if _, err := in.Discard(bad.Skip); err != nil {
+		if bad.SkipBytes > 0 {
+			if _, err := in.Discard(bad.SkipBytes); err != nil {
 				return false, err
 			}
 		}
 		s.bad++
 		s.say("CLIENT_ERROR " + bad.Reason + "\r\n")
-		return bad.Skip < 0, nil
+		return bad.SkipBytes < 0, nil
 	case err != nil:
 		s.bad++
 		s.say("ERROR\r\n")
@@ -126,33 +126,33 @@
 	}
 	var body []byte
 	if command.Verb == request.Set {
-		size := command.Size + 2
-		if !s.host.RoomFor(size, s.host.Core.Keyed(command.Class)) {
+		size := command.ValueLen + 2
+		if !s.host.ReserveBody(size, s.host.Core.IsKeyed(command.Class)) {
 			if _, err := in.Discard(size); err != nil {
 				return false, err
 			}
-			s.say(string(meta.Append(&request.Answer{Kind: request.Busy}, "")))
+			s.say(string(meta.FormatAnswer(&request.Answer{Kind: request.Busy}, "")))
 			return false, nil
 		}
 		body = make([]byte, size)
 		if _, err := io.ReadFull(in, body); err != nil {
-			s.host.Bodies.Give(size)
+			s.host.BodyBudget.Release(size)
 			return false, err
 		}
 		if !bytes.HasSuffix(body, []byte("\r\n")) {
-			s.host.Bodies.Give(size)
+			s.host.BodyBudget.Release(size)
 			return s.refuse("CLIENT_ERROR bad data chunk\r\n"), nil
 		}
-		command.Value = body[:command.Size]
+		command.Value = body[:command.ValueLen]
 	}
 	r := &reply{host: s.host, id: command.ID, size: len(body)}
-	command.Room = meta.Room(command.ID)
-	s.conn.Take(&command.Request, &r.Slot, r)
+	command.HeaderRoom = meta.AnswerHeaderRoom(command.ID)
+	s.conn.Submit(&command.Request, &r.Slot, r)
 	s.bad++
-	if r.Held == nil {
+	if r.InFlight == nil {
 		r.Release()
 	}
-	if r.Held != nil || r.kind != request.Bad { // one that is refused was well meant
+	if r.InFlight != nil || r.kind != request.Invalid { // one that is refused was well meant
 		s.bad = 0
 	}
 	return false, nil
--- a/internal/frontend/source.go
+++ b/internal/frontend/source.go
@@ -15,10 +15,10 @@
 type source struct {
 	conn  *Conn
 	core  *core.Core
-	read  pause.Read    // the latest call that brought something
-	clean time.Duration // when all that had come was taken last, zero for never
+	read  pause.ReadTiming // the latest call that brought something
+	clean time.Duration    // when all that had come was taken last, zero for never
 	// A time in which nothing was read, as too many commands were at work or the connection waited to be accepted.
-	pause pause.Gap
+	pause pause.Interval
 }
 
 // begin takes a connection that may have waited to be accepted since a time.
@@ -26,13 +26,13 @@
 	s.conn, s.core = c, c.host.Core
 	now := s.core.Now()
 	s.paused(since)
-	s.clean = pause.CleanAtAccept(now, s.pause, s.core.Gap(), s.core.Pause())
+	s.clean = pause.DrainedAtAccept(now, s.pause, s.core.LastPause(), s.core.LastStall())
 }
 
 // paused notes that nothing was read since a time.
 func (s *source) paused(from time.Duration) {
-	if to := s.core.Now(); to-from >= pause.LeastPause {
-		s.pause = pause.Gap{From: from, To: to}
+	if to := s.core.Now(); to-from >= pause.MinStall {
+		s.pause = pause.Interval{Start: from, End: to}
 	}
 }
 
@@ -46,33 +46,33 @@
 			continue
 		}
 		if n > 0 {
-			s.read = pause.Read{Clean: s.clean, Began: began, Ended: ended}
-			s.clean = s.read.CleanAfter(n < len(p), s.core.Gap(), s.core.Pause())
+			s.read = pause.ReadTiming{DrainedAt: s.clean, Started: began, Ended: ended}
+			s.clean = s.read.DrainedAfter(n < len(p), s.core.LastPause(), s.core.LastStall())
 		}
 		return n, err
 	}
 }
 
-// Age is when the last byte of the command just read may have come. It is for sessions, before
+// CommandArrival is when the last byte of the command just read may have come. It is for sessions, before
 // the next is read.
-func (c *Conn) Age() pause.Age {
+func (c *Conn) CommandArrival() pause.Arrival {
 	s := &c.source
-	age := s.core.Age(s.read, c.kernel)
-	if s.pause.To > s.read.Clean {
-		paused := pause.AgeOf(s.read, s.pause, c.kernel())
-		age.Oldest, age.Latest = min(age.Oldest, paused.Oldest), min(age.Latest, paused.Latest)
+	age := s.core.EstimateArrival(s.read, c.kernel)
+	if s.pause.End > s.read.DrainedAt {
+		paused := pause.EstimateArrival(s.read, s.pause, c.kernel())
+		age.Earliest, age.Latest = min(age.Earliest, paused.Earliest), min(age.Latest, paused.Latest)
 	}
 	return age
 }
 
 // kernel asks what the kernel knows of the connection.
-func (c *Conn) kernel() (k pause.Kernel) {
+func (c *Conn) kernel() (k pause.KernelInfo) {
 	info, ok := c.info()
 	if !ok {
 		return k
 	}
-	return pause.Kernel{Known: true, Age: time.Duration(info.Last_data_recv) * time.Millisecond,
-		Alone: c.In.Buffered() == 0 && !socket.Pending(c.socket)}
+	return pause.KernelInfo{Known: true, SinceLastByte: time.Duration(info.Last_data_recv) * time.Millisecond,
+		SingleCommand: c.In.Buffered() == 0 && !socket.Readable(c.socket)}
 }
 
 func (c *Conn) info() (info *unix.TCPInfo, ok bool) {
@@ -87,11 +87,11 @@
 // stoodWithin gives the command under way its time anew if a stop of the process took it, and
 // tells whether.
 func (c *Conn) stoodWithin() bool {
-	gap := c.host.Core.Gap()
-	if gap.To == 0 {
+	gap := c.host.Core.LastPause()
+	if gap.End == 0 {
 		return false
 	}
-	woke := c.host.Core.At(gap.To)
+	woke := c.host.Core.WallTime(gap.End)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.limit.IsZero() || c.ending || !woke.After(c.limit.Add(-commandTime)) || !c.limit.Before(woke.Add(commandTime)) ||
--- a/internal/lease/agent/agent_test.go
+++ b/internal/lease/agent/agent_test.go
@@ -38,12 +38,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Fleet.Voters = append(f.Fleet.Voters, Peer{fmt.Sprint("v", i), l.Addr().String()})
+		f.Fleet.Voters = append(f.Fleet.Voters, VoterAddress{fmt.Sprint("v", i), l.Addr().String()})
 		l.Close()
 		f.paths = append(f.paths, filepath.Join(t.TempDir(), "memory"))
 	}
 	for i := range 3 {
-		if err := Init(f.paths[i], &f.Fleet); err != nil {
+		if err := InitVoter(f.paths[i], &f.Fleet); err != nil {
 			t.Fatal(err)
 		}
 		f.start(i)
@@ -107,7 +107,7 @@
 
 func (f *fleet) await(h *Holder) uint64 {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	n, err := h.Await(ctx)
 	if err != nil {
@@ -120,10 +120,10 @@
 	f.t.Helper()
 	at := -1
 	c := f.client()
-	testutil.Until(f.t, "a leader", func() bool {
-		s, err := c.State(context.Background())
+	testutil.WaitUntil(f.t, "a leader", func() bool {
+		s, err := c.LeaderState(context.Background())
 		at = int(f.Fleet.number(s.Leader)) - 1
-		return err == nil && s.Leads
+		return err == nil && s.IsLeader
 	})
 	return at
 }
@@ -138,12 +138,12 @@
 	}
 	b = f.hold("x", "b", true)
 	c := f.client()
-	testutil.Until(t, "b to wait", func() bool {
-		s, err := c.State(context.Background())
-		return err == nil && s.Book.Tasks["x"] != nil && len(s.Book.Tasks["x"].Waiting) == 1
+	testutil.WaitUntil(t, "b to wait", func() bool {
+		s, err := c.LeaderState(context.Background())
+		return err == nil && s.StateMachine.Tasks["x"] != nil && len(s.StateMachine.Tasks["x"].Waiters) == 1
 	})
 	f.stop(f.leader())
-	if err := a.Do(context.Background(), func(_ context.Context, n uint64) error {
+	if err := a.RunGuarded(context.Background(), func(_ context.Context, n uint64) error {
 		if n != first {
 			t.Errorf("acts under %d, holds %d", n, first)
 		}
@@ -156,16 +156,16 @@
 	if second <= first {
 		t.Errorf("number %d after %d", second, first)
 	}
-	if err := a.Do(context.Background(), func(context.Context, uint64) error { return nil }); !errors.Is(err, ErrLost) {
+	if err := a.RunGuarded(context.Background(), func(context.Context, uint64) error { return nil }); !errors.Is(err, ErrLeaseLost) {
 		t.Errorf("acts after it gave the task back: %v", err)
 	}
 }
 
 // wantTaken awaits the refusal of one that does not wait.
 func (h *Holder) wantTaken() error {
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
-	if _, err := h.Await(ctx); !errors.Is(err, lease.ErrTaken) {
+	if _, err := h.Await(ctx); !errors.Is(err, lease.ErrHeld) {
 		return fmt.Errorf("want the task taken, got %v", err)
 	}
 	return nil
@@ -205,10 +205,10 @@
 // TestWhoLostItsMemoryDoesNotVote guards guarantee 2 of package lease: memory is made once, by hand.
 func TestWhoLostItsMemoryDoesNotVote(t *testing.T) {
 	f := newFleet(t)
-	if _, err := Open(filepath.Join(t.TempDir(), "lost"), f.Fleet, "v0", slog.New(slog.DiscardHandler)); !errors.Is(err, store.ErrNone) {
+	if _, err := Open(filepath.Join(t.TempDir(), "lost"), f.Fleet, "v0", slog.New(slog.DiscardHandler)); !errors.Is(err, store.ErrNotFound) {
 		t.Errorf("without a memory: %v", err)
 	}
-	if err := Init(f.paths[0], &f.Fleet); err == nil {
+	if err := InitVoter(f.paths[0], &f.Fleet); err == nil {
 		t.Error("memory made twice")
 	}
 	f.stop(0)
@@ -225,14 +225,14 @@
 	a := f.hold("x", "a", true)
 	n := f.await(a)
 	b := f.hold("x", "b", true)
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	lost := a.Lost(ctx)
-	if _, err := f.client().Do(ctx, lease.Command{Kind: lease.Revoke, Task: "x", Number: n}); err != nil {
+	if _, err := f.client().Execute(ctx, lease.Command{Kind: lease.Revoke, Task: "x", Token: n}); err != nil {
 		t.Fatal(err)
 	}
 	f.await(b)
-	if err := a.Do(ctx, func(context.Context, uint64) error { return nil }); !errors.Is(err, ErrLost) {
+	if err := a.RunGuarded(ctx, func(context.Context, uint64) error { return nil }); !errors.Is(err, ErrLeaseLost) {
 		t.Errorf("b holds while a may act: %v", err)
 	}
 	<-lost
@@ -248,7 +248,7 @@
 	begun, ended := make(chan struct{}), make(chan error, 1)
 	var acting atomic.Bool
 	go func() {
-		ended <- a.Do(context.Background(), func(ctx context.Context, _ uint64) error {
+		ended <- a.RunGuarded(context.Background(), func(ctx context.Context, _ uint64) error {
 			acting.Store(true)
 			close(begun)
 			<-ctx.Done() // told that its time is over, it takes a while yet
@@ -258,9 +258,9 @@
 		})
 	}()
 	<-begun
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
-	if _, err := f.client().Do(ctx, lease.Command{Kind: lease.Revoke, Task: "x", Number: n}); err != nil {
+	if _, err := f.client().Execute(ctx, lease.Command{Kind: lease.Revoke, Task: "x", Token: n}); err != nil {
 		t.Fatal(err)
 	}
 	f.await(b)
@@ -281,25 +281,25 @@
 	var waiting []*Holder
 	for i := range 3 {
 		waiting = append(waiting, f.hold("x", fmt.Sprint("w", i), true))
-		testutil.Until(t, "it to wait", func() bool {
-			s, err := c.State(context.Background())
-			return err == nil && len(s.Book.Tasks["x"].Waiting) == i+1
+		testutil.WaitUntil(t, "it to wait", func() bool {
+			s, err := c.LeaderState(context.Background())
+			return err == nil && len(s.StateMachine.Tasks["x"].Waiters) == i+1
 		})
 	}
-	s, err := c.State(context.Background())
+	s, err := c.LeaderState(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
-	if _, err := c.Do(ctx, lease.Command{Kind: lease.Hand, Task: "x", Number: n, To: s.Book.Tasks["x"].Waiting[2].Holder}); err != nil {
+	if _, err := c.Execute(ctx, lease.Command{Kind: lease.HandOver, Task: "x", Token: n, To: s.StateMachine.Tasks["x"].Waiters[2].Holder}); err != nil {
 		t.Fatal(err)
 	}
 	if second := f.await(waiting[2]); second <= n {
 		t.Errorf("number %d after %d", second, n)
 	}
 	for _, w := range waiting[:2] {
-		if err := w.Do(ctx, func(context.Context, uint64) error { return nil }); !errors.Is(err, ErrLost) {
+		if err := w.RunGuarded(ctx, func(context.Context, uint64) error { return nil }); !errors.Is(err, ErrLeaseLost) {
 			t.Errorf("one that was passed over acts: %v", err)
 		}
 	}
@@ -314,37 +314,37 @@
 	lost := (f.leader() + 1) % 3
 	f.stop(lost)
 	name := f.Fleet.Voters[lost].Name
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	c := f.client()
-	if _, err := c.Do(ctx, lease.Command{Kind: lease.Enrol, To: name}); err == nil {
+	if _, err := c.Execute(ctx, lease.Command{Kind: lease.AddVoter, To: name}); err == nil {
 		t.Error("enrolled twice")
 	}
-	for _, kind := range []lease.Kind{lease.Dismiss, lease.Enrol} {
-		if _, err := c.Do(ctx, lease.Command{Kind: kind, To: name}); err != nil {
+	for _, kind := range []lease.CommandKind{lease.RemoveVoter, lease.AddVoter} {
+		if _, err := c.Execute(ctx, lease.Command{Kind: kind, To: name}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s, err := c.State(ctx)
-	if err != nil || s.Book.Seat(name) != 4 {
-		t.Fatalf("seats %v, %v", s.Book.Seats, err)
+	s, err := c.LeaderState(ctx)
+	if err != nil || s.StateMachine.VoterID(name) != 4 {
+		t.Fatalf("seats %v, %v", s.StateMachine.Voters, err)
 	}
 	f.paths[lost] = filepath.Join(t.TempDir(), "anew")
-	if err := Join(f.paths[lost], &f.Fleet, s.Book.Seat(name)); err != nil {
+	if err := InitJoiningVoter(f.paths[lost], &f.Fleet, s.StateMachine.VoterID(name)); err != nil {
 		t.Fatal(err)
 	}
 	f.start(lost)
-	testutil.Until(t, "the new seat to know the book", func() bool {
-		var s State
+	testutil.WaitUntil(t, "the new seat to know the book", func() bool {
+		var s VoterState
 		answer, err := http.Get("http://" + f.Fleet.Voters[lost].Address + "/v1/book")
 		if err != nil {
 			return false
 		}
 		defer answer.Body.Close()
-		return json.NewDecoder(answer.Body).Decode(&s) == nil && s.Book.Last >= first
+		return json.NewDecoder(answer.Body).Decode(&s) == nil && s.StateMachine.LastToken >= first
 	})
 	f.stop((lost + 1) % 3) // now the new one is needed
-	if err := a.Do(ctx, func(_ context.Context, n uint64) error {
+	if err := a.RunGuarded(ctx, func(_ context.Context, n uint64) error {
 		if n != first {
 			t.Errorf("acts under %d, held %d", n, first)
 		}
@@ -373,7 +373,7 @@
 		tasks.Go(func() {
 			places <- struct{}{}
 			defer func() { <-places }()
-			ctx, cancel := context.WithTimeout(context.Background(), 4*testutil.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), 4*testutil.Timeout)
 			defer cancel()
 			h, err := c.Hold(ctx, "x", fmt.Sprint("c", i), 5*time.Second, true)
 			if err != nil {
@@ -385,7 +385,7 @@
 				t.Errorf("contender %d: %v", i, err)
 				return
 			}
-			if err := h.Do(ctx, func(context.Context, uint64) error {
+			if err := h.RunGuarded(ctx, func(context.Context, uint64) error {
 				if n := acting.Add(1); n > most.Load() {
 					most.Store(n)
 				}
@@ -413,7 +413,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if _, err := c.ask(context.Background(), lease.Command{Kind: lease.Take, Task: "x", Holder: "a", Nonce: 1, Length: time.Second}, 0); err == nil {
+	if _, err := c.ask(context.Background(), lease.Command{Kind: lease.Acquire, Task: "x", Holder: "a", Nonce: 1, Duration: time.Second}, 0); err == nil {
 		t.Error("another fleet is answered")
 	}
 	for _, body := range []string{"", "\xff\xff", "\xa1\x01\x09"} {
@@ -447,7 +447,7 @@
 			last = n
 		}
 	}
-	knows := func() (s State) {
+	knows := func() (s VoterState) {
 		answer, err := http.Get("http://" + f.Fleet.Voters[at].Address + "/v1/book")
 		if err == nil {
 			defer answer.Body.Close()
@@ -455,13 +455,13 @@
 		}
 		return s
 	}
-	testutil.Until(t, "the voter to have heard of all", func() bool { s := knows(); return s.Book != nil && s.Book.Last >= last })
+	testutil.WaitUntil(t, "the voter to have heard of all", func() bool { s := knows(); return s.StateMachine != nil && s.StateMachine.LastToken >= last })
 	f.stop(at)
 	if err := os.WriteFile(f.paths[at], old, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	f.start(at)
-	testutil.Until(t, "the voter to stand down", func() bool { return knows().Down != "" })
+	testutil.WaitUntil(t, "the voter to stand down", func() bool { return knows().HaltReason != "" })
 	if n := f.await(f.hold("z", "a", true)); n <= last {
 		t.Errorf("number %d after %d", n, last)
 	}
@@ -476,19 +476,19 @@
 	var waiting []*Holder
 	for i := range 2 {
 		waiting = append(waiting, f.hold("x", fmt.Sprint("w", i), true))
-		testutil.Until(t, "it to wait", func() bool {
-			s, err := c.State(context.Background())
-			return err == nil && len(s.Book.Tasks["x"].Waiting) == i+1
+		testutil.WaitUntil(t, "it to wait", func() bool {
+			s, err := c.LeaderState(context.Background())
+			return err == nil && len(s.StateMachine.Tasks["x"].Waiters) == i+1
 		})
 	}
-	s, err := c.State(context.Background())
+	s, err := c.LeaderState(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	waiting[0].Abandon()
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
-	if _, err := c.Do(ctx, lease.Command{Kind: lease.Hand, Task: "x", Number: n, To: s.Book.Tasks["x"].Waiting[0].Holder}); err != nil {
+	if _, err := c.Execute(ctx, lease.Command{Kind: lease.HandOver, Task: "x", Token: n, To: s.StateMachine.Tasks["x"].Waiters[0].Holder}); err != nil {
 		t.Fatal(err)
 	}
 	if last := f.await(waiting[1]); last <= n {
