--- a/internal/lease/agent/holder.go
+++ b/internal/lease/agent/holder.go
@@ -18,8 +18,8 @@
 
 // Errors of holders.
 var (
-	ErrLost     = errors.New("lease: lost")
-	ErrOutlived = errors.New("lease: the act outlived the lease")
+	ErrLeaseLost           = errors.New("lease: lost")
+	ErrExpiredDuringAction = errors.New("lease: the act outlived the lease")
 )
 
 // Client asks the voters of a fleet. It is safe for concurrent use.
@@ -33,10 +33,10 @@
 
 // NewClient returns a client of a fleet.
 func NewClient(f Fleet) (*Client, error) {
-	if err := f.Check(); err != nil {
+	if err := f.Validate(); err != nil {
 		return nil, err
 	}
-	return &Client{fleet: f, http: &http.Client{Timeout: rpc.LinkTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: rpc.IdleTime}}}, nil
+	return &Client{fleet: f, http: &http.Client{Timeout: rpc.ExchangeTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: rpc.IdleTimeout}}}, nil
 }
 
 // Close ends idle connections.
@@ -49,8 +49,8 @@
 	at := c.leader
 	c.mu.Unlock()
 	var reply Reply
-	err := rpc.Post(ctx, c.http, c.fleet.Voters[at].Address, "/v1/lease", Request{Head: rpc.In(c.fleet.Name), Command: command, Number: number}, &reply)
-	if err != nil || reply.Outcome == lease.Unheard {
+	err := rpc.Post(ctx, c.http, c.fleet.Voters[at].Address, "/v1/lease", Request{Header: rpc.NewHeader(c.fleet.Name), Command: command, Token: number}, &reply)
+	if err != nil || reply.Outcome == lease.NoAnswer {
 		next := (at + 1) % len(c.fleet.Voters)
 		if n := c.fleet.number(reply.Leader); n > 0 && int(n)-1 != at {
 			next = int(n) - 1
@@ -62,11 +62,11 @@
 	return reply, err
 }
 
-// Do carries out a command, asking until a voter that can has answered or ctx ends.
-func (c *Client) Do(ctx context.Context, command lease.Command) (Reply, error) {
+// Execute carries out a command, asking until a voter that can has answered or ctx ends.
+func (c *Client) Execute(ctx context.Context, command lease.Command) (Reply, error) {
 	for {
 		reply, err := c.ask(ctx, command, 0)
-		if err == nil && reply.Outcome != lease.Unheard {
+		if err == nil && reply.Outcome != lease.NoAnswer {
 			if reply.Error != "" {
 				err = errors.New(reply.Error)
 			}
@@ -81,7 +81,7 @@
 }
 
 // look asks one voter what it knows.
-func (c *Client) look(ctx context.Context, p Peer) (s State, err error) {
+func (c *Client) look(ctx context.Context, p VoterAddress) (s VoterState, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+"/v1/book", nil)
 	if err != nil {
 		return s, err
@@ -91,11 +91,11 @@
 		return s, err
 	}
 	defer response.Body.Close()
-	return s, json.NewDecoder(io.LimitReader(response.Body, rpc.MostBody)).Decode(&s)
+	return s, json.NewDecoder(io.LimitReader(response.Body, rpc.MaxBodyBytes)).Decode(&s)
 }
 
-// Look asks each voter what it knows; who does not answer is left out.
-func (c *Client) Look(ctx context.Context) (list []State) {
+// VoterStates asks each voter what it knows; who does not answer is left out.
+func (c *Client) VoterStates(ctx context.Context) (list []VoterState) {
 	for _, p := range c.fleet.Voters {
 		if s, err := c.look(ctx, p); err == nil {
 			list = append(list, s)
@@ -105,8 +105,8 @@
 }
 
 // Members are the fleet's instances by the majority of the voters that answer until ctx ends, and how many do.
-func (c *Client) Members(ctx context.Context) (list []peer.Seen, heard int) {
-	states := make([]State, len(c.fleet.Voters))
+func (c *Client) Members(ctx context.Context) (list []peer.MemberState, heard int) {
+	states := make([]VoterState, len(c.fleet.Voters))
 	errs := make([]error, len(c.fleet.Voters))
 	var tasks sync.WaitGroup
 	for i, p := range c.fleet.Voters {
@@ -118,24 +118,24 @@
 			heard++
 		}
 	}
-	view := peer.NewView(peer.Usual, heard, 0) // of those that answer
+	view := peer.NewView(peer.DefaultParameters, heard, 0) // of those that answer
 	for i, s := range states {
 		if errs[i] == nil {
-			view.Told(0, c.fleet.Voters[i].Name, true, s.Members)
+			view.Merge(0, c.fleet.Voters[i].Name, true, s.Members)
 		}
 	}
 	return view.Members(), heard
 }
 
-// State returns what the leader says of all tasks, or what some voter does that knows of no leader.
-func (c *Client) State(ctx context.Context) (best State, err error) {
+// LeaderState returns what the leader says of all tasks, or what some voter does that knows of no leader.
+func (c *Client) LeaderState(ctx context.Context) (best VoterState, err error) {
 	for _, p := range c.fleet.Voters {
 		s, e := c.look(ctx, p)
 		if e != nil {
 			err = errors.Join(err, fmt.Errorf("%s: %w", p.Name, e))
 			continue
 		}
-		if s.Leads {
+		if s.IsLeader {
 			return s, nil
 		}
 		if best.Voter == "" {
@@ -166,12 +166,12 @@
 func (c *Client) Hold(ctx context.Context, task, name string, length time.Duration, wait bool) (*Holder, error) {
 	nonce := uint64(time.Now().UnixNano())
 	holder := lease.HolderName(name, os.Getpid(), nonce)
-	command := lease.Command{Kind: lease.Take, Task: task, Holder: holder, Nonce: nonce, Length: length}
-	if err := lease.Usual.Check(&command); err != nil {
+	command := lease.Command{Kind: lease.Acquire, Task: task, Holder: holder, Nonce: nonce, Duration: length}
+	if err := lease.DefaultParameters.CheckCommand(&command); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	h := &Holder{client: c, session: lease.NewSession(lease.Usual, task, holder, nonce, length, wait), changed: make(chan struct{}), stop: stop}
+	h := &Holder{client: c, session: lease.NewSession(lease.DefaultParameters, task, holder, nonce, length, wait), changed: make(chan struct{}), stop: stop}
 	h.tasks.Go(func() { h.run(ctx) })
 	return h, nil
 }
@@ -180,9 +180,9 @@
 func (h *Holder) run(ctx context.Context) {
 	for {
 		h.mu.Lock()
-		h.do(ctx, h.session.Handle(now(), lease.Pass{}, nil))
-		over := h.session.State(now()) == lease.Over
-		wait := max(h.session.Next()-now(), time.Millisecond)
+		h.do(ctx, h.session.Handle(now(), lease.TimerFired{}, nil))
+		over := h.session.State(now()) == lease.Finished
+		wait := max(h.session.NextWakeup()-now(), time.Millisecond)
 		changed := h.changed
 		h.mu.Unlock()
 		if over {
@@ -201,18 +201,18 @@
 func (h *Holder) do(ctx context.Context, actions []lease.SessionAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case lease.Ask:
+		case lease.SendRequest:
 			h.tasks.Go(func() {
-				reply, err := h.client.ask(ctx, a.Command, a.Number)
+				reply, err := h.client.ask(ctx, a.Command, a.Token)
 				if err != nil {
 					reply = Reply{}
 				}
 				h.mu.Lock()
 				defer h.mu.Unlock()
-				h.do(ctx, h.session.Handle(now(), lease.Answer{Serial: a.Serial, Outcome: reply.Outcome, Number: reply.Number}, nil))
+				h.do(ctx, h.session.Handle(now(), lease.Response{Sequence: a.Sequence, Outcome: reply.Outcome, Token: reply.Token}, nil))
 				h.tell()
 			})
-		case lease.Tell:
+		case lease.SendRelease:
 			h.owed = &a.Command
 		case lease.Ended:
 			h.why = a.Outcome
@@ -233,9 +233,9 @@
 	command := *h.owed
 	h.owed = nil
 	h.tasks.Go(func() {
-		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), rpc.LinkTime)
+		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), rpc.ExchangeTimeout)
 		defer cancel()
-		h.client.Do(last, command) // else it ends by itself
+		h.client.Execute(last, command) // else it ends by itself
 	})
 }
 
@@ -255,10 +255,10 @@
 		switch {
 		case ok:
 			return number, nil
-		case state == lease.Over && why == lease.Refused:
-			return 0, lease.ErrTaken
-		case state == lease.Over:
-			return 0, ErrLost
+		case state == lease.Finished && why == lease.Refused:
+			return 0, lease.ErrHeld
+		case state == lease.Finished:
+			return 0, ErrLeaseLost
 		}
 		select {
 		case <-ctx.Done():
@@ -268,10 +268,10 @@
 	}
 }
 
-// Do is the one guard: it acts under the task's number if that holds, and looks again behind. Its context ends when
+// RunGuarded is the one guard: it acts under the task's number if that holds, and looks again behind. Its context ends when
 // the lease does. An act that has outlived it is told so: what it did, it did without leave, and a resource that
 // compares numbers has refused it.
-func (h *Holder) Do(ctx context.Context, act func(ctx context.Context, number uint64) error) error {
+func (h *Holder) RunGuarded(ctx context.Context, act func(ctx context.Context, number uint64) error) error {
 	h.mu.Lock()
 	t := now()
 	number, ok := h.session.Valid(t)
@@ -280,7 +280,7 @@
 	}
 	h.mu.Unlock()
 	if !ok {
-		return ErrLost
+		return ErrLeaseLost
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -294,8 +294,8 @@
 	defer h.mu.Unlock()
 	h.acting--
 	h.settle(ctx)
-	if now() >= h.session.Until() { // a grant that was revoked meanwhile is waited for until then
-		return errors.Join(err, ErrOutlived)
+	if now() >= h.session.ValidUntil() { // a grant that was revoked meanwhile is waited for until then
+		return errors.Join(err, ErrExpiredDuringAction)
 	}
 	return err
 }
@@ -312,7 +312,7 @@
 			h.mu.Lock()
 			t := now()
 			_, ok := h.session.Valid(t)
-			left, changed := h.session.Until()-early-t, h.changed
+			left, changed := h.session.ValidUntil()-early-t, h.changed
 			h.mu.Unlock()
 			if !ok || left <= 0 {
 				return
@@ -337,7 +337,7 @@
 // Close gives the task back and ends.
 func (h *Holder) Close() {
 	h.mu.Lock()
-	h.do(context.Background(), h.session.Handle(now(), lease.GiveUp{}, nil))
+	h.do(context.Background(), h.session.Handle(now(), lease.ReleaseRequested{}, nil))
 	h.mu.Unlock()
 	h.stop()
 	h.tasks.Wait()
--- a/internal/lease/agent/state.go
+++ b/internal/lease/agent/state.go
@@ -8,17 +8,17 @@
 )
 
 // state copies what the loop knows.
-func (v *Voter) state() State {
-	book, t := v.replica.Book(), now()
-	s := State{Voter: v.name, Seat: v.seat, Leads: v.replica.Leads(), Leader: book.Seats[v.replica.Leader()], Book: book.Clone(), Left: make(map[uint64]float64),
-		Members: v.station.Opinion(), Traffic: rpc.Said(), Saves: v.saves}
+func (v *Voter) state() VoterState {
+	book, t := v.replica.StateMachine(), now()
+	s := VoterState{Voter: v.name, VoterID: v.seat, IsLeader: v.replica.IsLeader(), Leader: book.Voters[v.replica.Leader()], StateMachine: book.Clone(), SecondsLeft: make(map[uint64]float64),
+		Members: v.station.Members(), Traffic: rpc.TrafficSoFar(), DiskSyncs: v.saves}
 	if v.down != nil {
-		s.Down = v.down.Error()
+		s.HaltReason = v.down.Error()
 	}
 	for _, task := range book.Tasks {
-		for _, g := range task.Held {
-			if left, ok := v.replica.Left(g.Number, t); ok {
-				s.Left[g.Number] = left.Seconds()
+		for _, g := range task.Grants {
+			if left, ok := v.replica.TimeLeft(g.Token, t); ok {
+				s.SecondsLeft[g.Token] = left.Seconds()
 			}
 		}
 	}
--- a/internal/lease/agent/voter.go
+++ b/internal/lease/agent/voter.go
@@ -42,15 +42,15 @@
 // Fleet names the voters, in an order that all have in common.
 type Fleet struct {
 	Name   string
-	Voters []Peer
+	Voters []VoterAddress
 }
 
-// Peer is a voter's name and address.
-type Peer struct{ Name, Address string }
+// VoterAddress is a voter's name and address.
+type VoterAddress struct{ Name, Address string }
 
-// Check tells what is wrong with a fleet.
-func (f *Fleet) Check() error {
-	if f.Name == "" || len(f.Name) > lease.MostName || len(f.Voters) < leastVoters || len(f.Voters) > mostVoters {
+// Validate tells what is wrong with a fleet.
+func (f *Fleet) Validate() error {
+	if f.Name == "" || len(f.Name) > lease.MaxNameBytes || len(f.Voters) < leastVoters || len(f.Voters) > mostVoters {
 		return fmt.Errorf("leases: want a fleet's name and %d to %d voters", leastVoters, mostVoters)
 	}
 	seen := make(map[string]bool)
@@ -65,7 +65,7 @@
 
 // number is a voter's among the others, from 1; 0 for none.
 func (f *Fleet) number(name string) uint64 {
-	return uint64(slices.IndexFunc(f.Voters, func(p Peer) bool { return p.Name == name }) + 1)
+	return uint64(slices.IndexFunc(f.Voters, func(p VoterAddress) bool { return p.Name == name }) + 1)
 }
 
 // now is the leases' clock: it counts the machine's sleep.
@@ -73,14 +73,14 @@
 	if c := rehearsed.Load(); c != nil {
 		return time.Since(begun) + (*c)()
 	}
-	return time.Since(begun) + clock.Ahead()
+	return time.Since(begun) + clock.TotalSleep()
 }
 
 // Now is the leases' clock, for those who count beside them.
 func Now() time.Duration { return now() }
 
-// RehearseClock has the clock that counts sleep be another, for rehearsals. It is for the start of a process.
-func RehearseClock(ahead func() time.Duration) { rehearsed.Store(&ahead) }
+// OverrideClockOffset has the clock that counts sleep be another, for rehearsals. It is for the start of a process.
+func OverrideClockOffset(ahead func() time.Duration) { rehearsed.Store(&ahead) }
 
 var (
 	begun     = time.Now()
@@ -95,76 +95,76 @@
 	headSeat     = "seat" // of one that joined later; the first ones find theirs in the book
 )
 
-// Init makes the memory of one of a fleet's first voters, once in its life: who loses it may not vote again under the
+// InitVoter makes the memory of one of a fleet's first voters, once in its life: who loses it may not vote again under the
 // same seat, as it may have promised what it has forgotten.
-func Init(path string, f *Fleet) error {
-	if err := f.Check(); err != nil {
+func InitVoter(path string, f *Fleet) error {
+	if err := f.Validate(); err != nil {
 		return err
 	}
 	var names []string
 	for _, v := range f.Voters {
 		names = append(names, v.Name)
 	}
-	first, err := quorum.First(names...)
+	first, err := quorum.InitialState(names...)
 	if err != nil {
 		return err
 	}
 	return create(path, f, first, 0)
 }
 
-// Join makes the memory of a voter that has been enrolled under a new seat.
-func Join(path string, f *Fleet, seat uint64) error {
-	if err := f.Check(); err != nil {
+// InitJoiningVoter makes the memory of a voter that has been enrolled under a new seat.
+func InitJoiningVoter(path string, f *Fleet, seat uint64) error {
+	if err := f.Validate(); err != nil {
 		return err
 	}
-	first, err := quorum.Joining()
+	first, err := quorum.JoiningState()
 	if err != nil {
 		return err
 	}
 	return create(path, f, first, seat)
 }
 
-func create(path string, f *Fleet, first quorum.Saved, seat uint64) error {
+func create(path string, f *Fleet, first quorum.PersistentState, seat uint64) error {
 	c, err := change(first)
 	if err != nil {
 		return err
 	}
-	c.Heads[headFleet] = []byte(f.Name)
+	c.Named[headFleet] = []byte(f.Name)
 	if seat > 0 {
-		c.Heads[headSeat] = binary.BigEndian.AppendUint64(nil, seat)
+		c.Named[headSeat] = binary.BigEndian.AppendUint64(nil, seat)
 	}
 	return store.Create(path, c)
 }
 
 // change says what is to be saved as the store has it.
-func change(s quorum.Saved) (c store.Change, err error) {
-	c.Heads = make(map[string][]byte)
-	if s.Hard != nil {
-		if c.Heads[headHard], err = proto.Marshal(s.Hard); err != nil {
+func change(s quorum.PersistentState) (c store.Change, err error) {
+	c.Named = make(map[string][]byte)
+	if s.HardState != nil {
+		if c.Named[headHard], err = proto.Marshal(s.HardState); err != nil {
 			return c, err
 		}
 	}
 	if s.Snapshot != nil {
-		if c.Heads[headSnapshot], err = proto.Marshal(s.Snapshot); err != nil {
+		if c.Named[headSnapshot], err = proto.Marshal(s.Snapshot); err != nil {
 			return c, err
 		}
-		c.From = 1 // all that was before it
+		c.DropFrom = 1 // all that was before it
 	}
 	for _, e := range s.Entries {
 		data, err := proto.Marshal(e)
 		if err != nil {
 			return c, err
 		}
-		if c.From == 0 {
-			c.From = e.GetIndex()
+		if c.DropFrom == 0 {
+			c.DropFrom = e.GetIndex()
 		}
-		c.Records = append(c.Records, store.Record{Number: e.GetIndex(), Data: data})
+		c.Records = append(c.Records, store.Record{Index: e.GetIndex(), Data: data})
 	}
 	return c, nil
 }
 
 // remember reads what a voter has saved, and its seat if it joined later.
-func remember(l *store.Log, fleet string) (s quorum.Saved, seat uint64, err error) {
+func remember(l *store.Log, fleet string) (s quorum.PersistentState, seat uint64, err error) {
 	heads, records, err := l.Load()
 	if err != nil {
 		return s, 0, err
@@ -175,8 +175,8 @@
 	if got := string(heads[headFleet]); got != fleet {
 		return s, 0, fmt.Errorf("leases: it is the memory of fleet %q, not of %q", got, fleet)
 	}
-	s.Hard, s.Snapshot = new(raftpb.HardState), new(raftpb.Snapshot)
-	if err := errors.Join(proto.Unmarshal(heads[headHard], s.Hard), proto.Unmarshal(heads[headSnapshot], s.Snapshot)); err != nil {
+	s.HardState, s.Snapshot = new(raftpb.HardState), new(raftpb.Snapshot)
+	if err := errors.Join(proto.Unmarshal(heads[headHard], s.HardState), proto.Unmarshal(heads[headSnapshot], s.Snapshot)); err != nil {
 		return s, 0, err
 	}
 	for _, r := range records {
@@ -200,7 +200,7 @@
 	replica *quorum.Replica
 	events  chan quorum.Event
 	asks    chan asked
-	looks   chan chan State
+	looks   chan chan VoterState
 	links   map[string]chan []byte // by name
 	waiting map[uint64]asked       // by tag; of Run's goroutine
 	parked  map[waiter]parked      // those who wait for their turn; of Run's goroutine
@@ -209,7 +209,7 @@
 	down    error // once it has stood down; of Run's goroutine
 	saves   int   // made to last so far; of Run's goroutine
 	client  *http.Client
-	station *transport.Station
+	station *transport.Server
 
 	mu     sync.Mutex
 	seated map[uint64]string // who has said to sit where
@@ -220,7 +220,7 @@
 type asked struct {
 	command lease.Command
 	number  uint64
-	answer  chan<- quorum.Answer
+	answer  chan<- quorum.Response
 }
 
 // waiter is one who waits for a task, by its own name for that.
@@ -231,27 +231,27 @@
 
 // parked is the answer that one who waits has not been given yet: it hears at once when its turn comes.
 type parked struct {
-	answer chan<- quorum.Answer
+	answer chan<- quorum.Response
 	until  time.Duration
 }
 
-// State is what a voter tells those who look.
-type State struct {
-	Voter   string             `json:"voter"`
-	Seat    uint64             `json:"seat"`
-	Leader  string             `json:"leader"` // "" for none that it knows
-	Leads   bool               `json:"leads"`
-	Down    string             `json:"down,omitempty"` // why it votes no more
-	Book    *lease.Book        `json:"book"`
-	Left    map[uint64]float64 `json:"left_s"`  // by number, known to the leader
-	Members []peer.Seen        `json:"members"` // as this voter sees them
-	Traffic rpc.Traffic        `json:"traffic"` // of its process
-	Saves   int                `json:"saves"`   // syncs of its disk
+// VoterState is what a voter tells those who look.
+type VoterState struct {
+	Voter        string              `json:"voter"`
+	VoterID      uint64              `json:"seat"`
+	Leader       string              `json:"leader"` // "" for none that it knows
+	IsLeader     bool                `json:"leads"`
+	HaltReason   string              `json:"down,omitempty"` // why it votes no more
+	StateMachine *lease.StateMachine `json:"book"`
+	SecondsLeft  map[uint64]float64  `json:"left_s"`  // by number, known to the leader
+	Members      []peer.MemberState  `json:"members"` // as this voter sees them
+	Traffic      rpc.Traffic         `json:"traffic"` // of its process
+	DiskSyncs    int                 `json:"saves"`   // syncs of its disk
 }
 
-// Open opens a voter's memory. Without one there is no voter, and the error is [store.ErrNone].
+// Open opens a voter's memory. Without one there is no voter, and the error is [store.ErrNotFound].
 func Open(path string, f Fleet, name string, log *slog.Logger) (*Voter, error) {
-	if err := f.Check(); err != nil {
+	if err := f.Validate(); err != nil {
 		return nil, err
 	}
 	if f.number(name) == 0 {
@@ -263,16 +263,16 @@
 	}
 	saved, seat, err := remember(l, f.Name)
 	if err == nil && seat == 0 {
-		if seat, err = quorum.SeatOf(saved, name); err == nil && seat == 0 {
+		if seat, err = quorum.VoterIDOf(saved, name); err == nil && seat == 0 {
 			err = fmt.Errorf("leases: it is the memory of voters of whom %q was none", name)
 		}
 	}
 	if err == nil {
-		v := &Voter{fleet: f, name: name, log: log, store: l, events: make(chan quorum.Event, 256), asks: make(chan asked, mostAsking), looks: make(chan chan State, 16),
+		v := &Voter{fleet: f, name: name, log: log, store: l, events: make(chan quorum.Event, 256), asks: make(chan asked, mostAsking), looks: make(chan chan VoterState, 16),
 			links: make(map[string]chan []byte), waiting: make(map[uint64]asked), parked: make(map[waiter]parked), seat: seat, seated: make(map[uint64]string),
-			station: transport.NewStation(f.Name, now)}
-		v.client = &http.Client{Timeout: rpc.LinkTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: rpc.IdleTime}}
-		if v.replica, err = quorum.New(seat, rand.Uint64()|1, saved, lease.Usual, true); err == nil {
+			station: transport.NewServer(f.Name, now)}
+		v.client = &http.Client{Timeout: rpc.ExchangeTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: rpc.IdleTimeout}}
+		if v.replica, err = quorum.New(seat, rand.Uint64()|1, saved, lease.DefaultParameters, true); err == nil {
 			return v, nil
 		}
 	}
@@ -286,8 +286,8 @@
 	mux.HandleFunc("POST /v1/raft", v.takeMessages)
 	mux.HandleFunc("POST /v1/lease", v.takeRequest)
 	mux.HandleFunc("GET /v1/book", v.showBook)
-	mux.Handle("POST "+transport.Path, v.station)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, ReadTimeout: 2 * time.Second, WriteTimeout: 3 * time.Second, IdleTimeout: rpc.IdleTime,
+	mux.Handle("POST "+transport.HeartbeatPath, v.station)
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, ReadTimeout: 2 * time.Second, WriteTimeout: 3 * time.Second, IdleTimeout: rpc.IdleTimeout,
 		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError), ConnContext: v.station.ConnContext, ConnState: v.station.ConnState}
 	for _, p := range v.fleet.Voters {
 		if p.Name != v.name {
@@ -308,21 +308,21 @@
 
 // loop is the one goroutine that the replica belongs to.
 func (v *Voter) loop(ctx context.Context) {
-	tick := time.NewTicker(quorum.Tick)
+	tick := time.NewTicker(quorum.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			v.handle(quorum.Pass{})
+			v.handle(quorum.Tick{})
 			v.unpark()
 		case e := <-v.events:
 			v.handle(e)
 		case a := <-v.asks:
 			v.tag++
 			v.waiting[v.tag] = a
-			v.handle(quorum.Asked{Tag: v.tag, Command: a.command, Number: a.number})
+			v.handle(quorum.RequestReceived{RequestID: v.tag, Command: a.command, Token: a.number})
 		case look := <-v.looks:
 			look <- v.state()
 		}
@@ -337,14 +337,14 @@
 		for _, a := range actions {
 			switch a := a.(type) {
 			case quorum.Save:
-				if err := v.save(a.Saved); err != nil {
-					event = quorum.Failed{Err: err}
+				if err := v.save(a.State); err != nil {
+					event = quorum.SaveFailed{Err: err}
 				} else {
-					event = quorum.Done{}
+					event = quorum.SaveCompleted{}
 				}
-			case quorum.Cut:
-				c, err := change(quorum.Saved{Snapshot: a.Snapshot})
-				if c.From, c.Through = 0, a.Snapshot.GetMetadata().GetIndex(); err == nil {
+			case quorum.CompactLog:
+				c, err := change(quorum.PersistentState{Snapshot: a.Snapshot})
+				if c.DropFrom, c.DropThrough = 0, a.Snapshot.GetMetadata().GetIndex(); err == nil {
 					err = v.store.Save(c)
 				}
 				if err != nil {
@@ -354,28 +354,28 @@
 				for _, m := range a.Messages {
 					v.post(m)
 				}
-			case quorum.Answer:
-				if w, ok := v.waiting[a.Tag]; ok {
-					delete(v.waiting, a.Tag)
+			case quorum.Response:
+				if w, ok := v.waiting[a.RequestID]; ok {
+					delete(v.waiting, a.RequestID)
 					v.answer(w, a)
 				}
-			case quorum.Gave:
+			case quorum.WaitersGranted:
 				for _, g := range a.Grants {
 					w := waiter{a.Task, g.Holder, g.Nonce}
 					if p, ok := v.parked[w]; ok {
 						delete(v.parked, w)
-						p.answer <- quorum.Answer{Outcome: lease.Granted, Number: g.Number}
+						p.answer <- quorum.Response{Outcome: lease.Granted, Token: g.Token}
 					}
 				}
-			case quorum.Leading:
-				if !a.Now {
+			case quorum.LeadershipChanged:
+				if !a.IsLeader {
 					for w, p := range v.parked {
 						delete(v.parked, w)
-						p.answer <- quorum.Answer{}
+						p.answer <- quorum.Response{}
 					}
 				}
-				v.log.Info("leases: this voter leads", "now", a.Now)
-			case quorum.Down:
+				v.log.Info("leases: this voter leads", "now", a.IsLeader)
+			case quorum.Halted:
 				v.down = a.Err
 				v.log.Error("leases: this voter stands down; serving goes on", "error", a.Err)
 			}
@@ -385,9 +385,9 @@
 
 // answer ends a request, or parks it: who waits for its turn hears of it as it comes. It counts its time from when it
 // asked, which is before.
-func (v *Voter) answer(a asked, answer quorum.Answer) {
+func (v *Voter) answer(a asked, answer quorum.Response) {
 	c := &a.command
-	if answer.Outcome != lease.Queued || c.Kind != lease.Take || len(v.parked) >= mostParked {
+	if answer.Outcome != lease.Queued || c.Kind != lease.Acquire || len(v.parked) >= mostParked {
 		a.answer <- answer
 		return
 	}
@@ -395,7 +395,7 @@
 	if p, ok := v.parked[w]; ok { // it has asked again
 		p.answer <- answer
 	}
-	v.parked[w] = parked{a.answer, now() + min(c.Length/4, longestPark)}
+	v.parked[w] = parked{a.answer, now() + min(c.Duration/4, longestPark)}
 }
 
 // unpark tells those who have waited for long that they wait still.
@@ -404,12 +404,12 @@
 	for w, p := range v.parked {
 		if t >= p.until {
 			delete(v.parked, w)
-			p.answer <- quorum.Answer{Outcome: lease.Queued}
+			p.answer <- quorum.Response{Outcome: lease.Queued}
 		}
 	}
 }
 
-func (v *Voter) save(s quorum.Saved) error {
+func (v *Voter) save(s quorum.PersistentState) error {
 	if v.sync != nil {
 		if err := v.sync(); err != nil {
 			return err
@@ -428,7 +428,7 @@
 	if err != nil {
 		return
 	}
-	name := v.replica.Book().Seats[m.GetTo()]
+	name := v.replica.StateMachine().Voters[m.GetTo()]
 	if name == "" { // who has just joined knows of the others by what they say
 		v.mu.Lock()
 		name = v.seated[m.GetTo()]
@@ -442,23 +442,23 @@
 
 // letter is what voters send one another.
 type letter struct {
-	rpc.Head
+	rpc.Header
 	Messages [][]byte `cbor:"3,keyasint"`
 	From     string   `cbor:"4,keyasint"`
 	Seat     uint64   `cbor:"5,keyasint"`
 }
 
 // carry takes what is queued for another voter to it, as much as there is at a time.
-func (v *Voter) carry(ctx context.Context, to Peer, queue <-chan []byte) {
+func (v *Voter) carry(ctx context.Context, to VoterAddress, queue <-chan []byte) {
 	for {
-		l := letter{Head: rpc.In(v.fleet.Name), From: v.name, Seat: v.seat}
+		l := letter{Header: rpc.NewHeader(v.fleet.Name), From: v.name, Seat: v.seat}
 		select {
 		case <-ctx.Done():
 			return
 		case text := <-queue:
 			l.Messages = append(l.Messages, text)
 		}
-		for size := len(l.Messages[0]); len(queue) > 0 && size < rpc.MostBody/4; {
+		for size := len(l.Messages[0]); len(queue) > 0 && size < rpc.MaxBodyBytes/4; {
 			text := <-queue
 			l.Messages, size = append(l.Messages, text), size+len(text)
 		}
@@ -468,7 +468,7 @@
 
 func (v *Voter) takeMessages(w http.ResponseWriter, r *http.Request) {
 	var l letter
-	if !rpc.Read(w, r, v.fleet.Name, &l) {
+	if !rpc.ReadRequest(w, r, v.fleet.Name, &l) {
 		return
 	}
 	if v.fleet.number(l.From) > 0 { // so they are bounded
@@ -486,7 +486,7 @@
 			return
 		}
 		select {
-		case v.events <- quorum.Heard{Message: m}:
+		case v.events <- quorum.MessageReceived{Message: m}:
 		case <-r.Context().Done():
 			return
 		}
@@ -495,31 +495,31 @@
 
 // Request and Reply are what holders and voters say to each other.
 type Request struct {
-	rpc.Head
+	rpc.Header
 	Command lease.Command `cbor:"3,keyasint"`
-	Number  uint64        `cbor:"4,keyasint,omitempty"`
+	Token   uint64        `cbor:"4,keyasint,omitempty"`
 }
 
 // Reply answers a Request.
 type Reply struct {
 	Outcome lease.Outcome `cbor:"1,keyasint"`
-	Number  uint64        `cbor:"2,keyasint,omitempty"`
+	Token   uint64        `cbor:"2,keyasint,omitempty"`
 	Error   string        `cbor:"3,keyasint,omitempty"`
 	Leader  string        `cbor:"4,keyasint,omitempty"`
 }
 
 func (v *Voter) takeRequest(w http.ResponseWriter, r *http.Request) {
 	var in Request
-	if !rpc.Read(w, r, v.fleet.Name, &in) {
+	if !rpc.ReadRequest(w, r, v.fleet.Name, &in) {
 		return
 	}
-	answer := make(chan quorum.Answer, 1)
+	answer := make(chan quorum.Response, 1)
 	out := Reply{}
 	select {
-	case v.asks <- asked{in.Command, in.Number, answer}:
+	case v.asks <- asked{in.Command, in.Token, answer}:
 		select {
 		case a := <-answer:
-			out.Outcome, out.Number = a.Outcome, a.Number
+			out.Outcome, out.Token = a.Outcome, a.Token
 			if a.Err != nil {
 				out.Error = a.Err.Error()
 			}
@@ -528,27 +528,27 @@
 		}
 	default: // too many ask at a time
 	}
-	if out.Outcome == lease.Unheard {
+	if out.Outcome == lease.NoAnswer {
 		if s, ok := v.look(r.Context()); ok {
 			out.Leader = s.Leader
 		}
 	}
-	rpc.Write(w, out)
+	rpc.WriteResponse(w, out)
 }
 
 // look asks the loop for its state.
-func (v *Voter) look(ctx context.Context) (State, bool) {
-	look := make(chan State, 1)
+func (v *Voter) look(ctx context.Context) (VoterState, bool) {
+	look := make(chan VoterState, 1)
 	select {
 	case v.looks <- look:
 	case <-ctx.Done():
-		return State{}, false
+		return VoterState{}, false
 	}
 	select {
 	case s := <-look:
 		return s, true
 	case <-ctx.Done():
-		return State{}, false
+		return VoterState{}, false
 	}
 }
 
--- a/internal/lease/book.go
+++ b/internal/lease/book.go
@@ -5,7 +5,7 @@
 //   - [Keeper] is the time of the voter that leads: when a grant may be taken back.
 //   - [Session] is a holder's own time: until when it may act.
 //
-// Guarantees, as long as clocks run within [Terms.Drift] of one another and voters remember what they
+// Guarantees, as long as clocks run within [Parameters.MaxClockDrift] of one another and voters remember what they
 // have promised:
 //
 //  1. No more than a task's Most sessions are valid at any moment.
@@ -26,111 +26,111 @@
 	"time"
 )
 
-// Terms are what holders and voters must have in common.
-type Terms struct {
-	Drift  float64       // by which a clock may be fast or slow
-	Margin time.Duration // between a holder's end and the voters'
-	Least  time.Duration // of a lease's length
-	Most   time.Duration
+// Parameters are what holders and voters must have in common.
+type Parameters struct {
+	MaxClockDrift float64       // by which a clock may be fast or slow
+	SafetyMargin  time.Duration // between a holder's end and the voters'
+	MinDuration   time.Duration // of a lease's length
+	MaxDuration   time.Duration
 }
 
-// Usual are the terms in service.
-var Usual = Terms{Drift: 0.05, Margin: 20 * time.Millisecond, Least: 200 * time.Millisecond, Most: time.Hour}
+// DefaultParameters are the terms in service.
+var DefaultParameters = Parameters{MaxClockDrift: 0.05, SafetyMargin: 20 * time.Millisecond, MinDuration: 200 * time.Millisecond, MaxDuration: time.Hour}
 
 // Bounds of what a book holds.
 const (
-	mostTasks   = 4096
-	mostWaiting = 2048 // for one task
-	mostHeld    = 1024 // of one task
-	MostName    = 128  // bytes of a task's or a holder's name
-	mostSeats   = 7
+	mostTasks    = 4096
+	mostWaiting  = 2048 // for one task
+	mostHeld     = 1024 // of one task
+	MaxNameBytes = 128  // bytes of a task's or a holder's name
+	mostSeats    = 7
 )
 
-// Kind is what a command asks.
-type Kind uint8
+// CommandKind is what a command asks.
+type CommandKind uint8
 
 // The kinds of commands.
 const (
-	Take     Kind = iota + 1 // a grant of Task for Holder, or a place in the queue if Wait
-	Release                  // Number is given back, or Holder's place in the queue if it is 0
-	Transfer                 // Number goes to To, which waits
-	Revoke                   // Number is not renewed any more
-	Expire                   // Number's time is over: by the leader alone
-	Limit                    // at most Most hold Task from now on
-	Hand                     // Number is revoked, and goes to To, which waits, once it has ended
-	Enrol                    // To votes from now on, under a seat that nobody has had
-	Dismiss                  // To votes no more, nor does its seat ever again
+	Acquire     CommandKind = iota + 1 // a grant of Task for Holder, or a place in the queue if Wait
+	Release                            // Number is given back, or Holder's place in the queue if it is 0
+	Transfer                           // Number goes to To, which waits
+	Revoke                             // Number is not renewed any more
+	Expire                             // Number's time is over: by the leader alone
+	SetLimit                           // at most Most hold Task from now on
+	HandOver                           // Number is revoked, and goes to To, which waits, once it has ended
+	AddVoter                           // To votes from now on, under a seat that nobody has had
+	RemoveVoter                        // To votes no more, nor does its seat ever again
 )
 
 // Command is one entry of the voters' log.
 type Command struct {
-	Kind   Kind          `cbor:"1,keyasint"`
-	Task   string        `cbor:"2,keyasint,omitempty"`
-	Holder string        `cbor:"3,keyasint,omitempty"` // a process's name, of this run of it
-	Nonce  uint64        `cbor:"4,keyasint,omitempty"` // of a Take: the same for its repetitions
-	Length time.Duration `cbor:"5,keyasint,omitempty"`
-	Wait   bool          `cbor:"6,keyasint,omitempty"`
-	Number uint64        `cbor:"7,keyasint,omitempty"`
-	To     string        `cbor:"8,keyasint,omitempty"`
-	Most   int           `cbor:"9,keyasint,omitempty"`
-	Seat   uint64        `cbor:"10,keyasint,omitempty"` // of an Enrol or Dismiss, as the leader proposed it
+	Kind       CommandKind   `cbor:"1,keyasint"`
+	Task       string        `cbor:"2,keyasint,omitempty"`
+	Holder     string        `cbor:"3,keyasint,omitempty"` // a process's name, of this run of it
+	Nonce      uint64        `cbor:"4,keyasint,omitempty"` // of a Take: the same for its repetitions
+	Duration   time.Duration `cbor:"5,keyasint,omitempty"`
+	Wait       bool          `cbor:"6,keyasint,omitempty"`
+	Token      uint64        `cbor:"7,keyasint,omitempty"`
+	To         string        `cbor:"8,keyasint,omitempty"`
+	MaxHolders int           `cbor:"9,keyasint,omitempty"`
+	VoterID    uint64        `cbor:"10,keyasint,omitempty"` // of an Enrol or Dismiss, as the leader proposed it
 }
 
 // Grant is a task's holder.
 type Grant struct {
-	Holder  string        `cbor:"1,keyasint" json:"holder"`
-	Nonce   uint64        `cbor:"2,keyasint" json:"-"`
-	Number  uint64        `cbor:"3,keyasint" json:"number"`
-	Length  time.Duration `cbor:"4,keyasint" json:"length"`
-	Revoked bool          `cbor:"5,keyasint,omitempty" json:"revoked,omitempty"`
+	Holder   string        `cbor:"1,keyasint" json:"holder"`
+	Nonce    uint64        `cbor:"2,keyasint" json:"-"`
+	Token    uint64        `cbor:"3,keyasint" json:"number"`
+	Duration time.Duration `cbor:"4,keyasint" json:"length"`
+	Revoked  bool          `cbor:"5,keyasint,omitempty" json:"revoked,omitempty"`
 }
 
 // Waiter is one that waits for a task.
 type Waiter struct {
-	Holder string        `cbor:"1,keyasint" json:"holder"`
-	Nonce  uint64        `cbor:"2,keyasint" json:"-"`
-	Length time.Duration `cbor:"3,keyasint" json:"length"`
+	Holder   string        `cbor:"1,keyasint" json:"holder"`
+	Nonce    uint64        `cbor:"2,keyasint" json:"-"`
+	Duration time.Duration `cbor:"3,keyasint" json:"length"`
 }
 
 // Task is what is known of one.
 type Task struct {
-	Most    int      `cbor:"1,keyasint" json:"most"`
-	Held    []Grant  `cbor:"2,keyasint" json:"held"`
-	Waiting []Waiter `cbor:"3,keyasint" json:"waiting"`
+	MaxHolders int      `cbor:"1,keyasint" json:"most"`
+	Grants     []Grant  `cbor:"2,keyasint" json:"held"`
+	Waiters    []Waiter `cbor:"3,keyasint" json:"waiting"`
 }
 
-// Book is what the voters agree on. The same commands in the same order make the same book.
-type Book struct {
-	Tasks map[string]*Task `cbor:"1,keyasint" json:"tasks"`
-	Last  uint64           `cbor:"2,keyasint" json:"last_number"`
-	// Seats are the voters' names by seat. A voter that has lost its memory comes back under a new seat alone: what
+// StateMachine is what the voters agree on. The same commands in the same order make the same book.
+type StateMachine struct {
+	Tasks     map[string]*Task `cbor:"1,keyasint" json:"tasks"`
+	LastToken uint64           `cbor:"2,keyasint" json:"last_number"`
+	// Voters are the voters' names by seat. A voter that has lost its memory comes back under a new seat alone: what
 	// the old one has promised it can't remember, so the old one never votes again.
-	Seats    map[uint64]string `cbor:"3,keyasint" json:"seats"`
-	LastSeat uint64            `cbor:"4,keyasint" json:"last_seat"`
+	Voters      map[uint64]string `cbor:"3,keyasint" json:"seats"`
+	LastVoterID uint64            `cbor:"4,keyasint" json:"last_seat"`
 }
 
-// NewBook returns a book in which nothing is held, with voters in seats from 1.
-func NewBook(voters ...string) *Book {
-	b := &Book{Tasks: make(map[string]*Task), Seats: make(map[uint64]string)}
+// NewStateMachine returns a book in which nothing is held, with voters in seats from 1.
+func NewStateMachine(voters ...string) *StateMachine {
+	b := &StateMachine{Tasks: make(map[string]*Task), Voters: make(map[uint64]string)}
 	for _, name := range voters {
-		b.LastSeat++
-		b.Seats[b.LastSeat] = name
+		b.LastVoterID++
+		b.Voters[b.LastVoterID] = name
 	}
 	return b
 }
 
 // Clone copies a book.
-func (b *Book) Clone() *Book {
-	c := &Book{Tasks: make(map[string]*Task, len(b.Tasks)), Last: b.Last, Seats: maps.Clone(b.Seats), LastSeat: b.LastSeat}
+func (b *StateMachine) Clone() *StateMachine {
+	c := &StateMachine{Tasks: make(map[string]*Task, len(b.Tasks)), LastToken: b.LastToken, Voters: maps.Clone(b.Voters), LastVoterID: b.LastVoterID}
 	for name, t := range b.Tasks {
-		c.Tasks[name] = &Task{Most: t.Most, Held: slices.Clone(t.Held), Waiting: slices.Clone(t.Waiting)}
+		c.Tasks[name] = &Task{MaxHolders: t.MaxHolders, Grants: slices.Clone(t.Grants), Waiters: slices.Clone(t.Waiters)}
 	}
 	return c
 }
 
-// Seat is that of a voter, 0 for none.
-func (b *Book) Seat(name string) uint64 {
-	for seat, n := range b.Seats {
+// VoterID is that of a voter, 0 for none.
+func (b *StateMachine) VoterID(name string) uint64 {
+	for seat, n := range b.Voters {
 		if n == name {
 			return seat
 		}
@@ -140,212 +140,212 @@
 
 // Errors of commands.
 var (
-	ErrTaken   = errors.New("lease: the task is taken")
-	ErrUnknown = errors.New("lease: there is no such grant")
-	ErrFull    = errors.New("lease: too many tasks, holders or waiters")
-	ErrBad     = errors.New("lease: bad command")
-	ErrSeats   = errors.New("lease: the voters can't be changed so")
+	ErrHeld               = errors.New("lease: the task is taken")
+	ErrUnknownGrant       = errors.New("lease: there is no such grant")
+	ErrLimitExceeded      = errors.New("lease: too many tasks, holders or waiters")
+	ErrInvalidCommand     = errors.New("lease: bad command")
+	ErrInvalidVoterChange = errors.New("lease: the voters can't be changed so")
 )
 
 // Result is what a command came to. Given are grants that it made, of the task itself or of one who
 // had waited; Mine is that of a Take's own sender, new or not.
 type Result struct {
-	Err   error
-	Mine  Grant // Number 0 for none: it waits
-	Fresh bool  // Mine was made by this very command
-	Given []Grant
-	Over  []uint64 // numbers that ended
+	Err         error
+	Grant       Grant // Number 0 for none: it waits
+	Created     bool  // Mine was made by this very command
+	NewGrants   []Grant
+	EndedTokens []uint64 // numbers that ended
 }
 
-// Find returns a grant by its number.
-func (b *Book) Find(task string, number uint64) (Grant, bool) {
+// FindGrant returns a grant by its number.
+func (b *StateMachine) FindGrant(task string, number uint64) (Grant, bool) {
 	if t := b.Tasks[task]; t != nil && number > 0 {
 		if i := t.find(number); i >= 0 {
-			return t.Held[i], true
+			return t.Grants[i], true
 		}
 	}
 	return Grant{}, false
 }
 
 func (t *Task) find(number uint64) int {
-	return slices.IndexFunc(t.Held, func(g Grant) bool { return g.Number == number })
+	return slices.IndexFunc(t.Grants, func(g Grant) bool { return g.Token == number })
 }
 
-// Check tells what is wrong with a command from outside.
-func (t Terms) Check(c *Command) error {
-	named := func(s string) bool { return s != "" && len(s) <= MostName }
-	ok := named(c.Task) || c.Kind == Enrol || c.Kind == Dismiss
+// CheckCommand tells what is wrong with a command from outside.
+func (t Parameters) CheckCommand(c *Command) error {
+	named := func(s string) bool { return s != "" && len(s) <= MaxNameBytes }
+	ok := named(c.Task) || c.Kind == AddVoter || c.Kind == RemoveVoter
 	switch c.Kind {
-	case Take:
-		ok = ok && named(c.Holder) && c.Nonce > 0 && c.Length >= t.Least && c.Length <= t.Most
+	case Acquire:
+		ok = ok && named(c.Holder) && c.Nonce > 0 && c.Duration >= t.MinDuration && c.Duration <= t.MaxDuration
 	case Release:
-		ok = ok && (c.Number > 0 || named(c.Holder) && c.Nonce > 0)
-	case Transfer, Hand:
-		ok = ok && c.Number > 0 && named(c.To)
-	case Enrol, Dismiss:
+		ok = ok && (c.Token > 0 || named(c.Holder) && c.Nonce > 0)
+	case Transfer, HandOver:
+		ok = ok && c.Token > 0 && named(c.To)
+	case AddVoter, RemoveVoter:
 		ok = named(c.To)
 	case Revoke:
-		ok = ok && c.Number > 0
-	case Limit:
-		ok = ok && c.Most >= 1 && c.Most <= mostHeld
+		ok = ok && c.Token > 0
+	case SetLimit:
+		ok = ok && c.MaxHolders >= 1 && c.MaxHolders <= mostHeld
 	default:
 		ok = false // Expire comes from the leader alone
 	}
 	if !ok {
-		return ErrBad
+		return ErrInvalidCommand
 	}
 	return nil
 }
 
 // Apply carries out the next command.
-func (b *Book) Apply(c *Command) Result {
-	if c.Kind == Enrol || c.Kind == Dismiss {
+func (b *StateMachine) Apply(c *Command) Result {
+	if c.Kind == AddVoter || c.Kind == RemoveVoter {
 		return Result{Err: b.seat(c)}
 	}
 	t := b.Tasks[c.Task]
 	if t == nil {
-		if c.Kind != Take && c.Kind != Limit {
-			return Result{Err: ErrUnknown}
+		if c.Kind != Acquire && c.Kind != SetLimit {
+			return Result{Err: ErrUnknownGrant}
 		}
 		if len(b.Tasks) >= mostTasks {
-			return Result{Err: ErrFull}
+			return Result{Err: ErrLimitExceeded}
 		}
-		t = &Task{Most: 1}
+		t = &Task{MaxHolders: 1}
 		b.Tasks[c.Task] = t
 	}
 	switch c.Kind {
-	case Take:
+	case Acquire:
 		return b.take(t, c)
 	case Release, Expire:
 		return b.end(t, c)
 	case Transfer:
 		return b.transfer(t, c)
 	case Revoke:
-		i := t.find(c.Number)
+		i := t.find(c.Token)
 		if i < 0 {
-			return Result{Err: ErrUnknown}
+			return Result{Err: ErrUnknownGrant}
 		}
-		t.Held[i].Revoked = true
+		t.Grants[i].Revoked = true
 		return Result{}
-	case Hand:
-		i := t.find(c.Number)
-		w := slices.IndexFunc(t.Waiting, func(w Waiter) bool { return w.Holder == c.To })
+	case HandOver:
+		i := t.find(c.Token)
+		w := slices.IndexFunc(t.Waiters, func(w Waiter) bool { return w.Holder == c.To })
 		if i < 0 || w < 0 {
-			return Result{Err: ErrUnknown}
+			return Result{Err: ErrUnknownGrant}
 		}
-		t.Held[i].Revoked = true
-		first := t.Waiting[w]
-		t.Waiting = slices.Insert(slices.Delete(t.Waiting, w, w+1), 0, first)
+		t.Grants[i].Revoked = true
+		first := t.Waiters[w]
+		t.Waiters = slices.Insert(slices.Delete(t.Waiters, w, w+1), 0, first)
 		return Result{}
-	case Limit:
-		t.Most = c.Most
+	case SetLimit:
+		t.MaxHolders = c.MaxHolders
 		return b.serve(t, Result{})
 	}
-	return Result{Err: ErrBad}
+	return Result{Err: ErrInvalidCommand}
 }
 
-// CheckSeat tells whether the voters can be changed so, and the seat that it is about.
-func (b *Book) CheckSeat(c *Command) (seat uint64, err error) {
-	seat = b.Seat(c.To)
+// CheckVoterChange tells whether the voters can be changed so, and the seat that it is about.
+func (b *StateMachine) CheckVoterChange(c *Command) (seat uint64, err error) {
+	seat = b.VoterID(c.To)
 	switch {
-	case c.Kind == Enrol && (seat != 0 || len(b.Seats) >= mostSeats), c.Kind == Dismiss && (seat == 0 || len(b.Seats) == 1):
-		return 0, ErrSeats
-	case c.Kind == Enrol:
-		seat = b.LastSeat + 1
+	case c.Kind == AddVoter && (seat != 0 || len(b.Voters) >= mostSeats), c.Kind == RemoveVoter && (seat == 0 || len(b.Voters) == 1):
+		return 0, ErrInvalidVoterChange
+	case c.Kind == AddVoter:
+		seat = b.LastVoterID + 1
 	}
 	return seat, nil
 }
 
-func (b *Book) seat(c *Command) error {
-	seat, err := b.CheckSeat(c)
+func (b *StateMachine) seat(c *Command) error {
+	seat, err := b.CheckVoterChange(c)
 	switch {
 	case err != nil:
 		return err
-	case seat != c.Seat: // another change came before it
-		return ErrSeats
-	case c.Kind == Enrol:
-		b.LastSeat = seat
-		b.Seats[seat] = c.To
+	case seat != c.VoterID: // another change came before it
+		return ErrInvalidVoterChange
+	case c.Kind == AddVoter:
+		b.LastVoterID = seat
+		b.Voters[seat] = c.To
 	default:
-		delete(b.Seats, seat)
+		delete(b.Voters, seat)
 	}
 	return nil
 }
 
-func (b *Book) take(t *Task, c *Command) Result {
-	for _, g := range t.Held {
+func (b *StateMachine) take(t *Task, c *Command) Result {
+	for _, g := range t.Grants {
 		if g.Holder == c.Holder && g.Nonce == c.Nonce { // it has been granted before
-			return Result{Mine: g}
+			return Result{Grant: g}
 		}
 	}
-	for _, w := range t.Waiting {
+	for _, w := range t.Waiters {
 		if w.Holder == c.Holder && w.Nonce == c.Nonce {
 			return Result{}
 		}
 	}
-	if len(t.Held) < t.Most && len(t.Waiting) == 0 {
-		g := b.grant(t, c.Holder, c.Nonce, c.Length)
-		return Result{Mine: g, Fresh: true, Given: []Grant{g}}
+	if len(t.Grants) < t.MaxHolders && len(t.Waiters) == 0 {
+		g := b.grant(t, c.Holder, c.Nonce, c.Duration)
+		return Result{Grant: g, Created: true, NewGrants: []Grant{g}}
 	}
 	if !c.Wait {
-		return Result{Err: ErrTaken}
+		return Result{Err: ErrHeld}
 	}
-	if len(t.Waiting) >= mostWaiting {
-		return Result{Err: ErrFull}
+	if len(t.Waiters) >= mostWaiting {
+		return Result{Err: ErrLimitExceeded}
 	}
-	t.Waiting = append(t.Waiting, Waiter{c.Holder, c.Nonce, c.Length})
+	t.Waiters = append(t.Waiters, Waiter{c.Holder, c.Nonce, c.Duration})
 	return Result{}
 }
 
-func (b *Book) grant(t *Task, holder string, nonce uint64, length time.Duration) Grant {
-	b.Last++
-	g := Grant{Holder: holder, Nonce: nonce, Number: b.Last, Length: length}
-	t.Held = append(t.Held, g)
+func (b *StateMachine) grant(t *Task, holder string, nonce uint64, length time.Duration) Grant {
+	b.LastToken++
+	g := Grant{Holder: holder, Nonce: nonce, Token: b.LastToken, Duration: length}
+	t.Grants = append(t.Grants, g)
 	return g
 }
 
 // end takes a grant back, or a waiter out of the queue.
-func (b *Book) end(t *Task, c *Command) Result {
-	if c.Number == 0 {
-		before := len(t.Waiting)
-		t.Waiting = slices.DeleteFunc(t.Waiting, func(w Waiter) bool { return w.Holder == c.Holder && w.Nonce == c.Nonce })
-		if len(t.Waiting) == before {
-			return Result{Err: ErrUnknown}
+func (b *StateMachine) end(t *Task, c *Command) Result {
+	if c.Token == 0 {
+		before := len(t.Waiters)
+		t.Waiters = slices.DeleteFunc(t.Waiters, func(w Waiter) bool { return w.Holder == c.Holder && w.Nonce == c.Nonce })
+		if len(t.Waiters) == before {
+			return Result{Err: ErrUnknownGrant}
 		}
 		return b.serve(t, Result{})
 	}
-	i := t.find(c.Number)
+	i := t.find(c.Token)
 	if i < 0 {
-		return Result{Err: ErrUnknown}
+		return Result{Err: ErrUnknownGrant}
 	}
-	t.Held = slices.Delete(t.Held, i, i+1)
-	return b.serve(t, Result{Over: []uint64{c.Number}})
+	t.Grants = slices.Delete(t.Grants, i, i+1)
+	return b.serve(t, Result{EndedTokens: []uint64{c.Token}})
 }
 
 // transfer ends a grant for the good of one who waits, before all others.
-func (b *Book) transfer(t *Task, c *Command) Result {
-	i := t.find(c.Number)
-	w := slices.IndexFunc(t.Waiting, func(w Waiter) bool { return w.Holder == c.To })
+func (b *StateMachine) transfer(t *Task, c *Command) Result {
+	i := t.find(c.Token)
+	w := slices.IndexFunc(t.Waiters, func(w Waiter) bool { return w.Holder == c.To })
 	if i < 0 || w < 0 {
-		return Result{Err: ErrUnknown}
+		return Result{Err: ErrUnknownGrant}
 	}
-	taker := t.Waiting[w]
-	t.Held, t.Waiting = slices.Delete(t.Held, i, i+1), slices.Delete(t.Waiting, w, w+1)
-	r := Result{Over: []uint64{c.Number}}
-	if len(t.Held) < t.Most {
-		r.Given = append(r.Given, b.grant(t, taker.Holder, taker.Nonce, taker.Length))
+	taker := t.Waiters[w]
+	t.Grants, t.Waiters = slices.Delete(t.Grants, i, i+1), slices.Delete(t.Waiters, w, w+1)
+	r := Result{EndedTokens: []uint64{c.Token}}
+	if len(t.Grants) < t.MaxHolders {
+		r.NewGrants = append(r.NewGrants, b.grant(t, taker.Holder, taker.Nonce, taker.Duration))
 	} else { // the limit was lowered meanwhile
-		t.Waiting = slices.Insert(t.Waiting, 0, taker)
+		t.Waiters = slices.Insert(t.Waiters, 0, taker)
 	}
 	return b.serve(t, r)
 }
 
 // serve grants to those who wait, in turn, as far as the limit lets it.
-func (b *Book) serve(t *Task, r Result) Result {
-	for len(t.Waiting) > 0 && len(t.Held) < t.Most {
-		w := t.Waiting[0]
-		t.Waiting = slices.Delete(t.Waiting, 0, 1)
-		r.Given = append(r.Given, b.grant(t, w.Holder, w.Nonce, w.Length))
+func (b *StateMachine) serve(t *Task, r Result) Result {
+	for len(t.Waiters) > 0 && len(t.Grants) < t.MaxHolders {
+		w := t.Waiters[0]
+		t.Waiters = slices.Delete(t.Waiters, 0, 1)
+		r.NewGrants = append(r.NewGrants, b.grant(t, w.Holder, w.Nonce, w.Duration))
 	}
 	return r
 }
--- a/internal/lease/permit.go
+++ b/internal/lease/permit.go
@@ -11,8 +11,8 @@
 // PermitTask is the task whose holders may drain or reload, and PermitLength how long one that has ended without a word
 // keeps others from it.
 const (
-	PermitTask   = "restart"
-	PermitLength = 10 * time.Second
+	PermitTask     = "restart"
+	PermitDuration = 10 * time.Second
 )
 
 // HolderName is how a process is called as a holder: by its name, its process's number and what else tells it apart.
@@ -36,16 +36,16 @@
 	return s[:i], s[i+1:], true
 }
 
-// Left are the grants of a task that processes of a name have left behind: not of this process, and of one that runs no
+// OrphanedTokens are the grants of a task that processes of a name have left behind: not of this process, and of one that runs no
 // more on this machine. Whoever comes up after them gives them back: a permit covers a restart to its end. One that
 // runs still gives back its own.
-func Left(t *Task, name string, self int, runs func(pid int) bool) (numbers []uint64) {
+func OrphanedTokens(t *Task, name string, self int, runs func(pid int) bool) (numbers []uint64) {
 	if t == nil {
 		return nil
 	}
-	for _, g := range t.Held {
+	for _, g := range t.Grants {
 		if n, pid, ok := process(g.Holder); ok && n == name && pid != self && !runs(pid) {
-			numbers = append(numbers, g.Number)
+			numbers = append(numbers, g.Token)
 		}
 	}
 	return numbers
@@ -56,14 +56,14 @@
 
 // The verdicts.
 const (
-	WaitOn  PermitVerdict = iota // serving meanwhile
-	GoAhead                      // without one
+	KeepWaiting          PermitVerdict = iota // serving meanwhile
+	ProceedWithoutPermit                      // without one
 )
 
-// WithoutPermit decides for a process that has waited for so long and is to wait for most.
-func WithoutPermit(waited, most time.Duration, insist bool) PermitVerdict {
+// DecideWithoutPermit decides for a process that has waited for so long and is to wait for most.
+func DecideWithoutPermit(waited, most time.Duration, insist bool) PermitVerdict {
 	if waited < most || insist {
-		return WaitOn
+		return KeepWaiting
 	}
-	return GoAhead
+	return ProceedWithoutPermit
 }
--- a/internal/lease/quorum/fuzz_test.go
+++ b/internal/lease/quorum/fuzz_test.go
@@ -20,7 +20,7 @@
 		}
 		f.Add(text)
 	}
-	first, err := First("a", "b", "c")
+	first, err := InitialState("a", "b", "c")
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -29,15 +29,15 @@
 		if err != nil {
 			return
 		}
-		r, err := New(1, 7, first, lease.Usual, true)
+		r, err := New(1, 7, first, lease.DefaultParameters, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		down := false
-		for _, event := range []Event{Heard{m}, Done{}, Pass{}, Done{}, Asked{Tag: 1, Command: lease.Command{Kind: lease.Take, Task: "x", Holder: "h", Nonce: 1, Length: lease.Usual.Least}}} {
+		for _, event := range []Event{MessageReceived{m}, SaveCompleted{}, Tick{}, SaveCompleted{}, RequestReceived{RequestID: 1, Command: lease.Command{Kind: lease.Acquire, Task: "x", Holder: "h", Nonce: 1, Duration: lease.DefaultParameters.MinDuration}}} {
 			for _, a := range r.Handle(0, event) {
 				switch a.(type) {
-				case Down:
+				case Halted:
 					down = true
 				case Send, Save:
 					if down {
--- a/internal/lease/quorum/lives_test.go
+++ b/internal/lease/quorum/lives_test.go
@@ -40,8 +40,8 @@
 	name    string
 	lost    bool // its disk, for good
 	replica *Replica
-	disk    Saved
-	saving  *Saved // what a crash may lose
+	disk    PersistentState
+	saving  *PersistentState // what a crash may lose
 	run     uint64
 	rate    float64 // of its clock
 	down    bool
@@ -67,10 +67,10 @@
 	voters []*voter
 	who    []*contender
 	cut    map[[2]int]bool // ways from a voter to a voter
-	tags   map[uint64]func(Answer)
+	tags   map[uint64]func(Response)
 	tag    uint64
 	flaw   flaw
-	terms  lease.Terms
+	terms  lease.Parameters
 	nonces uint64
 
 	replacing bool   // a voter that lost its disk is being
@@ -89,20 +89,20 @@
 
 // newLifeOf is newLife with so many contenders.
 func newLifeOf(seed uint64, f flaw, contenders int) *life {
-	l := &life{rng: rand.New(rand.NewPCG(seed, 1)), cut: make(map[[2]int]bool), tags: make(map[uint64]func(Answer)), flaw: f, terms: lease.Usual}
+	l := &life{rng: rand.New(rand.NewPCG(seed, 1)), cut: make(map[[2]int]bool), tags: make(map[uint64]func(Response)), flaw: f, terms: lease.DefaultParameters}
 	if f.margin {
-		l.terms.Margin, l.terms.Drift = -60*ms, 0
+		l.terms.SafetyMargin, l.terms.MaxClockDrift = -60*ms, 0
 	}
 	rate := func() float64 {
 		switch l.rng.IntN(3) {
 		case 0:
-			return 1 - lease.Usual.Drift
+			return 1 - lease.DefaultParameters.MaxClockDrift
 		case 1:
-			return 1 + lease.Usual.Drift
+			return 1 + lease.DefaultParameters.MaxClockDrift
 		}
 		return 1
 	}
-	first, err := First("1", "2", "3")
+	first, err := InitialState("1", "2", "3")
 	if err != nil {
 		panic(err)
 	}
@@ -144,8 +144,8 @@
 func (l *life) boot(v *voter) {
 	v.run = l.rng.Uint64() | 1
 	if l.flaw.forgets && v.replica != nil {
-		first, _ := First("1", "2", "3")
-		first.Hard.Term = proto.Uint64(v.disk.Hard.GetTerm()) // all but the log
+		first, _ := InitialState("1", "2", "3")
+		first.HardState.Term = proto.Uint64(v.disk.HardState.GetTerm()) // all but the log
 		v.disk = first
 	}
 	r, err := New(v.id, v.run, v.disk, l.terms, false)
@@ -159,7 +159,7 @@
 // elect has some voter ask for votes, now and then.
 func (l *life) elect() {
 	v := l.pick()
-	if !slices.ContainsFunc(l.voters, func(v *voter) bool { return v.replica.Leads() && !v.down && !v.stopped }) || l.rng.IntN(8) == 0 {
+	if !slices.ContainsFunc(l.voters, func(v *voter) bool { return v.replica.IsLeader() && !v.down && !v.stopped }) || l.rng.IntN(8) == 0 {
 		l.at(v, func() { l.act(v, v.replica.Campaign(l.clock(v.rate))) })
 	}
 	l.after(time.Duration(50+l.rng.IntN(150))*ms, l.elect)
@@ -176,22 +176,22 @@
 
 // replace gives a voter that has lost its disk up, and seats another of its name, as operators do: under a new seat,
 // with an empty memory.
-func (l *life) replace(v *voter, kind lease.Kind) {
-	again := func(kind lease.Kind) { l.after(100*ms, func() { l.replace(v, kind) }) }
-	at := slices.IndexFunc(l.voters, func(x *voter) bool { return x.replica.Leads() && !x.down && !x.stopped })
+func (l *life) replace(v *voter, kind lease.CommandKind) {
+	again := func(kind lease.CommandKind) { l.after(100*ms, func() { l.replace(v, kind) }) }
+	at := slices.IndexFunc(l.voters, func(x *voter) bool { return x.replica.IsLeader() && !x.down && !x.stopped })
 	if at < 0 {
 		again(kind)
 		return
 	}
 	x := l.voters[at]
 	// What was asked may have been done though no answer came: the book tells.
-	switch seat := x.replica.Book().Seat(v.name); {
-	case kind == lease.Dismiss && seat != v.id:
-		again(lease.Enrol)
+	switch seat := x.replica.StateMachine().VoterID(v.name); {
+	case kind == lease.RemoveVoter && seat != v.id:
+		again(lease.AddVoter)
 		return
-	case kind == lease.Enrol && seat != 0:
+	case kind == lease.AddVoter && seat != 0:
 		n := &voter{id: seat, name: v.name, rate: 1}
-		n.disk, _ = Joining()
+		n.disk, _ = JoiningState()
 		for uint64(len(l.voters)) < seat-1 { // a seat that nobody came to
 			l.voters = append(l.voters, &voter{id: uint64(len(l.voters) + 1), lost: true, down: true, replica: v.replica})
 		}
@@ -203,7 +203,7 @@
 		return
 	}
 	l.tag++
-	l.act(x, x.replica.Handle(l.clock(x.rate), Asked{Tag: l.tag, Command: lease.Command{Kind: kind, To: v.name}}))
+	l.act(x, x.replica.Handle(l.clock(x.rate), RequestReceived{RequestID: l.tag, Command: lease.Command{Kind: kind, To: v.name}}))
 	again(kind)
 }
 
@@ -211,8 +211,8 @@
 	if v.lost {
 		return
 	}
-	l.at(v, func() { l.act(v, v.replica.Handle(l.clock(v.rate), Pass{})) })
-	l.after(Tick, func() { l.beat(v) })
+	l.at(v, func() { l.act(v, v.replica.Handle(l.clock(v.rate), Tick{})) })
+	l.after(TickInterval, func() { l.beat(v) })
 }
 
 // at has a voter do something, when it goes on if it is stopped.
@@ -232,10 +232,10 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Save:
-			s := a.Saved
+			s := a.State
 			v.saving = &s
 			if l.flaw.sendsFirst { // what is not saved yet is promised
-				l.after(0, func() { l.at(v, func() { l.act(v, v.replica.Handle(l.clock(v.rate), Done{})) }) })
+				l.after(0, func() { l.at(v, func() { l.act(v, v.replica.Handle(l.clock(v.rate), SaveCompleted{})) }) })
 				continue
 			}
 			l.after(v.slow+time.Duration(l.rng.IntN(8))*ms, func() {
@@ -245,21 +245,21 @@
 					}
 					v.store(s)
 					v.saving = nil
-					l.act(v, v.replica.Handle(l.clock(v.rate), Done{}))
+					l.act(v, v.replica.Handle(l.clock(v.rate), SaveCompleted{}))
 				})
 			})
-		case Down:
+		case Halted:
 			l.downs = a.Err.Error()
-		case Cut:
+		case CompactLog:
 			v.disk.Snapshot = a.Snapshot
 			v.disk.Entries = slices.DeleteFunc(slices.Clone(v.disk.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= a.Snapshot.GetMetadata().GetIndex() })
 		case Send:
 			for _, m := range a.Messages {
 				l.send(v, m)
 			}
-		case Answer:
-			if do := l.tags[a.Tag]; do != nil {
-				delete(l.tags, a.Tag)
+		case Response:
+			if do := l.tags[a.RequestID]; do != nil {
+				delete(l.tags, a.RequestID)
 				do(a)
 			}
 		}
@@ -267,9 +267,9 @@
 }
 
 // store makes something last.
-func (v *voter) store(s Saved) {
-	if s.Hard != nil {
-		v.disk.Hard = s.Hard
+func (v *voter) store(s PersistentState) {
+	if s.HardState != nil {
+		v.disk.HardState = s.HardState
 	}
 	if s.Snapshot != nil {
 		v.disk.Snapshot, v.disk.Entries = s.Snapshot, nil
@@ -314,7 +314,7 @@
 				if err != nil {
 					panic(err)
 				}
-				l.act(to, to.replica.Handle(l.clock(to.rate), Heard{again}))
+				l.act(to, to.replica.Handle(l.clock(to.rate), MessageReceived{again}))
 			})
 		})
 	}
@@ -333,7 +333,7 @@
 		}
 		l.later(c, func() {
 			if c.run == run {
-				l.tell(c, lease.Pass{})
+				l.tell(c, lease.TimerFired{})
 			}
 		})
 		l.after(20*ms, pass)
@@ -356,10 +356,10 @@
 	now := l.clock(c.rate)
 	for _, a := range session.Handle(now, e, nil) {
 		switch a := a.(type) {
-		case lease.Ask:
+		case lease.SendRequest:
 			l.request(c, run, a)
-		case lease.Tell:
-			l.request(c, run, lease.Ask{Command: a.Command})
+		case lease.SendRelease:
+			l.request(c, run, lease.SendRequest{Command: a.Command})
 		case lease.Ended:
 			l.after(time.Duration(l.rng.IntN(100))*ms, func() {
 				if c.run == run {
@@ -371,7 +371,7 @@
 }
 
 // request takes a contender's wish to a voter and the answer back, each late, lost or doubled.
-func (l *life) request(c *contender, run int, a lease.Ask) {
+func (l *life) request(c *contender, run int, a lease.SendRequest) {
 	for range 1 + l.rng.IntN(20)/19 {
 		l.asked++
 		if l.rng.IntN(20) == 0 {
@@ -379,7 +379,7 @@
 		}
 		v := l.pick()
 		for _, x := range l.voters { // it mostly knows who leads
-			if !x.lost && x.replica.Leads() && l.rng.IntN(4) > 0 {
+			if !x.lost && x.replica.IsLeader() && l.rng.IntN(4) > 0 {
 				v = x
 			}
 		}
@@ -392,16 +392,16 @@
 		l.after(wait(), func() {
 			l.at(v, func() {
 				l.tag++
-				l.tags[l.tag] = func(answer Answer) {
+				l.tags[l.tag] = func(answer Response) {
 					l.after(wait(), func() {
 						l.later(c, func() {
 							if c.run == run {
-								l.tell(c, lease.Answer{Serial: a.Serial, Outcome: answer.Outcome, Number: answer.Number})
+								l.tell(c, lease.Response{Sequence: a.Sequence, Outcome: answer.Outcome, Token: answer.Token})
 							}
 						})
 					})
 				}
-				l.act(v, v.replica.Handle(l.clock(v.rate), Asked{l.tag, a.Command, a.Number}))
+				l.act(v, v.replica.Handle(l.clock(v.rate), RequestReceived{l.tag, a.Command, a.Token}))
 			})
 		})
 	}
@@ -416,7 +416,7 @@
 		if !l.replacing && !v.down && l.now > time.Second {
 			v.lost, v.down, v.stopped, v.waiting = true, true, false, nil
 			l.replacing = true
-			l.replace(v, lease.Dismiss)
+			l.replace(v, lease.RemoveVoter)
 		}
 	case 0: // kill -9, some or none of what was being saved lasts
 		if !v.down {
@@ -470,7 +470,7 @@
 		l.after(span, func() { delete(l.cut, way); delete(l.cut, back) })
 	case 5:
 		if c.session.State(l.clock(c.rate)) == lease.Holding {
-			l.later(c, func() { l.tell(c, lease.GiveUp{}) })
+			l.later(c, func() { l.tell(c, lease.ReleaseRequested{}) })
 		}
 	}
 	l.after(time.Duration(100+l.rng.IntN(500))*ms, l.trouble)
--- a/internal/lease/quorum/replica.go
+++ b/internal/lease/quorum/replica.go
@@ -25,7 +25,7 @@
 
 // Bounds, and the times that follow from the tick.
 const (
-	Tick          = 30 * time.Millisecond
+	TickInterval  = 30 * time.Millisecond
 	electionTicks = 10 // a voter that hears nothing for 300 to 600 ms asks for votes
 	mostPending   = 4096
 	snapshotEvery = 2000 // entries
@@ -37,33 +37,33 @@
 	firstTerm     = 1
 )
 
-// Saved is what a voter remembers.
-type Saved struct {
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot // of the book, with the voters
-	Entries  []*raftpb.Entry  // behind it
+// PersistentState is what a voter remembers.
+type PersistentState struct {
+	HardState *raftpb.HardState
+	Snapshot  *raftpb.Snapshot // of the book, with the voters
+	Entries   []*raftpb.Entry  // behind it
 }
 
-// First is what every voter of a new fleet begins with, whose voters have the seats from 1 on.
-func First(names ...string) (Saved, error) {
-	b := lease.NewBook(names...)
+// InitialState is what every voter of a new fleet begins with, whose voters have the seats from 1 on.
+func InitialState(names ...string) (PersistentState, error) {
+	b := lease.NewStateMachine(names...)
 	book, err := cbor.Marshal(b)
 	if err != nil {
-		return Saved{}, err
+		return PersistentState{}, err
 	}
 	var voters []uint64
-	for seat := range b.LastSeat {
+	for seat := range b.LastVoterID {
 		voters = append(voters, seat+1)
 	}
-	return Saved{Hard: &raftpb.HardState{Term: ptr(uint64(firstTerm)), Vote: ptr(uint64(0)), Commit: ptr(uint64(firstIndex))},
+	return PersistentState{HardState: &raftpb.HardState{Term: ptr(uint64(firstTerm)), Vote: ptr(uint64(0)), Commit: ptr(uint64(firstIndex))},
 		Snapshot: &raftpb.Snapshot{Data: book, Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: voters},
 			Index: ptr(uint64(firstIndex)), Term: ptr(uint64(firstTerm))}}}, nil
 }
 
-// Joining is what a voter begins with that has been given a new seat: nothing, until a leader tells it.
-func Joining() (Saved, error) {
-	book, err := cbor.Marshal(lease.NewBook())
-	return Saved{Hard: &raftpb.HardState{Term: ptr(uint64(0)), Vote: ptr(uint64(0)), Commit: ptr(uint64(0))},
+// JoiningState is what a voter begins with that has been given a new seat: nothing, until a leader tells it.
+func JoiningState() (PersistentState, error) {
+	book, err := cbor.Marshal(lease.NewStateMachine())
+	return PersistentState{HardState: &raftpb.HardState{Term: ptr(uint64(0)), Vote: ptr(uint64(0)), Commit: ptr(uint64(0))},
 		Snapshot: &raftpb.Snapshot{Data: book, Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{}, Index: ptr(uint64(0)), Term: ptr(uint64(0))}}}, err
 }
 
@@ -73,26 +73,26 @@
 type Event interface{ event() }
 
 type (
-	// Pass is a tick.
-	Pass struct{}
-	// Heard is a message of another voter.
-	Heard struct{ Message *raftpb.Message }
-	// Asked is a request: a command, or with Number the renewal of that grant. Tag names it in the answer.
-	Asked struct {
-		Tag     uint64
-		Command lease.Command
-		Number  uint64
-	}
-	// Done tells that the latest Save has been carried out; Failed that it could not be.
-	Done   struct{}
-	Failed struct{ Err error }
+	// Tick is a tick.
+	Tick struct{}
+	// MessageReceived is a message of another voter.
+	MessageReceived struct{ Message *raftpb.Message }
+	// RequestReceived is a request: a command, or with Number the renewal of that grant. Tag names it in the answer.
+	RequestReceived struct {
+		RequestID uint64
+		Command   lease.Command
+		Token     uint64
+	}
+	// SaveCompleted tells that the latest Save has been carried out; Failed that it could not be.
+	SaveCompleted struct{}
+	SaveFailed    struct{ Err error }
 )
 
-func (Pass) event()   {}
-func (Heard) event()  {}
-func (Asked) event()  {}
-func (Done) event()   {}
-func (Failed) event() {}
+func (Tick) event()            {}
+func (MessageReceived) event() {}
+func (RequestReceived) event() {}
+func (SaveCompleted) event()   {}
+func (SaveFailed) event()      {}
 
 // Action is what a Replica wants done, in order.
 type Action interface{ action() }
@@ -100,36 +100,36 @@
 type (
 	// Save makes things last, all or nothing; Done or Failed follows. A snapshot replaces the log up to it;
 	// entries replace those of the same index and all behind.
-	Save struct{ Saved Saved }
-	// Cut drops the log up to a snapshot that is saved with it. No answer is needed.
-	Cut struct{ Snapshot *raftpb.Snapshot }
+	Save struct{ State PersistentState }
+	// CompactLog drops the log up to a snapshot that is saved with it. No answer is needed.
+	CompactLog struct{ Snapshot *raftpb.Snapshot }
 	// Send takes messages to other voters; any may be lost.
 	Send struct{ Messages []*raftpb.Message }
-	// Answer ends a request.
-	Answer struct {
-		Tag     uint64
-		Outcome lease.Outcome
-		Number  uint64
-		Err     error
-	}
-	// Gave tells of grants to those who waited, while this voter leads.
-	Gave struct {
+	// Response ends a request.
+	Response struct {
+		RequestID uint64
+		Outcome   lease.Outcome
+		Token     uint64
+		Err       error
+	}
+	// WaitersGranted tells of grants to those who waited, while this voter leads.
+	WaitersGranted struct {
 		Task   string
 		Grants []lease.Grant
 	}
-	// Leading tells that this voter leads now, or not any more.
-	Leading struct{ Now bool }
-	// Down tells that this voter says nothing any more: its disk has failed, or what it remembers can't be.
-	Down struct{ Err error }
+	// LeadershipChanged tells that this voter leads now, or not any more.
+	LeadershipChanged struct{ IsLeader bool }
+	// Halted tells that this voter says nothing any more: its disk has failed, or what it remembers can't be.
+	Halted struct{ Err error }
 )
 
-func (Save) action()    {}
-func (Cut) action()     {}
-func (Send) action()    {}
-func (Answer) action()  {}
-func (Leading) action() {}
-func (Gave) action()    {}
-func (Down) action()    {}
+func (Save) action()              {}
+func (CompactLog) action()        {}
+func (Send) action()              {}
+func (Response) action()          {}
+func (LeadershipChanged) action() {}
+func (WaitersGranted) action()    {}
+func (Halted) action()            {}
 
 // entry is what the log holds.
 type entry struct {
@@ -144,9 +144,9 @@
 	run     uint64
 	node    *raft.RawNode
 	storage *raft.MemoryStorage
-	terms   lease.Terms
-	book    *lease.Book
-	keeper  *lease.Keeper
+	terms   lease.Parameters
+	book    *lease.StateMachine
+	keeper  *lease.ExpiryManager
 	conf    *raftpb.ConfState
 
 	ready   *raft.Ready // that is being saved
@@ -166,15 +166,15 @@
 type renewal struct{ tag, number uint64 }
 
 // New returns the voter that remembers saved. Run must differ from any before it.
-func New(id, run uint64, saved Saved, terms lease.Terms, elections bool) (r *Replica, err error) {
+func New(id, run uint64, saved PersistentState, terms lease.Parameters, elections bool) (r *Replica, err error) {
 	defer func() { // the library panics over a memory that can't be
 		if wrong := recover(); wrong != nil {
 			r, err = nil, fmt.Errorf("quorum: %v", wrong)
 		}
 	}()
-	r = &Replica{id: id, run: run, terms: terms, storage: raft.NewMemoryStorage(), book: lease.NewBook(), pending: make(map[uint64]lease.Command),
+	r = &Replica{id: id, run: run, terms: terms, storage: raft.NewMemoryStorage(), book: lease.NewStateMachine(), pending: make(map[uint64]lease.Command),
 		renewed: make(map[uint64]renewal)}
-	if saved.Snapshot == nil || saved.Hard == nil {
+	if saved.Snapshot == nil || saved.HardState == nil {
 		return nil, errors.New("quorum: a voter without memory may not vote")
 	}
 	if err := r.restore(saved.Snapshot); err != nil {
@@ -185,7 +185,7 @@
 			return nil, fmt.Errorf("quorum: the log has a gap before entry %d", e.GetIndex())
 		}
 	}
-	if err := errors.Join(r.begin(saved.Snapshot), r.storage.SetHardState(saved.Hard), r.storage.Append(saved.Entries)); err != nil {
+	if err := errors.Join(r.begin(saved.Snapshot), r.storage.SetHardState(saved.HardState), r.storage.Append(saved.Entries)); err != nil {
 		return nil, fmt.Errorf("quorum: %w", err)
 	}
 	ticks := electionTicks
@@ -211,43 +211,43 @@
 
 // restore puts a snapshot's book in place.
 func (r *Replica) restore(s *raftpb.Snapshot) error {
-	book := lease.NewBook()
+	book := lease.NewStateMachine()
 	if err := cbor.Unmarshal(s.GetData(), book); err != nil {
 		return fmt.Errorf("quorum: snapshot: %w", err)
 	}
 	if book.Tasks == nil {
 		book.Tasks = make(map[string]*lease.Task)
 	}
-	if book.Seats == nil {
-		book.Seats = make(map[uint64]string)
+	if book.Voters == nil {
+		book.Voters = make(map[uint64]string)
 	}
-	r.book, r.keeper = book, lease.NewKeeper(r.terms, book)
+	r.book, r.keeper = book, lease.NewExpiryManager(r.terms, book)
 	r.conf, r.applied, r.cut = s.GetMetadata().GetConfState(), s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
 	r.led = false
 	return nil
 }
 
-// SeatOf finds a voter's seat in what it remembers, 0 for none.
-func SeatOf(saved Saved, name string) (uint64, error) {
-	book := lease.NewBook()
+// VoterIDOf finds a voter's seat in what it remembers, 0 for none.
+func VoterIDOf(saved PersistentState, name string) (uint64, error) {
+	book := lease.NewStateMachine()
 	if err := cbor.Unmarshal(saved.Snapshot.GetData(), book); err != nil {
 		return 0, fmt.Errorf("quorum: snapshot: %w", err)
 	}
-	return book.Seat(name), nil
+	return book.VoterID(name), nil
 }
 
-// Leads tells whether this voter leads, for those who ask.
-func (r *Replica) Leads() bool { return r.led && !r.dead }
+// IsLeader tells whether this voter leads, for those who ask.
+func (r *Replica) IsLeader() bool { return r.led && !r.dead }
 
 // Leader is the voter that leads as far as this one knows, 0 for none.
 func (r *Replica) Leader() uint64 { return r.node.BasicStatus().Lead }
 
-// Book is what the voters have agreed on, as far as this one has heard. It is to be read only.
-func (r *Replica) Book() *lease.Book { return r.book }
+// StateMachine is what the voters have agreed on, as far as this one has heard. It is to be read only.
+func (r *Replica) StateMachine() *lease.StateMachine { return r.book }
 
-// Left is how long a grant is kept yet; it is known to the leader alone.
-func (r *Replica) Left(number uint64, now time.Duration) (time.Duration, bool) {
-	return r.keeper.Left(number, now)
+// TimeLeft is how long a grant is kept yet; it is known to the leader alone.
+func (r *Replica) TimeLeft(number uint64, now time.Duration) (time.Duration, bool) {
+	return r.keeper.TimeLeft(number, now)
 }
 
 // Campaign asks for votes at once.
@@ -269,22 +269,22 @@
 		}
 	}()
 	if r.dead {
-		if e, ok := event.(Asked); ok {
-			return []Action{Answer{Tag: e.Tag}}
+		if e, ok := event.(RequestReceived); ok {
+			return []Action{Response{RequestID: e.RequestID}}
 		}
 		return nil
 	}
 	switch e := event.(type) {
-	case Pass:
+	case Tick:
 		r.node.Tick()
 		r.keep(lease.Tick{})
-	case Heard:
+	case MessageReceived:
 		r.node.Step(e.Message) // what can't be meant is dropped: its error tells no more
-	case Asked:
+	case RequestReceived:
 		r.ask(e)
-	case Failed:
+	case SaveFailed:
 		return r.standDown(fmt.Errorf("quorum: save: %w", e.Err))
-	case Done:
+	case SaveCompleted:
 		r.saved()
 	}
 	r.turn()
@@ -295,50 +295,50 @@
 func (r *Replica) standDown(err error) []Action {
 	r.dead, r.out = true, nil
 	r.depose()
-	return append(r.out, Down{err})
+	return append(r.out, Halted{err})
 }
 
 // ask takes a request of a holder.
-func (r *Replica) ask(e Asked) {
+func (r *Replica) ask(e RequestReceived) {
 	switch {
 	case !r.led || len(r.pending) >= mostPending || len(r.renewed) >= mostPending:
-		r.out = append(r.out, Answer{Tag: e.Tag})
-	case e.Number > 0:
-		r.renew(e.Tag, e.Command.Task, e.Number)
+		r.out = append(r.out, Response{RequestID: e.RequestID})
+	case e.Token > 0:
+		r.renew(e.RequestID, e.Command.Task, e.Token)
 	default:
-		err := r.terms.Check(&e.Command)
-		if err == nil && (e.Command.Kind == lease.Enrol || e.Command.Kind == lease.Dismiss) {
-			e.Command.Seat, err = r.book.CheckSeat(&e.Command)
+		err := r.terms.CheckCommand(&e.Command)
+		if err == nil && (e.Command.Kind == lease.AddVoter || e.Command.Kind == lease.RemoveVoter) {
+			e.Command.VoterID, err = r.book.CheckVoterChange(&e.Command)
 		}
 		if err != nil {
-			r.out = append(r.out, Answer{Tag: e.Tag, Outcome: lease.Refused, Err: err})
+			r.out = append(r.out, Response{RequestID: e.RequestID, Outcome: lease.Refused, Err: err})
 			return
 		}
-		if c := &e.Command; c.Kind == lease.Take {
-			r.keep(lease.Waits{Task: c.Task, Holder: c.Holder, Nonce: c.Nonce})
+		if c := &e.Command; c.Kind == lease.Acquire {
+			r.keep(lease.WaiterSeen{Task: c.Task, Holder: c.Holder, Nonce: c.Nonce})
 			if done := r.known(e); done { // asked for again: nothing new is to be decided
 				return
 			}
 		}
-		r.propose(e.Tag, e.Command)
+		r.propose(e.RequestID, e.Command)
 	}
 }
 
 // known answers a Take that has been decided before, and tells whether it was.
-func (r *Replica) known(e Asked) bool {
+func (r *Replica) known(e RequestReceived) bool {
 	t := r.book.Tasks[e.Command.Task]
 	if t == nil {
 		return false
 	}
-	for _, g := range t.Held {
+	for _, g := range t.Grants {
 		if g.Holder == e.Command.Holder && g.Nonce == e.Command.Nonce {
-			r.renew(e.Tag, e.Command.Task, g.Number)
+			r.renew(e.RequestID, e.Command.Task, g.Token)
 			return true
 		}
 	}
-	for _, w := range t.Waiting {
+	for _, w := range t.Waiters {
 		if w.Holder == e.Command.Holder && w.Nonce == e.Command.Nonce {
-			r.out = append(r.out, Answer{Tag: e.Tag, Outcome: lease.Queued})
+			r.out = append(r.out, Response{RequestID: e.RequestID, Outcome: lease.Queued})
 			return true
 		}
 	}
@@ -348,7 +348,7 @@
 func (r *Replica) renew(tag uint64, task string, number uint64) {
 	r.last++
 	r.renewed[r.last] = renewal{tag, number}
-	r.keep(lease.Renew{Tag: r.last, Task: task, Number: number})
+	r.keep(lease.Renew{RequestID: r.last, Task: task, Token: number})
 }
 
 // propose puts a command before the voters; tag 0 for one of the keeper's own.
@@ -356,35 +356,35 @@
 	data, err := cbor.Marshal(entry{Tag: tag, By: r.run, Command: c})
 	switch {
 	case err != nil:
-	case c.Kind == lease.Enrol:
-		err = r.node.ProposeConfChange(&raftpb.ConfChange{Type: raftpb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: &c.Seat, Context: data})
-	case c.Kind == lease.Dismiss:
-		err = r.node.ProposeConfChange(&raftpb.ConfChange{Type: raftpb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: &c.Seat, Context: data})
+	case c.Kind == lease.AddVoter:
+		err = r.node.ProposeConfChange(&raftpb.ConfChange{Type: raftpb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: &c.VoterID, Context: data})
+	case c.Kind == lease.RemoveVoter:
+		err = r.node.ProposeConfChange(&raftpb.ConfChange{Type: raftpb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: &c.VoterID, Context: data})
 	default:
 		err = r.node.Propose(data)
 	}
 	switch {
 	case err != nil && tag > 0:
-		r.out = append(r.out, Answer{Tag: tag})
+		r.out = append(r.out, Response{RequestID: tag})
 	case tag > 0:
 		r.pending[tag] = c
 	}
 }
 
 // keep gives the keeper an event and does what it asks.
-func (r *Replica) keep(event lease.KeeperEvent) {
+func (r *Replica) keep(event lease.ExpiryEvent) {
 	for _, a := range r.keeper.Handle(r.now, event, nil) {
 		switch a := a.(type) {
-		case lease.Confirm:
-			r.node.ReadIndex(binary.BigEndian.AppendUint64(nil, a.Serial))
+		case lease.ConfirmLeadership:
+			r.node.ReadIndex(binary.BigEndian.AppendUint64(nil, a.Sequence))
 		case lease.Propose:
 			r.propose(0, a.Command)
-		case lease.Renewed:
-			q := r.renewed[a.Tag]
-			delete(r.renewed, a.Tag)
-			answer := Answer{Tag: q.tag, Outcome: a.Outcome}
+		case lease.RenewalResult:
+			q := r.renewed[a.RequestID]
+			delete(r.renewed, a.RequestID)
+			answer := Response{RequestID: q.tag, Outcome: a.Outcome}
 			if a.Outcome == lease.Granted {
-				answer.Number = q.number
+				answer.Token = q.number
 			}
 			r.out = append(r.out, answer)
 		}
@@ -401,14 +401,14 @@
 	}
 	ready := r.node.Ready()
 	r.ready = &ready
-	save := Saved{Entries: ready.Entries}
+	save := PersistentState{Entries: ready.Entries}
 	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
-		save.Hard = ready.HardState
+		save.HardState = ready.HardState
 	}
 	if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
 		save.Snapshot = ready.Snapshot
 	}
-	if save.Hard == nil && save.Snapshot == nil && len(save.Entries) == 0 {
+	if save.HardState == nil && save.Snapshot == nil && len(save.Entries) == 0 {
 		r.saved()
 		r.turn()
 		return
@@ -440,7 +440,7 @@
 	}
 	for _, s := range ready.ReadStates {
 		if len(s.RequestCtx) == 8 {
-			r.keep(lease.Confirmed{Serial: binary.BigEndian.Uint64(s.RequestCtx)})
+			r.keep(lease.LeadershipConfirmed{Sequence: binary.BigEndian.Uint64(s.RequestCtx)})
 		}
 	}
 	r.node.Advance(ready)
@@ -453,8 +453,8 @@
 	status := r.node.BasicStatus()
 	if !r.led && status.RaftState == raft.StateLeader && e.GetTerm() == status.GetTerm() {
 		r.led = true // all that was decided before its term lies before this entry
-		r.keep(lease.Led{})
-		r.out = append(r.out, Leading{true})
+		r.keep(lease.LeadershipAcquired{})
+		r.out = append(r.out, LeadershipChanged{true})
 	}
 	data := e.GetData()
 	var seats *raftpb.ConfChange
@@ -480,41 +480,41 @@
 	default:
 		r.conf, r.seated = r.node.ApplyConfChange(seats), true
 	}
-	r.keep(lease.Applied{Command: x.Command, Result: result})
-	if len(result.Given) > 0 && r.led {
-		r.out = append(r.out, Gave{x.Command.Task, result.Given})
+	r.keep(lease.CommandApplied{Command: x.Command, Result: result})
+	if len(result.NewGrants) > 0 && r.led {
+		r.out = append(r.out, WaitersGranted{x.Command.Task, result.NewGrants})
 	}
 	if _, mine := r.pending[x.Tag]; !mine || x.By != r.run {
 		return
 	}
 	delete(r.pending, x.Tag)
-	switch answer := (Answer{Tag: x.Tag, Err: result.Err}); {
+	switch answer := (Response{RequestID: x.Tag, Err: result.Err}); {
 	case result.Err != nil:
 		answer.Outcome = lease.Refused
 		r.out = append(r.out, answer)
-	case x.Command.Kind != lease.Take:
-		answer.Outcome = lease.Gone
+	case x.Command.Kind != lease.Acquire:
+		answer.Outcome = lease.NotHeld
 		r.out = append(r.out, answer)
-	case result.Mine.Number == 0:
+	case result.Grant.Token == 0:
 		answer.Outcome = lease.Queued
 		r.out = append(r.out, answer)
-	case result.Fresh:
-		answer.Outcome, answer.Number = lease.Granted, result.Mine.Number
+	case result.Created:
+		answer.Outcome, answer.Token = lease.Granted, result.Grant.Token
 		r.out = append(r.out, answer)
 	default:
-		r.renew(x.Tag, x.Command.Task, result.Mine.Number)
+		r.renew(x.Tag, x.Command.Task, result.Grant.Token)
 	}
 }
 
 // depose ends what this voter has under way as a leader. What it proposed may be decided yet: nothing is known.
 func (r *Replica) depose() {
 	r.led = false
-	r.keep(lease.Deposed{})
+	r.keep(lease.LeadershipLost{})
 	for tag := range r.pending {
-		r.out = append(r.out, Answer{Tag: tag})
+		r.out = append(r.out, Response{RequestID: tag})
 	}
 	clear(r.pending)
-	r.out = append(r.out, Leading{false})
+	r.out = append(r.out, LeadershipChanged{false})
 }
 
 // compact cuts the log at a snapshot now and then.
@@ -534,7 +534,7 @@
 	if r.applied > keptBehind {
 		r.storage.Compact(r.applied - keptBehind)
 	}
-	r.out = append(r.out, Cut{snapshot})
+	r.out = append(r.out, CompactLog{snapshot})
 }
 
 // Encode and Decode take a message over a link.
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -21,7 +21,7 @@
 const mostUnderway = 3
 
 // smallTerms are such that a lease is four ticks.
-var smallTerms = Terms{Drift: 0.25, Margin: tick, Least: tick, Most: time.Hour}
+var smallTerms = Parameters{MaxClockDrift: 0.25, SafetyMargin: tick, MinDuration: tick, MaxDuration: time.Hour}
 
 // planted is a defect put into the world, to see it found.
 type planted struct {
@@ -33,16 +33,16 @@
 	voter  int
 	who    int
 	run    int
-	ask    Ask
-	answer Answer
+	ask    SendRequest
+	answer Response
 	serial uint64
 }
 
 type world struct {
 	t        int
 	epoch    int // which voter leads in truth
-	books    [2]*Book
-	keepers  [2]*Keeper
+	books    [2]*StateMachine
+	keepers  [2]*ExpiryManager
 	sessions [2]*Session
 	runs     [2]int
 	stopped  int // contender, -1 for none
@@ -53,7 +53,7 @@
 	left     faults
 	deposed  bool
 	defect   planted
-	terms    Terms
+	terms    Parameters
 }
 
 // faults are how often each may befall a world.
@@ -62,15 +62,15 @@
 func newWorld(d planted, f faults) *world {
 	w := &world{stopped: -1, tags: make(map[uint64]message), defect: d, terms: smallTerms}
 	if d.noMargin {
-		w.terms.Margin = 0
-		w.terms.Drift = 0
+		w.terms.SafetyMargin = 0
+		w.terms.MaxClockDrift = 0
 	}
 	w.left = f
 	for v := range 2 {
-		w.books[v] = NewBook()
-		w.keepers[v] = NewKeeper(w.terms, w.books[v])
+		w.books[v] = NewStateMachine()
+		w.keepers[v] = NewExpiryManager(w.terms, w.books[v])
 	}
-	w.keepers[0].Handle(0, Led{}, nil)
+	w.keepers[0].Handle(0, LeadershipAcquired{}, nil)
 	for i := range 2 {
 		w.sessions[i] = NewSession(w.terms, "a", fmt.Sprint("c", i, ".0"), uint64(i+1), 4*tick, true)
 	}
@@ -78,12 +78,12 @@
 }
 
 // voterNow is the voters' clock, fast by the drift bound; holderNow the contenders', slow by it.
-func (w *world) voterNow() time.Duration { return w.scale(1 + smallTerms.Drift) }
+func (w *world) voterNow() time.Duration { return w.scale(1 + smallTerms.MaxClockDrift) }
 func (w *world) holderNow() time.Duration {
 	if w.defect.overDrift {
 		return w.scale(0.25)
 	}
-	return w.scale(1 - smallTerms.Drift)
+	return w.scale(1 - smallTerms.MaxClockDrift)
 }
 func (w *world) scale(by float64) time.Duration {
 	return time.Duration(float64(w.t) * by * float64(tick))
@@ -92,9 +92,9 @@
 func (w *world) copy() *world {
 	c := *w
 	for v := range 2 {
-		b := &Book{Tasks: make(map[string]*Task), Last: w.books[v].Last}
+		b := &StateMachine{Tasks: make(map[string]*Task), LastToken: w.books[v].LastToken}
 		for n, t := range w.books[v].Tasks {
-			b.Tasks[n] = &Task{Most: t.Most, Held: slices.Clone(t.Held), Waiting: slices.Clone(t.Waiting)}
+			b.Tasks[n] = &Task{MaxHolders: t.MaxHolders, Grants: slices.Clone(t.Grants), Waiters: slices.Clone(t.Waiters)}
 		}
 		k := *w.keepers[v]
 		k.book, k.until, k.heard, k.asked = b, maps.Clone(k.until), maps.Clone(k.heard), slices.Clone(k.asked)
@@ -117,7 +117,7 @@
 			fmt.Fprint(&b, n, *t)
 		}
 		k := w.keepers[v]
-		fmt.Fprint(&b, w.books[v].Last, k.leads, k.until, k.heard, k.asked, k.serve, "|")
+		fmt.Fprint(&b, w.books[v].LastToken, k.leads, k.until, k.heard, k.asked, k.serve, "|")
 		s := w.sessions[v]
 		fmt.Fprint(&b, s.state, s.number, s.until, s.next, s.out, s.busy, s.serial, "|")
 	}
@@ -137,17 +137,17 @@
 }
 
 // keep does what a keeper asks.
-func (w *world) keep(v int, actions []KeeperAction) {
+func (w *world) keep(v int, actions []ExpiryAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Confirm:
+		case ConfirmLeadership:
 			if v == w.epoch { // a majority says so now; the word may come late
-				w.post(message{kind: 'c', voter: v, serial: a.Serial})
+				w.post(message{kind: 'c', voter: v, serial: a.Sequence})
 			}
-		case Renewed:
-			m := w.tags[a.Tag]
-			delete(w.tags, a.Tag)
-			w.post(message{kind: 'a', who: m.who, run: m.run, answer: Answer{m.ask.Serial, a.Outcome, m.ask.Number}})
+		case RenewalResult:
+			m := w.tags[a.RequestID]
+			delete(w.tags, a.RequestID)
+			w.post(message{kind: 'a', who: m.who, run: m.run, answer: Response{m.ask.Sequence, a.Outcome, m.ask.Token}})
 		case Propose:
 			if v == w.epoch {
 				w.commit(v, a.Command)
@@ -159,13 +159,13 @@
 // commit has the true leader carry out a command.
 func (w *world) commit(v int, c Command) Result {
 	r := w.books[v].Apply(&c)
-	w.keep(v, w.keepers[v].Handle(w.voterNow(), Applied{c, r}, nil))
+	w.keep(v, w.keepers[v].Handle(w.voterNow(), CommandApplied{c, r}, nil))
 	return r
 }
 
 func (w *world) renew(v int, m message, number uint64) {
 	w.tag++
-	m.ask.Number = number
+	m.ask.Token = number
 	w.tags[w.tag] = m
 	w.keep(v, w.keepers[v].Handle(w.voterNow(), Renew{w.tag, "a", number}, nil))
 }
@@ -175,25 +175,25 @@
 	switch m.kind {
 	case 'q':
 		switch k := w.keepers[v]; {
-		case !k.Leads():
-			w.post(message{kind: 'a', who: m.who, run: m.run, answer: Answer{Serial: m.ask.Serial}})
-		case m.ask.Number > 0:
-			w.renew(v, m, m.ask.Number)
+		case !k.IsLeader():
+			w.post(message{kind: 'a', who: m.who, run: m.run, answer: Response{Sequence: m.ask.Sequence}})
+		case m.ask.Token > 0:
+			w.renew(v, m, m.ask.Token)
 		case v != w.epoch: // it is never decided
 		default:
-			w.keep(v, k.Handle(w.voterNow(), Waits{"a", m.ask.Command.Holder, m.ask.Command.Nonce}, nil))
+			w.keep(v, k.Handle(w.voterNow(), WaiterSeen{"a", m.ask.Command.Holder, m.ask.Command.Nonce}, nil))
 			r := w.commit(v, m.ask.Command)
 			switch {
-			case r.Mine.Number > 0 && !r.Fresh:
-				w.renew(v, m, r.Mine.Number)
-			case r.Mine.Number > 0:
-				w.post(message{kind: 'a', who: m.who, run: m.run, answer: Answer{m.ask.Serial, Granted, r.Mine.Number}})
+			case r.Grant.Token > 0 && !r.Created:
+				w.renew(v, m, r.Grant.Token)
+			case r.Grant.Token > 0:
+				w.post(message{kind: 'a', who: m.who, run: m.run, answer: Response{m.ask.Sequence, Granted, r.Grant.Token}})
 			default:
-				w.post(message{kind: 'a', who: m.who, run: m.run, answer: Answer{Serial: m.ask.Serial, Outcome: Queued}})
+				w.post(message{kind: 'a', who: m.who, run: m.run, answer: Response{Sequence: m.ask.Sequence, Outcome: Queued}})
 			}
 		}
 	case 'c':
-		w.keep(m.voter, w.keepers[m.voter].Handle(w.voterNow(), Confirmed{m.serial}, nil))
+		w.keep(m.voter, w.keepers[m.voter].Handle(w.voterNow(), LeadershipConfirmed{m.serial}, nil))
 	case 'a':
 		if m.run == w.runs[m.who] {
 			w.tell(m.who, m.answer)
@@ -204,15 +204,15 @@
 // tell has a contender take an event.
 func (w *world) tell(i int, e SessionEvent) {
 	s := w.sessions[i]
-	if a, ok := e.(Answer); ok && w.defect.fromReceipt && a.Outcome == Granted && s.busy && a.Serial == s.serial {
+	if a, ok := e.(Response); ok && w.defect.fromReceipt && a.Outcome == Granted && s.busy && a.Sequence == s.serial {
 		s.out = w.holderNow() // counted from the answer, not from the question
 	}
 	for _, a := range s.Handle(w.holderNow(), e, nil) {
 		switch a := a.(type) {
-		case Ask:
+		case SendRequest:
 			w.post(message{kind: 'q', who: i, run: w.runs[i], ask: a})
-		case Tell:
-			w.post(message{kind: 'q', who: i, run: w.runs[i], ask: Ask{Command: a.Command}})
+		case SendRelease:
+			w.post(message{kind: 'q', who: i, run: w.runs[i], ask: SendRequest{Command: a.Command}})
 		}
 	}
 }
@@ -225,7 +225,7 @@
 	}
 	for i := range 2 {
 		if i != w.stopped {
-			w.tell(i, Pass{})
+			w.tell(i, TimerFired{})
 		}
 	}
 }
@@ -282,29 +282,29 @@
 			c.epoch = 1
 			if !c.defect.forgets {
 				for n, t := range c.books[0].Tasks {
-					c.books[1].Tasks[n] = &Task{Most: t.Most, Held: slices.Clone(t.Held), Waiting: slices.Clone(t.Waiting)}
+					c.books[1].Tasks[n] = &Task{MaxHolders: t.MaxHolders, Grants: slices.Clone(t.Grants), Waiters: slices.Clone(t.Waiters)}
 				}
-				c.books[1].Last = c.books[0].Last
+				c.books[1].LastToken = c.books[0].LastToken
 			}
-			c.keep(1, c.keepers[1].Handle(c.voterNow(), Led{}, nil))
+			c.keep(1, c.keepers[1].Handle(c.voterNow(), LeadershipAcquired{}, nil))
 			if c.defect.early { // what the old leader knew is believed over
 				clear(c.keepers[1].until)
 				for n, t := range c.books[1].Tasks {
-					for _, g := range t.Held {
-						c.keepers[1].until[g.Number] = due{task: n, at: c.voterNow()}
+					for _, g := range t.Grants {
+						c.keepers[1].until[g.Token] = due{task: n, at: c.voterNow()}
 					}
 				}
 			}
 		})
 	}
 	if w.epoch == 1 && !w.deposed {
-		step(func(c *world) { c.deposed = true; c.keep(0, c.keepers[0].Handle(c.voterNow(), Deposed{}, nil)) })
+		step(func(c *world) { c.deposed = true; c.keep(0, c.keepers[0].Handle(c.voterNow(), LeadershipLost{}, nil)) })
 	}
 	if w.left.stop > 0 && w.stopped < 0 {
 		step(func(c *world) { c.stopped, c.left.stop = 0, 0 })
 	}
 	if w.stopped >= 0 {
-		step(func(c *world) { c.stopped = -1; c.tell(0, Pass{}) })
+		step(func(c *world) { c.stopped = -1; c.tell(0, TimerFired{}) })
 	}
 	if w.left.crash > 0 {
 		step(func(c *world) {
@@ -314,7 +314,7 @@
 		})
 	}
 	if w.left.release > 0 && w.sessions[1].state == Holding {
-		step(func(c *world) { c.left.release--; c.tell(1, GiveUp{}) })
+		step(func(c *world) { c.left.release--; c.tell(1, ReleaseRequested{}) })
 	}
 	return list
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -22,15 +22,15 @@
 
 // The states. Those with Again have a hangup yet to heed.
 const (
-	Starting       State = iota // nothing is told ready yet
-	StartingAgain               // the same
-	Serving                     // all is in force
-	Reloading                   // a configuration is being read
-	ReloadingAgain              // the same
-	Asking                      // it serves on until it may drain
-	Draining                    // nothing new is taken, what is open is answered
-	Stopping                    // the same, and no longer than what is open now may take
-	Stopped                     // the end
+	Starting              State = iota // nothing is told ready yet
+	StartingReloadQueued               // the same
+	Serving                            // all is in force
+	Reloading                          // a configuration is being read
+	ReloadingReloadQueued              // the same
+	AwaitingPermit                     // it serves on until it may drain
+	Draining                           // nothing new is taken, what is open is answered
+	Stopping                           // the same, and no longer than what is open now may take
+	Stopped                            // the end
 	states
 )
 
@@ -39,15 +39,15 @@
 
 // The events.
 const (
-	Hangup      Event = iota // SIGHUP
-	Terminate                // SIGTERM or SIGINT
-	Started                  // clients can be served
-	StartFailed              // they never will be
-	ReadGood                 // the configuration has been read, and can be meant
-	ReadBad                  // it can't be
-	Answered                 // all that was taken is answered, all clients are closed
-	Ping                     // the service manager's watchdog wants a sign
-	Permitted                // it may drain, by leave of the fleet or without
+	Hangup         Event = iota // SIGHUP
+	Terminate                   // SIGTERM or SIGINT
+	Started                     // clients can be served
+	StartFailed                 // they never will be
+	ConfigValid                 // the configuration has been read, and can be meant
+	ConfigInvalid               // it can't be
+	ServingEnded                // all that was taken is answered, all clients are closed
+	WatchdogTick                // the service manager's watchdog wants a sign
+	DrainPermitted              // it may drain, by leave of the fleet or without
 	events
 )
 
@@ -56,19 +56,19 @@
 
 // The actions.
 const (
-	TellReady     Action = iota // to the service manager
-	TellReloading               // to the service manager
-	TellStopping                // to the service manager
-	TellAlive                   // to the service manager's watchdog
-	Read                        // the configuration; ReadGood or ReadBad follows
-	Apply                       // what was read, whole; a refusal is logged and changes nothing
-	Discard                     // what was read
-	LogIgnored                  // a signal means nothing any more
-	Ask                         // the fleet whether this process may drain; Permitted follows
-	Drain                       // Answered follows
-	Hurry                       // the drain
-	Exit                        // with zero
-	ExitFailed                  // with one
+	NotifyReady      Action = iota // to the service manager
+	NotifyReloading                // to the service manager
+	NotifyStopping                 // to the service manager
+	NotifyWatchdog                 // to the service manager's watchdog
+	ReadConfig                     // the configuration; ReadGood or ReadBad follows
+	ApplyConfig                    // what was read, whole; a refusal is logged and changes nothing
+	DiscardConfig                  // what was read
+	LogReloadIgnored               // a signal means nothing any more
+	RequestPermit                  // the fleet whether this process may drain; Permitted follows
+	StartDrain                     // Answered follows
+	ShortenDrain                   // the drain
+	Exit                           // with zero
+	ExitFailed                     // with one
 )
 
 type step struct {
@@ -81,103 +81,103 @@
 // table is the whole of the decisions: a row a state, an entry an event.
 var table = [states][events]step{
 	Starting: {
-		Hangup:      on(StartingAgain),
-		Terminate:   on(Draining, TellStopping, Drain),
-		Started:     on(Serving, TellReady),
-		StartFailed: on(Stopped, ExitFailed),
-		ReadGood:    on(Starting, Discard),
-		ReadBad:     on(Starting),
-		Answered:    on(Stopped, ExitFailed), // it never came up
-		Ping:        on(Starting, TellAlive),
-		Permitted:   on(Starting),
+		Hangup:         on(StartingReloadQueued),
+		Terminate:      on(Draining, NotifyStopping, StartDrain),
+		Started:        on(Serving, NotifyReady),
+		StartFailed:    on(Stopped, ExitFailed),
+		ConfigValid:    on(Starting, DiscardConfig),
+		ConfigInvalid:  on(Starting),
+		ServingEnded:   on(Stopped, ExitFailed), // it never came up
+		WatchdogTick:   on(Starting, NotifyWatchdog),
+		DrainPermitted: on(Starting),
 	},
-	StartingAgain: {
-		Hangup:      on(StartingAgain),
-		Terminate:   on(Draining, TellStopping, Drain),
-		Started:     on(Reloading, TellReady, TellReloading, Read),
-		StartFailed: on(Stopped, ExitFailed),
-		ReadGood:    on(StartingAgain, Discard),
-		ReadBad:     on(StartingAgain),
-		Answered:    on(Stopped, ExitFailed),
-		Ping:        on(StartingAgain, TellAlive),
-		Permitted:   on(StartingAgain),
+	StartingReloadQueued: {
+		Hangup:         on(StartingReloadQueued),
+		Terminate:      on(Draining, NotifyStopping, StartDrain),
+		Started:        on(Reloading, NotifyReady, NotifyReloading, ReadConfig),
+		StartFailed:    on(Stopped, ExitFailed),
+		ConfigValid:    on(StartingReloadQueued, DiscardConfig),
+		ConfigInvalid:  on(StartingReloadQueued),
+		ServingEnded:   on(Stopped, ExitFailed),
+		WatchdogTick:   on(StartingReloadQueued, NotifyWatchdog),
+		DrainPermitted: on(StartingReloadQueued),
 	},
 	Serving: {
-		Hangup:      on(Reloading, TellReloading, Read),
-		Terminate:   on(Asking, Ask),
-		Started:     on(Serving),
-		StartFailed: on(Stopped, ExitFailed),
-		ReadGood:    on(Serving, Discard),
-		ReadBad:     on(Serving),
-		Answered:    on(Stopped, ExitFailed), // it ended unasked
-		Ping:        on(Serving, TellAlive),
-		Permitted:   on(Serving),
+		Hangup:         on(Reloading, NotifyReloading, ReadConfig),
+		Terminate:      on(AwaitingPermit, RequestPermit),
+		Started:        on(Serving),
+		StartFailed:    on(Stopped, ExitFailed),
+		ConfigValid:    on(Serving, DiscardConfig),
+		ConfigInvalid:  on(Serving),
+		ServingEnded:   on(Stopped, ExitFailed), // it ended unasked
+		WatchdogTick:   on(Serving, NotifyWatchdog),
+		DrainPermitted: on(Serving),
 	},
 	Reloading: {
-		Hangup:      on(ReloadingAgain), // the file may have changed since it was read
-		Terminate:   on(Asking, Ask),
-		Started:     on(Reloading),
-		StartFailed: on(Stopped, ExitFailed),
-		ReadGood:    on(Serving, Apply, TellReady),
-		ReadBad:     on(Serving, TellReady),
-		Answered:    on(Stopped, ExitFailed),
-		Ping:        on(Reloading, TellAlive),
-		Permitted:   on(Reloading),
+		Hangup:         on(ReloadingReloadQueued), // the file may have changed since it was read
+		Terminate:      on(AwaitingPermit, RequestPermit),
+		Started:        on(Reloading),
+		StartFailed:    on(Stopped, ExitFailed),
+		ConfigValid:    on(Serving, ApplyConfig, NotifyReady),
+		ConfigInvalid:  on(Serving, NotifyReady),
+		ServingEnded:   on(Stopped, ExitFailed),
+		WatchdogTick:   on(Reloading, NotifyWatchdog),
+		DrainPermitted: on(Reloading),
 	},
-	ReloadingAgain: {
-		Hangup:      on(ReloadingAgain), // one more read heeds all of them
-		Terminate:   on(Asking, Ask),
-		Started:     on(ReloadingAgain),
-		StartFailed: on(Stopped, ExitFailed),
-		ReadGood:    on(Reloading, Apply, Read), // or hangups without a pause would keep all of them from being heeded
-		ReadBad:     on(Reloading, Read),
-		Answered:    on(Stopped, ExitFailed),
-		Ping:        on(ReloadingAgain, TellAlive),
-		Permitted:   on(ReloadingAgain),
+	ReloadingReloadQueued: {
+		Hangup:         on(ReloadingReloadQueued), // one more read heeds all of them
+		Terminate:      on(AwaitingPermit, RequestPermit),
+		Started:        on(ReloadingReloadQueued),
+		StartFailed:    on(Stopped, ExitFailed),
+		ConfigValid:    on(Reloading, ApplyConfig, ReadConfig), // or hangups without a pause would keep all of them from being heeded
+		ConfigInvalid:  on(Reloading, ReadConfig),
+		ServingEnded:   on(Stopped, ExitFailed),
+		WatchdogTick:   on(ReloadingReloadQueued, NotifyWatchdog),
+		DrainPermitted: on(ReloadingReloadQueued),
 	},
-	Asking: {
-		Hangup:      on(Asking, LogIgnored),
-		Terminate:   on(Draining, TellStopping, Drain), // it is not to wait any longer
-		Started:     on(Asking),
-		StartFailed: on(Stopped, Exit),
-		ReadGood:    on(Asking, Discard),
-		ReadBad:     on(Asking),
-		Answered:    on(Stopped, ExitFailed), // it ended unasked
-		Ping:        on(Asking, TellAlive),
-		Permitted:   on(Draining, TellStopping, Drain),
+	AwaitingPermit: {
+		Hangup:         on(AwaitingPermit, LogReloadIgnored),
+		Terminate:      on(Draining, NotifyStopping, StartDrain), // it is not to wait any longer
+		Started:        on(AwaitingPermit),
+		StartFailed:    on(Stopped, Exit),
+		ConfigValid:    on(AwaitingPermit, DiscardConfig),
+		ConfigInvalid:  on(AwaitingPermit),
+		ServingEnded:   on(Stopped, ExitFailed), // it ended unasked
+		WatchdogTick:   on(AwaitingPermit, NotifyWatchdog),
+		DrainPermitted: on(Draining, NotifyStopping, StartDrain),
 	},
 	Draining: {
-		Hangup:      on(Draining, LogIgnored),
-		Terminate:   on(Stopping, Hurry),
-		Started:     on(Draining),
-		StartFailed: on(Stopped, Exit), // there was nothing to drain
-		ReadGood:    on(Draining, Discard),
-		ReadBad:     on(Draining),
-		Answered:    on(Stopped, Exit),
-		Ping:        on(Draining, TellAlive),
-		Permitted:   on(Draining),
+		Hangup:         on(Draining, LogReloadIgnored),
+		Terminate:      on(Stopping, ShortenDrain),
+		Started:        on(Draining),
+		StartFailed:    on(Stopped, Exit), // there was nothing to drain
+		ConfigValid:    on(Draining, DiscardConfig),
+		ConfigInvalid:  on(Draining),
+		ServingEnded:   on(Stopped, Exit),
+		WatchdogTick:   on(Draining, NotifyWatchdog),
+		DrainPermitted: on(Draining),
 	},
 	Stopping: {
-		Hangup:      on(Stopping, LogIgnored),
-		Terminate:   on(Stopping),
-		Started:     on(Stopping),
-		StartFailed: on(Stopped, Exit),
-		ReadGood:    on(Stopping, Discard),
-		ReadBad:     on(Stopping),
-		Answered:    on(Stopped, Exit),
-		Ping:        on(Stopping, TellAlive),
-		Permitted:   on(Stopping),
+		Hangup:         on(Stopping, LogReloadIgnored),
+		Terminate:      on(Stopping),
+		Started:        on(Stopping),
+		StartFailed:    on(Stopped, Exit),
+		ConfigValid:    on(Stopping, DiscardConfig),
+		ConfigInvalid:  on(Stopping),
+		ServingEnded:   on(Stopped, Exit),
+		WatchdogTick:   on(Stopping, NotifyWatchdog),
+		DrainPermitted: on(Stopping),
 	},
 	Stopped: {
-		Hangup:      on(Stopped),
-		Terminate:   on(Stopped),
-		Started:     on(Stopped),
-		StartFailed: on(Stopped),
-		ReadGood:    on(Stopped, Discard),
-		ReadBad:     on(Stopped),
-		Answered:    on(Stopped),
-		Ping:        on(Stopped),
-		Permitted:   on(Stopped),
+		Hangup:         on(Stopped),
+		Terminate:      on(Stopped),
+		Started:        on(Stopped),
+		StartFailed:    on(Stopped),
+		ConfigValid:    on(Stopped, DiscardConfig),
+		ConfigInvalid:  on(Stopped),
+		ServingEnded:   on(Stopped),
+		WatchdogTick:   on(Stopped),
+		DrainPermitted: on(Stopped),
 	},
 }
 
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -12,35 +12,35 @@
 func TestEveryStateAnswersEveryEvent(t *testing.T) {
 	type row map[Event]step
 	starting := func(self, started State, do ...Action) row {
-		return row{Hangup: {StartingAgain, nil}, Permitted: {self, nil}, Terminate: {Draining, []Action{TellStopping, Drain}},
-			Started: {started, do}, StartFailed: {Stopped, []Action{ExitFailed}}, ReadGood: {self, []Action{Discard}},
-			ReadBad: {self, nil}, Answered: {Stopped, []Action{ExitFailed}}, Ping: {self, []Action{TellAlive}}}
+		return row{Hangup: {StartingReloadQueued, nil}, DrainPermitted: {self, nil}, Terminate: {Draining, []Action{NotifyStopping, StartDrain}},
+			Started: {started, do}, StartFailed: {Stopped, []Action{ExitFailed}}, ConfigValid: {self, []Action{DiscardConfig}},
+			ConfigInvalid: {self, nil}, ServingEnded: {Stopped, []Action{ExitFailed}}, WatchdogTick: {self, []Action{NotifyWatchdog}}}
 	}
 	reloading := func(self, next State, good, bad []Action) row {
-		return row{Hangup: {ReloadingAgain, nil}, Terminate: {Asking, []Action{Ask}}, Permitted: {self, nil},
-			Started: {self, nil}, StartFailed: {Stopped, []Action{ExitFailed}}, ReadGood: {next, good},
-			ReadBad: {next, bad}, Answered: {Stopped, []Action{ExitFailed}}, Ping: {self, []Action{TellAlive}}}
+		return row{Hangup: {ReloadingReloadQueued, nil}, Terminate: {AwaitingPermit, []Action{RequestPermit}}, DrainPermitted: {self, nil},
+			Started: {self, nil}, StartFailed: {Stopped, []Action{ExitFailed}}, ConfigValid: {next, good},
+			ConfigInvalid: {next, bad}, ServingEnded: {Stopped, []Action{ExitFailed}}, WatchdogTick: {self, []Action{NotifyWatchdog}}}
 	}
 	ending := func(self, term State, do ...Action) row {
-		return row{Hangup: {self, []Action{LogIgnored}}, Permitted: {self, nil}, Terminate: {term, do}, Started: {self, nil},
-			StartFailed: {Stopped, []Action{Exit}}, ReadGood: {self, []Action{Discard}}, ReadBad: {self, nil},
-			Answered: {Stopped, []Action{Exit}}, Ping: {self, []Action{TellAlive}}}
+		return row{Hangup: {self, []Action{LogReloadIgnored}}, DrainPermitted: {self, nil}, Terminate: {term, do}, Started: {self, nil},
+			StartFailed: {Stopped, []Action{Exit}}, ConfigValid: {self, []Action{DiscardConfig}}, ConfigInvalid: {self, nil},
+			ServingEnded: {Stopped, []Action{Exit}}, WatchdogTick: {self, []Action{NotifyWatchdog}}}
 	}
 	want := map[State]row{
-		Starting:      starting(Starting, Serving, TellReady),
-		StartingAgain: starting(StartingAgain, Reloading, TellReady, TellReloading, Read),
-		Serving: {Hangup: {Reloading, []Action{TellReloading, Read}}, Terminate: {Asking, []Action{Ask}}, Permitted: {Serving, nil},
-			Started: {Serving, nil}, StartFailed: {Stopped, []Action{ExitFailed}}, ReadGood: {Serving, []Action{Discard}},
-			ReadBad: {Serving, nil}, Answered: {Stopped, []Action{ExitFailed}}, Ping: {Serving, []Action{TellAlive}}},
-		Reloading:      reloading(Reloading, Serving, []Action{Apply, TellReady}, []Action{TellReady}),
-		ReloadingAgain: reloading(ReloadingAgain, Reloading, []Action{Apply, Read}, []Action{Read}),
-		Asking: {Hangup: {Asking, []Action{LogIgnored}}, Terminate: {Draining, []Action{TellStopping, Drain}}, Permitted: {Draining, []Action{TellStopping, Drain}},
-			Started: {Asking, nil}, StartFailed: {Stopped, []Action{Exit}}, ReadGood: {Asking, []Action{Discard}}, ReadBad: {Asking, nil},
-			Answered: {Stopped, []Action{ExitFailed}}, Ping: {Asking, []Action{TellAlive}}},
-		Draining: ending(Draining, Stopping, Hurry),
+		Starting:             starting(Starting, Serving, NotifyReady),
+		StartingReloadQueued: starting(StartingReloadQueued, Reloading, NotifyReady, NotifyReloading, ReadConfig),
+		Serving: {Hangup: {Reloading, []Action{NotifyReloading, ReadConfig}}, Terminate: {AwaitingPermit, []Action{RequestPermit}}, DrainPermitted: {Serving, nil},
+			Started: {Serving, nil}, StartFailed: {Stopped, []Action{ExitFailed}}, ConfigValid: {Serving, []Action{DiscardConfig}},
+			ConfigInvalid: {Serving, nil}, ServingEnded: {Stopped, []Action{ExitFailed}}, WatchdogTick: {Serving, []Action{NotifyWatchdog}}},
+		Reloading:             reloading(Reloading, Serving, []Action{ApplyConfig, NotifyReady}, []Action{NotifyReady}),
+		ReloadingReloadQueued: reloading(ReloadingReloadQueued, Reloading, []Action{ApplyConfig, ReadConfig}, []Action{ReadConfig}),
+		AwaitingPermit: {Hangup: {AwaitingPermit, []Action{LogReloadIgnored}}, Terminate: {Draining, []Action{NotifyStopping, StartDrain}}, DrainPermitted: {Draining, []Action{NotifyStopping, StartDrain}},
+			Started: {AwaitingPermit, nil}, StartFailed: {Stopped, []Action{Exit}}, ConfigValid: {AwaitingPermit, []Action{DiscardConfig}}, ConfigInvalid: {AwaitingPermit, nil},
+			ServingEnded: {Stopped, []Action{ExitFailed}}, WatchdogTick: {AwaitingPermit, []Action{NotifyWatchdog}}},
+		Draining: ending(Draining, Stopping, ShortenDrain),
 		Stopping: ending(Stopping, Stopping),
-		Stopped: {Hangup: {Stopped, nil}, Permitted: {Stopped, nil}, Terminate: {Stopped, nil}, Started: {Stopped, nil}, StartFailed: {Stopped, nil},
-			ReadGood: {Stopped, []Action{Discard}}, ReadBad: {Stopped, nil}, Answered: {Stopped, nil}, Ping: {Stopped, nil}},
+		Stopped: {Hangup: {Stopped, nil}, DrainPermitted: {Stopped, nil}, Terminate: {Stopped, nil}, Started: {Stopped, nil}, StartFailed: {Stopped, nil},
+			ConfigValid: {Stopped, []Action{DiscardConfig}}, ConfigInvalid: {Stopped, nil}, ServingEnded: {Stopped, nil}, WatchdogTick: {Stopped, nil}},
 	}
 	for s := range states {
 		for e := range events {
@@ -70,17 +70,17 @@
 	reading := 0
 	for range n {
 		e := Event(rng.IntN(int(events)))
-		if (e == ReadGood || e == ReadBad) && reading == 0 || e == Started && m.State() > StartingAgain {
-			e = Ping // can't come now
+		if (e == ConfigValid || e == ConfigInvalid) && reading == 0 || e == Started && m.State() > StartingReloadQueued {
+			e = WatchdogTick // can't come now
 		}
-		if (e == Terminate || e == StartFailed || e == Answered) && rng.IntN(8) > 0 {
+		if (e == Terminate || e == StartFailed || e == ServingEnded) && rng.IntN(8) > 0 {
 			e = Hangup // or lives would be short
 		}
-		if e == ReadGood || e == ReadBad {
+		if e == ConfigValid || e == ConfigInvalid {
 			reading--
 		}
 		do := m.Handle(e)
-		if slices.Contains(do, Read) {
+		if slices.Contains(do, ReadConfig) {
 			reading++
 		}
 		h.states, h.events, h.actions = append(h.states, m.State()), append(h.events, e), append(h.actions, do)
@@ -97,13 +97,13 @@
 		for i, do := range h.actions {
 			for _, a := range do {
 				switch {
-				case ending && (a == Read || a == Apply || a == TellReady || a == TellReloading):
+				case ending && (a == ReadConfig || a == ApplyConfig || a == NotifyReady || a == NotifyReloading):
 					t.Fatalf("seed %d: action %d after the end had begun: %v", seed, a, h)
-				case a == Read:
+				case a == ReadConfig:
 					asked = true
-				case a == Apply && !asked:
+				case a == ApplyConfig && !asked:
 					t.Fatalf("seed %d: put into force unasked: %v", seed, h)
-				case a == Apply:
+				case a == ApplyConfig:
 					asked = false
 				}
 			}
@@ -125,7 +125,7 @@
 			if h.events[i] == Hangup && h.states[i] < Draining {
 				owed = true
 			}
-			if slices.Contains(do, Read) {
+			if slices.Contains(do, ReadConfig) {
 				owed = false
 			}
 			if owed && h.states[i] == Serving {
@@ -144,12 +144,12 @@
 		for i, do := range h.actions {
 			for _, a := range do {
 				switch a {
-				case TellReady:
+				case NotifyReady:
 					if ready && !reloading {
 						t.Fatalf("seed %d: ready told twice: %v", seed, h)
 					}
 					ready, reloading = true, false
-				case TellReloading:
+				case NotifyReloading:
 					if !ready {
 						t.Fatalf("seed %d: reloading before ready: %v", seed, h)
 					}
@@ -169,7 +169,7 @@
 		m := Machine{state: s}
 		m.Handle(Terminate)
 		m.Handle(Terminate)
-		if m.Handle(Answered); m.State() != Stopped {
+		if m.Handle(ServingEnded); m.State() != Stopped {
 			t.Errorf("from %v: %v", s, m.State())
 		}
 	}
--- a/internal/loadgen/audit.go
+++ b/internal/loadgen/audit.go
@@ -16,17 +16,17 @@
 	settleTime = 2 * time.Second
 )
 
-// Audit judges by a library client's traces whether proxies keep the rule that what they take is answered
+// TraceAuditor judges by a library client's traces whether proxies keep the rule that what they take is answered
 // in time. All its functions are needed, and called on several goroutines.
-type Audit struct {
-	// Seen tells whether a node has seen a try, Excused whether a proxy was killed outright just now.
-	Seen    func(id string) bool
-	Excused func(proxy string) bool
+type TraceAuditor struct {
+	// SeenByNode tells whether a node has seen a try, Excused whether a proxy was killed outright just now.
+	SeenByNode     func(id string) bool
+	RecentlyKilled func(proxy string) bool
 	// What is told of: a try that was sent; one that crossed a close between requests; one that was out at a
 	// killed proxy; one answered just after its deadline; one that was lost.
-	OnTry, OnCrossed, OnExcused func()
-	OnOverdue                   func(by time.Duration)
-	OnLost                      func(format string, a ...any)
+	OnTry, OnCrossedClose, OnKilledInFlight func()
+	OnOverdue                               func(by time.Duration)
+	OnLost                                  func(format string, a ...any)
 
 	mu     sync.Mutex
 	silent map[string]string // tries that were given up, by id: their proxy
@@ -34,7 +34,7 @@
 }
 
 // TryDone is the hook of that name.
-func (u *Audit) TryDone(i client.TryInfo) {
+func (u *TraceAuditor) TryDone(i client.TryInfo) {
 	switch i.Outcome {
 	case "unsent":
 		return
@@ -54,23 +54,23 @@
 }
 
 // broken judges a request whose connection ended: it may have crossed a close between requests.
-func (u *Audit) broken(i client.TryInfo) {
-	if u.Excused(i.Proxy) {
-		u.OnExcused()
+func (u *TraceAuditor) broken(i client.TryInfo) {
+	if u.RecentlyKilled(i.Proxy) {
+		u.OnKilledInFlight()
 		return
 	}
 	u.tasks.Go(func() {
 		time.Sleep(seeTime)
-		if i.Kept && !u.Seen(i.ID) {
-			u.OnCrossed()
+		if i.ConnReused && !u.SeenByNode(i.ID) {
+			u.OnCrossedClose()
 		} else {
-			u.OnLost("proxy %s ended the connection of %s after %v, used before: %v", i.Proxy, i.ID, i.Took, i.Kept)
+			u.OnLost("proxy %s ended the connection of %s after %v, used before: %v", i.Proxy, i.ID, i.Took, i.ConnReused)
 		}
 	})
 }
 
-// Late is the hook of that name.
-func (u *Audit) Late(i client.TryInfo) {
+// LateAnswer is the hook of that name.
+func (u *TraceAuditor) LateAnswer(i client.TryInfo) {
 	u.mu.Lock()
 	_, waits := u.silent[i.ID]
 	delete(u.silent, i.ID)
@@ -85,8 +85,8 @@
 	}
 }
 
-// Settle waits for what is still to be judged, and judges it. No call may be under way.
-func (u *Audit) Settle() {
+// Finish waits for what is still to be judged, and judges it. No call may be under way.
+func (u *TraceAuditor) Finish() {
 	time.Sleep(settleTime)
 	u.tasks.Wait()
 	u.mu.Lock()
@@ -94,8 +94,8 @@
 	u.silent = nil
 	u.mu.Unlock()
 	for id, proxy := range silent {
-		if u.Excused(proxy) {
-			u.OnExcused()
+		if u.RecentlyKilled(proxy) {
+			u.OnKilledInFlight()
 		} else {
 			u.OnLost("proxy %s never answered %s", proxy, id)
 		}
--- a/internal/loadgen/brief.go
+++ b/internal/loadgen/brief.go
@@ -63,7 +63,7 @@
 	b.tally.dialled()
 	socket, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
-		b.tally.add(func(f *Figures) { f.DialFails++ })
+		b.tally.add(func(f *PhaseResult) { f.DialFails++ })
 		return nil, err
 	}
 	return &line{socket: socket, in: bufio.NewReaderSize(socket, 2<<10)}, nil
@@ -122,7 +122,7 @@
 	b.mu.Unlock()
 	r := request.Request{Key: o.key, Class: class, Tenant: b.tally.config.Tenant, Retry: repeat && o.marked}
 	if o.value != "" {
-		r.Verb, r.Value, r.Idempotency = request.Set, []byte(o.value), o.value
+		r.Verb, r.Value, r.IdempotencyKey = request.Set, []byte(o.value), o.value
 	}
 	text := meta.AppendRequest(nil, &r, id, max(wait.Milliseconds(), 1))
 	if o.value != "" {
@@ -159,12 +159,12 @@
 	case a.Kind == request.Stored && write && string(a.ID) == id:
 		return served, true
 	case a.Kind == request.Value && !write && string(a.ID) == id:
-		_, err := io.CopyN(io.Discard, l.in, int64(a.Size)+2)
+		_, err := io.CopyN(io.Discard, l.in, int64(a.ValueLen)+2)
 		if err != nil {
 			return failed, false
 		}
 		return served, true
-	case a.Kind == request.Missing && !write:
+	case a.Kind == request.NotFound && !write:
 		return served, true
 	case a.Kind == request.Failed:
 		return failed, true
--- a/internal/loadgen/library.go
+++ b/internal/loadgen/library.go
@@ -13,7 +13,7 @@
 type library struct{ client *client.Client }
 
 func (t *tally) open(rng *rand.Rand) (till, error) {
-	if t.config.Kind == Brief {
+	if t.config.Kind == Naive {
 		return &brief{tally: t, rng: rand.New(rand.NewPCG(rng.Uint64(), 8)), base: rng.Uint64()}, nil
 	}
 	o := t.config.Options
@@ -22,11 +22,11 @@
 		DialStart: func(string) { t.dialled() },
 		DialDone: func(_ string, _ time.Duration, err error) {
 			if err != nil {
-				t.add(func(f *Figures) { f.DialFails++ })
+				t.add(func(f *PhaseResult) { f.DialFails++ })
 			}
 		},
-		TryDone: t.audit.TryDone,
-		Late:    t.audit.Late,
+		TryDone:    t.audit.TryDone,
+		LateAnswer: t.audit.LateAnswer,
 	}
 	c, err := client.New(o)
 	if err != nil {
--- a/internal/loadgen/load.go
+++ b/internal/loadgen/load.go
@@ -29,35 +29,35 @@
 // The kinds.
 const (
 	Library Kind = "library"
-	Brief   Kind = "brief"
+	Naive   Kind = "brief"
 )
 
 // Phase is a stretch of time whose figures stand together.
 type Phase struct {
-	Name string
-	For  time.Duration
+	Name     string
+	Duration time.Duration
 }
 
 // Config says what to ask. All is needed but what has a usual value.
 type Config struct {
-	Kind      Kind
-	Addresses []string
-	Clients   int     // tills; 1 to 10,000
-	Rate      float64 // requests a second over all tills; at most 20,000
-	Phases    []Phase // one hour together at most
-	Handovers float64 // share of the requests
-	Keys      int     // of reads
-	Skew      float64 // of their popularity, above 1
-	Tenant    string
-	Seed      uint64
-	Options   client.Options // of library tills; Proxies, Tenant and Trace are set here
-	ReadAim   time.Duration  // 500 ms
-	WriteAim  time.Duration  // 750 ms
+	Kind           Kind
+	Addresses      []string
+	Clients        int     // tills; 1 to 10,000
+	Rate           float64 // requests a second over all tills; at most 20,000
+	Phases         []Phase // one hour together at most
+	HandoverShare  float64 // share of the requests
+	Keys           int     // of reads
+	Skew           float64 // of their popularity, above 1
+	Tenant         string
+	Seed           uint64
+	Options        client.Options // of library tills; Proxies, Tenant and Trace are set here
+	ReadObjective  time.Duration  // 500 ms
+	WriteObjective time.Duration  // 750 ms
 
-	// Seen tells whether a node has seen a try, Excused whether a proxy was killed outright just now. A
+	// SeenByNode tells whether a node has seen a try, Excused whether a proxy was killed outright just now. A
 	// rehearsal knows; where they are nil, nothing is counted as lost.
-	Seen    func(id string) bool
-	Excused func(proxy string) bool
+	SeenByNode     func(id string) bool
+	RecentlyKilled func(proxy string) bool
 }
 
 // The bounds of a load.
@@ -70,11 +70,11 @@
 )
 
 func (c *Config) check() error {
-	if c.ReadAim == 0 {
-		c.ReadAim = 500 * time.Millisecond
+	if c.ReadObjective == 0 {
+		c.ReadObjective = 500 * time.Millisecond
 	}
-	if c.WriteAim == 0 {
-		c.WriteAim = 750 * time.Millisecond
+	if c.WriteObjective == 0 {
+		c.WriteObjective = 750 * time.Millisecond
 	}
 	if c.Options.Read == (client.Class{}) {
 		c.Options.Read = client.Read
@@ -84,11 +84,11 @@
 	}
 	total := time.Duration(0)
 	for _, p := range c.Phases {
-		total += p.For
+		total += p.Duration
 	}
 	switch {
-	case c.Kind != Library && c.Kind != Brief:
-		return fmt.Errorf("load: kind cannot be %q: want %s or %s", c.Kind, Library, Brief)
+	case c.Kind != Library && c.Kind != Naive:
+		return fmt.Errorf("load: kind cannot be %q: want %s or %s", c.Kind, Library, Naive)
 	case len(c.Addresses) == 0:
 		return errors.New("load: there is no proxy")
 	case c.Clients < 1 || c.Clients > mostClients:
@@ -97,56 +97,56 @@
 		return fmt.Errorf("load: rate cannot be %v: want above 0 to %d", c.Rate, mostRate)
 	case total <= 0 || total > mostFor:
 		return fmt.Errorf("load: lasts %v: want above 0 to %v", total, mostFor)
-	case !(c.Handovers >= 0 && c.Handovers <= 1):
-		return fmt.Errorf("load: handovers cannot be %v: want 0 to 1", c.Handovers)
+	case !(c.HandoverShare >= 0 && c.HandoverShare <= 1):
+		return fmt.Errorf("load: handovers cannot be %v: want 0 to 1", c.HandoverShare)
 	case c.Keys < 1 || c.Keys > 1e8 || !(c.Skew > 1):
 		return errors.New("load: want keys from 1 to 100000000, skew above 1")
 	}
 	return nil
 }
 
-// Figures are what became of the requests that began in one phase, and of what was sent for them.
-type Figures struct {
-	Phase     string  `json:"phase"`
-	Seconds   float64 `json:"seconds"`
-	Offered   int     `json:"offered"`
-	InTime    int     `json:"in_time"`
-	Late      int     `json:"late"`
-	Refused   int     `json:"refused"`
-	Failed    int     `json:"failed"`
-	Unknown   int     `json:"unknown"` // handovers of which it can't be told
-	Tries     int     `json:"tries"`
-	Handovers int     `json:"handovers"`
-	HandedIn  int     `json:"handovers_in_time"`
-	P50       float64 `json:"p50_ms"` // of what was served
-	P99       float64 `json:"p99_ms"`
-	Dials     int     `json:"dials"`
-	DialFails int     `json:"dial_fails"`
-	// Busiest is how many attempts to connect lay in the busiest 50 ms, Mean how many do in
+// PhaseResult are what became of the requests that began in one phase, and of what was sent for them.
+type PhaseResult struct {
+	Phase           string  `json:"phase"`
+	Seconds         float64 `json:"seconds"`
+	Offered         int     `json:"offered"`
+	InTime          int     `json:"in_time"`
+	Late            int     `json:"late"`
+	Refused         int     `json:"refused"`
+	Failed          int     `json:"failed"`
+	Unknown         int     `json:"unknown"` // handovers of which it can't be told
+	Tries           int     `json:"tries"`
+	Handovers       int     `json:"handovers"`
+	HandoversInTime int     `json:"handovers_in_time"`
+	P50             float64 `json:"p50_ms"` // of what was served
+	P99             float64 `json:"p99_ms"`
+	Dials           int     `json:"dials"`
+	DialFails       int     `json:"dial_fails"`
+	// DialsBusiest50ms is how many attempts to connect lay in the busiest 50 ms, Mean how many do in
 	// the mean.
-	Busiest int     `json:"dials_busiest_50ms"`
-	Mean    float64 `json:"dials_mean_50ms"`
+	DialsBusiest50ms int     `json:"dials_busiest_50ms"`
+	DialsMean50ms    float64 `json:"dials_mean_50ms"`
 	// Lost are requests that a proxy took and did not answer; Crossed those that it did not
 	// read before it closed, Excused those of a proxy that was killed.
-	Lost    int `json:"lost"`
-	Crossed int `json:"crossed"`
-	Excused int `json:"excused"`
-	Overdue int `json:"overdue"` // answered just after the try was given up
+	Lost           int `json:"lost"`
+	CrossedClose   int `json:"crossed"`
+	KilledInFlight int `json:"excused"`
+	Overdue        int `json:"overdue"` // answered just after the try was given up
 }
 
-// TriesPer is how many tries there were for each request.
-func (f *Figures) TriesPer() float64 { return float64(f.Tries) / float64(max(f.Offered, 1)) }
+// TriesPerRequest is how many tries there were for each request.
+func (f *PhaseResult) TriesPerRequest() float64 { return float64(f.Tries) / float64(max(f.Offered, 1)) }
 
 // Goodput is how many requests a second were answered in time.
-func (f *Figures) Goodput() float64 { return float64(f.InTime) / max(f.Seconds, 1e-9) }
+func (f *PhaseResult) Goodput() float64 { return float64(f.InTime) / max(f.Seconds, 1e-9) }
 
 // Result is what a load brought.
 type Result struct {
-	Kind       Kind      `json:"kind"`
-	Clients    int       `json:"clients"`
-	Phases     []Figures `json:"phases"`
-	NotOffered int       `json:"not_offered"` // as too many were under way
-	Samples    []string  `json:"samples"`     // of what was lost
+	Kind        Kind          `json:"kind"`
+	Clients     int           `json:"clients"`
+	Phases      []PhaseResult `json:"phases"`
+	NotOffered  int           `json:"not_offered"` // as too many were under way
+	LostSamples []string      `json:"samples"`     // of what was lost
 }
 
 // end is how a request ended, as its till saw it.
@@ -181,17 +181,17 @@
 	began  time.Time
 
 	mu      sync.Mutex
-	figures []Figures
+	figures []PhaseResult
 	times   []*hdrhistogram.Histogram // by phase, of microseconds
 	dials   []time.Duration           // since began
-	audit   *Audit
+	audit   *TraceAuditor
 	samples []string
 }
 
 func (t *tally) phase(at time.Time) int {
 	since := at.Sub(t.began)
 	for i, p := range t.config.Phases {
-		if since -= p.For; since < 0 {
+		if since -= p.Duration; since < 0 {
 			return i
 		}
 	}
@@ -199,32 +199,32 @@
 }
 
 // add changes the figures of the phase that it is.
-func (t *tally) add(change func(f *Figures)) {
+func (t *tally) add(change func(f *PhaseResult)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change(&t.figures[t.phase(time.Now())])
 }
 
 // audit judges by what the rehearsal knows, if it does.
-func (c *Config) audit(t *tally) *Audit {
-	u := &Audit{Seen: c.Seen, Excused: c.Excused, OnTry: t.tried, OnLost: t.lose,
-		OnCrossed: func() { t.add(func(f *Figures) { f.Crossed++ }) },
-		OnExcused: func() { t.add(func(f *Figures) { f.Excused++ }) },
-		OnOverdue: func(time.Duration) { t.add(func(f *Figures) { f.Overdue++ }) }}
-	if u.Seen == nil {
+func (c *Config) audit(t *tally) *TraceAuditor {
+	u := &TraceAuditor{SeenByNode: c.SeenByNode, RecentlyKilled: c.RecentlyKilled, OnTry: t.tried, OnLost: t.lose,
+		OnCrossedClose:   func() { t.add(func(f *PhaseResult) { f.CrossedClose++ }) },
+		OnKilledInFlight: func() { t.add(func(f *PhaseResult) { f.KilledInFlight++ }) },
+		OnOverdue:        func(time.Duration) { t.add(func(f *PhaseResult) { f.Overdue++ }) }}
+	if u.SeenByNode == nil {
 		u.OnLost = func(string, ...any) {}
-		u.Seen = func(string) bool { return false }
+		u.SeenByNode = func(string) bool { return false }
 	}
-	if u.Excused == nil {
-		u.Excused = func(string) bool { return false }
+	if u.RecentlyKilled == nil {
+		u.RecentlyKilled = func(string) bool { return false }
 	}
 	return u
 }
 
-func (t *tally) tried() { t.add(func(f *Figures) { f.Tries++ }) }
+func (t *tally) tried() { t.add(func(f *PhaseResult) { f.Tries++ }) }
 
 func (t *tally) dialled() {
-	t.add(func(f *Figures) {
+	t.add(func(f *PhaseResult) {
 		f.Dials++
 		if len(t.dials) < mostDials {
 			t.dials = append(t.dials, time.Since(t.began))
@@ -233,7 +233,7 @@
 }
 
 func (t *tally) lose(format string, a ...any) {
-	t.add(func(f *Figures) {
+	t.add(func(f *PhaseResult) {
 		f.Lost++
 		if len(t.samples) < 20 {
 			t.samples = append(t.samples, fmt.Sprintf("%.2f s: ", time.Since(t.began).Seconds())+fmt.Sprintf(format, a...))
@@ -244,9 +244,9 @@
 // over counts a request that began at a time.
 func (t *tally) over(begun time.Time, o *order, as end) {
 	took := time.Since(begun)
-	aim := t.config.ReadAim
+	aim := t.config.ReadObjective
 	if o.value != "" {
-		aim = t.config.WriteAim
+		aim = t.config.WriteObjective
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -264,7 +264,7 @@
 		}
 		f.InTime++
 		if o.value != "" {
-			f.HandedIn++
+			f.HandoversInTime++
 		}
 	case refused:
 		f.Refused++
@@ -293,20 +293,20 @@
 func (t *tally) result(notOffered int) *Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := &Result{Kind: t.config.Kind, Clients: t.config.Clients, NotOffered: notOffered, Samples: t.samples}
+	r := &Result{Kind: t.config.Kind, Clients: t.config.Clients, NotOffered: notOffered, LostSamples: t.samples}
 	from := time.Duration(0)
 	for i, f := range t.figures {
 		p := t.config.Phases[i]
-		f.Phase, f.Seconds = p.Name, p.For.Seconds()
+		f.Phase, f.Seconds = p.Name, p.Duration.Seconds()
 		f.P50, f.P99 = float64(t.times[i].ValueAtQuantile(50))/1000, float64(t.times[i].ValueAtQuantile(99))/1000
 		var within []time.Duration
 		for _, at := range t.dials {
-			if at >= from && at < from+p.For {
+			if at >= from && at < from+p.Duration {
 				within = append(within, at)
 			}
 		}
-		from += p.For
-		f.Busiest, f.Mean = busiest(within, dialSpan), float64(len(within))*dialSpan.Seconds()/p.For.Seconds()
+		from += p.Duration
+		f.DialsBusiest50ms, f.DialsMean50ms = busiest(within, dialSpan), float64(len(within))*dialSpan.Seconds()/p.Duration.Seconds()
 		r.Phases = append(r.Phases, f)
 	}
 	return r
@@ -317,12 +317,12 @@
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	t := &tally{config: &c, began: time.Now(), figures: make([]Figures, len(c.Phases))}
+	t := &tally{config: &c, began: time.Now(), figures: make([]PhaseResult, len(c.Phases))}
 	t.audit = c.audit(t)
 	total := time.Duration(0)
 	for _, p := range c.Phases {
 		t.times = append(t.times, hdrhistogram.New(1, time.Minute.Microseconds(), 3))
-		total += p.For
+		total += p.Duration
 	}
 	rng := rand.New(rand.NewPCG(c.Seed, 7))
 	zipf := rand.NewZipf(rng, c.Skew, 4, uint64(c.Keys-1))
@@ -352,7 +352,7 @@
 		if rng.IntN(2) == 0 {
 			o.pause = time.Duration(20+rng.IntN(140)) * time.Millisecond
 		}
-		if rng.Float64() < c.Handovers {
+		if rng.Float64() < c.HandoverShare {
 			o.key, o.value = fmt.Sprint("h", rng.IntN(c.Keys)), fmt.Sprintf("%s%x-%x", prefix, c.Seed, serial)
 		}
 		x := tills[rng.IntN(len(tills))]
@@ -378,8 +378,8 @@
 		}
 	}
 	tasks.Wait()
-	if c.Kind == Library && c.Seen != nil {
-		t.audit.Settle()
+	if c.Kind == Library && c.SeenByNode != nil {
+		t.audit.Finish()
 	}
 	for _, x := range tills {
 		x.close()
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -63,86 +63,86 @@
 	Status        Status
 	Started       time.Duration // of its last start, Unix time; 0 for long ago or not told
 	Instance      string        // changes with each start, where a source can tell; "" where not
-	Why           string        // of a status that is not Up
+	Reason        string        // of a status that is not Up
 }
 
 // Limits are the times and shares of the rules. They must be positive.
 type Limits struct {
-	Share    float64       // of a list that is left at the least, or it has collapsed
-	Collapse time.Duration // within which losses are added up
-	Doubt    time.Duration // of what a collapsed list lacks
-	Failing  time.Duration // the same where looks fail, or the list is empty
-	First    time.Duration // hold of the second return within Memory; the first is free
-	Most     time.Duration // hold at the most
-	Memory   time.Duration // in which returns fade
-	Keep     time.Duration // absence after which a node that returns has forgotten
-	Forget   time.Duration // after which a node that left is forgotten
-	Down     int           // failures of connections in a row that tell of a process's end
-}
-
-// Usual are the limits of an installation whose nodes take some seconds to warm up.
+	MinRemainingShare    float64       // of a list that is left at the least, or it has collapsed
+	CollapseWindow       time.Duration // within which losses are added up
+	ConfirmTimeout       time.Duration // of what a collapsed list lacks
+	FailedConfirmTimeout time.Duration // the same where looks fail, or the list is empty
+	FirstHoldDown        time.Duration // hold of the second return within Memory; the first is free
+	MaxHoldDown          time.Duration // hold at the most
+	FlapMemory           time.Duration // in which returns fade
+	CacheRetention       time.Duration // absence after which a node that returns has forgotten
+	ForgetAfter          time.Duration // after which a node that left is forgotten
+	FailureThreshold     int           // failures of connections in a row that tell of a process's end
+}
+
+// DefaultLimits are the limits of an installation whose nodes take some seconds to warm up.
 // Doubt is the drain rule's 500 ms less the way from module to sockets.
-var Usual = Limits{Share: 0.5, Collapse: 10 * time.Second, Doubt: 350 * time.Millisecond, Failing: 30 * time.Second,
-	First: time.Second, Most: 30 * time.Second, Memory: time.Minute, Keep: 6 * time.Second, Forget: 2 * time.Minute, Down: 3}
+var DefaultLimits = Limits{MinRemainingShare: 0.5, CollapseWindow: 10 * time.Second, ConfirmTimeout: 350 * time.Millisecond, FailedConfirmTimeout: 30 * time.Second,
+	FirstHoldDown: time.Second, MaxHoldDown: 30 * time.Second, FlapMemory: time.Minute, CacheRetention: 6 * time.Second, ForgetAfter: 2 * time.Minute, FailureThreshold: 3}
 
 // Source is a source of lists, as settings name it. Its place among them is its
 // precedence: what a node is like is taken from the first that lists it.
 type Source struct {
 	Name string
-	// Doubted sources can collapse. Others are believed to the word: they say who leaves.
-	Doubted bool
+	// NeedsConfirmation sources can collapse. Others are believed to the word: they say who leaves.
+	NeedsConfirmation bool
 }
 
 // Settings say what a Module follows.
 type Settings struct {
 	Limits  Limits
 	Sources []Source
-	// Infer has start times be worked out where sources don't tell them, and holds be
+	// InferRestarts has start times be worked out where sources don't tell them, and holds be
 	// kept. Without it what sources say is passed on as it is.
-	Infer bool
+	InferRestarts bool
 }
 
 // Event is something a Module is told: one of the types below.
 type Event interface{ event() }
 
-// Told is a source's list, whole or what has changed of it. A change names who left.
-type Told struct {
-	Source string
-	Whole  bool
-	Look   bool // it answers a Look: it can confirm what is doubted
-	Nodes  []Node
+// ListReceived is a source's list, whole or what has changed of it. A change names who left.
+type ListReceived struct {
+	Source    string
+	Complete  bool
+	Refetched bool // it answers a Look: it can confirm what is doubted
+	Nodes     []Node
 }
 
-// LookFailed tells that a Look had no answer.
-type LookFailed struct{ Source string }
+// RefetchFailed tells that a Look had no answer.
+type RefetchFailed struct{ Source string }
 
-// Followed tells which sources there are from now on, in order of precedence. What was
+// SourcesChanged tells which sources there are from now on, in order of precedence. What was
 // said by one that is none any more counts until each new one has told a whole list.
-type Followed struct{ Sources []Source }
+type SourcesChanged struct{ Sources []Source }
 
-// Sight is what connections see of a node.
-type Sight uint8
+// Observation is what connections see of a node.
+type Observation uint8
 
 // The sights.
 const (
-	Answered Sight = iota // it gave an answer, of whatever kind
-	Failed                // no connection came up, or one ended unasked
+	Answered Observation = iota // it gave an answer, of whatever kind
+	Failed                      // no connection came up, or one ended unasked
 )
 
-// Seen tells what connections have seen of a node.
-type Seen struct {
-	Node  string
-	Sight Sight
+// ConnectionObserved tells what connections have seen of a node.
+type ConnectionObserved struct {
+	Node        string
+	Observation Observation
 }
 
-// Tick is the return of a Wake.
-type Tick struct{}
+// TimerFired is the return of a Wake.
+type TimerFired struct{}
 
-func (Told) event()       {}
-func (LookFailed) event() {}
-func (Followed) event()   {}
-func (Seen) event()       {}
-func (Tick) event()       {}
+func (ListReceived) event()       {}
+func (RefetchFailed) event()      {}
+func (SourcesChanged) event()     {}
+func (ConnectionObserved) event() {}
+func (TimerFired) event()         {}
 
 // Action is something a Module wants done, in order: one of the types below.
 type Action interface{ action() }
@@ -151,19 +151,19 @@
 // and the reason. Gone ones are to be forgotten.
 type Change struct {
 	Node
-	Source string
-	Before Status // Gone for a new one
+	Source   string
+	Previous Status // Gone for a new one
 }
 
-// Look asks a source for a second look, past whatever it may have kept.
-type Look struct{ Source string }
+// Refetch asks a source for a second look, past whatever it may have kept.
+type Refetch struct{ Source string }
 
-// Wake asks for a Tick after a while. A later Wake does not undo an earlier one.
-type Wake struct{ After time.Duration }
+// SetTimer asks for a Tick after a while. A later Wake does not undo an earlier one.
+type SetTimer struct{ After time.Duration }
 
-func (Change) action() {}
-func (Look) action()   {}
-func (Wake) action()   {}
+func (Change) action()   {}
+func (Refetch) action()  {}
+func (SetTimer) action() {}
 
 // source is what the module knows of a source.
 type source struct {
@@ -203,8 +203,8 @@
 	started  time.Duration // worked out; 0 for none
 }
 
-// Module decides for one proxy. It is not safe for concurrent use.
-type Module struct {
+// Reconciler decides for one proxy. It is not safe for concurrent use.
+type Reconciler struct {
 	set     Settings
 	now     time.Duration
 	out     []Action
@@ -214,43 +214,43 @@
 }
 
 // New returns a Module that knows no node.
-func New(set Settings) *Module {
-	m := &Module{set: set, nodes: make(map[string]*node)}
+func New(set Settings) *Reconciler {
+	m := &Reconciler{set: set, nodes: make(map[string]*node)}
 	m.follow(set.Sources)
 	return m
 }
 
 // Handle takes an event at a time that never goes back, and appends what is to be done.
-func (m *Module) Handle(now time.Duration, event Event, out []Action) []Action {
+func (m *Reconciler) Handle(now time.Duration, event Event, out []Action) []Action {
 	m.now, m.out = now, out
 	switch e := event.(type) {
-	case Told:
+	case ListReceived:
 		if s := m.source(e.Source); s != nil {
 			m.told(s, e)
 		}
-	case LookFailed:
+	case RefetchFailed:
 		s := m.source(e.Source)
 		if s == nil || s.doubt == nil {
 			break
 		}
 		if !s.doubt.failing {
 			s.doubt.failing = true
-			s.doubt.until = s.doubt.since + m.set.Limits.Failing
-			m.wake(m.set.Limits.Failing)
+			s.doubt.until = s.doubt.since + m.set.Limits.FailedConfirmTimeout
+			m.wake(m.set.Limits.FailedConfirmTimeout)
 		}
 		m.wake(lookPause)
-	case Followed:
+	case SourcesChanged:
 		m.follow(e.Sources)
 		m.all()
-	case Seen:
+	case ConnectionObserved:
 		m.seen(e)
-	case Tick:
+	case TimerFired:
 		m.tick()
 	}
 	return m.out
 }
 
-func (m *Module) source(name string) *source {
+func (m *Reconciler) source(name string) *source {
 	for _, s := range m.sources {
 		if s.Name == name {
 			return s
@@ -262,7 +262,7 @@
 // follow puts sources into their order. Those that are none any more are retired: they
 // are heard until the others have told a list, as a drain that they announce must not
 // be missed.
-func (m *Module) follow(list []Source) {
+func (m *Reconciler) follow(list []Source) {
 	var next []*source
 	for _, f := range list {
 		s := m.source(f.Name)
@@ -285,7 +285,7 @@
 // release drops retired sources once all others have told a whole list. Until then, what
 // the others say of a node takes the place of what retired ones said: a source may begin
 // with what has changed since a list that it takes for known.
-func (m *Module) release() {
+func (m *Reconciler) release() {
 	for _, s := range m.sources {
 		if !s.retired && !s.whole {
 			return
@@ -295,7 +295,7 @@
 }
 
 // told takes a list.
-func (m *Module) told(s *source, e Told) {
+func (m *Reconciler) told(s *source, e ListReceived) {
 	m.settle()
 	names := make(map[string]bool, len(e.Nodes))
 	for i := range e.Nodes {
@@ -309,7 +309,7 @@
 	}
 	first := !s.told
 	waited := !s.whole
-	s.told, s.whole, m.first = true, s.whole || e.Whole, first
+	s.told, s.whole, m.first = true, s.whole || e.Complete, first
 	if !s.retired {
 		for _, o := range m.sources {
 			if o.retired {
@@ -317,7 +317,7 @@
 			}
 		}
 	}
-	if e.Whole {
+	if e.Complete {
 		var missing []string
 		for name, n := range s.nodes {
 			if !names[name] && n.Status != Gone {
@@ -343,7 +343,7 @@
 }
 
 // miss decides on what a whole list lacks.
-func (m *Module) miss(s *source, e Told, missing []string) {
+func (m *Reconciler) miss(s *source, e ListReceived, missing []string) {
 	if len(missing) == 0 {
 		return
 	}
@@ -355,11 +355,11 @@
 	}
 	l := &m.set.Limits
 	switch d := s.doubt; {
-	case !s.Doubted, d == nil && !m.collapsed(s, left, len(missing)):
+	case !s.NeedsConfirmation, d == nil && !m.collapsed(s, left, len(missing)):
 	case d == nil:
-		d = &doubt{since: m.now, until: m.now + l.Doubt, names: make(map[string]bool), empty: left == 0}
+		d = &doubt{since: m.now, until: m.now + l.ConfirmTimeout, names: make(map[string]bool), empty: left == 0}
 		if d.empty {
-			d.until = m.now + l.Failing
+			d.until = m.now + l.FailedConfirmTimeout
 		}
 		for _, name := range missing {
 			d.names[name] = true
@@ -368,13 +368,13 @@
 		m.look(s)
 		m.wake(d.until - m.now)
 		return
-	case e.Look && left > 0: // confirmed
+	case e.Refetched && left > 0: // confirmed
 		s.doubt = nil
 	default: // the same once more, or a first look at more that is lost
 		if left > 0 && d.empty { // not empty any more: what is still lacking is a loss like others
-			d.empty, d.until = false, min(d.until, m.now+l.Doubt)
+			d.empty, d.until = false, min(d.until, m.now+l.ConfirmTimeout)
 			m.look(s)
-			m.wake(l.Doubt)
+			m.wake(l.ConfirmTimeout)
 		}
 		d.empty = d.empty || left == 0
 		for _, name := range missing {
@@ -389,27 +389,27 @@
 
 // lose takes it for a source's word that a node is gone.
 func (s *source) lose(name string, now time.Duration, why string) {
-	s.nodes[name] = &Node{Name: name, Status: Gone, Why: why}
+	s.nodes[name] = &Node{Name: name, Status: Gone, Reason: why}
 	s.losses[name] = now
 }
 
 // look asks for a second look at a list in doubt.
-func (m *Module) look(s *source) {
+func (m *Reconciler) look(s *source) {
 	s.doubt.looked = m.now
-	m.out = append(m.out, Look{s.Name})
+	m.out = append(m.out, Refetch{s.Name})
 }
 
 // collapsed tells whether a list that loses so many has too few left.
-func (m *Module) collapsed(s *source, left, missing int) bool {
-	maps.DeleteFunc(s.losses, func(_ string, at time.Duration) bool { return m.now-at > m.set.Limits.Collapse })
+func (m *Reconciler) collapsed(s *source, left, missing int) bool {
+	maps.DeleteFunc(s.losses, func(_ string, at time.Duration) bool { return m.now-at > m.set.Limits.CollapseWindow })
 	if missing == 1 && len(s.losses) == 0 {
 		return false // one leaves, be it the last
 	}
-	return float64(left) < m.set.Limits.Share*float64(left+missing+len(s.losses))
+	return float64(left) < m.set.Limits.MinRemainingShare*float64(left+missing+len(s.losses))
 }
 
 // settle ends doubts whose time is over: what they held is gone.
-func (m *Module) settle() {
+func (m *Reconciler) settle() {
 	for _, s := range m.sources {
 		if d := s.doubt; d != nil && m.now >= d.until {
 			for name := range d.names {
@@ -428,7 +428,7 @@
 const lookPause = 250 * time.Millisecond
 
 // tick does what is due.
-func (m *Module) tick() {
+func (m *Reconciler) tick() {
 	m.settle()
 	for _, s := range m.sources {
 		if s.doubt != nil && s.doubt.failing && m.now-s.doubt.looked >= lookPause {
@@ -437,7 +437,7 @@
 	}
 	m.all()
 	for name, n := range m.nodes {
-		if n.is.Status == Gone && m.now-n.left > m.set.Limits.Forget {
+		if n.is.Status == Gone && m.now-n.left > m.set.Limits.ForgetAfter {
 			delete(m.nodes, name)
 		}
 	}
@@ -445,12 +445,12 @@
 
 // seen takes what connections see. A node in doubt whose connections fail is gone by two
 // witnesses; one that fails over and over and then answers has been started anew.
-func (m *Module) seen(e Seen) {
+func (m *Reconciler) seen(e ConnectionObserved) {
 	n := m.nodes[e.Node]
-	if n == nil || !m.set.Infer {
+	if n == nil || !m.set.InferRestarts {
 		return
 	}
-	if e.Sight == Answered {
+	if e.Observation == Answered {
 		if n.fails = 0; n.down {
 			n.down, n.started = false, m.now
 			m.one(e.Node, "has been started anew, as connections see it")
@@ -461,7 +461,7 @@
 		return
 	}
 	n.failed = m.now
-	if n.fails++; n.fails >= m.set.Limits.Down {
+	if n.fails++; n.fails >= m.set.Limits.FailureThreshold {
 		n.down = true
 	}
 	for _, s := range m.sources {
@@ -474,7 +474,7 @@
 }
 
 // verdict is what sources together say of a node.
-func (m *Module) verdict(name string) (is Node, from string) {
+func (m *Reconciler) verdict(name string) (is Node, from string) {
 	is = Node{Name: name, Status: Gone}
 	listed := false
 	worst, why, whose := Up, "", ""
@@ -489,23 +489,23 @@
 		}
 		// A retired source's last word on who leaves counts as long as its list does.
 		if n.Status > worst {
-			worst, why, whose = n.Status, n.Why, s.Name
+			worst, why, whose = n.Status, n.Reason, s.Name
 		}
 	}
 	if !listed {
-		return Node{Name: name, Status: Gone, Why: why}, whose
+		return Node{Name: name, Status: Gone, Reason: why}, whose
 	}
 	if worst != Up {
 		if from != whose {
 			why = worst.String() + " in " + whose + " " + why
 		}
-		is.Status, is.Why, from = Draining, why, whose
+		is.Status, is.Reason, from = Draining, why, whose
 	}
 	return is, from
 }
 
 // all publishes what has changed of all nodes.
-func (m *Module) all() {
+func (m *Reconciler) all() {
 	names := make(map[string]bool, len(m.nodes))
 	for _, s := range m.sources {
 		for name := range s.nodes {
@@ -528,7 +528,7 @@
 }
 
 // one publishes a node if it has changed.
-func (m *Module) one(name, why string) {
+func (m *Reconciler) one(name, why string) {
 	is, from := m.verdict(name)
 	n := m.nodes[name]
 	if n == nil {
@@ -538,20 +538,20 @@
 		n = &node{is: Node{Name: name, Status: Gone}}
 		m.nodes[name] = n
 	}
-	if m.set.Infer {
+	if m.set.InferRestarts {
 		m.infer(n, &is, &why)
 	}
-	if why != "" && is.Why == "" {
-		is.Why = why
+	if why != "" && is.Reason == "" {
+		is.Reason = why
 	}
 	m.publish(n, is, from)
 }
 
-func (m *Module) publish(n *node, is Node, from string) {
+func (m *Reconciler) publish(n *node, is Node, from string) {
 	before := n.is.Status
 	same := n.is
 	if is.Status == Up {
-		same.Why = is.Why // another reason for serving is no news
+		same.Reason = is.Reason // another reason for serving is no news
 	}
 	if n.known && same == is || !n.known && is.Status == Gone {
 		return
@@ -566,14 +566,14 @@
 		}
 	}
 	n.known, n.is, n.from = true, is, from
-	if is.Status == Gone && m.set.Infer {
-		m.wake(m.set.Limits.Forget + time.Millisecond)
+	if is.Status == Gone && m.set.InferRestarts {
+		m.wake(m.set.Limits.ForgetAfter + time.Millisecond)
 	}
-	m.out = append(m.out, Change{Node: is, Source: from, Before: before})
+	m.out = append(m.out, Change{Node: is, Source: from, Previous: before})
 }
 
 // infer works out the start time of a node, and whether it is held.
-func (m *Module) infer(n *node, is *Node, why *string) {
+func (m *Reconciler) infer(n *node, is *Node, why *string) {
 	l := &m.set.Limits
 	if is.Status != Up {
 		n.held = 0 // it left again: the next return counts anew
@@ -593,15 +593,15 @@
 	}
 	if back {
 		// Cold unless proven otherwise: the same instance, soon back, and no process's end seen.
-		if n.hurt && (m.now-n.left > l.Keep || n.down) {
+		if n.hurt && (m.now-n.left > l.CacheRetention || n.down) {
 			n.started, n.down, n.fails = m.now, false, 0
 			*why = "is back after a failure"
 		}
 		n.hurt = false
-		n.returns = n.returns*math.Exp(-float64(m.now-n.counted)/float64(l.Memory)) + 1
+		n.returns = n.returns*math.Exp(-float64(m.now-n.counted)/float64(l.FlapMemory)) + 1
 		n.counted = m.now
 		if r := n.returns; r >= 1.5 {
-			hold := time.Duration(min(float64(l.First)*math.Exp2(math.Floor(r-1.5)), float64(l.Most)))
+			hold := time.Duration(min(float64(l.FirstHoldDown)*math.Exp2(math.Floor(r-1.5)), float64(l.MaxHoldDown)))
 			n.held = m.now + hold
 			m.wake(hold)
 		}
@@ -610,7 +610,7 @@
 		n.held = 0
 	}
 	if n.held > 0 {
-		is.Status, is.Why = Draining, "held down, it came and went too often"
+		is.Status, is.Reason = Draining, "held down, it came and went too often"
 	}
 	if is.Started == 0 {
 		is.Started = n.started
@@ -618,7 +618,7 @@
 }
 
 // rescue releases holds where nobody serves: suspicion must not empty the list.
-func (m *Module) rescue(ordered []string) {
+func (m *Reconciler) rescue(ordered []string) {
 	var held []string
 	for _, name := range ordered {
 		n := m.nodes[name]
@@ -641,13 +641,13 @@
 		if is.Started == 0 {
 			is.Started = m.nodes[name].started
 		}
-		is.Why = "released from its hold, as nobody else serves"
+		is.Reason = "released from its hold, as nobody else serves"
 		m.publish(m.nodes[name], is, from)
 	}
 }
 
 // sweep forgets statements of who left, once no source lists them.
-func (m *Module) sweep() {
+func (m *Reconciler) sweep() {
 	for _, s := range m.sources {
 		for name, n := range s.nodes {
 			if n.Status == Gone && !slices.ContainsFunc(m.sources, func(o *source) bool {
@@ -658,7 +658,7 @@
 			}
 		}
 	}
-	if len(m.nodes) > 0 && !m.set.Infer { // nothing is remembered of who left
+	if len(m.nodes) > 0 && !m.set.InferRestarts { // nothing is remembered of who left
 		for name, n := range m.nodes {
 			if n.is.Status == Gone {
 				delete(m.nodes, name)
@@ -667,10 +667,10 @@
 	}
 }
 
-func (m *Module) wake(after time.Duration) { m.out = append(m.out, Wake{after}) }
+func (m *Reconciler) wake(after time.Duration) { m.out = append(m.out, SetTimer{after}) }
 
 // Serving counts the nodes that serve.
-func (m *Module) Serving() (count int) {
+func (m *Reconciler) Serving() (count int) {
 	for _, n := range m.nodes {
 		if n.known && n.is.Status == Up {
 			count++
@@ -679,9 +679,9 @@
 	return count
 }
 
-// Doubted returns the nodes of a source that its latest list lacks, and that serve all
+// Unconfirmed returns the nodes of a source that its latest list lacks, and that serve all
 // the same.
-func (m *Module) Doubted(name string) (names []string) {
+func (m *Reconciler) Unconfirmed(name string) (names []string) {
 	if s := m.source(name); s != nil && s.doubt != nil {
 		for n := range s.doubt.names {
 			names = append(names, n)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -19,8 +19,8 @@
 // bench is a module, what it has published, and a clock that obeys its wakes.
 type bench struct {
 	t     testing.TB
-	m     *Module
-	twin  *Module // is told the same, and must do the same
+	m     *Reconciler
+	twin  *Reconciler // is told the same, and must do the same
 	now   time.Duration
 	list  map[string]Node // the changes, replayed
 	wakes []time.Duration
@@ -43,7 +43,7 @@
 			if !was {
 				before.Status = Gone
 			}
-			if before.Status != a.Before {
+			if before.Status != a.Previous {
 				b.t.Fatalf("%+v told where %v was", a, before.Status) // invariant 4
 			}
 			if a.Status == Gone {
@@ -51,9 +51,9 @@
 			} else {
 				b.list[a.Name] = a.Node
 			}
-		case Look:
+		case Refetch:
 			b.looks++
-		case Wake:
+		case SetTimer:
 			b.wakes = append(b.wakes, b.now+a.After)
 		}
 	}
@@ -68,7 +68,7 @@
 			return
 		}
 		b.now, b.wakes = max(b.now, b.wakes[0]), b.wakes[1:]
-		b.handle(Tick{})
+		b.handle(TimerFired{})
 	}
 }
 
@@ -92,31 +92,31 @@
 }
 
 // whole is a list of nodes by letters; an upper one drains.
-func whole(source, letters string) Told {
-	e := Told{Source: source, Whole: true}
+func whole(source, letters string) ListReceived {
+	e := ListReceived{Source: source, Complete: true}
 	for _, c := range letters {
 		n := Node{Name: strings.ToLower(string(c)), Address: "h:1", Instance: "1"}
 		if n.Name != string(c) {
-			n.Status, n.Why = Draining, "in maintenance"
+			n.Status, n.Reason = Draining, "in maintenance"
 		}
 		e.Nodes = append(e.Nodes, n)
 	}
 	return e
 }
 
-func look(source, letters string) Told {
+func look(source, letters string) ListReceived {
 	e := whole(source, letters)
-	e.Look = true
+	e.Refetched = true
 	return e
 }
 
 func consul() Settings {
-	return Settings{Limits: Usual, Sources: []Source{{Name: "c", Doubted: true}}, Infer: true}
+	return Settings{Limits: DefaultLimits, Sources: []Source{{Name: "c", NeedsConfirmation: true}}, InferRestarts: true}
 }
 
 func TestSourcesAreMergedAndTheDrainRuleWins(t *testing.T) {
 	set := consul()
-	set.Sources = []Source{{Name: "file"}, {Name: "c", Doubted: true}}
+	set.Sources = []Source{{Name: "file"}, {Name: "c", NeedsConfirmation: true}}
 	b := newBench(t, set)
 	b.handle(whole("c", "abc"))
 	b.handle(whole("file", "bcd"))
@@ -128,7 +128,7 @@
 	b.expect("acd", "b drains in one")
 	b.handle(whole("c", "ac")) // gone in one, up in the other
 	b.expect("acd", "b is gone in one")
-	if why := b.list["b"].Why; !strings.Contains(why, "gone in c") {
+	if why := b.list["b"].Reason; !strings.Contains(why, "gone in c") {
 		t.Errorf("b's reason is %q", why)
 	}
 	b.handle(whole("file", "cd")) // now in none
@@ -138,20 +138,20 @@
 	b.handle(whole("file", "bcd")) // c's word on b has been forgotten with it
 	b.handle(whole("c", "abc"))
 	b.expect("abcd", "b is back in both")
-	b.handle(Told{Source: "file", Nodes: []Node{{Name: "a", Status: Gone}}})
+	b.handle(ListReceived{Source: "file", Nodes: []Node{{Name: "a", Status: Gone}}})
 	b.expect("bcd", "a left by one's word, which had never listed it")
 }
 
 func TestReloadKeepsTheOldListUntilTheNewOneIsTold(t *testing.T) {
-	b := newBench(t, Settings{Limits: Usual, Sources: []Source{{Name: "platform"}}})
+	b := newBench(t, Settings{Limits: DefaultLimits, Sources: []Source{{Name: "platform"}}})
 	b.handle(whole("platform", "abC"))
-	b.handle(Followed{Sources: []Source{{Name: "c", Doubted: true}}})
+	b.handle(SourcesChanged{Sources: []Source{{Name: "c", NeedsConfirmation: true}}})
 	b.expect("ab", "the new source has told nothing")
 	b.handle(whole("platform", "aBC"))
 	b.expect("a", "the old source is heard until then")
 	b.handle(whole("c", "bcd"))
 	b.expect("bcd", "the new one has told")
-	b.handle(Followed{Sources: []Source{{Name: "platform"}}})
+	b.handle(SourcesChanged{Sources: []Source{{Name: "platform"}}})
 	b.handle(whole("platform", "a"))
 	b.expect("a", "and back")
 }
@@ -159,12 +159,12 @@
 // TestNewSourceMayBeginWithChanges guards a move to a service that takes what the old one
 // told for known: on the bench it once left a proxy with the few nodes that had changed.
 func TestNewSourceMayBeginWithChanges(t *testing.T) {
-	b := newBench(t, Settings{Limits: Usual, Sources: []Source{{Name: "old"}}})
+	b := newBench(t, Settings{Limits: DefaultLimits, Sources: []Source{{Name: "old"}}})
 	b.handle(whole("old", "abCd"))
-	b.handle(Followed{Sources: []Source{{Name: "new"}}})
-	b.handle(Told{Source: "new", Nodes: []Node{{Name: "a", Status: Draining}, {Name: "c"}, {Name: "d", Status: Gone}, {Name: "e"}}})
+	b.handle(SourcesChanged{Sources: []Source{{Name: "new"}}})
+	b.handle(ListReceived{Source: "new", Nodes: []Node{{Name: "a", Status: Draining}, {Name: "c"}, {Name: "d", Status: Gone}, {Name: "e"}}})
 	b.expect("bce", "after changes only")
-	b.handle(Told{Source: "new", Nodes: []Node{{Name: "a"}}})
+	b.handle(ListReceived{Source: "new", Nodes: []Node{{Name: "a"}}})
 	b.expect("abce", "after more")
 	b.handle(whole("new", "ae"))
 	b.expect("ae", "after a whole list")
@@ -197,7 +197,7 @@
 		}},
 		{"most, and no second look comes", func(b *bench) {
 			b.handle(whole("c", "abc"))
-			b.pass(Usual.Doubt - ms)
+			b.pass(DefaultLimits.ConfirmTimeout - ms)
 			b.expect(all, "in doubt")
 			b.pass(ms)
 			b.expect("abc", "within the drain rule's time")
@@ -205,7 +205,7 @@
 		{"most, from a source that fails", func(b *bench) {
 			b.handle(whole("c", "abc"))
 			for range 40 {
-				b.handle(LookFailed{"c"})
+				b.handle(RefetchFailed{"c"})
 				b.pass(250 * ms)
 			}
 			b.expect(all, "looks fail")
@@ -217,8 +217,8 @@
 		}},
 		{"most, from a source that fails for good", func(b *bench) {
 			b.handle(whole("c", "abc"))
-			b.handle(LookFailed{"c"})
-			b.pass(Usual.Failing + ms)
+			b.handle(RefetchFailed{"c"})
+			b.pass(DefaultLimits.FailedConfirmTimeout + ms)
 			b.expect("abc", "believed after all")
 		}},
 		{"slice by slice", func(b *bench) {
@@ -253,14 +253,14 @@
 			b.handle(look("c", ""))
 			b.pass(10 * time.Second)
 			b.expect(all, "ten seconds")
-			b.pass(Usual.Failing)
+			b.pass(DefaultLimits.FailedConfirmTimeout)
 			b.expect("", "believed after all")
 		}},
 		{"empty, and half of the nodes are really gone", func(b *bench) {
 			b.handle(whole("c", ""))
-			for range Usual.Down {
+			for range DefaultLimits.FailureThreshold {
 				for _, name := range "abcd" {
-					b.handle(Seen{string(name), Failed})
+					b.handle(ConnectionObserved{string(name), Failed})
 				}
 				b.pass(failPause)
 			}
@@ -309,7 +309,7 @@
 	if up > 2*time.Second || last > 20 {
 		t.Errorf("a flapping node served %v of a minute, last at its flap %d", up, last)
 	}
-	b.pass(Usual.Most)
+	b.pass(DefaultLimits.MaxHoldDown)
 	b.expect("abcd", "steady for as long as a hold may last")
 	if got := b.list["a"]; got.Started != 0 {
 		t.Errorf("the same instance, never long gone, counts as started at %v", got.Started)
@@ -345,12 +345,12 @@
 		}},
 		{"gone for long", true, func(b *bench) {
 			b.handle(whole("c", "bcd"))
-			b.pass(Usual.Keep + ms)
+			b.pass(DefaultLimits.CacheRetention + ms)
 			b.handle(whole("c", "abcd"))
 		}},
 		{"gone for a moment, its process ended", true, func(b *bench) {
-			for range Usual.Down {
-				b.handle(Seen{"a", Failed})
+			for range DefaultLimits.FailureThreshold {
+				b.handle(ConnectionObserved{"a", Failed})
 				b.pass(failPause)
 			}
 			b.handle(whole("c", "bcd"))
@@ -363,36 +363,36 @@
 			b.handle(e)
 		}},
 		{"replaced while the source is silent", true, func(b *bench) {
-			for range Usual.Down {
-				b.handle(Seen{"a", Failed})
+			for range DefaultLimits.FailureThreshold {
+				b.handle(ConnectionObserved{"a", Failed})
 				b.pass(failPause)
 			}
 			b.pass(10 * time.Minute)
-			b.handle(Seen{"a", Answered})
+			b.handle(ConnectionObserved{"a", Answered})
 		}},
 		{"a connection that ends with all that waited on it", false, func(b *bench) {
 			for range 100 {
-				b.handle(Seen{"a", Failed})
+				b.handle(ConnectionObserved{"a", Failed})
 			}
-			b.handle(Seen{"a", Answered})
+			b.handle(ConnectionObserved{"a", Answered})
 		}},
 		{"a connection or two that end", false, func(b *bench) {
 			for range 100 {
-				b.handle(Seen{"a", Failed})
+				b.handle(ConnectionObserved{"a", Failed})
 				b.pass(failPause)
-				b.handle(Seen{"a", Answered})
+				b.handle(ConnectionObserved{"a", Answered})
 			}
 		}},
 		{"new", true, func(b *bench) {
 			b.handle(whole("c", "bcd"))
-			b.pass(Usual.Forget + time.Second)
+			b.pass(DefaultLimits.ForgetAfter + time.Second)
 			b.handle(whole("c", "abcd"))
 		}},
 	} {
 		b := newBench(t, consul())
 		b.handle(whole("c", "abcd"))
 		c.play(b)
-		b.pass(Usual.Most)
+		b.pass(DefaultLimits.MaxHoldDown)
 		if got := started(b, "a"); (got != 0) != c.cold || got > b.now || !strings.Contains(b.serving(), "a") {
 			t.Errorf("%s: counts as started at %v of %v; %s serve", c.name, got, b.now, b.serving())
 		}
@@ -405,7 +405,7 @@
 // TestPlainSourcesPassAsTheyAre guards the platform's list: no doubt, no hold, no start
 // time but its own.
 func TestPlainSourcesPassAsTheyAre(t *testing.T) {
-	b := newBench(t, Settings{Limits: Usual, Sources: []Source{{Name: "p"}}})
+	b := newBench(t, Settings{Limits: DefaultLimits, Sources: []Source{{Name: "p"}}})
 	b.handle(whole("p", "abcd"))
 	for range 20 {
 		b.handle(whole("p", "a"))
@@ -441,10 +441,10 @@
 	served, held, doubted := 0, 0, 0
 	for seed := range *sequences {
 		rng := rand.New(rand.NewPCG(uint64(seed), 7))
-		set := Settings{Limits: Usual, Infer: rng.IntN(3) > 0}
+		set := Settings{Limits: DefaultLimits, InferRestarts: rng.IntN(3) > 0}
 		sources := []string{"x", "y", "z"}[:1+rng.IntN(3)]
 		for _, name := range sources {
-			set.Sources = append(set.Sources, Source{Name: name, Doubted: rng.IntN(2) == 0})
+			set.Sources = append(set.Sources, Source{Name: name, NeedsConfirmation: rng.IntN(2) == 0})
 		}
 		b := newBench(t, set)
 		words := map[string]map[string]word{}
@@ -460,15 +460,15 @@
 			case k < 12:
 				e = randomList(rng, name, rng.IntN(5) > 0)
 			case k < 14:
-				e = LookFailed{name}
+				e = RefetchFailed{name}
 			case k < 17:
-				e = Seen{string(rune('a' + rng.IntN(6))), Sight(rng.IntN(2))}
+				e = ConnectionObserved{string(rune('a' + rng.IntN(6))), Observation(rng.IntN(2))}
 			default:
 				b.pass(time.Duration(rng.IntN(40000)) * ms)
-				e = Tick{}
+				e = TimerFired{}
 			}
 			b.handle(e)
-			if told, ok := e.(Told); ok {
+			if told, ok := e.(ListReceived); ok {
 				say(words[name], told, lastWord, b.now)
 			}
 			checkModel(t, b, set, words, lastWord)
@@ -481,11 +481,11 @@
 				}
 			}
 			for _, name := range sources {
-				doubted += len(b.m.Doubted(name))
+				doubted += len(b.m.Unconfirmed(name))
 			}
 		}
 		b.pass(10 * time.Minute) // holds and doubts are over: what is left is the model's
-		b.handle(Tick{})
+		b.handle(TimerFired{})
 		for name, want := range plain(words, nil) {
 			if got, ok := b.list[name]; want == Up && (!ok || got.Status != Up) || want != Up && ok && got.Status == Up {
 				t.Fatalf("seed %d: in the end %s is %v, want %v", seed, name, got.Status, want)
@@ -497,8 +497,8 @@
 	}
 }
 
-func randomList(rng *rand.Rand, source string, all bool) Told {
-	e := Told{Source: source, Whole: all, Look: rng.IntN(4) == 0}
+func randomList(rng *rand.Rand, source string, all bool) ListReceived {
+	e := ListReceived{Source: source, Complete: all, Refetched: rng.IntN(4) == 0}
 	if all && rng.IntN(6) == 0 {
 		return e
 	}
@@ -519,7 +519,7 @@
 }
 
 // say takes a list into a source's words.
-func say(words map[string]word, e Told, lastWord map[string]time.Duration, now time.Duration) {
+func say(words map[string]word, e ListReceived, lastWord map[string]time.Duration, now time.Duration) {
 	seen := map[string]bool{}
 	for _, n := range e.Nodes {
 		seen[n.Name] = true
@@ -529,7 +529,7 @@
 		}
 	}
 	for name, w := range words {
-		if e.Whole && !seen[name] && (w.listed || w.status != Gone) {
+		if e.Complete && !seen[name] && (w.listed || w.status != Gone) {
 			words[name] = word{Gone, false}
 			lastWord[name] = now
 		}
@@ -567,7 +567,7 @@
 	t.Helper()
 	doubts := map[string]bool{}
 	for _, s := range set.Sources {
-		for _, name := range b.m.Doubted(s.Name) {
+		for _, name := range b.m.Unconfirmed(s.Name) {
 			doubts[name] = true
 		}
 	}
@@ -593,12 +593,12 @@
 		if !doubts[name] {
 			t.Fatalf("%s serves, which no list has and nobody doubts", name) // 2
 		}
-		if age := b.now - lastWord[name]; age > set.Limits.Failing {
+		if age := b.now - lastWord[name]; age > set.Limits.FailedConfirmTimeout {
 			t.Fatalf("%s serves in a doubt of %v", name, age) // 2
 		}
 	}
 	if up > 0 && serves == 0 {
-		t.Fatalf("%d are up, none serves: %+v, words %v, published %+v, infer %v", up, want, words, b.list, set.Infer) // 3
+		t.Fatalf("%d are up, none serves: %+v, words %v, published %+v, infer %v", up, want, words, b.list, set.InferRestarts) // 3
 	}
 }
 
@@ -606,14 +606,14 @@
 func TestMemoryIsBounded(t *testing.T) {
 	b := newBench(t, consul())
 	for i := range 5000 {
-		e := Told{Source: "c", Whole: true}
+		e := ListReceived{Source: "c", Complete: true}
 		for j := range 8 {
 			e.Nodes = append(e.Nodes, Node{Name: fmt.Sprint("n", i+j), Address: "h:1"})
 		}
 		b.handle(e)
 		b.pass(time.Second)
 	}
-	if most := 8 + int(Usual.Forget/time.Second) + 5; len(b.m.nodes) > most {
+	if most := 8 + int(DefaultLimits.ForgetAfter/time.Second) + 5; len(b.m.nodes) > most {
 		t.Errorf("%d nodes are remembered of 5007, want %d at most", len(b.m.nodes), most)
 	}
 	if n := len(b.m.sources[0].nodes); n > 8 {
--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -32,18 +32,18 @@
 	request.Request
 	Noop bool // mn
 	// Stats asks for figures of the kind named by Key, the usual ones for "".
-	Stats bool
-	Size  int // of a Set's value
+	Stats    bool
+	ValueLen int // of a Set's value
 }
 
-// ErrUnknown is the error of a command that is none of the known.
-var ErrUnknown = errors.New("unknown command")
+// ErrUnknownCommand is the error of a command that is none of the known.
+var ErrUnknownCommand = errors.New("unknown command")
 
 // ClientError is a command that cannot be meant. Skip tells how many bytes of
 // value follow its line; it is negative where that cannot be known.
 type ClientError struct {
-	Reason string
-	Skip   int
+	Reason    string
+	SkipBytes int
 }
 
 // Error implements error.
@@ -51,9 +51,9 @@
 
 // ParseCommand reads a command's line.
 func ParseCommand(line string) (Command, error) {
-	c := Command{Request: request.Request{Wait: -1, Raw: request.Raw{Line: line}}}
+	c := Command{Request: request.Request{Timeout: -1, Raw: request.RawLine{Line: line}}}
 	if !utf8.ValidString(line) {
-		return c, ErrUnknown
+		return c, ErrUnknownCommand
 	}
 	verb, rest := word(line)
 	switch verb {
@@ -66,7 +66,7 @@
 	case "stats":
 		c.Stats = true
 		if c.Key, rest = word(rest); rest != "" || c.Key != "" && !ValidKey(c.Key) {
-			return c, ErrUnknown
+			return c, ErrUnknownCommand
 		}
 		return c, nil
 	case "mg":
@@ -74,10 +74,10 @@
 	case "ms":
 		c.Verb = request.Set
 	default:
-		return c, ErrUnknown
+		return c, ErrUnknownCommand
 	}
 	skip := 0
-	bad := func(reason string) (Command, error) { return c, &ClientError{Reason: reason, Skip: skip} }
+	bad := func(reason string) (Command, error) { return c, &ClientError{Reason: reason, SkipBytes: skip} }
 	c.Key, rest = word(rest)
 	if c.Verb == request.Set {
 		var size string
@@ -87,7 +87,7 @@
 			skip = -1
 			return bad("bad data length")
 		}
-		c.Size, skip = n, n+2
+		c.ValueLen, skip = n, n+2
 	}
 	if !ValidKey(c.Key) {
 		return bad("bad key")
@@ -128,7 +128,7 @@
 	if end < len(raw.Line) || strings.HasSuffix(raw.Line, " ") {
 		end--
 	}
-	raw.From, raw.To, raw.InsertWait = end, end, true
+	raw.TimeoutStart, raw.TimeoutEnd, raw.InsertTimeout = end, end, true
 	if strings.HasSuffix(list, ",") {
 		return "bad P" // with a wait put behind it, it would be another line
 	}
@@ -153,14 +153,14 @@
 		case "r":
 			c.Retry = figure == "1"
 		case "k":
-			c.Idempotency = figure
+			c.IdempotencyKey = figure
 		case "d":
 			ms, err := strconv.ParseFloat(figure, 64)
 			if err != nil || strings.Trim(figure, "0123456789.") != "" || ms > float64(maxWait/time.Millisecond) {
 				return "bad d"
 			}
-			c.Wait = time.Duration(ms * float64(time.Millisecond))
-			raw.From, raw.To, raw.InsertWait = at+2, at+len(pair), false
+			c.Timeout = time.Duration(ms * float64(time.Millisecond))
+			raw.TimeoutStart, raw.TimeoutEnd, raw.InsertTimeout = at+2, at+len(pair), false
 		}
 		at += len(pair) + 1
 		list = rest
@@ -168,23 +168,23 @@
 	return ""
 }
 
-// Node is the dialect towards cache nodes.
-type Node struct{}
+// NodeDialect is the dialect towards cache nodes.
+type NodeDialect struct{}
 
 // AppendHead appends a request up to its value: the line of its client unchanged but
 // for the time that the proxy will wait, or one of its own.
-func (Node) AppendHead(dst []byte, r *request.Request, wait time.Duration) []byte {
+func (NodeDialect) AppendHead(dst []byte, r *request.Request, wait time.Duration) []byte {
 	ms := max(int64(wait/time.Millisecond), 1)
 	raw := &r.Raw
 	if raw.Line == "" {
 		return AppendRequest(dst, r, r.ID, ms)
 	}
-	dst = append(dst, raw.Line[:raw.From]...)
-	if raw.InsertWait {
+	dst = append(dst, raw.Line[:raw.TimeoutStart]...)
+	if raw.InsertTimeout {
 		dst = append(dst, ",d="...)
 	}
 	dst = strconv.AppendInt(dst, ms, 10)
-	return append(append(dst, raw.Line[raw.To:]...), '\r', '\n')
+	return append(append(dst, raw.Line[raw.TimeoutEnd:]...), '\r', '\n')
 }
 
 // AppendRequest appends the line of a request under an id, which may be in a buffer of its
@@ -201,8 +201,8 @@
 		dst = append(append(dst, ",t="...), r.Tenant...)
 	}
 	dst = strconv.AppendInt(append(dst, ",d="...), ms, 10)
-	if r.Idempotency != "" {
-		dst = append(append(dst, ",k="...), r.Idempotency...)
+	if r.IdempotencyKey != "" {
+		dst = append(append(dst, ",k="...), r.IdempotencyKey...)
 	}
 	if r.Retry {
 		dst = append(dst, ",r=1"...)
@@ -214,26 +214,26 @@
 }
 
 // AppendTail appends what follows a request's value.
-func (Node) AppendTail(dst []byte, r *request.Request) []byte {
+func (NodeDialect) AppendTail(dst []byte, r *request.Request) []byte {
 	if r.Verb == request.Set {
 		dst = append(dst, '\r', '\n')
 	}
 	return dst
 }
 
-// ErrAnswer is the error of what is no answer, or not that of the request.
-var ErrAnswer = errors.New("malformed answer")
+// ErrMalformedAnswer is the error of what is no answer, or not that of the request.
+var ErrMalformedAnswer = errors.New("malformed answer")
 
 // ReadAnswer reads the answer to a request. After an error where the next answer
 // begins can't be known.
-func (Node) ReadAnswer(in *bufio.Reader, r *request.Request) (a request.Answer, err error) {
+func (NodeDialect) ReadAnswer(in *bufio.Reader, r *request.Request) (a request.Answer, err error) {
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return a, err
 	}
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ok || len(line) > MaxLine {
-		return a, ErrAnswer
+		return a, ErrMalformedAnswer
 	}
 	first, err := ParseAnswer(line)
 	if err != nil {
@@ -242,41 +242,41 @@
 	served := first.Kind == request.Value || first.Kind == request.Stored
 	// Passing on another request's answer would be worse than losing the connection.
 	if served && string(first.ID) != r.ID || len(first.ID) > 0 && string(first.ID) != r.ID {
-		return a, fmt.Errorf("%w: answer to %q where %q is due", ErrAnswer, first.ID, r.ID)
+		return a, fmt.Errorf("%w: answer to %q where %q is due", ErrMalformedAnswer, first.ID, r.ID)
 	}
-	if served && (first.Kind == request.Value) != (r.Verb == request.Get) || first.Kind == request.Missing && r.Verb != request.Get {
-		return a, fmt.Errorf("%w: answer to another kind of command", ErrAnswer)
+	if served && (first.Kind == request.Value) != (r.Verb == request.Get) || first.Kind == request.NotFound && r.Verb != request.Get {
+		return a, fmt.Errorf("%w: answer to another kind of command", ErrMalformedAnswer)
 	}
-	a = request.Answer{Kind: first.Kind, Hit: first.Hit, Miss: first.Miss, Shared: first.Shared, Receipt: string(first.Receipt),
-		Load: bytes.Clone(first.Load)} // the line lies in the reader's buffer
+	a = request.Answer{Kind: first.Kind, Hit: first.Hit, Miss: first.Miss, Coalesced: first.Coalesced, Receipt: string(first.Receipt),
+		LoadReport: bytes.Clone(first.LoadReport)} // the line lies in the reader's buffer
 	if first.Kind == request.Value {
-		a.NewValue(r.Room, first.Size)
-		if _, err := io.ReadFull(in, a.Whole()); err != nil {
+		a.AllocateValue(r.HeaderRoom, first.ValueLen)
+		if _, err := io.ReadFull(in, a.ValueAndTail()); err != nil {
 			return a, err
 		}
 		if string(a.Tail()) != "\r\n" {
-			return a, ErrAnswer
+			return a, ErrMalformedAnswer
 		}
 	}
 	return a, nil
 }
 
-// Line is the first line of a cache node's answer. Its texts are parts of
+// AnswerLine is the first line of a cache node's answer. Its texts are parts of
 // that line.
-type Line struct {
-	Kind    request.Kind
-	Size    int // of a Value
-	ID      []byte
-	Receipt []byte // of flag c
-	Hit     bool   // flag h1
-	Miss    bool   // flag h0
-	Shared  bool   // flag Z
-	Load    []byte // of flag L
+type AnswerLine struct {
+	Kind       request.AnswerKind
+	ValueLen   int // of a Value
+	ID         []byte
+	Receipt    []byte // of flag c
+	Hit        bool   // flag h1
+	Miss       bool   // flag h0
+	Coalesced  bool   // flag Z
+	LoadReport []byte // of flag L
 }
 
 // ParseAnswer reads an answer's first line.
-func ParseAnswer(line []byte) (Line, error) {
-	var a Line
+func ParseAnswer(line []byte) (AnswerLine, error) {
+	var a AnswerLine
 	verb, rest := cut(line)
 	switch string(verb) {
 	case "VA":
@@ -284,14 +284,14 @@
 		size, rest = cut(rest)
 		n, ok := length(string(size))
 		if !ok {
-			return a, ErrAnswer
+			return a, ErrMalformedAnswer
 		}
-		a.Kind, a.Size = request.Value, n
+		a.Kind, a.ValueLen = request.Value, n
 	case "HD":
 		a.Kind = request.Stored
 	case "EN":
-		if a.Kind = request.Missing; len(rest) > 0 {
-			return a, ErrAnswer
+		if a.Kind = request.NotFound; len(rest) > 0 {
+			return a, ErrMalformedAnswer
 		}
 		return a, nil
 	case "SERVER_ERROR":
@@ -304,13 +304,13 @@
 		a.Kind = request.Failed
 		return a, nil
 	default:
-		return a, ErrAnswer
+		return a, ErrMalformedAnswer
 	}
 	for len(rest) > 0 {
 		var flag []byte
 		flag, rest = cut(rest)
 		if len(flag) == 0 {
-			return a, ErrAnswer
+			return a, ErrMalformedAnswer
 		}
 		switch text := flag[1:]; flag[0] {
 		case 'O':
@@ -318,11 +318,11 @@
 		case 'c':
 			a.Receipt = text
 		case 'L':
-			a.Load = text
+			a.LoadReport = text
 		case 'h':
 			a.Hit, a.Miss = string(text) == "1", string(text) == "0"
 		case 'Z':
-			a.Shared = len(text) == 0
+			a.Coalesced = len(text) == 0
 		default: // an error's words, or what a later node may tell
 			if a.Kind == request.Busy { // it promises that nothing ran, so it must be that and no other
 				a.Kind = request.Failed
@@ -332,16 +332,16 @@
 	return a, nil
 }
 
-// Room is what AppendAnswer puts before a value, at the most, for an id.
-func Room(id string) int { return len("VA 65536 O\r\n") + len(id) }
+// AnswerHeaderRoom is what AppendAnswer puts before a value, at the most, for an id.
+func AnswerHeaderRoom(id string) int { return len("VA 65536 O\r\n") + len(id) }
 
-// Append returns the answer to a client's request. Of one with a value the
+// FormatAnswer returns the answer to a client's request. Of one with a value the
 // result is the value's own buffer.
-func Append(a *request.Answer, id string) []byte {
+func FormatAnswer(a *request.Answer, id string) []byte {
 	switch a.Kind {
 	case request.Value:
 		head := make([]byte, 0, len("VA 65536 O\r\n")+MaxID)
-		head = strconv.AppendInt(append(head, "VA "...), int64(a.Size()), 10)
+		head = strconv.AppendInt(append(head, "VA "...), int64(a.ValueLen()), 10)
 		head = append(append(append(head, " O"...), id...), '\r', '\n')
 		return a.Frame(head, []byte("\r\n"))
 	case request.Stored:
@@ -350,20 +350,20 @@
 		return append(append(append(dst, " c"...), a.Receipt...), '\r', '\n')
 	case request.Busy:
 		dst := append(make([]byte, 0, len("SERVER_ERROR busy 1234567\r\n")), "SERVER_ERROR busy"...)
-		if a.After > 0 {
-			dst = strconv.AppendInt(append(dst, ' '), max(a.After.Milliseconds(), 1), 10)
+		if a.RetryAfter > 0 {
+			dst = strconv.AppendInt(append(dst, ' '), max(a.RetryAfter.Milliseconds(), 1), 10)
 		}
 		return append(dst, '\r', '\n')
-	case request.Missing:
+	case request.NotFound:
 		return []byte("EN\r\n")
-	case request.Bad:
+	case request.Invalid:
 		return []byte("CLIENT_ERROR " + a.Reason + "\r\n")
 	}
 	return []byte("SERVER_ERROR failed\r\n")
 }
 
-// EachLoad calls f with each figure of a load report until one is malformed.
-func EachLoad(load []byte, f func(name string, figure float64)) error {
+// EachLoadFigure calls f with each figure of a load report until one is malformed.
+func EachLoadFigure(load []byte, f func(name string, figure float64)) error {
 	for text := range strings.SplitSeq(string(load), ",") {
 		name, figure, ok := strings.Cut(text, "=")
 		x, err := strconv.ParseFloat(figure, 64)
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -27,17 +27,17 @@
 		if err != nil || c.Noop {
 			return
 		}
-		if c.Size < 0 || c.Size > MaxValue || c.ID == "" || c.Class == "" || c.Wait > time.Hour {
+		if c.ValueLen < 0 || c.ValueLen > MaxValue || c.ID == "" || c.Class == "" || c.Timeout > time.Hour {
 			t.Fatalf("%q taken as %+v", line, c)
 		}
-		text := string(Node{}.AppendHead(nil, &c.Request, 7*time.Millisecond))
+		text := string(NodeDialect{}.AppendHead(nil, &c.Request, 7*time.Millisecond))
 		forwarded, ok := strings.CutSuffix(text, "\r\n")
 		if !ok || strings.ContainsAny(forwarded, "\r\n") {
 			t.Fatalf("%q forwarded as %q", line, text)
 		}
 		again, err := ParseCommand(forwarded)
-		if err != nil || again.Wait != 7*time.Millisecond || again.Key != c.Key || again.ID != c.ID ||
-			again.Size != c.Size || again.Class != c.Class || again.Tenant != c.Tenant || again.Idempotency != c.Idempotency {
+		if err != nil || again.Timeout != 7*time.Millisecond || again.Key != c.Key || again.ID != c.ID ||
+			again.ValueLen != c.ValueLen || again.Class != c.Class || again.Tenant != c.Tenant || again.IdempotencyKey != c.IdempotencyKey {
 			t.Fatalf("%q forwarded as %q, which reads %+v, %v", line, forwarded, again, err)
 		}
 	})
@@ -49,16 +49,16 @@
 	for want, r := range map[string]request.Request{
 		"mg k v O1 Pc=read,d=7\r\n":                   {Key: "k", ID: "1", Class: "read"},
 		"mg k v O1 Pc=read,t=shops,d=7\r\n":           {Key: "k", ID: "1", Class: "read", Tenant: "shops"},
-		"ms k 2 O1 Pc=put,t=shops,d=7,k=5c\r\nhi\r\n": {Verb: request.Set, Key: "k", ID: "1", Class: "put", Tenant: "shops", Idempotency: "5c", Value: []byte("hi")},
+		"ms k 2 O1 Pc=put,t=shops,d=7,k=5c\r\nhi\r\n": {Verb: request.Set, Key: "k", ID: "1", Class: "put", Tenant: "shops", IdempotencyKey: "5c", Value: []byte("hi")},
 	} {
-		got := Node{}.AppendTail(append(Node{}.AppendHead(nil, &r, 7*time.Millisecond), r.Value...), &r)
+		got := NodeDialect{}.AppendTail(append(NodeDialect{}.AppendHead(nil, &r, 7*time.Millisecond), r.Value...), &r)
 		if string(got) != want {
 			t.Errorf("said %q, want %q", got, want)
 		}
 		line, _, _ := strings.Cut(string(got), "\r\n")
 		c, err := ParseCommand(line)
-		if err != nil || c.Key != r.Key || c.ID != r.ID || c.Class != r.Class || c.Tenant != r.Tenant || c.Idempotency != r.Idempotency ||
-			c.Size != len(r.Value) || c.Verb != r.Verb {
+		if err != nil || c.Key != r.Key || c.ID != r.ID || c.Class != r.Class || c.Tenant != r.Tenant || c.IdempotencyKey != r.IdempotencyKey ||
+			c.ValueLen != len(r.Value) || c.Verb != r.Verb {
 			t.Errorf("%q is read as %+v, %v", line, c, err)
 		}
 	}
@@ -67,7 +67,7 @@
 // TestAnswersGoThroughUnaltered guards the whole way of an answer: read from a node,
 // said to a client.
 func TestAnswersGoThroughUnaltered(t *testing.T) {
-	get, set := &request.Request{ID: "7", Room: Room("7")}, &request.Request{Verb: request.Set, ID: "7"}
+	get, set := &request.Request{ID: "7", HeaderRoom: AnswerHeaderRoom("7")}, &request.Request{Verb: request.Set, ID: "7"}
 	for _, c := range []struct {
 		r          *request.Request
 		node, want string // "" for an answer that can't be
@@ -86,20 +86,20 @@
 		{get, "VA 2 O7\nhi\r\n", ""},
 		{get, "VA 2 O7\r\nh", ""},
 	} {
-		a, err := Node{}.ReadAnswer(bufio.NewReader(strings.NewReader(c.node)), c.r)
+		a, err := NodeDialect{}.ReadAnswer(bufio.NewReader(strings.NewReader(c.node)), c.r)
 		switch {
 		case c.want == "" && err == nil:
 			t.Errorf("%q was taken", c.node)
 		case c.want != "" && err != nil:
 			t.Errorf("%q: %v", c.node, err)
 		case c.want != "":
-			if got := string(Append(&a, c.r.ID)); got != c.want {
+			if got := string(FormatAnswer(&a, c.r.ID)); got != c.want {
 				t.Errorf("%q goes on as %q, want %q", c.node, got, c.want)
 			}
 		}
 	}
-	busy := &request.Answer{Kind: request.Busy, After: 250 * time.Millisecond}
-	if got := string(Append(busy, "7")); got != "SERVER_ERROR busy 250\r\n" {
+	busy := &request.Answer{Kind: request.Busy, RetryAfter: 250 * time.Millisecond}
+	if got := string(FormatAnswer(busy, "7")); got != "SERVER_ERROR busy 250\r\n" {
 		t.Errorf("a refusal with advice is said %q", got)
 	}
 }
@@ -117,12 +117,12 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		c.Room = Room(c.ID)
-		text = Node{}.AppendHead(text[:0], &c.Request, 400*time.Millisecond)
+		c.HeaderRoom = AnswerHeaderRoom(c.ID)
+		text = NodeDialect{}.AppendHead(text[:0], &c.Request, 400*time.Millisecond)
 		source.Reset(answer)
 		in.Reset(source)
-		a, err := Node{}.ReadAnswer(in, &c.Request)
-		if err != nil || len(Append(&a, c.ID)) == 0 {
+		a, err := NodeDialect{}.ReadAnswer(in, &c.Request)
+		if err != nil || len(FormatAnswer(&a, c.ID)) == 0 {
 			b.Fatal(err)
 		}
 	}
@@ -141,10 +141,10 @@
 		if err != nil {
 			return
 		}
-		if a.Size < 0 || a.Size > MaxValue || a.Hit && a.Miss {
+		if a.ValueLen < 0 || a.ValueLen > MaxValue || a.Hit && a.Miss {
 			t.Fatalf("%q taken as %+v", line, a)
 		}
-		EachLoad(a.Load, func(name string, figure float64) {
+		EachLoadFigure(a.LoadReport, func(name string, figure float64) {
 			if figure != figure || figure > 1e12 || figure < -1e12 {
 				t.Fatalf("%q reports %s=%v", line, name, figure)
 			}
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -8,11 +8,11 @@
 // Counts are what has happened since they were last told. They may be any finite figures;
 // what is nonsense makes its share unknown.
 type Counts struct {
-	Reads, LateReads         float64 // requests but keyed writes that ended, of them not in time
-	Handovers, LateHandovers float64 // keyed writes
-	Asked, Turned            float64 // requests that came to the gates, of them turned away there
-	Fetches, FailedFetches   float64 // misses and writes that ended, of them with an error or silence
-	Timed, FetchTime         float64 // those that were measured, and the sum of what the origin added, in aims
+	Reads, LateReads           float64 // requests but keyed writes that ended, of them not in time
+	Handovers, LateHandovers   float64 // keyed writes
+	Offered, Rejected          float64 // requests that came to the gates, of them turned away there
+	Fetches, FailedFetches     float64 // misses and writes that ended, of them with an error or silence
+	TimedFetches, FetchTimeSum float64 // those that were measured, and the sum of what the origin added, in aims
 }
 
 const (
@@ -34,7 +34,7 @@
 }
 
 // meterOf are the troubles whose figures a meter has, in the order of its shares.
-var meterOf = [...]Trouble{LateReads, LateHandovers, Turned, Origin, OriginTime}
+var meterOf = [...]Signal{LateReads, LateHandovers, Rejections, OriginErrors, OriginLatency}
 
 // Add counts what has happened until now. A clock that goes back counts as one that stands.
 func (m *Meter) Add(now time.Duration, c Counts) {
@@ -43,10 +43,10 @@
 		fade = math.Exp(-float64(max(now-m.at, 0)) / float64(meterMemory))
 	}
 	m.at, m.begun = now, true
-	for i, x := range [...][2]float64{{c.Reads, c.LateReads}, {c.Handovers, c.LateHandovers}, {c.Asked, c.Turned}, {c.Fetches, c.FailedFetches}, {c.Timed, c.FetchTime}} {
+	for i, x := range [...][2]float64{{c.Reads, c.LateReads}, {c.Handovers, c.LateHandovers}, {c.Offered, c.Rejected}, {c.Fetches, c.FailedFetches}, {c.TimedFetches, c.FetchTimeSum}} {
 		s := &m.shares[i]
 		s.all, s.bad = s.all*fade, s.bad*fade
-		if all, bad := x[0], x[1]; all >= 0 && bad >= 0 && !math.IsInf(all, 0) && !math.IsInf(bad, 0) && (bad <= all || meterOf[i] == OriginTime) {
+		if all, bad := x[0], x[1]; all >= 0 && bad >= 0 && !math.IsInf(all, 0) && !math.IsInf(bad, 0) && (bad <= all || meterOf[i] == OriginLatency) {
 			s.all, s.bad = s.all+all, s.bad+bad
 		}
 	}
@@ -58,7 +58,7 @@
 		s[trouble] = Unknown
 		if x := m.shares[i]; x.all >= 0.5 {
 			prior := meterPrior
-			if trouble == LateHandovers || trouble == OriginTime {
+			if trouble == LateHandovers || trouble == OriginLatency {
 				prior = handoverPrior
 			}
 			s[trouble] = x.bad / (x.all + prior)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -8,9 +8,9 @@
 // late.
 
 const (
-	// LeastPause is the shortest time between two looks that is taken for a pause: ticks alone are
+	// MinStall is the shortest time between two looks that is taken for a pause: ticks alone are
 	// Usual.Tick apart.
-	LeastPause = 65 * time.Millisecond
+	MinStall = 65 * time.Millisecond
 	// settleTime is how long after a pause all that had come in it has been read.
 	settleTime = 30 * time.Millisecond
 	// pauseMemory is how long the worst pause counts at least; it is forgotten within twice as long.
@@ -23,28 +23,28 @@
 	marginShare = 0.6
 )
 
-// Pauses remembers the pauses of a process. The zero value knows none.
-type Pauses struct {
-	latest        Gap
+// StallTracker remembers the pauses of a process. The zero value knows none.
+type StallTracker struct {
+	latest        Interval
 	worst, before time.Duration // the longest in this span of pauseMemory, and in the one before
 	turned        time.Duration // when this span began
 }
 
-// Look takes the times of two looks that follow one another, and tells whether there was a pause between.
+// Observe takes the times of two looks that follow one another, and tells whether there was a pause between.
 // It is no pause if the process stood for so long that a [Module] tells it.
-func (p *Pauses) Look(last, now time.Duration) bool {
+func (p *StallTracker) Observe(last, now time.Duration) bool {
 	long := now - last
-	if long < LeastPause || long >= Usual.Least {
+	if long < MinStall || long >= DefaultLimits.MinPause {
 		return false
 	}
 	p.turn(now)
-	p.latest = Gap{From: last, To: now}
+	p.latest = Interval{Start: last, End: now}
 	p.worst = max(p.worst, long)
 	return true
 }
 
 // turn begins a new span if the present one is over.
-func (p *Pauses) turn(now time.Duration) {
+func (p *StallTracker) turn(now time.Duration) {
 	switch spans := (now - p.turned) / pauseMemory; {
 	case spans == 0:
 		return
@@ -57,18 +57,18 @@
 }
 
 // Latest returns the latest pause, a zero Gap for none.
-func (p *Pauses) Latest() Gap { return p.latest }
+func (p *StallTracker) Latest() Interval { return p.latest }
 
 // Worst returns the longest pause of late, zero for none.
-func (p *Pauses) Worst(now time.Duration) time.Duration {
+func (p *StallTracker) Worst(now time.Duration) time.Duration {
 	p.turn(now)
 	return max(p.worst, p.before)
 }
 
-// Margin is how much sooner than its client's time is up a request is to be answered, so that one more pause
+// SafetyMargin is how much sooner than its client's time is up a request is to be answered, so that one more pause
 // makes no answer late. It is zero where there was none of late: what it costs is answers that would have come
 // right before the end.
-func (p *Pauses) Margin(now, wait time.Duration) time.Duration {
+func (p *StallTracker) SafetyMargin(now, wait time.Duration) time.Duration {
 	worst := p.Worst(now)
 	if worst == 0 {
 		return 0
@@ -76,11 +76,11 @@
 	return min(max(worst, usualPause)-lateSlack, time.Duration(marginShare*float64(wait)))
 }
 
-// Delayed tells whether what was read may have come in a pause and waited for its end, and since when. A
+// DelayedByStall tells whether what was read may have come in a pause and waited for its end, and since when. A
 // connection that was read clean since tells that nothing had come before.
-func Delayed(r Read, pause Gap) (since time.Duration, delayed bool) {
-	if pause.To == 0 || r.Ended < pause.From || r.Ended > pause.To+settleTime || r.Clean >= pause.To {
+func DelayedByStall(r ReadTiming, pause Interval) (since time.Duration, delayed bool) {
+	if pause.End == 0 || r.Ended < pause.Start || r.Ended > pause.End+settleTime || r.DrainedAt >= pause.End {
 		return 0, false
 	}
-	return max(pause.From, r.Clean), true
+	return max(pause.Start, r.DrainedAt), true
 }
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,10 +8,10 @@
 
 // TestPausesAreTold: what is longer than ticks are apart is a pause, what a Module tells is none.
 func TestPausesAreTold(t *testing.T) {
-	for long, want := range map[time.Duration]bool{Usual.Tick: false, LeastPause - 1: false, LeastPause: true, 150 * ms: true,
-		Usual.Least - 1: true, Usual.Least: false, time.Hour: false} {
-		var p Pauses
-		if got := p.Look(5*time.Second, 5*time.Second+long); got != want || (p.Latest().Long() == long) != want {
+	for long, want := range map[time.Duration]bool{DefaultLimits.CheckInterval: false, MinStall - 1: false, MinStall: true, 150 * ms: true,
+		DefaultLimits.MinPause - 1: true, DefaultLimits.MinPause: false, time.Hour: false} {
+		var p StallTracker
+		if got := p.Observe(5*time.Second, 5*time.Second+long); got != want || (p.Latest().Duration() == long) != want {
 			t.Errorf("%v between two looks: told %v, latest %v", long, got, p.Latest())
 		}
 	}
@@ -22,23 +22,23 @@
 func TestMarginCoversThePausesOfLate(t *testing.T) {
 	for seed := range uint64(500) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		var p Pauses
+		var p StallTracker
 		now, worst, last := time.Duration(0), time.Duration(0), time.Duration(0)
 		for range 200 {
 			from := now + time.Duration(r.Int64N(int64(4*time.Second)))
 			now = from + time.Duration(r.Int64N(int64(200*ms)))
-			if p.Look(from, now) {
+			if p.Observe(from, now) {
 				if now-last > pauseMemory {
 					worst = 0
 				}
 				worst, last = max(worst, now-from), now
 			}
 			wait := time.Duration(r.Int64N(int64(3 * time.Second)))
-			margin := p.Margin(now, wait)
+			margin := p.SafetyMargin(now, wait)
 			if margin < 0 || margin > wait*6/10+1 {
 				t.Fatalf("seed %d: margin %v of a wait of %v", seed, margin, wait)
 			}
-			if now-last < pauseMemory && wait >= time.Second && now-from-margin > lateSlack && now-from >= LeastPause {
+			if now-last < pauseMemory && wait >= time.Second && now-from-margin > lateSlack && now-from >= MinStall {
 				t.Fatalf("seed %d: a pause of %v and a margin of %v", seed, now-from, margin)
 			}
 		}
@@ -49,26 +49,26 @@
 }
 
 func TestDelayed(t *testing.T) {
-	pause := Gap{From: 1000 * ms, To: 1150 * ms}
+	pause := Interval{Start: 1000 * ms, End: 1150 * ms}
 	for _, c := range []struct {
 		name    string
-		read    Read
+		read    ReadTiming
 		since   time.Duration
 		delayed bool
 	}{
-		{"read at its end", Read{10 * ms, 20 * ms, 1150 * ms}, 1000 * ms, true},
-		{"read behind others", Read{10 * ms, 20 * ms, 1170 * ms}, 1000 * ms, true},
-		{"on a new connection", Read{0, 1160 * ms, 1160 * ms}, 1000 * ms, true},
-		{"read clean within", Read{1100 * ms, 1100 * ms, 1155 * ms}, 1100 * ms, true},
-		{"read clean since", Read{1152 * ms, 1152 * ms, 1160 * ms}, 0, false},
-		{"read long after", Read{10 * ms, 20 * ms, 1150*ms + settleTime + 1}, 0, false},
-		{"read before", Read{10 * ms, 20 * ms, 999 * ms}, 0, false},
+		{"read at its end", ReadTiming{10 * ms, 20 * ms, 1150 * ms}, 1000 * ms, true},
+		{"read behind others", ReadTiming{10 * ms, 20 * ms, 1170 * ms}, 1000 * ms, true},
+		{"on a new connection", ReadTiming{0, 1160 * ms, 1160 * ms}, 1000 * ms, true},
+		{"read clean within", ReadTiming{1100 * ms, 1100 * ms, 1155 * ms}, 1100 * ms, true},
+		{"read clean since", ReadTiming{1152 * ms, 1152 * ms, 1160 * ms}, 0, false},
+		{"read long after", ReadTiming{10 * ms, 20 * ms, 1150*ms + settleTime + 1}, 0, false},
+		{"read before", ReadTiming{10 * ms, 20 * ms, 999 * ms}, 0, false},
 	} {
-		if since, delayed := Delayed(c.read, pause); since != c.since || delayed != c.delayed {
+		if since, delayed := DelayedByStall(c.read, pause); since != c.since || delayed != c.delayed {
 			t.Errorf("%s: since %v, %v", c.name, since, delayed)
 		}
 	}
-	if _, delayed := Delayed(Read{Ended: 5 * ms}, Gap{}); delayed {
+	if _, delayed := DelayedByStall(ReadTiming{Ended: 5 * ms}, Interval{}); delayed {
 		t.Error("delayed without a pause")
 	}
 }
--- a/internal/pause/world_test.go
+++ b/internal/pause/world_test.go
@@ -45,12 +45,12 @@
 		}
 		return t + d
 	}
-	gap := Gap{}
+	gap := Interval{}
 	see := func(now time.Duration) { // what looks tell A until now
-		if now >= l.stopAt+l.stop && l.stop >= Usual.Least {
-			gap = Gap{From: l.stopAt, To: l.stopAt + l.stop}
+		if now >= l.stopAt+l.stop && l.stop >= DefaultLimits.MinPause {
+			gap = Interval{Start: l.stopAt, End: l.stopAt + l.stop}
 			if !l.ticked {
-				gap.From -= Usual.Tick
+				gap.Start -= DefaultLimits.CheckInterval
 			}
 		}
 	}
@@ -71,17 +71,17 @@
 		read = max(read, l.stopAt+l.stop+l.busyFor)
 	}
 	see(read)
-	k := Kernel{Known: l.kernel, Alone: true, Age: read - sent}
-	age := AgeOf(Read{Clean: sent - grain, Began: sent - grain, Ended: read}, gap, k)
+	k := KernelInfo{Known: l.kernel, SingleCommand: true, SinceLastByte: read - sent}
+	age := EstimateArrival(ReadTiming{DrainedAt: sent - grain, Started: sent - grain, Ended: read}, gap, k)
 	if !r.age {
-		age = Age{read, read}
+		age = Arrival{read, read}
 	}
 	gone := l.closes && read >= sent+l.wait
-	v := Judge(read, Keyed, l.wait, window, age)
+	v := DecideByAge(read, IdempotentWithKey, l.wait, window, age)
 	write := time.Duration(-1)
-	if !gone && !v.Refuse {
+	if !gone && !v.Reject {
 		looked := after(read, l.gated)
-		if !r.look || looked < v.Until {
+		if !r.look || looked < v.SendBefore {
 			write = after(looked, grain/10) // the hole
 			o.hole = write-looked > grain/10
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -12,7 +12,7 @@
 // fleet is some members and watchers in virtual time: each member beats at each watcher unless a way is cut.
 type fleet struct {
 	now     time.Duration
-	watches []*Watch
+	watches []*Detector
 	view    *View
 	known   map[int]uint64 // versions of the watchers' opinions
 	stopped map[int]bool   // watchers
@@ -26,13 +26,13 @@
 	Member
 	silent  bool
 	cut     map[int]bool // watchers that it does not reach
-	refused Answer
+	refused HeartbeatResult
 }
 
 func newFleet(watchers int, names ...string) *fleet {
-	f := &fleet{view: NewView(Usual, watchers, 0), known: map[int]uint64{}, stopped: map[int]bool{}, viewCut: map[int]bool{}}
+	f := &fleet{view: NewView(DefaultParameters, watchers, 0), known: map[int]uint64{}, stopped: map[int]bool{}, viewCut: map[int]bool{}}
 	for range watchers {
-		f.watches = append(f.watches, NewWatch(Usual, 0))
+		f.watches = append(f.watches, NewDetector(DefaultParameters, 0))
 	}
 	for i, name := range names {
 		f.join(name, uint64(i+1))
@@ -41,7 +41,7 @@
 }
 
 func (f *fleet) join(name string, run uint64) *living {
-	m := &living{Member: Member{Name: name, Run: run}, cut: map[int]bool{}}
+	m := &living{Member: Member{Name: name, Incarnation: run}, cut: map[int]bool{}}
 	f.members = append(f.members, m)
 	return m
 }
@@ -54,19 +54,19 @@
 				continue
 			}
 			for _, m := range f.members {
-				if !m.silent && !m.cut[i] && f.now%Usual.Beat == 0 {
-					m.refused = w.Handle(f.now, Beat{m.Member, m.Run})
+				if !m.silent && !m.cut[i] && f.now%DefaultParameters.HeartbeatInterval == 0 {
+					m.refused = w.Handle(f.now, Heartbeat{m.Member, m.Incarnation})
 				}
 			}
 			w.Handle(f.now, Tick{})
 			if !f.viewCut[i] {
-				list, whole := w.Since(f.known[i])
+				list, whole := w.ChangedSince(f.known[i])
 				f.known[i] = w.Version()
 				f.told += len(list)
-				f.note(f.view.Told(f.now, fmt.Sprint(i), whole, list))
+				f.note(f.view.Merge(f.now, fmt.Sprint(i), whole, list))
 			}
 		}
-		f.note(f.view.Pass(f.now))
+		f.note(f.view.Tick(f.now))
 	}
 }
 
@@ -81,7 +81,7 @@
 	m.silent = true
 	for i, w := range f.watches {
 		if !f.stopped[i] {
-			w.Handle(f.now, Lost{m.Run})
+			w.Handle(f.now, ConnectionLost{m.Incarnation})
 		}
 	}
 }
@@ -138,19 +138,19 @@
 
 // TestConnectionReplaced guards against a reset on the way that passes for a death.
 func TestConnectionReplaced(t *testing.T) {
-	w := NewWatch(Usual, 0)
-	w.Handle(0, Beat{Member{Name: "a", Run: 1}, 7})
-	w.Handle(10*ms, Lost{7})
-	if w.Opinion()[0].State != Suspect {
+	w := NewDetector(DefaultParameters, 0)
+	w.Handle(0, Heartbeat{Member{Name: "a", Incarnation: 1}, 7})
+	w.Handle(10*ms, ConnectionLost{7})
+	if w.Members()[0].State != Suspect {
 		t.Error("an end is not suspected")
 	}
-	if next := w.Next(10 * ms); next > 70*ms {
+	if next := w.NextTick(10 * ms); next > 70*ms {
 		t.Errorf("looks again at %v", next)
 	}
-	w.Handle(40*ms, Beat{Member{Name: "a", Run: 1}, 8})
-	w.Handle(60*ms, Lost{7}) // told late
+	w.Handle(40*ms, Heartbeat{Member{Name: "a", Incarnation: 1}, 8})
+	w.Handle(60*ms, ConnectionLost{7}) // told late
 	w.Handle(120*ms, Tick{})
-	if s := w.Opinion()[0].State; s != Alive {
+	if s := w.Members()[0].State; s != Alive {
 		t.Errorf("with a new connection it is %v", s)
 	}
 }
@@ -164,7 +164,7 @@
 			f.stopped[i] = true
 		}
 		f.run(3 * time.Second)
-		if blind, _ := f.view.Blind(); blind != (len(stopped) > 1) {
+		if blind, _ := f.view.Isolated(); blind != (len(stopped) > 1) {
 			t.Errorf("%d of three stopped, blind %v", len(stopped), blind)
 		}
 		f.stopped = map[int]bool{}
@@ -204,7 +204,7 @@
 	f.viewCut = map[int]bool{0: true, 1: true}
 	f.end(f.members[1])
 	f.run(2 * time.Second)
-	if blind, _ := f.view.Blind(); !blind || f.state("b") != Alive {
+	if blind, _ := f.view.Isolated(); !blind || f.state("b") != Alive {
 		t.Errorf("blind %v, b %v: want what was known last", blind, f.state("b"))
 	}
 	f.viewCut = map[int]bool{}
@@ -220,12 +220,12 @@
 	f.run(time.Second)
 	second := f.join("a", 2)
 	f.run(time.Second)
-	if second.refused != Taken {
+	if second.refused != NameTaken {
 		t.Errorf("the second is answered %v", second.refused)
 	}
 	f.members[0].silent = true // it stands still
 	f.run(time.Second)
-	if second.refused != Heard || f.state("a") != Alive {
+	if second.refused != Accepted || f.state("a") != Alive {
 		t.Errorf("the first is gone: the second is answered %v, the name is %v", second.refused, f.state("a"))
 	}
 	f.members[0].silent = false
@@ -239,29 +239,29 @@
 	f.run(200 * ms)
 	f.end(second)
 	f.run(time.Second)
-	if third.refused != Heard || f.state("a") != Alive {
+	if third.refused != Accepted || f.state("a") != Alive {
 		t.Errorf("who leaves keeps its name: %v, %v", third.refused, f.state("a"))
 	}
-	if list := f.view.Members(); len(list) != 1 || list[0].Run != 3 {
+	if list := f.view.Members(); len(list) != 1 || list[0].Incarnation != 3 {
 		t.Errorf("%+v", list)
 	}
 }
 
 // TestBounded guards against members without end, and that who is gone is forgotten.
 func TestBounded(t *testing.T) {
-	terms := Usual
-	terms.Most = 3
-	w := NewWatch(terms, 0)
+	terms := DefaultParameters
+	terms.MaxMembers = 3
+	w := NewDetector(terms, 0)
 	for i := range uint64(5) {
-		answer := w.Handle(0, Beat{Member{Name: fmt.Sprint(i), Run: 1}, i})
-		if (answer == Full) != (i >= 3) {
+		answer := w.Handle(0, Heartbeat{Member{Name: fmt.Sprint(i), Incarnation: 1}, i})
+		if (answer == TooManyMembers) != (i >= 3) {
 			t.Errorf("member %d is answered %v", i, answer)
 		}
 	}
-	for at := time.Duration(0); at < terms.Forget+time.Second; at += 50 * ms {
+	for at := time.Duration(0); at < terms.ForgetAfter+time.Second; at += 50 * ms {
 		w.Handle(at, Tick{})
 	}
-	if n := len(w.Opinion()); n != 0 {
+	if n := len(w.Members()); n != 0 {
 		t.Errorf("%d are not forgotten", n)
 	}
 }
@@ -286,7 +286,7 @@
 			case 3:
 				if m.silent {
 					runs++
-					m.Run, m.silent = runs, false
+					m.Incarnation, m.silent = runs, false
 				}
 			case 4:
 				m.cut[rng.IntN(3)] = rng.IntN(2) == 0
