--- a/internal/peer/rpc/talk.go
+++ b/internal/peer/rpc/talk.go
@@ -18,23 +18,23 @@
 
 // What this program speaks, and the oldest that it understands.
 const (
-	Version = 1
-	Oldest  = 1
+	Version    = 1
+	MinVersion = 1
 )
 
 // Bounds of links.
 const (
-	MostBody = 1 << 20
-	LinkTime = 500 * time.Millisecond // for an exchange that is answered at once
-	IdleTime = 30 * time.Second
+	MaxBodyBytes    = 1 << 20
+	ExchangeTimeout = 500 * time.Millisecond // for an exchange that is answered at once
+	IdleTimeout     = 30 * time.Second
 )
 
-// Head stands in every message, embedded.
-type Head struct {
+// Header stands in every message, embedded.
+type Header struct {
 	Version int    `cbor:"1,keyasint"`
 	Fleet   string `cbor:"2,keyasint"`
-	// Least is the oldest version that understands the message: fleets are mixed while they are being replaced.
-	Least int `cbor:"30,keyasint,omitempty"`
+	// MinVersion is the oldest version that understands the message: fleets are mixed while they are being replaced.
+	MinVersion int `cbor:"30,keyasint,omitempty"`
 }
 
 // Traffic is what this process has said to others and heard from them since its start: messages, of which an answer is
@@ -46,25 +46,27 @@
 
 var messages, bodies atomic.Int64
 
-// Said returns the traffic so far.
-func Said() Traffic { return Traffic{messages.Load(), bodies.Load()} }
+// TrafficSoFar returns the traffic so far.
+func TrafficSoFar() Traffic { return Traffic{messages.Load(), bodies.Load()} }
 
 func count(size int) {
 	messages.Add(1)
 	bodies.Add(int64(size))
 }
 
-// In is the head of this program's messages in a fleet.
-func In(fleet string) Head { return Head{Version: Version, Fleet: fleet, Least: Oldest} }
+// NewHeader is the head of this program's messages in a fleet.
+func NewHeader(fleet string) Header {
+	return Header{Version: Version, Fleet: fleet, MinVersion: MinVersion}
+}
 
-// Understood tells whether a program that speaks version, and understands nothing under oldest, understands a message.
-func Understood(h Head, version, oldest int) bool {
-	return h.Version >= oldest && (h.Version <= version || h.Least > 0 && h.Least <= version)
+// Compatible tells whether a program that speaks version, and understands nothing under oldest, understands a message.
+func Compatible(h Header, version, oldest int) bool {
+	return h.Version >= oldest && (h.Version <= version || h.MinVersion > 0 && h.MinVersion <= version)
 }
 
-// Read takes the body of a request of a fleet's, or answers what is wrong with it and returns false.
-func Read(w http.ResponseWriter, r *http.Request, fleet string, into any) bool {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MostBody))
+// ReadRequest takes the body of a request of a fleet's, or answers what is wrong with it and returns false.
+func ReadRequest(w http.ResponseWriter, r *http.Request, fleet string, into any) bool {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
 		http.Error(w, "bad body", http.StatusBadRequest)
 		return false
@@ -80,11 +82,11 @@
 
 // Parse reads a message of a fleet's, or says what is wrong with it, and as which HTTP status.
 func Parse(body []byte, fleet string, into any) (status int, wrong string) {
-	var h Head
+	var h Header
 	switch err := cbor.Unmarshal(body, &h); {
 	case err != nil:
 		return http.StatusBadRequest, "bad body"
-	case !Understood(h, Version, Oldest):
+	case !Compatible(h, Version, MinVersion):
 		return http.StatusConflict, fmt.Sprintf("version %d, this one speaks %d", h.Version, Version)
 	case h.Fleet != fleet:
 		return http.StatusForbidden, fmt.Sprintf("fleet %q, this one is %q", h.Fleet, fleet)
@@ -95,8 +97,8 @@
 	return http.StatusOK, ""
 }
 
-// Write answers a request.
-func Write(w http.ResponseWriter, answer any) {
+// WriteResponse answers a request.
+func WriteResponse(w http.ResponseWriter, answer any) {
 	if text, err := cbor.Marshal(answer); err == nil {
 		count(len(text))
 		w.Write(text)
@@ -119,7 +121,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, MostBody))
+	text, err := io.ReadAll(io.LimitReader(response.Body, MaxBodyBytes))
 	count(len(text))
 	switch {
 	case err != nil:
--- a/internal/peer/rpc/talk_test.go
+++ b/internal/peer/rpc/talk_test.go
@@ -11,31 +11,31 @@
 // the newer one says so.
 func TestVersions(t *testing.T) {
 	for _, c := range []struct {
-		h               Head
+		h               Header
 		version, oldest int
 		want            bool
 	}{
-		{Head{Version: 1}, 1, 1, true},
-		{Head{Version: 1}, 3, 1, true},            // an older one's, at a newer
-		{Head{Version: 1}, 3, 2, false},           // which has given it up
-		{Head{Version: 3, Least: 1}, 1, 1, true},  // a newer one's, at an older
-		{Head{Version: 3, Least: 2}, 1, 1, false}, // which it is too new for
-		{Head{Version: 3}, 1, 1, false},
-		{Head{}, 1, 1, false},
+		{Header{Version: 1}, 1, 1, true},
+		{Header{Version: 1}, 3, 1, true},                 // an older one's, at a newer
+		{Header{Version: 1}, 3, 2, false},                // which has given it up
+		{Header{Version: 3, MinVersion: 1}, 1, 1, true},  // a newer one's, at an older
+		{Header{Version: 3, MinVersion: 2}, 1, 1, false}, // which it is too new for
+		{Header{Version: 3}, 1, 1, false},
+		{Header{}, 1, 1, false},
 	} {
-		if got := Understood(c.h, c.version, c.oldest); got != c.want {
+		if got := Compatible(c.h, c.version, c.oldest); got != c.want {
 			t.Errorf("%+v at %d (oldest %d): %v", c.h, c.version, c.oldest, got)
 		}
 	}
 }
 
 type message struct {
-	Head
+	Header
 	Text string `cbor:"3,keyasint"`
 }
 
 func TestParse(t *testing.T) {
-	good, err := cbor.Marshal(message{In("shop"), "x"})
+	good, err := cbor.Marshal(message{NewHeader("shop"), "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 
 // FuzzParse guards what peers send: whatever comes is told or read, and what was read can be written.
 func FuzzParse(f *testing.F) {
-	good, _ := cbor.Marshal(message{In("shop"), "x"})
+	good, _ := cbor.Marshal(message{NewHeader("shop"), "x"})
 	f.Add(good)
 	f.Add([]byte{0xa1, 1, 9})
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/internal/peer/transport/instance.go
+++ b/internal/peer/transport/instance.go
@@ -21,8 +21,8 @@
 // beatTime bounds one exchange: it is answered a beat's time later as a rule.
 const beatTime = 2 * time.Second
 
-// Instance is this process among the others of its fleet. It is safe for concurrent use.
-type Instance struct {
+// Client is this process among the others of its fleet. It is safe for concurrent use.
+type Client struct {
 	fleet    string
 	watchers []Watcher
 	clock    func() time.Duration
@@ -33,33 +33,33 @@
 	self    peer.Member
 	view    *peer.View
 	blind   bool
-	told    peer.Answer // the last answer that was logged
+	told    peer.HeartbeatResult // the last answer that was logged
 	changed chan struct{}
 }
 
-// NewInstance returns an instance that has heard nothing.
-func NewInstance(fleet string, self peer.Member, watchers []Watcher, clock func() time.Duration, log *slog.Logger) *Instance {
+// NewClient returns an instance that has heard nothing.
+func NewClient(fleet string, self peer.Member, watchers []Watcher, clock func() time.Duration, log *slog.Logger) *Client {
 	self.Version = rpc.Version
-	return &Instance{fleet: fleet, watchers: watchers, clock: clock, log: log, self: self, blind: true,
-		client:  &http.Client{Timeout: beatTime, Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, IdleConnTimeout: rpc.IdleTime}},
-		view:    peer.NewView(peer.Usual, len(watchers), clock()),
+	return &Client{fleet: fleet, watchers: watchers, clock: clock, log: log, self: self, blind: true,
+		client:  &http.Client{Timeout: beatTime, Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, IdleConnTimeout: rpc.IdleTimeout}},
+		view:    peer.NewView(peer.DefaultParameters, len(watchers), clock()),
 		changed: make(chan struct{})}
 }
 
 // Run beats at all watchers until ctx ends.
-func (i *Instance) Run(ctx context.Context) {
+func (i *Client) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	for _, w := range i.watchers {
 		tasks.Go(func() { i.beatAt(ctx, w) })
 	}
-	tick := time.NewTicker(peer.Usual.Pause)
+	tick := time.NewTicker(peer.DefaultParameters.PauseThreshold)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
 			i.mu.Lock()
-			i.note(i.view.Pass(i.clock()))
+			i.note(i.view.Tick(i.clock()))
 			i.mu.Unlock()
 		}
 	}
@@ -67,14 +67,14 @@
 	i.client.CloseIdleConnections()
 }
 
-func (i *Instance) beatAt(ctx context.Context, w Watcher) {
+func (i *Client) beatAt(ctx context.Context, w Watcher) {
 	var boot, known uint64
 	for ctx.Err() == nil {
 		i.mu.Lock()
-		m := beat{Head: rpc.In(i.fleet), Member: i.self, Boot: boot, Known: known}
+		m := beat{Header: rpc.NewHeader(i.fleet), Member: i.self, Boot: boot, Known: known}
 		i.mu.Unlock()
 		var r report
-		err := rpc.Post(ctx, i.client, w.Address, Path, m, &r)
+		err := rpc.Post(ctx, i.client, w.Address, HeartbeatPath, m, &r)
 		if err == nil && !r.Whole && r.Boot != boot {
 			err = errors.New("changes of what was never heard")
 		}
@@ -90,16 +90,16 @@
 			switch r.Answer {
 			case peer.Replaced:
 				i.log.Warn("peers: another process has this one's name since", "watcher", w.Name)
-			case peer.Taken:
+			case peer.NameTaken:
 				i.log.Warn("peers: another process has this one's name still", "watcher", w.Name)
-			case peer.Full:
+			case peer.TooManyMembers:
 				i.log.Warn("peers: the watcher has no room for this process", "watcher", w.Name)
 			}
 		}
-		i.note(i.view.Told(i.clock(), w.Name, r.Whole, r.List))
+		i.note(i.view.Merge(i.clock(), w.Name, r.Whole, r.List))
 		i.mu.Unlock()
-		if r.Answer != peer.Heard {
-			wait(ctx, peer.Usual.Beat) // it was answered at once
+		if r.Answer != peer.Accepted {
+			wait(ctx, peer.DefaultParameters.HeartbeatInterval) // it was answered at once
 		}
 	}
 }
@@ -112,8 +112,8 @@
 }
 
 // note logs changes, and wakes those who wait for one. i.mu is held.
-func (i *Instance) note(changes []peer.Change) {
-	if blind, _ := i.view.Blind(); blind != i.blind {
+func (i *Client) note(changes []peer.Change) {
+	if blind, _ := i.view.Isolated(); blind != i.blind {
 		i.blind = blind
 		if blind {
 			i.log.Warn("peers: no majority of the watchers is heard; what is known of others may be old")
@@ -122,8 +122,8 @@
 		}
 	}
 	for _, c := range changes {
-		if c.State != c.Was && (c.State == peer.Gone || c.Was == peer.Gone || c.Was == 0) && c.Name != i.self.Name {
-			i.log.Info("peers: member", "name", c.Name, "state", c.State, "was", c.Was)
+		if c.State != c.Previous && (c.State == peer.Gone || c.Previous == peer.Gone || c.Previous == 0) && c.Name != i.self.Name {
+			i.log.Info("peers: member", "name", c.Name, "state", c.State, "was", c.Previous)
 		}
 	}
 	if len(changes) > 0 {
@@ -132,22 +132,22 @@
 	}
 }
 
-// Leave has this process be known as one that drains: a next one of its name counts from then.
-func (i *Instance) Leave() {
+// MarkLeaving has this process be known as one that drains: a next one of its name counts from then.
+func (i *Client) MarkLeaving() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.self.Leaving = true
 }
 
-// Replaced tells whether another process of this one's name counts since.
-func (i *Instance) Replaced() bool {
+// IsReplaced tells whether another process of this one's name counts since.
+func (i *Client) IsReplaced() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.told == peer.Replaced
 }
 
 // Members are all that are known, whether the knowledge is old, and a channel that is closed with the next change.
-func (i *Instance) Members() (list []peer.Seen, blind bool, changed <-chan struct{}) {
+func (i *Client) Members() (list []peer.MemberState, blind bool, changed <-chan struct{}) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.view.Members(), i.blind, i.changed
--- a/internal/peer/transport/link_test.go
+++ b/internal/peer/transport/link_test.go
@@ -17,7 +17,7 @@
 // post is a watcher with a server of its own.
 type post struct {
 	Watcher
-	station *Station
+	station *Server
 	server  *http.Server
 }
 
@@ -47,9 +47,9 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	p := &post{Watcher: Watcher{name, l.Addr().String()}, station: NewStation("test", clock)}
+	p := &post{Watcher: Watcher{name, l.Addr().String()}, station: NewServer("test", clock)}
 	mux := http.NewServeMux()
-	mux.Handle("POST "+Path, p.station)
+	mux.Handle("POST "+HeartbeatPath, p.station)
 	p.server = &http.Server{Handler: mux, ConnContext: p.station.ConnContext, ConnState: p.station.ConnState}
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
@@ -64,8 +64,8 @@
 }
 
 // join starts an instance, and returns what ends it as the end of its process does.
-func (f *fleet) join(name string, run uint64) (*Instance, func()) {
-	i := NewInstance("test", peer.Member{Name: name, Run: run}, f.list, clock, slog.New(slog.DiscardHandler))
+func (f *fleet) join(name string, run uint64) (*Client, func()) {
+	i := NewClient("test", peer.Member{Name: name, Incarnation: run}, f.list, clock, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	var task sync.WaitGroup
 	task.Go(func() { i.Run(ctx) })
@@ -78,9 +78,9 @@
 }
 
 // sees waits until an instance holds another to be in a state.
-func (f *fleet) sees(i *Instance, name string, s peer.State) {
+func (f *fleet) sees(i *Client, name string, s peer.State) {
 	f.t.Helper()
-	testutil.Until(f.t, name+" to be "+s.String(), func() bool {
+	testutil.WaitUntil(f.t, name+" to be "+s.String(), func() bool {
 		list, blind, _ := i.Members()
 		for _, m := range list {
 			if m.Name == name && m.State == s {
@@ -104,8 +104,8 @@
 	f.open("w0", f.list[0].Address) // it knows nobody
 	b, endB = f.join("b", 3)
 	f.sees(a, "b", peer.Alive)
-	b.Leave()
-	testutil.Until(t, "b to be known to leave", func() bool {
+	b.MarkLeaving()
+	testutil.WaitUntil(t, "b to be known to leave", func() bool {
 		list, _, _ := a.Members()
 		for _, m := range list {
 			if m.Name == "b" && m.Leaving {
@@ -115,7 +115,7 @@
 		return false
 	})
 	next, _ := f.join("b", 4)
-	testutil.Until(t, "b to be replaced", b.Replaced)
+	testutil.WaitUntil(t, "b to be replaced", b.IsReplaced)
 	endB()
 	f.sees(next, "b", peer.Alive)
 	f.sees(a, "b", peer.Alive)
@@ -131,12 +131,12 @@
 		p.station.Stop()
 		p.server.Close()
 	}
-	testutil.Until(t, "a to be blind", func() bool {
+	testutil.WaitUntil(t, "a to be blind", func() bool {
 		_, blind, _ := a.Members()
 		return blind
 	})
 	endB()
-	time.Sleep(2 * peer.Usual.Gone)
+	time.Sleep(2 * peer.DefaultParameters.GoneAfter)
 	list, blind, _ := a.Members()
 	for _, m := range list {
 		if m.Name == "b" && m.State == peer.Gone || !blind {
@@ -149,7 +149,7 @@
 func TestStrangersCountForNothing(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.join("a", 1)
-	stranger := NewInstance("other", peer.Member{Name: "s", Run: 9}, f.list, clock, slog.New(slog.DiscardHandler))
+	stranger := NewClient("other", peer.Member{Name: "s", Incarnation: 9}, f.list, clock, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	stranger.Run(ctx)
--- a/internal/peer/transport/station.go
+++ b/internal/peer/transport/station.go
@@ -15,33 +15,33 @@
 	"mulleinpier/internal/peer/rpc"
 )
 
-// Path is where watchers take beats.
-const Path = "/v1/beat"
+// HeartbeatPath is where watchers take beats.
+const HeartbeatPath = "/v1/beat"
 
 // beat is what an instance says, and report what a watcher answers.
 type beat struct {
-	rpc.Head
+	rpc.Header
 	Member peer.Member `cbor:"3,keyasint"`
 	Boot   uint64      `cbor:"4,keyasint,omitempty"` // of the watcher, whose opinion is known
 	Known  uint64      `cbor:"5,keyasint,omitempty"` // its version
 }
 
 type report struct {
-	Answer  peer.Answer `cbor:"1,keyasint"`
-	Boot    uint64      `cbor:"2,keyasint"`
-	Version uint64      `cbor:"3,keyasint"`
-	Whole   bool        `cbor:"4,keyasint,omitempty"` // List is of all; else of those that have changed since what is known
-	List    []peer.Seen `cbor:"5,keyasint,omitempty"`
+	Answer  peer.HeartbeatResult `cbor:"1,keyasint"`
+	Boot    uint64               `cbor:"2,keyasint"`
+	Version uint64               `cbor:"3,keyasint"`
+	Whole   bool                 `cbor:"4,keyasint,omitempty"` // List is of all; else of those that have changed since what is known
+	List    []peer.MemberState   `cbor:"5,keyasint,omitempty"`
 }
 
-// Station is a watcher at work. It is safe for concurrent use.
-type Station struct {
+// Server is a watcher at work. It is safe for concurrent use.
+type Server struct {
 	fleet string
 	boot  uint64
 	clock func() time.Duration
 
 	mu      sync.Mutex
-	watch   *peer.Watch
+	watch   *peer.Detector
 	version uint64 // that changed was closed for last
 	changed chan struct{}
 	conns   map[net.Conn]uint64
@@ -52,14 +52,14 @@
 // connKey finds a connection's number in a request's context.
 type connKey struct{}
 
-// NewStation returns a watcher. Its server is to have its ConnContext and ConnState.
-func NewStation(fleet string, clock func() time.Duration) *Station {
-	return &Station{fleet: fleet, boot: rand.Uint64() | 1, clock: clock, watch: peer.NewWatch(peer.Usual, clock()), changed: make(chan struct{}),
+// NewServer returns a watcher. Its server is to have its ConnContext and ConnState.
+func NewServer(fleet string, clock func() time.Duration) *Server {
+	return &Server{fleet: fleet, boot: rand.Uint64() | 1, clock: clock, watch: peer.NewDetector(peer.DefaultParameters, clock()), changed: make(chan struct{}),
 		conns: make(map[net.Conn]uint64)}
 }
 
 // ConnContext numbers a connection.
-func (s *Station) ConnContext(ctx context.Context, c net.Conn) context.Context {
+func (s *Server) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last++
@@ -68,7 +68,7 @@
 }
 
 // ConnState hears of a connection's end.
-func (s *Station) ConnState(c net.Conn, state http.ConnState) {
+func (s *Server) ConnState(c net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
@@ -76,14 +76,14 @@
 	defer s.mu.Unlock()
 	if n, ok := s.conns[c]; ok {
 		delete(s.conns, c)
-		s.handle(peer.Lost{Conn: n})
+		s.handle(peer.ConnectionLost{ConnectionID: n})
 	}
 }
 
 // handle tells the watch something, and those who wait what came of it. s.mu is held.
-func (s *Station) handle(e peer.Event) peer.Answer {
+func (s *Server) handle(e peer.Event) peer.HeartbeatResult {
 	if s.stopped {
-		return peer.Heard
+		return peer.Accepted
 	}
 	answer := s.watch.Handle(s.clock(), e)
 	if v := s.watch.Version(); v != s.version {
@@ -96,19 +96,19 @@
 
 // Stop has the watcher say nothing more: as its connections are closed, one after another, it would hold those who are
 // closed first for dead, and tell the others.
-func (s *Station) Stop() {
+func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
 }
 
 // Run lets time pass until ctx ends.
-func (s *Station) Run(ctx context.Context) {
+func (s *Server) Run(ctx context.Context) {
 	for {
 		s.mu.Lock()
 		s.handle(peer.Tick{})
 		now := s.clock()
-		wait, changed := s.watch.Next(now)-now, s.changed
+		wait, changed := s.watch.NextTick(now)-now, s.changed
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -120,17 +120,17 @@
 }
 
 // ServeHTTP takes a beat.
-func (s *Station) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var in beat
-	if !rpc.Read(w, r, s.fleet, &in) {
+	if !rpc.ReadRequest(w, r, s.fleet, &in) {
 		return
 	}
 	conn, _ := r.Context().Value(connKey{}).(uint64)
 	s.mu.Lock()
-	out := report{Answer: s.handle(peer.Beat{Member: in.Member, Conn: conn}), Boot: s.boot}
-	late := time.NewTimer(peer.Usual.Beat)
+	out := report{Answer: s.handle(peer.Heartbeat{Member: in.Member, ConnectionID: conn}), Boot: s.boot}
+	late := time.NewTimer(peer.DefaultParameters.HeartbeatInterval)
 	defer late.Stop()
-	for waits := true; waits && out.Answer == peer.Heard && in.Boot == s.boot && in.Known == s.version; {
+	for waits := true; waits && out.Answer == peer.Accepted && in.Boot == s.boot && in.Known == s.version; {
 		changed := s.changed
 		s.mu.Unlock()
 		select {
@@ -139,7 +139,7 @@
 			waits = false
 		case <-r.Context().Done(): // the connection has ended, or this server does
 			s.mu.Lock()
-			s.handle(peer.Lost{Conn: conn})
+			s.handle(peer.ConnectionLost{ConnectionID: conn})
 			s.mu.Unlock()
 			return
 		}
@@ -149,14 +149,14 @@
 	if in.Boot != s.boot {
 		in.Known = 0
 	}
-	out.List, out.Whole = s.watch.Since(in.Known)
+	out.List, out.Whole = s.watch.ChangedSince(in.Known)
 	s.mu.Unlock()
-	rpc.Write(w, out)
+	rpc.WriteResponse(w, out)
 }
 
-// Opinion is what this watcher holds of all.
-func (s *Station) Opinion() []peer.Seen {
+// Members is what this watcher holds of all.
+func (s *Server) Members() []peer.MemberState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.watch.Opinion()
+	return s.watch.Members()
 }
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -8,35 +8,35 @@
 
 // View is what one instance holds of all, from the opinions of the watchers. The zero value is not usable.
 type View struct {
-	terms    Terms
+	terms    Parameters
 	watchers int
 	opinions map[string]*opinion // by watcher
-	members  map[string]Seen
+	members  map[string]MemberState
 	blind    bool
 	since    time.Duration // that it is blind, or not
 }
 
 type opinion struct {
 	heard time.Duration
-	list  map[string]Seen
+	list  map[string]MemberState
 }
 
 // Change is a member whose state, or process, has changed. Was is 0 for one that is new.
 type Change struct {
-	Seen
-	Was State
+	MemberState
+	Previous State
 }
 
 // NewView returns the view of one that has heard nothing, with so many watchers.
-func NewView(terms Terms, watchers int, now time.Duration) *View {
-	return &View{terms: terms, watchers: watchers, opinions: make(map[string]*opinion), members: make(map[string]Seen), blind: true, since: now}
+func NewView(terms Parameters, watchers int, now time.Duration) *View {
+	return &View{terms: terms, watchers: watchers, opinions: make(map[string]*opinion), members: make(map[string]MemberState), blind: true, since: now}
 }
 
 // majority is how many of the watchers have to agree.
 func (v *View) majority() int { return v.watchers/2 + 1 }
 
-// Told takes a watcher's opinion at a time: of all, or of those of whom it has changed since it was told last.
-func (v *View) Told(now time.Duration, watcher string, whole bool, list []Seen) []Change {
+// Merge takes a watcher's opinion at a time: of all, or of those of whom it has changed since it was told last.
+func (v *View) Merge(now time.Duration, watcher string, whole bool, list []MemberState) []Change {
 	o := v.opinions[watcher]
 	if o == nil {
 		if !whole {
@@ -47,21 +47,21 @@
 	}
 	o.heard = now
 	if whole {
-		o.list = make(map[string]Seen, len(list))
+		o.list = make(map[string]MemberState, len(list))
 	}
 	for _, s := range list {
-		if _, known := o.list[s.Name]; known || len(o.list) < v.terms.Most {
+		if _, known := o.list[s.Name]; known || len(o.list) < v.terms.MaxMembers {
 			o.list[s.Name] = s
 		}
 	}
-	return v.Pass(now)
+	return v.Tick(now)
 }
 
-// Pass lets time pass.
-func (v *View) Pass(now time.Duration) (changes []Change) {
+// Tick lets time pass.
+func (v *View) Tick(now time.Duration) (changes []Change) {
 	fresh := 0
 	for _, o := range v.opinions {
-		if now-o.heard < v.terms.Gone {
+		if now-o.heard < v.terms.GoneAfter {
 			fresh++
 		}
 	}
@@ -108,21 +108,21 @@
 
 // judge counts the opinions that are fresh. Of several processes of one name the one counts that most watchers see
 // alive.
-func (v *View) judge(now time.Duration, name string) (Seen, bool) {
+func (v *View) judge(now time.Duration, name string) (MemberState, bool) {
 	type run struct {
-		seen         Seen
+		seen         MemberState
 		alive, votes int
 	}
 	runs, gone := make(map[uint64]*run), 0 // who has not heard of the latest process says of the name that it is gone
 	for _, o := range v.opinions {
 		s, ok := o.list[name]
-		if !ok || now-o.heard >= v.terms.Gone {
+		if !ok || now-o.heard >= v.terms.GoneAfter {
 			continue
 		}
-		r := runs[s.Run]
+		r := runs[s.Incarnation]
 		if r == nil {
 			r = &run{seen: s}
-			runs[s.Run] = r
+			runs[s.Incarnation] = r
 		}
 		r.votes++
 		switch s.State {
@@ -135,12 +135,12 @@
 	}
 	var best *run
 	for _, r := range runs {
-		if best == nil || cmp.Or(cmp.Compare(r.alive, best.alive), cmp.Compare(r.votes, best.votes), cmp.Compare(r.seen.Run, best.seen.Run)) > 0 {
+		if best == nil || cmp.Or(cmp.Compare(r.alive, best.alive), cmp.Compare(r.votes, best.votes), cmp.Compare(r.seen.Incarnation, best.seen.Incarnation)) > 0 {
 			best = r
 		}
 	}
 	if best == nil {
-		return Seen{}, false
+		return MemberState{}, false
 	}
 	s := best.seen
 	old, known := v.members[name]
@@ -149,7 +149,7 @@
 		s.State = Alive
 	case gone >= v.majority():
 		s.State = Gone
-	case known && old.Run == s.Run && old.State == Gone: // it comes back by a majority alone
+	case known && old.Incarnation == s.Incarnation && old.State == Gone: // it comes back by a majority alone
 		s.State = Gone
 	default:
 		s.State = Suspect
@@ -157,14 +157,14 @@
 	return s, true
 }
 
-// Blind tells whether too few watchers are heard, and since when that is so, or is not.
-func (v *View) Blind() (bool, time.Duration) { return v.blind, v.since }
+// Isolated tells whether too few watchers are heard, and since when that is so, or is not.
+func (v *View) Isolated() (bool, time.Duration) { return v.blind, v.since }
 
 // Members are all that are known, by name.
-func (v *View) Members() (list []Seen) {
+func (v *View) Members() (list []MemberState) {
 	for _, s := range v.members {
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b Seen) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b MemberState) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
--- a/internal/peer/watch.go
+++ b/internal/peer/watch.go
@@ -4,12 +4,12 @@
 //
 // Guarantees, where a majority of the watchers runs and is heard:
 //
-//  1. An instance whose process ends is gone [Terms.Grace] after its connections have ended.
-//  2. One that is silent is gone [Terms.Gone] after its last beat, and never while its silence is shorter.
+//  1. An instance whose process ends is gone [Parameters.ReconnectGrace] after its connections have ended.
+//  2. One that is silent is gone [Parameters.GoneAfter] after its last beat, and never while its silence is shorter.
 //  3. A watcher that stood still itself finds nobody gone for it.
 //  4. Of two processes of one name the first counts until it is gone or says that it leaves; one that has been
 //     replaced never counts again.
-//  5. Who hears no majority of the watchers keeps what it knew last, and knows that it does ([View.Blind]).
+//  5. Who hears no majority of the watchers keeps what it knew last, and knows that it does ([View.Isolated]).
 //
 // Nothing that is decided here is a promise that somebody acts no more: that is what leases are for.
 package peer
@@ -20,29 +20,29 @@
 	"time"
 )
 
-// Terms bound what is told.
-type Terms struct {
-	Beat    time.Duration // from one beat to the next, while all is well
-	Grace   time.Duration // a connection that has ended may be replaced for so long
-	Suspect time.Duration // silence
-	Gone    time.Duration // silence
-	Pause   time.Duration // between two looks of a watcher: more, and it stood still itself
-	Forget  time.Duration // how long one that is gone is kept
-	Most    int           // members
+// Parameters bound what is told.
+type Parameters struct {
+	HeartbeatInterval time.Duration // from one beat to the next, while all is well
+	ReconnectGrace    time.Duration // a connection that has ended may be replaced for so long
+	SuspectAfter      time.Duration // silence
+	GoneAfter         time.Duration // silence
+	PauseThreshold    time.Duration // between two looks of a watcher: more, and it stood still itself
+	ForgetAfter       time.Duration // how long one that is gone is kept
+	MaxMembers        int           // members
 }
 
-// Usual are the terms in service. A stop of 300 ms is 450 ms of silence at the most, and a few for the network.
-var Usual = Terms{Beat: 150 * time.Millisecond, Grace: 60 * time.Millisecond, Suspect: 400 * time.Millisecond, Gone: 600 * time.Millisecond,
-	Pause: 100 * time.Millisecond, Forget: 10 * time.Minute, Most: 1024}
+// DefaultParameters are the terms in service. A stop of 300 ms is 450 ms of silence at the most, and a few for the network.
+var DefaultParameters = Parameters{HeartbeatInterval: 150 * time.Millisecond, ReconnectGrace: 60 * time.Millisecond, SuspectAfter: 400 * time.Millisecond, GoneAfter: 600 * time.Millisecond,
+	PauseThreshold: 100 * time.Millisecond, ForgetAfter: 10 * time.Minute, MaxMembers: 1024}
 
 // Member is an instance as it says itself.
 type Member struct {
-	Name    string `cbor:"1,keyasint" json:"name"`
-	Run     uint64 `cbor:"2,keyasint" json:"run"` // of its process, drawn at its start
-	Address string `cbor:"3,keyasint,omitempty" json:"address,omitempty"`
-	Zone    string `cbor:"4,keyasint,omitempty" json:"zone,omitempty"`
-	Leaving bool   `cbor:"5,keyasint,omitempty" json:"leaving,omitempty"` // it drains
-	Version int    `cbor:"6,keyasint,omitempty" json:"version,omitempty"`
+	Name        string `cbor:"1,keyasint" json:"name"`
+	Incarnation uint64 `cbor:"2,keyasint" json:"run"` // of its process, drawn at its start
+	Address     string `cbor:"3,keyasint,omitempty" json:"address,omitempty"`
+	Zone        string `cbor:"4,keyasint,omitempty" json:"zone,omitempty"`
+	Leaving     bool   `cbor:"5,keyasint,omitempty" json:"leaving,omitempty"` // it drains
+	Version     int    `cbor:"6,keyasint,omitempty" json:"version,omitempty"`
 }
 
 // State is what is held of a member.
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Seen is a member and what is held of it.
-type Seen struct {
+// MemberState is a member and what is held of it.
+type MemberState struct {
 	Member `cbor:"1,keyasint"`
 	State  State `cbor:"2,keyasint" json:"state"`
 }
@@ -88,30 +88,30 @@
 type Event interface{ event() }
 
 type (
-	// Beat is a member's sign of life, on a connection that is told from others by a number.
-	Beat struct {
-		Member Member
-		Conn   uint64
+	// Heartbeat is a member's sign of life, on a connection that is told from others by a number.
+	Heartbeat struct {
+		Member       Member
+		ConnectionID uint64
 	}
-	// Lost tells that a connection has ended.
-	Lost struct{ Conn uint64 }
-	// Tick lets time pass. It is to come every half of Terms.Pause at least.
+	// ConnectionLost tells that a connection has ended.
+	ConnectionLost struct{ ConnectionID uint64 }
+	// Tick lets time pass. It is to come every half of Parameters.PauseThreshold at least.
 	Tick struct{}
 )
 
-func (Beat) event() {}
-func (Lost) event() {}
-func (Tick) event() {}
+func (Heartbeat) event()      {}
+func (ConnectionLost) event() {}
+func (Tick) event()           {}
 
-// Answer is what a beat came to.
-type Answer uint8
+// HeartbeatResult is what a beat came to.
+type HeartbeatResult uint8
 
 // The answers.
 const (
-	Heard    Answer = iota // and counted
-	Replaced               // another process of that name counts since
-	Taken                  // another process of that name counts still
-	Full                   // there is no room for it
+	Accepted       HeartbeatResult = iota // and counted
+	Replaced                              // another process of that name counts since
+	NameTaken                             // another process of that name counts still
+	TooManyMembers                        // there is no room for it
 )
 
 // watched is a member as a watcher knows it.
@@ -129,71 +129,71 @@
 // mostRetired bounds the runs that are known to have been replaced.
 const mostRetired = 8
 
-// Watch is one watcher's opinion of all members. The zero value is not usable.
-type Watch struct {
-	terms   Terms
+// Detector is one watcher's opinion of all members. The zero value is not usable.
+type Detector struct {
+	terms   Parameters
 	members map[string]*watched
 	version uint64
 	whole   uint64        // the version that last forgot somebody
 	last    time.Duration // looked
 }
 
-// NewWatch returns a watcher that knows nobody.
-func NewWatch(terms Terms, now time.Duration) *Watch {
-	return &Watch{terms: terms, members: make(map[string]*watched), last: now}
+// NewDetector returns a watcher that knows nobody.
+func NewDetector(terms Parameters, now time.Duration) *Detector {
+	return &Detector{terms: terms, members: make(map[string]*watched), last: now}
 }
 
 // Version changes with every change of the opinion.
-func (w *Watch) Version() uint64 { return w.version }
+func (w *Detector) Version() uint64 { return w.version }
 
-// Opinion is what the watcher holds of all, by name.
-func (w *Watch) Opinion() []Seen {
-	list, _ := w.Since(0)
+// Members is what the watcher holds of all, by name.
+func (w *Detector) Members() []MemberState {
+	list, _ := w.ChangedSince(0)
 	return list
 }
 
-// Since is what the watcher holds of those that have changed since a version, or, if whole, of all.
-func (w *Watch) Since(version uint64) (list []Seen, whole bool) {
+// ChangedSince is what the watcher holds of those that have changed since a version, or, if whole, of all.
+func (w *Detector) ChangedSince(version uint64) (list []MemberState, whole bool) {
 	whole = version == 0 || version < w.whole || version > w.version
 	for _, m := range w.members {
 		if whole || m.changed > version {
-			list = append(list, Seen{m.member, m.state})
+			list = append(list, MemberState{m.member, m.state})
 		}
 	}
-	slices.SortFunc(list, func(a, b Seen) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b MemberState) int { return cmp.Compare(a.Name, b.Name) })
 	return list, whole
 }
 
 // touch notes that a member has changed.
-func (w *Watch) touch(m *watched) {
+func (w *Detector) touch(m *watched) {
 	w.version++
 	m.changed = w.version
 }
 
 // Handle takes an event at a time. The answer is that to a beat.
-func (w *Watch) Handle(now time.Duration, event Event) Answer {
+func (w *Detector) Handle(now time.Duration, event Event) HeartbeatResult {
 	w.stood(now)
-	answer := Heard
+	answer := Accepted
 	switch e := event.(type) {
-	case Beat:
+	case Heartbeat:
 		answer = w.beat(now, &e)
-	case Lost:
+	case ConnectionLost:
 		for _, m := range w.members {
-			if m.conn == e.Conn && m.lost == 0 {
+			if m.conn == e.ConnectionID && m.lost == 0 {
 				m.lost = now
 			}
 		}
 	}
 	for name, m := range w.members {
 		switch silence := now - m.heard; {
-		case m.state == Gone && now-m.since >= w.terms.Forget:
+		case m.state == Gone && now-m.since >= w.terms.ForgetAfter:
 			delete(w.members, name)
 			w.version++
 			w.whole = w.version
 		case m.state == Gone:
-		case silence >= w.terms.Gone || m.lost > 0 && now-m.lost >= w.terms.Grace:
+		case silence >= w.terms.GoneAfter || m.lost > 0 && now-m.lost >= w.terms.ReconnectGrace:
 			w.set(now, m, Gone)
-		case silence >= w.terms.Suspect || m.lost > 0:
+		case silence >= w.terms.SuspectAfter || m.lost > 0:
 			w.set(now, m, Suspect)
 		}
 	}
@@ -201,8 +201,8 @@
 }
 
 // stood moves on all that is counted from by a time in which this watcher stood still itself.
-func (w *Watch) stood(now time.Duration) {
-	if gap := now - w.last; gap >= w.terms.Pause {
+func (w *Detector) stood(now time.Duration) {
+	if gap := now - w.last; gap >= w.terms.PauseThreshold {
 		for _, m := range w.members {
 			m.heard += gap
 			if m.lost > 0 {
@@ -214,44 +214,44 @@
 	w.last = max(w.last, now)
 }
 
-func (w *Watch) set(now time.Duration, m *watched, s State) {
+func (w *Detector) set(now time.Duration, m *watched, s State) {
 	if m.state != s {
 		m.state, m.since = s, now
 		w.touch(m)
 	}
 }
 
-func (w *Watch) beat(now time.Duration, e *Beat) Answer {
+func (w *Detector) beat(now time.Duration, e *Heartbeat) HeartbeatResult {
 	m := w.members[e.Member.Name]
 	switch {
-	case m == nil && len(w.members) >= w.terms.Most:
-		return Full
+	case m == nil && len(w.members) >= w.terms.MaxMembers:
+		return TooManyMembers
 	case m == nil:
 		m = &watched{since: now}
 		w.members[e.Member.Name] = m
-	case slices.Contains(m.retired, e.Member.Run):
+	case slices.Contains(m.retired, e.Member.Incarnation):
 		return Replaced
-	case m.member.Run != e.Member.Run && m.state != Gone && !m.member.Leaving:
-		return Taken
-	case m.member.Run != e.Member.Run:
-		if m.retired = append(m.retired, m.member.Run); len(m.retired) > mostRetired {
+	case m.member.Incarnation != e.Member.Incarnation && m.state != Gone && !m.member.Leaving:
+		return NameTaken
+	case m.member.Incarnation != e.Member.Incarnation:
+		if m.retired = append(m.retired, m.member.Incarnation); len(m.retired) > mostRetired {
 			m.retired = m.retired[1:]
 		}
 	}
 	if m.member != e.Member {
 		w.touch(m)
 	}
-	m.member, m.heard, m.conn, m.lost = e.Member, now, e.Conn, 0
+	m.member, m.heard, m.conn, m.lost = e.Member, now, e.ConnectionID, 0
 	w.set(now, m, Alive)
-	return Heard
+	return Accepted
 }
 
-// Next is when to let time pass at the latest.
-func (w *Watch) Next(now time.Duration) time.Duration {
-	next := now + w.terms.Pause/2
+// NextTick is when to let time pass at the latest.
+func (w *Detector) NextTick(now time.Duration) time.Duration {
+	next := now + w.terms.PauseThreshold/2
 	for _, m := range w.members {
 		if m.lost > 0 && m.state != Gone {
-			next = min(next, m.lost+w.terms.Grace)
+			next = min(next, m.lost+w.terms.ReconnectGrace)
 		}
 	}
 	return max(next, now)
--- a/internal/proxy/backlog_test.go
+++ b/internal/proxy/backlog_test.go
@@ -36,7 +36,7 @@
 		u.read(fmt.Sprint("taker", i))
 		takers = append(takers, u)
 	}
-	testutil.Until(t, "all places to be taken", func() bool { n, open := f.server.Load(); return n >= f.server.most && open == len(takers) })
+	testutil.WaitUntil(t, "all places to be taken", func() bool { n, open := f.server.Load(); return n >= f.server.most && open == len(takers) })
 	waiting := f.connect()
 	asked := time.Now()
 	waiting.send("mg k v Owaiting Pc=read,t=shops,d=%d\r\n", wait.Milliseconds())
--- a/internal/proxy/binary_test.go
+++ b/internal/proxy/binary_test.go
@@ -49,7 +49,7 @@
 	group := node.NewGroup(window)
 	var names []string
 	for i := range 2 {
-		n, err := node.Start(node.Config{Name: fmt.Sprint("n", i), Origin: f.origin, Group: group, ByValue: true, Lacks: "none", Slots: 64, Queue: 1024, Value: size})
+		n, err := node.Start(node.Config{Name: fmt.Sprint("n", i), Origin: f.origin, Group: group, LedgerByValue: true, MissingKeyPrefix: "none", Slots: 64, Queue: 1024, ValueSize: size})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,14 +122,14 @@
 // till is a binary client that speaks byte by byte.
 type till struct {
 	t *testing.T
-	*rawclient.Caller
+	*rawclient.Client
 }
 
 func (g *gateway) dial() till { return dialAt(g.t, g.server.Address()) }
 
 func dialAt(t *testing.T, address net.Addr) till {
 	t.Helper()
-	c, err := rawclient.Dial(scriptednode.Binary, address.String(), testutil.Patience)
+	c, err := rawclient.Dial(scriptednode.Binary, address.String(), testutil.Timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,7 +146,7 @@
 // next returns the next response, and expects a status and an opaque.
 func (l till) next(status codec.Status, opaque uint32) rawclient.Response {
 	l.t.Helper()
-	r, err := rawclient.ReadResponse(l.In)
+	r, err := rawclient.ReadResponse(l.Reader)
 	if err != nil {
 		l.t.Fatalf("opaque %d: %v", opaque, err)
 	}
@@ -158,25 +158,27 @@
 
 func (l till) ended() {
 	l.t.Helper()
-	if b, err := l.In.ReadByte(); err == nil {
+	if b, err := l.Reader.ReadByte(); err == nil {
 		l.t.Fatalf("byte %#x came, want the connection's end", b)
 	} else if e := net.Error(nil); errors.As(err, &e) && e.Timeout() {
 		l.t.Fatal("neither an answer nor an end")
 	}
 }
 
-func get(key string, opaque uint32) []byte { return rawclient.AppendKeyed(nil, codec.Get, key, opaque) }
+func get(key string, opaque uint32) []byte {
+	return rawclient.AppendKeyOnly(nil, codec.Get, key, opaque)
+}
 func bare(op codec.Opcode, opaque uint32) []byte {
-	return rawclient.AppendKeyed(nil, op, "", opaque)
+	return rawclient.AppendKeyOnly(nil, op, "", opaque)
 }
 
 // read returns the ticket that a read brings.
 func (l till) read(key string) (ticket uint64) {
 	l.t.Helper()
 	// A gate may turn a read away for a moment, by chance, after a client that left.
-	testutil.Until(l.t, "a read of "+key, func() bool {
+	testutil.WaitUntil(l.t, "a read of "+key, func() bool {
 		l.send(get(key, 1))
-		r, err := rawclient.ReadResponse(l.In)
+		r, err := rawclient.ReadResponse(l.Reader)
 		if err != nil || r.Opaque != 1 || r.Status != codec.OK && r.Status != codec.Busy {
 			l.t.Fatalf("answered %#x with opaque %d: %v", r.Status, r.Opaque, err)
 		}
@@ -205,7 +207,7 @@
 	}
 	times := func(want int, key, value string) {
 		t.Helper()
-		testutil.Until(t, fmt.Sprintf("%s to have been had %d times", value, want), func() bool { return f.origin.Times(key, value) == want })
+		testutil.WaitUntil(t, fmt.Sprintf("%s to have been had %d times", value, want), func() bool { return f.origin.EffectCount(key, value) == want })
 	}
 	first, second := a.dial(), b.dial()
 	// The client's connection ends with the handover out.
@@ -221,23 +223,23 @@
 	ticket = first.read("order2")
 	fault(node.Reset)
 	first.send(set("order2", "reset", ticket))
-	if r, err := rawclient.ReadResponse(first.In); err != nil || r.Status == codec.OK || r.Status == codec.Busy {
+	if r, err := rawclient.ReadResponse(first.Reader); err != nil || r.Status == codec.OK || r.Status == codec.Busy {
 		t.Fatalf("%+v, %v: want a failure, as it may have run", r, err)
 	}
-	fault(node.Well)
+	fault(node.NoFault)
 	second.send(set("order2", "reset", ticket))
 	second.next(codec.OK, 2)
 	times(1, "order2", "reset")
 	// Long after: no node drops it any more, so it must not reach one.
-	testutil.Until(t, "the ticket to be refused", func() bool {
+	testutil.WaitUntil(t, "the ticket to be refused", func() bool {
 		second.send(set("order2", "reset", ticket))
-		r, err := rawclient.ReadResponse(second.In)
+		r, err := rawclient.ReadResponse(second.Reader)
 		return err == nil && r.Status == codec.Exists
 	})
 	time.Sleep(window)
 	second.send(set("order2", "reset", ticket))
 	second.next(codec.Exists, 2)
-	if n := f.origin.Times("order2", "reset"); n != 1 {
+	if n := f.origin.EffectCount("order2", "reset"); n != 1 {
 		t.Fatalf("had %d times", n)
 	}
 	// Two that differ are both had: by value, and by ticket.
@@ -283,27 +285,27 @@
 		case i == 100:
 			text, want = append(text, bare(codec.Noop, o)...), append(want, told{o, codec.OK})
 		case i%10 == 3:
-			text = rawclient.AppendKeyed(text, codec.GetQ, fmt.Sprint("none", i), o)
+			text = rawclient.AppendKeyOnly(text, codec.GetQ, fmt.Sprint("none", i), o)
 		case i%10 == 5:
-			text, want = append(text, rawclient.AppendKeyed(nil, codec.GetQ, "", o)...), append(want, told{o, codec.Invalid})
+			text, want = append(text, rawclient.AppendKeyOnly(nil, codec.GetQ, "", o)...), append(want, told{o, codec.InvalidArguments})
 		case i%10 == 6:
-			text, want = append(text, rawclient.AppendKeyed(nil, codec.DeleteQ, key, o)...), append(want, told{o, codec.NotSupported})
+			text, want = append(text, rawclient.AppendKeyOnly(nil, codec.DeleteQ, key, o)...), append(want, told{o, codec.NotSupported})
 		case i%10 == 7:
-			text, want = append(text, rawclient.AppendKeyed(nil, 0x77, key, o)...), append(want, told{o, codec.UnknownCommand})
+			text, want = append(text, rawclient.AppendKeyOnly(nil, 0x77, key, o)...), append(want, told{o, codec.UnknownCommand})
 		case i%10 == 8:
 			text = rawclient.AppendSet(text, codec.SetQ, key, "x", o, 0)
 		case i%10 == 9:
 			text, want = append(text, rawclient.AppendSet(nil, codec.SetQ, key, "x", o, 99)...), append(want, told{o, codec.Exists})
 		default:
-			text, want = append(text, rawclient.AppendKeyed(nil, codec.GetKQ, key, o)...), append(want, told{o, codec.OK})
+			text, want = append(text, rawclient.AppendKeyOnly(nil, codec.GetKQ, key, o)...), append(want, told{o, codec.OK})
 		}
 	}
 	text, want = append(text, bare(codec.Noop, 999)...), append(want, told{999, codec.OK})
 	go l.send(text)
 	for _, w := range want {
 		r := l.next(w.status, w.opaque)
-		if r.Opcode == codec.GetKQ && (r.Name == "" || !strings.HasPrefix(r.Value, r.Name+" ")) {
-			t.Errorf("opaque %d: %q under %q", r.Opaque, r.Value, r.Name)
+		if r.Opcode == codec.GetKQ && (r.KeyText == "" || !strings.HasPrefix(r.Value, r.KeyText+" ")) {
+			t.Errorf("opaque %d: %q under %q", r.Opaque, r.Value, r.KeyText)
 		}
 	}
 }
@@ -325,22 +327,22 @@
 		case codec.Quit, codec.QuitQ, codec.Stat, codec.SetQ:
 			continue
 		default:
-			body, h.Key = "k", 1
+			body, h.KeyLen = "k", 1
 		}
 		switch op {
 		case codec.Set, codec.Add, codec.AddQ, codec.Replace, codec.ReplaceQ:
-			h.Extras = 8
+			h.ExtrasLen = 8
 		case codec.Increment, codec.IncrementQ, codec.Decrement, codec.DecrementQ:
-			h.Extras = 20
+			h.ExtrasLen = 20
 		case codec.Touch, codec.GAT, codec.GATQ:
-			h.Extras = 4
+			h.ExtrasLen = 4
 		}
-		body = strings.Repeat("\x00", h.Extras) + body
-		h.Body = len(body)
+		body = strings.Repeat("\x00", h.ExtrasLen) + body
+		h.BodyLen = len(body)
 		status, known := want[op]
 		if !known {
 			status = codec.UnknownCommand
-			if op.Fate() == codec.Unsupported {
+			if op.Handling() == codec.Unsupported {
 				status = codec.NotSupported
 			}
 		}
@@ -349,7 +351,7 @@
 	}
 	l.send(bare(codec.Stat, 7))
 	for {
-		if r := l.next(codec.OK, 7); r.Name == "" {
+		if r := l.next(codec.OK, 7); r.KeyText == "" {
 			break
 		}
 	}
@@ -363,8 +365,8 @@
 func TestWhatCannotBeRead(t *testing.T) {
 	f := startNodes(t)
 	g := startProxy(t, f.list, "[binary]\n")
-	huge := codec.Header{Opcode: codec.Set, Key: 1, Extras: 8, Body: 1<<32 - 1, Opaque: 5}
-	beyond := codec.Header{Opcode: codec.Get, Key: 9, Body: 3, Opaque: 5}
+	huge := codec.Header{Opcode: codec.Set, KeyLen: 1, ExtrasLen: 8, BodyLen: 1<<32 - 1, Opaque: 5}
+	beyond := codec.Header{Opcode: codec.Get, KeyLen: 9, BodyLen: 3, Opaque: 5}
 	for _, c := range []struct {
 		name   string
 		text   []byte
@@ -372,7 +374,7 @@
 		opaque uint32
 	}{
 		{"a body of 4 GB", huge.Append(nil, codec.RequestMagic), codec.TooLarge, 5},
-		{"a key beyond the body", beyond.Append(nil, codec.RequestMagic), codec.Invalid, 5},
+		{"a key beyond the body", beyond.Append(nil, codec.RequestMagic), codec.InvalidArguments, 5},
 		{"text behind a command", append(bare(codec.Noop, 6), "mg k v O1 Pc=read\r\n"...), codec.OK, 6},
 		{"half a header", bare(codec.Noop, 7)[:11], 0, 0},
 		{"half a body", get("a key that goes on", 8)[:30], 0, 0},
@@ -396,7 +398,7 @@
 // TestReaderThatStopsIsLetGo sends a pipeline of large reads and takes nothing: its place
 // and what was held for it come back.
 func TestReaderThatStopsIsLetGo(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Binary, 2, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve })
+	nodes, err := scriptednode.Start(scriptednode.Binary, 2, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Serve })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -406,20 +408,20 @@
 	l := g.dial()
 	var text []byte
 	for i := range uint32(400) { // 26 MB of answers
-		text = rawclient.AppendKeyed(text, codec.GetKQ, fmt.Sprint("big", i%8), i)
+		text = rawclient.AppendKeyOnly(text, codec.GetKQ, fmt.Sprint("big", i%8), i)
 	}
-	l.Socket.SetWriteDeadline(time.Now().Add(testutil.Patience))
+	l.Socket.SetWriteDeadline(time.Now().Add(testutil.Timeout))
 	go l.Socket.Write(text)
-	testutil.Until(t, "the pipeline to be under way", func() bool { return len(nodes.Asked()) > 10 })
-	testutil.Until(t, "the reader that stopped to be let go", func() bool {
+	testutil.WaitUntil(t, "the pipeline to be under way", func() bool { return len(nodes.Requests()) > 10 })
+	testutil.WaitUntil(t, "the reader that stopped to be let go", func() bool {
 		clients, open := g.server.Load()
 		return clients == 0 && open == 0
 	})
 	// What the reader left behind counts as late for a moment, so a read may be turned away yet.
 	other := g.dial()
-	testutil.Until(t, "another client to be served", func() bool {
+	testutil.WaitUntil(t, "another client to be served", func() bool {
 		other.send(get("k", 1))
-		r, err := rawclient.ReadResponse(other.In)
+		r, err := rawclient.ReadResponse(other.Reader)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -435,16 +437,16 @@
 	owed, idle := g.dial(), g.dial()
 	idle.send(bare(codec.Noop, 1))
 	idle.next(codec.OK, 1)
-	owed.send(get("k", 1), rawclient.AppendKeyed(nil, codec.GetQ, "none", 2))
+	owed.send(get("k", 1), rawclient.AppendKeyOnly(nil, codec.GetQ, "none", 2))
 	owed.next(codec.OK, 1)
-	testutil.Until(t, "the miss to be had", func() bool {
+	testutil.WaitUntil(t, "the miss to be had", func() bool {
 		_, open := g.server.Load()
 		return open == 0 && f.origin.Stats().Fetches >= 2
 	})
 	g.stop()
 	idle.ended() // so the drain is under way, and connections without a debt are gone
 	// Longer than any other connection may still send in a drain.
-	time.Sleep(frontend.LingerTime)
+	time.Sleep(frontend.LingerTimeout)
 	owed.send(bare(codec.Noop, 3))
 	owed.next(codec.OK, 3)
 	owed.ended()
@@ -455,7 +457,7 @@
 	t.Helper()
 	var text string
 	for name, secret := range secrets {
-		line, err := sasl.Line(name, secret, 1000, [16]byte{1})
+		line, err := sasl.FormatUser(name, secret, 1000, [16]byte{1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -473,7 +475,7 @@
 class = "read"
 `
 
-func auth(user, secret string) []byte { return rawclient.AppendAuth(nil, user, secret, 9) }
+func auth(user, secret string) []byte { return rawclient.AppendSASLPlain(nil, user, secret, 9) }
 
 // TestReloadWithConnectionsOpen changes the routing table and a secret under connections
 // that are open: routes count from the next command, and a session of the old secret
@@ -544,10 +546,10 @@
 	l := g.dial()
 	l.send(auth("till", "rose"))
 	l.next(codec.AuthError, 9)
-	testutil.Until(t, "the allowance to come back", func() bool {
+	testutil.WaitUntil(t, "the allowance to come back", func() bool {
 		l := g.dial()
 		l.send(auth("till", "rose"))
-		r, err := rawclient.ReadResponse(l.In)
+		r, err := rawclient.ReadResponse(l.Reader)
 		return err == nil && r.Status == codec.OK
 	})
 }
@@ -564,12 +566,12 @@
 	text.ended()
 	main := dialAt(t, g.server.Address())
 	main.send(bare(codec.Noop, 1))
-	if line, err := main.In.ReadString('\n'); !strings.HasPrefix(line, "CLIENT_ERROR") {
+	if line, err := main.Reader.ReadString('\n'); !strings.HasPrefix(line, "CLIENT_ERROR") {
 		t.Errorf("the other listener answered %q, %v", line, err)
 	}
 	main = dialAt(t, g.server.Address())
 	io.WriteString(main.Socket, "mn\r\n")
-	if line, _ := main.In.ReadString('\n'); line != "MN\r\n" {
+	if line, _ := main.Reader.ReadString('\n'); line != "MN\r\n" {
 		t.Errorf("a meta client was answered %q", line)
 	}
 	g.stop()
@@ -589,7 +591,7 @@
 		list = append(list, l)
 		go func() {
 			for i := range gets {
-				l.send(rawclient.AppendKeyed(nil, codec.Get, "k", uint32(i)))
+				l.send(rawclient.AppendKeyOnly(nil, codec.Get, "k", uint32(i)))
 			}
 		}()
 	}
@@ -607,7 +609,7 @@
 	told := 0
 	for _, l := range list {
 		for i := range gets {
-			r, err := rawclient.ReadResponse(l.In)
+			r, err := rawclient.ReadResponse(l.Reader)
 			if err != nil || r.Opaque != uint32(i) {
 				t.Fatalf("answer %d: opaque %d, error %v", i, r.Opaque, err)
 			}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -32,18 +32,18 @@
 // end with Share.
 type Config struct {
 	core.Config
-	Name, Listen string
-	Cores        float64
-	Memory       int // bytes
-	Sockets      int // descriptors
-	Clients      int // connections at most
-	BodyBytes    int
-	AnswerBytes  int
-	Binary       *Binary // nil where no binary clients are served
+	Name, Listen        string
+	Cores               float64
+	MemoryBytes         int // bytes
+	MaxDescriptors      int // descriptors
+	MaxClients          int // connections at most
+	RequestBudgetBytes  int
+	ResponseBudgetBytes int
+	Binary              *BinaryConfig // nil where no binary clients are served
 }
 
-// Binary says how clients of the binary protocol are served.
-type Binary struct {
+// BinaryConfig says how clients of the binary protocol are served.
+type BinaryConfig struct {
 	// Listen is an address of their own; "" if they come to that of all, where the first
 	// byte tells them.
 	Listen string
@@ -56,10 +56,10 @@
 	BinaryListener = "binary"
 )
 
-// Sources names the places of the list, for a log.
-func (c *Config) Sources() string {
+// SourceNames names the places of the list, for a log.
+func (c *Config) SourceNames() string {
 	var names []string
-	for _, p := range c.Places {
+	for _, p := range c.ListSources {
 		names = append(names, p.String())
 	}
 	return strings.Join(names, ", ")
@@ -94,9 +94,9 @@
 	requestBytes = 16 << 10
 )
 
-// ReadConfig reads the file named by the variable GW_CONFIG; GW_LISTEN and
+// ReadPlatformConfig reads the file named by the variable GW_CONFIG; GW_LISTEN and
 // GW_DISCOVERY, if getenv knows them, go before what it says.
-func ReadConfig(getenv func(string) string) (*Config, error) {
+func ReadPlatformConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return nil, errors.New("GW_CONFIG is not set")
@@ -118,19 +118,19 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	c := &Config{Name: in.Name, Listen: in.Listen, Cores: in.Limits.Cores, Memory: in.Limits.MemoryMB << 20,
-		Sockets: in.Limits.Sockets}
-	c.Places = []discovery.Place{{Address: in.Discovery}}
+	c := &Config{Name: in.Name, Listen: in.Listen, Cores: in.Limits.Cores, MemoryBytes: in.Limits.MemoryMB << 20,
+		MaxDescriptors: in.Limits.Sockets}
+	c.ListSources = []discovery.SourceConfig{{Address: in.Discovery}}
 	if v := getenv("GW_LISTEN"); v != "" {
 		c.Listen = v
 	}
 	if v := getenv("GW_DISCOVERY"); v != "" {
-		c.Places[0].Address = v
+		c.ListSources[0].Address = v
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: listen: %w", err)
 	}
-	if _, _, err := net.SplitHostPort(c.Places[0].Address); err != nil {
+	if _, _, err := net.SplitHostPort(c.ListSources[0].Address); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: discovery: %w", err)
 	}
 	if c.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
@@ -139,18 +139,18 @@
 		c.Seed = sum.Sum64()
 	}
 	if len(in.Known) > 0 && string(in.Known) != "null" {
-		if c.Known, err = discovery.Parse(in.Known); err != nil {
+		if c.InitialList, err = discovery.Parse(in.Known); err != nil {
 			return nil, fmt.Errorf("GW_CONFIG: known: %w", err)
 		}
 	}
 	if c.Policy, err = simwire.ParseSettings(string(in.Settings)); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	c.Service.Limits = overload.Usual
-	bounds, err := platformBounds(in.Settings, c.Policy.Proxies)
+	c.Overload.Limits = overload.DefaultTimings
+	bounds, err := platformBounds(in.Settings, c.Policy.ProxyCount)
 	if err == nil {
-		c.Policy.Links = bounds.Share.Each()
-		err = c.Share(bounds)
+		c.Policy.ConnectionsPerServer = bounds.ConnectionShare.PerProxy()
+		err = c.AllocateResources(bounds)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
@@ -158,13 +158,13 @@
 	return c, nil
 }
 
-// Fixed names what differs in next and can't be changed in service.
-func (c *Config) Fixed(next *Config) (changed []string) {
+// ChangesNeedingRestart names what differs in next and can't be changed in service.
+func (c *Config) ChangesNeedingRestart(next *Config) (changed []string) {
 	for name, differs := range map[string]bool{
 		"name":     c.Name != next.Name,
 		"listen":   c.Listen != next.Listen,
-		"limits":   c.Cores != next.Cores || c.Memory != next.Memory || c.Sockets != next.Sockets,
-		"settings": c.MostHeld != next.MostHeld || !reflect.DeepEqual(c.Policy, next.Policy),
+		"limits":   c.Cores != next.Cores || c.MemoryBytes != next.MemoryBytes || c.MaxDescriptors != next.MaxDescriptors,
+		"settings": c.MaxInFlight != next.MaxInFlight || !reflect.DeepEqual(c.Policy, next.Policy),
 	} {
 		if differs {
 			changed = append(changed, name)
@@ -174,17 +174,17 @@
 	return changed
 }
 
-// Bounds are what connections and held requests may take.
-type Bounds struct {
-	Connect  time.Duration   // for a connection to a node to come up
-	ConnIdle time.Duration   // after which nodes close one that stands idle
-	Streams  int             // requests on one connection to a node
-	PerNode  int             // connections to one node
-	MostHeld int             // requests
-	Share    connlimit.Share // of the connections that nodes take
+// ResourceLimits are what connections and held requests may take.
+type ResourceLimits struct {
+	ConnectTimeout       time.Duration      // for a connection to a node to come up
+	NodeIdleTimeout      time.Duration      // after which nodes close one that stands idle
+	StreamsPerConnection int                // requests on one connection to a node
+	ConnectionsPerNode   int                // connections to one node
+	MaxInFlight          int                // requests
+	ConnectionShare      connlimit.Capacity // of the connections that nodes take
 }
 
-func platformBounds(settings json.RawMessage, proxies int) (Bounds, error) {
+func platformBounds(settings json.RawMessage, proxies int) (ResourceLimits, error) {
 	var in struct {
 		Limits struct {
 			ConnectTimeout, ConnIdle float64 // milliseconds
@@ -192,45 +192,45 @@
 		}
 	}
 	if err := json.Unmarshal(settings, &in); err != nil {
-		return Bounds{}, fmt.Errorf("settings: %w", err)
+		return ResourceLimits{}, fmt.Errorf("settings: %w", err)
 	}
 	l := in.Limits
 	if l.ConnectTimeout < 0 || l.ConnIdle < 0 || l.StreamsPerConn < 0 || l.MostHeld < 0 {
-		return Bounds{}, errors.New("settings: Limits has a negative ConnectTimeout, ConnIdle, StreamsPerConn or MostHeld")
+		return ResourceLimits{}, errors.New("settings: Limits has a negative ConnectTimeout, ConnIdle, StreamsPerConn or MostHeld")
 	}
 	// What is not told, or zero, is assumed with care.
 	l.ConnectTimeout, l.ConnIdle = cmp.Or(l.ConnectTimeout, assumedConnect), cmp.Or(l.ConnIdle, assumedIdle)
 	l.StreamsPerConn, l.MostHeld = cmp.Or(l.StreamsPerConn, 1), cmp.Or(l.MostHeld, math.MaxInt)
 	millis := func(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
-	return Bounds{Connect: millis(l.ConnectTimeout), ConnIdle: millis(l.ConnIdle), Streams: l.StreamsPerConn,
-		PerNode: max(nodeTable/max(proxies, 1), 1), MostHeld: l.MostHeld,
-		Share: connlimit.Share{Table: nodeTable, Proxies: proxies}}, nil
+	return ResourceLimits{ConnectTimeout: millis(l.ConnectTimeout), NodeIdleTimeout: millis(l.ConnIdle), StreamsPerConnection: l.StreamsPerConn,
+		ConnectionsPerNode: max(nodeTable/max(proxies, 1), 1), MaxInFlight: l.MostHeld,
+		ConnectionShare: connlimit.Capacity{ConnectionsPerNode: nodeTable, Proxies: proxies}}, nil
 }
 
 // Least figures of the limits.
 const (
-	LeastSockets = 2 * ownDescriptors
-	LeastMemory  = 32 << 20 // bytes
+	MinDescriptors = 2 * ownDescriptors
+	MinMemoryBytes = 32 << 20 // bytes
 )
 
-// Share shares out descriptors and memory. It returns an error where they
+// AllocateResources shares out descriptors and memory. It returns an error where they
 // are too few for any share.
-func (c *Config) Share(b Bounds) error {
+func (c *Config) AllocateResources(b ResourceLimits) error {
 	switch {
-	case c.Sockets < LeastSockets:
-		return fmt.Errorf("limits: sockets cannot be %d", c.Sockets)
-	case c.Memory < LeastMemory:
-		return fmt.Errorf("limits: memory_mb cannot be %d", c.Memory>>20)
+	case c.MaxDescriptors < MinDescriptors:
+		return fmt.Errorf("limits: sockets cannot be %d", c.MaxDescriptors)
+	case c.MemoryBytes < MinMemoryBytes:
+		return fmt.Errorf("limits: memory_mb cannot be %d", c.MemoryBytes>>20)
 	case c.Cores <= 0:
 		return fmt.Errorf("limits: cores cannot be %v", c.Cores)
 	}
-	c.MostHeld = min(b.MostHeld, c.Memory/requestBytes)
-	toNodes := (c.Sockets - ownDescriptors) / 2
-	c.Clients = c.Sockets - ownDescriptors - toNodes
-	c.BodyBytes, c.AnswerBytes = c.Memory/8, c.Memory/8
+	c.MaxInFlight = min(b.MaxInFlight, c.MemoryBytes/requestBytes)
+	toNodes := (c.MaxDescriptors - ownDescriptors) / 2
+	c.MaxClients = c.MaxDescriptors - ownDescriptors - toNodes
+	c.RequestBudgetBytes, c.ResponseBudgetBytes = c.MemoryBytes/8, c.MemoryBytes/8
 	longest := max(time.Second, longestDeadline(&c.Policy))
-	c.Upstream = upstream.Limits{PerNode: b.PerNode, All: toNodes, Streams: b.Streams, Connect: b.Connect,
-		Idle: b.ConnIdle / 2, Silent: longest + longest/2, Share: b.Share}
+	c.Upstream = upstream.Limits{MaxPerNode: b.ConnectionsPerNode, MaxConnections: toNodes, MaxPipelined: b.StreamsPerConnection, ConnectTimeout: b.ConnectTimeout,
+		IdleTimeout: b.NodeIdleTimeout / 2, SilenceTimeout: longest + longest/2, FleetShare: b.ConnectionShare}
 	return nil
 }
 
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -42,13 +42,13 @@
 			continue
 		}
 		var b connlimit.Budget
-		b.Set(config.Upstream.Share)
+		b.SetCapacity(config.Upstream.FleetShare)
 		for _, nodes := range []int{1, 60} {
-			if most := b.Most(time.Second, nodes); most < connlimit.Least || most > max(nodes*nodeTable, connlimit.Least) {
+			if most := b.Limit(time.Second, nodes); most < connlimit.MinConnections || most > max(nodes*nodeTable, connlimit.MinConnections) {
 				t.Errorf("%q proxies: %d connections to %d nodes", c.proxies, most, nodes)
 			}
 		}
-		if n := config.Upstream.PerNode; n < 1 || n > nodeTable {
+		if n := config.Upstream.MaxPerNode; n < 1 || n > nodeTable {
 			t.Errorf("%q proxies: %d connections to one node", c.proxies, n)
 		}
 	}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -16,11 +16,11 @@
 // late waits until a drain takes nothing more on any connection.
 func (f *fleet) late() {
 	f.t.Helper()
-	testutil.Until(f.t, "the drain to take nothing more", func() bool {
+	testutil.WaitUntil(f.t, "the drain to take nothing more", func() bool {
 		f.server.mu.Lock()
 		defer f.server.mu.Unlock()
 		for c := range f.server.clients {
-			if !c.Late() {
+			if !c.RejectsCommands() {
 				return false
 			}
 		}
@@ -88,7 +88,7 @@
 		})
 	}
 	waiting := f.connect() // in the backlog
-	testutil.Until(t, "all places to be taken", func() bool { n, _ := f.server.Load(); return n >= f.server.most })
+	testutil.WaitUntil(t, "all places to be taken", func() bool { n, _ := f.server.Load(); return n >= f.server.most })
 	f.stop()
 	testutil.Receive(t, "the server's end", f.ended())
 	waiting.socket.Close()
@@ -111,7 +111,7 @@
 		u.send("%s", request(strings.ReplaceAll(class, " ", "")))
 		users = append(users, u)
 	}
-	testutil.Until(t, "all to wait", func() bool { return f.server.core.Open() == len(users) })
+	testutil.WaitUntil(t, "all to wait", func() bool { return f.server.core.InFlight() == len(users) })
 	f.stop()
 	for _, u := range users {
 		if got := u.line(); !strings.HasPrefix(got, "SERVER_ERROR busy ") {
--- a/internal/proxy/ends_test.go
+++ b/internal/proxy/ends_test.go
@@ -15,7 +15,7 @@
 // TestEndsOfNodeConnections ends connections to nodes in every way under requests of every effect: each request has one answer, and
 // nothing of an unsafe class comes to nodes twice; of a keyed one, what came more than once came with its key.
 func TestEndsOfNodeConnections(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.Asked) scriptednode.Reaction {
+	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
 		_, kind, _ := strings.Cut(a.ID, "-") // the key is for the id, which is new with each try of the client's
 		kind, _, _ = strings.Cut(kind, "-")
 		return scriptednode.Reaction(kind)
@@ -34,7 +34,7 @@
 	}
 	sent := 0
 	for class, request := range classes {
-		for _, kind := range []scriptednode.Reaction{scriptednode.Reset, scriptednode.Half, scriptednode.Noise, scriptednode.Other, scriptednode.Surplus, scriptednode.Endless, scriptednode.Fail, scriptednode.Hang} {
+		for _, kind := range []scriptednode.Reaction{scriptednode.Reset, scriptednode.TruncatedAnswer, scriptednode.Garbage, scriptednode.OtherAnswer, scriptednode.DuplicateAnswer, scriptednode.EndlessValue, scriptednode.Fail, scriptednode.Hang} {
 			for i := range 3 {
 				id := fmt.Sprintf("%s-%s-%d", strings.ReplaceAll(class, " ", ""), kind, i)
 				u := f.connect()
@@ -42,11 +42,11 @@
 				sent++
 				switch got := u.line(); {
 				case strings.HasPrefix(got, "VA ") && strings.HasSuffix(got, " O"+id):
-					if u.line(); kind != scriptednode.Surplus && kind != scriptednode.Half {
+					if u.line(); kind != scriptednode.DuplicateAnswer && kind != scriptednode.TruncatedAnswer {
 						t.Errorf("%s: served", id)
 					}
 				case strings.HasPrefix(got, "HD O"+id):
-					if kind != scriptednode.Surplus && kind != scriptednode.Half {
+					if kind != scriptednode.DuplicateAnswer && kind != scriptednode.TruncatedAnswer {
 						t.Errorf("%s: served", id)
 					}
 				case !strings.HasPrefix(got, "SERVER_ERROR "):
@@ -58,9 +58,9 @@
 			}
 		}
 	}
-	testutil.Until(t, "nothing to be open", func() bool { return f.server.core.Open() == 0 })
+	testutil.WaitUntil(t, "nothing to be open", func() bool { return f.server.core.InFlight() == 0 })
 	times := make(map[string]int)
-	for _, a := range nodes.Asked() {
+	for _, a := range nodes.Requests() {
 		if times[a.ID]++; a.Class == "put" && a.Idempotency == "" {
 			t.Errorf("%s came without its key", a.ID)
 		}
@@ -85,12 +85,12 @@
 			c.serve()
 		})
 		f := startFleetWith(t, 256, once)
-		bodies := f.server.doors[0].host.Bodies.Free()
+		bodies := f.server.doors[0].host.BodyBudget.Available()
 		u := f.connect()
 		u.send("%s", request("x"))
-		testutil.Until(t, "the request to wait", func() bool { return f.server.core.Open() == 1 })
+		testutil.WaitUntil(t, "the request to wait", func() bool { return f.server.core.InFlight() == 1 })
 		leave(u.socket)
-		testutil.Until(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
+		testutil.WaitUntil(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
 		f.idle(t, bodies)
 		service := endpointlist.New([]endpointlist.Entry{{Name: "n", Address: address, Status: "up", Weight: 1}})
 		t.Cleanup(service.Close)
@@ -99,8 +99,8 @@
 			t.Fatal(err)
 		}
 		next := *f.server.config
-		next.Places = []discovery.Place{{Address: at}}
-		f.server.Follow(&next)
+		next.ListSources = []discovery.SourceConfig{{Address: at}}
+		f.server.ReloadSources(&next)
 		other := f.connect()
 		for i := 0; ; i++ {
 			if other.read(fmt.Sprint("other", i)); strings.HasPrefix(other.line(), "VA ") {
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -79,8 +79,8 @@
 // idle waits until nothing is open at the proxy and all budgets are whole.
 func (f *fleet) idle(t *testing.T, bodies int) {
 	t.Helper()
-	testutil.Until(t, "nothing to be open", func() bool { return f.server.core.Open() == 0 })
-	testutil.Until(t, "the bytes of bodies to be free", func() bool { return f.server.doors[0].host.Bodies.Free() == bodies })
+	testutil.WaitUntil(t, "nothing to be open", func() bool { return f.server.core.InFlight() == 0 })
+	testutil.WaitUntil(t, "the bytes of bodies to be free", func() bool { return f.server.doors[0].host.BodyBudget.Available() == bodies })
 }
 
 // ended passes the server's end on as a value.
@@ -106,24 +106,24 @@
 			<-goOn
 			c.serve()
 		}))
-		bodies := f.server.doors[0].host.Bodies.Free()
+		bodies := f.server.doors[0].host.BodyBudget.Available()
 		u := f.connect()
 		var text strings.Builder
 		for i := range sent {
 			text.WriteString(request(fmt.Sprint("x", i)))
 		}
 		u.send("%s", text.String())
-		testutil.Until(t, "as many as may be at work to be", func() bool {
+		testutil.WaitUntil(t, "as many as may be at work to be", func() bool {
 			f.server.mu.Lock()
 			defer f.server.mu.Unlock()
 			for c := range f.server.clients {
-				return c.Stalled()
+				return c.ReaderBlocked()
 			}
 			return false
 		})
 		testutil.Receive(t, "the first", arrived)
 		leave(u.socket)
-		testutil.Until(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
+		testutil.WaitUntil(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
 		close(goOn)
 		f.idle(t, bodies)
 		for _, id := range came.all() {
@@ -176,16 +176,16 @@
 				}
 				t.Cleanup(d.Close)
 				f := startFleetWith(t, 256, once, d.Address())
-				bodies := f.server.doors[0].host.Bodies.Free()
+				bodies := f.server.doors[0].host.BodyBudget.Available()
 				u := f.connect()
 				u.send("%s", request("x"))
-				testutil.Until(t, "the request to wait", func() bool { return f.server.core.Open() == 1 })
+				testutil.WaitUntil(t, "the request to wait", func() bool { return f.server.core.InFlight() == 1 })
 				if drain {
 					f.stop()
 					f.late()
 				}
 				leave(u.socket)
-				testutil.Until(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
+				testutil.WaitUntil(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
 				f.idle(t, bodies)
 				wrote := written(t, d)
 				if drain {
@@ -216,7 +216,7 @@
 			c.serve()
 		}
 	}))
-	bodies, answers := f.server.doors[0].host.Bodies.Free(), f.server.doors[0].host.Answers.Free()
+	bodies, answers := f.server.doors[0].host.BodyBudget.Available(), f.server.doors[0].host.AnswerBudget.Available()
 	usual := f.connect()
 	usual.read("warm")
 	usual.expectValue("warm")
@@ -267,9 +267,9 @@
 			t.Fatalf("the usual client was answered %q", got)
 		}
 	}
-	testutil.Until(t, "the places to be free", func() bool { n, _ := f.server.Load(); return n <= 1 })
+	testutil.WaitUntil(t, "the places to be free", func() bool { n, _ := f.server.Load(); return n <= 1 })
 	f.idle(t, bodies)
-	testutil.Until(t, "the bytes of answers to be free", func() bool { return f.server.doors[0].host.Answers.Free() == answers })
+	testutil.WaitUntil(t, "the bytes of answers to be free", func() bool { return f.server.doors[0].host.AnswerBudget.Available() == answers })
 	// Connections to the node come and go by themselves; there are no more than it takes of one proxy.
-	testutil.Until(t, "the descriptors to be free", func() bool { return descriptors() <= before+2*f.server.config.Upstream.PerNode })
+	testutil.WaitUntil(t, "the descriptors to be free", func() bool { return descriptors() <= before+2*f.server.config.Upstream.MaxPerNode })
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -332,7 +332,7 @@
 		}
 		c.answer("VA %d O%s h1\r\n%s\r\n", len(value), c.id, value)
 	}))
-	f.server.doors[0].host.Answers.Try(f.server.doors[0].host.Answers.Free() - 150000)
+	f.server.doors[0].host.AnswerBudget.TryAcquire(f.server.doors[0].host.AnswerBudget.Available() - 150000)
 	u := f.connect()
 	u.read("slow")
 	<-waiting
@@ -340,7 +340,7 @@
 		u.read(fmt.Sprint(i))
 	}
 	other := f.connect() // its turn comes when the three before it are answered
-	for f.server.doors[0].host.Answers.Free() > 60000 {
+	for f.server.doors[0].host.AnswerBudget.Available() > 60000 {
 		other.send("mn\r\n")
 		other.expect("MN")
 	}
@@ -359,7 +359,7 @@
 	}
 	u.send("mn\r\n")
 	u.expect("MN")
-	if free := f.server.doors[0].host.Answers.Free(); free != 150000 {
+	if free := f.server.doors[0].host.AnswerBudget.Available(); free != 150000 {
 		t.Errorf("%d bytes of 150000 free when all is written", free)
 	}
 }
@@ -469,5 +469,5 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return ReadConfig(func(name string) string { return map[string]string{"GW_CONFIG": path}[name] })
+	return ReadPlatformConfig(func(name string) string { return map[string]string{"GW_CONFIG": path}[name] })
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -31,7 +31,7 @@
 	// After the deadlines of what is open, in a drain that was shortened, it is given up; so much later all clients are cut.
 	endTime = 50 * time.Millisecond
 	// Idle and stuck clients are looked for so often.
-	sweepTime = 50 * time.Millisecond // still.Usual.Tick
+	sweepTime = 50 * time.Millisecond // pause.DefaultLimits.Tick
 	// A connection that has idled for less is not closed to make room.
 	idleLeast = 100 * time.Millisecond
 	// One part in so many of all places is kept for clients that idle.
@@ -41,7 +41,7 @@
 // Server is a proxy at work.
 type Server struct {
 	core   *core.Core
-	binary *binary.Front
+	binary *binary.Frontend
 	config *Config // in force; written by Reload only
 	log    *slog.Logger
 	most   int // clients
@@ -91,17 +91,17 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{core: core, config: config, log: log, most: config.Clients, memory: config.Memory, clients: make(map[*frontend.Conn]struct{}),
+	s := &Server{core: core, config: config, log: log, most: config.MaxClients, memory: config.MemoryBytes, clients: make(map[*frontend.Conn]struct{}),
 		longest: longestDeadline(&config.Policy)}
 	s.changed.L = &s.mu
 	s.begun = time.Now()
 	s.binary = binary.New(s.stats)
-	s.binary.Put(config.binaryRules())
-	bodies, answers := frontend.NewBudget(config.BodyBytes), frontend.NewBudget(config.AnswerBytes)
+	s.binary.SetRules(config.binaryRules())
+	bodies, answers := frontend.NewBudget(config.RequestBudgetBytes), frontend.NewBudget(config.ResponseBudgetBytes)
 	open := func(address string, listener *net.TCPListener, session func(*frontend.Host, *frontend.Conn, byte) frontend.Session) error {
 		d := &door{TCPListener: listener, shared: listener != nil}
-		d.host = &frontend.Host{Core: core, Bodies: bodies, Answers: answers, Stats: s.stats}
-		d.host.Session = func(c *frontend.Conn, first byte) frontend.Session { return session(d.host, c, first) }
+		d.host = &frontend.Host{Core: core, BodyBudget: bodies, AnswerBudget: answers, Stats: s.stats}
+		d.host.NewSession = func(c *frontend.Conn, first byte) frontend.Session { return session(d.host, c, first) }
 		if !d.shared {
 			lc := net.ListenConfig{KeepAlive: -1}
 			opened, err := lc.Listen(context.Background(), "tcp", address)
@@ -115,14 +115,14 @@
 	}
 	own := config.binaryListen()
 	err = open(config.Listen, listener, func(host *frontend.Host, c *frontend.Conn, first byte) frontend.Session {
-		if first == codec.RequestMagic && own == "" && s.binary.On() {
-			return s.binary.Session(host, c, MainListener)
+		if first == codec.RequestMagic && own == "" && s.binary.Enabled() {
+			return s.binary.NewSession(host, c, MainListener)
 		}
-		return meta.New(host, c)
+		return meta.NewSession(host, c)
 	})
 	if err == nil && own != "" {
 		err = open(own, nil, func(host *frontend.Host, c *frontend.Conn, _ byte) frontend.Session {
-			return s.binary.Session(host, c, BinaryListener)
+			return s.binary.NewSession(host, c, BinaryListener)
 		})
 	}
 	if err != nil {
@@ -139,15 +139,15 @@
 // Core is what decides on requests.
 func (s *Server) Core() *core.Core { return s.core }
 
-// Known is closed once the source has told its list of nodes.
-func (s *Server) Known() <-chan struct{} { return s.core.Known() }
+// EndpointListReady is closed once the source has told its list of nodes.
+func (s *Server) EndpointListReady() <-chan struct{} { return s.core.ListReceived() }
 
-// Serves tells whether requests can be served: a node is there, and no drain has begun.
-func (s *Server) Serves() bool {
+// CanServe tells whether requests can be served: a node is there, and no drain has begun.
+func (s *Server) CanServe() bool {
 	s.mu.Lock()
 	draining := s.draining
 	s.mu.Unlock()
-	return !draining && s.core.Serves()
+	return !draining && s.core.HasServingNodes()
 }
 
 // Load counts the connections of clients and the requests that are open.
@@ -155,7 +155,7 @@
 	s.mu.Lock()
 	clients = len(s.clients)
 	s.mu.Unlock()
-	return clients, s.core.Open()
+	return clients, s.core.InFlight()
 }
 
 // stats are the figures that a client may ask for: those of a kind, or the usual ones for
@@ -166,9 +166,9 @@
 		clients, open := s.Load()
 		return []core.Stat{{Name: "uptime", Value: strconv.Itoa(int(time.Since(s.begun).Seconds()))},
 			{Name: "curr_connections", Value: strconv.Itoa(clients)}, {Name: "open_requests", Value: strconv.Itoa(open)},
-			{Name: "service_level", Value: strconv.Itoa(int(s.core.Level()))}}
+			{Name: "service_level", Value: strconv.Itoa(int(s.core.OverloadLevel()))}}
 	case "service":
-		return s.core.ServiceStats()
+		return s.core.OverloadStats()
 	}
 	return nil
 }
@@ -184,21 +184,21 @@
 	return s.doors[1].Addr()
 }
 
-// Follow takes of a new configuration what the platform changes in service: the
+// ReloadSources takes of a new configuration what the platform changes in service: the
 // place of the list. What else differs is named in the log and waits for a
 // restart. Calls of it and of Reload must not overlap.
-func (s *Server) Follow(next *Config) {
-	if changed := s.config.Fixed(next); len(changed) > 0 {
+func (s *Server) ReloadSources(next *Config) {
+	if changed := s.config.ChangesNeedingRestart(next); len(changed) > 0 {
 		s.log.Warn("reload: these wait for a restart", "changed", changed)
 	}
-	s.log.Info("reloaded", "discovery", next.Places[0].String())
+	s.log.Info("reloaded", "discovery", next.ListSources[0].String())
 	in := *s.config
-	in.Places = next.Places
+	in.ListSources = next.ListSources
 	s.put(&in)
 }
 
-// ErrFixed is the error of a reload that would change what can't change in service.
-var ErrFixed = errors.New("these cannot change in service")
+// ErrNeedsRestart is the error of a reload that would change what can't change in service.
+var ErrNeedsRestart = errors.New("these cannot change in service")
 
 // Reload puts a new configuration into force: all of it, or nothing and the
 // error says why. A request that was taken before ends under the rules that it
@@ -216,15 +216,15 @@
 		{"binary.nodes", strings.Join(now.BinaryNodes.Names, ","), strings.Join(next.BinaryNodes.Names, ",")},
 		{"binary.types", strings.Join(now.BinaryNodes.Types, ","), strings.Join(next.BinaryNodes.Types, ",")},
 		{"limits.cores", now.Cores, next.Cores},
-		{"limits.memory_mb", now.Memory >> 20, next.Memory >> 20},
-		{"limits.sockets", now.Sockets, next.Sockets},
+		{"limits.memory_mb", now.MemoryBytes >> 20, next.MemoryBytes >> 20},
+		{"limits.sockets", now.MaxDescriptors, next.MaxDescriptors},
 	} {
 		if x.now != x.new {
 			fixed = append(fixed, fmt.Sprintf("%s (in force %v, asked for %v)", x.name, x.now, x.new))
 		}
 	}
 	if len(fixed) > 0 {
-		return fmt.Errorf("%w: %s", ErrFixed, strings.Join(fixed, ", "))
+		return fmt.Errorf("%w: %s", ErrNeedsRestart, strings.Join(fixed, ", "))
 	}
 	if err := s.core.Reconfigure(&next.Config); err != nil {
 		return err
@@ -233,17 +233,17 @@
 	// Requests under the old rules may be open for as long as those allow.
 	s.longest = max(s.longest, longestDeadline(&next.Policy))
 	s.mu.Unlock()
-	s.binary.Put(next.binaryRules())
+	s.binary.SetRules(next.binaryRules())
 	s.put(next)
 	return nil
 }
 
 // put makes next the configuration in force, and follows its list.
 func (s *Server) put(next *Config) {
-	moved := !slices.Equal(next.Places, s.config.Places)
+	moved := !slices.Equal(next.ListSources, s.config.ListSources)
 	s.config = next
 	if moved {
-		s.core.Move(next.Places)
+		s.core.SetListSources(next.ListSources)
 	}
 }
 
@@ -330,9 +330,9 @@
 	return true
 }
 
-// Hurry shortens a drain: no more is taken, and Serve returns when the deadline of
+// ShortenDrain shortens a drain: no more is taken, and Serve returns when the deadline of
 // what is open now has passed, at the latest.
-func (s *Server) Hurry() {
+func (s *Server) ShortenDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.hurried {
@@ -346,10 +346,10 @@
 		s.full.Reset(0)
 	}
 	for c := range s.clients {
-		c.Hurry()
+		c.DrainNow()
 	}
 	if s.late != nil {
-		s.late.Reset(s.core.OpenFor() + endTime)
+		s.late.Reset(s.core.LongestRemaining() + endTime)
 	}
 }
 
@@ -359,7 +359,7 @@
 		socket, err := d.take(s.core.Now)
 		switch {
 		case err == nil:
-			<-s.core.Awake() // for as long as sends are held, which is bounded
+			<-s.core.Resumed() // for as long as sends are held, which is bounded
 			s.admit(d, socket)
 		case endsAccepting(err):
 			return
@@ -422,7 +422,7 @@
 
 // sweep closes clients that hold a place for nothing, time and again.
 func (s *Server) sweep(ctx context.Context) {
-	tick, samples := time.NewTicker(sweepTime), time.NewTicker(core.ServiceTick)
+	tick, samples := time.NewTicker(sweepTime), time.NewTicker(core.OverloadSampleInterval)
 	defer tick.Stop()
 	defer samples.Stop()
 	for {
@@ -430,9 +430,9 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			s.core.Tick()
+			s.core.CheckClocks()
 			for _, c := range s.tidy(now) {
-				c.Left()
+				c.Disconnected()
 			}
 		case <-samples.C:
 			s.sample()
@@ -448,7 +448,7 @@
 	s.mu.Lock()
 	clients := len(s.clients)
 	s.mu.Unlock()
-	s.core.Sample(memory, float64(clients)/float64(s.most))
+	s.core.SampleOverload(memory, float64(clients)/float64(s.most))
 }
 
 // tidy closes clients that have idled for long, and gives up those that have
@@ -457,14 +457,14 @@
 // request and then hold it would fill the places of all, here or at their own
 // end, and makeRoom frees only as many as come. It should cover fronts and
 // pools with a limit of their own as well. It costs a connection anew where more
-// clients than that come back within front.IdleTime.
+// clients than that come back within frontend.IdleTimeout.
 //
 // Where handovers go first, half as many idle: a place that is free takes one at once.
 //
 // It returns those whose readers would not notice that they leave.
 func (s *Server) tidy(now time.Time) (stalled []*frontend.Conn) {
 	kept := s.most / idlePart
-	if s.core.Level() >= overload.Handovers {
+	if s.core.OverloadLevel() >= overload.Handovers {
 		kept /= 2
 	}
 	s.mu.Lock()
@@ -474,14 +474,14 @@
 		since  time.Time
 	}
 	var idlers []idler
-	woke := s.core.At(s.core.Gap().To) // nobody was stuck in a stop of ours
+	woke := s.core.WallTime(s.core.LastPause().End) // nobody was stuck in a stop of ours
 	for c := range s.clients {
-		if c.Stalled() {
+		if c.ReaderBlocked() {
 			stalled = append(stalled, c)
 		}
-		if at := c.StuckSince(); !at.IsZero() && now.Sub(woke) > s.longest && now.Sub(at) > s.longest {
+		if at := c.WriteBlockedSince(); !at.IsZero() && now.Sub(woke) > s.longest && now.Sub(at) > s.longest {
 			c.Close("takes no answer")
-		} else if at, idle := c.IdleSince(); idle && now.Sub(at) > frontend.IdleTime {
+		} else if at, idle := c.IdleSince(); idle && now.Sub(at) > frontend.IdleTimeout {
 			c.CloseIdle()
 		} else if idle {
 			idlers = append(idlers, idler{c, at})
@@ -499,7 +499,7 @@
 // deadline and 0.7 s after it was told; where it is held up time and again, both the word and the end of the
 // wait may come late by as much. What is taken last has a little less than its time.
 func (s *Server) drainTime() time.Duration {
-	return time.Until(s.told.Add(acceptTime+s.longest)) - 2*s.core.WorstPause()
+	return time.Until(s.told.Add(acceptTime+s.longest)) - 2*s.core.WorstStall()
 }
 
 // drain closes all clients between requests, and waits for those at work.
@@ -507,13 +507,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.clients {
-		if c.End(); s.hurried {
-			c.Hurry()
+		if c.Drain(); s.hurried {
+			c.DrainNow()
 		}
 	}
 	wait := s.drainTime()
 	if s.hurried {
-		wait = s.core.OpenFor() + endTime
+		wait = s.core.LongestRemaining() + endTime
 	}
 	// What can't be finished by then is answered all the same, and a moment is left to write that.
 	cut := time.AfterFunc(time.Hour, func() {
@@ -525,7 +525,7 @@
 	})
 	defer cut.Stop()
 	s.late = time.AfterFunc(wait, func() {
-		s.core.GiveUp()
+		s.core.AbortAll()
 		cut.Reset(endTime)
 	})
 	defer s.late.Stop()
--- a/internal/proxy/service_test.go
+++ b/internal/proxy/service_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	socket.SetDeadline(time.Now().Add(testutil.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Timeout))
 	fmt.Fprintf(socket, "stats %s\r\n", kind)
 	figures := make(map[string]string)
 	for in := bufio.NewReader(socket); ; {
@@ -63,27 +63,27 @@
 		if got["service_level"] != "3" || got["service_pinned"] != "true" || got["service_changes"] != "1" {
 			t.Fatalf("pinned: %v", got)
 		}
-		var r overload.Record
+		var r overload.Transition
 		if err := json.Unmarshal([]byte(got["service_change_0"]), &r); err != nil || r.From != "full" || r.To != "handovers" || r.Cause != "pin" || !r.Pinned {
 			t.Errorf("record %+v, error %v", r, err)
 		}
 	}
 	l := g.dial()
-	l.send(rawclient.AppendKeyed(nil, codec.Stat, "service", 7))
+	l.send(rawclient.AppendKeyOnly(nil, codec.Stat, "service", 7))
 	told := make(map[string]string)
 	for {
 		r := l.next(codec.OK, 7)
-		if r.Key == 0 {
+		if r.KeyLen == 0 {
 			break
 		}
-		told[r.Name] = r.Value
+		told[r.KeyText] = r.Value
 	}
 	if told["service_name"] != "handovers" {
 		t.Errorf("to a binary client: %v", told)
 	}
-	l.send(rawclient.AppendKeyed(nil, codec.Stat, "nothing", 8))
+	l.send(rawclient.AppendKeyOnly(nil, codec.Stat, "nothing", 8))
 	l.next(codec.NotFound, 8)
-	testutil.Until(t, "the pin's end", func() bool { return stats(t, g.server.Address(), "service")["service_level"] == "0" })
+	testutil.WaitUntil(t, "the pin's end", func() bool { return stats(t, g.server.Address(), "service")["service_level"] == "0" })
 	if time.Now().Before(until) {
 		t.Errorf("the pin ended %v early", time.Until(until))
 	}
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	socket.SetDeadline(time.Now().Add(testutil.Patience))
+	socket.SetDeadline(time.Now().Add(testutil.Timeout))
 	in := bufio.NewReader(socket)
 	for _, line := range []string{"stats load", "stats a b", "stats " + strings.Repeat("x", 300)} {
 		fmt.Fprintf(socket, "%s\r\n", line)
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -20,7 +20,7 @@
 // and back. Each has the same first node and another second one, so a move shows; no
 // request is lost, and what only the old source had gets nothing once the new one has told.
 func TestReloadBetweenSources(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve })
+	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Serve })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,13 +52,13 @@
 	platform := fmt.Sprintf("[nodes]\ndiscovery = %q\n", at)
 	catalogue := fmt.Sprintf("[nodes]\nconsul = %q\n[consul]\nservice = \"cache\"\n", agent.Address())
 	g := startWith(t, platform)
-	testutil.Receive(t, "the first list", closed(g.server.Known()))
+	testutil.Receive(t, "the first list", closed(g.server.EndpointListReady()))
 	var stop atomic.Bool
 	var served, refused atomic.Int64
 	var clients sync.WaitGroup
 	for i := range 4 {
 		clients.Go(func() {
-			l, err := rawclient.Dial(scriptednode.Meta, g.server.Address().String(), 2*testutil.Patience)
+			l, err := rawclient.Dial(scriptednode.Meta, g.server.Address().String(), 2*testutil.Timeout)
 			if err != nil {
 				t.Error(err)
 				return
@@ -84,11 +84,11 @@
 	more := func() {
 		t.Helper()
 		before := served.Load()
-		testutil.Until(t, "requests to be served", func() bool { return served.Load() > before+500 })
+		testutil.WaitUntil(t, "requests to be served", func() bool { return served.Load() > before+500 })
 	}
 	// last returns when a node was last asked.
 	last := func(node int) (at time.Time) {
-		for _, a := range nodes.Asked() {
+		for _, a := range nodes.Requests() {
 			if a.Node == node {
 				at = a.At
 			}
@@ -105,7 +105,7 @@
 			if err := g.server.Reload(g.config(k.to).Proxy); err != nil {
 				t.Fatal(err)
 			}
-			testutil.Until(t, "the new source's node to be asked", func() bool { return last(k.new).After(moved) })
+			testutil.WaitUntil(t, "the new source's node to be asked", func() bool { return last(k.new).After(moved) })
 			// Nothing new half a second after the list was in force.
 			time.Sleep(500 * time.Millisecond)
 			quiet := time.Now()
@@ -135,7 +135,7 @@
 // TestListsThatCollapse plays at the sockets what membership decides of an agent whose
 // list is empty for a moment and for good, and of one that truly loses most of its nodes.
 func TestListsThatCollapse(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 4, func(int, scriptednode.Asked) scriptednode.Reaction { return scriptednode.Serve })
+	nodes, err := scriptednode.Start(scriptednode.Meta, 4, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Serve })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,13 +153,13 @@
 	}
 	t.Cleanup(agent.Close)
 	g := startWith(t, fmt.Sprintf("[nodes]\nconsul = %q\n[consul]\nservice = \"cache\"\n[consul.list]\nfailing_time = \"2s\"\n", agent.Address()))
-	testutil.Receive(t, "the first list", closed(g.server.Known()))
-	l, err := rawclient.Dial(scriptednode.Meta, g.server.Address().String(), 4*testutil.Patience)
+	testutil.Receive(t, "the first list", closed(g.server.EndpointListReady()))
+	l, err := rawclient.Dial(scriptednode.Meta, g.server.Address().String(), 4*testutil.Timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Socket.Close()
-	ask := func(key string) request.Kind {
+	ask := func(key string) request.AnswerKind {
 		t.Helper()
 		if err := l.Read(key); err != nil {
 			t.Fatal(err)
@@ -181,18 +181,18 @@
 	}
 	steady(300 * time.Millisecond)
 	queries, _, _ := agent.Stats()
-	agent.Fail(consul.Empty)
-	testutil.Until(t, "the empty list to be told, and looked at again", func() bool {
+	agent.SetFault(consul.EmptyList)
+	testutil.WaitUntil(t, "the empty list to be told, and looked at again", func() bool {
 		_, looks, _ := agent.Stats()
 		return looks > 0
 	})
 	steady(time.Second)
-	agent.Fail(consul.Well)
+	agent.SetFault(consul.NoFault)
 	steady(2500 * time.Millisecond) // past the time of the doubt, which is over
-	agent.Fail(consul.Empty)
-	testutil.Until(t, "an empty list to be believed after all", func() bool { return ask("k") == request.Busy })
-	agent.Fail(consul.Well)
-	testutil.Until(t, "the nodes to be back", func() bool { return ask("k") == request.Value })
+	agent.SetFault(consul.EmptyList)
+	testutil.WaitUntil(t, "an empty list to be believed after all", func() bool { return ask("k") == request.Busy })
+	agent.SetFault(consul.NoFault)
+	testutil.WaitUntil(t, "the nodes to be back", func() bool { return ask("k") == request.Value })
 	if now, _, _ := agent.Stats(); now <= queries {
 		t.Error("the agent was never asked")
 	}
@@ -201,14 +201,14 @@
 		c.Remove("host", fmt.Sprint("n", i))
 	}
 	var told time.Time
-	testutil.Until(t, "the agent to have written it", func() bool {
+	testutil.WaitUntil(t, "the agent to have written it", func() bool {
 		ask("k")
-		at, ok := agent.Wrote("host", "n0")
+		at, ok := agent.LeavingWrittenAt("host", "n0")
 		told = at
 		return ok
 	})
 	steady(time.Until(told.Add(time.Second)))
-	for _, a := range nodes.Asked() {
+	for _, a := range nodes.Requests() {
 		if by := a.At.Sub(told); a.Node < 3 && by > 550*time.Millisecond {
 			t.Fatalf("node %d was asked %v after the agent had written that it is gone", a.Node, by)
 		}
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -27,62 +27,62 @@
 
 // Request is a client's request.
 type Request struct {
-	Verb        Verb
-	Key         string
-	ID          string // of this try, never again; tells its answer from others
-	Value       []byte // of a Set
-	Class       string
-	Tenant      string
-	Idempotency string        // "" for none
-	Wait        time.Duration // how long the client waits; negative if it did not say
-	Age         pause.Age     // when its last byte may have come, by the core's clock; zero for just now
-	Retry       bool          // marked by the client as a repetition
-	Flags       uint32        // of a Set: kept with the value by nodes whose dialect has room for it
-	Changes     bool          // set by the core: a repeat may do harm, as the settings have its class
-	Serial      uint32        // set by the core: tells answers apart where a dialect has no room for the id
-	Room        int           // bytes that the client's front puts before a value, at the most
-	Raw         Raw
+	Verb           Verb
+	Key            string
+	ID             string // of this try, never again; tells its answer from others
+	Value          []byte // of a Set
+	Class          string
+	Tenant         string
+	IdempotencyKey string        // "" for none
+	Timeout        time.Duration // how long the client waits; negative if it did not say
+	Arrival        pause.Arrival // when its last byte may have come, by the core's clock; zero for just now
+	Retry          bool          // marked by the client as a repetition
+	Flags          uint32        // of a Set: kept with the value by nodes whose dialect has room for it
+	SideEffects    bool          // set by the core: a repeat may do harm, as the settings have its class
+	Serial         uint32        // set by the core: tells answers apart where a dialect has no room for the id
+	HeaderRoom     int           // bytes that the client's front puts before a value, at the most
+	Raw            RawLine
 }
 
-// Raw is a request's line as its client wrote it, with the place of the figure that
+// RawLine is a request's line as its client wrote it, with the place of the figure that
 // tells the client's wait, or where it would go. It is empty for requests of
 // dialects that have no such line.
-type Raw struct {
-	Line       string
-	From, To   int
-	InsertWait bool // there is no such figure yet
+type RawLine struct {
+	Line                     string
+	TimeoutStart, TimeoutEnd int
+	InsertTimeout            bool // there is no such figure yet
 }
 
-// Kind is the kind of an answer.
-type Kind uint8
+// AnswerKind is the kind of an answer.
+type AnswerKind uint8
 
 // The kinds of answers. A node gives all but Bad, which is a front's or the
 // core's to a request that can't be meant.
 const (
-	Value   Kind = iota // a read's value
-	Stored              // a write's receipt
-	Busy                // refused: trying again is harmless
-	Failed              // it may have run
-	Missing             // a read found that there is no such key
-	Bad                 // never sent on
+	Value    AnswerKind = iota // a read's value
+	Stored                     // a write's receipt
+	Busy                       // refused: trying again is harmless
+	Failed                     // it may have run
+	NotFound                   // a read found that there is no such key
+	Invalid                    // never sent on
 )
 
-var kindNames = [...]string{Value: "value", Stored: "stored", Busy: "busy", Failed: "failed", Missing: "missing", Bad: "bad"}
+var kindNames = [...]string{Value: "value", Stored: "stored", Busy: "busy", Failed: "failed", NotFound: "missing", Invalid: "bad"}
 
 // String returns the kind as logs have it.
-func (k Kind) String() string { return kindNames[k] }
+func (k AnswerKind) String() string { return kindNames[k] }
 
 // Answer is the answer to a request.
 type Answer struct {
-	Kind    Kind
-	Receipt string        // of Stored
-	After   time.Duration // of Busy: when to come again, 0 for no advice
-	Reason  string        // of Bad
-	Flags   uint32        // of Value
-	Hit     bool          // the node had a copy
-	Miss    bool          // it had none
-	Shared  bool          // another fetch of the key was out
-	Load    []byte        // the node's load report; nil for none
+	Kind       AnswerKind
+	Receipt    string        // of Stored
+	RetryAfter time.Duration // of Busy: when to come again, 0 for no advice
+	Reason     string        // of Bad
+	Flags      uint32        // of Value
+	Hit        bool          // the node had a copy
+	Miss       bool          // it had none
+	Coalesced  bool          // another fetch of the key was out
+	LoadReport []byte        // the node's load report; nil for none
 
 	buf      []byte
 	from, to int
@@ -91,9 +91,9 @@
 // tailRoom is what a value's buffer has behind it.
 const tailRoom = 2
 
-// NewValue makes room for a value of so many bytes, and for a frame round it. What
+// AllocateValue makes room for a value of so many bytes, and for a frame round it. What
 // it returns is to be filled.
-func (a *Answer) NewValue(room, size int) []byte {
+func (a *Answer) AllocateValue(room, size int) []byte {
 	a.Kind, a.buf, a.from, a.to = Value, make([]byte, room+size+tailRoom), room, room+size
 	return a.Value()
 }
@@ -102,11 +102,11 @@
 func (a *Answer) Value() []byte { return a.buf[a.from:a.to:a.to] }
 
 // Tail returns the room behind a value, two bytes: a reader whose dialect ends
-// values with as much may read it in one go, see [Answer.Whole].
+// values with as much may read it in one go, see [Answer.ValueAndTail].
 func (a *Answer) Tail() []byte { return a.buf[a.to:] }
 
-// Whole returns a value with the room behind it.
-func (a *Answer) Whole() []byte { return a.buf[a.from:] }
+// ValueAndTail returns a value with the room behind it.
+func (a *Answer) ValueAndTail() []byte { return a.buf[a.from:] }
 
 // Frame puts a head before the value and a tail of two bytes at most behind it, in place
 // where there is room, and returns all of it. It is called once.
@@ -120,5 +120,5 @@
 	return a.buf[start : a.to+n]
 }
 
-// Size is the length of a read's value in bytes.
-func (a *Answer) Size() int { return a.to - a.from }
+// ValueLen is the length of a read's value in bytes.
+func (a *Answer) ValueLen() int { return a.to - a.from }
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -13,7 +13,7 @@
 		inPlace    bool
 	}{{10, "head ", "\r\n", true}, {5, "head ", "\r\n", true}, {4, "head ", "\r\n", false}, {10, "", "", true}, {10, "h", "long", false}} {
 		var a Answer
-		copy(a.NewValue(c.room, 5), "value")
+		copy(a.AllocateValue(c.room, 5), "value")
 		before := &a.Value()[0]
 		got := a.Frame([]byte(c.head), []byte(c.tail))
 		if string(got) != c.head+"value"+c.tail {
@@ -27,8 +27,8 @@
 
 func TestWholeValueIsReadWithItsEnd(t *testing.T) {
 	var a Answer
-	a.NewValue(3, 2)
-	if n := copy(a.Whole(), "hi\r\n"); n != 4 || string(a.Value()) != "hi" || string(a.Tail()) != "\r\n" || a.Size() != 2 {
+	a.AllocateValue(3, 2)
+	if n := copy(a.ValueAndTail(), "hi\r\n"); n != 4 || string(a.Value()) != "hi" || string(a.Tail()) != "\r\n" || a.ValueLen() != 2 {
 		t.Errorf("%d read, value %q, tail %q", n, a.Value(), a.Tail())
 	}
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -25,10 +25,10 @@
 // The verbs of rules. Reads and writes are never fitted by one rule: what is safe to
 // repeat for the one is not for the other.
 const (
-	Reads    Verb = iota
-	Writes        // of both kinds
-	Ticketed      // writes that bring a ticket, and so can be told from their repeats
-	Plain         // writes that bring none
+	Reads      Verb = iota
+	Writes          // of both kinds
+	Ticketed        // writes that bring a ticket, and so can be told from their repeats
+	Unticketed      // writes that bring none
 )
 
 // Rule routes the requests that fit all it names; what is empty fits all.
@@ -38,17 +38,17 @@
 	Listener string // name of the listener that the client came to
 	User     string // that the client has proved to be
 
-	Class  string
-	Tenant string
-	Wait   time.Duration // 0 for the class's deadline
+	Class   string
+	Tenant  string
+	Timeout time.Duration // 0 for the class's deadline
 }
 
 // Class is what the table must know of a class.
 type Class struct {
-	Deadline time.Duration
-	Safe     bool          // to repeat: fit for reads
-	Window   time.Duration // in which nodes drop repeats; 0 for a class that is not keyed
-	Parts    bool          // nodes drop them only among those of one zone or cell
+	Deadline     time.Duration
+	Idempotent   bool          // to repeat: fit for reads
+	DedupWindow  time.Duration // in which nodes drop repeats; 0 for a class that is not keyed
+	PartialDedup bool          // nodes drop them only among those of one zone or cell
 }
 
 // Table is a routing table. It is not changed after New, and safe for concurrent use.
@@ -68,21 +68,21 @@
 		switch {
 		case !known:
 			wrong(i, "class cannot be %q: want a class that there is", r.Class)
-		case !class.Safe && r.Verb == Reads:
+		case !class.Idempotent && r.Verb == Reads:
 			wrong(i, "class cannot be %q: reads want a class that is safe to repeat; or name another verb", r.Class)
-		case class.Window == 0 && r.Verb == Ticketed:
+		case class.DedupWindow == 0 && r.Verb == Ticketed:
 			wrong(i, "class cannot be %q: ticketed writes want a keyed class", r.Class)
-		case class.Window > 0 && r.Verb == Plain:
+		case class.DedupWindow > 0 && r.Verb == Unticketed:
 			wrong(i, "class cannot be %q: plain writes have no key, and want a class that is not keyed", r.Class)
-		case class.Parts && r.Verb != Reads:
+		case class.PartialDedup && r.Verb != Reads:
 			// A till repeats at any proxy, which knows nothing of where the first try went.
 			wrong(i, "class cannot be %q: its nodes drop repeats in parts only, and a client's repeat may come to any", r.Class)
-		case class.Window > 0 && class.Window <= 2*ticket.Margin:
-			wrong(i, "class cannot be %q: its window of %v leaves a ticket no life; want more than %v", r.Class, class.Window, 2*ticket.Margin)
-		case r.Wait < 0 || r.Wait > class.Deadline:
-			wrong(i, "wait cannot be %v: want no more than the deadline of class %s, %v", r.Wait, r.Class, class.Deadline)
-		case r.Wait == 0:
-			r.Wait = class.Deadline
+		case class.DedupWindow > 0 && class.DedupWindow <= 2*ticket.Margin:
+			wrong(i, "class cannot be %q: its window of %v leaves a ticket no life; want more than %v", r.Class, class.DedupWindow, 2*ticket.Margin)
+		case r.Timeout < 0 || r.Timeout > class.Deadline:
+			wrong(i, "wait cannot be %v: want no more than the deadline of class %s, %v", r.Timeout, r.Class, class.Deadline)
+		case r.Timeout == 0:
+			r.Timeout = class.Deadline
 		}
 		switch {
 		case len(tenants) > 0 && !tenants[r.Tenant]:
@@ -122,11 +122,11 @@
 	case ticketed:
 		asked.Verb = Ticketed
 	default:
-		asked.Verb = Plain
+		asked.Verb = Unticketed
 	}
 	for i := range t.rules {
 		if rule := &t.rules[i]; rule.covers(&asked) {
-			r.Class, r.Tenant, r.Wait = rule.Class, rule.Tenant, rule.Wait
+			r.Class, r.Tenant, r.Timeout = rule.Class, rule.Tenant, rule.Timeout
 			return true
 		}
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,14 +10,14 @@
 )
 
 var (
-	classes = map[string]Class{"read": {Deadline: 2 * time.Second, Safe: true}, "put": {Deadline: 2500 * time.Millisecond},
-		"keyed": {Deadline: 2500 * time.Millisecond, Window: 1500 * time.Millisecond}, "brief": {Deadline: time.Second, Window: 400 * time.Millisecond}}
+	classes = map[string]Class{"read": {Deadline: 2 * time.Second, Idempotent: true}, "put": {Deadline: 2500 * time.Millisecond},
+		"keyed": {Deadline: 2500 * time.Millisecond, DedupWindow: 1500 * time.Millisecond}, "brief": {Deadline: time.Second, DedupWindow: 400 * time.Millisecond}}
 	tenants = map[string]bool{"north": true, "south": true}
 )
 
 func TestFirstRuleThatFitsDecides(t *testing.T) {
 	table, err := New([]Rule{
-		{Prefix: "order:", User: "till", Verb: Reads, Class: "read", Tenant: "south", Wait: time.Second},
+		{Prefix: "order:", User: "till", Verb: Reads, Class: "read", Tenant: "south", Timeout: time.Second},
 		{Prefix: "order:", Verb: Reads, Class: "read", Tenant: "north"},
 		{Prefix: "done:", Verb: Writes, Class: "put", Tenant: "north"},
 		{Listener: "old", Class: "read", Tenant: "south"},
@@ -45,8 +45,8 @@
 		{request.Set, "till:7", Client{}, "put", "south", 2500 * time.Millisecond},
 	} {
 		r := request.Request{Verb: c.verb, Key: c.key}
-		if ok := table.Route(&r, false, c.from); ok != (c.class != "") || r.Class != c.class || r.Tenant != c.tenant || r.Wait != c.wait {
-			t.Errorf("%+v: routed %v to %s, %s, %v", c, ok, r.Class, r.Tenant, r.Wait)
+		if ok := table.Route(&r, false, c.from); ok != (c.class != "") || r.Class != c.class || r.Tenant != c.tenant || r.Timeout != c.wait {
+			t.Errorf("%+v: routed %v to %s, %s, %v", c, ok, r.Class, r.Tenant, r.Timeout)
 		}
 	}
 }
@@ -55,13 +55,13 @@
 	for want, rules := range map[string][]Rule{
 		`route[0].class cannot be "none"`:                                               {{Class: "none", Tenant: "north"}},
 		`route[0].class cannot be "put": reads want`:                                    {{Class: "put", Tenant: "north"}},
-		`route[0].wait cannot be 3s`:                                                    {{Class: "read", Tenant: "north", Wait: 3 * time.Second}},
-		`route[0].wait cannot be -1s`:                                                   {{Class: "read", Tenant: "north", Wait: -time.Second}},
+		`route[0].wait cannot be 3s`:                                                    {{Class: "read", Tenant: "north", Timeout: 3 * time.Second}},
+		`route[0].wait cannot be -1s`:                                                   {{Class: "read", Tenant: "north", Timeout: -time.Second}},
 		`route[0].tenant cannot be ""`:                                                  {{Class: "read"}},
 		`route[0].class cannot be "put": ticketed`:                                      {{Verb: Ticketed, Class: "put", Tenant: "north"}},
-		`route[0].class cannot be "keyed": plain`:                                       {{Verb: Plain, Class: "keyed", Tenant: "north"}},
+		`route[0].class cannot be "keyed": plain`:                                       {{Verb: Unticketed, Class: "keyed", Tenant: "north"}},
 		`route[0].class cannot be "brief": its window`:                                  {{Verb: Writes, Class: "brief", Tenant: "north"}},
-		`route[1].prefix: the rule is never reached, as route[0] fits all that it does`: {{Verb: Writes, Class: "put", Tenant: "north"}, {Verb: Plain, Class: "put", Tenant: "north"}},
+		`route[1].prefix: the rule is never reached, as route[0] fits all that it does`: {{Verb: Writes, Class: "put", Tenant: "north"}, {Verb: Unticketed, Class: "put", Tenant: "north"}},
 		`route[1].prefix: the rule is never reached, as route[0]`:                       {{Class: "read", Tenant: "north"}, {Prefix: "a", Class: "read", Tenant: "south"}},
 	} {
 		if table, err := New(rules, classes, tenants); err == nil || table != nil || !strings.Contains(err.Error(), want) {
@@ -78,13 +78,13 @@
 func TestRoutesAgreeWithAPlainReading(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	pick := func(list ...string) string { return list[rng.IntN(len(list))] }
-	fits := map[Verb][3]bool{Reads: {true, false, false}, Writes: {false, true, true}, Ticketed: {false, true, false}, Plain: {false, false, true}}
+	fits := map[Verb][3]bool{Reads: {true, false, false}, Writes: {false, true, true}, Ticketed: {false, true, false}, Unticketed: {false, false, true}}
 	built := 0
 	for range 20000 {
 		var rules []Rule
 		for range 1 + rng.IntN(4) {
 			rules = append(rules, Rule{Prefix: pick("", "a", "ab", "b"), Verb: Verb(rng.IntN(4)), Listener: pick("", "l"), User: pick("", "u"),
-				Class: pick("read", "put", "keyed"), Tenant: pick("north", "south"), Wait: time.Duration(rng.IntN(3)) * time.Second})
+				Class: pick("read", "put", "keyed"), Tenant: pick("north", "south"), Timeout: time.Duration(rng.IntN(3)) * time.Second})
 		}
 		table, err := New(rules, classes, tenants)
 		if err != nil {
@@ -106,7 +106,7 @@
 			}
 		}
 		ok := table.Route(&r, kind == 1, from)
-		if ok != (want != nil) || ok && (r.Class != want.Class || r.Tenant != want.Tenant || r.Wait > classes[r.Class].Deadline || r.Wait <= 0) {
+		if ok != (want != nil) || ok && (r.Class != want.Class || r.Tenant != want.Tenant || r.Timeout > classes[r.Class].Deadline || r.Timeout <= 0) {
 			t.Fatalf("%+v routes %+v from %+v as %v, want %+v", rules, r, from, ok, want)
 		}
 	}
--- a/internal/sasl/guard.go
+++ b/internal/sasl/guard.go
@@ -4,16 +4,16 @@
 
 // How often may be guessed from one source.
 const (
-	Burst  = 8
-	Refill = 2 * time.Second
+	GuessBurst          = 8
+	GuessRefillInterval = 2 * time.Second
 	// Sources that are remembered. Past them all others share one allowance: a
 	// guesser with many addresses must not take the memory of all.
 	mostSources = 1024
 )
 
-// Guard says whether a guess is looked at. It reads no clock, and is not safe for
+// GuessLimiter says whether a guess is looked at. It reads no clock, and is not safe for
 // concurrent use.
-type Guard struct {
+type GuessLimiter struct {
 	sources map[string]*allowance
 	others  allowance
 }
@@ -23,29 +23,29 @@
 	at    time.Time
 }
 
-// NewGuard returns a Guard that has seen nothing.
-func NewGuard() *Guard { return &Guard{sources: make(map[string]*allowance)} }
+// NewGuessLimiter returns a Guard that has seen nothing.
+func NewGuessLimiter() *GuessLimiter { return &GuessLimiter{sources: make(map[string]*allowance)} }
 
 // Allow takes one guess off a source's allowance, and tells whether there was one.
-func (g *Guard) Allow(now time.Time, source string) bool {
+func (g *GuessLimiter) Allow(now time.Time, source string) bool {
 	a := g.find(now, source)
 	a.fade(now)
-	if a.spent+1 > Burst {
+	if a.spent+1 > GuessBurst {
 		return false
 	}
 	a.spent++
 	return true
 }
 
-// Good gives back what a guess took that was right: a till that comes back over and
+// Refund gives back what a guess took that was right: a till that comes back over and
 // over is no guesser.
-func (g *Guard) Good(now time.Time, source string) {
+func (g *GuessLimiter) Refund(now time.Time, source string) {
 	a := g.find(now, source)
 	a.fade(now)
 	a.spent = max(a.spent-1, 0)
 }
 
-func (g *Guard) find(now time.Time, source string) *allowance {
+func (g *GuessLimiter) find(now time.Time, source string) *allowance {
 	if a := g.sources[source]; a != nil {
 		return a
 	}
@@ -65,6 +65,6 @@
 }
 
 func (a *allowance) fade(now time.Time) {
-	a.spent = max(a.spent-float64(now.Sub(a.at))/float64(Refill), 0)
+	a.spent = max(a.spent-float64(now.Sub(a.at))/float64(GuessRefillInterval), 0)
 	a.at = now
 }
--- a/internal/sasl/sasl_test.go
+++ b/internal/sasl/sasl_test.go
@@ -9,7 +9,7 @@
 
 func line(t testing.TB, name, secret string) string {
 	t.Helper()
-	l, err := Line(name, secret, minIterations, [saltLen]byte{1, byte(len(name))})
+	l, err := FormatUser(name, secret, minIterations, [saltLen]byte{1, byte(len(name))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,7 +18,7 @@
 
 func users(t testing.TB, text string) *Users {
 	t.Helper()
-	us, err := Parse(text, []byte("key"))
+	us, err := ParseUsers(text, []byte("key"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 		good         bool
 	}{{"till", "rose", true}, {"till", "rose", true}, {"till", "lily", false}, {"other", "lily", true}, {"none", "rose", false},
 		{"till", "", false}, {"", "rose", false}, {"till", strings.Repeat("x", 10000), false}} {
-		if u := us.Check(c.name, c.secret); (u != nil) != c.good || u != nil && u.Name != c.name {
+		if u := us.Authenticate(c.name, c.secret); (u != nil) != c.good || u != nil && u.Name != c.name {
 			t.Errorf("%q with %q: %v", c.name, c.secret, u)
 		}
 	}
@@ -41,12 +41,12 @@
 // TestChangedSecretIsAnotherUser guards sessions that outlive a reload.
 func TestChangedSecretIsAnotherUser(t *testing.T) {
 	before := users(t, line(t, "till", "rose")+line(t, "other", "lily"))
-	till, other := before.Check("till", "rose"), before.Check("other", "lily")
+	till, other := before.Authenticate("till", "rose"), before.Authenticate("other", "lily")
 	after := users(t, line(t, "till", "aster")+line(t, "other", "lily"))
-	if after.Find(till) != nil || after.Find(other) == nil || before.Find(till) == nil {
+	if after.Revalidate(till) != nil || after.Revalidate(other) == nil || before.Revalidate(till) == nil {
 		t.Error("a session of the old secret lives on, or one of the same has ended")
 	}
-	if after.Check("till", "rose") != nil || after.Check("till", "aster") == nil {
+	if after.Authenticate("till", "rose") != nil || after.Authenticate("till", "aster") == nil {
 		t.Error("the new secret is not in force")
 	}
 }
@@ -58,11 +58,11 @@
 		"line 1: want NAME": "till:rose", "iterations cannot be \"5\"": strings.Replace(good, ":1000:", ":5:", 1),
 		"want a salt": good + "00", "a user cannot be": strings.Replace(good, "till", "ti ll", 1),
 	} {
-		if us, err := Parse(text, nil); err == nil || us != nil || !strings.Contains(err.Error(), want) {
+		if us, err := ParseUsers(text, nil); err == nil || us != nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
-	if _, err := Line("till", "", Iterations, [saltLen]byte{}); err == nil {
+	if _, err := FormatUser("till", "", DefaultIterations, [saltLen]byte{}); err == nil {
 		t.Error("an empty secret was taken")
 	}
 }
@@ -70,7 +70,7 @@
 func TestPlainResponses(t *testing.T) {
 	for text, want := range map[string]string{"\x00till\x00rose": "till rose", "till\x00till\x00rose": "till rose", "boss\x00till\x00rose": "",
 		"till\x00rose": "", "": "", "\x00till\x00": "", "\x00\x00rose": "", "\x00till\x00ro\x00se": ""} {
-		name, secret, ok := Plain([]byte(text))
+		name, secret, ok := ParsePlain([]byte(text))
 		if got := name + " " + secret; ok != (want != "") || ok && got != want {
 			t.Errorf("%q: %q, %v", text, got, ok)
 		}
@@ -79,7 +79,7 @@
 
 // TestGuessesAreBounded guards invariant 2, with many sources as well.
 func TestGuessesAreBounded(t *testing.T) {
-	g, now := NewGuard(), time.Unix(1000, 0)
+	g, now := NewGuessLimiter(), time.Unix(1000, 0)
 	looked := func(source string, tries int) (n int) {
 		for range tries {
 			if g.Allow(now, source) {
@@ -88,23 +88,23 @@
 		}
 		return n
 	}
-	if n := looked("a", 1000); n != Burst {
-		t.Errorf("%d of a loop were looked at, want %d", n, Burst)
+	if n := looked("a", 1000); n != GuessBurst {
+		t.Errorf("%d of a loop were looked at, want %d", n, GuessBurst)
 	}
 	if n := looked("b", 1); n != 1 {
 		t.Error("another source pays for the loop")
 	}
-	if now = now.Add(10 * Refill); looked("a", 1000) != Burst {
+	if now = now.Add(10 * GuessRefillInterval); looked("a", 1000) != GuessBurst {
 		t.Error("the allowance does not come back whole")
 	}
-	if now = now.Add(3 * Refill); looked("a", 1000) != 3 {
+	if now = now.Add(3 * GuessRefillInterval); looked("a", 1000) != 3 {
 		t.Error("the allowance does not come back in its time")
 	}
 	for range 1000 { // good ones are free
 		if now = now.Add(time.Millisecond); !g.Allow(now, "till") {
 			t.Fatal("a till that comes back often is kept out")
 		}
-		g.Good(now, "till")
+		g.Refund(now, "till")
 	}
 	for i := range 100000 {
 		g.Allow(now, fmt.Sprint("x", i))
--- a/internal/sasl/users.go
+++ b/internal/sasl/users.go
@@ -35,10 +35,10 @@
 	hashLen       = 32
 )
 
-// Iterations is how many a new secret is hashed with. A login costs a proxy a few
+// DefaultIterations is how many a new secret is hashed with. A login costs a proxy a few
 // milliseconds of its one core; more would make of guesses, or of a thousand tills that
 // come back at once, an outage.
-const Iterations = 10000
+const DefaultIterations = 10000
 
 const scheme = "pbkdf2-sha256"
 
@@ -60,11 +60,11 @@
 	quick map[string][]byte // of secrets that were good, by name
 }
 
-// Parse reads a users' file: a line each, NAME:pbkdf2-sha256:ITERATIONS:SALT:HASH with
+// ParseUsers reads a users' file: a line each, NAME:pbkdf2-sha256:ITERATIONS:SALT:HASH with
 // salt and hash in hex, as [Line] makes them; empty ones and those with # in front
 // are passed over. Its error joins one error a defect. key is random, and the
 // process's own.
-func Parse(text string, key []byte) (*Users, error) {
+func ParseUsers(text string, key []byte) (*Users, error) {
 	us := &Users{byName: make(map[string]*User), key: key, quick: make(map[string][]byte)}
 	var errs []error
 	number := 0
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// Line returns the line of a user with a new secret. salt is random.
-func Line(name, secret string, iterations int, salt [saltLen]byte) (string, error) {
+// FormatUser returns the line of a user with a new secret. salt is random.
+func FormatUser(name, secret string, iterations int, salt [saltLen]byte) (string, error) {
 	if err := checkName(name); err != nil {
 		return "", err
 	}
@@ -144,17 +144,17 @@
 	return hash
 }
 
-// Find returns a user who is there with the secret that it had then, nil if it is not.
-func (us *Users) Find(u *User) *User {
+// Revalidate returns a user who is there with the secret that it had then, nil if it is not.
+func (us *Users) Revalidate(u *User) *User {
 	if now := us.byName[u.Name]; now != nil && *now == *u {
 		return now
 	}
 	return nil
 }
 
-// Check returns the user whose secret it is, or nil. It takes the CPU time of one
+// Authenticate returns the user whose secret it is, or nil. It takes the CPU time of one
 // derivation, unless the secret is good and has been found so before.
-func (us *Users) Check(name, secret string) *User {
+func (us *Users) Authenticate(name, secret string) *User {
 	if len(secret) > MaxSecret {
 		secret = secret[:MaxSecret+1] // equals none, and costs no more
 	}
@@ -184,9 +184,9 @@
 	return u
 }
 
-// Plain takes a response of the mechanism PLAIN apart (RFC 4616). It returns false for
+// ParsePlain takes a response of the mechanism PLAIN apart (RFC 4616). It returns false for
 // what is none, and for one that asks to act for another.
-func Plain(response []byte) (name, secret string, ok bool) {
+func ParsePlain(response []byte) (name, secret string, ok bool) {
 	parts := strings.SplitN(string(response), "\x00", 4)
 	if len(parts) != 3 || parts[1] == "" || parts[2] == "" || parts[0] != "" && parts[0] != parts[1] {
 		return "", "", false
--- a/internal/sdnotify/notify.go
+++ b/internal/sdnotify/notify.go
@@ -23,9 +23,9 @@
 
 // The states that are told. Reloading needs the time as well.
 const (
-	Ready    = "READY=1"
-	Stopping = "STOPPING=1"
-	Alive    = "WATCHDOG=1"
+	Ready        = "READY=1"
+	Stopping     = "STOPPING=1"
+	WatchdogPing = "WATCHDOG=1"
 )
 
 // Reloading returns the message that begins a reload.
@@ -40,17 +40,17 @@
 // Status returns the message that describes the daemon to a person.
 func Status(text string) string { return "STATUS=" + text }
 
-// Manager is the service manager. The zero value is none, and is told nothing.
-type Manager struct {
+// Notifier is the service manager. The zero value is none, and is told nothing.
+type Notifier struct {
 	address *net.UnixAddr
-	// Watchdog is how often it wants a sign of life; zero for never.
-	Watchdog time.Duration
+	// WatchdogInterval is how often it wants a sign of life; zero for never.
+	WatchdogInterval time.Duration
 }
 
 // FromEnvironment finds the service manager that started this process. Words
 // that can't be meant are an error.
-func FromEnvironment(getenv func(string) string) (*Manager, error) {
-	m := &Manager{}
+func FromEnvironment(getenv func(string) string) (*Notifier, error) {
+	m := &Notifier{}
 	path := getenv("NOTIFY_SOCKET")
 	if path == "" {
 		return m, nil
@@ -65,15 +65,15 @@
 			return nil, fmt.Errorf("WATCHDOG_USEC cannot be %q: want a number above 0", text)
 		}
 		if pid := getenv("WATCHDOG_PID"); pid == "" || pid == strconv.Itoa(os.Getpid()) {
-			m.Watchdog = time.Duration(usec) * time.Microsecond
+			m.WatchdogInterval = time.Duration(usec) * time.Microsecond
 		}
 	}
 	return m, nil
 }
 
-// Tell sends lines of state. It takes writeTime at most; with no manager it
+// Notify sends lines of state. It takes writeTime at most; with no manager it
 // does nothing.
-func (m *Manager) Tell(text string) error {
+func (m *Notifier) Notify(text string) error {
 	if m.address == nil {
 		return nil
 	}
--- a/internal/sdnotify/notify_test.go
+++ b/internal/sdnotify/notify_test.go
@@ -31,11 +31,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m.Watchdog != 30*time.Millisecond {
-			t.Errorf("watchdog %v", m.Watchdog)
+		if m.WatchdogInterval != 30*time.Millisecond {
+			t.Errorf("watchdog %v", m.WatchdogInterval)
 		}
-		for _, text := range []string{Ready, Reloading(), Stopping, Alive, Status("well")} {
-			if err := m.Tell(text); err != nil {
+		for _, text := range []string{Ready, Reloading(), Stopping, WatchdogPing, Status("well")} {
+			if err := m.Notify(text); err != nil {
 				t.Fatal(err)
 			}
 			buf := make([]byte, 100)
@@ -46,7 +46,7 @@
 			}
 		}
 		socket.Close()
-		if m.Tell(Ready) == nil {
+		if m.Notify(Ready) == nil {
 			t.Error("a manager that is gone was told")
 		}
 	}
@@ -57,7 +57,7 @@
 
 func TestNoManagerIsToldNothing(t *testing.T) {
 	m, err := FromEnvironment(environment("WATCHDOG_USEC", "1"))
-	if err != nil || m.Watchdog != 0 || m.Tell(Ready) != nil {
+	if err != nil || m.WatchdogInterval != 0 || m.Notify(Ready) != nil {
 		t.Errorf("without a manager: %+v, %v", m, err)
 	}
 }
@@ -84,7 +84,7 @@
 // the parent.
 func TestWatchdogOfAnotherProcess(t *testing.T) {
 	m, err := FromEnvironment(environment("NOTIFY_SOCKET", "/x", "WATCHDOG_USEC", "1", "WATCHDOG_PID", "1"))
-	if err != nil || m.Watchdog != 0 {
-		t.Errorf("watchdog %v, %v", m.Watchdog, err)
+	if err != nil || m.WatchdogInterval != 0 {
+		t.Errorf("watchdog %v, %v", m.WatchdogInterval, err)
 	}
 }
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -24,18 +24,18 @@
 
 // arrive draws the next request of all clients.
 func (f *Fleet) arrive() {
-	f.after(time.Duration(f.rng.ExpFloat64()/f.Clients.Rate*float64(time.Second)), func() {
+	f.after(time.Duration(f.rng.ExpFloat64()/f.Clients.RequestsPerSecond*float64(time.Second)), func() {
 		f.nextID++
 		r := &ask{id: f.nextID, key: fmt.Sprint("k", f.popular.Uint64()), began: f.now}
-		for x := f.rng.Float64(); r.class < len(f.Clients.Share)-1; r.class++ {
-			if x -= f.Clients.Share[r.class]; x < 0 {
+		for x := f.rng.Float64(); r.class < len(f.Clients.ClassShares)-1; r.class++ {
+			if x -= f.Clients.ClassShares[r.class]; x < 0 {
 				break
 			}
 		}
 		class := &f.Settings.Classes[r.class]
-		r.write, r.until = class.Effect != policy.Safe, f.now+class.Deadline
-		f.count().First++
-		f.at(r.until+f.Settings.Rules.AnswerSlack, func() { f.gone(r) })
+		r.write, r.until = class.Idempotency != policy.Idempotent, f.now+class.Deadline
+		f.count().Requests++
+		f.at(r.until+f.Settings.Rules.ResponseGrace, func() { f.gone(r) })
 		f.try(r)
 		f.arrive()
 	})
@@ -48,8 +48,8 @@
 	}
 	for range 8 { // tries at connecting
 		if p := f.proxies[f.draw()]; !p.dead {
-			f.count().Tries++
-			f.after(f.Way, func() {
+			f.count().ClientAttempts++
+			f.after(f.MessageDelay, func() {
 				if p.dead {
 					f.broke(r)
 					return
@@ -59,12 +59,12 @@
 			return
 		}
 	}
-	f.after(f.Clients.Pause, func() { f.try(r) })
+	f.after(f.Clients.RetryPause, func() { f.try(r) })
 }
 
 // draw is the proxy that the next connection is dealt to.
 func (f *Fleet) draw() int {
-	if f.Clients.Heavy > 0 && f.rng.Float64() < f.Clients.Heavy/float64(len(f.proxies)) {
+	if f.Clients.HotProxyFactor > 0 && f.rng.Float64() < f.Clients.HotProxyFactor/float64(len(f.proxies)) {
 		return 0
 	}
 	return f.rng.IntN(len(f.proxies))
@@ -72,16 +72,16 @@
 
 // refused is an answer that promises that another try is harmless.
 func (f *Fleet) refused(r *ask, advice time.Duration) {
-	if f.Clients.Eager {
+	if f.Clients.IgnoreRetryAfter {
 		advice = 0
 	}
-	f.after(max(advice, f.Clients.Pause), func() { f.try(r) })
+	f.after(max(advice, f.Clients.RetryPause), func() { f.try(r) })
 }
 
 // failed is an answer that promises nothing: only what is safe is asked again.
 func (f *Fleet) failed(r *ask) {
-	if f.Settings.Classes[r.class].Effect == policy.Safe {
-		f.after(f.Clients.Pause, func() { f.try(r) })
+	if f.Settings.Classes[r.class].Idempotency == policy.Idempotent {
+		f.after(f.Clients.RetryPause, func() { f.try(r) })
 	}
 }
 
@@ -93,7 +93,7 @@
 		return
 	}
 	r.over = true
-	if c := f.second(r.began); f.now-r.began <= f.Settings.Classes[r.class].Aim {
+	if c := f.second(r.began); f.now-r.began <= f.Settings.Classes[r.class].LatencyObjective {
 		c.InTime++
 	} else {
 		c.Late++
@@ -105,7 +105,7 @@
 	f.after(10*time.Second, func() { delete(f.effects, r.id) }) // nothing of it is left anywhere
 	if !r.over {
 		r.over = true
-		f.second(r.began).Lost++
+		f.second(r.began).Unanswered++
 	}
 }
 
--- a/internal/simulation/homes_test.go
+++ b/internal/simulation/homes_test.go
@@ -11,16 +11,16 @@
 // are told so.
 func dear(seed uint64, homes bool) Plan {
 	p := eighty(seed)
-	p.Settings.Prices.Origin, p.Settings.Prices.CrossZone, p.Settings.Prices.Handshake = 0.15, 0.02, 0.115
+	p.Settings.Costs.OriginFetch, p.Settings.Costs.CrossZone, p.Settings.Costs.Handshake = 0.15, 0.02, 0.115
 	if homes {
-		p.Settings.Links = connlimit.Share{Table: p.Node.Table, Proxies: p.Proxies}.Each()
+		p.Settings.ConnectionsPerServer = connlimit.Capacity{ConnectionsPerNode: p.Node.MaxConnections, Proxies: p.Proxies}.PerProxy()
 	}
 	return p
 }
 
 // dialled and fetched are handshakes for a first try, and fetches for a read.
-func dialled(s Second) float64 { return float64(s.Handshakes) / float64(s.First) }
-func fetched(s Second) float64 { return float64(s.Misses) / float64(s.Hits+s.Misses) }
+func dialled(s Counters) float64 { return float64(s.Handshakes) / float64(s.Requests) }
+func fetched(s Counters) float64 { return float64(s.Misses) / float64(s.Hits+s.Misses) }
 
 // TestHomesInTheOwnZoneSaveHandshakes holds what a proxy of a large fleet pays for connections against
 // what homes in each zone cost at the origin: in calm, and while a third of the nodes is slow.
@@ -31,9 +31,9 @@
 		dials float64 // for a first try, at most
 	}{{"calm", false, 0.35}, {"a third slow", true, 0.45}} {
 		script := func(f *Fleet) {
-			for i, name := range f.Names() {
+			for i, name := range f.NodeNames() {
 				if c.slow && i%3 == 0 {
-					f.At(4*time.Second, func() { f.Trouble(name, Slow) })
+					f.At(4*time.Second, func() { f.SetFault(name, Slow) })
 				}
 			}
 		}
@@ -58,10 +58,10 @@
 func TestFullOriginBringsKeysTogether(t *testing.T) {
 	free := play(t, dear(1, true), 18*time.Second, nil).Sum(10, 16)
 	f := play(t, dear(1, true), 18*time.Second, func(f *Fleet) {
-		f.At(8*time.Second, func() { f.Origin.Rate = 0.9 * float64(free.Fetches) / 6 })
+		f.At(8*time.Second, func() { f.Origin.FetchesPerSecond = 0.9 * float64(free.Fetches) / 6 })
 	})
 	s := f.Sum(10, 16)
-	t.Logf("fetches %.3f -> %.3f, in time %.3f -> %.3f, turned away %d", fetched(free), fetched(s), inTime(free), inTime(s), s.Spilt)
+	t.Logf("fetches %.3f -> %.3f, in time %.3f -> %.3f, turned away %d", fetched(free), fetched(s), inTime(free), inTime(s), s.FetchesRejected)
 	if fetched(s) > fetched(free)*0.95 {
 		t.Errorf("%.3f of reads fetch from a full origin, %.3f from one that is not", fetched(s), fetched(free))
 	}
--- a/internal/simulation/model.go
+++ b/internal/simulation/model.go
@@ -23,66 +23,66 @@
 
 // Plan says what is played.
 type Plan struct {
-	Seed     uint64
-	Settings policy.Settings // of each proxy; Proxies, Proxy and Zone are filled in, Proxies if it is 0
-	Proxies  int
-	Nodes    int
-	Node     NodePlan
-	Origin   OriginPlan
-	List     ListPlan
-	Clients  ClientPlan
-	Way      time.Duration // that a message takes, between any two
+	Seed         uint64
+	Settings     policy.Settings // of each proxy; Proxies, Proxy and Zone are filled in, Proxies if it is 0
+	Proxies      int
+	Nodes        int
+	Node         NodePlan
+	Origin       OriginPlan
+	EndpointList EndpointListPlan
+	Clients      ClientPlan
+	MessageDelay time.Duration // that a message takes, between any two
 }
 
 // NodePlan is what every node is like.
 type NodePlan struct {
-	Workers int
-	Work    time.Duration // of a worker for one request, when the node is warm
-	Queue   int           // requests that may wait
-	Keep    time.Duration // an unused key is forgotten after it
-	Table   int           // connections, 0 for any number
-	Spread  float64       // of the work: the deviation of its logarithm, 0 for always the same
+	Workers          int
+	ServiceTime      time.Duration // of a worker for one request, when the node is warm
+	MaxQueued        int           // requests that may wait
+	IdleTTL          time.Duration // an unused key is forgotten after it
+	MaxConnections   int           // connections, 0 for any number
+	ServiceTimeSigma float64       // of the work: the deviation of its logarithm, 0 for always the same
 }
 
 // OriginPlan is the one slow origin.
 type OriginPlan struct {
-	Time  time.Duration // that a fetch takes
-	Rate  float64       // fetches a second
-	Queue time.Duration // of waiting; a fetch that would wait longer fails
+	FetchTime        time.Duration // that a fetch takes
+	FetchesPerSecond float64       // fetches a second
+	MaxQueueTime     time.Duration // of waiting; a fetch that would wait longer fails
 }
 
-// ListPlan is the list service.
-type ListPlan struct {
-	Rate float64 // calls a second that it answers; it breaks off any more
+// EndpointListPlan is the list service.
+type EndpointListPlan struct {
+	CallsPerSecond float64 // calls a second that it answers; it breaks off any more
 }
 
 // ClientPlan is what clients ask.
 type ClientPlan struct {
-	Rate  float64   // first tries a second
-	Keys  int       // that they ask for, the n-th as often as 1/n of the first
-	Share []float64 // of first tries, by class
-	Pause time.Duration
-	Heavy float64 // times the mean that proxy 0 sees; 0 for the same as others
-	Eager bool    // ask again after Pause, whatever a refusal advises
+	RequestsPerSecond float64   // first tries a second
+	Keys              int       // that they ask for, the n-th as often as 1/n of the first
+	ClassShares       []float64 // of first tries, by class
+	RetryPause        time.Duration
+	HotProxyFactor    float64 // times the mean that proxy 0 sees; 0 for the same as others
+	IgnoreRetryAfter  bool    // ask again after Pause, whatever a refusal advises
 }
 
-// Second counts what happened within one second of the play, fleet-wide.
-type Second struct {
-	First, Tries                 int // requests of clients, and with their repetitions
-	InTime, Late, Lost           int // first tries by how they ended, in the second in which they began
-	Refused, Failed              int // answers of proxies
-	Sends, ToCold, ToSick        int // attempts that reached a node, of them at cold and at sick ones
-	ToDown, Handshakes, NoRoom   int
-	Hits, Misses, Fetches, Spilt int // Spilt: fetches that the origin turned away
-	Calls, CallsLost             int // to the list service
+// Counters counts what happened within one second of the play, fleet-wide.
+type Counters struct {
+	Requests, ClientAttempts                            int // requests of clients, and with their repetitions
+	InTime, Late, Unanswered                            int // first tries by how they ended, in the second in which they began
+	Rejected, Failed                                    int // answers of proxies
+	Sends, SendsToWarming, SendsToFaulty                int // attempts that reached a node, of them at cold and at sick ones
+	SendsToUnreachable, Handshakes, ConnectionsRejected int
+	Hits, Misses, Fetches, FetchesRejected              int // Spilt: fetches that the origin turned away
+	EndpointListCalls, EndpointListCallsLost            int // to the list service
 }
 
 // Fleet is one play of a plan.
 type Fleet struct {
 	Plan
-	Seconds []Second
-	Broken  []string // rules, as they were broken; the first of them
-	Most    struct{ Connections int }
+	PerSecond  []Counters
+	Violations []string // rules, as they were broken; the first of them
+	Peak       struct{ Connections int }
 
 	now     time.Duration
 	rng     *rand.Rand
@@ -125,8 +125,8 @@
 // At runs do so long after the beginning.
 func (f *Fleet) At(after time.Duration, do func()) { f.at(start+after, do) }
 
-// Play runs until so long after the beginning.
-func (f *Fleet) Play(until time.Duration) {
+// RunUntil runs until so long after the beginning.
+func (f *Fleet) RunUntil(until time.Duration) {
 	for len(f.due) > 0 && f.due[0].at <= start+until {
 		e := heap.Pop(&f.due).(event)
 		f.now = e.at
@@ -136,15 +136,15 @@
 }
 
 // Sum adds up seconds, from the first up to but not including the other.
-func (f *Fleet) Sum(from, to int) (sum Second) {
-	for i := from; i < min(to, len(f.Seconds)); i++ {
-		s := f.Seconds[i]
-		for _, x := range []struct{ to, add *int }{{&sum.First, &s.First}, {&sum.Tries, &s.Tries},
-			{&sum.InTime, &s.InTime}, {&sum.Late, &s.Late}, {&sum.Lost, &s.Lost}, {&sum.Refused, &s.Refused},
-			{&sum.Failed, &s.Failed}, {&sum.Sends, &s.Sends}, {&sum.ToCold, &s.ToCold}, {&sum.ToSick, &s.ToSick},
-			{&sum.ToDown, &s.ToDown}, {&sum.Handshakes, &s.Handshakes}, {&sum.NoRoom, &s.NoRoom}, {&sum.Hits, &s.Hits},
-			{&sum.Misses, &s.Misses}, {&sum.Fetches, &s.Fetches}, {&sum.Spilt, &s.Spilt}, {&sum.Calls, &s.Calls},
-			{&sum.CallsLost, &s.CallsLost}} {
+func (f *Fleet) Sum(from, to int) (sum Counters) {
+	for i := from; i < min(to, len(f.PerSecond)); i++ {
+		s := f.PerSecond[i]
+		for _, x := range []struct{ to, add *int }{{&sum.Requests, &s.Requests}, {&sum.ClientAttempts, &s.ClientAttempts},
+			{&sum.InTime, &s.InTime}, {&sum.Late, &s.Late}, {&sum.Unanswered, &s.Unanswered}, {&sum.Rejected, &s.Rejected},
+			{&sum.Failed, &s.Failed}, {&sum.Sends, &s.Sends}, {&sum.SendsToWarming, &s.SendsToWarming}, {&sum.SendsToFaulty, &s.SendsToFaulty},
+			{&sum.SendsToUnreachable, &s.SendsToUnreachable}, {&sum.Handshakes, &s.Handshakes}, {&sum.ConnectionsRejected, &s.ConnectionsRejected}, {&sum.Hits, &s.Hits},
+			{&sum.Misses, &s.Misses}, {&sum.Fetches, &s.Fetches}, {&sum.FetchesRejected, &s.FetchesRejected}, {&sum.EndpointListCalls, &s.EndpointListCalls},
+			{&sum.EndpointListCallsLost, &s.EndpointListCallsLost}} {
 			*x.to += *x.add
 		}
 	}
@@ -152,19 +152,19 @@
 }
 
 // second is where what happens at a time is counted.
-func (f *Fleet) second(at time.Duration) *Second {
+func (f *Fleet) second(at time.Duration) *Counters {
 	i := int((at - start) / time.Second)
-	for len(f.Seconds) <= i {
-		f.Seconds = append(f.Seconds, Second{})
+	for len(f.PerSecond) <= i {
+		f.PerSecond = append(f.PerSecond, Counters{})
 	}
-	return &f.Seconds[i]
+	return &f.PerSecond[i]
 }
 
-func (f *Fleet) count() *Second { return f.second(f.now) }
+func (f *Fleet) count() *Counters { return f.second(f.now) }
 
 func (f *Fleet) broken(format string, args ...any) {
-	if len(f.Broken) < mostBroken {
-		f.Broken = append(f.Broken, fmt.Sprintf("%v: ", f.now-start)+fmt.Sprintf(format, args...))
+	if len(f.Violations) < mostBroken {
+		f.Violations = append(f.Violations, fmt.Sprintf("%v: ", f.now-start)+fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -7,23 +7,23 @@
 	"mulleinpier/policy"
 )
 
-// Trouble is what may be wrong with a node.
-type Trouble int
+// Fault is what may be wrong with a node.
+type Fault int
 
 // The troubles.
 const (
-	Well   Trouble = iota
-	Errs           // answers each request with an error, at once
-	Silent         // answers none
-	Lost           // takes no connection and breaks those that are open
-	Slow           // takes slowTimes as long for all
+	Healthy       Fault = iota
+	AnswersErrors       // answers each request with an error, at once
+	Silent              // answers none
+	Unreachable         // takes no connection and breaks those that are open
+	Slow                // takes slowTimes as long for all
 )
 
 const slowTimes = 3
 
 type node struct {
-	policy.Member
-	trouble Trouble
+	policy.Endpoint
+	trouble Fault
 	free    []time.Duration          // at which each worker is free
 	keys    map[string]time.Duration // and their last use
 	fetches map[string]time.Duration // that are out, and when they end
@@ -33,24 +33,24 @@
 
 // add puts a node into service; started is 0 for one that has long been warm.
 func (f *Fleet) add(name string, zone int, started time.Duration) {
-	f.nodes[name] = &node{Member: policy.Member{Server: name, Zone: zone, Started: started},
+	f.nodes[name] = &node{Endpoint: policy.Endpoint{Server: name, Zone: zone, StartedAt: started},
 		free: make([]time.Duration, f.Node.Workers), keys: make(map[string]time.Duration),
 		fetches: make(map[string]time.Duration)}
 	f.names = append(f.names, name)
 	f.version++
 }
 
-// Names are those of all nodes that there have been, in order of their coming.
-func (f *Fleet) Names() []string { return f.names }
+// NodeNames are those of all nodes that there have been, in order of their coming.
+func (f *Fleet) NodeNames() []string { return f.names }
 
-// Trouble befalls a node, or leaves it.
-func (f *Fleet) Trouble(name string, t Trouble) { f.nodes[name].trouble = t }
+// SetFault befalls a node, or leaves it.
+func (f *Fleet) SetFault(name string, t Fault) { f.nodes[name].trouble = t }
 
-// Lose takes nodes away without a word: the list goes on naming them.
-func (f *Fleet) Lose(names ...string) {
+// Crash takes nodes away without a word: the list goes on naming them.
+func (f *Fleet) Crash(names ...string) {
 	for _, name := range names {
 		n := f.nodes[name]
-		n.trouble = Lost
+		n.trouble = Unreachable
 		for _, p := range f.proxies {
 			p.drop(n)
 		}
@@ -59,13 +59,13 @@
 
 // Restart brings nodes back empty and cold, and the list tells it.
 func (f *Fleet) Restart(names ...string) {
-	var news []policy.Member
+	var news []policy.Endpoint
 	for _, name := range names {
 		n := f.nodes[name]
-		n.trouble, n.Started, n.Mode = Well, f.now, policy.Serving
+		n.trouble, n.StartedAt, n.State = Healthy, f.now, policy.Serving
 		n.keys, n.fetches, n.cold = make(map[string]time.Duration), make(map[string]time.Duration), nil
 		clear(n.free)
-		news = append(news, n.Member)
+		news = append(news, n.Endpoint)
 	}
 	f.tell(news)
 }
@@ -73,31 +73,31 @@
 // Drain has the list say that nodes drain; they leave later by Lose and Forget.
 func (f *Fleet) Drain(names ...string) { f.mode(policy.Draining, names) }
 
-// Forget has the list say that nodes are gone.
-func (f *Fleet) Forget(names ...string) { f.mode(policy.Gone, names) }
+// Remove has the list say that nodes are gone.
+func (f *Fleet) Remove(names ...string) { f.mode(policy.Removed, names) }
 
-func (f *Fleet) mode(mode policy.Mode, names []string) {
-	var news []policy.Member
+func (f *Fleet) mode(mode policy.EndpointState, names []string) {
+	var news []policy.Endpoint
 	for _, name := range names {
 		n := f.nodes[name]
-		n.Mode = mode
-		news = append(news, n.Member)
+		n.State = mode
+		news = append(news, n.Endpoint)
 	}
 	f.tell(news)
 }
 
 // warmth is the share of its capacity that a node has.
 func (f *Fleet) warmth(n *node) float64 {
-	age, rules := f.now-n.Started, &f.Settings.Rules
-	if n.Started == 0 || age >= rules.ColdRamp {
+	age, rules := f.now-n.StartedAt, &f.Settings.Rules
+	if n.StartedAt == 0 || age >= rules.SlowStartWindow {
 		return 1
 	}
-	return rules.ColdShare + (1-rules.ColdShare)*float64(age)/float64(rules.ColdRamp)
+	return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(age)/float64(rules.SlowStartWindow)
 }
 
 // capacity is how many requests a warm node serves in a time.
 func (f *Fleet) capacity(d time.Duration) float64 {
-	return float64(f.Node.Workers) * float64(d) / float64(f.Node.Work)
+	return float64(f.Node.Workers) * float64(d) / float64(f.Node.ServiceTime)
 }
 
 // reach is an attempt that comes in at a node.
@@ -106,19 +106,19 @@
 	c.Sends++
 	warmth := f.warmth(n)
 	if warmth < 1 {
-		c.ToCold++
+		c.SendsToWarming++
 		f.watch(n, warmth)
 	}
 	switch n.trouble {
-	case Errs:
-		c.ToSick++
-		f.end(a, policy.Errored, policy.NoteNone)
+	case AnswersErrors:
+		c.SendsToFaulty++
+		f.end(a, policy.Errored, policy.CacheUnknown)
 		return
 	case Silent:
-		c.ToSick++
+		c.SendsToFaulty++
 		return
-	case Lost:
-		f.end(a, policy.Reset, policy.NoteNone)
+	case Unreachable:
+		f.end(a, policy.Reset, policy.CacheUnknown)
 		return
 	}
 	w := 0
@@ -127,15 +127,15 @@
 			w = i
 		}
 	}
-	work := time.Duration(float64(f.Node.Work) / warmth)
+	work := time.Duration(float64(f.Node.ServiceTime) / warmth)
 	if n.trouble == Slow {
 		work *= slowTimes
 	}
-	if by := f.Node.Spread; by > 0 {
+	if by := f.Node.ServiceTimeSigma; by > 0 {
 		work = time.Duration(float64(work) * math.Exp(by*f.rng.NormFloat64()-by*by/2))
 	}
-	if n.free[w]-f.now > time.Duration(f.Node.Queue)*work/time.Duration(f.Node.Workers) {
-		f.end(a, policy.Full, policy.NoteNone)
+	if n.free[w]-f.now > time.Duration(f.Node.MaxQueued)*work/time.Duration(f.Node.Workers) {
+		f.end(a, policy.Rejected, policy.CacheUnknown)
 		return
 	}
 	n.free[w] = max(n.free[w], f.now) + work
@@ -147,29 +147,29 @@
 	r := a.request
 	f.run(r.ask)
 	if r.write {
-		f.end(a, policy.Served, policy.NoteNone)
+		f.end(a, policy.Served, policy.CacheUnknown)
 		return
 	}
-	if used, ok := n.keys[r.key]; ok && f.now-used < f.Node.Keep {
+	if used, ok := n.keys[r.key]; ok && f.now-used < f.Node.IdleTTL {
 		n.keys[r.key] = f.now
 		f.count().Hits++
-		f.end(a, policy.Served, policy.NoteHit)
+		f.end(a, policy.Served, policy.CacheHit)
 		return
 	}
 	f.count().Misses++
 	if done := n.fetches[r.key]; done > f.now {
-		f.at(done, func() { f.end(a, policy.Served, policy.NoteMissShared) })
+		f.at(done, func() { f.end(a, policy.Served, policy.CacheMissCoalesced) })
 		return
 	}
 	wait := max(f.origin-f.now, 0)
-	if wait > f.Origin.Queue {
-		f.count().Spilt++
-		f.end(a, policy.Errored, policy.NoteNone)
+	if wait > f.Origin.MaxQueueTime {
+		f.count().FetchesRejected++
+		f.end(a, policy.Errored, policy.CacheUnknown)
 		return
 	}
 	f.count().Fetches++
-	f.origin = f.now + wait + time.Duration(float64(time.Second)/f.Origin.Rate)
-	done := f.now + wait + f.Origin.Time
+	f.origin = f.now + wait + time.Duration(float64(time.Second)/f.Origin.FetchesPerSecond)
+	done := f.now + wait + f.Origin.FetchTime
 	n.fetches[r.key] = done
 	f.at(done, func() {
 		if n.fetches[r.key] != done {
@@ -177,21 +177,21 @@
 		}
 		delete(n.fetches, r.key)
 		n.keys[r.key] = f.now
-		f.end(a, policy.Served, policy.NoteMiss)
+		f.end(a, policy.Served, policy.CacheMiss)
 	})
 }
 
 // run is the effect of a request.
 func (f *Fleet) run(r *ask) {
 	class := &f.Settings.Classes[r.class]
-	if class.Effect == policy.Safe {
+	if class.Idempotency == policy.Idempotent {
 		return
 	}
 	first, ran := f.effects[r.id]
 	switch {
 	case !ran:
 		f.effects[r.id] = f.now
-	case class.Effect == policy.Unsafe || f.now-first > class.Window+f.Settings.Tick:
+	case class.Idempotency == policy.NotIdempotent || f.now-first > class.DedupWindow+f.Settings.EventInterval:
 		f.broken("%s %d ran twice, %v apart", class.Name, r.id, f.now-first)
 	}
 }
@@ -199,11 +199,11 @@
 // watch looks whether a cold node is pushed over.
 func (f *Fleet) watch(n *node, warmth float64) {
 	rules := &f.Settings.Rules
-	for len(n.cold) > 0 && f.now-n.cold[0] > rules.FallTime {
+	for len(n.cold) > 0 && f.now-n.cold[0] > rules.OverloadWindow {
 		n.cold = n.cold[1:]
 	}
 	n.cold = append(n.cold, f.now)
-	if got, most := float64(len(n.cold)), rules.FallMultiple*warmth*f.capacity(rules.FallTime); got > most {
-		f.broken("cold %s got %.0f within %v, pushed over by %.0f", n.Server, got, rules.FallTime, most)
+	if got, most := float64(len(n.cold)), rules.OverloadMultiple*warmth*f.capacity(rules.OverloadWindow); got > most {
+		f.broken("cold %s got %.0f within %v, pushed over by %.0f", n.Server, got, rules.OverloadWindow, most)
 	}
 }
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -17,9 +17,9 @@
 	dead    bool
 	open    map[uint64]*held
 	conns   map[string]*conn
-	order   []string                 // of conns, the one used last at the end
-	told    map[string]policy.Member // that are listed
-	listens bool                     // to news of the list
+	order   []string                   // of conns, the one used last at the end
+	told    map[string]policy.Endpoint // that are listed
+	listens bool                       // to news of the list
 }
 
 type conn struct{ out int }
@@ -46,24 +46,24 @@
 // begin starts an instance anew: what it knew is lost but the list.
 func (f *Fleet) begin(i int) error {
 	set := f.Settings
-	if set.Proxies == 0 {
-		set.Proxies = f.Proxies
+	if set.ProxyCount == 0 {
+		set.ProxyCount = f.Proxies
 	}
-	set.Proxy, set.Zone = i, i%len(set.Zones)
+	set.ProxyIndex, set.Zone = i, i%len(set.Zones)
 	b, err := policy.New(set, f.Seed*1000+f.turn+uint64(i))
 	if err != nil {
 		return err
 	}
 	p := &proxy{fleet: f, index: i, modules: b, open: make(map[uint64]*held), conns: make(map[string]*conn),
-		told: make(map[string]policy.Member)}
-	p.budget.Set(connlimit.Share{Table: f.Node.Table, Proxies: set.Proxies})
+		told: make(map[string]policy.Endpoint)}
+	p.budget.SetCapacity(connlimit.Capacity{ConnectionsPerNode: f.Node.MaxConnections, Proxies: set.ProxyCount})
 	f.proxies[i] = p
-	p.hear(policy.ListStored, f.members())
+	p.hear(policy.EndpointsCached, f.members())
 	return nil
 }
 
-// Kill ends instances as if by a signal that can't be caught; new ones begin after down.
-func (f *Fleet) Kill(down time.Duration, indices ...int) {
+// KillProxies ends instances as if by a signal that can't be caught; new ones begin after down.
+func (f *Fleet) KillProxies(down time.Duration, indices ...int) {
 	for _, i := range indices {
 		p := f.proxies[i]
 		p.dead = true
@@ -74,7 +74,7 @@
 		for _, id := range f.sorted(p.open) {
 			h := p.open[id]
 			h.over = true
-			f.after(f.Way, func() { f.broke(h.ask) })
+			f.after(f.MessageDelay, func() { f.broke(h.ask) })
 		}
 		f.after(down, func() {
 			if err := f.begin(i); err != nil {
@@ -85,10 +85,10 @@
 }
 
 // members is the list as it stands.
-func (f *Fleet) members() []policy.Member {
-	var list []policy.Member
+func (f *Fleet) members() []policy.Endpoint {
+	var list []policy.Endpoint
 	for _, name := range f.names {
-		if m := f.nodes[name].Member; m.Mode != policy.Gone {
+		if m := f.nodes[name].Endpoint; m.State != policy.Removed {
 			list = append(list, m)
 		}
 	}
@@ -96,11 +96,11 @@
 }
 
 // tell brings news of the list to all that subscribe; those that don't learn them by a call.
-func (f *Fleet) tell(news []policy.Member) {
+func (f *Fleet) tell(news []policy.Endpoint) {
 	f.version++
 	for _, p := range f.proxies {
 		if p.listens {
-			f.after(f.Way, func() { p.hear(policy.ListChanges, news) })
+			f.after(f.MessageDelay, func() { p.hear(policy.EndpointsDelta, news) })
 		}
 	}
 }
@@ -111,36 +111,36 @@
 	for len(f.calls) > 0 && f.now-f.calls[0] >= time.Second {
 		f.calls = f.calls[1:]
 	}
-	f.count().Calls++
-	if f.List.Rate > 0 && float64(len(f.calls)) >= f.List.Rate {
-		f.count().CallsLost++
-		f.after(2*f.Way, func() { p.hear(policy.ListLost, nil) })
+	f.count().EndpointListCalls++
+	if f.EndpointList.CallsPerSecond > 0 && float64(len(f.calls)) >= f.EndpointList.CallsPerSecond {
+		f.count().EndpointListCallsLost++
+		f.after(2*f.MessageDelay, func() { p.hear(policy.EndpointsUnavailable, nil) })
 		return
 	}
 	f.calls = append(f.calls, f.now)
-	f.after(2*f.Way, func() {
+	f.after(2*f.MessageDelay, func() {
 		p.listens = true
-		p.hear(policy.ListFull, f.members())
+		p.hear(policy.EndpointsFull, f.members())
 	})
 }
 
-func (p *proxy) hear(kind policy.ListKind, members []policy.Member) {
+func (p *proxy) hear(kind policy.EndpointUpdateKind, members []policy.Endpoint) {
 	if p.dead {
 		return
 	}
-	if kind == policy.ListFull || kind == policy.ListStored {
+	if kind == policy.EndpointsFull || kind == policy.EndpointsCached {
 		clear(p.told)
 	}
 	for _, m := range members {
-		if m.Mode == policy.Gone {
+		if m.State == policy.Removed {
 			delete(p.told, m.Server)
 		} else {
 			p.told[m.Server] = m
 		}
 	}
-	p.handle(policy.ListUpdate{Version: p.fleet.version, Kind: kind, Members: members})
+	p.handle(policy.EndpointUpdate{Version: p.fleet.version, Kind: kind, Endpoints: members})
 	for _, name := range slices.Clone(p.order) {
-		if m, ok := p.told[name]; (!ok || m.Mode != policy.Serving) && p.conns[name].out == 0 {
+		if m, ok := p.told[name]; (!ok || m.State != policy.Serving) && p.conns[name].out == 0 {
 			p.close(name)
 		}
 	}
@@ -153,7 +153,7 @@
 	h := &held{ask: r, id: f.nextID, proxy: p, deadline: deadline}
 	p.open[h.id] = h
 	// Every accepted request gets its answer, or its client is seen to go without.
-	f.at(deadline+f.Settings.Rules.AnswerSlack, func() {
+	f.at(deadline+f.Settings.Rules.ResponseGrace, func() {
 		if !h.over {
 			f.broken("proxy %d owes %d an answer", p.index, r.id)
 		}
@@ -173,13 +173,13 @@
 			p.send(h, f.nodes[a.Server])
 		case policy.Cancel:
 			y := h.attempts[a.Attempt]
-			f.after(0, func() { f.end(y, policy.Cancelled, policy.NoteNone) })
-		case policy.Refuse, policy.Fail:
+			f.after(0, func() { f.end(y, policy.Cancelled, policy.CacheUnknown) })
+		case policy.Reject, policy.Fail:
 			p.answer(h, a.Kind, a.After)
 		case policy.SetTimer:
-			f.after(max(a.After, f.Settings.Tick), func() { p.handle(policy.Timer{Token: a.Token}) })
+			f.after(max(a.After, f.Settings.EventInterval), func() { p.handle(policy.TimerFired{Token: a.Token}) })
 		case policy.Subscribe:
-			f.after(f.Way, p.subscribe)
+			f.after(f.MessageDelay, p.subscribe)
 		case policy.CloseIdle:
 			if c := p.conns[a.Server]; c != nil && c.out == 0 {
 				p.close(a.Server)
@@ -196,12 +196,12 @@
 		return
 	}
 	h.over = true
-	if kind == policy.Refuse {
-		f.count().Refused++
-		f.after(f.Way, func() { f.refused(h.ask, advice) })
+	if kind == policy.Reject {
+		f.count().Rejected++
+		f.after(f.MessageDelay, func() { f.refused(h.ask, advice) })
 	} else {
 		f.count().Failed++
-		f.after(f.Way, func() { f.failed(h.ask) })
+		f.after(f.MessageDelay, func() { f.failed(h.ask) })
 	}
 	p.forget(h)
 }
@@ -222,39 +222,39 @@
 	f := p.fleet
 	a := &attempt{request: h, number: len(h.attempts), node: n, sent: f.now}
 	h.attempts = append(h.attempts, a)
-	if m, ok := p.told[n.Server]; !ok || m.Mode != policy.Serving {
+	if m, ok := p.told[n.Server]; !ok || m.State != policy.Serving {
 		f.broken("proxy %d sends to %s, which it knows to be drained or gone", p.index, n.Server)
 	}
-	way := f.Way
+	way := f.MessageDelay
 	if c := p.conns[n.Server]; c == nil {
 		f.count().Handshakes++
 		way *= 3
 		switch {
-		case n.trouble == Lost:
-			f.count().ToDown++
-			f.after(2*f.Way, func() { f.end(a, policy.ConnectFailed, policy.NoteNone) })
+		case n.trouble == Unreachable:
+			f.count().SendsToUnreachable++
+			f.after(2*f.MessageDelay, func() { f.end(a, policy.ConnectFailed, policy.CacheUnknown) })
 			return
-		case f.Node.Table > 0 && n.conns >= f.Node.Table:
-			f.count().NoRoom++
-			f.after(way+f.Way, func() {
-				p.budget.Refused(f.now, len(p.conns), len(p.told))
+		case f.Node.MaxConnections > 0 && n.conns >= f.Node.MaxConnections:
+			f.count().ConnectionsRejected++
+			f.after(way+f.MessageDelay, func() {
+				p.budget.Rejected(f.now, len(p.conns), len(p.told))
 				p.trim()
-				f.end(a, policy.NoRoom, policy.NoteNone)
+				f.end(a, policy.ConnectionLimitReached, policy.CacheUnknown)
 			})
 			return
 		}
 		p.conns[n.Server] = &conn{}
 		n.conns++
-		f.Most.Connections = max(f.Most.Connections, n.conns)
+		f.Peak.Connections = max(f.Peak.Connections, n.conns)
 	}
 	p.use(n.Server)
 	p.conns[n.Server].out++
 	a.conn = true
 	f.after(way, func() {
-		if !a.done && p.modules.Allowed(f.now, h.id, a.number) {
+		if !a.done && p.modules.MaySend(f.now, h.id, a.number) {
 			f.reach(n, a)
 		} else {
-			f.end(a, policy.NotSent, policy.NoteNone)
+			f.end(a, policy.NotSent, policy.CacheUnknown)
 		}
 	})
 	p.trim()
@@ -267,7 +267,7 @@
 
 // trim closes idle connections beyond the proxy's share, those first that were not used for longest.
 func (p *proxy) trim() {
-	most := p.budget.Most(p.fleet.now, len(p.told))
+	most := p.budget.Limit(p.fleet.now, len(p.told))
 	for i := 0; i < len(p.order) && len(p.order) > most; {
 		if name := p.order[i]; p.conns[name].out == 0 {
 			p.close(name)
@@ -301,22 +301,22 @@
 		for _, a := range p.open[id].attempts {
 			if a.node == n && !a.done {
 				a.conn = false
-				f.after(f.Way, func() { f.end(a, policy.Reset, policy.NoteNone) })
+				f.after(f.MessageDelay, func() { f.end(a, policy.Reset, policy.CacheUnknown) })
 			}
 		}
 	}
 }
 
 // end brings the end of an attempt back to its proxy, once.
-func (f *Fleet) end(a *attempt, result policy.Result, note policy.Note) {
+func (f *Fleet) end(a *attempt, result policy.Result, note policy.CacheStatus) {
 	if result != policy.Cancelled && result != policy.NotSent && a.conn {
-		f.after(f.Way, func() { f.ended(a, result, note) })
+		f.after(f.MessageDelay, func() { f.ended(a, result, note) })
 		return
 	}
 	f.ended(a, result, note)
 }
 
-func (f *Fleet) ended(a *attempt, result policy.Result, note policy.Note) {
+func (f *Fleet) ended(a *attempt, result policy.Result, note policy.CacheStatus) {
 	h := a.request
 	p := h.proxy
 	if a.done || p.dead {
@@ -329,9 +329,9 @@
 	}
 	if result == policy.Served && !h.over {
 		h.over = true
-		f.after(f.Way, func() { f.served(h.ask) })
+		f.after(f.MessageDelay, func() { f.served(h.ask) })
 	}
-	p.handle(policy.Outcome{ID: h.id, Attempt: a.number, Server: a.node.Server, Result: result, Note: note,
+	p.handle(policy.Outcome{ID: h.id, Attempt: a.number, Server: a.node.Server, Result: result, CacheStatus: note,
 		Took: f.now - a.sent, Final: h.over})
 	p.forget(h)
 }
--- a/internal/simulation/sizes_test.go
+++ b/internal/simulation/sizes_test.go
@@ -14,26 +14,26 @@
 	p.Proxies, p.Nodes = 4, 12
 	for i := range p.Settings.Classes {
 		c := &p.Settings.Classes[i]
-		c.Aim, c.Deadline, c.Window = 150*ms, 670*ms, 900*ms
+		c.LatencyObjective, c.Deadline, c.DedupWindow = 150*ms, 670*ms, 900*ms
 	}
-	p.Node = NodePlan{Workers: 4, Work: 40 * ms, Queue: 30, Keep: 20 * time.Second, Spread: 0.5}
-	p.Origin = OriginPlan{Time: 70 * ms, Rate: 700, Queue: 300 * ms}
-	p.Clients.Rate, p.Clients.Keys = 600, 3000
+	p.Node = NodePlan{Workers: 4, ServiceTime: 40 * ms, MaxQueued: 30, IdleTTL: 20 * time.Second, ServiceTimeSigma: 0.5}
+	p.Origin = OriginPlan{FetchTime: 70 * ms, FetchesPerSecond: 700, MaxQueueTime: 300 * ms}
+	p.Clients.RequestsPerSecond, p.Clients.Keys = 600, 3000
 	return p
 }
 
 // replaced has one node in two seconds drained, then gone, and a new one in its place.
 func replaced(f *Fleet, from, to time.Duration) {
 	for i, at := 0, from; at < to; i, at = i+1, at+2*time.Second {
-		old, fresh := f.Names()[i], fmt.Sprintf("r%03d", i)
+		old, fresh := f.NodeNames()[i], fmt.Sprintf("r%03d", i)
 		f.At(at, func() {
 			f.add(fresh, i%len(f.Settings.Zones), f.now)
-			f.tell([]policy.Member{f.nodes[fresh].Member})
+			f.tell([]policy.Endpoint{f.nodes[fresh].Endpoint})
 			f.Drain(old)
 		})
 		f.At(at+time.Second, func() {
-			f.Lose(old)
-			f.Forget(old)
+			f.Crash(old)
+			f.Remove(old)
 		})
 	}
 }
@@ -45,7 +45,7 @@
 		calm := play(t, four(seed), 20*time.Second, nil).Sum(6, 19)
 		churn := play(t, four(seed), 20*time.Second, func(f *Fleet) { replaced(f, 2*time.Second, 19*time.Second) }).Sum(6, 19)
 		t.Logf("fetches %.3f and %.3f, in time %.3f and %.3f, a first try %.3f and %.3f sends", fetched(calm), fetched(churn),
-			inTime(calm), inTime(churn), float64(calm.Sends)/float64(calm.First), float64(churn.Sends)/float64(churn.First))
+			inTime(calm), inTime(churn), float64(calm.Sends)/float64(calm.Requests), float64(churn.Sends)/float64(churn.Requests))
 		if got := fetched(calm); got > 0.2 {
 			t.Errorf("%.3f of reads fetch in calm", got)
 		}
@@ -67,20 +67,20 @@
 	}{{4, 60, 0.05}, {80, 60, 0.5}, {80, 8, 0.8}, {1, 12, 0.05}} {
 		p := dear(1, true)
 		p.Proxies, p.Nodes = c.proxies, c.nodes
-		p.Clients.Rate = 25 * float64(c.nodes)
-		p.Settings.Links = float64(p.Node.Table) * 0.6 / float64(c.proxies)
+		p.Clients.RequestsPerSecond = 25 * float64(c.nodes)
+		p.Settings.ConnectionsPerServer = float64(p.Node.MaxConnections) * 0.6 / float64(c.proxies)
 		f := play(t, p, 12*time.Second, nil)
 		s := f.Sum(5, 11)
 		t.Logf("%d proxies, %d nodes: handshakes %.3f, fetches %.3f, in time %.3f, most connections %d", c.proxies, c.nodes, dialled(s),
-			fetched(s), inTime(s), f.Most.Connections)
+			fetched(s), inTime(s), f.Peak.Connections)
 		if got := inTime(s); got < 0.97 {
 			t.Errorf("%d proxies, %d nodes: %.3f in time", c.proxies, c.nodes, got)
 		}
 		if got := dialled(s); got > c.dials {
 			t.Errorf("%d proxies, %d nodes: %.3f handshakes for a first try", c.proxies, c.nodes, got)
 		}
-		if f.Most.Connections > p.Node.Table {
-			t.Errorf("%d proxies, %d nodes: %d connections to one node", c.proxies, c.nodes, f.Most.Connections)
+		if f.Peak.Connections > p.Node.MaxConnections {
+			t.Errorf("%d proxies, %d nodes: %d connections to one node", c.proxies, c.nodes, f.Peak.Connections)
 		}
 	}
 }
@@ -90,14 +90,14 @@
 // is done, and done for requests whose clients still wait.
 func TestRepeatsLeaveCapacityUsed(t *testing.T) {
 	p := eighty(1)
-	p.Clients.Eager, p.Clients.Pause = true, 400*ms
-	p.Clients.Rate = 2200 // of 3,000
+	p.Clients.IgnoreRetryAfter, p.Clients.RetryPause = true, 400*ms
+	p.Clients.RequestsPerSecond = 2200 // of 3,000
 	f := play(t, p, 22*time.Second, func(f *Fleet) {
-		lost := f.Names()[:20]
-		f.At(6*time.Second, func() { f.Lose(lost...); f.Forget(lost...) })
+		lost := f.NodeNames()[:20]
+		f.At(6*time.Second, func() { f.Crash(lost...); f.Remove(lost...) })
 	})
 	bad, can := f.Sum(8, 20), 12*40*f.capacity(time.Second)
-	used, tries := float64(bad.InTime+bad.Late)/can, float64(bad.Tries)/float64(bad.First)
+	used, tries := float64(bad.InTime+bad.Late)/can, float64(bad.ClientAttempts)/float64(bad.Requests)
 	t.Logf("%.2f of what 40 nodes can is served, %.3f of requests in time, %.2f tries for a first", used, inTime(bad), tries)
 	if tries < 1.5 {
 		t.Errorf("%.2f tries for a first: nothing was tested", tries)
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -23,8 +23,8 @@
 	return r.buf
 }
 
-// Fault reports that an instance cannot go on.
-func (r *Reply) Fault(instance, text string) {
+// AddFailure reports that an instance cannot go on.
+func (r *Reply) AddFailure(instance, text string) {
 	r.about(instance)
 	text = strings.Map(func(c rune) rune {
 		if c < ' ' {
@@ -35,8 +35,8 @@
 	r.line("die").text(text).stop()
 }
 
-// Add writes the actions of an instance.
-func (r *Reply) Add(instance string, actions []policy.Action) {
+// AddActions writes the actions of an instance.
+func (r *Reply) AddActions(instance string, actions []policy.Action) {
 	if len(actions) == 0 {
 		return
 	}
@@ -47,7 +47,7 @@
 			r.line("dispatch").whole(a.ID).text(a.Server).millis(a.After).stop()
 		case policy.Cancel:
 			r.line("revoke").whole(a.ID).whole(uint64(a.Attempt)).stop()
-		case policy.Refuse:
+		case policy.Reject:
 			r.line("bounce").whole(a.ID).millis(a.After).stop()
 		case policy.Fail:
 			r.line("error").whole(a.ID).stop()
@@ -55,9 +55,9 @@
 			r.line("set_timer").whole(a.Token).millis(a.After).stop()
 		case policy.Subscribe:
 			r.line("follow").whole(1).stop()
-		case policy.FetchList:
+		case policy.FetchEndpoints:
 			r.line("list_all").stop()
-		case policy.Probe:
+		case policy.HealthCheck:
 			r.line("inspect").text(a.Server).stop()
 		case policy.CloseIdle:
 			r.line("free_links").text(a.Server).stop()
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -42,11 +42,11 @@
 }
 
 var (
-	effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-	groups  = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
-		"cell": policy.GroupCell}
-	reports = map[string]policy.ReportMode{"": policy.ReportNone, "none": policy.ReportNone,
-		"answers": policy.ReportAnswers, "probe": policy.ReportProbe}
+	effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentWithKey, "unsafe": policy.NotIdempotent}
+	groups  = map[string]policy.DedupScope{"": policy.DedupScopeAll, "all": policy.DedupScopeAll, "zone": policy.DedupScopeZone,
+		"cell": policy.DedupScopeCell}
+	reports = map[string]policy.LoadReportMode{"": policy.LoadReportNone, "none": policy.LoadReportNone,
+		"answers": policy.LoadReportInResponse, "probe": policy.LoadReportByHealthCheck}
 )
 
 // ParseSettings reads the settings of an instance.
@@ -57,44 +57,44 @@
 	}
 	o := in.Obligations
 	s := policy.Settings{
-		Proxies: in.NInstances, Proxy: in.Me, Zones: in.Dcs, Zone: in.MyZone, Kinds: in.Skus,
-		OverShare: 1, AskList: in.RegistryMode == "on_request",
-		Weighted: in.WeightKind == "nominal" || in.WeightKind == "rough",
-		Aside:    in.FamilyInfo.Mode == "aside", Origin: -1, Tick: millis(in.Quantum),
-		Limits: policy.Limits{MaxAttempts: in.Limits.MaxAttempts, Duplicates: in.Limits.MayDuplicate,
-			Cancel: in.Limits.Cancel, Probes: in.Limits.Probes},
-		Rules: policy.Rules{AnswerSlack: millis(o.AnswerSlack), AskWithin: millis(o.MustAskIn),
-			DrainGrace: millis(o.StopSendingWithin), ColdShare: o.StartCapacity, ColdRamp: millis(o.RampTime),
-			FallMultiple: o.TipMultiple, FallTime: millis(o.Fall)},
+		ProxyCount: in.NInstances, ProxyIndex: in.Me, Zones: in.Dcs, Zone: in.MyZone, MachineKinds: in.Skus,
+		OverQuotaFactor: 1, EndpointsOnRequest: in.RegistryMode == "on_request",
+		RegisteredWeights: in.WeightKind == "nominal" || in.WeightKind == "rough",
+		CacheAside:        in.FamilyInfo.Mode == "aside", OriginKind: -1, EventInterval: millis(in.Quantum),
+		Limits: policy.Limits{MaxAttempts: in.Limits.MaxAttempts, AllowHedging: in.Limits.MayDuplicate,
+			AllowCancel: in.Limits.Cancel, AllowHealthChecks: in.Limits.Probes},
+		Rules: policy.Rules{ResponseGrace: millis(o.AnswerSlack), MaxPollInterval: millis(o.MustAskIn),
+			DrainGrace: millis(o.StopSendingWithin), SlowStartShare: o.StartCapacity, SlowStartWindow: millis(o.RampTime),
+			OverloadMultiple: o.TipMultiple, OverloadWindow: millis(o.Fall)},
 	}
-	s.Prices = policy.Prices{Origin: in.Charges.Origin, CrossZone: in.Charges.CrossZone, Probe: in.Charges.Probe,
+	s.Costs = policy.Costs{OriginFetch: in.Charges.Origin, CrossZone: in.Charges.CrossZone, HealthCheck: in.Charges.Probe,
 		Handshake: in.Charges.Handshake}
 	if s.Limits.MaxAttempts == 0 { // none is told: no more than the one that serves
 		s.Limits.MaxAttempts = 1
 	}
 	if in.OverShareWorth != nil {
-		s.OverShare = *in.OverShareWorth
+		s.OverQuotaFactor = *in.OverShareWorth
 	}
-	if s.Aside && in.FamilyInfo.OriginKind != nil {
-		s.Origin = *in.FamilyInfo.OriginKind
+	if s.CacheAside && in.FamilyInfo.OriginKind != nil {
+		s.OriginKind = *in.FamilyInfo.OriginKind
 	}
 	if in.Limits.RetryAfter {
 		s.Limits.MaxRetryAfter = millis(in.Limits.MaxRetryAfter)
 	}
 	var ok bool
-	if s.Reports, ok = reports[in.Telemetry.How]; !ok {
+	if s.LoadReports, ok = reports[in.Telemetry.How]; !ok {
 		return s, fmt.Errorf("settings: Telemetry.How cannot be %q", in.Telemetry.How)
 	}
 	for i, c := range in.Services {
-		class := policy.Class{Name: c.Name, Window: millis(c.Window), Aim: millis(c.Aim),
-			Deadline: millis(c.HardLimit), Worth: c.Importance, Late: c.LateShare, Streamed: c.Streamed}
-		if class.Aim == 0 { // none is told: any answer in time is as good
-			class.Aim = class.Deadline
+		class := policy.Class{Name: c.Name, DedupWindow: millis(c.Window), LatencyObjective: millis(c.Aim),
+			Deadline: millis(c.HardLimit), PriorityWeight: c.Importance, LateWeightShare: c.LateShare, Streamed: c.Streamed}
+		if class.LatencyObjective == 0 { // none is told: any answer in time is as good
+			class.LatencyObjective = class.Deadline
 		}
-		if class.Effect, ok = effects[c.Effect]; !ok {
+		if class.Idempotency, ok = effects[c.Effect]; !ok {
 			return s, fmt.Errorf("settings: Services[%d].Effect cannot be %q", i, c.Effect)
 		}
-		if class.Group, ok = groups[c.DedupScope]; !ok {
+		if class.DedupScope, ok = groups[c.DedupScope]; !ok {
 			return s, fmt.Errorf("settings: Services[%d].DedupScope cannot be %q", i, c.DedupScope)
 		}
 		s.Classes = append(s.Classes, class)
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -31,16 +31,16 @@
 
 // Batch is a round of items at one time.
 type Batch struct {
-	Now   time.Duration
-	Seq   uint64
-	Items []Item
+	Now      time.Duration
+	Sequence uint64
+	Items    []Item
 }
 
 // Reader reads batches.
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	pages [16][]policy.Member
+	pages [16][]policy.Endpoint
 	known [16]bool
 }
 
@@ -49,16 +49,16 @@
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20)}
 }
 
-// Error is a defect of the input.
-type Error struct {
-	Line  int
-	Field string
-	Text  string
+// SyntaxError is a defect of the input.
+type SyntaxError struct {
+	Line    int
+	Field   string
+	Message string
 }
 
 // Error implements error.
-func (e *Error) Error() string {
-	return fmt.Sprintf("line %d: %s: %s", e.Line, e.Field, e.Text)
+func (e *SyntaxError) Error() string {
+	return fmt.Sprintf("line %d: %s: %s", e.Line, e.Field, e.Message)
 }
 
 // Read returns the next batch; io.EOF stands for the end of a whole input.
@@ -70,7 +70,7 @@
 	if f.name != "batch" {
 		return nil, f.fail("message", "want batch, have "+strconv.Quote(f.name))
 	}
-	b := &Batch{Now: f.duration("SimTime"), Seq: f.whole("seq", 64)}
+	b := &Batch{Now: f.duration("SimTime"), Sequence: f.whole("seq", 64)}
 	if f.end(); f.err != nil {
 		return nil, f.err
 	}
@@ -78,7 +78,7 @@
 	for {
 		f, err := r.next()
 		if err == io.EOF {
-			return nil, &Error{r.line, "end", "input stops within a batch"}
+			return nil, &SyntaxError{r.line, "end", "input stops within a batch"}
 		}
 		if err != nil {
 			return nil, err
@@ -113,7 +113,7 @@
 func (r *Reader) next() (*fields, error) {
 	text, err := r.in.ReadString('\n')
 	if err == io.EOF && text != "" {
-		return nil, &Error{r.line + 1, "line", "is cut short"}
+		return nil, &SyntaxError{r.line + 1, "line", "is cut short"}
 	}
 	if err != nil {
 		return nil, err
@@ -128,11 +128,11 @@
 	if f.end(); f.err != nil {
 		return f.err
 	}
-	var list []policy.Member
+	var list []policy.Endpoint
 	for range n {
 		row, err := r.next()
 		if err == io.EOF {
-			return &Error{r.line, "row", "input stops within a list"}
+			return &SyntaxError{r.line, "row", "input stops within a list"}
 		}
 		if err != nil {
 			return err
@@ -140,10 +140,10 @@
 		if row.name != "row" {
 			return row.fail("message", "want row, have "+strconv.Quote(row.name))
 		}
-		list = append(list, policy.Member{
-			Server: row.text("Node"), Zone: row.index("Area"), Kind: row.index("GenerationHw"),
-			Cell: row.index("Cohort"), Mode: policy.Mode(row.word("Mode", modes)),
-			Weight: row.number("Rating"), Started: row.duration("CameUp"),
+		list = append(list, policy.Endpoint{
+			Server: row.text("Node"), Zone: row.index("Area"), MachineKind: row.index("GenerationHw"),
+			Cell: row.index("Cohort"), State: policy.EndpointState(row.word("Mode", modes)),
+			Weight: row.number("Rating"), StartedAt: row.duration("CameUp"),
 		})
 		if row.end(); row.err != nil {
 			return row.err
@@ -184,15 +184,15 @@
 	case "result":
 		it.Event = policy.Outcome{ID: f.id(), Attempt: f.index("Go"), Server: f.text("Node"),
 			Result: policy.Result(f.word("StateCode", results)), Took: f.duration("Took"),
-			Final: f.flag("Terminal"), Note: policy.Note(f.whole("Detail", 2)), Report: f.report("Metrics")}
+			Final: f.flag("Terminal"), CacheStatus: policy.CacheStatus(f.whole("Detail", 2)), LoadReport: f.report("Metrics")}
 	case "client_left":
-		it.Event = policy.Departure{ID: f.id()}
+		it.Event = policy.ClientLeft{ID: f.id()}
 	case "alarm":
-		it.Event = policy.Timer{Token: f.whole("KeyBack", 63)}
+		it.Event = policy.TimerFired{Token: f.whole("KeyBack", 63)}
 	case "probe_done":
-		it.Event = policy.ProbeResult{Took: f.duration("Took"),
+		it.Event = policy.HealthCheckResult{Took: f.duration("Took"),
 			Result: policy.Result(f.word("StateCode", results)), Server: f.text("Node"),
-			Report: f.report("Metrics")}
+			LoadReport: f.report("Metrics")}
 	case "whisper":
 		it.Event = policy.PeerMessage{From: f.index("Sender"), Data: f.bytes("Msg")}
 	default:
@@ -203,16 +203,16 @@
 }
 
 func (r *Reader) update(f *fields) policy.Event {
-	u := policy.ListUpdate{Version: f.whole("Gen", 64), Kind: policy.ListKind(f.word("Form", listKinds))}
+	u := policy.EndpointUpdate{Version: f.whole("Gen", 64), Kind: policy.EndpointUpdateKind(f.word("Form", listKinds))}
 	page := f.whole("Page", 64)
-	if f.err != nil || u.Kind == policy.ListLost {
+	if f.err != nil || u.Kind == policy.EndpointsUnavailable {
 		return u
 	}
 	if page > 15 || !r.known[page] {
 		f.err = f.fail("Page", "no census has this number")
 		return u
 	}
-	u.Members = r.pages[page]
+	u.Endpoints = r.pages[page]
 	return u
 }
 
@@ -222,7 +222,7 @@
 	f.number("Work")
 	f.number("BytesHint")
 	flags := f.whole("Attrs", 63)
-	a.Write, a.Repeat = flags&flagWrite != 0, flags&flagRepeat != 0
+	a.Write, a.IsRetry = flags&flagWrite != 0, flags&flagRepeat != 0
 	return a
 }
 
@@ -237,7 +237,7 @@
 }
 
 func (f *fields) fail(field, text string) error {
-	return &Error{f.line, f.name + " " + field, text}
+	return &SyntaxError{f.line, f.name + " " + field, text}
 }
 
 func (f *fields) remainder(field string) string {
@@ -335,12 +335,12 @@
 	return data
 }
 
-func (f *fields) report(field string) *policy.Report {
+func (f *fields) report(field string) *policy.LoadReport {
 	v := f.text(field)
 	if v == "" {
 		return nil
 	}
-	rep := &policy.Report{InFlight: -1, Queue: -1, Utilization: -1, Rate: -1, ErrorRate: -1, X0: -1, X1: -1,
+	rep := &policy.LoadReport{InFlight: -1, Queue: -1, Utilization: -1, Rate: -1, ErrorRate: -1, X0: -1, X1: -1,
 		Latency: -1}
 	for pair := range strings.SplitSeq(v, ",") {
 		name, figure, ok := strings.Cut(pair, ":")
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -20,21 +20,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Seq != 12 || b.Now != 8412250*time.Microsecond || len(b.Items) != 3 {
+	if b.Sequence != 12 || b.Now != 8412250*time.Microsecond || len(b.Items) != 3 {
 		t.Fatalf("batch %+v", b)
 	}
-	u := b.Items[0].Event.(policy.ListUpdate)
-	want := policy.Member{Server: "10.18.74.7:5003", Zone: 1, Kind: 2, Cell: 3, Weight: 1.5, Started: 6100 * time.Millisecond}
-	if u.Kind != policy.ListStored || u.Members[0] != want {
+	u := b.Items[0].Event.(policy.EndpointUpdate)
+	want := policy.Endpoint{Server: "10.18.74.7:5003", Zone: 1, MachineKind: 2, Cell: 3, Weight: 1.5, StartedAt: 6100 * time.Millisecond}
+	if u.Kind != policy.EndpointsCached || u.Endpoints[0] != want {
 		t.Errorf("update %+v", u)
 	}
 	a := b.Items[1].Event.(policy.Arrival)
-	if !a.Write || a.Repeat || a.Key != "u:kd6" || a.Tenant != 1 {
+	if !a.Write || a.IsRetry || a.Key != "u:kd6" || a.Tenant != 1 {
 		t.Errorf("arrival %+v", a)
 	}
 	o := b.Items[2].Event.(policy.Outcome)
-	if o.Result != policy.Served || !o.Final || o.Note != policy.NoteHit || o.Report.Queue != 3 || o.Report.InFlight != -1 {
-		t.Errorf("outcome %+v %+v", o, o.Report)
+	if o.Result != policy.Served || !o.Final || o.CacheStatus != policy.CacheHit || o.LoadReport.Queue != 3 || o.LoadReport.InFlight != -1 {
+		t.Errorf("outcome %+v %+v", o, o.LoadReport)
 	}
 }
 
@@ -52,7 +52,7 @@
 		{"batch\t1\t1\nabout\tp\nresult\t1\t0\ts\tS\t1\t1\t-\trps:x\nend\n", "line 3: result Metrics"},
 	} {
 		_, err := NewReader(strings.NewReader(c.text)).Read()
-		var e *Error
+		var e *SyntaxError
 		if !errors.As(err, &e) || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %s", c.text, err, c.want)
 		}
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	for i, want := range []string{"a:1", "b:1"} {
-		if got := b.Items[i].Event.(policy.ListUpdate).Members[0].Server; got != want {
+		if got := b.Items[i].Event.(policy.EndpointUpdate).Endpoints[0].Server; got != want {
 			t.Errorf("update %d names %s, want %s", i, got, want)
 		}
 	}
@@ -76,7 +76,7 @@
 
 func TestSettings(t *testing.T) {
 	s, err := ParseSettings(`{"Unknown":{"x":1},"RegistryMode":"on_request","Services":[{"Effect":"keyed","DedupScope":"zone","Aim":600.5}]}`)
-	if err != nil || !s.AskList || s.Classes[0].Group != policy.GroupZone || s.Classes[0].Aim != 600500*time.Microsecond {
+	if err != nil || !s.EndpointsOnRequest || s.Classes[0].DedupScope != policy.DedupScopeZone || s.Classes[0].LatencyObjective != 600500*time.Microsecond {
 		t.Errorf("%+v %v", s, err)
 	}
 	for _, text := range []string{"{", `{"Services":[{"Effect":"odd"}]}`, `{"Telemetry":{"How":"odd"}}`} {
@@ -89,11 +89,11 @@
 func TestReply(t *testing.T) {
 	var r Reply
 	r.Reset()
-	r.Add("proxy/3", []policy.Action{
+	r.AddActions("proxy/3", []policy.Action{
 		{Kind: policy.Send, ID: 7, Server: "a:1", After: 80 * time.Millisecond},
 		{Kind: policy.SetTimer, Token: 77, After: 500 * time.Millisecond}, {Kind: policy.Subscribe}})
-	r.Add("proxy/4", nil)
-	r.Fault("proxy/5", "bad\nsetting")
+	r.AddActions("proxy/4", nil)
+	r.AddFailure("proxy/5", "bad\nsetting")
 	want := "context\tproxy/3\ndispatch\t7\ta:1\t80.000\nset_timer\t77\t500.000\nfollow\t1\n" +
 		"context\tproxy/5\ndie\tbad setting\nnext\t12\n"
 	if got := string(r.Finish(12)); got != want {
@@ -111,12 +111,12 @@
 		r := NewReader(strings.NewReader(text))
 		for {
 			_, err := r.Read()
-			var e *Error
+			var e *SyntaxError
 			if err == io.EOF {
 				return
 			}
 			if err != nil {
-				if !errors.As(err, &e) || e.Line < 1 || e.Field == "" && e.Text == "" {
+				if !errors.As(err, &e) || e.Line < 1 || e.Field == "" && e.Message == "" {
 					t.Fatalf("bare error %v", err)
 				}
 				return
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -10,15 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Pending tells whether unread bytes, or a connection's end, wait in the kernel.
-func Pending(c *net.TCPConn) bool {
+// Readable tells whether unread bytes, or a connection's end, wait in the kernel.
+func Readable(c *net.TCPConn) bool {
 	_, err := peek(c)
 	return err == nil
 }
 
-// Ended tells whether the other end has closed, half closed or reset a connection, whatever of what came
+// PeerClosed tells whether the other end has closed, half closed or reset a connection, whatever of what came
 // before is unread, or this end has closed it.
-func Ended(c *net.TCPConn) bool {
+func PeerClosed(c *net.TCPConn) bool {
 	switch n, err := peek(c); {
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
 		return false
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -38,23 +38,23 @@
 		for _, before := range []string{"", "mn\r\n"} {
 			t.Run(name+" behind "+before, func(t *testing.T) {
 				near, far := pair(t)
-				if Ended(near) || Pending(near) {
+				if PeerClosed(near) || Readable(near) {
 					t.Error("an idle connection passes for ended")
 				}
 				if before != "" {
 					far.Write([]byte(before))
-					testutil.Until(t, "the bytes to come", func() bool { return Pending(near) })
-					if Ended(near) {
+					testutil.WaitUntil(t, "the bytes to come", func() bool { return Readable(near) })
+					if PeerClosed(near) {
 						t.Error("a connection with unread bytes passes for ended")
 					}
 				}
 				end(far)
-				testutil.Until(t, "the end to be seen", func() bool { return Ended(near) })
+				testutil.WaitUntil(t, "the end to be seen", func() bool { return PeerClosed(near) })
 			})
 		}
 	}
 	near, _ := pair(t)
-	if near.Close(); !Ended(near) {
+	if near.Close(); !PeerClosed(near) {
 		t.Error("a connection closed here is not ended")
 	}
 }
--- a/internal/store/voter.go
+++ b/internal/store/voter.go
@@ -19,8 +19,8 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// ErrNone tells that there is no file: it was never made, or is lost.
-var ErrNone = errors.New("store: there is none")
+// ErrNotFound tells that there is no file: it was never made, or is lost.
+var ErrNotFound = errors.New("store: there is none")
 
 // lockTime bounds the wait for another process that has the file.
 const lockTime = time.Second
@@ -35,16 +35,16 @@
 
 // Change is what one Save does, all or nothing.
 type Change struct {
-	Heads map[string][]byte // replaced
-	// From, unless 0, drops the records of that number and above; Through those up to it.
-	From, Through uint64
-	Records       []Record // added
+	Named map[string][]byte // replaced
+	// DropFrom, unless 0, drops the records of that number and above; Through those up to it.
+	DropFrom, DropThrough uint64
+	Records               []Record // added
 }
 
 // Record is a numbered one.
 type Record struct {
-	Number uint64
-	Data   []byte
+	Index uint64
+	Data  []byte
 }
 
 // Create makes a file, which must not be there.
@@ -88,7 +88,7 @@
 // Open opens a file that Create has made.
 func Open(path string) (*Log, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("%w: %s", ErrNone, path)
+		return nil, fmt.Errorf("%w: %s", ErrNotFound, path)
 	}
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTime})
 	if err != nil {
@@ -115,24 +115,24 @@
 // Save makes a change last.
 func (l *Log) Save(c Change) error {
 	return l.db.Update(func(tx *bolt.Tx) error {
-		for name, data := range c.Heads {
+		for name, data := range c.Named {
 			if err := tx.Bucket(heads).Put([]byte(name), data); err != nil {
 				return err
 			}
 		}
 		b := tx.Bucket(log)
-		if c.From > 0 {
-			if err := drop(b, key(c.From), nil); err != nil {
+		if c.DropFrom > 0 {
+			if err := drop(b, key(c.DropFrom), nil); err != nil {
 				return err
 			}
 		}
-		if c.Through > 0 {
-			if err := drop(b, nil, key(c.Through)); err != nil {
+		if c.DropThrough > 0 {
+			if err := drop(b, nil, key(c.DropThrough)); err != nil {
 				return err
 			}
 		}
 		for _, r := range c.Records {
-			if err := b.Put(key(r.Number), r.Data); err != nil {
+			if err := b.Put(key(r.Index), r.Data); err != nil {
 				return err
 			}
 		}
--- a/internal/store/voter_test.go
+++ b/internal/store/voter_test.go
@@ -10,10 +10,10 @@
 
 func TestLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a")
-	if _, err := Open(path); !errors.Is(err, ErrNone) {
+	if _, err := Open(path); !errors.Is(err, ErrNotFound) {
 		t.Fatalf("opened before it was made: %v", err)
 	}
-	if err := Create(path, Change{Heads: map[string][]byte{"x": []byte("1")}}); err != nil {
+	if err := Create(path, Change{Named: map[string][]byte{"x": []byte("1")}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := Create(path, Change{}); err == nil {
@@ -36,8 +36,8 @@
 		return list
 	}
 	save(Change{Records: records(1, 2, 3, 300, 400)})
-	save(Change{From: 300, Records: records(300), Heads: map[string][]byte{"y": nil}})
-	save(Change{Through: 2})
+	save(Change{DropFrom: 300, Records: records(300), Named: map[string][]byte{"y": nil}})
+	save(Change{DropThrough: 2})
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 // TestTornFileIsNotOpened guards against memory that is half there: it is an error, never an empty one.
 func TestTornFileIsNotOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a")
-	if err := Create(path, Change{Heads: map[string][]byte{"x": make([]byte, 20000)}}); err != nil {
+	if err := Create(path, Change{Named: map[string][]byte{"x": make([]byte, 20000)}}); err != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(path)
