--- a/internal/takeover/coordinator/desk.go
+++ b/internal/takeover/coordinator/desk.go
@@ -26,24 +26,24 @@
 
 // Core is what a desk asks of the proxy it belongs to.
 type Core interface {
-	Permit(id uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool
-	Adopt(in *request.Request, within time.Duration) (id uint64, ok bool)
+	ClaimDecided(id uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool
+	ResumeWrite(in *request.Request, within time.Duration) (id uint64, ok bool)
 }
 
-// Fleet is who else there is.
-type Fleet interface {
-	Members() (list []peer.Seen, blind bool, changed <-chan struct{})
+// Membership is who else there is.
+type Membership interface {
+	Members() (list []peer.MemberState, blind bool, changed <-chan struct{})
 }
 
 // Options say how works are held.
 type Options struct {
-	Fleet  string
-	Self   takeover.Owner
-	Zone   string
-	Others int  // holders beside this proxy
-	Strict bool // refused where none can be had
-	Clock  func() time.Duration
-	Log    *slog.Logger
+	Fleet          string
+	Self           takeover.Owner
+	Zone           string
+	Replicas       int  // holders beside this proxy
+	RequireReplica bool // refused where none can be had
+	Clock          func() time.Duration
+	Log            *slog.Logger
 }
 
 // Bounds and times.
@@ -62,7 +62,7 @@
 
 // letter is what proxies say to one another. All of it may be lost.
 type letter struct {
-	rpc.Head
+	rpc.Header
 	From    takeover.Owner `cbor:"3,keyasint"`
 	To      takeover.Owner `cbor:"4,keyasint"`
 	Asks    []ask          `cbor:"5,keyasint,omitempty"`
@@ -71,12 +71,12 @@
 }
 
 type ask struct {
-	Errand uint64        `cbor:"1,keyasint"` // of the asker's
-	Work   takeover.Work `cbor:"2,keyasint"`
-	Rank   int           `cbor:"3,keyasint,omitempty"`
-	Number uint64        `cbor:"4,keyasint,omitempty"`
-	Age    time.Duration `cbor:"5,keyasint,omitempty"`
-	Retry  bool          `cbor:"6,keyasint,omitempty"`
+	Errand uint64         `cbor:"1,keyasint"` // of the asker's
+	Work   takeover.Write `cbor:"2,keyasint"`
+	Rank   int            `cbor:"3,keyasint,omitempty"`
+	Number uint64         `cbor:"4,keyasint,omitempty"`
+	Age    time.Duration  `cbor:"5,keyasint,omitempty"`
+	Retry  bool           `cbor:"6,keyasint,omitempty"`
 }
 
 type settle struct {
@@ -88,13 +88,13 @@
 }
 
 type answer struct {
-	Errand  uint64         `cbor:"1,keyasint"`
-	Word    takeover.Word  `cbor:"2,keyasint"`
-	Number  uint64         `cbor:"3,keyasint,omitempty"`
-	Age     time.Duration  `cbor:"4,keyasint,omitempty"`
-	Receipt string         `cbor:"5,keyasint,omitempty"`
-	Young   bool           `cbor:"6,keyasint,omitempty"`
-	Was     takeover.Owner `cbor:"7,keyasint,omitempty"`
+	Errand  uint64            `cbor:"1,keyasint"`
+	Word    takeover.Decision `cbor:"2,keyasint"`
+	Number  uint64            `cbor:"3,keyasint,omitempty"`
+	Age     time.Duration     `cbor:"4,keyasint,omitempty"`
+	Receipt string            `cbor:"5,keyasint,omitempty"`
+	Young   bool              `cbor:"6,keyasint,omitempty"`
+	Was     takeover.Owner    `cbor:"7,keyasint,omitempty"`
 }
 
 // text is a write as it can be sent again.
@@ -107,8 +107,8 @@
 	Flags       uint32 `cbor:"6,keyasint,omitempty"`
 }
 
-// Desk is one at work. It is safe for concurrent use.
-type Desk struct {
+// Coordinator is one at work. It is safe for concurrent use.
+type Coordinator struct {
 	o    Options
 	core Core
 	http *http.Client
@@ -119,7 +119,7 @@
 	counts Counts
 
 	// All else is of Run's goroutine.
-	register *takeover.Register
+	register *takeover.Registry
 	actions  []takeover.Action
 	errands  map[uint64]*errand
 	last     uint64             // errand, or tag of another proxy's ask
@@ -136,7 +136,7 @@
 
 // Counts are of what went through.
 type Counts struct {
-	Asked, Sent, Joined, Served, Unsure, Refused, Plainly, Taken, Spent, Missed, Letters, Parts int
+	Claims, Proceeded, InProgress, Served, OutcomeUnknown, Rejected, Unreplicated, TakenOver, Abandoned, HolderTimeouts, Messages, MessageItems int
 }
 
 // asker is whose ask a tag is: another proxy's errand, or one of this one's.
@@ -148,11 +148,11 @@
 
 // errand is a work that this proxy is the owner of, or wants to be.
 type errand struct {
-	takeover.Errand
+	takeover.Claim
 	number  uint64 // of the errand
 	core    uint64 // the core's id; 0 for one that is taken over
-	work    takeover.Work
-	kind    takeover.Kind
+	work    takeover.Write
+	kind    takeover.ClaimKind
 	grant   uint64 // under which it settles
 	holders []takeover.Owner
 	waits   map[string]time.Duration // holders that have not said a word, until when
@@ -165,7 +165,7 @@
 
 // member is another proxy, and what is to be told it.
 type member struct {
-	takeover.Place
+	takeover.Candidate
 	address string
 	stop    context.CancelFunc
 
@@ -179,7 +179,7 @@
 // asking and settled are what the core brings.
 type asking struct {
 	id      uint64
-	work    takeover.Work
+	work    takeover.Write
 	retry   bool
 	expires time.Time
 }
@@ -191,18 +191,18 @@
 }
 
 // New returns a desk; Run puts it to work.
-func New(core Core, o Options) *Desk {
-	return &Desk{o: o, core: core, wake: make(chan struct{}, 1), errands: make(map[uint64]*errand), asked: make(map[uint64]asker),
+func New(core Core, o Options) *Coordinator {
+	return &Coordinator{o: o, core: core, wake: make(chan struct{}, 1), errands: make(map[uint64]*errand), asked: make(map[uint64]asker),
 		works: make(map[uint64]*errand), members: make(map[string]*member), gone: make(map[takeover.Owner]bool), away: make(map[string]time.Duration),
-		register: takeover.NewRegister(takeover.Usual, o.Self, o.Clock()),
-		http:     &http.Client{Timeout: rpc.LinkTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: rpc.IdleTime}}}
+		register: takeover.NewRegistry(takeover.DefaultParameters, o.Self, o.Clock()),
+		http:     &http.Client{Timeout: rpc.ExchangeTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: rpc.IdleTimeout}}}
 }
 
-// Strict tells whether a work is refused where no holder can be had.
-func (d *Desk) Strict() bool { return d.o.Strict }
+// RequiresReplica tells whether a work is refused where no holder can be had.
+func (d *Coordinator) RequiresReplica() bool { return d.o.RequireReplica }
 
 // put hands something to the desk's goroutine, unless there is no room.
-func (d *Desk) put(item any, always bool) bool {
+func (d *Coordinator) put(item any, always bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.inbox) >= mostInbox && !always {
@@ -216,43 +216,43 @@
 	return true
 }
 
-// Ask implements core.Desk.
-func (d *Desk) Ask(id uint64, in *request.Request, window time.Duration, expires time.Time) bool {
-	body, err := cbor.Marshal(text{in.Key, in.Class, in.Tenant, in.Idempotency, in.Value, in.Flags})
+// Claim implements core.TakeoverCoordinator.
+func (d *Coordinator) Claim(id uint64, in *request.Request, window time.Duration, expires time.Time) bool {
+	body, err := cbor.Marshal(text{in.Key, in.Class, in.Tenant, in.IdempotencyKey, in.Value, in.Flags})
 	if err != nil {
 		return false
 	}
 	h := fnv.New64a()
 	h.Write(body)
-	w := takeover.Work{ID: in.Class + "\x00" + in.Tenant + "\x00" + in.Idempotency, Digest: h.Sum64(), Window: window, Text: body}
+	w := takeover.Write{ID: in.Class + "\x00" + in.Tenant + "\x00" + in.IdempotencyKey, Digest: h.Sum64(), DedupWindow: window, Payload: body}
 	return d.put(asking{id, w, in.Retry, expires}, false)
 }
 
-// Settle implements core.Desk. There are no more of them than works that were asked for.
-func (d *Desk) Settle(id uint64, outcome takeover.Outcome, receipt string) {
+// Complete implements core.TakeoverCoordinator. There are no more of them than works that were asked for.
+func (d *Coordinator) Complete(id uint64, outcome takeover.Outcome, receipt string) {
 	d.put(settled{id, outcome, receipt}, true)
 }
 
 // Counts returns what went through so far.
-func (d *Desk) Counts() Counts {
+func (d *Coordinator) Counts() Counts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.counts
 }
 
-func (d *Desk) count(change func(*Counts)) {
+func (d *Coordinator) count(change func(*Counts)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(&d.counts)
 }
 
 // Run keeps the desk at work until ctx ends, on a listener of its own.
-func (d *Desk) Run(ctx context.Context, listener net.Listener, fleet Fleet) {
+func (d *Coordinator) Run(ctx context.Context, listener net.Listener, fleet Membership) {
 	var tasks sync.WaitGroup
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+path, d.take)
-	mux.HandleFunc("GET "+ListPath, d.list)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, ReadTimeout: 2 * time.Second, WriteTimeout: 2 * time.Second, IdleTimeout: rpc.IdleTime,
+	mux.HandleFunc("GET "+WritesPath, d.list)
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, ReadTimeout: 2 * time.Second, WriteTimeout: 2 * time.Second, IdleTimeout: rpc.IdleTimeout,
 		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	tasks.Go(func() { server.Serve(listener) })
 	tick := time.NewTicker(tickTime)
@@ -266,7 +266,7 @@
 		case <-changed:
 			list, blind, changed = fleet.Members()
 			if d.blind && !blind {
-				d.tell(takeover.Returned{})
+				d.tell(takeover.Rejoined{})
 			}
 			d.blind = blind
 			d.meet(ctx, list, &tasks)
@@ -288,13 +288,13 @@
 	d.mu.Unlock()
 	for _, item := range items { // nobody is left waiting
 		if x, ok := item.(asking); ok {
-			d.core.Permit(x.id, takeover.Refuse, 0, "")
+			d.core.ClaimDecided(x.id, takeover.Reject, 0, "")
 		}
 	}
 	for _, e := range d.errands {
-		if e.Over(); e.core != 0 {
+		if e.ClientTimedOut(); e.core != 0 {
 			verdict, _ := e.Verdict()
-			d.core.Permit(e.core, verdict, 0, e.Receipt())
+			d.core.ClaimDecided(e.core, verdict, 0, e.Receipt())
 		}
 	}
 	for _, m := range d.members {
@@ -304,17 +304,17 @@
 	d.http.CloseIdleConnections()
 }
 
-// ListPath is where a desk tells its works, in JSON.
-const ListPath = "/v1/works"
+// WritesPath is where a desk tells its works, in JSON.
+const WritesPath = "/v1/works"
 
 // mostListed bounds what is told of works.
 const mostListed = 1000
 
 // listing asks the desk's goroutine for its works.
-type listing struct{ list chan []takeover.Held }
+type listing struct{ list chan []takeover.WriteStatus }
 
-func (d *Desk) list(w http.ResponseWriter, r *http.Request) {
-	l := listing{make(chan []takeover.Held, 1)}
+func (d *Coordinator) list(w http.ResponseWriter, r *http.Request) {
+	l := listing{make(chan []takeover.WriteStatus, 1)}
 	if !d.put(l, false) {
 		http.Error(w, "no room", http.StatusServiceUnavailable)
 		return
@@ -328,9 +328,9 @@
 }
 
 // take takes a letter of another proxy.
-func (d *Desk) take(w http.ResponseWriter, r *http.Request) {
+func (d *Coordinator) take(w http.ResponseWriter, r *http.Request) {
 	var l letter
-	if !rpc.Read(w, r, d.o.Fleet, &l) {
+	if !rpc.ReadRequest(w, r, d.o.Fleet, &l) {
 		return
 	}
 	if l.To != d.o.Self { // for a process that was here before
@@ -345,20 +345,20 @@
 }
 
 // meet takes the fleet's members as they are now.
-func (d *Desk) meet(ctx context.Context, list []peer.Seen, tasks *sync.WaitGroup) {
+func (d *Coordinator) meet(ctx context.Context, list []peer.MemberState, tasks *sync.WaitGroup) {
 	d.forget(list)
 	for _, s := range list {
-		o := takeover.Owner{Name: s.Name, Run: s.Run}
+		o := takeover.Owner{Name: s.Name, Incarnation: s.Incarnation}
 		if o.Name == d.o.Self.Name { // who was held for gone was passed over meanwhile
 			gone := s.State == peer.Gone
 			if d.selfGone && !gone {
-				d.tell(takeover.Returned{})
+				d.tell(takeover.Rejoined{})
 			}
 			d.selfGone = gone
 			continue
 		}
 		m := d.members[s.Name]
-		if m != nil && m.Run != s.Run { // another process of that name: the one before is lost
+		if m != nil && m.Incarnation != s.Incarnation { // another process of that name: the one before is lost
 			d.lose(m.Owner)
 			m.stop()
 			delete(d.members, s.Name)
@@ -372,11 +372,11 @@
 		case s.State == peer.Alive && d.gone[o]:
 			delete(d.gone, o)
 			d.away[o.Name] = d.o.Clock()
-			d.tell(takeover.Back{Owner: o})
+			d.tell(takeover.OwnerReturned{Owner: o})
 		}
 		if m == nil && s.State != peer.Gone && s.Address != "" {
 			life, stop := context.WithCancel(ctx)
-			m = &member{Place: takeover.Place{Owner: o, Zone: s.Zone}, address: s.Address, stop: stop, wake: make(chan struct{}, 1)}
+			m = &member{Candidate: takeover.Candidate{Owner: o, Zone: s.Zone}, address: s.Address, stop: stop, wake: make(chan struct{}, 1)}
 			d.members[s.Name] = m
 			tasks.Go(func() { d.carry(life, m) })
 		}
@@ -384,7 +384,7 @@
 }
 
 // forget lets go of those whom the fleet has forgotten, so that names that come and go don't pile up.
-func (d *Desk) forget(list []peer.Seen) {
+func (d *Coordinator) forget(list []peer.MemberState) {
 	known := make(map[string]bool, len(list))
 	for _, s := range list {
 		known[s.Name] = true
@@ -400,40 +400,40 @@
 }
 
 // lose takes that a process is gone: no answer of it is waited for, and its works are to be taken over.
-func (d *Desk) lose(o takeover.Owner) {
+func (d *Coordinator) lose(o takeover.Owner) {
 	for _, e := range d.errands {
 		if _, waits := e.waits[o.Name]; waits {
 			delete(e.waits, o.Name)
-			e.Gone(o.Name)
+			e.HolderGone(o.Name)
 			d.decide(e)
 		}
 	}
-	d.tell(takeover.Lost{Owner: o})
+	d.tell(takeover.OwnerLost{Owner: o})
 }
 
 // tell gives the register an event and does what it asks.
-func (d *Desk) tell(event takeover.Event) {
+func (d *Coordinator) tell(event takeover.Event) {
 	d.actions = d.register.Handle(d.o.Clock(), event, d.actions[:0])
 	todo := d.actions
 	d.actions = nil // what is done may bring more
 	for _, action := range todo {
 		switch a := action.(type) {
-		case takeover.Answer:
+		case takeover.ClaimResponse:
 			d.answered(a)
-		case takeover.Take:
+		case takeover.TakeOver:
 			d.takeOver(a)
 		}
 	}
 }
 
 // answered takes a register's answer to whoever asked.
-func (d *Desk) answered(a takeover.Answer) {
-	who, ok := d.asked[a.Tag]
+func (d *Coordinator) answered(a takeover.ClaimResponse) {
+	who, ok := d.asked[a.RequestID]
 	if !ok {
 		return
 	}
-	if a.Word != takeover.Parked {
-		delete(d.asked, a.Tag)
+	if a.Decision != takeover.InProgress {
+		delete(d.asked, a.RequestID)
 	}
 	if who.own {
 		if e := d.errands[who.errand]; e != nil {
@@ -443,13 +443,13 @@
 	}
 	if m := d.members[who.to.Name]; m != nil && m.Owner == who.to {
 		m.push(func() bool {
-			m.say = append(m.say, answer{who.errand, a.Word, a.Number, a.Age, a.Receipt, a.Young, a.Was})
+			m.say = append(m.say, answer{who.errand, a.Decision, a.Epoch, a.Age, a.Receipt, a.MayHaveForgotten, a.PreviousOwner})
 			return len(m.say) < mostOut
 		})
 	}
 }
 
-func (d *Desk) handle(item any) {
+func (d *Coordinator) handle(item any) {
 	switch x := item.(type) {
 	case asking:
 		d.begin(&x)
@@ -464,14 +464,14 @@
 		for _, a := range x.Asks {
 			d.last++
 			d.asked[d.last] = asker{to: x.From, errand: a.Errand}
-			d.tell(takeover.Ask{Tag: d.last, Work: a.Work, Owner: x.From, Rank: a.Rank, Number: a.Number, Age: a.Age, Retry: a.Retry})
+			d.tell(takeover.ClaimRequest{RequestID: d.last, Write: a.Work, Owner: x.From, Rank: a.Rank, Epoch: a.Number, Age: a.Age, Retry: a.Retry})
 		}
 		for _, s := range x.Settles {
-			d.tell(takeover.Settle{ID: s.ID, Digest: s.Digest, Owner: x.From, Number: s.Number, Outcome: s.Outcome, Receipt: s.Receipt})
+			d.tell(takeover.Completion{ID: s.ID, Digest: s.Digest, Owner: x.From, Epoch: s.Number, Outcome: s.Outcome, Receipt: s.Receipt})
 		}
 		for _, a := range x.Answers {
 			if e := d.errands[a.Errand]; e != nil {
-				d.heard(e, x.From.Name, takeover.Answer{Word: a.Word, Number: a.Number, Age: a.Age, Receipt: a.Receipt, Young: a.Young, Was: a.Was})
+				d.heard(e, x.From.Name, takeover.ClaimResponse{Decision: a.Word, Epoch: a.Number, Age: a.Age, Receipt: a.Receipt, MayHaveForgotten: a.Young, PreviousOwner: a.Was})
 			}
 		}
 	}
@@ -479,10 +479,10 @@
 
 // others are the holders of a work beside this proxy: the first ones of its order that live; and those before them that
 // are gone, which might know more.
-func (d *Desk) others(id string) (list []*member, gone []string) {
+func (d *Coordinator) others(id string) (list []*member, gone []string) {
 	for _, m := range d.ordered(id) {
 		switch {
-		case len(list) >= d.o.Others:
+		case len(list) >= d.o.Replicas:
 			return list, gone
 		case d.gone[m.Owner]:
 			gone = append(gone, m.Name)
@@ -493,31 +493,31 @@
 	return list, gone
 }
 
-func (d *Desk) ordered(id string) (list []*member) {
-	var places []takeover.Place
+func (d *Coordinator) ordered(id string) (list []*member) {
+	var places []takeover.Candidate
 	for _, m := range d.members {
-		places = append(places, m.Place)
+		places = append(places, m.Candidate)
 	}
-	for _, p := range takeover.Order(id, places) {
+	for _, p := range takeover.RankHolders(id, places) {
 		list = append(list, d.members[p.Name])
 	}
 	return list
 }
 
 // begin asks for a write of a client's: the own register first.
-func (d *Desk) begin(x *asking) {
-	d.count(func(c *Counts) { c.Asked++ })
-	kind := takeover.New
+func (d *Coordinator) begin(x *asking) {
+	d.count(func(c *Counts) { c.Claims++ })
+	kind := takeover.FirstAttempt
 	if x.retry {
-		kind = takeover.Retry
+		kind = takeover.ClientRetry
 	}
 	now := d.o.Clock()
 	d.last++
 	e := &errand{number: d.last, core: x.id, work: x.work, kind: kind, waits: make(map[string]time.Duration), late: now + time.Until(x.expires) - beforeLate}
 	list, gone := d.others(x.work.ID)
-	e.Errand = *takeover.NewErrand(takeover.Usual, x.work.Window, now, len(list), d.options(), kind)
+	e.Claim = *takeover.NewClaim(takeover.DefaultParameters, x.work.DedupWindow, now, len(list), d.options(), kind)
 	for _, name := range gone {
-		e.Instead(name)
+		e.ReplaceHolder(name)
 	}
 	for _, m := range list {
 		e.holders = append(e.holders, m.Owner)
@@ -526,66 +526,66 @@
 	d.asked[e.number] = asker{errand: e.number, own: true}
 	d.decide(e) // where there are no others
 	if d.errands[e.number] == e {
-		d.tell(takeover.Ask{Tag: e.number, Work: x.work, Owner: d.o.Self, Rank: len(list), Retry: x.retry})
+		d.tell(takeover.ClaimRequest{RequestID: e.number, Write: x.work, Owner: d.o.Self, Rank: len(list), Retry: x.retry})
 	}
 }
 
-func (d *Desk) options() takeover.Options {
-	return takeover.Options{Others: d.o.Others, Strict: d.o.Strict}
+func (d *Coordinator) options() takeover.Options {
+	return takeover.Options{Replicas: d.o.Replicas, RequireReplica: d.o.RequireReplica}
 }
 
 // heard takes a holder's answer to an errand.
-func (d *Desk) heard(e *errand, holder string, a takeover.Answer) {
-	if a.Word == takeover.Parked {
-		d.count(func(c *Counts) { c.Joined++ })
+func (d *Coordinator) heard(e *errand, holder string, a takeover.ClaimResponse) {
+	if a.Decision == takeover.InProgress {
+		d.count(func(c *Counts) { c.InProgress++ })
 	}
 	if holder != d.o.Self.Name {
-		if _, waits := e.waits[holder]; !waits && !e.Joined() {
+		if _, waits := e.waits[holder]; !waits && !e.IsInProgress() {
 			return // it was missed already
 		}
 	}
 	delete(e.waits, holder)
-	if at, ok := d.away[holder]; ok && a.Word == takeover.Leave && a.Age == 0 && d.o.Clock()-at < takeover.Usual.Young {
-		a.Young = true // it was passed over while it was away, whatever it knows of that
+	if at, ok := d.away[holder]; ok && a.Decision == takeover.Granted && a.Age == 0 && d.o.Clock()-at < takeover.DefaultParameters.RecoveryPeriod {
+		a.MayHaveForgotten = true // it was passed over while it was away, whatever it knows of that
 	}
-	e.Heard(holder, a)
-	if holder == d.o.Self.Name && (a.Word == takeover.Leave || a.Word == takeover.Spent) && !e.began {
+	e.HandleResponse(holder, a)
+	if holder == d.o.Self.Name && (a.Decision == takeover.Granted || a.Decision == takeover.WindowExpired) && !e.began {
 		d.askOthers(e, 0, 0)
 	}
 	d.decide(e)
 }
 
 // askOthers asks the other holders, of which one that has ended meanwhile is missed.
-func (d *Desk) askOthers(e *errand, number uint64, age time.Duration) {
+func (d *Coordinator) askOthers(e *errand, number uint64, age time.Duration) {
 	e.began = true
 	e.asNumber, e.asAge = number, age
 	for rank, o := range e.holders {
 		m := d.members[o.Name]
 		if m == nil || m.Owner != o || d.gone[o] {
-			e.Gone(o.Name)
+			e.HolderGone(o.Name)
 			continue
 		}
 		d.askOne(e, m, rank)
 	}
 }
 
-func (d *Desk) askOne(e *errand, m *member, rank int) {
+func (d *Coordinator) askOne(e *errand, m *member, rank int) {
 	e.waits[m.Name] = d.o.Clock() + answerTime
 	m.push(func() bool {
-		m.asks = append(m.asks, ask{e.number, e.work, rank, e.asNumber, e.asAge, e.kind != takeover.New})
+		m.asks = append(m.asks, ask{e.number, e.work, rank, e.asNumber, e.asAge, e.kind != takeover.FirstAttempt})
 		return len(m.asks) < mostOut
 	})
 }
 
 // instead asks another proxy in place of a holder that has not answered in time: it may stand still, and be known to only
 // later. It tells whether there is one.
-func (d *Desk) instead(e *errand, holder string) bool {
-	if len(e.holders) >= 2*d.o.Others+1 { // a few will do
+func (d *Coordinator) instead(e *errand, holder string) bool {
+	if len(e.holders) >= 2*d.o.Replicas+1 { // a few will do
 		return false
 	}
 	for _, m := range d.ordered(e.work.ID) {
 		if !slices.Contains(e.holders, m.Owner) && !d.gone[m.Owner] {
-			e.Instead(holder)
+			e.ReplaceHolder(holder)
 			e.holders = append(e.holders, m.Owner)
 			d.askOne(e, m, len(e.holders)-1)
 			return true
@@ -595,9 +595,9 @@
 }
 
 // decide does what follows once an errand's verdict stands.
-func (d *Desk) decide(e *errand) {
+func (d *Coordinator) decide(e *errand) {
 	verdict, until := e.Verdict()
-	if verdict == takeover.Waiting || d.errands[e.number] != e {
+	if verdict == takeover.Undecided || d.errands[e.number] != e {
 		return
 	}
 	delete(d.errands, e.number)
@@ -608,40 +608,40 @@
 	}
 	within := until - d.o.Clock()
 	wanted := true
-	if verdict == takeover.Plainly { // who knows of it, were it the own register alone, is to hear what came of it
-		within = takeover.Usual.Leave
+	if verdict == takeover.ProceedUnreplicated { // who knows of it, were it the own register alone, is to hear what came of it
+		within = takeover.DefaultParameters.PermissionDuration
 	}
-	if verdict == takeover.Send || verdict == takeover.Plainly {
-		e.grant = max(e.Number(), 1)
+	if verdict == takeover.Proceed || verdict == takeover.ProceedUnreplicated {
+		e.grant = max(e.Epoch(), 1)
 		d.works[e.core] = e
-		if wanted = d.core.Permit(e.core, takeover.Send, within, ""); !wanted {
+		if wanted = d.core.ClaimDecided(e.core, takeover.Proceed, within, ""); !wanted {
 			delete(d.works, e.core)
 		}
 	} else {
-		d.core.Permit(e.core, verdict, 0, e.Receipt())
+		d.core.ClaimDecided(e.core, verdict, 0, e.Receipt())
 	}
 	d.count(func(c *Counts) {
 		switch verdict {
-		case takeover.Send:
-			c.Sent++
-		case takeover.Receipt:
+		case takeover.Proceed:
+			c.Proceeded++
+		case takeover.ReturnReceipt:
 			c.Served++
-		case takeover.Unsure:
-			c.Unsure++
-		case takeover.Plainly:
-			c.Plainly++
+		case takeover.OutcomeUnknown:
+			c.OutcomeUnknown++
+		case takeover.ProceedUnreplicated:
+			c.Unreplicated++
 		default:
-			c.Refused++
+			c.Rejected++
 		}
 	})
 	switch {
-	case verdict == takeover.Receipt:
-		e.grant = e.Number()
+	case verdict == takeover.ReturnReceipt:
+		e.grant = e.Epoch()
 		d.settle(e, takeover.Served, e.Receipt())
-	case verdict != takeover.Send && verdict != takeover.Plainly && verdict != takeover.Clash || !wanted: // this owner sends nothing
-		e.grant = max(e.Number(), 1)
-		outcome := takeover.NotRun
-		if verdict == takeover.Unsure { // and stays so: who asks again later is not to find those that may have forgotten grown old
+	case verdict != takeover.Proceed && verdict != takeover.ProceedUnreplicated && verdict != takeover.KeyConflict || !wanted: // this owner sends nothing
+		e.grant = max(e.Epoch(), 1)
+		outcome := takeover.NotExecuted
+		if verdict == takeover.OutcomeUnknown { // and stays so: who asks again later is not to find those that may have forgotten grown old
 			outcome = takeover.Unknown
 		}
 		d.settle(e, outcome, "")
@@ -649,8 +649,8 @@
 }
 
 // settle tells all holders what came of a work, this proxy's own register first.
-func (d *Desk) settle(e *errand, outcome takeover.Outcome, receipt string) {
-	d.tell(takeover.Settle{ID: e.work.ID, Digest: e.work.Digest, Owner: d.o.Self, Number: e.grant, Outcome: outcome, Receipt: receipt})
+func (d *Coordinator) settle(e *errand, outcome takeover.Outcome, receipt string) {
+	d.tell(takeover.Completion{ID: e.work.ID, Digest: e.work.Digest, Owner: d.o.Self, Epoch: e.grant, Outcome: outcome, Receipt: receipt})
 	for _, o := range e.holders {
 		if m := d.members[o.Name]; m != nil && m.Owner == o {
 			m.push(func() bool {
@@ -662,58 +662,58 @@
 }
 
 // takeOver begins to go on with a lost work: the other holders are heard before anything is sent.
-func (d *Desk) takeOver(a takeover.Take) {
+func (d *Coordinator) takeOver(a takeover.TakeOver) {
 	now := d.o.Clock()
-	list, gone := d.others(a.Work.ID)
+	list, gone := d.others(a.Write.ID)
 	d.last++
-	e := &errand{number: d.last, work: a.Work, kind: takeover.Taken, grant: a.Number, waits: make(map[string]time.Duration), late: now + a.Work.Window}
+	e := &errand{number: d.last, work: a.Write, kind: takeover.TakenOver, grant: a.Epoch, waits: make(map[string]time.Duration), late: now + a.Write.DedupWindow}
 	for _, m := range list {
 		e.holders = append(e.holders, m.Owner)
 	}
-	e.Errand = *takeover.NewErrand(takeover.Usual, a.Work.Window, now, len(list), d.options(), takeover.Taken)
+	e.Claim = *takeover.NewClaim(takeover.DefaultParameters, a.Write.DedupWindow, now, len(list), d.options(), takeover.TakenOver)
 	for _, name := range gone {
-		e.Instead(name)
+		e.ReplaceHolder(name)
 	}
 	d.errands[e.number] = e
-	e.Heard(d.o.Self.Name, takeover.Answer{Word: takeover.Leave, Number: a.Number, Age: a.Age, Was: a.Was})
-	d.askOthers(e, a.Number, a.Age)
+	e.HandleResponse(d.o.Self.Name, takeover.ClaimResponse{Decision: takeover.Granted, Epoch: a.Epoch, Age: a.Age, PreviousOwner: a.PreviousOwner})
+	d.askOthers(e, a.Epoch, a.Age)
 	d.decide(e)
 }
 
 // decideTaken goes on with a work that was taken over, or settles it.
-func (d *Desk) decideTaken(e *errand, verdict takeover.Verdict, until time.Duration) {
+func (d *Coordinator) decideTaken(e *errand, verdict takeover.Verdict, until time.Duration) {
 	outcome := takeover.Unknown
 	switch verdict {
-	case takeover.Send:
+	case takeover.Proceed:
 		var t text
 		d.taken++
-		if cbor.Unmarshal(e.work.Text, &t) != nil {
+		if cbor.Unmarshal(e.work.Payload, &t) != nil {
 			break
 		}
-		in := &request.Request{Verb: request.Set, Key: t.Key, ID: fmt.Sprintf("%s.%x.%d", d.o.Self.Name, d.o.Self.Run, d.taken), Value: t.Value, Class: t.Class,
-			Tenant: t.Tenant, Idempotency: t.Idempotency, Wait: -1, Retry: true, Flags: t.Flags}
-		if id, ok := d.core.Adopt(in, until-d.o.Clock()); ok {
+		in := &request.Request{Verb: request.Set, Key: t.Key, ID: fmt.Sprintf("%s.%x.%d", d.o.Self.Name, d.o.Self.Incarnation, d.taken), Value: t.Value, Class: t.Class,
+			Tenant: t.Tenant, IdempotencyKey: t.Idempotency, Timeout: -1, Retry: true, Flags: t.Flags}
+		if id, ok := d.core.ResumeWrite(in, until-d.o.Clock()); ok {
 			e.core = id
 			d.works[id] = e
-			d.count(func(c *Counts) { c.Taken++ })
+			d.count(func(c *Counts) { c.TakenOver++ })
 			d.o.Log.Info("work taken over", "key", t.Key, "k", t.Idempotency, "left", until-d.o.Clock())
 			return
 		}
-	case takeover.Receipt:
+	case takeover.ReturnReceipt:
 		outcome = takeover.Served
 	}
 	if outcome == takeover.Unknown {
-		d.count(func(c *Counts) { c.Spent++ })
+		d.count(func(c *Counts) { c.Abandoned++ })
 		d.o.Log.Warn("work unknown", "id", e.work.ID, "verdict", int(verdict))
 	}
 	d.settle(e, outcome, e.Receipt())
 }
 
 // tick lets time pass: for the register, for holders that say nothing, and for clients whose time is over.
-func (d *Desk) tick() {
+func (d *Coordinator) tick() {
 	now := d.o.Clock()
 	if now-d.looked >= stoodTime { // what the others said meanwhile may be lost
-		d.tell(takeover.Returned{})
+		d.tell(takeover.Rejoined{})
 	}
 	d.looked = now
 	d.tell(takeover.Tick{})
@@ -721,15 +721,15 @@
 		for holder, until := range e.waits {
 			if now >= until {
 				delete(e.waits, holder)
-				d.count(func(c *Counts) { c.Missed++ })
+				d.count(func(c *Counts) { c.HolderTimeouts++ })
 				if !d.instead(e, holder) {
-					e.Missed(holder)
+					e.HolderTimedOut(holder)
 				}
 			}
 		}
 		if now >= e.late {
-			e.Over()
-			d.tell(takeover.Left{ID: e.work.ID, Tag: e.number})
+			e.ClientTimedOut()
+			d.tell(takeover.WaiterLeft{ID: e.work.ID, RequestID: e.number})
 		}
 		d.decide(e)
 	}
@@ -752,11 +752,11 @@
 
 // carry takes what is to be told a member to it, as much as there is at a time. Outcomes are told until they are heard, or
 // for settleTime; the rest makes up for its loss by itself.
-func (d *Desk) carry(ctx context.Context, m *member) {
+func (d *Coordinator) carry(ctx context.Context, m *member) {
 	var since time.Time // that outcomes can't be told
 	for {
 		m.mu.Lock()
-		l := letter{Head: rpc.In(d.o.Fleet), From: d.o.Self, To: m.Owner}
+		l := letter{Header: rpc.NewHeader(d.o.Fleet), From: d.o.Self, To: m.Owner}
 		l.Asks, m.asks = cut(m.asks)
 		l.Answers, m.say = cut(m.say)
 		l.Settles, m.tell = cut(m.tell)
@@ -770,7 +770,7 @@
 			}
 			continue
 		}
-		d.count(func(c *Counts) { c.Letters, c.Parts = c.Letters+1, c.Parts+parts })
+		d.count(func(c *Counts) { c.Messages, c.MessageItems = c.Messages+1, c.MessageItems+parts })
 		if err := rpc.Post(ctx, d.http, m.address, path, l, nil); err == nil {
 			since = time.Time{}
 			continue
--- a/internal/takeover/world_test.go
+++ b/internal/takeover/world_test.go
@@ -35,15 +35,15 @@
 }
 
 type proxy struct {
-	Place
+	Candidate
 	world   *world
 	rate    float64
-	reg     *Register
+	reg     *Registry
 	up      bool
 	until   int // it is stopped
 	waiting []func()
 	cut     bool // from the other proxies
-	asks    map[uint64]func(Answer)
+	asks    map[uint64]func(ClaimResponse)
 	tag     uint64
 	gone    map[Owner]bool // whom it takes for gone
 }
@@ -51,7 +51,7 @@
 type world struct {
 	c       chooser
 	d       defects
-	terms   Terms
+	terms   Parameters
 	t       int
 	turn    int
 	due     []due
@@ -70,32 +70,32 @@
 }
 
 func newWorld(c chooser, d defects, faults int) *world {
-	terms := Usual
-	terms.Young = 4200 * ms // tills ask a second time within it, and a third time after it
+	terms := DefaultParameters
+	terms.RecoveryPeriod = 4200 * ms // tills ask a second time within it, and a third time after it
 	w := &world{c: c, d: d, terms: terms, faults: faults, great: 2, begun: -1, work: 2}
 	if d.forgetful { // one loss alone is borne by those who know
 		w.great, w.faults = 4, 10
 	}
 	if d.noDrift {
-		w.terms.Drift, w.terms.Margin = -0.3, 0
+		w.terms.MaxClockDrift, w.terms.SafetyMargin = -0.3, 0
 	}
 	for i := range 3 {
 		p := &proxy{world: w, rate: 1 + 0.05*float64(1-i)}
 		p.Name, p.Zone = fmt.Sprint("p", i), fmt.Sprint("z", i)
 		p.boot(uint64(i + 1))
-		p.reg.born = -w.terms.Keep // it has run for long
+		p.reg.born = -w.terms.OutcomeRetention // it has run for long
 		w.proxies = append(w.proxies, p)
 	}
 	return w
 }
 
 func (p *proxy) boot(run uint64) { // whatever it knew is gone
-	p.Run, p.up = run, true
-	p.reg = NewRegister(p.world.terms, p.Owner, p.now())
+	p.Incarnation, p.up = run, true
+	p.reg = NewRegistry(p.world.terms, p.Owner, p.now())
 	if p.world.d.forgetful { // and it says nothing of that
-		p.reg.born = -p.world.terms.Keep
+		p.reg.born = -p.world.terms.OutcomeRetention
 	}
-	p.asks, p.gone, p.waiting = make(map[uint64]func(Answer)), make(map[Owner]bool), nil
+	p.asks, p.gone, p.waiting = make(map[uint64]func(ClaimResponse)), make(map[Owner]bool), nil
 }
 
 func (p *proxy) now() time.Duration {
@@ -116,9 +116,9 @@
 
 // at has a proxy's process do something, when it goes on if it is stopped, unless it has died meanwhile.
 func (p *proxy) at(do func()) {
-	run := p.Run
+	run := p.Incarnation
 	guarded := func() {
-		if p.up && p.Run == run {
+		if p.up && p.Incarnation == run {
 			do()
 		}
 	}
@@ -142,9 +142,9 @@
 	}
 	w.after(1+10*(kind/2), func() {
 		if !from.cut && !to.cut || from == to {
-			run := to.Run
+			run := to.Incarnation
 			to.at(func() {
-				if to.Run == run {
+				if to.Incarnation == run {
 					do()
 				}
 			})
@@ -153,17 +153,17 @@
 }
 
 // act carries out what a proxy's register wants.
-func (p *proxy) act(actions []Action, reply map[uint64]func(Answer)) {
+func (p *proxy) act(actions []Action, reply map[uint64]func(ClaimResponse)) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Answer:
-			if do := reply[a.Tag]; do != nil {
-				if a.Word != Parked {
-					delete(reply, a.Tag)
+		case ClaimResponse:
+			if do := reply[a.RequestID]; do != nil {
+				if a.Decision != InProgress {
+					delete(reply, a.RequestID)
 				}
 				do(a)
 			}
-		case Take:
+		case TakeOver:
 			p.take(a)
 		}
 	}
@@ -178,12 +178,12 @@
 }
 
 // ask asks a holder, itself among them.
-func (p *proxy) ask(to *proxy, a Ask, heard func(Answer)) {
+func (p *proxy) ask(to *proxy, a ClaimRequest, heard func(ClaimResponse)) {
 	w := p.world
 	w.send(p, to, func() {
 		to.tag++
-		a.Tag = to.tag
-		to.asks[a.Tag] = func(answer Answer) {
+		a.RequestID = to.tag
+		to.asks[a.RequestID] = func(answer ClaimResponse) {
 			if w.d.noAge {
 				answer.Age = min(answer.Age, 1)
 			}
@@ -195,13 +195,13 @@
 
 // holders are the others of a work's, as this proxy sees them: so many that live.
 func (p *proxy) holders(id string, most int) (list []*proxy) {
-	var places []Place
+	var places []Candidate
 	for _, x := range p.world.proxies {
 		if x != p {
-			places = append(places, x.Place)
+			places = append(places, x.Candidate)
 		}
 	}
-	for _, at := range Order(id, places) {
+	for _, at := range RankHolders(id, places) {
 		for _, x := range p.world.proxies {
 			if x.Owner == at.Owner && len(list) < most {
 				list = append(list, x)
@@ -216,9 +216,9 @@
 // serve has a till ask at a proxy, which waits for so many ticks.
 func (p *proxy) serve(till string, digest uint64, wait int) {
 	w := p.world
-	work := Work{ID: "k", Digest: digest, Window: window, Text: []byte("x")}
+	work := Write{ID: "k", Digest: digest, DedupWindow: window, Payload: []byte("x")}
 	if w.d.anyTime {
-		work.Window = 10 * window
+		work.DedupWindow = 10 * window
 	}
 	answered := false
 	deadline := w.t + wait
@@ -232,43 +232,43 @@
 		}
 	}
 	others := p.holders("k", 2)
-	kind := Retry
+	kind := ClientRetry
 	if till == "first" {
-		kind = New
+		kind = FirstAttempt
 	}
-	e := NewErrand(w.terms, work.Window, p.now(), len(others), Options{Others: 2, Strict: true}, kind)
+	e := NewClaim(w.terms, work.DedupWindow, p.now(), len(others), Options{Replicas: 2, RequireReplica: true}, kind)
 	acted := false
 	next := func() {
 		verdict, until := e.Verdict()
-		if verdict == Waiting || acted {
+		if verdict == Undecided || acted {
 			return
 		}
 		acted = true
 		switch verdict {
-		case Send:
-			p.write(others, e.Number(), until, deadline, answer)
+		case Proceed:
+			p.write(others, e.Epoch(), until, deadline, answer)
 			return
-		case Receipt:
+		case ReturnReceipt:
 			answer("served")
-			p.settle(others, e.Number(), Served)
+			p.settle(others, e.Epoch(), Served)
 			return
-		case Unsure:
+		case OutcomeUnknown:
 			answer("unknown")
-			p.settle(others, e.Number(), Unknown)
+			p.settle(others, e.Epoch(), Unknown)
 			return
-		case Clash:
+		case KeyConflict:
 			answer("clash")
 			return
 		default:
 			answer("busy")
 		}
-		p.settle(others, e.Number(), NotRun) // by this owner
+		p.settle(others, e.Epoch(), NotExecuted) // by this owner
 	}
-	ask := func(rank int, x *proxy, then func(Answer)) {
+	ask := func(rank int, x *proxy, then func(ClaimResponse)) {
 		said := false
-		p.ask(x, Ask{Work: work, Owner: p.Owner, Rank: rank, Retry: kind == Retry}, func(a Answer) {
+		p.ask(x, ClaimRequest{Write: work, Owner: p.Owner, Rank: rank, Retry: kind == ClientRetry}, func(a ClaimResponse) {
 			said = true
-			e.Heard(x.Name, a)
+			e.HandleResponse(x.Name, a)
 			then(a)
 			next()
 		})
@@ -282,16 +282,16 @@
 			})
 		})
 	}
-	ask(len(others), p, func(a Answer) {
-		if a.Word == Leave || a.Word == Spent {
+	ask(len(others), p, func(a ClaimResponse) {
+		if a.Decision == Granted || a.Decision == WindowExpired {
 			for rank, x := range others {
-				ask(rank, x, func(Answer) {})
+				ask(rank, x, func(ClaimResponse) {})
 			}
 		}
 	})
 	w.after(wait, func() {
 		p.at(func() {
-			e.Over()
+			e.ClientTimedOut()
 			next()
 			answer("late")
 		})
@@ -299,11 +299,11 @@
 }
 
 // miss has an errand do without a holder.
-func (p *proxy) miss(e *Errand, x *proxy) {
-	if p.gone[x.Owner] || !x.up && p.gone[Owner{x.Name, x.Run}] {
-		e.Gone(x.Name)
+func (p *proxy) miss(e *Claim, x *proxy) {
+	if p.gone[x.Owner] || !x.up && p.gone[Owner{x.Name, x.Incarnation}] {
+		e.HolderGone(x.Name)
 	} else {
-		e.Missed(x.Name)
+		e.HolderTimedOut(x.Name)
 	}
 }
 
@@ -331,7 +331,7 @@
 		}
 		if !look && !w.d.noLook {
 			if !mayHaveRun {
-				end(NotRun)
+				end(NotExecuted)
 				answer("busy")
 			}
 			return
@@ -388,7 +388,7 @@
 
 // settle tells all holders, until they have heard.
 func (p *proxy) settle(others []*proxy, number uint64, o Outcome) {
-	e := Settle{ID: "k", Digest: 1, Owner: p.Owner, Number: number, Outcome: o, Receipt: "r"}
+	e := Completion{ID: "k", Digest: 1, Owner: p.Owner, Epoch: number, Outcome: o, Receipt: "r"}
 	p.handle(e)
 	for _, x := range others {
 		heard := false
@@ -408,36 +408,36 @@
 }
 
 // take is this proxy's part for a work that it has taken over: the other holders are heard before it is sent.
-func (p *proxy) take(a Take) {
+func (p *proxy) take(a TakeOver) {
 	w := p.world
 	others := p.holders("k", 2)
 	age := a.Age
 	if w.d.noAge {
 		age = 1
 	}
-	e := NewErrand(w.terms, a.Work.Window, p.now(), len(others), Options{Others: 2}, Taken)
+	e := NewClaim(w.terms, a.Write.DedupWindow, p.now(), len(others), Options{Replicas: 2}, TakenOver)
 	acted := false
 	next := func() {
 		verdict, until := e.Verdict()
-		if verdict == Waiting || acted {
+		if verdict == Undecided || acted {
 			return
 		}
 		acted = true
 		switch verdict {
-		case Send:
-			p.write(others, a.Number, until, w.t+20, func(string) {})
-		case Receipt:
-			p.settle(others, a.Number, Served)
+		case Proceed:
+			p.write(others, a.Epoch, until, w.t+20, func(string) {})
+		case ReturnReceipt:
+			p.settle(others, a.Epoch, Served)
 		default:
-			p.settle(others, a.Number, Unknown)
+			p.settle(others, a.Epoch, Unknown)
 		}
 	}
-	e.Heard(p.Name, Answer{Word: Leave, Number: a.Number, Age: age, Was: a.Was})
+	e.HandleResponse(p.Name, ClaimResponse{Decision: Granted, Epoch: a.Epoch, Age: age, PreviousOwner: a.PreviousOwner})
 	for rank, x := range others {
 		said := false
-		p.ask(x, Ask{Work: a.Work, Owner: p.Owner, Rank: rank, Number: a.Number, Age: age, Retry: true}, func(answer Answer) {
+		p.ask(x, ClaimRequest{Write: a.Write, Owner: p.Owner, Rank: rank, Epoch: a.Epoch, Age: age, Retry: true}, func(answer ClaimResponse) {
 			said = true
-			e.Heard(x.Name, answer)
+			e.HandleResponse(x.Name, answer)
 			next()
 		})
 		w.after(answerTicks, func() {
@@ -469,14 +469,14 @@
 		old := p.Owner
 		p.up = false
 		w.see(old, true, 2)
-		w.after(10, func() { p.boot(old.Run + 10) })
+		w.after(10, func() { p.boot(old.Incarnation + 10) })
 	case 1: // stopped for three seconds
 		p.until = w.t + 60
 		w.see(p.Owner, true, 13)
 		w.after(60, func() {
 			do := p.waiting
 			p.waiting = nil
-			p.handle(Returned{})
+			p.handle(Rejoined{})
 			w.see(p.Owner, false, 3)
 			for _, f := range do {
 				f()
@@ -487,7 +487,7 @@
 		w.see(p.Owner, true, 13)
 		w.after(60, func() {
 			p.cut = false
-			p.at(func() { p.handle(Returned{}) })
+			p.at(func() { p.handle(Rejoined{}) })
 			w.see(p.Owner, false, 3)
 		})
 	}
@@ -501,9 +501,9 @@
 				x.at(func() {
 					x.gone[o] = gone
 					if gone {
-						x.handle(Lost{o})
+						x.handle(OwnerLost{o})
 					} else {
-						x.handle(Back{o})
+						x.handle(OwnerReturned{o})
 					}
 				})
 			}
@@ -541,7 +541,7 @@
 	}
 	for _, p := range w.proxies {
 		for _, x := range p.reg.works {
-			if x.outcome == Open && x.gone {
+			if x.outcome == InFlight && x.gone {
 				wrong += fmt.Sprintf(" %s leaves a lost work open", p.Name)
 			}
 			if x.outcome == Unknown && w.receipts > 0 && !strings.Contains(strings.Join(w.answers, ","), "unknown") && w.lives == 0 {
--- a/internal/testutil/testwait.go
+++ b/internal/testutil/testwait.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Patience bounds each wait.
-const Patience = 30 * time.Second
+// Timeout bounds each wait.
+const Timeout = 30 * time.Second
 
-// Until waits until ok tells true, or fails the test by what is waited for.
-func Until(t testing.TB, what string, ok func() bool) {
+// WaitUntil waits until ok tells true, or fails the test by what is waited for.
+func WaitUntil(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited %v in vain: %s", Patience, what)
+			t.Fatalf("waited %v in vain: %s", Timeout, what)
 		}
 	}
 }
@@ -29,8 +29,8 @@
 			t.Fatalf("%s: the channel is closed", what)
 		}
 		return value
-	case <-time.After(Patience):
-		t.Fatalf("waited %v in vain: %s", Patience, what)
+	case <-time.After(Timeout):
+		t.Fatalf("waited %v in vain: %s", Timeout, what)
 	}
 	return value
 }
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -39,9 +39,9 @@
 	return max(t, 1)
 }
 
-// Left returns how long a ticket yet lives at a time, where nodes drop repeats for
+// Remaining returns how long a ticket yet lives at a time, where nodes drop repeats for
 // window; zero or less if it lives no more, or was never issued.
-func Left(t uint64, now time.Time, window time.Duration) time.Duration {
+func Remaining(t uint64, now time.Time, window time.Duration) time.Duration {
 	// The difference of two times that come round, with its sign.
 	age := time.Duration(int64(uint64(now.UnixMilli())<<randomBits-t>>randomBits<<randomBits)>>randomBits) * time.Millisecond
 	if age < -Margin/2 {
@@ -50,8 +50,8 @@
 	return window - Margin - age
 }
 
-// Key returns the idempotency key of a write with a ticket: 32 characters.
-func Key(t uint64, record string, value []byte) string {
+// IdempotencyKey returns the idempotency key of a write with a ticket: 32 characters.
+func IdempotencyKey(t uint64, record string, value []byte) string {
 	h := sha256.New()
 	var head [16]byte
 	binary.BigEndian.PutUint64(head[:], t)
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -19,7 +19,7 @@
 		off := func() time.Duration { return time.Duration(rng.Int64N(int64(Margin/2))) - Margin/4 }
 		tk := New(issue.Add(off()), rng.Uint64())
 		after := time.Duration(rng.Int64N(int64(3 * time.Second)))
-		left := Left(tk, issue.Add(after).Add(off()), window)
+		left := Remaining(tk, issue.Add(after).Add(off()), window)
 		if left > 0 {
 			if taken++; after+left > window {
 				t.Fatalf("taken %v after its issue with %v left: past the window", after, left)
@@ -41,16 +41,16 @@
 		"tomorrow's": New(now.Add(24*time.Hour), 7), "yesterday's": New(now.Add(-24*time.Hour), 7),
 		"of a clock far ahead": New(now.Add(Margin), 7), "just over": New(now.Add(Margin-window), 7),
 	} {
-		if left := Left(tk, now, window); left > 0 {
+		if left := Remaining(tk, now, window); left > 0 {
 			t.Errorf("%s lives for %v", name, left)
 		}
 	}
-	if left := Left(New(now, 7), now, window); left != window-Margin {
+	if left := Remaining(New(now, 7), now, window); left != window-Margin {
 		t.Errorf("a new one lives for %v", left)
 	}
 	// 2^40 ms after 1970-01-01 lies in 2004, and again in 2039: no gap there.
 	round := time.UnixMilli(1 << 41)
-	if left := Left(New(round.Add(-time.Millisecond), 7), round, window); left != window-Margin-time.Millisecond {
+	if left := Remaining(New(round.Add(-time.Millisecond), 7), round, window); left != window-Margin-time.Millisecond {
 		t.Errorf("as the bits come round, %v is left", left)
 	}
 }
@@ -62,8 +62,8 @@
 		ticket        uint64
 		record, value string
 	}{{1, "a", "bc"}, {2, "a", "bc"}, {1, "ab", "c"}, {1, "a", "bd"}, {1, "a", ""}, {1, "", "abc"}} {
-		k := Key(w.ticket, w.record, []byte(w.value))
-		if seen[k] || k != Key(w.ticket, w.record, []byte(w.value)) || len(k) != 32 {
+		k := IdempotencyKey(w.ticket, w.record, []byte(w.value))
+		if seen[k] || k != IdempotencyKey(w.ticket, w.record, []byte(w.value)) || len(k) != 32 {
 			t.Errorf("%+v has the key %q", w, k)
 		}
 		seen[k] = true
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -34,7 +34,7 @@
 
 // conn is one connection to a node. Its fields are guarded by Nodes.mu.
 type conn struct {
-	ns      *Nodes
+	ns      *Pool
 	node    *node
 	socket  *net.TCPConn
 	dialect Dialect
@@ -53,7 +53,7 @@
 	closed  bool
 }
 
-func newConn(ns *Nodes, n *node, socket *net.TCPConn) *conn {
+func newConn(ns *Pool, n *node, socket *net.TCPConn) *conn {
 	now := time.Now()
 	dialect := n.Dialect
 	if dialect == nil {
@@ -87,7 +87,7 @@
 // more: it would deliver them whenever the way is open again, long after the window in which repeats are
 // dropped. It meets cut links. It might hurt a node that would have answered just then: it sees a reset.
 func (c *conn) forsake() {
-	if slices.ContainsFunc(c.sent, func(a *Attempt) bool { return a.Request.Changes }) {
+	if slices.ContainsFunc(c.sent, func(a *Attempt) bool { return a.Request.SideEffects }) {
 		c.socket.SetLinger(0)
 	}
 }
@@ -100,7 +100,7 @@
 	}
 	c.closed = true
 	if c.ns.record.Enabled() {
-		c.ns.record.Record(eventlog.NodeClosed{Node: c.node.Name, Reason: reason, Open: len(c.sent), Queued: len(c.out) + c.held})
+		c.ns.record.Record(eventlog.NodeDisconnected{Node: c.node.Name, Reason: reason, InFlight: len(c.sent), Queued: len(c.out) + c.held})
 	}
 	c.ns.conns--
 	if i := slices.Index(c.node.conns, c); i >= 0 {
@@ -128,7 +128,7 @@
 		c.out, c.writing, c.held = nil, true, len(batch)
 		ns.mu.Unlock()
 		looked := time.Now()
-		batch = ns.handler.Begin(batch)
+		batch = ns.handler.BeforeWrite(batch)
 		var parts net.Buffers
 		parts, text = render(c.dialect, batch, text[:0])
 		ns.mu.Lock()
@@ -158,7 +158,7 @@
 		c.socket.SetWriteDeadline(time.Now().Add(writeTime))
 		n, err := parts.WriteTo(c.socket)
 		if by := time.Since(looked); by >= lateWrite && written == 0 && n > 0 {
-			c.ns.handler.Late(batch, by)
+			c.ns.handler.WrittenLate(batch, by)
 		}
 		c.ns.mu.Lock()
 		written += int(n)
@@ -275,17 +275,17 @@
 	c.out, c.sent = nil, nil
 	c.ns.mu.Unlock()
 	for i, a := range sent {
-		result := Broken
+		result := ConnectionLost
 		switch {
 		case i >= len(sent)-partly:
-			result = NoConnect
+			result = NotWritten
 		case i == 0 && c.spoilt:
-			result = Spoilt
+			result = Malformed
 		}
 		c.ns.handler.Ended(a, nil, result)
 	}
 	for _, a := range lost {
-		c.ns.handler.Ended(a, nil, NoConnect)
+		c.ns.handler.Ended(a, nil, NotWritten)
 	}
 }
 
@@ -308,7 +308,7 @@
 // belongs to it and nothing else is out, the connection gets nothing new: what
 // is there could pass for the answer of whatever is sent next.
 func (c *conn) next(in *bufio.Reader) {
-	more := in.Buffered() > 0 || socket.Pending(c.socket)
+	more := in.Buffered() > 0 || socket.Readable(c.socket)
 	c.ns.mu.Lock()
 	defer c.ns.mu.Unlock()
 	if !c.broken {
@@ -366,11 +366,11 @@
 		}
 		c.next(in)
 		switch answer.Kind {
-		case request.Value, request.Stored, request.Missing:
+		case request.Value, request.Stored, request.NotFound:
 			c.ns.handler.Answered(a, &answer)
 		case request.Busy:
 			if noRoom {
-				c.ns.handler.Ended(a, &answer, NoRoom)
+				c.ns.handler.Ended(a, &answer, ConnectionLimitReached)
 			} else {
 				c.ns.handler.Ended(a, &answer, Busy)
 			}
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -36,7 +36,7 @@
 // open lets all looks go on.
 func (g *gated) open() { g.opened.Do(func() { close(g.goOn) }) }
 
-func (g *gated) Begin(batch []*Attempt) []*Attempt {
+func (g *gated) BeforeWrite(batch []*Attempt) []*Attempt {
 	g.looks <- append([]*Attempt(nil), batch...)
 	<-g.goOn
 	kept := batch[:0]
@@ -44,7 +44,7 @@
 		if g.keep == nil || g.keep(a) {
 			kept = append(kept, a)
 		} else {
-			g.ends <- end{attempt: a, result: NoConnect}
+			g.ends <- end{attempt: a, result: NotWritten}
 		}
 	}
 	return kept
@@ -58,7 +58,7 @@
 }
 
 // startGated returns connections to one node, whose connections the test gets.
-func startGated(t *testing.T, limits Limits) (*Nodes, *gated, <-chan *net.TCPConn, string) {
+func startGated(t *testing.T, limits Limits) (*Pool, *gated, <-chan *net.TCPConn, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,8 +77,8 @@
 		}
 	}()
 	g := &gated{ends: make(ends, 100), looks: make(chan []*Attempt, 100), goOn: make(chan struct{}, 100)}
-	nodes := New(limits, meta.Node{}, g, slog.New(slog.DiscardHandler))
-	nodes.Set([]Node{{Name: "n", Address: listener.Addr().String()}})
+	nodes := New(limits, meta.NodeDialect{}, g, slog.New(slog.DiscardHandler))
+	nodes.UpdateNodes([]Node{{Name: "n", Address: listener.Addr().String()}})
 	ctx, stop := context.WithCancel(context.Background())
 	ran := make(chan bool, 1)
 	go func() {
@@ -93,10 +93,10 @@
 	return nodes, g, accepted, listener.Addr().String()
 }
 
-var usual = Limits{PerNode: 1, All: 4, Streams: 128, Connect: patience, Idle: time.Hour, Silent: time.Hour}
+var usual = Limits{MaxPerNode: 1, MaxConnections: 4, MaxPipelined: 128, ConnectTimeout: patience, IdleTimeout: time.Hour, SilenceTimeout: time.Hour}
 
 // put sends a write of so many bytes.
-func put(t *testing.T, nodes *Nodes, id string, size int) *Attempt {
+func put(t *testing.T, nodes *Pool, id string, size int) *Attempt {
 	t.Helper()
 	command, err := meta.ParseCommand(fmt.Sprintf("ms k %d O%s Pc=put", size, id))
 	if err != nil {
@@ -135,7 +135,7 @@
 			}
 			// The first look lets it begin, as if what forbids it came a moment later.
 			g.goOn <- struct{}{}
-			testutil.Until(t, "what has not begun to wait again", func() bool {
+			testutil.WaitUntil(t, "what has not begun to wait again", func() bool {
 				nodes.mu.Lock()
 				defer nodes.mu.Unlock()
 				c := nodes.nodes["n"].conns[0]
@@ -171,7 +171,7 @@
 			served := map[*Attempt]bool{}
 			for range bigs + 2 {
 				got := g.next(t)
-				if got.result == NoConnect && got.attempt == late && !may {
+				if got.result == NotWritten && got.attempt == late && !may {
 					continue
 				}
 				if got.result != 0 {
@@ -203,9 +203,9 @@
 // looked at. Its connection does not idle.
 func TestConnectionWhoseRequestIsLookedAtIsNoIdling(t *testing.T) {
 	limits := usual
-	limits.All = 1
+	limits.MaxConnections = 1
 	nodes, g, accepted, address := startGated(t, limits)
-	nodes.Set([]Node{{Name: "other", Address: address}})
+	nodes.UpdateNodes([]Node{{Name: "other", Address: address}})
 	a := get(t, nodes, "a")
 	testutil.Receive(t, "its look", g.looks)
 	node := testutil.Receive(t, "a connection", accepted)
@@ -256,9 +256,9 @@
 	nodes.mu.Lock()
 	c := nodes.nodes["n"].conns[0]
 	nodes.mu.Unlock()
-	testutil.Until(t, "the reset to come", func() bool { return socket.Ended(c.socket) })
+	testutil.WaitUntil(t, "the reset to come", func() bool { return socket.PeerClosed(c.socket) })
 	g.goOn <- struct{}{} // the third's write fails
-	testutil.Until(t, "the write to fail", func() bool {
+	testutil.WaitUntil(t, "the write to fail", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
 		return c.broken || c.closed
@@ -272,7 +272,7 @@
 	if e := got[second]; e.result != 0 || e.attempt == nil {
 		t.Errorf("the write that was answered ended with %d", e.result)
 	}
-	if e := got[third]; e.attempt == nil || e.result != NoConnect && e.result != Broken {
+	if e := got[third]; e.attempt == nil || e.result != NotWritten && e.result != ConnectionLost {
 		t.Errorf("the one behind the reset ended with %d", e.result)
 	}
 }
@@ -285,9 +285,9 @@
 	}
 	t.Cleanup(silent.Close) // behind the end of all connections
 	limits := usual
-	limits.Connect = time.Hour
+	limits.ConnectTimeout = time.Hour
 	nodes, _, _, _ := startGated(t, limits)
-	nodes.Set([]Node{{Name: "n", Address: silent.Address()}})
+	nodes.UpdateNodes([]Node{{Name: "n", Address: silent.Address()}})
 	get(t, nodes, "x")
 	nodes.mu.Lock()
 	defer nodes.mu.Unlock()
@@ -300,15 +300,15 @@
 // whether it may is the class's to say, not the verb's.
 func TestGivenUpChangesEndWithAReset(t *testing.T) {
 	for _, changes := range []bool{false, true} {
-		for name, send := range map[string]func(*testing.T, *Nodes) *Attempt{
-			"read":  func(t *testing.T, ns *Nodes) *Attempt { return get(t, ns, "x") },
-			"write": func(t *testing.T, ns *Nodes) *Attempt { return put(t, ns, "x", 2) },
+		for name, send := range map[string]func(*testing.T, *Pool) *Attempt{
+			"read":  func(t *testing.T, ns *Pool) *Attempt { return get(t, ns, "x") },
+			"write": func(t *testing.T, ns *Pool) *Attempt { return put(t, ns, "x", 2) },
 		} {
 			t.Run(fmt.Sprint(name, " that changes: ", changes), func(t *testing.T) {
 				nodes, g, accepted, _ := startGated(t, usual)
 				a := send(t, nodes)
 				testutil.Receive(t, "its look", g.looks)
-				a.Request.Changes = changes
+				a.Request.SideEffects = changes
 				g.goOn <- struct{}{}
 				node := testutil.Receive(t, "a connection", accepted)
 				node.SetReadDeadline(time.Now().Add(patience))
@@ -317,7 +317,7 @@
 					t.Fatalf("the node got %q, %v", line, err)
 				}
 				nodes.Abandon(a)
-				if got := g.next(t); got.attempt != a || got.result != Broken {
+				if got := g.next(t); got.attempt != a || got.result != ConnectionLost {
 					t.Errorf("ended with %d", got.result)
 				}
 				_, err := io.Copy(io.Discard, in)
@@ -337,7 +337,7 @@
 	testutil.Receive(t, "its look", g.looks)
 	first := testutil.Receive(t, "a connection", accepted)
 	first.Close()
-	testutil.Until(t, "the connection's end to be noticed", func() bool {
+	testutil.WaitUntil(t, "the connection's end to be noticed", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
 		return len(nodes.nodes["n"].conns) == 0
@@ -373,7 +373,7 @@
 	g.goOn <- struct{}{}
 	testutil.Receive(t, "the look at the others", g.looks)
 	g.goOn <- struct{}{}
-	testutil.Until(t, "what has not begun to wait again", func() bool {
+	testutil.WaitUntil(t, "what has not begun to wait again", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
 		return len(nodes.nodes["n"].conns[0].out) > 0 || len(g.looks) > 0
@@ -383,7 +383,7 @@
 	nodes.mu.Unlock()
 	node.SetLinger(0)
 	node.Close()
-	testutil.Until(t, "the reset to be noticed", func() bool {
+	testutil.WaitUntil(t, "the reset to be noticed", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
 		return broken.closed
@@ -415,7 +415,7 @@
 		counts[e.result]++
 	}
 	// Served ones have the zero result, as the first of all has: Busy, which nobody says here.
-	if counts[Broken] == 0 || counts[Broken]+counts[NoConnect]+counts[Busy] != bigs+1 || counts[Busy] == 0 {
+	if counts[ConnectionLost] == 0 || counts[ConnectionLost]+counts[NotWritten]+counts[Busy] != bigs+1 || counts[Busy] == 0 {
 		t.Errorf("ends by result: %v", counts)
 	}
 	if len(g.ends) > 0 {
@@ -434,7 +434,7 @@
 	})
 	handler.expectServed(t, get(t, nodes, "a"))
 	b := get(t, nodes, "b")
-	if got := handler.next(t); got.attempt != b || got.result != Spoilt || got.text != "" {
+	if got := handler.next(t); got.attempt != b || got.result != Malformed || got.text != "" {
 		t.Errorf("ended with %d and %q", got.result, got.text)
 	}
 	handler.expectServed(t, get(t, nodes, "c"))
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -23,22 +23,22 @@
 
 // The results.
 const (
-	Busy      Result = iota // turned away
-	Failed                  // an error, it may have run
-	NoConnect               // its last byte was never written
-	Broken                  // the connection ended after that
-	Spoilt                  // what came instead of its answer can't be read
-	NoRoom                  // the node took no further connection, and has not run it
+	Busy                   Result = iota // turned away
+	Failed                               // an error, it may have run
+	NotWritten                           // its last byte was never written
+	ConnectionLost                       // the connection ended after that
+	Malformed                            // what came instead of its answer can't be read
+	ConnectionLimitReached               // the node took no further connection, and has not run it
 )
 
 // Attempt is one sending of a request. Each is written at most once and has
 // exactly one end, told to the Handler, unless it was withdrawn.
 type Attempt struct {
-	ID       uint64 // these two name it to the handler
-	Number   int
-	Request  *request.Request // not to be changed any more
-	Deadline time.Time        // when the proxy stops waiting
-	Owner    any              // the handler's own
+	ID           uint64 // these two name it to the handler
+	Number       int
+	Request      *request.Request // not to be changed any more
+	Deadline     time.Time        // when the proxy stops waiting
+	HandlerState any              // the handler's own
 
 	node      string
 	end       int  // of its bytes among those of the batch in writing
@@ -49,12 +49,12 @@
 // Handler is told what becomes of attempts. No lock of this package is held
 // during its calls.
 type Handler interface {
-	// Begin drops the attempts of a batch whose first byte must not be written
+	// BeforeWrite drops the attempts of a batch whose first byte must not be written
 	// any more, and returns the others. Those dropped have ended.
-	Begin(batch []*Attempt) []*Attempt
-	// Late tells that attempts were written so long after Begin let them: the process stood
+	BeforeWrite(batch []*Attempt) []*Attempt
+	// WrittenLate tells that attempts were written so long after Begin let them: the process stood
 	// still in between, or the node took nothing.
-	Late(batch []*Attempt, by time.Duration)
+	WrittenLate(batch []*Attempt, by time.Duration)
 	// Answered ends an attempt with a served answer, which is the handler's from then on.
 	Answered(a *Attempt, answer *request.Answer)
 	// Ended ends an attempt; answer is nil where none came.
@@ -75,22 +75,22 @@
 
 // Limits bound the connections.
 type Limits struct {
-	PerNode int             // connections to one node
-	All     int             // connections to all nodes
-	Streams int             // attempts out on one connection
-	Connect time.Duration   // how long one may take to come up
-	Idle    time.Duration   // how long one may stand idle
-	Silent  time.Duration   // how long one with attempts out may say nothing
-	Share   connlimit.Share // what all proxies together may keep; zero for no bound
+	MaxPerNode     int                // connections to one node
+	MaxConnections int                // connections to all nodes
+	MaxPipelined   int                // attempts out on one connection
+	ConnectTimeout time.Duration      // how long one may take to come up
+	IdleTimeout    time.Duration      // how long one may stand idle
+	SilenceTimeout time.Duration      // how long one with attempts out may say nothing
+	FleetShare     connlimit.Capacity // what all proxies together may keep; zero for no bound
 }
 
 // SetLimits puts other limits into force. Connections over them are not closed
 // for it: they fall idle.
-func (ns *Nodes) SetLimits(limits Limits) {
+func (ns *Pool) SetLimits(limits Limits) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	ns.limits = limits
-	ns.budget.Set(limits.Share)
+	ns.budget.SetCapacity(limits.FleetShare)
 }
 
 // Node is a cache node's place.
@@ -100,8 +100,8 @@
 	Dialect       Dialect   // that it speaks; nil for the usual
 }
 
-// Nodes holds the connections to all cache nodes.
-type Nodes struct {
+// Pool holds the connections to all cache nodes.
+type Pool struct {
 	dialect Dialect
 	handler Handler
 	log     *slog.Logger
@@ -127,19 +127,19 @@
 
 // Counts are what became of connections since they were last taken.
 type Counts struct {
-	Dials    int
-	Refusals int // of them, connections that never came up
-	NoRoom   int // of them, connections that the node had no room for
-	Closed   int // idle connections closed to leave their place to other proxies
-	Conns    int // open or coming up now
+	Dials                  int
+	DialFailures           int // of them, connections that never came up
+	ConnectionLimitReached int // of them, connections that the node had no room for
+	IdleClosed             int // idle connections closed to leave their place to other proxies
+	Connections            int // open or coming up now
 }
 
 // TakeCounts returns what was counted since it was last called.
-func (ns *Nodes) TakeCounts() Counts {
+func (ns *Pool) TakeCounts() Counts {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	counts := ns.counts
-	counts.Conns = ns.conns
+	counts.Connections = ns.conns
 	ns.counts = Counts{}
 	return counts
 }
@@ -165,20 +165,20 @@
 }
 
 // New returns an empty Nodes. Run must be called too.
-func New(limits Limits, dialect Dialect, handler Handler, log *slog.Logger) *Nodes {
-	ns := &Nodes{limits: limits, dialect: dialect, handler: handler, log: log, nodes: make(map[string]*node), start: time.Now(),
+func New(limits Limits, dialect Dialect, handler Handler, log *slog.Logger) *Pool {
+	ns := &Pool{limits: limits, dialect: dialect, handler: handler, log: log, nodes: make(map[string]*node), start: time.Now(),
 		end: endTime}
 	ns.dials, ns.stopDials = context.WithCancel(context.Background())
-	ns.budget.Set(limits.Share)
+	ns.budget.SetCapacity(limits.FleetShare)
 	return ns
 }
 
-// Record has connections and their ends written down. It is called before anything is sent.
-func (ns *Nodes) Record(record *eventlog.Recorder) { ns.record = record }
+// SetRecorder has connections and their ends written down. It is called before anything is sent.
+func (ns *Pool) SetRecorder(record *eventlog.Recorder) { ns.record = record }
 
-// Set adds nodes or changes what is known of them. Connections to an old
+// UpdateNodes adds nodes or changes what is known of them. Connections to an old
 // address, in another dialect or from before a restart lead nowhere: they get nothing new.
-func (ns *Nodes) Set(list []Node) {
+func (ns *Pool) UpdateNodes(list []Node) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	for _, in := range list {
@@ -197,8 +197,8 @@
 	}
 }
 
-// Remove forgets nodes once nothing is out to them.
-func (ns *Nodes) Remove(names []string) {
+// RemoveNodes forgets nodes once nothing is out to them.
+func (ns *Pool) RemoveNodes(names []string) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	for _, name := range names {
@@ -214,14 +214,14 @@
 
 // forget drops a node that is gone and has nothing left, or the map would grow
 // with each machine replaced.
-func (ns *Nodes) forget(n *node) {
+func (ns *Pool) forget(n *node) {
 	if !n.listed && len(n.conns) == 0 && n.dialing == 0 {
 		delete(ns.nodes, n.Name)
 	}
 }
 
-// Names returns the names of all listed nodes.
-func (ns *Nodes) Names() []string {
+// NodeNames returns the names of all listed nodes.
+func (ns *Pool) NodeNames() []string {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	var names []string
@@ -235,7 +235,7 @@
 
 // Send sets an attempt on its way. It returns false, and does nothing, where
 // the node is not known or no connection to it can be had.
-func (ns *Nodes) Send(name string, a *Attempt) bool {
+func (ns *Pool) Send(name string, a *Attempt) bool {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	a.node = name
@@ -246,13 +246,13 @@
 // connection come in order and a slow one holds up those behind it. A node's
 // table is small and shared with all proxies: where it has no room, attempts
 // are pipelined.
-func (ns *Nodes) place(n *node, a *Attempt) bool {
+func (ns *Pool) place(n *node, a *Attempt) bool {
 	if n == nil || ns.closed {
 		return false
 	}
-	best := n.best(ns.limits.Streams)
+	best := n.best(ns.limits.MaxPipelined)
 	// Nothing but a new connection can help a node without any.
-	more := n.open()+n.dialing < ns.limits.PerNode && (best == nil || !time.Now().Before(n.dialAt))
+	more := n.open()+n.dialing < ns.limits.MaxPerNode && (best == nil || !time.Now().Before(n.dialAt))
 	switch {
 	case best != nil && best.outstanding() == 0:
 		best.queue(a)
@@ -261,7 +261,7 @@
 		ns.dial(n)
 	case best != nil:
 		best.queue(a)
-	case n.dialing > 0 && len(n.waiting) < ns.limits.Streams:
+	case n.dialing > 0 && len(n.waiting) < ns.limits.MaxPipelined:
 		n.waiting = append(n.waiting, a)
 	default:
 		return false
@@ -272,25 +272,25 @@
 // full notes that a node has no room for a connection more. The node is well and
 // its connections to others are at work: it is left alone for a moment, and this proxy
 // keeps fewer connections itself, as do all that meet such nodes.
-func (ns *Nodes) full(c *conn) {
+func (ns *Pool) full(c *conn) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
-	ns.counts.NoRoom++
-	ns.budget.Refused(time.Since(ns.start), ns.conns, len(ns.nodes))
+	ns.counts.ConnectionLimitReached++
+	ns.budget.Rejected(time.Since(ns.start), ns.conns, len(ns.nodes))
 	c.retired = true
 }
 
 // spare closes the connections that have idled longest while there are more than
 // the budget keeps. ns.mu is held.
-func (ns *Nodes) spare() {
-	if ns.conns <= connlimit.Least {
+func (ns *Pool) spare() {
+	if ns.conns <= connlimit.MinConnections {
 		return
 	}
-	for most := ns.budget.Most(time.Since(ns.start), len(ns.nodes)); ns.conns > most; {
+	for most := ns.budget.Limit(time.Since(ns.start), len(ns.nodes)); ns.conns > most; {
 		if !ns.closeOldest("place for other proxies") {
 			return
 		}
-		ns.counts.Closed++
+		ns.counts.IdleClosed++
 	}
 }
 
@@ -307,12 +307,12 @@
 
 // room makes sure that a further connection is within the limit, if need be by
 // closing an idle one of another node.
-func (ns *Nodes) room() bool {
-	return ns.conns < ns.limits.All || ns.closeOldest("place for another node")
+func (ns *Pool) room() bool {
+	return ns.conns < ns.limits.MaxConnections || ns.closeOldest("place for another node")
 }
 
 // closeOldest closes the connection that has idled longest, if any idles.
-func (ns *Nodes) closeOldest(reason string) bool {
+func (ns *Pool) closeOldest(reason string) bool {
 	var oldest *conn
 	for _, n := range ns.nodes {
 		for _, c := range n.conns {
@@ -344,30 +344,30 @@
 }
 
 // dial opens one more connection to a node. ns.mu is held.
-func (ns *Nodes) dial(n *node) {
+func (ns *Pool) dial(n *node) {
 	n.dialing++
 	ns.conns++
 	ns.counts.Dials++
 	address, name, began := n.Address, n.Name, time.Now()
-	dialer := net.Dialer{Timeout: ns.limits.Connect, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: ns.limits.ConnectTimeout, KeepAlive: -1}
 	ns.tasks.Go(func() {
 		socket, err := dialer.DialContext(ns.dials, "tcp", address) // bounded by the dialer's timeout
 		if took := time.Since(began); err != nil {
-			ns.record.Record(eventlog.DialFailed{Node: name, Took: took, Cause: err})
+			ns.record.Record(eventlog.NodeDialFailed{Node: name, Duration: took, Err: err})
 		} else {
-			ns.record.Record(eventlog.NodeConnected{Node: name, Took: took})
+			ns.record.Record(eventlog.NodeConnected{Node: name, Duration: took})
 		}
 		ns.dialed(n, address, socket, err)
 	})
 }
 
-func (ns *Nodes) dialed(n *node, address string, socket net.Conn, err error) {
+func (ns *Pool) dialed(n *node, address string, socket net.Conn, err error) {
 	ns.mu.Lock()
 	n.dialing--
 	switch {
 	case err != nil:
 		ns.conns--
-		ns.counts.Refusals++
+		ns.counts.DialFailures++
 		n.dialAt = time.Now().Add(n.pause)
 		n.pause = min(max(2*n.pause, dialPauseFirst), dialPauseMost)
 	case address != n.Address || !n.listed || ns.closed: // the node has moved or is gone
@@ -381,7 +381,7 @@
 	// What this one would have carried goes over another, if there is one.
 	var lost []*Attempt
 	for len(n.waiting) > n.dialing {
-		if best := n.best(ns.limits.Streams); best != nil {
+		if best := n.best(ns.limits.MaxPipelined); best != nil {
 			best.queue(n.waiting[0])
 		} else if n.dialing == 0 {
 			lost = append(lost, n.waiting[0])
@@ -393,7 +393,7 @@
 	ns.forget(n)
 	ns.mu.Unlock()
 	for _, a := range lost {
-		ns.handler.Ended(a, nil, NoConnect)
+		ns.handler.Ended(a, nil, NotWritten)
 	}
 }
 
@@ -416,7 +416,7 @@
 // the connection gets nothing new, and is closed once nobody waits for anything
 // on it. Under overload, when much is given up, this costs the nodes handshakes,
 // a fraction of the work given up.
-func (ns *Nodes) Abandon(a *Attempt) bool {
+func (ns *Pool) Abandon(a *Attempt) bool {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	a.abandoned = true
@@ -436,13 +436,13 @@
 
 // Withdraw takes back an attempt that has not begun, and tells whether it could. Nothing else
 // changes: one that is under way goes on.
-func (ns *Nodes) Withdraw(a *Attempt) bool {
+func (ns *Pool) Withdraw(a *Attempt) bool {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	return ns.withdraw(a)
 }
 
-func (ns *Nodes) withdraw(a *Attempt) bool {
+func (ns *Pool) withdraw(a *Attempt) bool {
 	n := ns.nodes[a.node]
 	if n == nil {
 		return false
@@ -461,7 +461,7 @@
 }
 
 // CloseIdle closes the idle connections to a node.
-func (ns *Nodes) CloseIdle(name string) {
+func (ns *Pool) CloseIdle(name string) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	if n := ns.nodes[name]; n != nil {
@@ -474,7 +474,7 @@
 }
 
 // retire lets a connection finish what is waited for. ns.mu is held.
-func (ns *Nodes) retire(c *conn, reason string) {
+func (ns *Pool) retire(c *conn, reason string) {
 	c.retired = true
 	if !c.awaited() {
 		c.close(reason)
@@ -483,7 +483,7 @@
 
 // warn logs what is wrong with a node's answers, once a second at most: a node
 // that answers noise must not flood the log. ns.mu is held.
-func (ns *Nodes) warn(name string, err error) {
+func (ns *Pool) warn(name string, err error) {
 	if now := time.Now(); now.Sub(ns.warned) < time.Second {
 		ns.hushed++
 	} else {
@@ -496,7 +496,7 @@
 // in the middle of a request, and those whose node has fallen silent: a machine
 // that vanished says nothing at all. When ctx ends it closes all and waits for the
 // end of what this package has started.
-func (ns *Nodes) Run(ctx context.Context) {
+func (ns *Pool) Run(ctx context.Context) {
 	tick := time.NewTicker(ns.pause())
 	defer tick.Stop()
 	for {
@@ -513,20 +513,20 @@
 }
 
 // pause is the time between two sweeps.
-func (ns *Nodes) pause() time.Duration {
+func (ns *Pool) pause() time.Duration {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
-	return max(min(ns.limits.Idle, ns.limits.Silent)/8, time.Millisecond)
+	return max(min(ns.limits.IdleTimeout, ns.limits.SilenceTimeout)/8, time.Millisecond)
 }
 
-func (ns *Nodes) sweep(now time.Time) {
+func (ns *Pool) sweep(now time.Time) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	for _, n := range ns.nodes {
 		for _, c := range slices.Clone(n.conns) {
-			limit, reason := ns.limits.Silent, "silent"
+			limit, reason := ns.limits.SilenceTimeout, "silent"
 			if c.outstanding() == 0 {
-				limit, reason = ns.limits.Idle, "idle"
+				limit, reason = ns.limits.IdleTimeout, "idle"
 			}
 			if now.Sub(c.active) > limit {
 				c.close(reason)
@@ -535,10 +535,10 @@
 	}
 }
 
-// Refresh closes the idle connections that ended meanwhile, or have idled for so long that their
+// CloseStale closes the idle connections that ended meanwhile, or have idled for so long that their
 // nodes may end them: after a stop of the process nobody has noticed either. No lock is held
 // while they are looked at.
-func (ns *Nodes) Refresh() {
+func (ns *Pool) CloseStale() {
 	ns.mu.Lock()
 	var idle []*conn
 	for _, n := range ns.nodes {
@@ -548,9 +548,9 @@
 			}
 		}
 	}
-	limit := ns.limits.Idle
+	limit := ns.limits.IdleTimeout
 	ns.mu.Unlock()
-	dead := slices.DeleteFunc(idle, func(c *conn) bool { return !socket.Ended(c.socket) && !socket.Pending(c.socket) })
+	dead := slices.DeleteFunc(idle, func(c *conn) bool { return !socket.PeerClosed(c.socket) && !socket.Readable(c.socket) })
 	ns.mu.Lock()
 	for _, c := range dead {
 		if c.outstanding() == 0 {
@@ -564,7 +564,7 @@
 }
 
 // close closes all connections, for good.
-func (ns *Nodes) close() {
+func (ns *Pool) close() {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	ns.closed = true
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -29,9 +29,9 @@
 // ends is a Handler that lets all begin and passes on how they ended.
 type ends chan end
 
-func (e ends) Begin(batch []*Attempt) []*Attempt { return batch }
+func (e ends) BeforeWrite(batch []*Attempt) []*Attempt { return batch }
 
-func (e ends) Late([]*Attempt, time.Duration) {}
+func (e ends) WrittenLate([]*Attempt, time.Duration) {}
 
 func (e ends) Answered(a *Attempt, answer *request.Answer) {
 	e <- end{attempt: a, text: string(answer.Value())}
@@ -43,7 +43,7 @@
 
 // startNodes returns connections, one at most, to a node that runs script on
 // each connection it accepts.
-func startNodes(t *testing.T, script func(id string, socket net.Conn)) (*Nodes, ends) {
+func startNodes(t *testing.T, script func(id string, socket net.Conn)) (*Pool, ends) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,9 +67,9 @@
 		}
 	}()
 	handler := make(ends, 100)
-	nodes := New(Limits{PerNode: 1, All: 4, Streams: 128, Connect: patience, Idle: time.Hour, Silent: time.Hour},
-		meta.Node{}, handler, slog.New(slog.DiscardHandler))
-	nodes.Set([]Node{{Name: "n", Address: listener.Addr().String()}})
+	nodes := New(Limits{MaxPerNode: 1, MaxConnections: 4, MaxPipelined: 128, ConnectTimeout: patience, IdleTimeout: time.Hour, SilenceTimeout: time.Hour},
+		meta.NodeDialect{}, handler, slog.New(slog.DiscardHandler))
+	nodes.UpdateNodes([]Node{{Name: "n", Address: listener.Addr().String()}})
 	ctx, stop := context.WithCancel(context.Background())
 	ran := make(chan struct{})
 	go func() {
@@ -83,7 +83,7 @@
 	return nodes, handler
 }
 
-func get(t *testing.T, nodes *Nodes, id string) *Attempt {
+func get(t *testing.T, nodes *Pool, id string) *Attempt {
 	t.Helper()
 	command, err := meta.ParseCommand("mg k v O" + id + " Pc=read")
 	if err != nil {
@@ -134,8 +134,8 @@
 	if nodes.Abandon(lost) {
 		t.Fatal("an attempt that has arrived passed for one not written")
 	}
-	if got := handler.next(t); got.attempt != lost || got.result != Broken {
-		t.Errorf("%s ended with result %d, want the lost one with %d", got.attempt.Request.ID, got.result, Broken)
+	if got := handler.next(t); got.attempt != lost || got.result != ConnectionLost {
+		t.Errorf("%s ended with result %d, want the lost one with %d", got.attempt.Request.ID, got.result, ConnectionLost)
 	}
 	handler.expectServed(t, get(t, nodes, "next"))
 	nodes.mu.Lock()
@@ -172,8 +172,8 @@
 				serve(id, socket)
 			})
 			bad := get(t, nodes, "bad")
-			if got := handler.next(t); got.attempt != bad || got.text != "" || got.result != Spoilt {
-				t.Errorf("ended with result %d and %q, want %d", got.result, got.text, Spoilt)
+			if got := handler.next(t); got.attempt != bad || got.text != "" || got.result != Malformed {
+				t.Errorf("ended with result %d and %q, want %d", got.result, got.text, Malformed)
 			}
 			handler.expectServed(t, get(t, nodes, "next"))
 		})
@@ -252,8 +252,8 @@
 	nodes.end = patience // a test waits for the connection's end as long as it takes
 	nodes.mu.Unlock()
 	get(t, nodes, "noroom")
-	if got := handler.next(t); got.result != NoRoom {
-		t.Errorf("a connection that was turned away ended with %d, want %d", got.result, NoRoom)
+	if got := handler.next(t); got.result != ConnectionLimitReached {
+		t.Errorf("a connection that was turned away ended with %d, want %d", got.result, ConnectionLimitReached)
 	}
 	// A busy on a connection that has served, or that stays open, is the queue's.
 	handler.expectServed(t, get(t, nodes, "first"))
@@ -261,7 +261,7 @@
 	if got := handler.next(t); got.result != Busy {
 		t.Errorf("a full queue ended with %d, want %d", got.result, Busy)
 	}
-	if n := nodes.TakeCounts(); n.NoRoom != 1 || n.Dials != 2 {
+	if n := nodes.TakeCounts(); n.ConnectionLimitReached != 1 || n.Dials != 2 {
 		t.Errorf("counted %+v, want one connection of two without room", n)
 	}
 }
@@ -274,14 +274,14 @@
 	address := nodes.nodes["n"].Address
 	nodes.mu.Unlock()
 	limits := nodes.limits
-	limits.Share = connlimit.Share{Table: 1, Proxies: 1000} // room.Least, then
-	limits.All = 100
+	limits.FleetShare = connlimit.Capacity{ConnectionsPerNode: 1, Proxies: 1000} // connlimit.MinConnections, then
+	limits.MaxConnections = 100
 	nodes.SetLimits(limits)
 	var list []Node
-	for i := range 3 * connlimit.Least {
+	for i := range 3 * connlimit.MinConnections {
 		list = append(list, Node{Name: fmt.Sprint("m", i), Address: address})
 	}
-	nodes.Set(list)
+	nodes.UpdateNodes(list)
 	for _, n := range list {
 		a := get(t, nodes, "x")
 		handler.expectServed(t, a)
@@ -293,8 +293,8 @@
 	}
 	nodes.mu.Lock()
 	defer nodes.mu.Unlock()
-	if nodes.conns > connlimit.Least {
-		t.Errorf("%d connections are kept, want %d", nodes.conns, connlimit.Least)
+	if nodes.conns > connlimit.MinConnections {
+		t.Errorf("%d connections are kept, want %d", nodes.conns, connlimit.MinConnections)
 	}
 	if len(nodes.nodes["n"].conns) != 1 {
 		t.Error("the connection used all along was closed")
@@ -307,12 +307,12 @@
 	late chan int
 }
 
-func (d dozes) Begin(batch []*Attempt) []*Attempt {
+func (d dozes) BeforeWrite(batch []*Attempt) []*Attempt {
 	time.Sleep(lateWrite)
 	return batch
 }
 
-func (d dozes) Late(batch []*Attempt, _ time.Duration) { d.late <- len(batch) }
+func (d dozes) WrittenLate(batch []*Attempt, _ time.Duration) { d.late <- len(batch) }
 
 // TestWriteLongAfterItsLookIsTold guards the count of what a stop between the last look and the write
 // lets through: it can't be prevented, but not go unseen either.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -11,9 +11,9 @@
 	t.Helper()
 	b, now := harness(t)
 	set := *b.set
-	set.Classes = []Class{{Name: "read", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Late: 0.3},
-		{Name: "handover", Effect: Keyed, Window: time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 2}}
-	set.Tenants, set.OverShare = []Tenant{{Name: "florist", Quota: 50}, {Name: "others"}}, 0.2
+	set.Classes = []Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeightShare: 0.3},
+		{Name: "handover", Idempotency: IdempotentWithKey, DedupWindow: time.Second, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2}}
+	set.Tenants, set.OverQuotaFactor = []Tenant{{Name: "florist", Quota: 50}, {Name: "others"}}, 0.2
 	set.Limits.MaxRetryAfter = 1200 * time.Millisecond
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 func TestAdmissionWithoutWorths(t *testing.T) {
 	b, now := crowded(t, 0.5)
 	for i := range b.set.Classes {
-		b.set.Classes[i].Worth = 0
+		b.set.Classes[i].PriorityWeight = 0
 	}
 	share := passed(b, now, 0.5, 4000, func(i int) Arrival { return Arrival{ID: uint64(i + 1), Class: i % 2, Tenant: 1} })
 	if share < 0.45 || share > 0.6 {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -11,17 +11,17 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{20, 80, 320, 1280} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			balancer, err := New(Settings{Classes: []Class{{Aim: time.Second / 2, Deadline: 2 * time.Second, Worth: 1, Late: 0.3}},
-				Proxies: 8, Zones: []string{"a", "b", "c"}, Limits: Limits{MaxAttempts: 4, Cancel: true, Duplicates: true}}, 1)
+			balancer, err := New(Settings{Classes: []Class{{LatencyObjective: time.Second / 2, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeightShare: 0.3}},
+				ProxyCount: 8, Zones: []string{"a", "b", "c"}, Limits: Limits{MaxAttempts: 4, AllowCancel: true, AllowHedging: true}}, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			var list []Member
+			var list []Endpoint
 			for i := range servers {
-				list = append(list, Member{Server: fmt.Sprintf("s%04d", i), Zone: i % 3})
+				list = append(list, Endpoint{Server: fmt.Sprintf("s%04d", i), Zone: i % 3})
 			}
 			now := time.Hour
-			balancer.Handle(now, ListUpdate{Kind: ListStored, Members: list}, nil)
+			balancer.Handle(now, EndpointUpdate{Kind: EndpointsCached, Endpoints: list}, nil)
 			keys := make([]string, 4096)
 			for i := range keys {
 				keys[i] = fmt.Sprint("k", i)
@@ -40,8 +40,8 @@
 				if to == "" {
 					b.Fatalf("nothing is sent: %+v", out)
 				}
-				out = balancer.Handle(now+time.Millisecond, Outcome{ID: id, Server: to, Result: Served, Took: time.Millisecond, Final: true, Note: NoteHit}, out[:0])
-				out = balancer.Handle(now+time.Millisecond, Timer{Token: id<<2 | timerHedge}, out[:0])
+				out = balancer.Handle(now+time.Millisecond, Outcome{ID: id, Server: to, Result: Served, Took: time.Millisecond, Final: true, CacheStatus: CacheHit}, out[:0])
+				out = balancer.Handle(now+time.Millisecond, TimerFired{Token: id<<2 | timerHedge}, out[:0])
 			}
 			for range 2048 {
 				one()
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,15 +10,15 @@
 // One proxy routes one request to the only server of its list.
 func Example() {
 	b, err := policy.New(policy.Settings{
-		Classes: []policy.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1}},
-		Proxies: 1,
-		Limits:  policy.Limits{MaxAttempts: 2},
+		Classes:    []policy.Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
+		ProxyCount: 1,
+		Limits:     policy.Limits{MaxAttempts: 2},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	list := policy.ListUpdate{Kind: policy.ListStored, Members: []policy.Member{{Server: "cache-1"}}}
+	list := policy.EndpointUpdate{Kind: policy.EndpointsCached, Endpoints: []policy.Endpoint{{Server: "cache-1"}}}
 	b.Handle(0, list, nil)
 	now := 5 * time.Millisecond
 	for _, a := range b.Handle(now, policy.Arrival{ID: 7, Key: "item-12", Deadline: now + time.Second}, nil) {
--- a/policy/health.go
+++ b/policy/health.go
@@ -25,24 +25,24 @@
 
 // memory is how long what is seen of one server counts: long enough for some samples.
 func (b *Balancer) memory() time.Duration {
-	b.ends.Fade(b.now, outlier.Memory)
-	rate := b.ends.Ended / outlier.Memory.Seconds() / float64(max(len(b.list), 1))
-	return max(outlier.Memory, min(healthLongest, time.Duration(healthSamples/max(rate, 1e-3)*float64(time.Second))))
+	b.ends.Decay(b.now, outlier.DecayTime)
+	rate := b.ends.Attempts / outlier.DecayTime.Seconds() / float64(max(len(b.list), 1))
+	return max(outlier.DecayTime, min(healthLongest, time.Duration(healthSamples/max(rate, 1e-3)*float64(time.Second))))
 }
 
 // rest is the share of what well servers are asked that fails.
 func (b *Balancer) rest(class int) float64 {
 	all, well := &b.health[class], &b.well[class]
-	all.Fade(b.now, outlier.Memory)
-	well.Fade(b.now, outlier.Memory)
+	all.Decay(b.now, outlier.DecayTime)
+	well.Decay(b.now, outlier.DecayTime)
 	ill := 0.0
 	for _, s := range b.list {
-		if s.health[class].Above > 0 {
+		if s.health[class].LogOdds > 0 {
 			ill += b.sick(s, class)
 		}
 	}
 	general := max(0, min(1, (ill/float64(max(len(b.list), 1))-illMost)/illMost))
-	return well.Of() + max(all.Of()-well.Of(), 0)*general
+	return well.Rate() + max(all.Rate()-well.Rate(), 0)*general
 }
 
 // sick is the chance that a server is sick for a class. What an overload or a fallen origin
@@ -51,15 +51,15 @@
 // might hurt where the misses of a cold server fail before those of others do.
 func (b *Balancer) sick(s *server, class int) float64 {
 	p := 0.0
-	if own := &s.health[class]; own.Above > 0 {
-		own.Fade(b.now, b.memory())
-		p = own.Chance() - outlier.Prior
+	if own := &s.health[class]; own.LogOdds > 0 {
+		own.Decay(b.now, b.memory())
+		p = own.Probability() - outlier.PriorProbability
 	}
-	if z := s.Zone; z >= 0 && z < len(b.zones) && len(b.zones) > 1 && b.zones[z].Above > 0 && b.now-s.heard > outlier.Memory/8 {
+	if z := s.Zone; z >= 0 && z < len(b.zones) && len(b.zones) > 1 && b.zones[z].LogOdds > 0 && b.now-s.heard > outlier.DecayTime/8 {
 		// A lost zone's servers are each met seldom; together they tell within some requests. It
 		// might hurt a server that is reached all the same: whoever was heard of just now is left out.
-		b.zones[z].Fade(b.now, outlier.Memory)
-		p = max(p, b.zones[z].Chance()-outlier.Prior)
+		b.zones[z].Decay(b.now, outlier.DecayTime)
+		p = max(p, b.zones[z].Probability()-outlier.PriorProbability)
 	}
 	return p
 }
@@ -73,7 +73,7 @@
 	if p <= least {
 		return 0
 	}
-	if b.memory() == outlier.Memory {
+	if b.memory() == outlier.DecayTime {
 		least = sickOdds
 	}
 	return max(p-least, 0) / (1 - least)
@@ -97,15 +97,15 @@
 		s.blamed = 0
 	}
 	own := &s.health[class]
-	if own.Row += failed; failed == 0 && b.warmth(s) == 1 { // what failed here passed by: it was chance
-		row := min(own.Row, chanceRow)
-		b.well[class].Count(b.now, 1+row, row)
-		own.Row = 0
+	if own.ConsecutiveFailures += failed; failed == 0 && b.warmth(s) == 1 { // what failed here passed by: it was chance
+		row := min(own.ConsecutiveFailures, chanceRow)
+		b.well[class].Observe(b.now, 1+row, row)
+		own.ConsecutiveFailures = 0
 	}
 	rest := b.rest(class)
-	own.Add(b.now, b.memory(), failed, rest)
-	b.health[class].Count(b.now, 1, failed)
+	own.Observe(b.now, b.memory(), failed, rest)
+	b.health[class].Observe(b.now, 1, failed)
 	if s.Zone >= 0 && s.Zone < len(b.zones) {
-		b.zones[s.Zone].Add(b.now, outlier.Memory, unreached, rest)
+		b.zones[s.Zone].Observe(b.now, outlier.DecayTime, unreached, rest)
 	}
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -12,16 +12,16 @@
 // fleet is a balancer as one of many proxies over sixty servers in four zones.
 func fleet(t *testing.T, seed uint64) *Balancer {
 	t.Helper()
-	b, err := New(Settings{Classes: []Class{{Aim: time.Second / 2, Deadline: 2 * time.Second}}, Proxies: 80,
-		Zones: []string{"a", "b", "c", "d"}, Limits: Limits{MaxAttempts: 4, Cancel: true}}, seed)
+	b, err := New(Settings{Classes: []Class{{LatencyObjective: time.Second / 2, Deadline: 2 * time.Second}}, ProxyCount: 80,
+		Zones: []string{"a", "b", "c", "d"}, Limits: Limits{MaxAttempts: 4, AllowCancel: true}}, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []Member
+	var list []Endpoint
 	for i := range 60 {
-		list = append(list, Member{Server: fmt.Sprintf("s%02d", i), Zone: i % 4})
+		list = append(list, Endpoint{Server: fmt.Sprintf("s%02d", i), Zone: i % 4})
 	}
-	b.Handle(time.Hour, ListUpdate{Kind: ListStored, Members: list}, nil)
+	b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsCached, Endpoints: list}, nil)
 	return b
 }
 
@@ -179,7 +179,7 @@
 // is answered, so a failure that was out with another must count again once something was answered between
 // them. Without that two failures a second stood against nine that went well.
 func TestSlowServerOfManyRequestsIsFoundOut(t *testing.T) {
-	if p := mixed(t, 4, func(i int) bool { return i*7%10 < 7 }); p < sickOdds-outlier.Prior {
+	if p := mixed(t, 4, func(i int) bool { return i*7%10 < 7 }); p < sickOdds-outlier.PriorProbability {
 		t.Errorf("a server that fails seven in ten of thirty requests a second is sick with a chance of %.2f", p)
 	}
 	if p := mixed(t, 4, func(i int) bool { return i%12 == 0 }); p > oneFailure {
@@ -193,19 +193,19 @@
 
 // flow plays requests at twelve servers, one each 5 ms, on a class whose aim is short: takes says how
 // long an answer takes (0 for never) and whether it was fetched. Timers ring in their time. It returns the balancer.
-func flow(t *testing.T, length time.Duration, takes func(server string, i int) (time.Duration, Note)) *Balancer {
+func flow(t *testing.T, length time.Duration, takes func(server string, i int) (time.Duration, CacheStatus)) *Balancer {
 	t.Helper()
-	b, err := New(Settings{Classes: []Class{{Aim: 150 * time.Millisecond, Deadline: 670 * time.Millisecond, Worth: 1, Late: 0.3}}, Proxies: 2,
-		Zones: []string{"a"}, Limits: Limits{MaxAttempts: 3, Cancel: true, Duplicates: true}}, 6)
+	b, err := New(Settings{Classes: []Class{{LatencyObjective: 150 * time.Millisecond, Deadline: 670 * time.Millisecond, PriorityWeight: 1, LateWeightShare: 0.3}}, ProxyCount: 2,
+		Zones: []string{"a"}, Limits: Limits{MaxAttempts: 3, AllowCancel: true, AllowHedging: true}}, 6)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []Member
+	var list []Endpoint
 	for i := range 12 {
-		list = append(list, Member{Server: fmt.Sprintf("s%02d", i)})
+		list = append(list, Endpoint{Server: fmt.Sprintf("s%02d", i)})
 	}
 	begin := time.Hour
-	b.Handle(begin, ListUpdate{Kind: ListStored, Members: list}, nil)
+	b.Handle(begin, EndpointUpdate{Kind: EndpointsCached, Endpoints: list}, nil)
 	type due struct {
 		at time.Duration
 		e  Event
@@ -227,10 +227,10 @@
 					number := attempts[a.ID]
 					attempts[a.ID]++
 					if took, note := takes(a.Server, i); took > 0 {
-						later = append(later, due{d.at + took, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Result: Served, Took: took, Note: note, Final: true}})
+						later = append(later, due{d.at + took, Outcome{ID: a.ID, Attempt: number, Server: a.Server, Result: Served, Took: took, CacheStatus: note, Final: true}})
 					}
 				case SetTimer:
-					later = append(later, due{d.at + a.After, Timer{Token: a.Token}})
+					later = append(later, due{d.at + a.After, TimerFired{Token: a.Token}})
 				case Cancel:
 					later = append(later, due{d.at, Outcome{ID: a.ID, Attempt: a.Attempt, Result: Cancelled}})
 				}
@@ -244,14 +244,14 @@
 // takes as long as ever passed for a failure there, one answer in seven did, and well servers were
 // left alone for seconds while their keys were fetched elsewhere.
 func TestFetchesOfAShortAimMakeNoneSick(t *testing.T) {
-	usual := func(_ string, i int) (time.Duration, Note) {
+	usual := func(_ string, i int) (time.Duration, CacheStatus) {
 		switch {
 		case i%4 == 1:
-			return 110 * time.Millisecond, NoteMiss
+			return 110 * time.Millisecond, CacheMiss
 		case i%16 == 2:
-			return 95 * time.Millisecond, NoteHit
+			return 95 * time.Millisecond, CacheHit
 		}
-		return 40 * time.Millisecond, NoteHit
+		return 40 * time.Millisecond, CacheHit
 	}
 	b := flow(t, 6*time.Second, usual)
 	for _, s := range b.list {
@@ -259,12 +259,12 @@
 			t.Errorf("%s is well and sick with a chance of %.2f", s.Server, p)
 		}
 	}
-	if rest := b.rest(0); rest > 2*outlier.WellShare {
+	if rest := b.rest(0); rest > 2*outlier.HealthyFailureRate {
 		t.Errorf("%.2f of what well servers are asked passes for failed", rest)
 	}
-	b = flow(t, 6*time.Second, func(s string, i int) (time.Duration, Note) {
+	b = flow(t, 6*time.Second, func(s string, i int) (time.Duration, CacheStatus) {
 		if s == "s03" && i > 400 { // says nothing any more
-			return 0, NoteNone
+			return 0, CacheUnknown
 		}
 		return usual(s, i)
 	})
@@ -288,11 +288,11 @@
 		b.now = time.Hour
 		for range 2000 {
 			b.now += c.each
-			b.ends.Count(b.now, 1, 0)
+			b.ends.Observe(b.now, 1, 0)
 		}
 		s := b.list[0]
-		s.health[0].Fade(b.now, outlier.Memory)
-		s.health[0].Above = c.above
+		s.health[0].Decay(b.now, outlier.DecayTime)
+		s.health[0].LogOdds = c.above
 		if got := b.detour(s, 0); got > 0 != c.round {
 			t.Errorf("%s: chance %.2f, a detour costs %.2f", c.name, b.sick(s, 0), got)
 		}
@@ -317,13 +317,13 @@
 // window of the rule's length may bring one more than the multiple of its share.
 func TestColdServersTakeTheirPartWhileMostAreCold(t *testing.T) {
 	b := fleet(t, 5)
-	b.set.Rules.ColdShare, b.set.Rules.ColdRamp = 0.3, time.Hour
+	b.set.Rules.SlowStartShare, b.set.Rules.SlowStartWindow = 0.3, time.Hour
 	now := time.Hour + time.Second
-	var cold []Member
+	var cold []Endpoint
 	for i := range 36 {
-		cold = append(cold, Member{Server: fmt.Sprintf("s%02d", i), Zone: i % 4, Started: now})
+		cold = append(cold, Endpoint{Server: fmt.Sprintf("s%02d", i), Zone: i % 4, StartedAt: now})
 	}
-	b.Handle(now, ListUpdate{Kind: ListChanges, Members: cold}, nil)
+	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: cold}, nil)
 	const window, multiple = 1000, 3 // requests; FallMultiple
 	all, toCold := 0, 0
 	got := make(map[string]int)
@@ -357,8 +357,8 @@
 	cold, all := 0, 0
 	for seed := range uint64(80) {
 		b := fleet(t, seed)
-		b.set.Rules = Rules{ColdShare: 0.2, ColdRamp: 8 * time.Second}
-		b.Handle(time.Hour, ListUpdate{Kind: ListChanges, Members: []Member{{Server: "new", Started: time.Hour}}}, nil)
+		b.set.Rules = Rules{SlowStartShare: 0.2, SlowStartWindow: 8 * time.Second}
+		b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{{Server: "new", StartedAt: time.Hour}}}, nil)
 		firsts, _ := drive(b, time.Hour, 0, 100, ending(Served, none)) // 5 s
 		cold += firsts["new"]
 		all += 100
@@ -404,9 +404,9 @@
 		out := b.Handle(time.Hour, Arrival{ID: 1, Key: "k", Deadline: time.Hour + 2*time.Second}, nil)
 		s := sent(out)[0]
 		o := &b.servers[s].health[0]
-		o.Fade(time.Hour, time.Second)
-		o.Above = c.above
-		out = b.Handle(time.Hour+time.Millisecond, Outcome{ID: 1, Server: s, Result: Full, Took: time.Millisecond}, nil)
+		o.Decay(time.Hour, time.Second)
+		o.LogOdds = c.above
+		out = b.Handle(time.Hour+time.Millisecond, Outcome{ID: 1, Server: s, Result: Rejected, Took: time.Millisecond}, nil)
 		if again := len(sent(out)) > 0; again != c.spare {
 			t.Errorf("suspicion %.1f: tried again %v", c.above, again)
 		}
@@ -443,7 +443,7 @@
 		t.Errorf("of a row that goes on %.2f passes for chance", rest)
 	}
 	judge(0)
-	if row := b.well[0].Failed; row != chanceRow {
+	if row := b.well[0].Failures; row != chanceRow {
 		t.Errorf("of a row of fifty that ended %v pass for chance, want %v", row, chanceRow)
 	}
 }
@@ -466,7 +466,7 @@
 func TestBadHourOfOneClass(t *testing.T) {
 	b := fleet(t, 8)
 	set := *b.set
-	set.Classes = append(set.Classes, Class{Name: "other", Aim: time.Second, Deadline: time.Second})
+	set.Classes = append(set.Classes, Class{Name: "other", LatencyObjective: time.Second, Deadline: time.Second})
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
--- a/policy/homes_test.go
+++ b/policy/homes_test.go
@@ -13,15 +13,15 @@
 	t.Helper()
 	b := fleet(t, 1)
 	set := *b.set
-	set.Links, set.Prices = links, Prices{Origin: 0.15, CrossZone: 0.02, Handshake: 0.115}
+	set.ConnectionsPerServer, set.Costs = links, Costs{OriginFetch: 0.15, CrossZone: 0.02, Handshake: 0.115}
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	var list []Member
+	var list []Endpoint
 	for _, s := range b.servers {
-		list = append(list, s.Member)
+		list = append(list, s.Endpoint)
 	}
-	b.Handle(time.Hour, ListUpdate{Kind: ListFull, Members: list}, nil)
+	b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsFull, Endpoints: list}, nil)
 	return b
 }
 
@@ -50,7 +50,7 @@
 	}
 	b := homely(t, 0.2)
 	set := *b.set
-	set.Prices.Handshake = 0 // they cost nothing here
+	set.Costs.Handshake = 0 // they cost nothing here
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
@@ -98,15 +98,15 @@
 	} {
 		b := homely(t, c.links)
 		set := *b.set
-		set.Rules.ColdShare, set.Rules.ColdRamp, set.Rules.FallMultiple = 0.2, 10*time.Second, c.multiple
+		set.Rules.SlowStartShare, set.Rules.SlowStartWindow, set.Rules.OverloadMultiple = 0.2, 10*time.Second, c.multiple
 		if err := b.Reconfigure(set); err != nil {
 			t.Fatal(err)
 		}
-		var list []Member
+		var list []Endpoint
 		for zone := range 4 {
-			list = append(list, Member{Server: fmt.Sprint("cold", zone), Zone: zone, Started: time.Hour})
+			list = append(list, Endpoint{Server: fmt.Sprint("cold", zone), Zone: zone, StartedAt: time.Hour})
 		}
-		b.Handle(time.Hour, ListUpdate{Kind: ListChanges, Members: list}, nil)
+		b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsDelta, Endpoints: list}, nil)
 		for zone := range 4 {
 			b.servers[fmt.Sprint("cold", zone)].credit = 0
 		}
--- a/policy/owed_test.go
+++ b/policy/owed_test.go
@@ -17,15 +17,15 @@
 		if len(to) != 1 {
 			t.Fatalf("request %d: sent to %v", i, to)
 		}
-		b.Handle(now+10*time.Millisecond, Departure{ID: id}, nil)
+		b.Handle(now+10*time.Millisecond, ClientLeft{ID: id}, nil)
 		b.Handle(now+10*time.Millisecond, Outcome{ID: id, Server: to[0], Result: NotSent, Final: true}, nil)
 	}
-	if known, other := b.Gates(); known < 1 || other < 1 {
+	if known, other := b.AdmissionShares(); known < 1 || other < 1 {
 		t.Errorf("gates at %v and %v", known, other)
 	}
 	for name, s := range b.servers {
-		if s.heard != 0 || s.inFlight != 0 || s.health[0].Above != 0 || s.gate.open(serverPrior) < 1 {
-			t.Errorf("%s: heard of at %v, %v out, odds %v, gate %v", name, s.heard, s.inFlight, s.health[0].Above, s.gate.open(serverPrior))
+		if s.heard != 0 || s.inFlight != 0 || s.health[0].LogOdds != 0 || s.gate.open(serverPrior) < 1 {
+			t.Errorf("%s: heard of at %v, %v out, odds %v, gate %v", name, s.heard, s.inFlight, s.health[0].LogOdds, s.gate.open(serverPrior))
 		}
 	}
 }
@@ -38,23 +38,23 @@
 	for _, within := range []time.Duration{0, time.Second, 4 * time.Second, 10 * time.Second, time.Minute} {
 		least, most, second := time.Hour, time.Duration(0), time.Duration(0)
 		for seed := range uint64(200) {
-			b, err := New(Settings{Classes: []Class{{Aim: time.Second, Deadline: time.Second}}, AskList: true, Rules: Rules{AskWithin: within}}, seed)
+			b, err := New(Settings{Classes: []Class{{LatencyObjective: time.Second, Deadline: time.Second}}, EndpointsOnRequest: true, Rules: Rules{MaxPollInterval: within}}, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			wait := func(kind ListKind) (d time.Duration) {
-				for _, a := range b.Handle(time.Hour, ListUpdate{Kind: kind}, nil) {
+			wait := func(kind EndpointUpdateKind) (d time.Duration) {
+				for _, a := range b.Handle(time.Hour, EndpointUpdate{Kind: kind}, nil) {
 					if a.Kind == SetTimer {
 						d = a.After
 					}
 				}
 				return d
 			}
-			wait(ListStored)
-			first := wait(ListLost)
-			least, most, second = min(least, first), max(most, first), max(second, wait(ListLost))
+			wait(EndpointsCached)
+			first := wait(EndpointsUnavailable)
+			least, most, second = min(least, first), max(most, first), max(second, wait(EndpointsUnavailable))
 			for range 4 { // however many calls have failed, one more that takes its time is over before a change counts
-				if further := wait(ListLost); further > counts-call {
+				if further := wait(EndpointsUnavailable); further > counts-call {
 					t.Fatalf("of %v for asking a further wait is %v", within, further)
 				}
 			}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -61,27 +61,27 @@
 
 // server is what this balancer knows of one cache server.
 type server struct {
-	Member
+	Endpoint
 	hash     uint64
 	listed   bool
-	record   bloom.Record
-	inFlight float64        // own attempts out
-	given    float64        // own attempts given up whose work may go on, fading
-	faded    time.Duration  // time of given
-	load     float64        // its smoothed value
-	fastest  float64        // RTT-SW: fastest recent answer, seconds
-	work     float64        // smoothed latency above that, seconds
-	worth    float64        // share of hits when the record promised one
-	sampled  time.Duration  // time of the last sample
-	answers  int            // that were measured since its start
-	fails    int            // in a row
-	failed   time.Duration  // time of the last of them
-	blamed   time.Duration  // time of the last failure that counted for its health
-	until    time.Duration  // not to be chosen before, if others are left
-	health   []outlier.Odds // by class
-	heard    time.Duration  // time of the last answer of any kind
-	unlisted time.Duration  // time at which the list dropped it
-	credit   float64        // sends a cold server may get
+	record   bloom.Filter
+	inFlight float64             // own attempts out
+	given    float64             // own attempts given up whose work may go on, fading
+	faded    time.Duration       // time of given
+	load     float64             // its smoothed value
+	fastest  float64             // RTT-SW: fastest recent answer, seconds
+	work     float64             // smoothed latency above that, seconds
+	worth    float64             // share of hits when the record promised one
+	sampled  time.Duration       // time of the last sample
+	answers  int                 // that were measured since its start
+	fails    int                 // in a row
+	failed   time.Duration       // time of the last of them
+	blamed   time.Duration       // time of the last failure that counted for its health
+	until    time.Duration       // not to be chosen before, if others are left
+	health   []outlier.Suspicion // by class
+	heard    time.Duration       // time of the last answer of any kind
+	unlisted time.Duration       // time at which the list dropped it
+	credit   float64             // sends a cold server may get
 	gate     gate
 	used     time.Duration // last send over a connection that is still open
 }
@@ -115,8 +115,8 @@
 // might hurt where most of a fleet dies at once: the first failures at each are
 // then taken for the network's, and cost a retry each.
 func (b *Balancer) rare(fails int) bool {
-	b.ends.Count(b.now, 0, 0)
-	return math.Pow(b.ends.Failed/(b.ends.Ended+1), float64(fails)) < chance
+	b.ends.Observe(b.now, 0, 0)
+	return math.Pow(b.ends.Failures/(b.ends.Attempts+1), float64(fails)) < chance
 }
 
 type attempt struct {
@@ -171,16 +171,16 @@
 	// The gates of sends that a record promises a hit, and of the others: a full
 	// origin must not close the way to what the caches hold.
 	gates  map[bool]*gate
-	ranks  map[bool]*ranks // of what comes to each
-	keyed  gate            // of keyed requests, at all servers
-	shares []share         // by tenant
-	health []outlier.Share // of all servers, by class
-	well   []outlier.Share // of what succeeded, and of failures that a success followed at the same server
-	zones  []outlier.Odds  // of not being reached
-	level  Service
-	seen   Condition     // since it was last asked for
-	ends   outlier.Share // of attempts at all servers, failed where their connection ended
-	near   bool          // keys have a home in each zone
+	ranks  map[bool]*ranks       // of what comes to each
+	keyed  gate                  // of keyed requests, at all servers
+	shares []share               // by tenant
+	health []outlier.FailureRate // of all servers, by class
+	well   []outlier.FailureRate // of what succeeded, and of failures that a success followed at the same server
+	zones  []outlier.Suspicion   // of not being reached
+	level  DegradationLevel
+	seen   Counters            // since it was last asked for
+	ends   outlier.FailureRate // of attempts at all servers, failed where their connection ended
+	near   bool                // keys have a home in each zone
 }
 
 // The kinds of timers, in the low bits of a token; the rest is a request's ID.
@@ -197,11 +197,11 @@
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	return &Balancer{set: &set, kinds: slices.Repeat([]float64{0.05}, len(set.Kinds)),
-		weights: slices.Repeat([]float64{1}, len(set.Kinds)), rng: rand.New(rand.NewPCG(seed, 1)),
+	return &Balancer{set: &set, kinds: slices.Repeat([]float64{0.05}, len(set.MachineKinds)),
+		weights: slices.Repeat([]float64{1}, len(set.MachineKinds)), rng: rand.New(rand.NewPCG(seed, 1)),
 		servers: make(map[string]*server), requests: make(map[uint64]*request), retries: retryCap,
-		origin: 0.1, calm: 0.1, work: 0.05, fastest: 0.001, health: make([]outlier.Share, len(set.Classes)),
-		well: make([]outlier.Share, len(set.Classes)), zones: make([]outlier.Odds, len(set.Zones)),
+		origin: 0.1, calm: 0.1, work: 0.05, fastest: 0.001, health: make([]outlier.FailureRate, len(set.Classes)),
+		well: make([]outlier.FailureRate, len(set.Classes)), zones: make([]outlier.Suspicion, len(set.Zones)),
 		ranks: map[bool]*ranks{true: {}, false: {}},
 		keyed: gate{keep: gateKeep},
 		gates: map[bool]*gate{true: {keep: gateKeep}, false: {keep: gateKeep}}}, nil
@@ -213,7 +213,7 @@
 	for b.now-b.turned >= recordPeriod {
 		b.turned = max(b.turned+recordPeriod, b.now-recordPeriod)
 		for name, s := range b.servers {
-			s.record.Turn()
+			s.record.Rotate()
 			// Where ids are ever new, the map would grow with each server replaced.
 			if !s.listed && s.inFlight == 0 && b.now-s.unlisted > recordPeriod {
 				delete(b.servers, name)
@@ -230,7 +230,7 @@
 		}
 	}
 	switch e := event.(type) {
-	case ListUpdate:
+	case EndpointUpdate:
 		b.update(e)
 	case Arrival:
 		b.arrive(e)
@@ -240,37 +240,37 @@
 		}
 	case Outcome:
 		b.outcome(e)
-	case Departure:
+	case ClientLeft:
 		if r := b.requests[e.ID]; r != nil {
 			b.end(r)
 		}
-	case Timer:
+	case TimerFired:
 		b.timer(e)
-	case Stood:
-		b.stood(e.For)
-	case ServiceChange:
+	case ProcessPaused:
+		b.stood(e.Duration)
+	case LevelChange:
 		b.level = e.Level
 	}
 	return b.out
 }
 
-// Condition returns what has been counted since it was last asked for.
-func (b *Balancer) Condition() Condition {
+// TakeCounters returns what has been counted since it was last asked for.
+func (b *Balancer) TakeCounters() Counters {
 	seen := b.seen
-	b.seen = Condition{}
+	b.seen = Counters{}
 	for _, s := range b.servers {
 		if s.listed {
 			seen.Servers++
-			if s.Mode == Serving && s.until > b.now {
-				seen.Out++
+			if s.State == Serving && s.until > b.now {
+				seen.Ejected++
 			}
 		}
 	}
 	return seen
 }
 
-// Gates returns the share of requests that pass now: of those that a record names, and of others.
-func (b *Balancer) Gates() (known, other float64) {
+// AdmissionShares returns the share of requests that pass now: of those that a record names, and of others.
+func (b *Balancer) AdmissionShares() (known, other float64) {
 	return b.gates[true].open(gatePrior), b.gates[false].open(gatePrior)
 }
 
@@ -281,37 +281,37 @@
 }
 
 // update applies news of the list and keeps one subscription alive.
-func (b *Balancer) update(u ListUpdate) {
+func (b *Balancer) update(u EndpointUpdate) {
 	switch {
-	case !b.set.AskList:
+	case !b.set.EndpointsOnRequest:
 	case !b.begun: // all proxies start at once, and the registry is small
-		b.wake(timerList, 0, b.jitter(b.set.Rules.AskWithin/4))
-	case u.Kind == ListLost:
+		b.wake(timerList, 0, b.jitter(b.set.Rules.MaxPollInterval/4))
+	case u.Kind == EndpointsUnavailable:
 		b.asking, b.lostN = false, min(b.lostN+1, 3)
 		most := lostPauseMax
 		if b.lostN == 1 {
 			most = lostPause
 		}
-		pause := min(b.set.Rules.AskWithin/8<<b.lostN, most)
+		pause := min(b.set.Rules.MaxPollInterval/8<<b.lostN, most)
 		b.wake(timerList, 0, b.jitter(pause))
 		return
 	default:
 		b.lostN = 0
 	}
 	b.begun = true
-	if u.Kind == ListFull || u.Kind == ListStored {
+	if u.Kind == EndpointsFull || u.Kind == EndpointsCached {
 		for _, s := range b.servers {
 			s.listed = false
 		}
 	}
-	for _, m := range u.Members {
+	for _, m := range u.Endpoints {
 		b.member(m)
 	}
 	clear(b.list)
 	b.list = b.list[:0]
 	for _, s := range b.servers {
 		switch {
-		case s.listed && s.Mode == Serving:
+		case s.listed && s.State == Serving:
 			b.list = append(b.list, s)
 		case s.listed:
 			s.unlisted = 0
@@ -329,24 +329,24 @@
 // might hurt where clients' zones are very unequal: the estimate then takes them to other zones.
 func (b *Balancer) homes() bool {
 	zones := float64(len(b.set.Zones))
-	if zones < 2 || b.set.Links <= 0 {
+	if zones < 2 || b.set.ConnectionsPerServer <= 0 {
 		return false
 	}
-	saved := b.set.Prices.Handshake*max(0, 1-b.set.Links) + b.set.Prices.CrossZone*(1-1/zones)
-	return saved > b.set.Prices.Origin*zoneMiss
+	saved := b.set.Costs.Handshake*max(0, 1-b.set.ConnectionsPerServer) + b.set.Costs.CrossZone*(1-1/zones)
+	return saved > b.set.Costs.OriginFetch*zoneMiss
 }
 
-func (b *Balancer) member(m Member) {
+func (b *Balancer) member(m Endpoint) {
 	s := b.servers[m.Server]
 	fresh := s == nil
 	if fresh {
 		s = &server{hash: bloom.Hash(m.Server)}
 		b.servers[m.Server] = s
-	} else if m.Mode != Serving {
-		m.Started = s.Started
+	} else if m.State != Serving {
+		m.StartedAt = s.StartedAt
 	}
-	fresh = fresh || m.Started != s.Started
-	s.Member, s.listed = m, m.Mode != Gone
+	fresh = fresh || m.StartedAt != s.StartedAt
+	s.Endpoint, s.listed = m, m.State != Removed
 	if fresh {
 		b.forget(s)
 	}
@@ -355,11 +355,11 @@
 // forget empties what a restart made void. The cold allowance starts at a part of one send, by
 // chance: the proxies must not all send their first at once.
 func (b *Balancer) forget(s *server) {
-	s.record = bloom.Record{}
+	s.record = bloom.Filter{}
 	s.fastest, s.work, s.load, s.worth, s.fails, s.until, s.sampled, s.answers = 0, 0, s.inFlight, 1, 0, 0, 0, 0
 	s.blamed = 0
 	s.credit, s.gate = b.rng.Float64(), gate{}
-	s.health = make([]outlier.Odds, len(b.health))
+	s.health = make([]outlier.Suspicion, len(b.health))
 }
 
 func (b *Balancer) jitter(d time.Duration) time.Duration {
@@ -368,11 +368,11 @@
 
 // warmth is the share of its capacity that a server has at least.
 func (b *Balancer) warmth(s *server) float64 {
-	age, ramp := b.now-s.Started, b.set.Rules.ColdRamp
-	if s.Started <= 0 || age >= ramp {
+	age, ramp := b.now-s.StartedAt, b.set.Rules.SlowStartWindow
+	if s.StartedAt <= 0 || age >= ramp {
 		return 1
 	}
-	share := b.set.Rules.ColdShare
+	share := b.set.Rules.SlowStartShare
 	return share + (1-share)*max(float64(age), 0)/float64(ramp)
 }
 
@@ -389,10 +389,10 @@
 	} else {
 		r.hash = b.rng.Uint64()
 	}
-	r.at = bloom.Places(r.hash)
+	r.at = bloom.PositionsOf(r.hash)
 	r.over = b.spend(r)
 	b.grant()
-	b.wake(timerDeadline, a.ID, a.Deadline-b.now-2*b.set.Tick)
+	b.wake(timerDeadline, a.ID, a.Deadline-b.now-2*b.set.EventInterval)
 	b.place(r)
 }
 
@@ -409,7 +409,7 @@
 		s, part := b.list[i], 1.0
 		if b.near { // its own zone's proxies grant it all, and not too much where all clients come to one zone
 			if part = 0; s.Zone == b.set.Zone {
-				part = min(float64(len(b.set.Zones)), max(1, b.set.Rules.FallMultiple/coldMargin))
+				part = min(float64(len(b.set.Zones)), max(1, b.set.Rules.OverloadMultiple/coldMargin))
 			}
 		}
 		s.credit = min(s.credit+coldMargin*part*b.warmth(s)/sum, coldSaved)
@@ -421,23 +421,23 @@
 	if r.ended || r.stream {
 		return false
 	}
-	if s != nil && (!r.fits(s) || r.open > 0 && !r.set.Limits.Duplicates || len(r.attempts) >= r.set.Limits.MaxAttempts ||
+	if s != nil && (!r.fits(s) || r.open > 0 && !r.set.Limits.AllowHedging || len(r.attempts) >= r.set.Limits.MaxAttempts ||
 		b.now >= r.Deadline) {
 		return false
 	}
 	return b.repeats(r, s, -1)
 }
 
-// Allowed tells whether the first byte of an attempt may still be written at
+// MaySend tells whether the first byte of an attempt may still be written at
 // time now: it may have waited for a connection since it was decided.
-func (b *Balancer) Allowed(now time.Duration, id uint64, number int) bool {
+func (b *Balancer) MaySend(now time.Duration, id uint64, number int) bool {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) {
 		return false
 	}
 	b.now = now
 	a := &r.attempts[number]
-	return !a.done && !r.ended && !r.stream && now < r.Deadline && a.server.listed && a.server.Mode == Serving &&
+	return !a.done && !r.ended && !r.stream && now < r.Deadline && a.server.listed && a.server.State == Serving &&
 		r.fits(a.server) && b.repeats(r, a.server, number)
 }
 
@@ -445,21 +445,23 @@
 // may repeat a keyed request, here or at another proxy, and relies on its being
 // dropped. So where nodes of both kinds are, not even the first try goes to one
 // that drops none.
-func (r *request) fits(s *server) bool { return r.class.Effect != Keyed || !s.Keyless }
+func (r *request) fits(s *server) bool {
+	return r.class.Idempotency != IdempotentWithKey || !s.NoDeduplication
+}
 
 // repeats tells whether a send to s, or with nil a refusal, is harmless after
 // the attempts but number skip.
 func (b *Balancer) repeats(r *request, s *server, skip int) bool {
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if !a.mayRun || r.class.Effect == Safe || i == skip {
+		if !a.mayRun || r.class.Idempotency == Idempotent || i == skip {
 			continue
 		}
 		switch {
-		case r.class.Effect == Unsafe, s == nil: // busy would promise that a repeat is harmless, however late it comes
+		case r.class.Idempotency == NotIdempotent, s == nil: // busy would promise that a repeat is harmless, however late it comes
 			return false
-		case b.now >= a.sent+r.class.Window-r.set.Tick, r.class.Group == GroupZone && s.Zone != a.server.Zone,
-			r.class.Group == GroupCell && s.Cell != a.server.Cell:
+		case b.now >= a.sent+r.class.DedupWindow-r.set.EventInterval, r.class.DedupScope == DedupScopeZone && s.Zone != a.server.Zone,
+			r.class.DedupScope == DedupScopeCell && s.Cell != a.server.Cell:
 			return false
 		}
 	}
@@ -478,18 +480,18 @@
 		return
 	}
 	open := min(b.gates[promise].open(gatePrior), s.gate.open(serverPrior))
-	b.seen.Asked++
-	if !promise && r.class.Effect != Keyed && b.may(r, nil) && b.rng.Float64() > b.fetches() {
-		b.giveUp(r, ReasonLevel)
+	b.seen.Offered++
+	if !promise && r.class.Idempotency != IdempotentWithKey && b.may(r, nil) && b.rng.Float64() > b.fetches() {
+		b.giveUp(r, ReasonDegraded)
 		return
 	}
 	hopeless := b.hopeless(r, s)
 	if b.may(r, nil) && (hopeless || !b.admit(r, promise, open)) {
-		b.seen.Turned++
-		reason := ReasonGate
+		b.seen.Rejected++
+		reason := ReasonAdmission
 		if hopeless {
-			b.seen.Hopeless++
-			reason = ReasonHopeless
+			b.seen.DeadlineRejections++
+			reason = ReasonUnattainable
 		}
 		// What is shed counts as asked: sends then settle at gateSlack times the good.
 		s.gate.count(b.now, 1, 0, 0)
@@ -498,7 +500,7 @@
 		return
 	}
 	b.send(r, s, promise, ReasonFirst)
-	if at := r.attempts[len(r.attempts)-1].copied; r.set.Limits.Duplicates && r.class.Effect == Safe && at < r.Deadline {
+	if at := r.attempts[len(r.attempts)-1].copied; r.set.Limits.AllowHedging && r.class.Idempotency == Idempotent && at < r.Deadline {
 		b.wake(timerHedge, r.ID, at-b.now)
 	}
 }
@@ -509,7 +511,7 @@
 // passes by chance alone.
 func (b *Balancer) admit(r *request, promise bool, open float64) bool {
 	below, own, all := b.ranks[promise].place(b.value(r))
-	if open >= 1 || b.rng.Float64() < gateLeast || b.level >= ServiceHandovers && r.class.Effect == Keyed {
+	if open >= 1 || b.rng.Float64() < gateLeast || b.level >= LevelHandovers && r.class.Idempotency == IdempotentWithKey {
 		return true
 	}
 	return b.rng.Float64()*own < below+own-(1-open)*all
@@ -518,12 +520,12 @@
 // value is what answering a request in time is worth: over its tenant's share little, and a
 // repetition comes late for its client.
 func (b *Balancer) value(r *request) float64 {
-	v := r.class.Worth
+	v := r.class.PriorityWeight
 	if r.over {
-		v *= r.set.OverShare
+		v *= r.set.OverQuotaFactor
 	}
-	if r.Repeat {
-		v *= r.class.Late
+	if r.IsRetry {
+		v *= r.class.LateWeightShare
 	}
 	return v
 }
@@ -554,7 +556,7 @@
 	if r.Tenant < 0 || r.Tenant >= len(b.set.Tenants) {
 		return false
 	}
-	quota := b.set.Tenants[r.Tenant].Quota / float64(max(b.set.Proxies, 1))
+	quota := b.set.Tenants[r.Tenant].Quota / float64(max(b.set.ProxyCount, 1))
 	if quota <= 0 {
 		return false
 	}
@@ -582,12 +584,12 @@
 // handovers go first, only as many fetch as leave nearly all handovers in time. It meets an
 // origin that has become slow. It might hurt where handovers are late for another reason.
 func (b *Balancer) fetches() float64 {
-	if b.level < ServiceHandovers {
+	if b.level < LevelHandovers {
 		return 1
 	}
 	b.keyed.count(b.now, 0, 0, 0)
 	clear := b.keyed.clear(gatePrior)
-	if b.level >= ServiceShelter {
+	if b.level >= LevelShelter {
 		clear *= shelterShare
 	}
 	return max(gateLeast, clear)
@@ -604,8 +606,8 @@
 // assumed of it.
 func (b *Balancer) hopeless(r *request, s *server) bool {
 	most := hopeShare * (r.Deadline - b.now).Seconds()
-	if b.level < ServiceHandovers || r.class.Effect != Keyed {
-		most = min(most, aimShare*r.class.Aim.Seconds())
+	if b.level < LevelHandovers || r.class.Idempotency != IdempotentWithKey {
+		most = min(most, aimShare*r.class.LatencyObjective.Seconds())
 	}
 	return s.answers >= settled && s.inFlight > 0 && b.hitTime(s) > most
 }
@@ -626,7 +628,7 @@
 	if a.server.heard > a.sent && b.sick(a.server, r.Class) < sickOdds {
 		return
 	}
-	if b.level >= ServiceEconomy || r.open != 1 || b.retries < 1 || b.gates[true].open(gatePrior) < 1 || b.gates[false].open(gatePrior) < 1 {
+	if b.level >= LevelEconomy || r.open != 1 || b.retries < 1 || b.gates[true].open(gatePrior) < 1 || b.gates[false].open(gatePrior) < 1 {
 		return
 	}
 	if s, promise := b.choose(r); promise && !tried(r, s) {
@@ -649,7 +651,7 @@
 		b.giveUp(r, ReasonNoServer)
 		return
 	}
-	b.seen.Held++
+	b.seen.WaitsForServer++
 	b.wake(timerWait, r.ID, holdPause)
 }
 
@@ -661,26 +663,26 @@
 	case b.may(r, nil):
 		// A queue to be answered in time is gone within an aim. Clients turned
 		// away together must not come back together.
-		b.do(Action{Kind: Refuse, ID: r.ID, After: b.Advice(r.Class), Reason: reason})
+		b.do(Action{Kind: Reject, ID: r.ID, After: b.RetryAfter(r.Class), Reason: reason})
 	default:
 		b.do(Action{Kind: Fail, ID: r.ID, Reason: reason})
 	}
 	b.end(r)
 }
 
-// Advice is when a refused request of a class is to come again: later the less service
+// RetryAfter is when a refused request of a class is to come again: later the less service
 // there is, and spread also where the longest advice bounds it.
-func (b *Balancer) Advice(class int) time.Duration {
+func (b *Balancer) RetryAfter(class int) time.Duration {
 	most := b.set.Limits.MaxRetryAfter
 	if class < 0 || class >= len(b.set.Classes) {
 		return b.jitter(most / 2)
 	}
-	mean := b.set.Classes[class].Aim / 2 * time.Duration(2+b.level) / 2
+	mean := b.set.Classes[class].LatencyObjective / 2 * time.Duration(2+b.level) / 2
 	return min(b.jitter(min(mean, most*2/3)), most)
 }
 
 func (b *Balancer) send(r *request, s *server, promise bool, reason Reason) {
-	expected, aim := b.hitTime(s), r.class.Aim.Seconds()
+	expected, aim := b.hitTime(s), r.class.LatencyObjective.Seconds()
 	slow := slowTimes * expected
 	if !promise { // fetches scatter little beside queues
 		expected, slow = expected+b.origin, slow+b.origin
@@ -710,16 +712,16 @@
 		least := math.Inf(1)
 		score := func(s *server, miss float64) {
 			// A price is a share of the worth, which is lost with the aim's time.
-			t := b.hitTime(s) + miss*(b.fetch()+b.set.Prices.Origin*r.class.Aim.Seconds()) +
-				b.detour(s, r.Class)*r.class.Aim.Seconds()
+			t := b.hitTime(s) + miss*(b.fetch()+b.set.Costs.OriginFetch*r.class.LatencyObjective.Seconds()) +
+				b.detour(s, r.Class)*r.class.LatencyObjective.Seconds()
 			if s.Zone != b.set.Zone {
-				t += b.set.Prices.CrossZone * r.class.Aim.Seconds()
+				t += b.set.Costs.CrossZone * r.class.LatencyObjective.Seconds()
 			}
 			if b.near && s.Zone != b.set.Zone {
-				t += b.set.Prices.Handshake * r.class.Aim.Seconds()
+				t += b.set.Costs.Handshake * r.class.LatencyObjective.Seconds()
 			}
 			if t < least {
-				best, least, named = s, t, r.keyed && miss < 1 && s.record.Has(&r.at)
+				best, least, named = s, t, r.keyed && miss < 1 && s.record.Contains(&r.at)
 			}
 		}
 		known := false
@@ -728,12 +730,12 @@
 				!b.may(r, s) {
 				continue
 			}
-			if r.keyed && s.record.Has(&r.at) {
+			if r.keyed && s.record.Contains(&r.at) {
 				known = true
-				score(s, 1-(1-s.record.FalseHit())*s.worth)
+				score(s, 1-(1-s.record.FalsePositiveRate())*s.worth)
 				continue
 			}
-			rank := b.weight(s) / -math.Log(bloom.Unit(bloom.Mix(r.hash^s.hash)))
+			rank := b.weight(s) / -math.Log(bloom.UnitInterval(bloom.Mix(r.hash^s.hash)))
 			away, depth := 0, rendezvousDepth
 			if b.near {
 				depth /= 2
@@ -754,7 +756,7 @@
 				}
 				miss := 1.0
 				if i == 0 && r.keyed && !known {
-					miss = s.record.FalseHit()
+					miss = s.record.FalsePositiveRate()
 					if ranks[away][0] < ranks[1-away][0] { // asked by its own zone alone
 						miss += (1 - miss) * zoneMiss
 					}
@@ -783,11 +785,11 @@
 // fast its kind of machine has been. Without it the slow kinds are always full,
 // and what overflows from them loads the origin.
 func (b *Balancer) weight(s *server) float64 {
-	if b.set.Weighted && s.Weight > 0 {
+	if b.set.RegisteredWeights && s.Weight > 0 {
 		return s.Weight
 	}
-	if s.Kind < len(b.weights) {
-		return b.weights[s.Kind]
+	if s.MachineKind < len(b.weights) {
+		return b.weights[s.MachineKind]
 	}
 	return 1
 }
@@ -837,7 +839,7 @@
 // MayHaveRun tells whether an attempt that ended so can have had an effect. A
 // result not known here may have had one.
 func MayHaveRun(r Result) bool {
-	return r != Full && r != ConnectFailed && r != NotSent && r != Missed && r != NoRoom
+	return r != Rejected && r != ConnectFailed && r != NotSent && r != NotFound && r != ConnectionLimitReached
 }
 
 // again decides what follows an attempt that served nothing.
@@ -845,9 +847,9 @@
 	// For a key, full and error mostly mean that its fetch failed: another server
 	// would ask the same origin, and keep it from getting well.
 	a := &r.attempts[e.Attempt]
-	origin := r.Key != "" && (e.Result == Full || e.Result == Errored) &&
+	origin := r.Key != "" && (e.Result == Rejected || e.Result == Errored) &&
 		b.sick(a.server, r.Class) < sickOdds
-	if b.now < r.Deadline-4*r.set.Tick && !origin && b.pay(r, e.Result) {
+	if b.now < r.Deadline-4*r.set.EventInterval && !origin && b.pay(r, e.Result) {
 		if s, promise := b.choose(r); s != nil {
 			b.send(r, s, promise, ReasonRetry)
 			return
@@ -864,12 +866,12 @@
 // only what tells nothing of load is tried again so freely. It might hurt where
 // failing takes a server more work than answering.
 func (b *Balancer) pay(r *request, result Result) bool {
-	network := result == Reset || result == ConnectFailed || result == Spoilt || result == NoRoom
-	if (b.level < ServiceEconomy || network) && b.gates[true].open(gatePrior) == 1 && b.gates[false].open(gatePrior) == 1 {
+	network := result == Reset || result == ConnectFailed || result == Malformed || result == ConnectionLimitReached
+	if (b.level < LevelEconomy || network) && b.gates[true].open(gatePrior) == 1 && b.gates[false].open(gatePrior) == 1 {
 		return true
 	}
 	kept := 0.0 // for keyed requests
-	if b.level >= ServiceHandovers && r.class.Effect != Keyed {
+	if b.level >= LevelHandovers && r.class.Idempotency != IdempotentWithKey {
 		kept = retryCap / 4
 	}
 	if b.retries < 1+kept {
@@ -884,7 +886,7 @@
 	if !r.ended {
 		b.count(r)
 	}
-	if !r.ended && r.set.Limits.Cancel {
+	if !r.ended && r.set.Limits.AllowCancel {
 		for i := range r.attempts {
 			if !r.attempts[i].done {
 				b.do(Action{Kind: Cancel, ID: r.ID, Attempt: i})
@@ -904,14 +906,14 @@
 	if r.stood {
 		return
 	}
-	if early := b.now-r.arrived <= r.class.Aim; !r.served && early && len(r.attempts) > 0 && r.open > 0 || len(r.attempts) == 0 {
+	if early := b.now-r.arrived <= r.class.LatencyObjective; !r.served && early && len(r.attempts) > 0 && r.open > 0 || len(r.attempts) == 0 {
 		return
 	} else if !r.served || !early {
 		late = 1
 	}
-	if r.class.Effect == Keyed {
+	if r.class.Idempotency == IdempotentWithKey {
 		b.keyed.count(b.now, 1, 1, float64(1-late))
-		b.seen.Keyed, b.seen.LateKeyed = b.seen.Keyed+1, b.seen.LateKeyed+late
+		b.seen.Handovers, b.seen.LateHandovers = b.seen.Handovers+1, b.seen.LateHandovers+late
 	} else {
 		b.seen.Reads, b.seen.LateReads = b.seen.Reads+1, b.seen.LateReads+late
 	}
@@ -933,7 +935,7 @@
 		b.gates[a.promise].count(b.now, -1, 0, 0)
 		return
 	}
-	if a.sent < s.Started {
+	if a.sent < s.StartedAt {
 		return // sent before its restart
 	}
 	if a.stood {
@@ -943,7 +945,7 @@
 	if e.Result != Cancelled && e.Result != TimedOut && e.Result != ConnectFailed {
 		s.heard = b.now
 	}
-	if r.Key != "" && !a.promise && (e.Note == NoteMiss || e.Note == NoteMissShared || r.Write && e.Result == Served) {
+	if r.Key != "" && !a.promise && (e.CacheStatus == CacheMiss || e.CacheStatus == CacheMissCoalesced || r.Write && e.Result == Served) {
 		b.seen.Fetches++
 	} else if r.Key != "" && !a.promise && (e.Result == Errored || e.Result == TimedOut) {
 		b.seen.Fetches, b.seen.FailedFetches = b.seen.Fetches+1, b.seen.FailedFetches+1
@@ -954,7 +956,7 @@
 		s.fails, s.until = 0, 0
 		// A slow origin makes fetches late that nobody is worse off for; a queue at the
 		// nodes, which what a record promised shows, makes all late.
-		if b.now-r.arrived <= r.class.Aim || b.level == ServiceLate && r.keyed && !a.promise && b.gates[true].open(gatePrior) == 1 {
+		if b.now-r.arrived <= r.class.LatencyObjective || b.level == LevelLate && r.keyed && !a.promise && b.gates[true].open(gatePrior) == 1 {
 			good = 1
 		}
 		b.retries = min(b.retries+retryShare, retryCap)
@@ -967,9 +969,9 @@
 		b.measure(s, a, e, r)
 		s.fails++
 		failed = 1
-	case Errored, Full:
+	case Errored, Rejected:
 		failed, sick = 1, true
-	case Spoilt:
+	case Malformed:
 		failed = 1
 	case Cancelled: // its time was up, or a second copy was faster
 		if b.slow(a) {
@@ -986,13 +988,13 @@
 			}
 		}
 		failed = 1
-	case NoRoom: // a well server that other proxies keep connections to
+	case ConnectionLimitReached: // a well server that other proxies keep connections to
 		s.until = b.now + b.jitter(backoffFirst)
 	}
-	if e.Result != Cancelled && e.Result != NoRoom {
-		b.ends.Count(b.now, 1, broken)
+	if e.Result != Cancelled && e.Result != ConnectionLimitReached {
+		b.ends.Observe(b.now, 1, broken)
 	}
-	if e.Result != NoRoom && (e.Result != Cancelled || failed > 0) {
+	if e.Result != ConnectionLimitReached && (e.Result != Cancelled || failed > 0) {
 		unreached := 0.0
 		if e.Result == ConnectFailed || e.Result == TimedOut || e.Result == Cancelled {
 			unreached = failed
@@ -1001,9 +1003,9 @@
 	}
 	// A client that gives up before the aim tells of its patience, not of load.
 	// Gates that shut for it would turn away all that idle servers could answer.
-	early := b.now-r.arrived < r.class.Aim
+	early := b.now-r.arrived < r.class.LatencyObjective
 	asked, ended := 0.0, 1.0
-	if e.Result == ConnectFailed || e.Result == NoRoom || e.Result == Reset || e.Result == Spoilt || // tell nothing of load
+	if e.Result == ConnectFailed || e.Result == ConnectionLimitReached || e.Result == Reset || e.Result == Malformed || // tell nothing of load
 		e.Result == Cancelled && (r.served || early) || // the other copy counts, or none
 		sick && b.sick(s, r.Class) >= sickOdds { // tells of the server alone
 		asked, ended = -1, 0
@@ -1014,18 +1016,18 @@
 
 func (b *Balancer) measure(s *server, a *attempt, e Outcome, r *request) {
 	took := e.Took.Seconds()
-	miss := e.Note == NoteMiss || e.Note == NoteMissShared
-	if a.promise && e.Note != NoteNone {
+	miss := e.CacheStatus == CacheMiss || e.CacheStatus == CacheMissCoalesced
+	if a.promise && e.CacheStatus != CacheUnknown {
 		hit := 0.0
-		if e.Note == NoteHit {
+		if e.CacheStatus == CacheHit {
 			hit = 1
 		}
 		s.worth += (hit - s.worth) * loadWeight
 	}
 	if miss || r.Write {
-		if s.sampled > 0 && r.class.Aim > 0 {
-			b.seen.Timed++
-			b.seen.FetchTime += max(took-s.fastest-s.work, 0) / r.class.Aim.Seconds()
+		if s.sampled > 0 && r.class.LatencyObjective > 0 {
+			b.seen.TimedFetches++
+			b.seen.FetchTimeSum += max(took-s.fastest-s.work, 0) / r.class.LatencyObjective.Seconds()
 		}
 		if miss && s.sampled > 0 {
 			b.origin += (max(took-s.fastest-s.work, 0) - b.origin) * loadWeight
@@ -1043,15 +1045,15 @@
 	}
 	s.work += (took - s.fastest - s.work) * sampleWeight
 	b.work += (took - s.fastest - b.work) * 0.01
-	if s.Kind < len(b.kinds) {
-		b.kinds[s.Kind] += (took - s.fastest - b.kinds[s.Kind]) * 0.02
+	if s.MachineKind < len(b.kinds) {
+		b.kinds[s.MachineKind] += (took - s.fastest - b.kinds[s.MachineKind]) * 0.02
 	}
 	b.fastest += (s.fastest - b.fastest) * 0.01
 	s.sampled = b.now
 	s.answers++
 }
 
-func (b *Balancer) timer(t Timer) {
+func (b *Balancer) timer(t TimerFired) {
 	if t.Token&3 == timerList {
 		if !b.asking {
 			b.asking = true
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,16 +10,16 @@
 )
 
 func TestNewNamesTheWrongSetting(t *testing.T) {
-	good := Settings{Classes: []Class{{Aim: 1, Deadline: 1}}, Zones: []string{"a"}}
+	good := Settings{Classes: []Class{{LatencyObjective: 1, Deadline: 1}}, Zones: []string{"a"}}
 	if _, err := New(good, 1); err != nil {
 		t.Fatal(err)
 	}
 	for field, spoil := range map[string]func(*Settings){
 		"Classes is": func(s *Settings) { s.Classes = nil },
 		"Zone 1":     func(s *Settings) { s.Zone = 1 },
-		"Rules":      func(s *Settings) { s.Rules.ColdRamp = -1 },
-		"Tick":       func(s *Settings) { s.Tick = -1 },
-		"Classes[0]": func(s *Settings) { s.Classes = []Class{{Aim: -time.Second}} },
+		"Rules":      func(s *Settings) { s.Rules.SlowStartWindow = -1 },
+		"Tick":       func(s *Settings) { s.EventInterval = -1 },
+		"Classes[0]": func(s *Settings) { s.Classes = []Class{{LatencyObjective: -time.Second}} },
 	} {
 		bad := good
 		spoil(&bad)
@@ -32,14 +32,14 @@
 // TestReconfigureRefusesWhatIsFixed guards against a reload that changes what
 // indices refer to, or that is put into force by half.
 func TestReconfigureRefusesWhatIsFixed(t *testing.T) {
-	set := Settings{Classes: []Class{{Name: "x", Aim: 1, Deadline: 1}}, Zones: []string{"a", "b"}, Kinds: []string{"k"}}
+	set := Settings{Classes: []Class{{Name: "x", LatencyObjective: 1, Deadline: 1}}, Zones: []string{"a", "b"}, MachineKinds: []string{"k"}}
 	for name, spoil := range map[string]func(*Settings){
 		"zones":   func(s *Settings) { s.Zones = []string{"b", "a"} },
 		"zone":    func(s *Settings) { s.Zone = 1 },
-		"kinds":   func(s *Settings) { s.Kinds = nil },
-		"list":    func(s *Settings) { s.AskList = true },
+		"kinds":   func(s *Settings) { s.MachineKinds = nil },
+		"list":    func(s *Settings) { s.EndpointsOnRequest = true },
 		"classes": func(s *Settings) { s.Classes = nil },
-		"reports": func(s *Settings) { s.Reports = ReportAnswers },
+		"reports": func(s *Settings) { s.LoadReports = LoadReportInResponse },
 	} {
 		b, err := New(set, 1)
 		if err != nil {
@@ -50,7 +50,7 @@
 		if err := b.Reconfigure(bad); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if b.set.Classes[0].Name != "x" || b.set.AskList || b.set.Zone != 0 {
+		if b.set.Classes[0].Name != "x" || b.set.EndpointsOnRequest || b.set.Zone != 0 {
 			t.Errorf("%s: half of it is in force: %+v", name, b.set)
 		}
 	}
@@ -62,17 +62,17 @@
 	b, now := harness(t)
 	b.set.Classes[0].Name = "x"
 	b.Handle(now, Arrival{ID: 1, Deadline: now + time.Second}, nil)
-	b.health[0].Failed, b.servers["a"].health[0].Above = 7, 5
+	b.health[0].Failures, b.servers["a"].health[0].LogOdds = 7, 5
 	set := *b.set
-	set.Classes = []Class{{Name: "new", Aim: 1, Deadline: 1}, {Name: "x", Aim: 2, Deadline: 3}}
+	set.Classes = []Class{{Name: "new", LatencyObjective: 1, Deadline: 1}, {Name: "x", LatencyObjective: 2, Deadline: 3}}
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	if b.health[0].Failed != 0 || b.health[1].Failed != 7 || b.servers["a"].health[1].Above != 5 {
+	if b.health[0].Failures != 0 || b.health[1].Failures != 7 || b.servers["a"].health[1].LogOdds != 5 {
 		t.Errorf("after the move: %v, %v", b.health, b.servers["a"].health)
 	}
-	if r := b.requests[1]; r.Class != 1 || r.class.Aim != time.Second {
-		t.Errorf("the open request is of class %d with aim %v", r.Class, r.class.Aim)
+	if r := b.requests[1]; r.Class != 1 || r.class.LatencyObjective != time.Second {
+		t.Errorf("the open request is of class %d with aim %v", r.Class, r.class.LatencyObjective)
 	}
 	set.Classes = set.Classes[:1]
 	if err := b.Reconfigure(set); err != nil {
@@ -87,22 +87,22 @@
 func harness(t *testing.T, cold ...string) (*Balancer, time.Duration) {
 	t.Helper()
 	now := time.Hour
-	b, err := New(Settings{Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second}}, Proxies: 1,
-		Limits: Limits{MaxAttempts: 3}, Rules: Rules{ColdShare: 0.1, ColdRamp: 20 * time.Second}}, 1)
+	b, err := New(Settings{Classes: []Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}, ProxyCount: 1,
+		Limits: Limits{MaxAttempts: 3}, Rules: Rules{SlowStartShare: 0.1, SlowStartWindow: 20 * time.Second}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []Member
+	var list []Endpoint
 	for _, name := range []string{"a", "b", "c", "d"} {
-		m := Member{Server: name}
+		m := Endpoint{Server: name}
 		for _, c := range cold {
 			if c == name {
-				m.Started = now
+				m.StartedAt = now
 			}
 		}
 		list = append(list, m)
 	}
-	b.Handle(now, ListUpdate{Kind: ListStored, Members: list}, nil)
+	b.Handle(now, EndpointUpdate{Kind: EndpointsCached, Endpoints: list}, nil)
 	return b, now
 }
 
@@ -145,7 +145,7 @@
 		for _, s := range sent(b.Handle(now, Arrival{ID: i + 1, Key: "k", Deadline: now + time.Second}, nil)) {
 			seen[s] = true
 			b.Handle(now, Outcome{ID: i + 1, Server: s, Result: Served, Took: 20 * time.Millisecond, Final: true,
-				Note: NoteHit}, nil)
+				CacheStatus: CacheHit}, nil)
 		}
 	}
 	if len(seen) != 1 {
@@ -184,8 +184,8 @@
 // TestDrainingServerGetsNothing guards the drain rule at the change itself.
 func TestDrainingServerGetsNothing(t *testing.T) {
 	b, now := harness(t)
-	b.Handle(now, ListUpdate{Kind: ListChanges, Members: []Member{{Server: "a", Mode: Draining},
-		{Server: "b", Mode: Gone}, {Server: "c", Mode: Draining}}}, nil)
+	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{{Server: "a", State: Draining},
+		{Server: "b", State: Removed}, {Server: "c", State: Draining}}}, nil)
 	for i := range uint64(50) {
 		now += time.Millisecond
 		for _, s := range sent(b.Handle(now, Arrival{ID: i + 1, Deadline: now + time.Second}, nil)) {
@@ -201,10 +201,10 @@
 func TestRestartEmptiesTheRecord(t *testing.T) {
 	b, now := harness(t)
 	s := b.servers["a"]
-	p := bloom.Places(bloom.Hash("k"))
+	p := bloom.PositionsOf(bloom.Hash("k"))
 	s.record.Add(&p)
-	b.Handle(now, ListUpdate{Kind: ListChanges, Members: []Member{{Server: "a", Started: now}}}, nil)
-	if s.record.Has(&p) {
+	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{{Server: "a", StartedAt: now}}}, nil)
+	if s.record.Contains(&p) {
 		t.Error("the record outlived a restart")
 	}
 }
@@ -212,15 +212,15 @@
 // TestNoServerIsRefusedInTime guards against a request lost while none is left.
 func TestNoServerIsRefusedInTime(t *testing.T) {
 	b, now := harness(t)
-	b.Handle(now, ListUpdate{Kind: ListFull}, nil)
+	b.Handle(now, EndpointUpdate{Kind: EndpointsFull}, nil)
 	var due []Action
 	due = b.Handle(now, Arrival{ID: 1, Deadline: now + 300*time.Millisecond}, due)
 	for range 100 {
 		now += 5 * time.Millisecond
 		for _, a := range due {
 			if a.Kind == SetTimer {
-				for _, x := range b.Handle(now, Timer{Token: a.Token}, nil) {
-					if x.Kind == Refuse {
+				for _, x := range b.Handle(now, TimerFired{Token: a.Token}, nil) {
+					if x.Kind == Reject {
 						return
 					}
 				}
@@ -237,7 +237,7 @@
 		key    string
 		result Result
 		want   int
-	}{{"k", Full, 0}, {"k", Errored, 0}, {"", Full, 1}, {"k", ConnectFailed, 1}, {"k", Reset, 1}} {
+	}{{"k", Rejected, 0}, {"k", Errored, 0}, {"", Rejected, 1}, {"k", ConnectFailed, 1}, {"k", Reset, 1}} {
 		b, now := harness(t)
 		first := sent(b.Handle(now, Arrival{ID: 1, Key: c.key, Deadline: now + time.Second}, nil))
 		next := sent(b.Handle(now, Outcome{ID: 1, Server: first[0], Result: c.result}, nil))
@@ -277,7 +277,7 @@
 			}
 			to = sent(b.Handle(now, Outcome{ID: id, Attempt: k, Server: to[0], Result: result}, nil))
 		}
-		b.Handle(now, Departure{ID: id}, nil)
+		b.Handle(now, ClientLeft{ID: id}, nil)
 	}
 	return float64(late) / float64((n+1)/2)
 }
@@ -323,7 +323,7 @@
 				Final: result == Served}, nil)
 		}
 		for _, a := range out {
-			if a.Kind == Refuse || a.Kind == Fail {
+			if a.Kind == Reject || a.Kind == Fail {
 				refused++
 			}
 		}
@@ -337,17 +337,17 @@
 // client's time would run out with the attempt's.
 func TestSilentServerGetsASecondCopySentElsewhere(t *testing.T) {
 	b, now := harness(t)
-	b.set.Limits.Duplicates = true
-	aim := b.set.Classes[0].Aim
+	b.set.Limits.AllowHedging = true
+	aim := b.set.Classes[0].LatencyObjective
 	for _, name := range []string{"a", "b"} { // both hold the key
-		at := bloom.Places(bloom.Hash("k"))
+		at := bloom.PositionsOf(bloom.Hash("k"))
 		b.servers[name].record.Add(&at)
 	}
 	out := b.Handle(now, Arrival{ID: 1, Key: "k", Deadline: now + 4*aim}, nil)
 	first := sent(out)
 	for _, a := range out {
 		if a.Kind == SetTimer && a.Token&3 == timerHedge {
-			second := sent(b.Handle(now+a.After, Timer{Token: a.Token}, nil))
+			second := sent(b.Handle(now+a.After, TimerFired{Token: a.Token}, nil))
 			if len(second) != 1 || second[0] == first[0] {
 				t.Errorf("sent to %v, after %v without a word to %v", first, a.After, second)
 			}
@@ -383,8 +383,8 @@
 	b, now := harness(t)
 	for i := range 200 {
 		now += time.Second
-		b.Handle(now, ListUpdate{Version: uint64(i + 2), Members: []Member{
-			{Server: fmt.Sprint("n", i)}, {Server: fmt.Sprint("n", i-1), Mode: Gone}}}, nil)
+		b.Handle(now, EndpointUpdate{Version: uint64(i + 2), Endpoints: []Endpoint{
+			{Server: fmt.Sprint("n", i)}, {Server: fmt.Sprint("n", i-1), State: Removed}}}, nil)
 	}
 	if len(b.servers) > 30 {
 		t.Errorf("%d servers known where 4 are listed", len(b.servers))
@@ -400,7 +400,7 @@
 	for i := range uint64(2000) {
 		now += 5 * time.Millisecond
 		if id := i + 1 - uint64(life/(5*time.Millisecond)); lost[id] {
-			b.Handle(now, Timer{Token: id<<2 | timerDeadline}, nil)
+			b.Handle(now, TimerFired{Token: id<<2 | timerDeadline}, nil)
 			b.Handle(now, Outcome{ID: id, Server: "a", Result: Cancelled, Took: life, Final: true}, nil)
 		}
 		out := b.Handle(now, Arrival{ID: i + 1, Key: fmt.Sprint(i % 50), Deadline: now + life + time.Millisecond}, nil)
@@ -431,7 +431,7 @@
 			shed++
 		case to[0] == "a":
 			refused++
-			b.Handle(now, Outcome{ID: i + 1, Server: "a", Result: Full, Took: time.Millisecond}, nil)
+			b.Handle(now, Outcome{ID: i + 1, Server: "a", Result: Rejected, Took: time.Millisecond}, nil)
 		default:
 			b.Handle(now, Outcome{ID: i + 1, Server: to[0], Result: Served, Took: 20 * time.Millisecond, Final: true}, nil)
 		}
@@ -466,17 +466,17 @@
 // keyed request is dropped: where no server keeps it, the client is told at once, and
 // others are served.
 func TestKeylessServersGetNothingKeyed(t *testing.T) {
-	b, err := New(Settings{Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second},
-		{Effect: Keyed, Window: time.Second, Aim: time.Second, Deadline: 2 * time.Second}}, Proxies: 1, Limits: Limits{MaxAttempts: 3}}, 1)
+	b, err := New(Settings{Classes: []Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second},
+		{Idempotency: IdempotentWithKey, DedupWindow: time.Second, LatencyObjective: time.Second, Deadline: 2 * time.Second}}, ProxyCount: 1, Limits: Limits{MaxAttempts: 3}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	list := []Member{{Server: "a", Keyless: true}, {Server: "b", Keyless: true}}
-	b.Handle(now, ListUpdate{Kind: ListFull, Members: list}, nil)
+	list := []Endpoint{{Server: "a", NoDeduplication: true}, {Server: "b", NoDeduplication: true}}
+	b.Handle(now, EndpointUpdate{Kind: EndpointsFull, Endpoints: list}, nil)
 	refused := func(actions []Action) (n int) {
 		for _, a := range actions {
-			if a.Kind == Refuse {
+			if a.Kind == Reject {
 				n++
 			}
 		}
@@ -489,7 +489,7 @@
 	if out = b.Handle(now, Arrival{ID: 2, Key: "k", Deadline: now + time.Second}, nil); len(sent(out)) != 1 {
 		t.Errorf("a safe request: %+v", out)
 	}
-	b.Handle(now, ListUpdate{Kind: ListChanges, Members: []Member{{Server: "c"}}}, nil)
+	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{{Server: "c"}}}, nil)
 	for id := uint64(3); id < 10; id++ { // few: a server that answers nothing yet is soon spared
 		out = b.Handle(now, Arrival{ID: id, Class: 1, Write: true, Deadline: now + time.Second}, nil)
 		if to := sent(out); len(to) != 1 || to[0] != "c" {
@@ -497,8 +497,8 @@
 		}
 	}
 	// What waits for its connection as the server comes to drop none is not written.
-	b.Handle(now, ListUpdate{Kind: ListChanges, Members: []Member{{Server: "c", Keyless: true}}}, nil)
-	if b.Allowed(now, 3, 0) {
+	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{{Server: "c", NoDeduplication: true}}}, nil)
+	if b.MaySend(now, 3, 0) {
 		t.Error("its first byte may still be written")
 	}
 }
@@ -514,7 +514,7 @@
 		if len(to) != 1 {
 			t.Fatalf("request %d went to %q", id, to)
 		}
-		out = b.Handle(now, Outcome{ID: id, Server: to[0], Result: NoRoom}, nil)
+		out = b.Handle(now, Outcome{ID: id, Server: to[0], Result: ConnectionLimitReached}, nil)
 		if next := sent(out); len(next) != 1 || next[0] == to[0] {
 			t.Fatalf("request %d went to %q after %s had no room", id, next, to[0])
 		} else {
@@ -526,7 +526,7 @@
 			t.Errorf("the gate of promised=%v is open to %.2f", name, g.open(gatePrior))
 		}
 	}
-	if b.health[0].Failed > 0 {
-		t.Errorf("%.1f attempts count as failed", b.health[0].Failed)
+	if b.health[0].Failures > 0 {
+		t.Errorf("%.1f attempts count as failed", b.health[0].Failures)
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -15,23 +15,23 @@
 // settings are those of a small deployment of all three effects.
 func settings() policy.Settings {
 	return policy.Settings{
-		Proxies: 3, Zones: []string{"a", "b"}, Kinds: []string{"k"}, Origin: -1, OverShare: 0.1, AskList: true,
+		ProxyCount: 3, Zones: []string{"a", "b"}, MachineKinds: []string{"k"}, OriginKind: -1, OverQuotaFactor: 0.1, EndpointsOnRequest: true,
 		Classes: []policy.Class{
-			{Name: "read", Effect: policy.Safe, Aim: 200 * ms, Deadline: 1000 * ms, Worth: 1},
-			{Name: "all", Effect: policy.Keyed, Group: policy.GroupAll, Window: 300 * ms, Aim: 200 * ms,
-				Deadline: 1000 * ms, Worth: 2},
-			{Name: "zone", Effect: policy.Keyed, Group: policy.GroupZone, Window: 300 * ms, Aim: 200 * ms,
-				Deadline: 1000 * ms, Worth: 2},
-			{Name: "cell", Effect: policy.Keyed, Group: policy.GroupCell, Window: 300 * ms, Aim: 200 * ms,
-				Deadline: 1000 * ms, Worth: 2},
-			{Name: "once", Effect: policy.Unsafe, Aim: 200 * ms, Deadline: 1000 * ms, Worth: 5},
-			{Name: "stream", Effect: policy.Safe, Aim: 200 * ms, Deadline: 1000 * ms, Worth: 1, Streamed: true},
+			{Name: "read", Idempotency: policy.Idempotent, LatencyObjective: 200 * ms, Deadline: 1000 * ms, PriorityWeight: 1},
+			{Name: "all", Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupScopeAll, DedupWindow: 300 * ms, LatencyObjective: 200 * ms,
+				Deadline: 1000 * ms, PriorityWeight: 2},
+			{Name: "zone", Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupScopeZone, DedupWindow: 300 * ms, LatencyObjective: 200 * ms,
+				Deadline: 1000 * ms, PriorityWeight: 2},
+			{Name: "cell", Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupScopeCell, DedupWindow: 300 * ms, LatencyObjective: 200 * ms,
+				Deadline: 1000 * ms, PriorityWeight: 2},
+			{Name: "once", Idempotency: policy.NotIdempotent, LatencyObjective: 200 * ms, Deadline: 1000 * ms, PriorityWeight: 5},
+			{Name: "stream", Idempotency: policy.Idempotent, LatencyObjective: 200 * ms, Deadline: 1000 * ms, PriorityWeight: 1, Streamed: true},
 		},
 		Tenants: []policy.Tenant{{Name: "t", Quota: 50}, {Name: "u"}},
-		Limits:  policy.Limits{MaxAttempts: 4, Duplicates: true, Cancel: true, Probes: true},
-		Rules: policy.Rules{AnswerSlack: 20 * ms, AskWithin: 10 * time.Second, DrainGrace: 500 * ms,
-			ColdShare: 0.2, ColdRamp: 5 * time.Second, FallMultiple: 3, FallTime: time.Second},
-		Tick: 5 * ms,
+		Limits:  policy.Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true, AllowHealthChecks: true},
+		Rules: policy.Rules{ResponseGrace: 20 * ms, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * ms,
+			SlowStartShare: 0.2, SlowStartWindow: 5 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second},
+		EventInterval: 5 * ms,
 	}
 }
 
@@ -61,7 +61,7 @@
 	jobs    map[uint64]*job
 	ids     []uint64
 	nextID  uint64
-	members map[string]policy.Member
+	members map[string]policy.Endpoint
 	names   []string
 	told    map[string]bool // servers that may be sent to
 	timers  []struct {
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	return &world{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), b: b, now: time.Hour,
-		jobs: map[uint64]*job{}, members: map[string]policy.Member{}, told: map[string]bool{},
+		jobs: map[uint64]*job{}, members: map[string]policy.Endpoint{}, told: map[string]bool{},
 		cold: map[string]int{}}
 }
 
@@ -94,7 +94,7 @@
 func (w *world) check(a policy.Action) {
 	j := w.jobs[a.ID]
 	switch a.Kind {
-	case policy.Send, policy.Refuse, policy.Fail, policy.Cancel:
+	case policy.Send, policy.Reject, policy.Fail, policy.Cancel:
 		if j == nil {
 			w.t.Fatalf("action %+v for no request", a)
 		}
@@ -109,36 +109,36 @@
 			w.t.Fatalf("send to %s, which drains, is gone or unknown", a.Server)
 		}
 		to := w.members[a.Server]
-		if to.Keyless && class().Effect == policy.Keyed {
+		if to.NoDeduplication && class().Idempotency == policy.IdempotentWithKey {
 			w.t.Fatalf("%+v sent to %s, which drops no repeats", j, a.Server)
 		}
 		for _, y := range j.tries {
-			if y.out && !j.set.Limits.Duplicates {
+			if y.out && !j.set.Limits.AllowHedging {
 				w.t.Fatalf("second copy out: %+v", j)
 			}
-			if !y.out && !y.mayRun || class().Effect == policy.Safe {
+			if !y.out && !y.mayRun || class().Idempotency == policy.Idempotent {
 				continue
 			}
 			from := w.members[y.server]
-			ok := class().Effect == policy.Keyed && w.now-y.sent < class().Window
-			ok = ok && (class().Group == policy.GroupAll || class().Group == policy.GroupZone && from.Zone == to.Zone ||
-				class().Group == policy.GroupCell && from.Cell == to.Cell)
+			ok := class().Idempotency == policy.IdempotentWithKey && w.now-y.sent < class().DedupWindow
+			ok = ok && (class().DedupScope == policy.DedupScopeAll || class().DedupScope == policy.DedupScopeZone && from.Zone == to.Zone ||
+				class().DedupScope == policy.DedupScopeCell && from.Cell == to.Cell)
 			if !ok {
 				w.t.Fatalf("effect may happen twice: %+v sent to %s at %v", j, a.Server, w.now)
 			}
 		}
 		j.tries = append(j.tries, try{a.Server, w.now, true, true})
 		w.sends++
-		if to.Started > 0 && w.now-to.Started < w.set.Rules.ColdRamp {
+		if to.StartedAt > 0 && w.now-to.StartedAt < w.set.Rules.SlowStartWindow {
 			w.cold[a.Server]++
 		}
-	case policy.Refuse, policy.Fail:
-		if j.ended || j.stream || w.now > j.Deadline+w.set.Rules.AnswerSlack {
+	case policy.Reject, policy.Fail:
+		if j.ended || j.stream || w.now > j.Deadline+w.set.Rules.ResponseGrace {
 			w.t.Fatalf("answer %+v not allowed: %+v", a, j)
 		}
 		for _, y := range j.tries {
-			if a.Kind == policy.Refuse && (y.out || y.mayRun) && (class().Effect == policy.Unsafe ||
-				class().Effect == policy.Keyed && class().Group != policy.GroupAll) {
+			if a.Kind == policy.Reject && (y.out || y.mayRun) && (class().Idempotency == policy.NotIdempotent ||
+				class().Idempotency == policy.IdempotentWithKey && class().DedupScope != policy.DedupScopeAll) {
 				w.t.Fatalf("refused what may have run: %+v", j)
 			}
 		}
@@ -151,7 +151,7 @@
 		w.timers = append(w.timers, struct {
 			at    time.Duration
 			token uint64
-		}{w.now + max(a.After, w.set.Tick), a.Token})
+		}{w.now + max(a.After, w.set.EventInterval), a.Token})
 	}
 }
 
@@ -185,16 +185,16 @@
 			continue
 		}
 		o := policy.Outcome{ID: j.ID, Attempt: i, Server: y.server, Took: w.now - y.sent,
-			Result: policy.Result(w.rng.IntN(int(policy.Spoilt) + 1)), Note: policy.Note(w.rng.IntN(3))}
+			Result: policy.Result(w.rng.IntN(int(policy.Malformed) + 1)), CacheStatus: policy.CacheStatus(w.rng.IntN(3))}
 		if w.rng.IntN(4) > 0 {
 			o.Result = policy.Served
 		}
 		if w.rng.IntN(2) == 0 {
-			o.Report = &policy.Report{InFlight: float64(w.rng.IntN(50)), Queue: -1, X0: 0.5}
+			o.LoadReport = &policy.LoadReport{InFlight: float64(w.rng.IntN(50)), Queue: -1, X0: 0.5}
 		}
 		y.out = false
 		switch o.Result {
-		case policy.Full, policy.ConnectFailed, policy.NotSent, policy.Missed:
+		case policy.Rejected, policy.ConnectFailed, policy.NotSent, policy.NotFound:
 			y.mayRun = false
 		}
 		j.ended = j.ended || o.Result == policy.Served || j.stream
@@ -209,29 +209,29 @@
 
 // relist changes the list at random and tells of it.
 func (w *world) relist() {
-	kind := policy.ListKind(w.rng.IntN(4))
+	kind := policy.EndpointUpdateKind(w.rng.IntN(4))
 	if len(w.names) == 0 {
-		kind = policy.ListStored
+		kind = policy.EndpointsCached
 	}
-	var changed []policy.Member
+	var changed []policy.Endpoint
 	for range 1 + w.rng.IntN(3) {
 		name := fmt.Sprint("s", w.rng.IntN(9))
-		m := policy.Member{Server: name, Zone: w.rng.IntN(2), Cell: w.rng.IntN(3), Weight: 1, Keyless: name >= "s7"}
+		m := policy.Endpoint{Server: name, Zone: w.rng.IntN(2), Cell: w.rng.IntN(3), Weight: 1, NoDeduplication: name >= "s7"}
 		if old, ok := w.members[name]; ok {
 			m = old
-			m.Mode = policy.Mode(w.rng.IntN(3))
+			m.State = policy.EndpointState(w.rng.IntN(3))
 			if w.rng.IntN(2) == 0 {
-				m.Mode, m.Started = policy.Serving, w.now-time.Duration(w.rng.IntN(3000))*ms
+				m.State, m.StartedAt = policy.Serving, w.now-time.Duration(w.rng.IntN(3000))*ms
 			}
 		} else {
 			if len(w.names) > 4 {
-				m.Started = w.now
+				m.StartedAt = w.now
 			}
 		}
 		changed = append(changed, m)
 	}
-	if kind == policy.ListLost {
-		w.handle(policy.ListUpdate{Kind: kind})
+	if kind == policy.EndpointsUnavailable {
+		w.handle(policy.EndpointUpdate{Kind: kind})
 		return
 	}
 	for _, m := range changed {
@@ -239,10 +239,10 @@
 			w.names = append(w.names, m.Server)
 		}
 		w.members[m.Server] = m
-		w.told[m.Server] = m.Mode == policy.Serving
+		w.told[m.Server] = m.State == policy.Serving
 	}
 	list := changed
-	if kind != policy.ListChanges {
+	if kind != policy.EndpointsDelta {
 		list = nil
 		for _, name := range w.names {
 			m := w.members[name]
@@ -250,11 +250,11 @@
 				w.told[name] = false
 				continue
 			}
-			w.told[name] = m.Mode == policy.Serving
+			w.told[name] = m.State == policy.Serving
 			list = append(list, m, m)
 		}
 	}
-	w.handle(policy.ListUpdate{Kind: kind, Members: list})
+	w.handle(policy.EndpointUpdate{Kind: kind, Endpoints: list})
 }
 
 func (w *world) alarms() {
@@ -262,7 +262,7 @@
 	w.timers = nil
 	for _, t := range due {
 		if t.at <= w.now {
-			w.handle(policy.Timer{Token: t.token})
+			w.handle(policy.TimerFired{Token: t.token})
 		} else {
 			w.timers = append(w.timers, t)
 		}
@@ -274,7 +274,7 @@
 func (w *world) overdue() {
 	for _, id := range w.ids {
 		j := w.jobs[id]
-		if !j.ended && !j.stream && w.now > j.Deadline+w.set.Rules.AnswerSlack {
+		if !j.ended && !j.stream && w.now > j.Deadline+w.set.Rules.ResponseGrace {
 			w.t.Fatalf("request lost: %+v at %v", j, w.now)
 		}
 	}
@@ -286,16 +286,16 @@
 // reconfigure puts other classes, in another order, and other limits into force.
 func (w *world) reconfigure() {
 	next := settings()
-	next.AskList = w.set.AskList
+	next.EndpointsOnRequest = w.set.EndpointsOnRequest
 	w.rng.Shuffle(len(next.Classes), func(i, j int) {
 		next.Classes[i], next.Classes[j] = next.Classes[j], next.Classes[i]
 	})
 	next.Classes = next.Classes[:1+w.rng.IntN(len(next.Classes))]
 	for i := range next.Classes {
-		next.Classes[i].Window = time.Duration(1+w.rng.IntN(300)) * ms
+		next.Classes[i].DedupWindow = time.Duration(1+w.rng.IntN(300)) * ms
 	}
 	next.Limits.MaxAttempts = 1 + w.rng.IntN(4)
-	next.Limits.Duplicates = w.rng.IntN(2) == 0
+	next.Limits.AllowHedging = w.rng.IntN(2) == 0
 	if err := w.b.Reconfigure(next); err != nil {
 		w.t.Fatal(err)
 	}
@@ -317,12 +317,12 @@
 	case k < 96 && len(w.ids) > 0:
 		j := w.jobs[w.ids[w.rng.IntN(len(w.ids))]]
 		j.ended = true
-		w.handle(policy.Departure{ID: j.ID})
+		w.handle(policy.ClientLeft{ID: j.ID})
 	case k < 97:
-		w.handle(policy.ServiceChange{Level: policy.Service(w.rng.IntN(6))})
-		w.handle(policy.Timer{Token: w.rng.Uint64() >> 1})
+		w.handle(policy.LevelChange{Level: policy.DegradationLevel(w.rng.IntN(6))})
+		w.handle(policy.TimerFired{Token: w.rng.Uint64() >> 1})
 		w.handle(policy.Outcome{ID: 1 << 40, Server: "nobody"})
-		w.handle(policy.ProbeResult{Server: "nobody", Result: policy.TimedOut})
+		w.handle(policy.HealthCheckResult{Server: "nobody", Result: policy.TimedOut})
 		w.handle(policy.PeerMessage{From: 1, Data: []byte("x")})
 	}
 	w.overdue()
@@ -331,9 +331,9 @@
 func TestRulesHoldOnRandomHistories(t *testing.T) {
 	for seed := range uint64(60) {
 		set := settings()
-		set.Limits.Duplicates = seed%2 == 0
-		set.AskList = seed%3 == 0
-		set.Limits.Cancel = seed%5 != 0
+		set.Limits.AllowHedging = seed%2 == 0
+		set.EndpointsOnRequest = seed%3 == 0
+		set.Limits.AllowCancel = seed%5 != 0
 		if seed%4 == 1 {
 			set.Tenants = nil
 		}
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -9,13 +9,13 @@
 )
 
 // at puts a level into force.
-func at(b *Balancer, now time.Duration, level Service) {
-	b.Handle(now, ServiceChange{Level: level}, nil)
+func at(b *Balancer, now time.Duration, level DegradationLevel) {
+	b.Handle(now, LevelChange{Level: level}, nil)
 }
 
 // warm has every server know a key.
 func warm(b *Balancer, key string) {
-	p := bloom.Places(bloom.Hash(key))
+	p := bloom.PositionsOf(bloom.Hash(key))
 	for _, s := range b.servers {
 		s.record.Add(&p)
 	}
@@ -24,9 +24,9 @@
 // TestEconomyMakesNoSecondCopies guards against copies and unpaid retries that add load where
 // there is trouble, for every level from economy on.
 func TestEconomyMakesNoSecondCopies(t *testing.T) {
-	for level := ServiceFull; level <= ServiceShelter; level++ {
+	for level := LevelFull; level <= LevelShelter; level++ {
 		b, now := crowded(t, 1)
-		b.set.Limits.Duplicates = true
+		b.set.Limits.AllowHedging = true
 		shut(b, now, 1000) // as if all came in time
 		warm(b, "k")
 		at(b, now, level)
@@ -34,17 +34,17 @@
 		copies := 0
 		for _, a := range out {
 			if a.Kind == SetTimer && a.Token&3 == timerHedge {
-				copies += len(sent(b.Handle(now+a.After, Timer{Token: a.Token}, nil)))
+				copies += len(sent(b.Handle(now+a.After, TimerFired{Token: a.Token}, nil)))
 			}
 		}
-		if want := map[bool]int{true: 1}[level < ServiceEconomy]; copies != want {
+		if want := map[bool]int{true: 1}[level < LevelEconomy]; copies != want {
 			t.Errorf("level %d: %d second copies, want %d", level, copies, want)
 		}
 		b.retries = 0
 		b.Handle(now, Arrival{ID: 2, Tenant: 1, Key: "k", Deadline: now + 2*time.Second}, nil)
 		to := b.requests[2].attempts[0].server.Server
 		again := sent(b.Handle(now, Outcome{ID: 2, Server: to, Result: TimedOut}, nil))
-		if want := map[bool]int{true: 1}[level < ServiceEconomy]; len(again) != want {
+		if want := map[bool]int{true: 1}[level < LevelEconomy]; len(again) != want {
 			t.Errorf("level %d: %d retries without a budget, want %d", level, len(again), want)
 		}
 	}
@@ -53,7 +53,7 @@
 // TestLateReadsCountAsServed guards the level at which reads may come late: gates must not
 // shut for answers that clients still wait for, nor expected times over the aim turn away.
 func TestLateReadsCountAsServed(t *testing.T) {
-	for _, level := range []Service{ServiceEconomy, ServiceLate} {
+	for _, level := range []DegradationLevel{LevelEconomy, LevelLate} {
 		b, now := crowded(t, 1)
 		for _, g := range b.gates {
 			*g = gate{keep: 0.99}
@@ -68,10 +68,10 @@
 				sends++
 				// It takes 1.3 s, over the aim of 1 s.
 				b.requests[id].arrived -= 1300 * time.Millisecond
-				b.Handle(now, Outcome{ID: id, Server: to, Result: Served, Took: 1300 * time.Millisecond, Note: NoteMiss, Final: true}, nil)
+				b.Handle(now, Outcome{ID: id, Server: to, Result: Served, Took: 1300 * time.Millisecond, CacheStatus: CacheMiss, Final: true}, nil)
 			}
 		}
-		if late := level >= ServiceLate; late && sends < 395 || !late && sends > 200 {
+		if late := level >= LevelLate; late && sends < 395 || !late && sends > 200 {
 			t.Errorf("level %d: %d of 400 were sent", level, sends)
 		}
 	}
@@ -81,13 +81,13 @@
 // that come late are no good then, at the level late either.
 func TestLateFetchesDoNotCountInAQueue(t *testing.T) {
 	b, now := crowded(t, 1)
-	at(b, now, ServiceLate)
+	at(b, now, LevelLate)
 	for _, promised := range []float64{1, 0.5} {
 		shut(b, now, 1000)
 		*b.gates[true] = gate{asked: 1e6, ended: 1e6, good: promised * 1e6, at: now, keep: 1}
 		*b.gates[false] = gate{at: now, keep: 1}
 		out := b.Handle(now, Arrival{ID: uint64(10 * promised), Tenant: 1, Key: fmt.Sprint(promised), Deadline: now + 2*time.Second}, nil)
-		b.Handle(now+1300*time.Millisecond, Outcome{ID: uint64(10 * promised), Server: sent(out)[0], Result: Served, Took: 1300 * time.Millisecond, Note: NoteMiss, Final: true}, nil)
+		b.Handle(now+1300*time.Millisecond, Outcome{ID: uint64(10 * promised), Server: sent(out)[0], Result: Served, Took: 1300 * time.Millisecond, CacheStatus: CacheMiss, Final: true}, nil)
 		if got, want := b.gates[false].good, map[bool]float64{true: 1}[promised == 1]; got != want {
 			t.Errorf("with %.1f of promised reads in time a late fetch counts %v, want %v", promised, got, want)
 		}
@@ -104,15 +104,15 @@
 	if share := passed(b, now, 0.01, 500, handover); share > 0.2 {
 		t.Errorf("with full service %.2f of what is all handovers passed a gate that is shut", share)
 	}
-	at(b, now, ServiceHandovers)
+	at(b, now, LevelHandovers)
 	if share := passed(b, now, 0.01, 500, handover); share < 0.99 {
 		t.Errorf("%.2f of the handovers passed", share)
 	}
 	b.retries = retryCap / 4
-	if b.pay(&request{class: &b.set.Classes[0]}, Full) {
+	if b.pay(&request{class: &b.set.Classes[0]}, Rejected) {
 		t.Error("a read spent what is kept for handovers")
 	}
-	if !b.pay(&request{class: &b.set.Classes[1]}, Full) {
+	if !b.pay(&request{class: &b.set.Classes[1]}, Rejected) {
 		t.Error("a handover may not spend what is kept for it")
 	}
 }
@@ -121,12 +121,12 @@
 // fetch are held back as soon as handovers are late, and only then, and only there.
 func TestFetchesLeaveRoomForHandovers(t *testing.T) {
 	for _, c := range []struct {
-		level       Service
+		level       DegradationLevel
 		good        float64 // share of handovers in time
 		least, most float64 // of reads that pass
 	}{
-		{ServiceLate, 0.5, 1, 1}, {ServiceHandovers, 1, 0.9, 1}, {ServiceHandovers, 0.9, 0.4, 0.7},
-		{ServiceHandovers, 0.5, 0.005, 0.08}, {ServiceShelter, 0.5, 0.005, 0.08}, {ServiceShelter, 1, 0.2, 0.32},
+		{LevelLate, 0.5, 1, 1}, {LevelHandovers, 1, 0.9, 1}, {LevelHandovers, 0.9, 0.4, 0.7},
+		{LevelHandovers, 0.5, 0.005, 0.08}, {LevelShelter, 0.5, 0.005, 0.08}, {LevelShelter, 1, 0.2, 0.32},
 	} {
 		b, now := crowded(t, 1)
 		at(b, now, c.level)
@@ -144,7 +144,7 @@
 func TestShelterServesWhatIsKnown(t *testing.T) {
 	b, now := crowded(t, 1)
 	shut(b, now, 1000)
-	at(b, now, ServiceShelter)
+	at(b, now, LevelShelter)
 	b.keyed = gate{ended: 1e6, good: 5e5, at: now, keep: 1} // handovers are late
 	warm(b, "known")
 	ask := func(from uint64, n int, a Arrival) (share float64) {
@@ -156,7 +156,7 @@
 	if share := ask(1, 1000, Arrival{Tenant: 1, Key: "new"}); share < 0.005 || share > 0.08 {
 		t.Errorf("%.3f of unknown reads passed, want about %v", share, gateLeast)
 	}
-	if turned := b.Condition().Turned; turned > 0 {
+	if turned := b.TakeCounters().Rejected; turned > 0 {
 		t.Errorf("%d turned away by the level count as turned away by gates", turned)
 	}
 	if share := ask(2000, 100, Arrival{Tenant: 1, Key: "known"}); share < 1 {
@@ -170,7 +170,7 @@
 // TestLevelChangesBetweenArrivalAndRetry guards requests that are out as a level comes into
 // force: each keeps its one answer, and a keyed one that may have run its window.
 func TestLevelChangesBetweenArrivalAndRetry(t *testing.T) {
-	for level := ServiceEconomy; level <= ServiceShelter; level++ {
+	for level := LevelEconomy; level <= LevelShelter; level++ {
 		b, now := crowded(t, 1)
 		shut(b, now, 1000)
 		out := b.Handle(now, Arrival{ID: 1, Class: 1, Tenant: 1, Key: "h", Write: true, Deadline: now + 2*time.Second}, nil)
@@ -182,7 +182,7 @@
 		} else {
 			to = again[0]
 		}
-		at(b, now, ServiceFull)
+		at(b, now, LevelFull)
 		out = b.Handle(now+1500*time.Millisecond, Outcome{ID: 1, Attempt: 1, Server: to, Result: Reset}, nil)
 		if len(out) != 1 || out[0].Kind != Fail { // a repeat would not be dropped any more, so it is not harmless
 			t.Errorf("level %d: beyond the window: %+v", level, out)
@@ -197,11 +197,11 @@
 		b, now := crowded(t, 1)
 		b.set.Limits.MaxRetryAfter = most
 		before := time.Duration(0)
-		for level := ServiceFull; level <= ServiceShelter; level++ {
+		for level := LevelFull; level <= LevelShelter; level++ {
 			at(b, now, level)
 			sum, least, last := time.Duration(0), most, time.Duration(0)
 			for range 1000 {
-				a := b.Advice(0)
+				a := b.RetryAfter(0)
 				if a <= 0 || a > most {
 					t.Fatalf("advice %v of at most %v", a, most)
 				}
@@ -223,34 +223,34 @@
 func TestConditionCountsRequests(t *testing.T) {
 	b, now := crowded(t, 1)
 	shut(b, now, 1000)
-	serve := func(id uint64, class int, took time.Duration, result Result, note Note) {
+	serve := func(id uint64, class int, took time.Duration, result Result, note CacheStatus) {
 		out := b.Handle(now, Arrival{ID: id, Class: class, Tenant: 1, Key: "k", Write: class == 1, Deadline: now + 2*time.Second}, nil)
-		b.Handle(now+took, Outcome{ID: id, Server: sent(out)[0], Result: result, Took: took, Note: note, Final: true}, nil)
+		b.Handle(now+took, Outcome{ID: id, Server: sent(out)[0], Result: result, Took: took, CacheStatus: note, Final: true}, nil)
 	}
-	serve(1, 0, 100*time.Millisecond, Served, NoteMiss)
-	serve(2, 0, 1500*time.Millisecond, Served, NoteMiss)
-	serve(3, 1, 100*time.Millisecond, Served, NoteNone)
-	serve(4, 1, 1500*time.Millisecond, Errored, NoteNone)
+	serve(1, 0, 100*time.Millisecond, Served, CacheMiss)
+	serve(2, 0, 1500*time.Millisecond, Served, CacheMiss)
+	serve(3, 1, 100*time.Millisecond, Served, CacheUnknown)
+	serve(4, 1, 1500*time.Millisecond, Errored, CacheUnknown)
 	out := b.Handle(now, Arrival{ID: 5, Tenant: 1, Key: "x", Deadline: now + 2*time.Second}, nil)
-	b.Handle(now+time.Millisecond, Departure{ID: 5}, nil)
+	b.Handle(now+time.Millisecond, ClientLeft{ID: 5}, nil)
 	b.Handle(now+time.Millisecond, Outcome{ID: 5, Server: sent(out)[0], Result: Cancelled, Final: true}, nil)
-	got := b.Condition()
-	if got.Timed != 0 || got.FetchTime != 0 { // no server has answered a hit that tells its own time
-		t.Errorf("measured %d fetches as %v", got.Timed, got.FetchTime)
+	got := b.TakeCounters()
+	if got.TimedFetches != 0 || got.FetchTimeSum != 0 { // no server has answered a hit that tells its own time
+		t.Errorf("measured %d fetches as %v", got.TimedFetches, got.FetchTimeSum)
 	}
-	want := Condition{Reads: 2, LateReads: 1, Keyed: 2, LateKeyed: 1, Asked: 5, Fetches: 3, FailedFetches: 1, Servers: 4} // the second read was promised
+	want := Counters{Reads: 2, LateReads: 1, Handovers: 2, LateHandovers: 1, Offered: 5, Fetches: 3, FailedFetches: 1, Servers: 4} // the second read was promised
 	if got != want {
 		t.Errorf("counted %+v, want %+v", got, want)
 	}
 	for _, s := range b.servers {
 		s.sampled, s.fastest, s.work = now, 0.01, 0.09
 	}
-	serve(6, 0, 600*time.Millisecond, Served, NoteMiss)
-	serve(7, 1, 1100*time.Millisecond, Served, NoteNone)
-	if got := b.Condition(); got.Timed != 2 || got.FetchTime < 1.49 || got.FetchTime > 1.51 {
-		t.Errorf("of 0.5 and 1 s more: %d fetches as %v aims", got.Timed, got.FetchTime)
+	serve(6, 0, 600*time.Millisecond, Served, CacheMiss)
+	serve(7, 1, 1100*time.Millisecond, Served, CacheUnknown)
+	if got := b.TakeCounters(); got.TimedFetches != 2 || got.FetchTimeSum < 1.49 || got.FetchTimeSum > 1.51 {
+		t.Errorf("of 0.5 and 1 s more: %d fetches as %v aims", got.TimedFetches, got.FetchTimeSum)
 	}
-	if again := b.Condition(); again != (Condition{Servers: 4}) {
+	if again := b.TakeCounters(); again != (Counters{Servers: 4}) {
 		t.Errorf("counted again: %+v", again)
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// ErrFixed is the error of settings that would change what a Balancer is bound to.
-var ErrFixed = errors.New("settings: Zones, Zone, Kinds, AskList, Aside, Origin and Reports cannot change in service")
+// ErrImmutableSetting is the error of settings that would change what a Balancer is bound to.
+var ErrImmutableSetting = errors.New("settings: Zones, Zone, Kinds, AskList, Aside, Origin and Reports cannot change in service")
 
 // check names the setting that cannot be meant.
 func (s *Settings) check() error {
@@ -16,17 +16,17 @@
 		return fmt.Errorf("settings: Classes is empty")
 	case s.Zone < 0 || len(s.Zones) > 0 && s.Zone >= len(s.Zones):
 		return fmt.Errorf("settings: Zone %d is out of range", s.Zone)
-	case s.Rules.ColdRamp < 0, s.Rules.DrainGrace < 0, s.Rules.AnswerSlack < 0, s.Rules.FallTime < 0,
-		s.Rules.AskWithin < 0:
+	case s.Rules.SlowStartWindow < 0, s.Rules.DrainGrace < 0, s.Rules.ResponseGrace < 0, s.Rules.OverloadWindow < 0,
+		s.Rules.MaxPollInterval < 0:
 		return fmt.Errorf("settings: Rules has a negative duration")
-	case s.Tick < 0 || s.Limits.MaxRetryAfter < 0:
+	case s.EventInterval < 0 || s.Limits.MaxRetryAfter < 0:
 		return fmt.Errorf("settings: Tick or Limits.MaxRetryAfter is negative")
 	case s.Limits.MaxAttempts < 0:
 		return fmt.Errorf("settings: Limits.MaxAttempts is negative")
 	}
 	for i, c := range s.Classes {
 		switch {
-		case c.Aim < 0 || c.Deadline < 0 || c.Window < 0:
+		case c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0:
 			return fmt.Errorf("settings: Classes[%d] has a negative duration", i)
 		case c.Deadline == 0:
 			return fmt.Errorf("settings: Classes[%d] has no deadline", i)
@@ -53,9 +53,9 @@
 		return err
 	}
 	old := b.set
-	if !slices.Equal(set.Zones, old.Zones) || set.Zone != old.Zone || !slices.Equal(set.Kinds, old.Kinds) ||
-		set.AskList != old.AskList || set.Aside != old.Aside || set.Origin != old.Origin || set.Reports != old.Reports {
-		return ErrFixed
+	if !slices.Equal(set.Zones, old.Zones) || set.Zone != old.Zone || !slices.Equal(set.MachineKinds, old.MachineKinds) ||
+		set.EndpointsOnRequest != old.EndpointsOnRequest || set.CacheAside != old.CacheAside || set.OriginKind != old.OriginKind || set.LoadReports != old.LoadReports {
+		return ErrImmutableSetting
 	}
 	// The last place is for classes that are gone while requests of them are open.
 	last := len(set.Classes)
--- a/policy/stood_test.go
+++ b/policy/stood_test.go
@@ -10,15 +10,15 @@
 func TestStopTellsNothingOfServers(t *testing.T) {
 	for name, told := range map[string]bool{"told": true, "not told": false} {
 		t.Run(name, func(t *testing.T) {
-			b, err := New(Settings{Proxies: 3, Zones: []string{"a"}, Kinds: []string{"k"}, Origin: -1, Tick: 5 * time.Millisecond,
-				Classes: []Class{{Name: "read", Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
-				Limits:  Limits{MaxAttempts: 4, Duplicates: true, Cancel: true}, Rules: Rules{ColdShare: 0.3, ColdRamp: time.Second}}, 1)
+			b, err := New(Settings{ProxyCount: 3, Zones: []string{"a"}, MachineKinds: []string{"k"}, OriginKind: -1, EventInterval: 5 * time.Millisecond,
+				Classes: []Class{{Name: "read", LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
+				Limits:  Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true}, Rules: Rules{SlowStartShare: 0.3, SlowStartWindow: time.Second}}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := time.Duration(0)
-			up := func(n string) Member { return Member{Server: n, Mode: Serving, Weight: 1} }
-			b.Handle(now, ListUpdate{Version: 1, Kind: ListFull, Members: []Member{up("x"), up("y"), up("z")}}, nil)
+			up := func(n string) Endpoint { return Endpoint{Server: n, State: Serving, Weight: 1} }
+			b.Handle(now, EndpointUpdate{Version: 1, Kind: EndpointsFull, Endpoints: []Endpoint{up("x"), up("y"), up("z")}}, nil)
 			id, sent := uint64(0), map[uint64]Action{}
 			ask := func() {
 				id++
@@ -30,7 +30,7 @@
 			}
 			answer := func(i uint64, r Result) {
 				if a, ok := sent[i]; ok {
-					b.Handle(now, Outcome{ID: i, Server: a.Server, Result: r, Took: 20 * time.Millisecond, Note: NoteHit}, nil)
+					b.Handle(now, Outcome{ID: i, Server: a.Server, Result: r, Took: 20 * time.Millisecond, CacheStatus: CacheHit}, nil)
 					delete(sent, i)
 				}
 			}
@@ -45,14 +45,14 @@
 			}
 			now += 1500 * time.Millisecond
 			if told {
-				b.Handle(now, Stood{For: 1500 * time.Millisecond}, nil)
+				b.Handle(now, ProcessPaused{Duration: 1500 * time.Millisecond}, nil)
 			}
 			for i := range sent {
 				if i%2 == 0 {
 					answer(i, TimedOut)
 				} else {
 					a := sent[i]
-					b.Handle(now, Outcome{ID: i, Server: a.Server, Result: Served, Took: 1500 * time.Millisecond, Note: NoteHit}, nil)
+					b.Handle(now, Outcome{ID: i, Server: a.Server, Result: Served, Took: 1500 * time.Millisecond, CacheStatus: CacheHit}, nil)
 				}
 			}
 			b.now = now
