--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -10,7 +10,7 @@
 func crowded(t *testing.T, open float64) (*Balancer, time.Duration) {
 	t.Helper()
 	b, now := harness(t)
-	set := *b.set
+	set := *b.settings
 	set.Classes = []Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeightShare: 0.3},
 		{Name: "handover", Idempotency: IdempotentWithKey, DedupWindow: time.Second, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2}}
 	set.Tenants, set.OverQuotaFactor = []Tenant{{Name: "florist", Quota: 50}, {Name: "others"}}, 0.2
@@ -25,10 +25,10 @@
 // shut sets the gates to an open share as if many had been asked.
 func shut(b *Balancer, now time.Duration, open float64) {
 	for _, g := range b.gates {
-		*g = gate{asked: 1e6, ended: 1e6, good: open / gateSlack * 1e6, at: now, keep: 1}
+		*g = admissionGate{offered: 1e6, completed: 1e6, inTime: open / admissionSlack * 1e6, updated: now, minRetention: 1}
 	}
 	for _, s := range b.servers {
-		s.gate = gate{}
+		s.gate = admissionGate{}
 	}
 }
 
@@ -82,8 +82,8 @@
 // and chance decides.
 func TestAdmissionWithoutWorths(t *testing.T) {
 	b, now := crowded(t, 0.5)
-	for i := range b.set.Classes {
-		b.set.Classes[i].PriorityWeight = 0
+	for i := range b.settings.Classes {
+		b.settings.Classes[i].PriorityWeight = 0
 	}
 	share := passed(b, now, 0.5, 4000, func(i int) Arrival { return Arrival{ID: uint64(i + 1), Class: i % 2, Tenant: 1} })
 	if share < 0.45 || share > 0.6 {
@@ -98,7 +98,7 @@
 	take := func() (within int) {
 		b.now = now
 		for range 500 {
-			if !b.spend(&request{Arrival: Arrival{Tenant: 0}}) {
+			if !b.chargeQuota(&request{Arrival: Arrival{Tenant: 0}}) {
 				within++
 			}
 		}
@@ -113,7 +113,7 @@
 	if now += time.Hour; take() != 50 {
 		t.Error("an hour did not bring one burst")
 	}
-	if b.spend(&request{Arrival: Arrival{Tenant: 1}}) || b.spend(&request{Arrival: Arrival{Tenant: 7}}) {
+	if b.chargeQuota(&request{Arrival: Arrival{Tenant: 1}}) || b.chargeQuota(&request{Arrival: Arrival{Tenant: 7}}) {
 		t.Error("a tenant without a quota is over it")
 	}
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -101,7 +101,7 @@
 	b := fleet(t, 3)
 	now, n := time.Hour, 0
 	for range 20 {
-		for _, s := range b.list {
+		for _, s := range b.serving {
 			now += 20 * time.Millisecond
 			b.now = now
 			n++
@@ -109,17 +109,17 @@
 			if n%7 < 4 {
 				failed = 1
 			}
-			b.judge(s, &attempt{server: s, sent: now}, 0, failed, failed)
+			b.recordHealth(s, &attempt{server: s, sentAt: now}, 0, failed, failed)
 		}
 	}
 	sick := 0
-	for _, s := range b.list {
-		if b.sick(s, 0) >= 0.5 {
+	for _, s := range b.serving {
+		if b.faultProbability(s, 0) >= 0.5 {
 			sick++
 		}
 	}
-	if sick > len(b.list)/10 {
-		t.Errorf("%d of %d servers pass for sick while four in seven requests fail everywhere", sick, len(b.list))
+	if sick > len(b.serving)/10 {
+		t.Errorf("%d of %d servers pass for sick while four in seven requests fail everywhere", sick, len(b.serving))
 	}
 }
 
@@ -130,17 +130,17 @@
 	now := time.Hour + time.Second
 	var ids []uint64
 	for id := uint64(1); id <= 20; id++ { // all to one server: the others are set aside
-		for _, s := range b.list[1:] {
-			s.until = now + time.Minute
+		for _, s := range b.serving[1:] {
+			s.backoffUntil = now + time.Minute
 		}
 		b.Handle(now, Arrival{ID: id, Key: fmt.Sprint("k", id), Deadline: now + 2*time.Second}, nil)
 		ids = append(ids, id)
 	}
 	for _, id := range ids {
-		b.Handle(now+100*time.Millisecond, Outcome{ID: id, Server: b.list[0].Server, Result: Reset, Took: 100 * time.Millisecond}, nil)
+		b.Handle(now+100*time.Millisecond, Outcome{ID: id, Server: b.serving[0].Server, Result: Reset, Took: 100 * time.Millisecond}, nil)
 	}
 	b.now = now + 100*time.Millisecond
-	if p := b.sick(b.list[0], 0); p >= 0.5 || p == 0 {
+	if p := b.faultProbability(b.serving[0], 0); p >= 0.5 || p == 0 {
 		t.Errorf("one connection's end under twenty requests gives a chance of %.2f", p)
 	}
 }
@@ -155,10 +155,10 @@
 		failed float64
 	}
 	var ends []ending
-	s := b.list[0]
+	s := b.serving[0]
 	for i := range 30 * seconds {
 		sent := time.Hour + time.Second + time.Duration(i)*time.Second/30
-		e := ending{sent + 50*time.Millisecond, &attempt{server: s, sent: sent}, 0}
+		e := ending{sent + 50*time.Millisecond, &attempt{server: s, sentAt: sent}, 0}
 		if failing(i) {
 			e.at, e.failed = sent+500*time.Millisecond, 1
 		}
@@ -167,26 +167,26 @@
 	slices.SortStableFunc(ends, func(x, y ending) int { return int(x.at - y.at) })
 	for _, e := range ends {
 		b.now = e.at
-		b.judge(s, e.a, 0, e.failed, 0)
-		for _, other := range b.list[1:] { // which are well
-			b.judge(other, &attempt{server: other, sent: b.now}, 0, 0, 0)
+		b.recordHealth(s, e.a, 0, e.failed, 0)
+		for _, other := range b.serving[1:] { // which are well
+			b.recordHealth(other, &attempt{server: other, sentAt: b.now}, 0, 0, 0)
 		}
 	}
-	return b.sick(s, 0)
+	return b.faultProbability(s, 0)
 }
 
 // TestSlowServerOfManyRequestsIsFoundOut guards a busy proxy: most of what it sends to a server is late and the rest
 // is answered, so a failure that was out with another must count again once something was answered between
 // them. Without that two failures a second stood against nine that went well.
 func TestSlowServerOfManyRequestsIsFoundOut(t *testing.T) {
-	if p := mixed(t, 4, func(i int) bool { return i*7%10 < 7 }); p < sickOdds-outlier.PriorProbability {
+	if p := mixed(t, 4, func(i int) bool { return i*7%10 < 7 }); p < ejectionProbability-outlier.PriorProbability {
 		t.Errorf("a server that fails seven in ten of thirty requests a second is sick with a chance of %.2f", p)
 	}
-	if p := mixed(t, 4, func(i int) bool { return i%12 == 0 }); p > oneFailure {
+	if p := mixed(t, 4, func(i int) bool { return i%12 == 0 }); p > singleFailureProbability {
 		t.Errorf("a server that fails one in twelve is sick with a chance of %.2f", p)
 	}
 	// A pause of 0.3 s: all that is sent in it is late, and nothing is answered meanwhile.
-	if p := mixed(t, 1, func(i int) bool { return i >= 21 }); p > oneFailure {
+	if p := mixed(t, 1, func(i int) bool { return i >= 21 }); p > singleFailureProbability {
 		t.Errorf("a server that paused once is sick with a chance of %.2f", p)
 	}
 }
@@ -254,12 +254,12 @@
 		return 40 * time.Millisecond, CacheHit
 	}
 	b := flow(t, 6*time.Second, usual)
-	for _, s := range b.list {
-		if p := b.sick(s, 0); p > oneFailure {
+	for _, s := range b.serving {
+		if p := b.faultProbability(s, 0); p > singleFailureProbability {
 			t.Errorf("%s is well and sick with a chance of %.2f", s.Server, p)
 		}
 	}
-	if rest := b.rest(0); rest > 2*outlier.HealthyFailureRate {
+	if rest := b.baselineFailureRate(0); rest > 2*outlier.HealthyFailureRate {
 		t.Errorf("%.2f of what well servers are asked passes for failed", rest)
 	}
 	b = flow(t, 6*time.Second, func(s string, i int) (time.Duration, CacheStatus) {
@@ -268,7 +268,7 @@
 		}
 		return usual(s, i)
 	})
-	if p := b.sick(b.servers["s03"], 0); p < 0.5 {
+	if p := b.faultProbability(b.servers["s03"], 0); p < 0.5 {
 		t.Errorf("a silent server is sick with a chance of %.2f", p)
 	}
 }
@@ -288,13 +288,13 @@
 		b.now = time.Hour
 		for range 2000 {
 			b.now += c.each
-			b.ends.Observe(b.now, 1, 0)
+			b.connectionFailures.Observe(b.now, 1, 0)
 		}
-		s := b.list[0]
-		s.health[0].Decay(b.now, outlier.DecayTime)
-		s.health[0].LogOdds = c.above
-		if got := b.detour(s, 0); got > 0 != c.round {
-			t.Errorf("%s: chance %.2f, a detour costs %.2f", c.name, b.sick(s, 0), got)
+		s := b.serving[0]
+		s.suspicions[0].Decay(b.now, outlier.DecayTime)
+		s.suspicions[0].LogOdds = c.above
+		if got := b.avoidanceCost(s, 0); got > 0 != c.round {
+			t.Errorf("%s: chance %.2f, a detour costs %.2f", c.name, b.faultProbability(s, 0), got)
 		}
 	}
 }
@@ -305,9 +305,9 @@
 	s := b.servers["d"]
 	for i := range 10 {
 		b.now = now + time.Duration(i)*time.Second
-		b.judge(s, &attempt{server: s, sent: b.now}, 0, 1, 1)
+		b.recordHealth(s, &attempt{server: s, sentAt: b.now}, 0, 1, 1)
 	}
-	if p := b.sick(s, 0); p > 0 {
+	if p := b.faultProbability(s, 0); p > 0 {
 		t.Errorf("ten late answers of a cold server give a chance of %.2f", p)
 	}
 }
@@ -317,7 +317,7 @@
 // window of the rule's length may bring one more than the multiple of its share.
 func TestColdServersTakeTheirPartWhileMostAreCold(t *testing.T) {
 	b := fleet(t, 5)
-	b.set.Rules.SlowStartShare, b.set.Rules.SlowStartWindow = 0.3, time.Hour
+	b.settings.Rules.SlowStartShare, b.settings.Rules.SlowStartWindow = 0.3, time.Hour
 	now := time.Hour + time.Second
 	var cold []Endpoint
 	for i := range 36 {
@@ -332,7 +332,7 @@
 		now += 5 * time.Millisecond
 		out := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint("k", id), Deadline: now + 2*time.Second}, nil)
 		for _, to := range sent(out) {
-			if all++; b.warmth(b.servers[to]) < 1 {
+			if all++; b.capacityShare(b.servers[to]) < 1 {
 				toCold++
 				if got[to]++; float64(got[to]) > multiple*due*window {
 					t.Fatalf("%s got %d of %d requests", to, got[to], window)
@@ -357,13 +357,13 @@
 	cold, all := 0, 0
 	for seed := range uint64(80) {
 		b := fleet(t, seed)
-		b.set.Rules = Rules{SlowStartShare: 0.2, SlowStartWindow: 8 * time.Second}
+		b.settings.Rules = Rules{SlowStartShare: 0.2, SlowStartWindow: 8 * time.Second}
 		b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{{Server: "new", StartedAt: time.Hour}}}, nil)
 		firsts, _ := drive(b, time.Hour, 0, 100, ending(Served, none)) // 5 s
 		cold += firsts["new"]
 		all += 100
 	}
-	due := coldMargin * float64(all) * 0.45 / 60.45 // its mean warmth in these 5 s
+	due := slowStartMargin * float64(all) * 0.45 / 60.45 // its mean warmth in these 5 s
 	if got := float64(cold); got < due/6 || got > due*1.25 {
 		t.Errorf("a cold server got %d of %d, due are %.0f", cold, all, due)
 	}
@@ -377,7 +377,7 @@
 	_, now := drive(b, time.Hour, 0, 600, ending(Served, none))
 	bad := func(s string) bool { return s[2] == '3' || s[2] == '7' }
 	_, now = drive(b, now, 1000, 300, ending(Errored, bad))
-	if rest := b.rest(0); rest > 0.05 {
+	if rest := b.baselineFailureRate(0); rest > 0.05 {
 		t.Errorf("%.2f of what well servers are asked seems to fail, none does", rest)
 	}
 	b, n := fleet(t, 4), 0
@@ -387,7 +387,7 @@
 		}
 		return Served
 	})
-	if rest := b.rest(0); rest < 0.1 || rest > 0.3 {
+	if rest := b.baselineFailureRate(0); rest < 0.1 || rest > 0.3 {
 		t.Errorf("%.2f of what well servers are asked seems to fail, a fifth does", rest)
 	}
 }
@@ -403,14 +403,14 @@
 		b := fleet(t, 5)
 		out := b.Handle(time.Hour, Arrival{ID: 1, Key: "k", Deadline: time.Hour + 2*time.Second}, nil)
 		s := sent(out)[0]
-		o := &b.servers[s].health[0]
+		o := &b.servers[s].suspicions[0]
 		o.Decay(time.Hour, time.Second)
 		o.LogOdds = c.above
 		out = b.Handle(time.Hour+time.Millisecond, Outcome{ID: 1, Server: s, Result: Rejected, Took: time.Millisecond}, nil)
 		if again := len(sent(out)) > 0; again != c.spare {
 			t.Errorf("suspicion %.1f: tried again %v", c.above, again)
 		}
-		if ended := b.gates[false].ended + b.gates[true].ended; ended > 0 == c.spare {
+		if ended := b.gates[false].completed + b.gates[true].completed; ended > 0 == c.spare {
 			t.Errorf("suspicion %.1f: %.2f ends counted at the gates", c.above, ended)
 		}
 	}
@@ -420,31 +420,31 @@
 // a long one; and none that goes on.
 func TestRowsOfFailures(t *testing.T) {
 	b := fleet(t, 6)
-	s, now := b.list[0], time.Hour
+	s, now := b.serving[0], time.Hour
 	judge := func(failed float64) {
 		now += 10 * time.Millisecond
 		b.now = now
-		b.judge(s, &attempt{server: s, sent: now}, 0, failed, 0)
+		b.recordHealth(s, &attempt{server: s, sentAt: now}, 0, failed, 0)
 	}
 	for range 50 {
 		judge(1)
 		judge(1)
 		judge(0)
 	}
-	if rest := b.rest(0); rest < 0.5 || rest > 0.7 {
+	if rest := b.baselineFailureRate(0); rest < 0.5 || rest > 0.7 {
 		t.Errorf("where two of three fail and pass by, %.2f pass for chance", rest)
 	}
 	b = fleet(t, 6)
-	s = b.list[0]
+	s = b.serving[0]
 	for range 50 {
 		judge(1)
 	}
-	if rest := b.rest(0); rest != 0 {
+	if rest := b.baselineFailureRate(0); rest != 0 {
 		t.Errorf("of a row that goes on %.2f passes for chance", rest)
 	}
 	judge(0)
-	if row := b.well[0].Failures; row != chanceRow {
-		t.Errorf("of a row of fifty that ended %v pass for chance, want %v", row, chanceRow)
+	if row := b.healthyFailureRates[0].Failures; row != maxChanceFailures {
+		t.Errorf("of a row of fifty that ended %v pass for chance, want %v", row, maxChanceFailures)
 	}
 }
 
@@ -465,7 +465,7 @@
 // reason to take another's sick server for chance.
 func TestBadHourOfOneClass(t *testing.T) {
 	b := fleet(t, 8)
-	set := *b.set
+	set := *b.settings
 	set.Classes = append(set.Classes, Class{Name: "other", LatencyObjective: time.Second, Deadline: time.Second})
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
@@ -474,17 +474,17 @@
 	judge := func(s *server, class int) {
 		now += time.Millisecond
 		b.now = now
-		b.judge(s, &attempt{server: s, sent: now}, class, 1, 0)
+		b.recordHealth(s, &attempt{server: s, sentAt: now}, class, 1, 0)
 	}
 	for range 5 {
-		judge(b.list[0], 1)
+		judge(b.serving[0], 1)
 	}
 	for range 5 {
-		for _, s := range b.list {
+		for _, s := range b.serving {
 			judge(s, 0)
 		}
 	}
-	if one, other := b.rest(0), b.rest(1); one < 0.5 || other > 0.05 {
+	if one, other := b.baselineFailureRate(0), b.baselineFailureRate(1); one < 0.5 || other > 0.05 {
 		t.Errorf("%.2f pass for chance where all fails, %.2f where one server does", one, other)
 	}
 }
--- a/policy/homes_test.go
+++ b/policy/homes_test.go
@@ -12,7 +12,7 @@
 func homely(t *testing.T, links float64) *Balancer {
 	t.Helper()
 	b := fleet(t, 1)
-	set := *b.set
+	set := *b.settings
 	set.ConnectionsPerServer, set.Costs = links, Costs{OriginFetch: 0.15, CrossZone: 0.02, Handshake: 0.115}
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
@@ -49,12 +49,12 @@
 		}
 	}
 	b := homely(t, 0.2)
-	set := *b.set
+	set := *b.settings
 	set.Costs.Handshake = 0 // they cost nothing here
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	if b.near {
+	if b.zonalHomes {
 		t.Error("homes in each zone stay after the price of a handshake is gone")
 	}
 	if got := homed(b, 400); got[0] > 140 {
@@ -80,7 +80,7 @@
 // the home that all proxies ask.
 func TestFullOriginGathersHomes(t *testing.T) {
 	b := homely(t, 0.2)
-	b.origin, b.calm = 0.4, 0.1
+	b.missPenalty, b.baselineMissPenalty = 0.4, 0.1
 	if got := homed(b, 200); got[0] > 100 {
 		t.Errorf("with a queue at the origin %v of 200 requests go to the zones, the own one first", got)
 	}
@@ -91,13 +91,13 @@
 func TestColdHomeGetsItsDueShare(t *testing.T) {
 	const due = 0.2 / 60.8 * 100 // of a hundred requests: its warmth over the fleet's
 	for _, c := range []struct{ links, multiple, own, others float64 }{
-		{0, 3, coldMargin, coldMargin},
-		{0.2, 9, 4 * coldMargin, 0}, // four zones
-		{0.2, 3, 3, 0},              // the multiple itself, if every request came to this zone
-		{0.2, 0, coldMargin, 0},     // not told: no more than any
+		{0, 3, slowStartMargin, slowStartMargin},
+		{0.2, 9, 4 * slowStartMargin, 0}, // four zones
+		{0.2, 3, 3, 0},                   // the multiple itself, if every request came to this zone
+		{0.2, 0, slowStartMargin, 0},     // not told: no more than any
 	} {
 		b := homely(t, c.links)
-		set := *b.set
+		set := *b.settings
 		set.Rules.SlowStartShare, set.Rules.SlowStartWindow, set.Rules.OverloadMultiple = 0.2, 10*time.Second, c.multiple
 		if err := b.Reconfigure(set); err != nil {
 			t.Fatal(err)
@@ -108,17 +108,17 @@
 		}
 		b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsDelta, Endpoints: list}, nil)
 		for zone := range 4 {
-			b.servers[fmt.Sprint("cold", zone)].credit = 0
+			b.servers[fmt.Sprint("cold", zone)].slowStartTokens = 0
 		}
 		for range 100 {
-			b.grant()
+			b.grantSlowStartTokens()
 		}
 		for zone := range 4 {
 			want := c.others * due
 			if zone == 0 {
 				want = c.own * due
 			}
-			if got := b.servers[fmt.Sprint("cold", zone)].credit; math.Abs(got-min(want, coldSaved)) > 0.01 {
+			if got := b.servers[fmt.Sprint("cold", zone)].slowStartTokens; math.Abs(got-min(want, maxSlowStartTokens)) > 0.01 {
 				t.Errorf("%+v: the cold server of zone %d is granted %.2f sends of 100 requests, not %.2f", c, zone, got, want)
 			}
 		}
--- a/policy/owed_test.go
+++ b/policy/owed_test.go
@@ -24,8 +24,8 @@
 		t.Errorf("gates at %v and %v", known, other)
 	}
 	for name, s := range b.servers {
-		if s.heard != 0 || s.inFlight != 0 || s.health[0].LogOdds != 0 || s.gate.open(serverPrior) < 1 {
-			t.Errorf("%s: heard of at %v, %v out, odds %v, gate %v", name, s.heard, s.inFlight, s.health[0].LogOdds, s.gate.open(serverPrior))
+		if s.lastResponse != 0 || s.inFlight != 0 || s.suspicions[0].LogOdds != 0 || s.gate.admitShare(serverAdmissionPrior) < 1 {
+			t.Errorf("%s: heard of at %v, %v out, odds %v, gate %v", name, s.lastResponse, s.inFlight, s.suspicions[0].LogOdds, s.gate.admitShare(serverAdmissionPrior))
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -50,8 +50,8 @@
 		if err := b.Reconfigure(bad); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if b.set.Classes[0].Name != "x" || b.set.EndpointsOnRequest || b.set.Zone != 0 {
-			t.Errorf("%s: half of it is in force: %+v", name, b.set)
+		if b.settings.Classes[0].Name != "x" || b.settings.EndpointsOnRequest || b.settings.Zone != 0 {
+			t.Errorf("%s: half of it is in force: %+v", name, b.settings)
 		}
 	}
 }
@@ -60,16 +60,16 @@
 // reload books to another.
 func TestReconfigureKeepsWhatIsLearntByClass(t *testing.T) {
 	b, now := harness(t)
-	b.set.Classes[0].Name = "x"
+	b.settings.Classes[0].Name = "x"
 	b.Handle(now, Arrival{ID: 1, Deadline: now + time.Second}, nil)
-	b.health[0].Failures, b.servers["a"].health[0].LogOdds = 7, 5
-	set := *b.set
+	b.failureRates[0].Failures, b.servers["a"].suspicions[0].LogOdds = 7, 5
+	set := *b.settings
 	set.Classes = []Class{{Name: "new", LatencyObjective: 1, Deadline: 1}, {Name: "x", LatencyObjective: 2, Deadline: 3}}
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	if b.health[0].Failures != 0 || b.health[1].Failures != 7 || b.servers["a"].health[1].LogOdds != 5 {
-		t.Errorf("after the move: %v, %v", b.health, b.servers["a"].health)
+	if b.failureRates[0].Failures != 0 || b.failureRates[1].Failures != 7 || b.servers["a"].suspicions[1].LogOdds != 5 {
+		t.Errorf("after the move: %v, %v", b.failureRates, b.servers["a"].suspicions)
 	}
 	if r := b.requests[1]; r.Class != 1 || r.class.LatencyObjective != time.Second {
 		t.Errorf("the open request is of class %d with aim %v", r.Class, r.class.LatencyObjective)
@@ -78,8 +78,8 @@
 	if err := b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	if r := b.requests[1]; r.Class != 1 || len(b.health) != 2 {
-		t.Errorf("of a class that is gone the open request is at %d of %d", r.Class, len(b.health))
+	if r := b.requests[1]; r.Class != 1 || len(b.failureRates) != 2 {
+		t.Errorf("of a class that is gone the open request is at %d of %d", r.Class, len(b.failureRates))
 	}
 }
 
@@ -202,9 +202,9 @@
 	b, now := harness(t)
 	s := b.servers["a"]
 	p := bloom.PositionsOf(bloom.Hash("k"))
-	s.record.Add(&p)
+	s.filter.Add(&p)
 	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{{Server: "a", StartedAt: now}}}, nil)
-	if s.record.Contains(&p) {
+	if s.filter.Contains(&p) {
 		t.Error("the record outlived a restart")
 	}
 }
@@ -337,11 +337,11 @@
 // client's time would run out with the attempt's.
 func TestSilentServerGetsASecondCopySentElsewhere(t *testing.T) {
 	b, now := harness(t)
-	b.set.Limits.AllowHedging = true
-	aim := b.set.Classes[0].LatencyObjective
+	b.settings.Limits.AllowHedging = true
+	aim := b.settings.Classes[0].LatencyObjective
 	for _, name := range []string{"a", "b"} { // both hold the key
 		at := bloom.PositionsOf(bloom.Hash("k"))
-		b.servers[name].record.Add(&at)
+		b.servers[name].filter.Add(&at)
 	}
 	out := b.Handle(now, Arrival{ID: 1, Key: "k", Deadline: now + 4*aim}, nil)
 	first := sent(out)
@@ -372,8 +372,8 @@
 			b.Handle(now+time.Millisecond, Outcome{ID: id, Server: s, Result: Reset, Took: time.Millisecond}, nil)
 		}
 	}
-	if s := b.servers["a"]; s.fails != 1 || s.until > now+time.Second {
-		t.Errorf("%d failures, put aside for %v", s.fails, s.until-now)
+	if s := b.servers["a"]; s.consecutiveFailures != 1 || s.backoffUntil > now+time.Second {
+		t.Errorf("%d failures, put aside for %v", s.consecutiveFailures, s.backoffUntil-now)
 	}
 }
 
@@ -446,19 +446,19 @@
 func TestGivenUpWorkCounts(t *testing.T) {
 	b, now := harness(t)
 	s := b.servers["a"]
-	s.sampled, s.fastest, s.work = now, 0.01, 0.04
-	before := b.hitTime(s)
-	a := attempt{server: s, sent: now, promise: true}
-	r := &request{class: &b.set.Classes[0], arrived: now}
+	s.lastSample, s.minLatency, s.processingTime = now, 0.01, 0.04
+	before := b.expectedHitTime(s)
+	a := attempt{server: s, sentAt: now, expectedHit: true}
+	r := &request{class: &b.settings.Classes[0], arrivedAt: now}
 	const wait = 100 * time.Millisecond
 	b.now += wait
 	s.inFlight = 1
-	b.learn(r, &a, Outcome{Result: Cancelled, Took: wait})
-	if b.busy(s) < 0.9 || b.hitTime(s) <= before {
-		t.Errorf("%.2f in work, %.3f s expected after %.3f s", b.busy(s), b.hitTime(s), before)
+	b.learnFromOutcome(r, &a, Outcome{Result: Cancelled, Took: wait})
+	if b.currentLoad(s) < 0.9 || b.expectedHitTime(s) <= before {
+		t.Errorf("%.2f in work, %.3f s expected after %.3f s", b.currentLoad(s), b.expectedHitTime(s), before)
 	}
-	if b.now += 10 * wait; b.busy(s) > 0.01 {
-		t.Errorf("%.2f still in work long after", b.busy(s))
+	if b.now += 10 * wait; b.currentLoad(s) > 0.01 {
+		t.Errorf("%.2f still in work long after", b.currentLoad(s))
 	}
 }
 
@@ -508,7 +508,7 @@
 func TestNoRoomTellsNothingOfLoad(t *testing.T) {
 	b, now := harness(t)
 	for id := uint64(1); id <= 200; id++ {
-		now += 2 * backoffFirst // so that it is no longer set aside
+		now += 2 * minServerBackoff // so that it is no longer set aside
 		out := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint("k", id), Deadline: now + time.Second}, nil)
 		to := sent(out)
 		if len(to) != 1 {
@@ -522,11 +522,11 @@
 		}
 	}
 	for name, g := range b.gates {
-		if g.open(gatePrior) < 1 {
-			t.Errorf("the gate of promised=%v is open to %.2f", name, g.open(gatePrior))
+		if g.admitShare(admissionPrior) < 1 {
+			t.Errorf("the gate of promised=%v is open to %.2f", name, g.admitShare(admissionPrior))
 		}
 	}
-	if b.health[0].Failures > 0 {
-		t.Errorf("%.1f attempts count as failed", b.health[0].Failures)
+	if b.failureRates[0].Failures > 0 {
+		t.Errorf("%.1f attempts count as failed", b.failureRates[0].Failures)
 	}
 }
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -17,7 +17,7 @@
 func warm(b *Balancer, key string) {
 	p := bloom.PositionsOf(bloom.Hash(key))
 	for _, s := range b.servers {
-		s.record.Add(&p)
+		s.filter.Add(&p)
 	}
 }
 
@@ -26,7 +26,7 @@
 func TestEconomyMakesNoSecondCopies(t *testing.T) {
 	for level := LevelFull; level <= LevelShelter; level++ {
 		b, now := crowded(t, 1)
-		b.set.Limits.AllowHedging = true
+		b.settings.Limits.AllowHedging = true
 		shut(b, now, 1000) // as if all came in time
 		warm(b, "k")
 		at(b, now, level)
@@ -40,7 +40,7 @@
 		if want := map[bool]int{true: 1}[level < LevelEconomy]; copies != want {
 			t.Errorf("level %d: %d second copies, want %d", level, copies, want)
 		}
-		b.retries = 0
+		b.retryTokens = 0
 		b.Handle(now, Arrival{ID: 2, Tenant: 1, Key: "k", Deadline: now + 2*time.Second}, nil)
 		to := b.requests[2].attempts[0].server.Server
 		again := sent(b.Handle(now, Outcome{ID: 2, Server: to, Result: TimedOut}, nil))
@@ -56,7 +56,7 @@
 	for _, level := range []DegradationLevel{LevelEconomy, LevelLate} {
 		b, now := crowded(t, 1)
 		for _, g := range b.gates {
-			*g = gate{keep: 0.99}
+			*g = admissionGate{minRetention: 0.99}
 		}
 		at(b, now, level)
 		sends := 0
@@ -67,7 +67,7 @@
 			for _, to := range sent(out) {
 				sends++
 				// It takes 1.3 s, over the aim of 1 s.
-				b.requests[id].arrived -= 1300 * time.Millisecond
+				b.requests[id].arrivedAt -= 1300 * time.Millisecond
 				b.Handle(now, Outcome{ID: id, Server: to, Result: Served, Took: 1300 * time.Millisecond, CacheStatus: CacheMiss, Final: true}, nil)
 			}
 		}
@@ -84,11 +84,11 @@
 	at(b, now, LevelLate)
 	for _, promised := range []float64{1, 0.5} {
 		shut(b, now, 1000)
-		*b.gates[true] = gate{asked: 1e6, ended: 1e6, good: promised * 1e6, at: now, keep: 1}
-		*b.gates[false] = gate{at: now, keep: 1}
+		*b.gates[true] = admissionGate{offered: 1e6, completed: 1e6, inTime: promised * 1e6, updated: now, minRetention: 1}
+		*b.gates[false] = admissionGate{updated: now, minRetention: 1}
 		out := b.Handle(now, Arrival{ID: uint64(10 * promised), Tenant: 1, Key: fmt.Sprint(promised), Deadline: now + 2*time.Second}, nil)
 		b.Handle(now+1300*time.Millisecond, Outcome{ID: uint64(10 * promised), Server: sent(out)[0], Result: Served, Took: 1300 * time.Millisecond, CacheStatus: CacheMiss, Final: true}, nil)
-		if got, want := b.gates[false].good, map[bool]float64{true: 1}[promised == 1]; got != want {
+		if got, want := b.gates[false].inTime, map[bool]float64{true: 1}[promised == 1]; got != want {
 			t.Errorf("with %.1f of promised reads in time a late fetch counts %v, want %v", promised, got, want)
 		}
 	}
@@ -108,11 +108,11 @@
 	if share := passed(b, now, 0.01, 500, handover); share < 0.99 {
 		t.Errorf("%.2f of the handovers passed", share)
 	}
-	b.retries = retryCap / 4
-	if b.pay(&request{class: &b.set.Classes[0]}, Rejected) {
+	b.retryTokens = maxRetryTokens / 4
+	if b.payForRetry(&request{class: &b.settings.Classes[0]}, Rejected) {
 		t.Error("a read spent what is kept for handovers")
 	}
-	if !b.pay(&request{class: &b.set.Classes[1]}, Rejected) {
+	if !b.payForRetry(&request{class: &b.settings.Classes[1]}, Rejected) {
 		t.Error("a handover may not spend what is kept for it")
 	}
 }
@@ -130,7 +130,7 @@
 	} {
 		b, now := crowded(t, 1)
 		at(b, now, c.level)
-		b.keyed = gate{ended: 1e6, good: c.good * 1e6, at: now, keep: 1}
+		b.handoverGate = admissionGate{completed: 1e6, inTime: c.good * 1e6, updated: now, minRetention: 1}
 		share := passed(b, now, 1000, 1000, func(i int) Arrival { return Arrival{ID: uint64(i + 1), Tenant: 1, Key: "new"} })
 		if share < c.least || share > c.most {
 			t.Errorf("level %d with %.2f of handovers in time: %.2f of fetches passed, want %v to %v", c.level, c.good, share, c.least, c.most)
@@ -145,7 +145,7 @@
 	b, now := crowded(t, 1)
 	shut(b, now, 1000)
 	at(b, now, LevelShelter)
-	b.keyed = gate{ended: 1e6, good: 5e5, at: now, keep: 1} // handovers are late
+	b.handoverGate = admissionGate{completed: 1e6, inTime: 5e5, updated: now, minRetention: 1} // handovers are late
 	warm(b, "known")
 	ask := func(from uint64, n int, a Arrival) (share float64) {
 		return passed(b, now, 1000, n, func(i int) Arrival {
@@ -154,7 +154,7 @@
 		})
 	}
 	if share := ask(1, 1000, Arrival{Tenant: 1, Key: "new"}); share < 0.005 || share > 0.08 {
-		t.Errorf("%.3f of unknown reads passed, want about %v", share, gateLeast)
+		t.Errorf("%.3f of unknown reads passed, want about %v", share, minAdmitShare)
 	}
 	if turned := b.TakeCounters().Rejected; turned > 0 {
 		t.Errorf("%d turned away by the level count as turned away by gates", turned)
@@ -195,7 +195,7 @@
 func TestAdviceGrowsAndIsSpread(t *testing.T) {
 	for _, most := range []time.Duration{10 * time.Second, 300 * time.Millisecond} {
 		b, now := crowded(t, 1)
-		b.set.Limits.MaxRetryAfter = most
+		b.settings.Limits.MaxRetryAfter = most
 		before := time.Duration(0)
 		for level := LevelFull; level <= LevelShelter; level++ {
 			at(b, now, level)
@@ -243,7 +243,7 @@
 		t.Errorf("counted %+v, want %+v", got, want)
 	}
 	for _, s := range b.servers {
-		s.sampled, s.fastest, s.work = now, 0.01, 0.09
+		s.lastSample, s.minLatency, s.processingTime = now, 0.01, 0.09
 	}
 	serve(6, 0, 600*time.Millisecond, Served, CacheMiss)
 	serve(7, 1, 1100*time.Millisecond, Served, CacheUnknown)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,8 +9,8 @@
 // ErrImmutableSetting is the error of settings that would change what a Balancer is bound to.
 var ErrImmutableSetting = errors.New("settings: Zones, Zone, Kinds, AskList, Aside, Origin and Reports cannot change in service")
 
-// check names the setting that cannot be meant.
-func (s *Settings) check() error {
+// validate names the setting that cannot be meant.
+func (s *Settings) validate() error {
 	switch {
 	case len(s.Classes) == 0:
 		return fmt.Errorf("settings: Classes is empty")
@@ -49,10 +49,10 @@
 // nothing, where the settings cannot be meant or would change what the indices
 // of servers refer to ([ErrFixed]).
 func (b *Balancer) Reconfigure(set Settings) error {
-	if err := set.check(); err != nil {
+	if err := set.validate(); err != nil {
 		return err
 	}
-	old := b.set
+	old := b.settings
 	if !slices.Equal(set.Zones, old.Zones) || set.Zone != old.Zone || !slices.Equal(set.MachineKinds, old.MachineKinds) ||
 		set.EndpointsOnRequest != old.EndpointsOnRequest || set.CacheAside != old.CacheAside || set.OriginKind != old.OriginKind || set.LoadReports != old.LoadReports {
 		return ErrImmutableSetting
@@ -60,28 +60,28 @@
 	// The last place is for classes that are gone while requests of them are open.
 	last := len(set.Classes)
 	from := slices.Repeat([]int{-1}, last+1) // by new place
-	to := slices.Repeat([]int{last}, len(b.health))
+	to := slices.Repeat([]int{last}, len(b.failureRates))
 	for i := range set.Classes {
 		from[i] = slices.IndexFunc(old.Classes, func(c Class) bool { return c.Name == set.Classes[i].Name })
 		if from[i] >= 0 {
 			to[from[i]] = i
 		}
 	}
-	b.health, b.well = moved(b.health, from), moved(b.well, from)
+	b.failureRates, b.healthyFailureRates = reorderByClass(b.failureRates, from), reorderByClass(b.healthyFailureRates, from)
 	for _, s := range b.servers {
-		s.health = moved(s.health, from)
+		s.suspicions = reorderByClass(s.suspicions, from)
 	}
 	for _, r := range b.requests {
 		r.Class = to[r.Class]
 	}
-	b.set = &set
-	b.near = b.homes()
+	b.settings = &set
+	b.zonalHomes = b.prefersZonalHomes()
 	return nil
 }
 
-// moved returns what is known by class in the order of other classes: from has the old
+// reorderByClass returns what is known by class in the order of other classes: from has the old
 // place of each, -1 for a new one.
-func moved[T any](in []T, from []int) []T {
+func reorderByClass[T any](in []T, from []int) []T {
 	out := make([]T, len(from))
 	for i, f := range from {
 		if f >= 0 {
