--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -22,9 +22,14 @@
 	return b, now
 }
 
+// pathGates returns the gates of a balancer's paths by whether they expect a hit.
+func pathGates(b *Balancer) map[bool]*admissionGate {
+	return map[bool]*admissionGate{true: &b.hitPath.gate, false: &b.fetchPath.gate}
+}
+
 // shut sets the gates to an open share as if many had been asked.
 func shut(b *Balancer, now time.Duration, open float64) {
-	for _, g := range b.gates {
+	for _, g := range pathGates(b) {
 		*g = admissionGate{offered: 1e6, completed: 1e6, inTime: open / admissionSlack * 1e6, updated: now, minRetention: 1}
 	}
 	for _, s := range b.servers {
--- /dev/null
+++ b/policy/estimator.go
@@ -0,0 +1,122 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// estimateDecayTime is the time within which an estimate without new samples fades into the fleet's mean.
+	estimateDecayTime = 8 * time.Second
+
+	// Weights of a new sample in exponentially weighted moving averages.
+	latencySampleWeight  = 0.2
+	loadSampleWeight     = 0.05
+	fleetSampleWeight    = 0.01
+	kindSampleWeight     = 0.02
+	minLatencyRiseWeight = 0.002 // so that one fast answer does not count for ever
+	baselineSampleWeight = 0.002
+
+	// baselineTolerance times the baseline is no queue at the origin yet.
+	baselineTolerance = 1.3
+
+	// originQueueCostFactor is what a fetch that joins a queue costs all that wait behind it, as a multiple of the
+	// queue.
+	originQueueCostFactor = 3.0
+)
+
+// expectedHitTime is the expected response time of a hit in seconds: the lowest latency, and the processing time
+// scaled by current over mean load. An estimate without recent samples fades into the fleet's.
+func (b *Balancer) expectedHitTime(s *server) float64 {
+	minLatency, processingTime := b.minLatency, b.processingTime
+	if s.lastSample > 0 {
+		trust := math.Exp(-float64(b.now-s.lastSample) / float64(estimateDecayTime))
+		processingTime += (s.processingTime - processingTime) * trust
+		minLatency = s.minLatency
+	}
+	return minLatency + processingTime*(b.currentLoad(s)+1)/(s.meanLoad+1)
+}
+
+// currentLoad counts the attempts that a server works at for this proxy: those in flight, and abandoned ones, whose
+// work goes on for about as long as an answer would have taken.
+func (b *Balancer) currentLoad(s *server) float64 {
+	if s.abandoned > 0 {
+		decayTime := max(s.minLatency+s.processingTime, b.minLatency+b.processingTime)
+		s.abandoned *= math.Exp(-(b.now - s.abandonedAt).Seconds() / decayTime)
+	}
+	s.abandonedAt = b.now
+	return s.inFlight + s.abandoned
+}
+
+// missCost is what a miss costs in seconds. Where keys have several homes, a miss penalty above its baseline means a
+// queue at the origin, which each further fetch makes longer for all behind it. So requests go to the one home that
+// all proxies ask before the origin is full.
+func (b *Balancer) missCost() float64 {
+	if !b.zonalHomes {
+		return b.missPenalty
+	}
+	queue := max(0, b.missPenalty-baselineTolerance*b.baselineMissPenalty)
+	return b.missPenalty + originQueueCostFactor*queue
+}
+
+// updateLoad updates a server's load estimates when an attempt ends.
+func (b *Balancer) updateLoad(s *server, result Result) {
+	if s.samples == 0 { // a mean load of zero would make all that is in flight look slow
+		s.meanLoad = max(s.meanLoad, b.currentLoad(s))
+	}
+	s.meanLoad += (b.currentLoad(s) - s.meanLoad) * loadSampleWeight
+	s.inFlight--
+	if result == Cancelled || result == TimedOut {
+		s.abandoned++
+	}
+}
+
+// updateLatencies updates the estimates of a server, its kind of machine and the fleet from a measured latency.
+func (b *Balancer) updateLatencies(s *server, a *attempt, r *request, e Outcome) {
+	latency := e.Took.Seconds()
+	if a.expectedHit && e.CacheStatus != CacheUnknown {
+		hit := 0.0
+		if e.CacheStatus == CacheHit {
+			hit = 1
+		}
+		s.promisedHitRate += (hit - s.promisedHitRate) * loadSampleWeight
+	}
+	miss := e.CacheStatus == CacheMiss || e.CacheStatus == CacheMissCoalesced
+	if miss || r.Write {
+		b.updateMissPenalty(s, r, latency, miss)
+		return
+	}
+	if s.lastSample == 0 {
+		s.minLatency, s.processingTime = latency, b.processingTime
+	}
+	if latency < s.minLatency {
+		s.minLatency = latency
+	} else {
+		s.minLatency += (latency - s.minLatency) * minLatencyRiseWeight
+	}
+	s.processingTime += (latency - s.minLatency - s.processingTime) * latencySampleWeight
+	b.processingTime += (latency - s.minLatency - b.processingTime) * fleetSampleWeight
+	if kinds := b.processingTimeByKind; s.MachineKind < len(kinds) {
+		kinds[s.MachineKind] += (latency - s.minLatency - kinds[s.MachineKind]) * kindSampleWeight
+	}
+	b.minLatency += (s.minLatency - b.minLatency) * fleetSampleWeight
+	s.lastSample = b.now
+	s.samples++
+}
+
+// updateMissPenalty learns what the origin adds to a miss; a write is counted but not learnt from.
+func (b *Balancer) updateMissPenalty(s *server, r *request, latency float64, miss bool) {
+	if s.lastSample == 0 {
+		return
+	}
+	added := max(latency-s.minLatency-s.processingTime, 0)
+	if r.class.LatencyObjective > 0 {
+		b.counters.TimedFetches++
+		b.counters.FetchTimeSum += added / r.class.LatencyObjective.Seconds()
+	}
+	if miss {
+		b.missPenalty += (added - b.missPenalty) * loadSampleWeight
+		risen := b.baselineMissPenalty + (b.missPenalty-b.baselineMissPenalty)*baselineSampleWeight
+		b.baselineMissPenalty = min(risen, b.missPenalty)
+	}
+}
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -109,7 +109,7 @@
 			if n%7 < 4 {
 				failed = 1
 			}
-			b.recordHealth(s, &attempt{server: s, sentAt: now}, 0, failed, failed)
+			b.recordHealth(s, &attempt{server: s, sentAt: now}, 0, healthSample{failed: failed, unreached: failed})
 		}
 	}
 	sick := 0
@@ -167,9 +167,9 @@
 	slices.SortStableFunc(ends, func(x, y ending) int { return int(x.at - y.at) })
 	for _, e := range ends {
 		b.now = e.at
-		b.recordHealth(s, e.a, 0, e.failed, 0)
+		b.recordHealth(s, e.a, 0, healthSample{failed: e.failed})
 		for _, other := range b.serving[1:] { // which are well
-			b.recordHealth(other, &attempt{server: other, sentAt: b.now}, 0, 0, 0)
+			b.recordHealth(other, &attempt{server: other, sentAt: b.now}, 0, healthSample{})
 		}
 	}
 	return b.faultProbability(s, 0)
@@ -305,7 +305,7 @@
 	s := b.servers["d"]
 	for i := range 10 {
 		b.now = now + time.Duration(i)*time.Second
-		b.recordHealth(s, &attempt{server: s, sentAt: b.now}, 0, 1, 1)
+		b.recordHealth(s, &attempt{server: s, sentAt: b.now}, 0, healthSample{failed: 1, unreached: 1})
 	}
 	if p := b.faultProbability(s, 0); p > 0 {
 		t.Errorf("ten late answers of a cold server give a chance of %.2f", p)
@@ -410,7 +410,7 @@
 		if again := len(sent(out)) > 0; again != c.spare {
 			t.Errorf("suspicion %.1f: tried again %v", c.above, again)
 		}
-		if ended := b.gates[false].completed + b.gates[true].completed; ended > 0 == c.spare {
+		if ended := b.fetchPath.gate.completed + b.hitPath.gate.completed; ended > 0 == c.spare {
 			t.Errorf("suspicion %.1f: %.2f ends counted at the gates", c.above, ended)
 		}
 	}
@@ -424,7 +424,7 @@
 	judge := func(failed float64) {
 		now += 10 * time.Millisecond
 		b.now = now
-		b.recordHealth(s, &attempt{server: s, sentAt: now}, 0, failed, 0)
+		b.recordHealth(s, &attempt{server: s, sentAt: now}, 0, healthSample{failed: failed})
 	}
 	for range 50 {
 		judge(1)
@@ -474,7 +474,7 @@
 	judge := func(s *server, class int) {
 		now += time.Millisecond
 		b.now = now
-		b.recordHealth(s, &attempt{server: s, sentAt: now}, class, 1, 0)
+		b.recordHealth(s, &attempt{server: s, sentAt: now}, class, healthSample{failed: 1})
 	}
 	for range 5 {
 		judge(b.serving[0], 1)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -15,11 +15,11 @@
 		t.Fatal(err)
 	}
 	for field, spoil := range map[string]func(*Settings){
-		"Classes is": func(s *Settings) { s.Classes = nil },
-		"Zone 1":     func(s *Settings) { s.Zone = 1 },
-		"Rules":      func(s *Settings) { s.Rules.SlowStartWindow = -1 },
-		"Tick":       func(s *Settings) { s.EventInterval = -1 },
-		"Classes[0]": func(s *Settings) { s.Classes = []Class{{LatencyObjective: -time.Second}} },
+		"Classes is":    func(s *Settings) { s.Classes = nil },
+		"Zone 1":        func(s *Settings) { s.Zone = 1 },
+		"Rules":         func(s *Settings) { s.Rules.SlowStartWindow = -1 },
+		"EventInterval": func(s *Settings) { s.EventInterval = -1 },
+		"Classes[0]":    func(s *Settings) { s.Classes = []Class{{LatencyObjective: -time.Second}} },
 	} {
 		bad := good
 		spoil(&bad)
@@ -521,7 +521,7 @@
 			b.Handle(now+time.Millisecond, Outcome{ID: id, Attempt: 1, Server: next[0], Result: Served, Took: time.Millisecond}, nil)
 		}
 	}
-	for name, g := range b.gates {
+	for name, g := range pathGates(b) {
 		if g.admitShare(admissionPrior) < 1 {
 			t.Errorf("the gate of promised=%v is open to %.2f", name, g.admitShare(admissionPrior))
 		}
--- /dev/null
+++ b/policy/ranking.go
@@ -0,0 +1,92 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+// choice is the best server for a request among those considered so far.
+type choice struct {
+	server      *server
+	expectedHit bool
+	cost        float64 // expected response time with costs, in seconds
+}
+
+// chooseServer returns the server with the lowest expected response time for a request, and whether its filter names
+// the request's key. Ejection must not empty the choice: if all servers are ejected or tried, these are considered
+// as well.
+func (b *Balancer) chooseServer(r *request) (s *server, expectedHit bool) {
+	for _, lastResort := range [...]bool{false, true} {
+		if best := b.bestServer(r, lastResort); best.server != nil {
+			return best.server, best.expectedHit
+		}
+	}
+	return nil, false
+}
+
+func (b *Balancer) bestServer(r *request, lastResort bool) choice {
+	best := choice{cost: math.Inf(1)}
+	var homes homeServers
+	keyIsCached := false
+	for _, s := range b.serving {
+		if !b.isCandidate(r, s, lastResort) {
+			continue
+		}
+		if r.cacheable && s.filter.Contains(&r.filterPositions) {
+			keyIsCached = true
+			hit := (1 - s.filter.FalsePositiveRate()) * s.promisedHitRate
+			b.consider(&best, r, s, 1-hit)
+			continue
+		}
+		b.addHome(&homes, r, s)
+	}
+	for group := range homes.servers {
+		for rank, s := range homes.servers[group] {
+			if s == nil {
+				break
+			}
+			miss := 1.0
+			if rank == 0 && r.cacheable && !keyIsCached {
+				miss = homes.firstMissProbability(group)
+			}
+			b.consider(&best, r, s, miss)
+		}
+	}
+	return best
+}
+
+// isCandidate reports whether a server may be chosen for a request; as a last resort also one that is ejected or was
+// tried before.
+func (b *Balancer) isCandidate(r *request, s *server, lastResort bool) bool {
+	if !lastResort && (s.backoffUntil > b.now || wasTried(r, s)) {
+		return false
+	}
+	if b.capacityShare(s) < 1 && s.slowStartTokens < 1 {
+		return false
+	}
+	return b.maySendTo(r, s)
+}
+
+// consider makes s the best choice if its expected cost is the lowest so far.
+func (b *Balancer) consider(best *choice, r *request, s *server, missProbability float64) {
+	// A cost is a share of the request's weight, and a time as long as the latency objective loses all of it: so the
+	// two are comparable in units of the objective.
+	objective := r.class.LatencyObjective.Seconds()
+	cost := b.expectedHitTime(s) +
+		missProbability*(b.missCost()+b.settings.Costs.OriginFetch*objective) +
+		b.avoidanceCost(s, r.Class)*objective
+	if s.Zone != b.settings.Zone {
+		cost += b.settings.Costs.CrossZone * objective
+	}
+	if b.zonalHomes && s.Zone != b.settings.Zone {
+		cost += b.settings.Costs.Handshake * objective
+	}
+	if cost < best.cost {
+		best.server, best.cost = s, cost
+		best.expectedHit = r.cacheable && missProbability < 1 && s.filter.Contains(&r.filterPositions)
+	}
+}
+
+func wasTried(r *request, s *server) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
+}
--- /dev/null
+++ b/policy/reconfigure.go
@@ -0,0 +1,68 @@
+package policy
+
+import (
+	"errors"
+	"slices"
+)
+
+// ErrImmutableSetting is returned for settings that would change what a Balancer is bound to.
+var ErrImmutableSetting = errors.New("settings: Zones, Zone, MachineKinds, EndpointsOnRequest, CacheAside, OriginKind" +
+	" and LoadReports cannot change in service")
+
+// Reconfigure puts other settings into force for what arrives from now on. A request that arrived before ends under
+// the settings that it arrived under: its class, its limits on attempts, its deduplication window. What has been
+// learnt about servers stays; what was learnt by class follows the class's name. It returns an error, and changes
+// nothing, where the settings are invalid or would change what the indices of servers refer to
+// ([ErrImmutableSetting]).
+func (b *Balancer) Reconfigure(next Settings) error {
+	if err := next.validate(); err != nil {
+		return err
+	}
+	if next.changesImmutable(b.settings) {
+		return ErrImmutableSetting
+	}
+	// The last index is for classes that are gone while requests of them are open.
+	goneClass := len(next.Classes)
+	oldIndexes := slices.Repeat([]int{-1}, goneClass+1) // by new index
+	newIndexes := slices.Repeat([]int{goneClass}, len(b.failureRates))
+	for i := range next.Classes {
+		oldIndexes[i] = slices.IndexFunc(b.settings.Classes, func(c Class) bool { return c.Name == next.Classes[i].Name })
+		if oldIndexes[i] >= 0 {
+			newIndexes[oldIndexes[i]] = i
+		}
+	}
+	b.failureRates = reorderByClass(b.failureRates, oldIndexes)
+	b.healthyFailureRates = reorderByClass(b.healthyFailureRates, oldIndexes)
+	for _, s := range b.servers {
+		s.suspicions = reorderByClass(s.suspicions, oldIndexes)
+	}
+	for _, r := range b.requests {
+		r.Class = newIndexes[r.Class]
+	}
+	b.settings = &next
+	b.zonalHomes = b.prefersZonalHomes()
+	return nil
+}
+
+// changesImmutable reports whether s differs from the settings in force in a field that is fixed at start.
+func (s *Settings) changesImmutable(old *Settings) bool {
+	return !slices.Equal(s.Zones, old.Zones) ||
+		s.Zone != old.Zone ||
+		!slices.Equal(s.MachineKinds, old.MachineKinds) ||
+		s.EndpointsOnRequest != old.EndpointsOnRequest ||
+		s.CacheAside != old.CacheAside ||
+		s.OriginKind != old.OriginKind ||
+		s.LoadReports != old.LoadReports
+}
+
+// reorderByClass returns per-class values in the order of other classes: oldIndexes has the old index of each class,
+// -1 for a new one.
+func reorderByClass[T any](values []T, oldIndexes []int) []T {
+	out := make([]T, len(oldIndexes))
+	for i, old := range oldIndexes {
+		if old >= 0 {
+			out[i] = values[old]
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/policy/rendezvous.go
@@ -0,0 +1,101 @@
+package policy
+
+import (
+	"math"
+
+	"mulleinpier/internal/bloom"
+)
+
+const (
+	// rendezvousCandidates is how many servers are considered for a key besides those whose filters name it: the
+	// first by rendezvous hash. More would scatter copies where many proxies see few requests each.
+	rendezvousCandidates = 4
+
+	// zonalHomeMissShare is the share of reads that miss in addition at a home that only its own zone asks.
+	zonalHomeMissShare = 0.22
+
+	// maxKindWeight bounds the rendezvous weight of a fast kind of machine, in means of the fleet.
+	maxKindWeight = 8
+)
+
+// The groups of home servers: with zonal homes the two are kept apart, otherwise all are in the first.
+const (
+	homesInOwnZone = iota
+	homesElsewhere
+	homeGroups
+)
+
+// homeServers are the first servers for a key by rendezvous hash, best first.
+type homeServers struct {
+	servers [homeGroups][rendezvousCandidates]*server
+	scores  [homeGroups][rendezvousCandidates]float64
+}
+
+// insert adds a server to a group, as far as it is among its first limit.
+func (h *homeServers) insert(group, limit int, s *server, score float64) {
+	for i := range limit {
+		if score > h.scores[group][i] {
+			s, h.servers[group][i] = h.servers[group][i], s
+			score, h.scores[group][i] = h.scores[group][i], score
+		}
+	}
+}
+
+// firstMissProbability is the probability that the first server of a group does not hold a key that no filter names.
+func (h *homeServers) firstMissProbability(group int) float64 {
+	miss := h.servers[group][0].filter.FalsePositiveRate()
+	askedByOwnZoneOnly := h.scores[group][0] < h.scores[1-group][0]
+	if askedByOwnZoneOnly {
+		miss += (1 - miss) * zonalHomeMissShare
+	}
+	return miss
+}
+
+// addHome enters a server among the homes of a request's key.
+func (b *Balancer) addHome(homes *homeServers, r *request, s *server) {
+	score := b.rendezvousWeight(s) / -math.Log(bloom.UnitInterval(bloom.Mix(r.keyHash^s.nameHash)))
+	group, limit := homesInOwnZone, rendezvousCandidates
+	if b.zonalHomes {
+		limit /= 2
+		if s.Zone != b.settings.Zone {
+			group = homesElsewhere
+		}
+	}
+	homes.insert(group, limit, s, score)
+}
+
+// prefersZonalHomes reports whether keys have a home in each zone rather than one in all. One home keeps fetches
+// fewest, but a proxy of a large fleet has connections to few servers, so that most requests cost a handshake and a
+// zone crossing; it can keep connections to the homes in its own zone. Where clients' zones are very unequal the
+// estimate of misses is too low, and requests go to other zones.
+func (b *Balancer) prefersZonalHomes() bool {
+	zones := float64(len(b.settings.Zones))
+	connections := b.settings.ConnectionsPerServer
+	if zones < 2 || connections <= 0 {
+		return false
+	}
+	costs := &b.settings.Costs
+	saved := costs.Handshake*max(0, 1-connections) + costs.CrossZone*(1-1/zones)
+	return saved > costs.OriginFetch*zonalHomeMissShare
+}
+
+// rendezvousWeight is a server's weight in the rendezvous hash: its registered size, or how fast its kind of machine
+// has been. With equal weights the slow kinds would always be full, and what overflows from them would load the
+// origin.
+func (b *Balancer) rendezvousWeight(s *server) float64 {
+	if b.settings.RegisteredWeights && s.Weight > 0 {
+		return s.Weight
+	}
+	if s.MachineKind < len(b.rendezvousWeightByKind) {
+		return b.rendezvousWeightByKind[s.MachineKind]
+	}
+	return 1
+}
+
+// updateRendezvousWeights takes over what has been learnt of kinds of machines. It is part of the periodic upkeep
+// since each change of a weight moves keys.
+func (b *Balancer) updateRendezvousWeights() {
+	for kind, time := range b.processingTimeByKind {
+		b.rendezvousWeightByKind[kind] = b.processingTime / max(time, b.processingTime/maxKindWeight)
+	}
+}
--- /dev/null
+++ b/policy/request.go
@@ -0,0 +1,189 @@
+package policy
+
+import (
+	"time"
+
+	"mulleinpier/internal/bloom"
+)
+
+// attempt is one send of a request to a server.
+type attempt struct {
+	server         *server
+	sentAt         time.Duration
+	done           bool
+	mayHaveRun     bool
+	expectedHit    bool          // the server's filter named the key
+	hedgeAt        time.Duration // without an answer until then, a hedged request may be sent
+	slowAt         time.Duration // without an answer until then, its server is slow even if it answers others
+	healthRecorded bool          // it has counted for its server's health
+	spannedPause   bool          // the process was paused while it was in flight
+}
+
+// request is what a Balancer knows of a request that has not ended, or that has attempts in flight.
+type request struct {
+	Arrival
+	arrivedAt       time.Duration
+	class           *Class
+	settings        *Settings // in force when it arrived; it ends under them
+	keyHash         uint64
+	filterPositions bloom.Positions
+	cacheable       bool // it has a key whose copies in caches count
+	overQuota       bool // its tenant is over its quota
+	ended           bool
+	streaming       bool
+	served          bool
+	spannedPause    bool // the process was paused while it was open
+	openAttempts    int
+	attempts        []attempt
+}
+
+func (b *Balancer) handleArrival(a Arrival) {
+	if b.requests[a.ID] != nil {
+		return
+	}
+	a.Class = max(min(a.Class, len(b.settings.Classes)-1), 0)
+	r := &request{Arrival: a, arrivedAt: b.now, settings: b.settings, class: &b.settings.Classes[a.Class]}
+	b.requests[a.ID] = r
+	// A write leaves no copy and needs none: it goes to the server that is expected to answer first.
+	r.cacheable = a.Key != "" && !a.Write
+	if r.cacheable {
+		r.keyHash = bloom.Hash(a.Key)
+	} else {
+		r.keyHash = b.rng.Uint64()
+	}
+	r.filterPositions = bloom.PositionsOf(r.keyHash)
+	r.overQuota = b.chargeQuota(r)
+	b.grantSlowStartTokens()
+	b.setTimer(timerDeadline, a.ID, a.Deadline-b.now-2*b.settings.EventInterval)
+	b.admitAndSend(r)
+}
+
+// admitAndSend sends a request to the server with the lowest expected response time, unless it is rejected.
+func (b *Balancer) admitAndSend(r *request) {
+	s, expectedHit := b.chooseServer(r)
+	if s == nil {
+		b.handleNoServer(r)
+		return
+	}
+	b.counters.Offered++
+	if !expectedHit && r.class.Idempotency != IdempotentWithKey && b.mayReject(r) &&
+		b.rng.Float64() > b.fetchAdmitShare() {
+		b.endUnserved(r, ReasonDegraded)
+		return
+	}
+	unattainable := b.isUnattainable(r, s)
+	if b.mayReject(r) && (unattainable || !b.passesGate(r, s, expectedHit)) {
+		b.shed(r, s, expectedHit, unattainable)
+		return
+	}
+	b.send(r, s, expectedHit, ReasonFirst)
+	hedgeAt := r.attempts[len(r.attempts)-1].hedgeAt
+	if r.settings.Limits.AllowHedging && r.class.Idempotency == Idempotent && hedgeAt < r.Deadline {
+		b.setTimer(timerHedge, r.ID, hedgeAt-b.now)
+	}
+}
+
+// serverWaitInterval is how long a request waits for a server before the next look: well under any latency
+// objective, well over Settings.EventInterval.
+const serverWaitInterval = 25 * time.Millisecond
+
+// handleNoServer keeps a request that has no server now until one may have come.
+func (b *Balancer) handleNoServer(r *request) {
+	if b.noServerCanRun(r) {
+		b.endUnserved(r, ReasonNoServer)
+		return
+	}
+	if r.Deadline-b.now <= 3*serverWaitInterval {
+		b.endUnserved(r, ReasonNoServer)
+		return
+	}
+	b.counters.WaitsForServer++
+	b.setTimer(timerWaitForServer, r.ID, serverWaitInterval)
+}
+
+func (b *Balancer) send(r *request, s *server, expectedHit bool, reason Reason) {
+	hedgeAt, slowAt := b.overdueTimes(r, s, expectedHit)
+	r.attempts = append(r.attempts, attempt{
+		server:      s,
+		sentAt:      b.now,
+		mayHaveRun:  true,
+		expectedHit: expectedHit,
+		hedgeAt:     hedgeAt,
+		slowAt:      slowAt,
+	})
+	s.gate.observe(b.now, gateSample{offered: 1})
+	b.path(expectedHit).gate.observe(b.now, gateSample{offered: 1})
+	r.openAttempts++
+	s.inFlight++
+	s.lastSend = b.now
+	if b.capacityShare(s) < 1 {
+		s.slowStartTokens--
+	}
+	b.emit(Action{Kind: Send, ID: r.ID, Server: s.Server, Reason: reason})
+}
+
+func (b *Balancer) handleStreamStarted(e StreamStarted) {
+	if r := b.requests[e.ID]; r != nil {
+		r.streaming = true
+	}
+}
+
+func (b *Balancer) handleClientLeft(e ClientLeft) {
+	if r := b.requests[e.ID]; r != nil {
+		b.endRequest(r)
+	}
+}
+
+func (b *Balancer) handleOutcome(e Outcome) {
+	r := b.requests[e.ID]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].done {
+		return
+	}
+	a := &r.attempts[e.Attempt]
+	a.done = true
+	a.mayHaveRun = MayHaveRun(e.Result)
+	r.openAttempts--
+	b.learnFromOutcome(r, a, e)
+	switch {
+	case e.Final || r.ended:
+		b.endRequest(r)
+	case r.openAttempts == 0:
+		b.retryOrEnd(r, e)
+	}
+}
+
+// endUnserved is the one place that ends a request without an answer from a server.
+func (b *Balancer) endUnserved(r *request, reason Reason) {
+	switch {
+	case r.ended || r.streaming:
+		return
+	case b.mayReject(r):
+		b.emit(Action{Kind: Reject, ID: r.ID, After: b.RetryAfter(r.Class), Reason: reason})
+	default:
+		b.emit(Action{Kind: Fail, ID: r.ID, Reason: reason})
+	}
+	b.endRequest(r)
+}
+
+// endRequest drops a request once no attempt of it is in flight.
+func (b *Balancer) endRequest(r *request) {
+	if !r.ended {
+		b.countRequest(r)
+		b.cancelAttempts(r)
+	}
+	r.ended = true
+	if r.openAttempts == 0 {
+		delete(b.requests, r.ID)
+	}
+}
+
+func (b *Balancer) cancelAttempts(r *request) {
+	if !r.settings.Limits.AllowCancel {
+		return
+	}
+	for i := range r.attempts {
+		if !r.attempts[i].done {
+			b.emit(Action{Kind: Cancel, ID: r.ID, Attempt: i})
+		}
+	}
+}
--- /dev/null
+++ b/policy/safety.go
@@ -0,0 +1,111 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// maySendTo is the one check of the rules before an attempt.
+func (b *Balancer) maySendTo(r *request, s *server) bool {
+	switch {
+	case r.ended || r.streaming:
+		return false
+	case !r.canRunOn(s):
+		return false
+	case r.openAttempts > 0 && !r.settings.Limits.AllowHedging:
+		return false
+	case len(r.attempts) >= r.settings.Limits.MaxAttempts || b.now >= r.Deadline:
+		return false
+	}
+	return b.repeatIsHarmless(r, s, noAttempt)
+}
+
+// mayReject reports whether a request may be rejected. A rejection promises the client that a repeat is harmless,
+// however late it comes, so it is not given once an attempt may have run, except to requests that are idempotent.
+func (b *Balancer) mayReject(r *request) bool {
+	if r.ended || r.streaming {
+		return false
+	}
+	if r.class.Idempotency == Idempotent {
+		return true
+	}
+	return !slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
+}
+
+// MaySend reports whether the first byte of an attempt may still be written at time now: the attempt may have waited
+// for a connection since it was decided.
+func (b *Balancer) MaySend(now time.Duration, id uint64, number int) bool {
+	r := b.requests[id]
+	if r == nil || number < 0 || number >= len(r.attempts) {
+		return false
+	}
+	b.now = now
+	a := &r.attempts[number]
+	switch {
+	case a.done || r.ended || r.streaming || now >= r.Deadline:
+		return false
+	case !a.server.listed || a.server.State != Serving:
+		return false
+	}
+	return r.canRunOn(a.server) && b.repeatIsHarmless(r, a.server, number)
+}
+
+// canRunOn reports whether a server can keep what the request's class promises. A client may repeat a request with an
+// idempotency key, here or at another proxy, and relies on deduplication. So where some servers do not deduplicate,
+// not even the first attempt goes to one of them.
+func (r *request) canRunOn(s *server) bool {
+	return r.class.Idempotency != IdempotentWithKey || !s.NoDeduplication
+}
+
+// noServerCanRun reports whether servers are listed, but none that can keep what the request's class promises:
+// waiting brings no other.
+func (b *Balancer) noServerCanRun(r *request) bool {
+	return len(b.serving) > 0 && !slices.ContainsFunc(b.serving, r.canRunOn)
+}
+
+// noAttempt is passed to repeatIsHarmless where no attempt is to be skipped.
+const noAttempt = -1
+
+// repeatIsHarmless reports whether a send to s is harmless after the attempts other than the one numbered skip.
+func (b *Balancer) repeatIsHarmless(r *request, s *server, skip int) bool {
+	if r.class.Idempotency == Idempotent {
+		return true
+	}
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if !a.mayHaveRun || i == skip {
+			continue
+		}
+		if r.class.Idempotency == NotIdempotent {
+			return false
+		}
+		if b.now >= a.sentAt+r.class.DedupWindow-r.settings.EventInterval {
+			return false
+		}
+		if !r.class.shareDedupScope(s, a.server) {
+			return false
+		}
+	}
+	return true
+}
+
+// shareDedupScope reports whether two servers drop each other's repeats.
+func (c *Class) shareDedupScope(s, other *server) bool {
+	switch c.DedupScope {
+	case DedupScopeZone:
+		return s.Zone == other.Zone
+	case DedupScopeCell:
+		return s.Cell == other.Cell
+	}
+	return true
+}
+
+// MayHaveRun reports whether an attempt with this result can have had an effect. A result that is not known here may
+// have had one.
+func MayHaveRun(r Result) bool {
+	switch r {
+	case Rejected, ConnectFailed, NotSent, NotFound, ConnectionLimitReached:
+		return false
+	}
+	return true
+}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,38 +1,126 @@
 package policy
 
 import (
-	"errors"
 	"fmt"
 	"slices"
+	"time"
 )
 
-// ErrImmutableSetting is the error of settings that would change what a Balancer is bound to.
-var ErrImmutableSetting = errors.New("settings: Zones, Zone, Kinds, AskList, Aside, Origin and Reports cannot change in service")
+// Idempotency says whether a request of a class may be repeated.
+type Idempotency uint8
 
-// validate names the setting that cannot be meant.
+// The kinds of idempotency.
+const (
+	Idempotent        Idempotency = iota // may be repeated freely
+	IdempotentWithKey                    // servers of one scope drop a repeat within the class's window
+	NotIdempotent                        // must never run twice
+)
+
+// DedupScope names the servers that together drop repeats of a request with an idempotency key.
+type DedupScope uint8
+
+// The scopes of deduplication.
+const (
+	DedupScopeAll DedupScope = iota
+	DedupScopeZone
+	DedupScopeCell
+)
+
+// Class describes one class of requests.
+type Class struct {
+	Name             string
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // for IdempotentWithKey
+	DedupWindow      time.Duration // for IdempotentWithKey: how long repeats are dropped
+	LatencyObjective time.Duration // an answer within it earns the full PriorityWeight
+	Deadline         time.Duration // how long a client waits across all its attempts
+	PriorityWeight   float64       // decides who is rejected first when load is shed
+	LateWeightShare  float64       // share of PriorityWeight after LatencyObjective and before Deadline
+	Streamed         bool
+}
+
+// Tenant is a customer with a share of the fleet.
+type Tenant struct {
+	Name  string
+	Quota float64 // requests a second over all proxies; 0 for no limit
+}
+
+// LoadReportMode says how servers report their load.
+type LoadReportMode uint8
+
+// The modes of load reports.
+const (
+	LoadReportNone LoadReportMode = iota
+	LoadReportInResponse
+	LoadReportByHealthCheck
+)
+
+// Limits are what a deployment permits.
+type Limits struct {
+	MaxAttempts       int
+	AllowHedging      bool // a request may have two attempts in flight at once
+	AllowCancel       bool
+	AllowHealthChecks bool
+	MaxRetryAfter     time.Duration // 0: rejected clients get no Retry-After
+}
+
+// Rules are the bounds that no decision may cross.
+type Rules struct {
+	ResponseGrace    time.Duration // how long after its deadline a final answer may still be given
+	MaxPollInterval  time.Duration // changes of a list that was not requested for this long count as known
+	DrainGrace       time.Duration // how long a draining server may still be sent to
+	SlowStartShare   float64       // capacity of a server that has just started, as a share of its full capacity
+	SlowStartWindow  time.Duration // time after which a started server has its full capacity
+	OverloadMultiple float64       // of its present capacity: a warming server that gets more collapses
+	OverloadWindow   time.Duration // over which OverloadMultiple is counted
+}
+
+// Costs are what a request's service is charged, as shares of its priority weight.
+type Costs struct {
+	OriginFetch float64 // a fetch from the origin
+	CrossZone   float64 // an attempt in another zone
+	Handshake   float64 // a connection that must be opened
+	HealthCheck float64
+}
+
+// Settings configure a Balancer for one proxy of a deployment.
+type Settings struct {
+	ProxyCount           int // proxies in this tier
+	ProxyIndex           int // index of this one
+	Zones                []string
+	Zone                 int // this proxy's zone, an index into Zones
+	MachineKinds         []string
+	Classes              []Class
+	Tenants              []Tenant
+	OverQuotaFactor      float64 // multiplies the priority weight of a request over its tenant's quota
+	EndpointsOnRequest   bool    // the endpoint list comes only after a Subscribe
+	RegisteredWeights    bool    // Endpoint.Weight is a registered size
+	CacheAside           bool    // the balancer forwards a miss to the origin
+	OriginKind           int     // machine kind of the origin with CacheAside, else -1
+	LoadReports          LoadReportMode
+	Limits               Limits
+	Rules                Rules
+	Costs                Costs
+	EventInterval        time.Duration // minimum time between two batches of events
+	ConnectionsPerServer float64       // connections that each server keeps for this proxy; 0 for no bound
+}
+
+// validate returns an error that names the setting that is invalid.
 func (s *Settings) validate() error {
 	switch {
 	case len(s.Classes) == 0:
 		return fmt.Errorf("settings: Classes is empty")
 	case s.Zone < 0 || len(s.Zones) > 0 && s.Zone >= len(s.Zones):
 		return fmt.Errorf("settings: Zone %d is out of range", s.Zone)
-	case s.Rules.SlowStartWindow < 0, s.Rules.DrainGrace < 0, s.Rules.ResponseGrace < 0, s.Rules.OverloadWindow < 0,
-		s.Rules.MaxPollInterval < 0:
+	case s.Rules.hasNegativeDuration():
 		return fmt.Errorf("settings: Rules has a negative duration")
 	case s.EventInterval < 0 || s.Limits.MaxRetryAfter < 0:
-		return fmt.Errorf("settings: Tick or Limits.MaxRetryAfter is negative")
+		return fmt.Errorf("settings: EventInterval or Limits.MaxRetryAfter is negative")
 	case s.Limits.MaxAttempts < 0:
 		return fmt.Errorf("settings: Limits.MaxAttempts is negative")
 	}
-	for i, c := range s.Classes {
-		switch {
-		case c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0:
-			return fmt.Errorf("settings: Classes[%d] has a negative duration", i)
-		case c.Deadline == 0:
-			return fmt.Errorf("settings: Classes[%d] has no deadline", i)
-		case c.Name != "" && slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name }):
-			return fmt.Errorf("settings: Classes[%d] is a second %q", i, c.Name)
-		}
+	if err := s.validateClasses(); err != nil {
+		return err
 	}
 	for i, t := range s.Tenants {
 		if slices.ContainsFunc(s.Tenants[:i], func(o Tenant) bool { return o.Name == t.Name }) {
@@ -42,51 +130,21 @@
 	return nil
 }
 
-// Reconfigure puts other settings into force for what arrives from now on. A
-// request that was taken before ends under those that it came with: its class,
-// its limits on attempts, its window. What has been learnt of servers stays; what
-// was learnt by class follows the class's name. It returns an error, and changes
-// nothing, where the settings cannot be meant or would change what the indices
-// of servers refer to ([ErrFixed]).
-func (b *Balancer) Reconfigure(set Settings) error {
-	if err := set.validate(); err != nil {
-		return err
-	}
-	old := b.settings
-	if !slices.Equal(set.Zones, old.Zones) || set.Zone != old.Zone || !slices.Equal(set.MachineKinds, old.MachineKinds) ||
-		set.EndpointsOnRequest != old.EndpointsOnRequest || set.CacheAside != old.CacheAside || set.OriginKind != old.OriginKind || set.LoadReports != old.LoadReports {
-		return ErrImmutableSetting
-	}
-	// The last place is for classes that are gone while requests of them are open.
-	last := len(set.Classes)
-	from := slices.Repeat([]int{-1}, last+1) // by new place
-	to := slices.Repeat([]int{last}, len(b.failureRates))
-	for i := range set.Classes {
-		from[i] = slices.IndexFunc(old.Classes, func(c Class) bool { return c.Name == set.Classes[i].Name })
-		if from[i] >= 0 {
-			to[from[i]] = i
+func (s *Settings) validateClasses() error {
+	for i, c := range s.Classes {
+		isSame := func(o Class) bool { return o.Name == c.Name }
+		switch {
+		case c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0:
+			return fmt.Errorf("settings: Classes[%d] has a negative duration", i)
+		case c.Deadline == 0:
+			return fmt.Errorf("settings: Classes[%d] has no deadline", i)
+		case c.Name != "" && slices.ContainsFunc(s.Classes[:i], isSame):
+			return fmt.Errorf("settings: Classes[%d] is a second %q", i, c.Name)
 		}
 	}
-	b.failureRates, b.healthyFailureRates = reorderByClass(b.failureRates, from), reorderByClass(b.healthyFailureRates, from)
-	for _, s := range b.servers {
-		s.suspicions = reorderByClass(s.suspicions, from)
-	}
-	for _, r := range b.requests {
-		r.Class = to[r.Class]
-	}
-	b.settings = &set
-	b.zonalHomes = b.prefersZonalHomes()
 	return nil
 }
 
-// reorderByClass returns what is known by class in the order of other classes: from has the old
-// place of each, -1 for a new one.
-func reorderByClass[T any](in []T, from []int) []T {
-	out := make([]T, len(from))
-	for i, f := range from {
-		if f >= 0 {
-			out[i] = in[f]
-		}
-	}
-	return out
+func (r *Rules) hasNegativeDuration() bool {
+	return min(r.SlowStartWindow, r.DrainGrace, r.ResponseGrace, r.OverloadWindow, r.MaxPollInterval) < 0
 }
