--- a/policy/admission.go
+++ b/policy/admission.go
@@ -65,24 +65,26 @@
 	return max(0, 5*(g.inTime+prior)/(g.completed+prior)-4)
 }
 
-// admissionPath is the state of load shedding for requests of one kind. Those whose key the chosen server is expected
-// to hold and those that have to be fetched are kept apart: a slow origin must not shut the gate of what caches hold.
+// servingPath says how a request is expected to be served.
+type servingPath uint8
+
+const (
+	fetchPath servingPath = iota // by a fetch from the origin, or by a server for a request without a key
+	hitPath                      // from a cache: the chosen server's filter names the key
+	pathCount
+)
+
+// admissionPath is the state of load shedding on one path. The paths are kept apart: a slow origin must not shut the
+// gate of what caches hold.
 type admissionPath struct {
 	gate    admissionGate
 	weights weightHistogram
 }
 
-func (b *Balancer) path(expectedHit bool) *admissionPath {
-	if expectedHit {
-		return &b.hitPath
-	}
-	return &b.fetchPath
-}
-
 // AdmissionShares returns the shares of requests that are admitted now: of those whose key the chosen server is
 // expected to hold, and of the others.
 func (b *Balancer) AdmissionShares() (hits, fetches float64) {
-	return b.hitPath.gate.admitShare(admissionPrior), b.fetchPath.gate.admitShare(admissionPrior)
+	return b.paths[hitPath].gate.admitShare(admissionPrior), b.paths[fetchPath].gate.admitShare(admissionPrior)
 }
 
 // isShedding reports whether either gate rejects requests.
@@ -94,10 +96,10 @@
 // passesGate reports whether a request passes the gates of its path and server. Requests of the highest weight pass;
 // among those of the weight at the edge chance decides, and the minimum share passes by chance alone, so that a wrong
 // weight shuts out nobody completely.
-func (b *Balancer) passesGate(r *request, s *server, expectedHit bool) bool {
-	path := b.path(expectedHit)
-	share := min(path.gate.admitShare(admissionPrior), s.gate.admitShare(serverAdmissionPrior))
-	smaller, similar, all := path.weights.observe(b.requestWeight(r))
+func (b *Balancer) passesGate(r *request, s *server, path servingPath) bool {
+	admission := &b.paths[path]
+	share := min(admission.gate.admitShare(admissionPrior), s.gate.admitShare(serverAdmissionPrior))
+	smaller, similar, all := admission.weights.observe(b.requestWeight(r))
 	if share >= 1 || b.rng.Float64() < minAdmitShare {
 		return true
 	}
@@ -108,16 +110,11 @@
 }
 
 // shed rejects a request at the gates.
-func (b *Balancer) shed(r *request, s *server, expectedHit, unattainable bool) {
+func (b *Balancer) shed(r *request, s *server, path servingPath, reason Reason) {
 	b.counters.Rejected++
-	reason := ReasonAdmission
-	if unattainable {
-		b.counters.DeadlineRejections++
-		reason = ReasonUnattainable
-	}
 	// What is shed counts as offered: sends then settle at admissionSlack times what completes in time.
 	s.gate.observe(b.now, gateSample{offered: 1})
-	b.path(expectedHit).gate.observe(b.now, gateSample{offered: 1})
+	b.paths[path].gate.observe(b.now, gateSample{offered: 1})
 	b.endUnserved(r, reason)
 }
 
@@ -155,6 +152,11 @@
 	return smaller, h[bucket], all + 1
 }
 
+// passesLevel reports whether the degradation level admits a request that is a likely cache miss.
+func (b *Balancer) passesLevel(r *request) bool {
+	return r.class.Idempotency == IdempotentWithKey || b.rng.Float64() <= b.fetchAdmitShare()
+}
+
 // fetchAdmitShare is the share of likely cache misses that the degradation level admits. They and handovers meet at the
 // origin, and a queue there makes both late: from LevelHandovers on only as many reads fetch as leave nearly all
 // handovers in time. Handovers that are late for another reason than the origin reduce it as well.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -24,7 +24,7 @@
 
 // pathGates returns the gates of a balancer's paths by whether they expect a hit.
 func pathGates(b *Balancer) map[bool]*admissionGate {
-	return map[bool]*admissionGate{true: &b.hitPath.gate, false: &b.fetchPath.gate}
+	return map[bool]*admissionGate{true: &b.paths[hitPath].gate, false: &b.paths[fetchPath].gate}
 }
 
 // shut sets the gates to an open share as if many had been asked.
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -38,15 +38,14 @@
 	processingTimeByKind []float64
 
 	// Load shedding: admission.go, quota.go, retry.go.
-	hitPath      admissionPath // of requests whose key the chosen server is expected to hold
-	fetchPath    admissionPath // of the others
+	paths        [pathCount]admissionPath
 	handoverGate admissionGate // of keyed requests, at all servers
 	quotas       []tokenBucket // by tenant
 	retryTokens  float64
 
 	// Outlier detection: outlier.go.
 	failureRates        []outlier.FailureRate // of all servers, by class
-	healthyFailureRates []outlier.FailureRate // by class, of successes and of failures followed by one at the same server
+	healthyFailureRates []outlier.FailureRate // by class, of successes and of failures that one followed at the server
 	zoneSuspicions      []outlier.Suspicion   // that a zone cannot be reached
 	connectionFailures  outlier.FailureRate   // of attempts at all servers, failed where their connection ended
 }
@@ -63,7 +62,7 @@
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	return &Balancer{
+	b := &Balancer{
 		settings:               &settings,
 		rng:                    rand.New(rand.NewPCG(seed, 1)),
 		requests:               make(map[uint64]*request),
@@ -74,14 +73,16 @@
 		processingTime:         initialProcessingTime,
 		minLatency:             initialMinLatency,
 		processingTimeByKind:   slices.Repeat([]float64{initialProcessingTime}, len(settings.MachineKinds)),
-		hitPath:                admissionPath{gate: admissionGate{minRetention: admissionMinRetention}},
-		fetchPath:              admissionPath{gate: admissionGate{minRetention: admissionMinRetention}},
 		handoverGate:           admissionGate{minRetention: admissionMinRetention},
 		retryTokens:            maxRetryTokens,
 		failureRates:           make([]outlier.FailureRate, len(settings.Classes)),
 		healthyFailureRates:    make([]outlier.FailureRate, len(settings.Classes)),
 		zoneSuspicions:         make([]outlier.Suspicion, len(settings.Zones)),
-	}, nil
+	}
+	for i := range b.paths {
+		b.paths[i].gate.minRetention = admissionMinRetention
+	}
+	return b, nil
 }
 
 // Handle takes one event at time now and appends the resulting actions to actions.
--- a/policy/counters.go
+++ b/policy/counters.go
@@ -64,11 +64,11 @@
 
 // countFetch counts an attempt that had to ask the origin, as far as its outcome shows that.
 func (b *Balancer) countFetch(r *request, a *attempt, e Outcome) {
-	if r.Key == "" || a.expectedHit {
+	if r.Key == "" || a.path == hitPath {
 		return
 	}
 	switch {
-	case e.CacheStatus == CacheMiss, e.CacheStatus == CacheMissCoalesced, r.Write && e.Result == Served:
+	case e.isMiss(), r.Write && e.Result == Served:
 		b.counters.Fetches++
 	case e.Result == Errored, e.Result == TimedOut:
 		b.counters.Fetches++
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -74,16 +74,15 @@
 // updateLatencies updates the estimates of a server, its kind of machine and the fleet from a measured latency.
 func (b *Balancer) updateLatencies(s *server, a *attempt, r *request, e Outcome) {
 	latency := e.Took.Seconds()
-	if a.expectedHit && e.CacheStatus != CacheUnknown {
+	if a.path == hitPath && e.CacheStatus != CacheUnknown {
 		hit := 0.0
 		if e.CacheStatus == CacheHit {
 			hit = 1
 		}
 		s.promisedHitRate += (hit - s.promisedHitRate) * loadSampleWeight
 	}
-	miss := e.CacheStatus == CacheMiss || e.CacheStatus == CacheMissCoalesced
-	if miss || r.Write {
-		b.updateMissPenalty(s, r, latency, miss)
+	if e.isMiss() || r.Write {
+		b.updateMissPenalty(s, r, e)
 		return
 	}
 	if s.lastSample == 0 {
@@ -104,17 +103,22 @@
 	s.samples++
 }
 
+// isMiss reports whether an answer had to be fetched from the origin.
+func (e *Outcome) isMiss() bool {
+	return e.CacheStatus == CacheMiss || e.CacheStatus == CacheMissCoalesced
+}
+
 // updateMissPenalty learns what the origin adds to a miss; a write is counted but not learnt from.
-func (b *Balancer) updateMissPenalty(s *server, r *request, latency float64, miss bool) {
+func (b *Balancer) updateMissPenalty(s *server, r *request, e Outcome) {
 	if s.lastSample == 0 {
 		return
 	}
-	added := max(latency-s.minLatency-s.processingTime, 0)
+	added := max(e.Took.Seconds()-s.minLatency-s.processingTime, 0)
 	if r.class.LatencyObjective > 0 {
 		b.counters.TimedFetches++
 		b.counters.FetchTimeSum += added / r.class.LatencyObjective.Seconds()
 	}
-	if miss {
+	if e.isMiss() {
 		b.missPenalty += (added - b.missPenalty) * loadSampleWeight
 		risen := b.baselineMissPenalty + (b.missPenalty-b.baselineMissPenalty)*baselineSampleWeight
 		b.baselineMissPenalty = min(risen, b.missPenalty)
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -410,7 +410,7 @@
 		if again := len(sent(out)) > 0; again != c.spare {
 			t.Errorf("suspicion %.1f: tried again %v", c.above, again)
 		}
-		if ended := b.fetchPath.gate.completed + b.hitPath.gate.completed; ended > 0 == c.spare {
+		if ended := b.paths[fetchPath].gate.completed + b.paths[hitPath].gate.completed; ended > 0 == c.spare {
 			t.Errorf("suspicion %.1f: %.2f ends counted at the gates", c.above, ended)
 		}
 	}
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -17,10 +17,10 @@
 
 // overdueTimes returns until when an attempt that is sent now should have been answered: hedgeAt, after which a hedged
 // request may be sent, and slowAt, after which the server counts as slow even if it answers others.
-func (b *Balancer) overdueTimes(r *request, s *server, expectedHit bool) (hedgeAt, slowAt time.Duration) {
+func (b *Balancer) overdueTimes(r *request, s *server, path servingPath) (hedgeAt, slowAt time.Duration) {
 	expected, objective := b.expectedHitTime(s), r.class.LatencyObjective.Seconds()
 	slow := slowHitMultiple * expected
-	if !expectedHit { // fetches scatter little compared with queues
+	if path == fetchPath { // fetches scatter little compared with queues
 		expected += b.missPenalty
 		slow += b.missPenalty
 	}
@@ -50,9 +50,9 @@
 	if !isOnlyAttempt || b.level >= LevelEconomy || b.retryTokens < 1 || b.isShedding() {
 		return
 	}
-	if s, expectedHit := b.chooseServer(r); expectedHit && !wasTried(r, s) {
+	if s, path := b.chooseServer(r); path == hitPath && !wasTried(r, s) {
 		b.retryTokens--
-		b.send(r, s, expectedHit, ReasonHedge)
+		b.send(r, s, path, ReasonHedge)
 	}
 }
 
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -37,16 +37,7 @@
 	}
 	b.countFetch(r, a, e)
 	effect := b.applyResult(r, a, e)
-	if e.Result != Cancelled && e.Result != ConnectionLimitReached {
-		b.connectionFailures.Observe(b.now, 1, effect.connectionFailed)
-	}
-	if e.Result != ConnectionLimitReached && (e.Result != Cancelled || effect.failed > 0) {
-		sample := healthSample{failed: effect.failed}
-		if e.Result == ConnectFailed || e.Result == TimedOut || e.Result == Cancelled {
-			sample.unreached = effect.failed
-		}
-		b.recordHealth(s, a, r.Class, sample)
-	}
+	b.learnHealth(r, a, e.Result, effect)
 	if b.saysNothingOfLoad(r, s, e, effect) {
 		b.observeGates(a, gateSample{offered: -1, inTime: effect.inTime})
 	} else {
@@ -54,10 +45,27 @@
 	}
 }
 
+// learnHealth counts an outcome for the health of its server and for the connections of all.
+func (b *Balancer) learnHealth(r *request, a *attempt, result Result, effect outcomeEffect) {
+	if result == ConnectionLimitReached {
+		return
+	}
+	if result != Cancelled {
+		b.connectionFailures.Observe(b.now, 1, effect.connectionFailed)
+	} else if effect.failed == 0 {
+		return
+	}
+	sample := healthSample{failed: effect.failed}
+	if result == ConnectFailed || result == TimedOut || result == Cancelled {
+		sample.unreached = effect.failed
+	}
+	b.recordHealth(a.server, a, r.Class, sample)
+}
+
 // observeGates counts a sample at the gates of an attempt's server and path.
 func (b *Balancer) observeGates(a *attempt, sample gateSample) {
 	a.server.gate.observe(b.now, sample)
-	b.path(a.expectedHit).gate.observe(b.now, sample)
+	b.paths[a.path].gate.observe(b.now, sample)
 }
 
 // applyResult updates what depends on the kind of result.
@@ -102,8 +110,8 @@
 	if b.now-r.arrivedAt <= r.class.LatencyObjective {
 		return true
 	}
-	return b.level == LevelLate && r.cacheable && !a.expectedHit &&
-		b.hitPath.gate.admitShare(admissionPrior) == 1
+	return b.level == LevelLate && r.cacheable && a.path == fetchPath &&
+		b.paths[hitPath].gate.admitShare(admissionPrior) == 1
 }
 
 // countBrokenConnection ejects a server for a while if its connections break more often than by chance. The end of one
--- a/policy/pause.go
+++ b/policy/pause.go
@@ -22,8 +22,9 @@
 		s.abandonedAt += pause
 		s.lastResponse += pause
 	}
-	b.hitPath.gate.updated += pause
-	b.fetchPath.gate.updated += pause
+	for i := range b.paths {
+		b.paths[i].gate.updated += pause
+	}
 	b.handoverGate.updated += pause
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -448,7 +448,7 @@
 	s := b.servers["a"]
 	s.lastSample, s.minLatency, s.processingTime = now, 0.01, 0.04
 	before := b.expectedHitTime(s)
-	a := attempt{server: s, sentAt: now, expectedHit: true}
+	a := attempt{server: s, sentAt: now, path: hitPath}
 	r := &request{class: &b.settings.Classes[0], arrivedAt: now}
 	const wait = 100 * time.Millisecond
 	b.now += wait
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -7,29 +7,35 @@
 
 // choice is the best server for a request among those considered so far.
 type choice struct {
-	server      *server
-	expectedHit bool
-	cost        float64 // expected response time with costs, in seconds
+	server *server
+	path   servingPath
+	cost   float64 // expected response time with costs, in seconds
 }
 
-// chooseServer returns the server with the lowest expected response time for a request, and whether its filter names
-// the request's key. Ejection must not empty the choice: if all servers are ejected or tried, these are considered
-// as well.
-func (b *Balancer) chooseServer(r *request) (s *server, expectedHit bool) {
-	for _, lastResort := range [...]bool{false, true} {
-		if best := b.bestServer(r, lastResort); best.server != nil {
-			return best.server, best.expectedHit
-		}
+// candidates says which servers may be chosen.
+type candidates uint8
+
+const (
+	preferredCandidates candidates = iota // neither ejected nor tried before
+	allCandidates
+)
+
+// chooseServer returns the server with the lowest expected response time for a request, and the path on which it would
+// be served. Ejection must not empty the choice: if all servers are ejected or tried, these are considered as well.
+func (b *Balancer) chooseServer(r *request) (*server, servingPath) {
+	best := b.bestServer(r, preferredCandidates)
+	if best.server == nil {
+		best = b.bestServer(r, allCandidates)
 	}
-	return nil, false
+	return best.server, best.path
 }
 
-func (b *Balancer) bestServer(r *request, lastResort bool) choice {
+func (b *Balancer) bestServer(r *request, from candidates) choice {
 	best := choice{cost: math.Inf(1)}
 	var homes homeServers
 	keyIsCached := false
 	for _, s := range b.serving {
-		if !b.isCandidate(r, s, lastResort) {
+		if !b.isCandidate(r, s, from) {
 			continue
 		}
 		if r.cacheable && s.filter.Contains(&r.filterPositions) {
@@ -55,10 +61,9 @@
 	return best
 }
 
-// isCandidate reports whether a server may be chosen for a request; as a last resort also one that is ejected or was
-// tried before.
-func (b *Balancer) isCandidate(r *request, s *server, lastResort bool) bool {
-	if !lastResort && (s.backoffUntil > b.now || wasTried(r, s)) {
+// isCandidate reports whether a server may be chosen for a request.
+func (b *Balancer) isCandidate(r *request, s *server, from candidates) bool {
+	if from == preferredCandidates && (s.backoffUntil > b.now || wasTried(r, s)) {
 		return false
 	}
 	if b.capacityShare(s) < 1 && s.slowStartTokens < 1 {
@@ -83,7 +88,10 @@
 	}
 	if cost < best.cost {
 		best.server, best.cost = s, cost
-		best.expectedHit = r.cacheable && missProbability < 1 && s.filter.Contains(&r.filterPositions)
+		best.path = fetchPath
+		if r.cacheable && missProbability < 1 && s.filter.Contains(&r.filterPositions) {
+			best.path = hitPath
+		}
 	}
 }
 
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -26,7 +26,8 @@
 	oldIndexes := slices.Repeat([]int{-1}, goneClass+1) // by new index
 	newIndexes := slices.Repeat([]int{goneClass}, len(b.failureRates))
 	for i := range next.Classes {
-		oldIndexes[i] = slices.IndexFunc(b.settings.Classes, func(c Class) bool { return c.Name == next.Classes[i].Name })
+		hasSameName := func(c Class) bool { return c.Name == next.Classes[i].Name }
+		oldIndexes[i] = slices.IndexFunc(b.settings.Classes, hasSameName)
 		if oldIndexes[i] >= 0 {
 			newIndexes[oldIndexes[i]] = i
 		}
--- a/policy/request.go
+++ b/policy/request.go
@@ -12,7 +12,7 @@
 	sentAt         time.Duration
 	done           bool
 	mayHaveRun     bool
-	expectedHit    bool          // the server's filter named the key
+	path           servingPath   // on which it was admitted
 	hedgeAt        time.Duration // without an answer until then, a hedged request may be sent
 	slowAt         time.Duration // without an answer until then, its server is slow even if it answers others
 	healthRecorded bool          // it has counted for its server's health
@@ -60,23 +60,28 @@
 
 // admitAndSend sends a request to the server with the lowest expected response time, unless it is rejected.
 func (b *Balancer) admitAndSend(r *request) {
-	s, expectedHit := b.chooseServer(r)
+	s, path := b.chooseServer(r)
 	if s == nil {
 		b.handleNoServer(r)
 		return
 	}
 	b.counters.Offered++
-	if !expectedHit && r.class.Idempotency != IdempotentWithKey && b.mayReject(r) &&
-		b.rng.Float64() > b.fetchAdmitShare() {
-		b.endUnserved(r, ReasonDegraded)
-		return
-	}
-	unattainable := b.isUnattainable(r, s)
-	if b.mayReject(r) && (unattainable || !b.passesGate(r, s, expectedHit)) {
-		b.shed(r, s, expectedHit, unattainable)
-		return
+	if b.mayReject(r) {
+		if path == fetchPath && !b.passesLevel(r) {
+			b.endUnserved(r, ReasonDegraded)
+			return
+		}
+		if b.isUnattainable(r, s) {
+			b.counters.DeadlineRejections++
+			b.shed(r, s, path, ReasonUnattainable)
+			return
+		}
+		if !b.passesGate(r, s, path) {
+			b.shed(r, s, path, ReasonAdmission)
+			return
+		}
 	}
-	b.send(r, s, expectedHit, ReasonFirst)
+	b.send(r, s, path, ReasonFirst)
 	hedgeAt := r.attempts[len(r.attempts)-1].hedgeAt
 	if r.settings.Limits.AllowHedging && r.class.Idempotency == Idempotent && hedgeAt < r.Deadline {
 		b.setTimer(timerHedge, r.ID, hedgeAt-b.now)
@@ -101,18 +106,18 @@
 	b.setTimer(timerWaitForServer, r.ID, serverWaitInterval)
 }
 
-func (b *Balancer) send(r *request, s *server, expectedHit bool, reason Reason) {
-	hedgeAt, slowAt := b.overdueTimes(r, s, expectedHit)
+func (b *Balancer) send(r *request, s *server, path servingPath, reason Reason) {
+	hedgeAt, slowAt := b.overdueTimes(r, s, path)
 	r.attempts = append(r.attempts, attempt{
-		server:      s,
-		sentAt:      b.now,
-		mayHaveRun:  true,
-		expectedHit: expectedHit,
-		hedgeAt:     hedgeAt,
-		slowAt:      slowAt,
+		server:     s,
+		sentAt:     b.now,
+		mayHaveRun: true,
+		path:       path,
+		hedgeAt:    hedgeAt,
+		slowAt:     slowAt,
 	})
 	s.gate.observe(b.now, gateSample{offered: 1})
-	b.path(expectedHit).gate.observe(b.now, gateSample{offered: 1})
+	b.paths[path].gate.observe(b.now, gateSample{offered: 1})
 	r.openAttempts++
 	s.inFlight++
 	s.lastSend = b.now
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -14,8 +14,8 @@
 	originFailed := b.originFailed(r, e)
 	hasTime := b.now < r.Deadline-4*r.settings.EventInterval
 	if hasTime && !originFailed && b.payForRetry(r, e.Result) {
-		if s, expectedHit := b.chooseServer(r); s != nil {
-			b.send(r, s, expectedHit, ReasonRetry)
+		if s, path := b.chooseServer(r); s != nil {
+			b.send(r, s, path, ReasonRetry)
 			return
 		}
 	}
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -84,11 +84,11 @@
 	at(b, now, LevelLate)
 	for _, promised := range []float64{1, 0.5} {
 		shut(b, now, 1000)
-		b.hitPath.gate = admissionGate{offered: 1e6, completed: 1e6, inTime: promised * 1e6, updated: now, minRetention: 1}
-		b.fetchPath.gate = admissionGate{updated: now, minRetention: 1}
+		b.paths[hitPath].gate = admissionGate{offered: 1e6, completed: 1e6, inTime: promised * 1e6, updated: now, minRetention: 1}
+		b.paths[fetchPath].gate = admissionGate{updated: now, minRetention: 1}
 		out := b.Handle(now, Arrival{ID: uint64(10 * promised), Tenant: 1, Key: fmt.Sprint(promised), Deadline: now + 2*time.Second}, nil)
 		b.Handle(now+1300*time.Millisecond, Outcome{ID: uint64(10 * promised), Server: sent(out)[0], Result: Served, Took: 1300 * time.Millisecond, CacheStatus: CacheMiss, Final: true}, nil)
-		if got, want := b.fetchPath.gate.inTime, map[bool]float64{true: 1}[promised == 1]; got != want {
+		if got, want := b.paths[fetchPath].gate.inTime, map[bool]float64{true: 1}[promised == 1]; got != want {
 			t.Errorf("with %.1f of promised reads in time a late fetch counts %v, want %v", promised, got, want)
 		}
 	}
--- a/policy/stood_test.go
+++ b/policy/stood_test.go
@@ -39,7 +39,7 @@
 				now += 20 * time.Millisecond
 				answer(id, Served)
 			}
-			work, before := b.processingTime, b.hitPath.gate.offered
+			work, before := b.processingTime, b.paths[hitPath].gate.offered
 			for range 20 { // out when the stop begins
 				ask()
 			}
@@ -56,12 +56,12 @@
 				}
 			}
 			b.now = now
-			hurt := b.processingTime > 1.05*work || b.hitPath.gate.admitShare(admissionPrior) < 1
+			hurt := b.processingTime > 1.05*work || b.paths[hitPath].gate.admitShare(admissionPrior) < 1
 			for _, s := range b.serving {
 				hurt = hurt || s.consecutiveFailures > 0 || b.faultProbability(s, 0) > singleFailureProbability || s.backoffUntil > now
 			}
-			if faded := b.hitPath.gate.offered < before; told && (hurt || faded) {
-				t.Errorf("hurt %v, gate faded %v: work %v to %v, gate %v of %v asked", hurt, faded, work, b.processingTime, b.hitPath.gate.offered, before)
+			if faded := b.paths[hitPath].gate.offered < before; told && (hurt || faded) {
+				t.Errorf("hurt %v, gate faded %v: work %v to %v, gate %v of %v asked", hurt, faded, work, b.processingTime, b.paths[hitPath].gate.offered, before)
 			} else if !told && !hurt {
 				t.Error("nothing was hurt without being told: the test shows nothing")
 			}
