--- a/internal/binary/binary.go
+++ b/internal/binary/binary.go
@@ -115,38 +115,38 @@
 	Local                       // answered by the proxy itself
 )
 
-// form is what a command's header must look like.
-type form struct {
-	fate       Handling
+// commandForm is what a command's header must look like.
+type commandForm struct {
+	handling   Handling
 	quiet      bool // a success (of a get: a miss) is not told
 	extras     int
 	optional   bool // extras may be left out
 	key, value bool // it has one
-	either     bool // it may have either, or not
+	freeForm   bool // it may have either, or not
 }
 
-var forms = map[Opcode]form{
-	Get:  {fate: Forwarded, key: true},
-	GetQ: {fate: Forwarded, key: true, quiet: true}, GetK: {fate: Forwarded, key: true}, GetKQ: {fate: Forwarded, key: true, quiet: true},
-	Set: {fate: Forwarded, extras: 8, key: true, value: true}, SetQ: {fate: Forwarded, extras: 8, key: true, value: true, quiet: true},
-	Noop: {fate: Local}, Version: {fate: Local}, Quit: {fate: Local}, QuitQ: {fate: Local, quiet: true}, Stat: {fate: Local, either: true},
-	SASLList: {fate: Local}, SASLAuth: {fate: Local, key: true, value: true}, SASLStep: {fate: Local, key: true, value: true},
-	Add: {fate: Unsupported, extras: 8, key: true, value: true}, AddQ: {fate: Unsupported, extras: 8, key: true, value: true, quiet: true},
-	Replace: {fate: Unsupported, extras: 8, key: true, value: true}, ReplaceQ: {fate: Unsupported, extras: 8, key: true, value: true, quiet: true},
-	Delete: {fate: Unsupported, key: true}, DeleteQ: {fate: Unsupported, key: true, quiet: true},
-	Increment: {fate: Unsupported, extras: 20, key: true}, IncrementQ: {fate: Unsupported, extras: 20, key: true, quiet: true},
-	Decrement: {fate: Unsupported, extras: 20, key: true}, DecrementQ: {fate: Unsupported, extras: 20, key: true, quiet: true},
-	Append: {fate: Unsupported, key: true, value: true}, AppendQ: {fate: Unsupported, key: true, value: true, quiet: true},
-	Prepend: {fate: Unsupported, key: true, value: true}, PrependQ: {fate: Unsupported, key: true, value: true, quiet: true},
-	Flush: {fate: Unsupported, extras: 4, optional: true}, FlushQ: {fate: Unsupported, extras: 4, optional: true, quiet: true},
-	Touch: {fate: Unsupported, extras: 4, key: true}, GAT: {fate: Unsupported, extras: 4, key: true}, GATQ: {fate: Unsupported, extras: 4, key: true, quiet: true},
+var commandForms = map[Opcode]commandForm{
+	Get:  {handling: Forwarded, key: true},
+	GetQ: {handling: Forwarded, key: true, quiet: true}, GetK: {handling: Forwarded, key: true}, GetKQ: {handling: Forwarded, key: true, quiet: true},
+	Set: {handling: Forwarded, extras: 8, key: true, value: true}, SetQ: {handling: Forwarded, extras: 8, key: true, value: true, quiet: true},
+	Noop: {handling: Local}, Version: {handling: Local}, Quit: {handling: Local}, QuitQ: {handling: Local, quiet: true}, Stat: {handling: Local, freeForm: true},
+	SASLList: {handling: Local}, SASLAuth: {handling: Local, key: true, value: true}, SASLStep: {handling: Local, key: true, value: true},
+	Add: {handling: Unsupported, extras: 8, key: true, value: true}, AddQ: {handling: Unsupported, extras: 8, key: true, value: true, quiet: true},
+	Replace: {handling: Unsupported, extras: 8, key: true, value: true}, ReplaceQ: {handling: Unsupported, extras: 8, key: true, value: true, quiet: true},
+	Delete: {handling: Unsupported, key: true}, DeleteQ: {handling: Unsupported, key: true, quiet: true},
+	Increment: {handling: Unsupported, extras: 20, key: true}, IncrementQ: {handling: Unsupported, extras: 20, key: true, quiet: true},
+	Decrement: {handling: Unsupported, extras: 20, key: true}, DecrementQ: {handling: Unsupported, extras: 20, key: true, quiet: true},
+	Append: {handling: Unsupported, key: true, value: true}, AppendQ: {handling: Unsupported, key: true, value: true, quiet: true},
+	Prepend: {handling: Unsupported, key: true, value: true}, PrependQ: {handling: Unsupported, key: true, value: true, quiet: true},
+	Flush: {handling: Unsupported, extras: 4, optional: true}, FlushQ: {handling: Unsupported, extras: 4, optional: true, quiet: true},
+	Touch: {handling: Unsupported, extras: 4, key: true}, GAT: {handling: Unsupported, extras: 4, key: true}, GATQ: {handling: Unsupported, extras: 4, key: true, quiet: true},
 }
 
 // Handling returns what becomes of a command.
-func (o Opcode) Handling() Handling { return forms[o].fate }
+func (o Opcode) Handling() Handling { return commandForms[o].handling }
 
 // Quiet tells whether a command's success is left unsaid.
-func (o Opcode) Quiet() bool { return forms[o].quiet }
+func (o Opcode) Quiet() bool { return commandForms[o].quiet }
 
 // ReturnsKey tells whether the answer to a get holds its key.
 func (o Opcode) ReturnsKey() bool { return o == GetK || o == GetKQ }
@@ -191,7 +191,7 @@
 // Validate tells whether a request can be what its opcode stands for: OK, or the status of
 // its answer. Its body is then to be skipped.
 func (h *Header) Validate() Status {
-	f, known := forms[h.Opcode]
+	f, known := commandForms[h.Opcode]
 	switch {
 	case !known:
 		return UnknownCommand
@@ -199,11 +199,11 @@
 		return TooLarge
 	case h.DataType != 0, h.KeyLen > MaxKey, h.ExtrasLen != f.extras && (!f.optional || h.ExtrasLen != 0):
 		return InvalidArguments
-	case f.either:
+	case f.freeForm:
 	case (h.KeyLen > 0) != f.key, h.ValueLen() > 0 && !f.value:
 		return InvalidArguments
 	}
-	if f.fate == Unsupported {
+	if f.handling == Unsupported {
 		return NotSupported
 	}
 	return OK
--- a/internal/binary/node.go
+++ b/internal/binary/node.go
@@ -16,8 +16,8 @@
 // request's serial, and a node can't know that nobody waits any more.
 type NodeDialect struct{}
 
-// maxText is the longest text of an answer that is no value.
-const maxText = 2048
+// maxTextLen is the longest text of an answer that is no value.
+const maxTextLen = 2048
 
 // ErrMalformedAnswer is the error of what is no answer, or not that of the request.
 var ErrMalformedAnswer = errors.New("binary: malformed answer")
@@ -76,7 +76,7 @@
 		a.Flags = uint32(extras[0])<<24 | uint32(extras[1])<<16 | uint32(extras[2])<<8 | uint32(extras[3])
 		_, err := io.ReadFull(in, a.AllocateValue(r.HeaderRoom, h.ValueLen()))
 		return a, err
-	case h.BodyLen > maxText:
+	case h.BodyLen > maxTextLen:
 		return a, fmt.Errorf("%w: a text of %d bytes", ErrMalformedAnswer, h.BodyLen)
 	}
 	if a.Kind = request.Failed; h.Status == Busy {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -55,95 +55,95 @@
 // their types.
 type NodeSelector struct{ Names, Types []string }
 
-// has tells whether a node is one of them.
-func (s *NodeSelector) has(n *membership.Node) bool {
+// matches tells whether a node is one of them.
+func (s *NodeSelector) matches(n *membership.Node) bool {
 	return slices.Contains(s.Names, n.Name) || slices.Contains(s.Types, n.Type)
 }
 
 // InFlightRequest is a client's request that the core holds. It is guarded by Core.mu.
 type InFlightRequest struct {
-	id       uint64
-	taken    time.Duration // when it was
-	request  *request.Request
-	deadline time.Duration
-	expires  time.Time // the same
-	reply    Reply
-	attempts []*attempt
-	open     int  // attempts that have not ended
-	over     bool // answered, or its client has left
-	stage    stage
-	leave    time.Duration // with stage given: nothing of it goes out from then on
+	id           uint64
+	acceptedAt   time.Duration // when it was
+	request      *request.Request
+	deadline     time.Duration
+	expiresAt    time.Time // the same
+	reply        Reply
+	attempts     []*attempt
+	openAttempts int  // attempts that have not ended
+	finished     bool // answered, or its client has left
+	claim        claimState
+	sendBefore   time.Duration // with stage given: nothing of it goes out from then on
 }
 
 type attempt struct {
 	upstream.Attempt
-	client DisconnectChecker // nil where nobody can tell whether it has gone
-	begun  bool              // its first byte may have been written
-	server string
-	sent   time.Duration
-	ended  bool
-	parked bool // held until the proxy is awake
+	client       DisconnectChecker // nil where nobody can tell whether it has gone
+	started      bool              // its first byte may have been written
+	nodeName     string
+	dispatchedAt time.Duration
+	ended        bool
+	deferred     bool // held until the proxy is awake
 }
 
 // Core holds the decision module and carries out what it decides. All events
 // reach the module through it, one at a time; its lock is never held during I/O.
 type Core struct {
-	askList bool
-	infer   bool
-	zones   []string // what the list's names are the indices of
-	kinds   []string
-	binary  NodeSelector
-	log     *slog.Logger
-	record  *eventlog.Recorder
-	nodes   *upstream.Pool
-	start   time.Time
-	known   chan struct{} // closed once a list has come
-
-	mu        sync.Mutex
-	rules     *rules
-	heard     bool             // known is closed
-	registry  discovery.Source // without infer
-	settled   discovery.Source // the one that has told something last
-	places    []discovery.SourceConfig
-	members   *membership.Reconciler
-	news      []membership.Action // room for them
-	balancer  *policy.Balancer
-	actions   []policy.Action
-	events    []policy.Event // that carrying out actions has brought
-	handling  bool
-	requests  map[uint64]*InFlightRequest
-	open      map[string]struct{} // the clients' ids of requests
-	last      uint64              // request's number
-	version   uint64              // of the list
-	timers    timers
-	wake      chan struct{}
-	subscribe chan struct{}
-	moved     chan struct{}
-	fetch     chan struct{}
-	levels    levels
-	look      chan string     // names of sources
-	failed    map[string]bool // nodes whose connections failed last
-	counting  bool
-	counts    counts
-	still     stillness
-	desk      TakeoverCoordinator // nil where works are this proxy's alone
+	pollLists      bool
+	reconcileLists bool
+	zones          []string // what the list's names are the indices of
+	kinds          []string
+	binaryNodes    NodeSelector
+	log            *slog.Logger
+	recorder       *eventlog.Recorder
+	pool           *upstream.Pool
+	startedAt      time.Time
+	listReceived   chan struct{} // closed once a list has come
+
+	mu                 sync.Mutex
+	rules              *rules
+	hasList            bool             // known is closed
+	listSource         discovery.Source // without infer
+	confirmedSource    discovery.Source // the one that has told something last
+	listSources        []discovery.SourceConfig
+	reconciler         *membership.Reconciler
+	membershipActions  []membership.Action // room for them
+	balancer           *policy.Balancer
+	actions            []policy.Action
+	pendingEvents      []policy.Event // that carrying out actions has brought
+	handling           bool
+	requests           map[uint64]*InFlightRequest
+	requestIDs         map[string]struct{} // the clients' ids of requests
+	lastID             uint64              // request's number
+	listVersion        uint64              // of the list
+	timers             timers
+	timerSet           chan struct{}
+	subscribeRequested chan struct{}
+	sourcesChanged     chan struct{}
+	fetchRequested     chan struct{}
+	overload           overloadState
+	refetchRequested   chan string     // names of sources
+	failedNodes        map[string]bool // nodes whose connections failed last
+	logCounts          bool
+	counts             counts
+	pause              pauseState
+	takeover           TakeoverCoordinator // nil where works are this proxy's alone
 }
 
 // rules are what a request is checked against as it comes. They are replaced
 // whole, so that one request never meets half of each.
 type rules struct {
-	set      policy.Settings
-	classes  map[string]int
-	tenants  map[string]int
-	mostHeld int
+	policy      policy.Settings
+	classes     map[string]int
+	tenants     map[string]int
+	maxInFlight int
 }
 
 func newRules(config *Config) *rules {
-	r := &rules{set: config.Policy, classes: make(map[string]int), tenants: make(map[string]int), mostHeld: config.MaxInFlight}
-	for i, class := range r.set.Classes {
+	r := &rules{policy: config.Policy, classes: make(map[string]int), tenants: make(map[string]int), maxInFlight: config.MaxInFlight}
+	for i, class := range r.policy.Classes {
 		r.classes[class.Name] = i
 	}
-	for i, tenant := range r.set.Tenants {
+	for i, tenant := range r.policy.Tenants {
 		r.tenants[tenant.Name] = i
 	}
 	return r
@@ -155,22 +155,22 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{askList: config.Policy.EndpointsOnRequest, infer: config.ReconcileLists, zones: config.Policy.Zones, kinds: config.Policy.MachineKinds, binary: config.BinaryNodes,
-		rules: newRules(config), log: log, registry: config.ListSources[0].Open(), places: config.ListSources, start: time.Now(), known: make(chan struct{}),
-		balancer: balancer, requests: make(map[uint64]*InFlightRequest), open: make(map[string]struct{}), wake: make(chan struct{}, 1),
-		subscribe: make(chan struct{}, 1), moved: make(chan struct{}, 1), fetch: make(chan struct{}, 1),
-		look: make(chan string, 8), failed: make(map[string]bool), counting: config.LogCounts}
-	c.still.init(config.TotalSleep)
-	c.levels = newLevels(&config.Overload)
-	c.levels.asks = asks(config)
-	c.record = eventlog.New(log)
-	c.nodes = upstream.New(config.Upstream, meta.NodeDialect{}, c, log)
-	c.nodes.SetRecorder(c.record)
-	c.members = membership.New(membership.Settings{Limits: config.Membership, Sources: sourcesOf(config.ListSources), InferRestarts: config.ReconcileLists})
+	c := &Core{pollLists: config.Policy.EndpointsOnRequest, reconcileLists: config.ReconcileLists, zones: config.Policy.Zones, kinds: config.Policy.MachineKinds, binaryNodes: config.BinaryNodes,
+		rules: newRules(config), log: log, listSource: config.ListSources[0].Open(), listSources: config.ListSources, startedAt: time.Now(), listReceived: make(chan struct{}),
+		balancer: balancer, requests: make(map[uint64]*InFlightRequest), requestIDs: make(map[string]struct{}), timerSet: make(chan struct{}, 1),
+		subscribeRequested: make(chan struct{}, 1), sourcesChanged: make(chan struct{}, 1), fetchRequested: make(chan struct{}, 1),
+		refetchRequested: make(chan string, 8), failedNodes: make(map[string]bool), logCounts: config.LogCounts}
+	c.pause.init(config.TotalSleep)
+	c.overload = newOverloadState(&config.Overload)
+	c.overload.listsPeriodic = listsArePeriodic(config)
+	c.recorder = eventlog.New(log)
+	c.pool = upstream.New(config.Upstream, meta.NodeDialect{}, c, log)
+	c.pool.SetRecorder(c.recorder)
+	c.reconciler = membership.New(membership.Settings{Limits: config.Membership, Sources: membershipSources(config.ListSources), InferRestarts: config.ReconcileLists})
 	if len(config.InitialList.Endpoints) > 0 || !config.ReconcileLists {
-		c.learn(c.place(), config.InitialList, policy.EndpointsCached)
+		c.applyList(c.newListCall(), config.InitialList, policy.EndpointsCached)
 	}
-	c.logLevels(c.adopt(&config.Overload, c.now()))
+	c.logTransitions(c.configureOverload(&config.Overload, c.now()))
 	return c, nil
 }
 
@@ -183,35 +183,35 @@
 		return err
 	}
 	c.rules = newRules(next)
-	c.nodes.SetLimits(next.Upstream)
-	c.levels.asks = asks(next)
-	changed := c.adopt(&next.Overload, c.now())
+	c.pool.SetLimits(next.Upstream)
+	c.overload.listsPeriodic = listsArePeriodic(next)
+	changed := c.configureOverload(&next.Overload, c.now())
 	c.mu.Unlock()
-	c.logLevels(changed)
+	c.logTransitions(changed)
 	return nil
 }
 
 // now is the module's clock: Unix time, so that the list's start times need no
 // mapping, advanced by the monotonic clock and by the machine's sleep.
 func (c *Core) now() time.Duration {
-	return time.Duration(c.start.UnixNano()) + time.Since(c.start) + time.Duration(c.still.asleep.Load())
+	return time.Duration(c.startedAt.UnixNano()) + time.Since(c.startedAt) + time.Duration(c.pause.sleepOffset.Load())
 }
 
 // Run keeps the timers and the watch until ctx ends.
 func (c *Core) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
-	tasks.Go(func() { c.record.Run(ctx) })
-	tasks.Go(func() { c.nodes.Run(ctx) })
-	tasks.Go(func() { c.keepTime(ctx) })
-	tasks.Go(func() { c.reask(ctx) })
-	if c.counting {
-		tasks.Go(func() { c.logCounts(ctx) })
-	}
-	if c.infer {
-		tasks.Go(func() { c.follow(ctx) })
+	tasks.Go(func() { c.recorder.Run(ctx) })
+	tasks.Go(func() { c.pool.Run(ctx) })
+	tasks.Go(func() { c.runTimers(ctx) })
+	tasks.Go(func() { c.runListRefresh(ctx) })
+	if c.logCounts {
+		tasks.Go(func() { c.runCountLog(ctx) })
+	}
+	if c.reconcileLists {
+		tasks.Go(func() { c.followSources(ctx) })
 	} else {
-		tasks.Go(func() { c.watch(ctx) })
-		tasks.Go(func() { c.fetchLists(ctx) })
+		tasks.Go(func() { c.watchList(ctx) })
+		tasks.Go(func() { c.runListFetches(ctx) })
 	}
 	tasks.Wait()
 }
@@ -219,59 +219,59 @@
 // handle gives the module an event and does what it asks, then what that
 // brings in turn. c.mu is held.
 func (c *Core) handle(event policy.Event) {
-	c.events = append(c.events, event)
+	c.pendingEvents = append(c.pendingEvents, event)
 	if c.handling {
 		return
 	}
 	c.handling = true
-	for i := 0; i < len(c.events); i++ {
-		c.actions = c.balancer.Handle(c.now(), c.events[i], c.actions[:0])
+	for i := 0; i < len(c.pendingEvents); i++ {
+		c.actions = c.balancer.Handle(c.now(), c.pendingEvents[i], c.actions[:0])
 		for j := range c.actions {
-			c.do(&c.actions[j])
+			c.execute(&c.actions[j])
 		}
 	}
-	clear(c.events)
-	c.events = c.events[:0]
+	clear(c.pendingEvents)
+	c.pendingEvents = c.pendingEvents[:0]
 	c.handling = false
 }
 
-func (c *Core) do(a *policy.Action) {
+func (c *Core) execute(a *policy.Action) {
 	switch a.Kind {
 	case policy.Send:
-		c.send(a)
+		c.dispatch(a)
 	case policy.Cancel:
 		if r := c.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-			c.giveUp(r, r.attempts[a.Attempt], policy.Cancelled)
+			c.cancelAttempt(r, r.attempts[a.Attempt], policy.Cancelled)
 		}
 	case policy.Reject:
 		if r := c.requests[a.ID]; r != nil {
-			c.counts.refused++
+			c.counts.rejected++
 			c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: a.After}, a.Reason.String())
 		}
 	case policy.Fail:
 		if r := c.requests[a.ID]; r != nil {
-			if c.unsent(r) {
+			if c.nothingStarted(r) {
 				// What waits has not begun, and never will now: that is no failure, which would promise nothing.
-				c.counts.refused++
-				c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: c.advice(r)}, a.Reason.String()+", never sent")
+				c.counts.rejected++
+				c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: c.retryAfter(r)}, a.Reason.String()+", never sent")
 				return
 			}
 			c.counts.failed++
 			c.answer(r, &request.Answer{Kind: request.Failed}, a.Reason.String())
 		}
 	case policy.SetTimer:
-		c.setTimer(timer{at: c.now() + a.After, id: a.Token, attempt: moduleTimer})
+		c.setTimer(timer{at: c.now() + a.After, id: a.Token, attempt: policyTimer})
 	case policy.Subscribe:
-		post(c.subscribe)
+		signal(c.subscribeRequested)
 	case policy.FetchEndpoints:
-		post(c.fetch)
+		signal(c.fetchRequested)
 	case policy.CloseIdle:
-		c.nodes.CloseIdle(a.Server)
+		c.pool.CloseIdle(a.Server)
 	case policy.HealthCheck: // the protocol has no room for it where probes are off
 	}
 }
 
-func post(to chan<- struct{}) {
+func signal(to chan<- struct{}) {
 	select {
 	case to <- struct{}{}:
 	default:
@@ -281,7 +281,7 @@
 // Submit takes a request whose last byte has come. The answer goes to reply.
 func (c *Core) Submit(in *request.Request, reply Reply) *InFlightRequest {
 	bad := func(reason string) *InFlightRequest {
-		c.recordRefusal(in, reply, reason)
+		c.recordRejected(in, reply, reason)
 		reply.Finish(&request.Answer{Kind: request.Invalid, Reason: reason})
 		return nil
 	}
@@ -292,51 +292,51 @@
 	if !known {
 		return bad("unknown class")
 	}
-	if in.SideEffects = rules.set.Classes[class].Idempotency != policy.Idempotent; in.SideEffects {
-		c.seeSleep()
+	if in.SideEffects = rules.policy.Classes[class].Idempotency != policy.Idempotent; in.SideEffects {
+		c.observeSleep()
 	}
-	c.seeClocks()
+	c.observeClocks()
 	tenant := 0
 	if len(rules.tenants) > 0 {
 		if tenant, known = rules.tenants[in.Tenant]; !known {
 			return bad("unknown tenant")
 		}
 	}
-	if rules.set.Classes[class].Idempotency == policy.IdempotentWithKey && in.IdempotencyKey == "" {
+	if rules.policy.Classes[class].Idempotency == policy.IdempotentWithKey && in.IdempotencyKey == "" {
 		return bad("missing k") // nothing could drop its repeats
 	}
 	// Nobody waits longer than the class allows; a request that claims to would
 	// hold its place and its timers for as long.
-	wait := rules.set.Classes[class].Deadline
+	wait := rules.policy.Classes[class].Deadline
 	if in.Timeout >= 0 {
 		wait = min(wait, in.Timeout)
 	}
 	// Answers are told apart by the id alone, and so are copies.
-	if _, taken := c.open[in.ID]; taken {
+	if _, taken := c.requestIDs[in.ID]; taken {
 		return bad("id in use")
 	}
-	if !c.roomFor(rules, class) {
-		c.recordRefusal(in, reply, "no room")
+	if !c.hasCapacity(rules, class) {
+		c.recordRejected(in, reply, "no room")
 		reply.Finish(&request.Answer{Kind: request.Busy, RetryAfter: c.balancer.RetryAfter(class)})
 		return nil
 	}
-	deadline, aged := c.judge(in, &rules.set.Classes[class], wait)
+	deadline, aged := c.decideByAge(in, &rules.policy.Classes[class], wait)
 	if aged {
-		c.still.aged++
-		c.recordRefusal(in, reply, "aged")
+		c.pause.rejectedByAge++
+		c.recordRejected(in, reply, "aged")
 		reply.Finish(&request.Answer{Kind: request.Busy, RetryAfter: c.balancer.RetryAfter(class)})
 		return nil
 	}
-	c.last++
-	c.counts.arrived++
-	in.Serial = uint32(c.last)
-	r := &InFlightRequest{id: c.last, taken: c.now(), request: in, reply: reply, deadline: deadline,
-		expires: time.Now().Add(deadline - c.now())}
+	c.lastID++
+	c.counts.accepted++
+	in.Serial = uint32(c.lastID)
+	r := &InFlightRequest{id: c.lastID, acceptedAt: c.now(), request: in, reply: reply, deadline: deadline,
+		expiresAt: time.Now().Add(deadline - c.now())}
 	c.requests[r.id] = r
-	c.open[in.ID] = struct{}{}
-	c.recordTaken(r)
+	c.requestIDs[in.ID] = struct{}{}
+	c.recordAccepted(r)
 	c.setTimer(timer{at: r.deadline, id: r.id, attempt: allAttempts})
-	if !c.asksLeave(r, &rules.set.Classes[class]) {
+	if !c.requestClaim(r, &rules.policy.Classes[class]) {
 		c.handle(policy.Arrival{ID: r.id, Class: class, Tenant: tenant, Key: in.Key, Deadline: r.deadline,
 			Write: in.Verb == request.Set, IsRetry: in.Retry})
 	}
@@ -351,8 +351,8 @@
 	if class, known := c.rules.classes[in.Class]; known {
 		a.RetryAfter = c.balancer.RetryAfter(class)
 	}
-	c.counts.refused++
-	c.recordRefusal(in, reply, "draining")
+	c.counts.rejected++
+	c.recordRejected(in, reply, "draining")
 	reply.Finish(a)
 }
 
@@ -361,17 +361,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i, known := c.rules.classes[class]
-	return known && c.rules.set.Classes[i].Idempotency == policy.IdempotentWithKey
+	return known && c.rules.policy.Classes[i].Idempotency == policy.IdempotentWithKey
 }
 
 // ListReceived is closed once the source has told its list of nodes.
-func (c *Core) ListReceived() <-chan struct{} { return c.known }
+func (c *Core) ListReceived() <-chan struct{} { return c.listReceived }
 
 // HasServingNodes tells whether there is any node that requests can go to.
 func (c *Core) HasServingNodes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.members.Serving() > 0
+	return c.reconciler.Serving() > 0
 }
 
 // InFlight counts the requests that are open.
@@ -386,8 +386,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.requests {
-		if !r.over {
-			longest = max(longest, time.Until(r.expires))
+		if !r.finished {
+			longest = max(longest, time.Until(r.expiresAt))
 		}
 	}
 	return longest
@@ -398,12 +398,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.requests {
-		if r.over {
+		if r.finished {
 			continue
 		}
 		a := &request.Answer{Kind: request.Failed}
-		if !r.request.SideEffects || c.unsent(r) {
-			a = &request.Answer{Kind: request.Busy, RetryAfter: c.advice(r)}
+		if !r.request.SideEffects || c.nothingStarted(r) {
+			a = &request.Answer{Kind: request.Busy, RetryAfter: c.retryAfter(r)}
 		}
 		c.log.Warn("given up at the end", "id", r.request.ID, "attempts", len(r.attempts))
 		c.answer(r, a, "process ends")
@@ -411,9 +411,9 @@
 	}
 }
 
-// unsent tells whether nothing of a request has gone out. Once it is over nothing will.
-func (c *Core) unsent(r *InFlightRequest) bool {
-	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.begun })
+// nothingStarted tells whether nothing of a request has gone out. Once it is over nothing will.
+func (c *Core) nothingStarted(r *InFlightRequest) bool {
+	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.started })
 }
 
 // ClientDisconnected ends the requests of a client that has gone.
@@ -421,99 +421,99 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range unanswered {
-		c.leave(r)
+		c.abandon(r)
 	}
 }
 
-// leave ends a request whose client has gone. c.mu is held.
-func (c *Core) leave(r *InFlightRequest) {
-	if r.over || c.outlives(r) {
+// abandon ends a request whose client has gone. c.mu is held.
+func (c *Core) abandon(r *InFlightRequest) {
+	if r.finished || c.detachClient(r) {
 		return
 	}
-	r.over = true
-	c.counts.left++
-	c.recordLeft(r)
+	r.finished = true
+	c.counts.abandoned++
+	c.recordAbandoned(r)
 	c.handle(policy.ClientLeft{ID: r.id})
 	for _, a := range r.attempts { // what has not begun takes no place any more
-		if !a.ended && (a.parked || c.nodes.Withdraw(&a.Attempt)) {
-			c.end(r, a, policy.NotSent, nil)
+		if !a.ended && (a.deferred || c.pool.Withdraw(&a.Attempt)) {
+			c.endAttempt(r, a, policy.NotSent, nil)
 		}
 	}
-	c.drop(r)
+	c.removeIfDone(r)
 }
 
 // answer ends a request, once. The reason is for the log.
 func (c *Core) answer(r *InFlightRequest, a *request.Answer, reason string) {
-	if r.over {
+	if r.finished {
 		return
 	}
-	r.over = true
-	c.recordAnswer(r, a, reason)
-	c.settle(r, a)
+	r.finished = true
+	c.recordAnswered(r, a, reason)
+	c.completeClaim(r, a)
 	r.reply.Finish(a)
-	c.drop(r)
+	c.removeIfDone(r)
 }
 
-// drop forgets a request that is over and has nothing out, once: what ends its last
+// removeIfDone forgets a request that is over and has nothing out, once: what ends its last
 // attempt may do so from within the end of another.
-func (c *Core) drop(r *InFlightRequest) {
-	if r.over && r.open == 0 && c.requests[r.id] == r {
+func (c *Core) removeIfDone(r *InFlightRequest) {
+	if r.finished && r.openAttempts == 0 && c.requests[r.id] == r {
 		delete(c.requests, r.id)
-		delete(c.open, r.request.ID)
+		delete(c.requestIDs, r.request.ID)
 		r.reply.Release()
 	}
 }
 
-func (c *Core) send(action *policy.Action) {
+func (c *Core) dispatch(action *policy.Action) {
 	r := c.requests[action.ID]
 	if r == nil {
 		return
 	}
 	now := c.now()
-	a := &attempt{server: action.Server, sent: now, Attempt: upstream.Attempt{ID: r.id,
-		Number: len(r.attempts), Request: r.request, Deadline: r.expires}}
+	a := &attempt{nodeName: action.Server, dispatchedAt: now, Attempt: upstream.Attempt{ID: r.id,
+		Number: len(r.attempts), Request: r.request, Deadline: r.expiresAt}}
 	a.HandlerState = a
 	a.client, _ = r.reply.(DisconnectChecker)
 	r.attempts = append(r.attempts, a)
-	r.open++
-	c.counts.sent++
-	c.recordSent(r, a, action.Reason)
+	r.openAttempts++
+	c.counts.dispatched++
+	c.recordDispatched(r, a, action.Reason)
 	switch {
-	case r.over || now >= r.deadline || action.After < 0:
-		c.end(r, a, policy.NotSent, nil)
+	case r.finished || now >= r.deadline || action.After < 0:
+		c.endAttempt(r, a, policy.NotSent, nil)
 		return
 	case action.After > 0 && now+action.After < r.deadline:
 		a.Deadline = a.Deadline.Add(now + action.After - r.deadline)
 		c.setTimer(timer{at: now + action.After, id: r.id, attempt: a.Number})
 	}
-	if !c.park(r, a) && !c.nodes.Send(a.server, &a.Attempt) {
-		c.end(r, a, policy.ConnectFailed, nil)
+	if !c.deferAttempt(r, a) && !c.pool.Send(a.nodeName, &a.Attempt) {
+		c.endAttempt(r, a, policy.ConnectFailed, nil)
 	}
 }
 
-// giveUp stops waiting for an attempt.
-func (c *Core) giveUp(r *InFlightRequest, a *attempt, as policy.Result) {
+// cancelAttempt stops waiting for an attempt.
+func (c *Core) cancelAttempt(r *InFlightRequest, a *attempt, as policy.Result) {
 	if a.ended {
 		return
 	}
 	// What has not begun never will once it has ended, in whoever's hands it is.
-	if a.parked || c.nodes.Abandon(&a.Attempt) || !a.begun {
+	if a.deferred || c.pool.Abandon(&a.Attempt) || !a.started {
 		as = policy.NotSent
 	}
-	c.end(r, a, as, nil)
+	c.endAttempt(r, a, as, nil)
 }
 
-// end tells the module how an attempt ended, once.
-func (c *Core) end(r *InFlightRequest, a *attempt, result policy.Result, answer *request.Answer) {
+// endAttempt tells the module how an attempt ended, once.
+func (c *Core) endAttempt(r *InFlightRequest, a *attempt, result policy.Result, answer *request.Answer) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	r.open--
-	c.counts.ends[result]++
-	c.recordEnd(r, a, result)
-	o := policy.Outcome{ID: r.id, Attempt: a.Number, Server: a.server, Result: result, Took: c.now() - a.sent,
-		Final: r.over}
+	r.openAttempts--
+	c.counts.results[result]++
+	c.recordEnded(r, a, result)
+	o := policy.Outcome{ID: r.id, Attempt: a.Number, Server: a.nodeName, Result: result, Took: c.now() - a.dispatchedAt,
+		Final: r.finished}
 	if answer != nil {
 		switch {
 		case answer.Hit:
@@ -526,14 +526,14 @@
 			o.CacheStatus = policy.CacheMiss
 			c.counts.misses++
 		}
-		o.LoadReport = c.parseReport(answer.LoadReport)
+		o.LoadReport = c.parseLoadReport(answer.LoadReport)
 	}
 	c.handle(o)
-	c.drop(r)
+	c.removeIfDone(r)
 }
 
-// parseReport reads a load report; a malformed one is none.
-func (c *Core) parseReport(load []byte) *policy.LoadReport {
+// parseLoadReport reads a load report; a malformed one is none.
+func (c *Core) parseLoadReport(load []byte) *policy.LoadReport {
 	if len(load) == 0 {
 		return nil
 	}
@@ -564,8 +564,8 @@
 	return &p
 }
 
-// find returns an attempt that has not ended, and its request.
-func (c *Core) find(u *upstream.Attempt) (*InFlightRequest, *attempt) {
+// findAttempt returns an attempt that has not ended, and its request.
+func (c *Core) findAttempt(u *upstream.Attempt) (*InFlightRequest, *attempt) {
 	r := c.requests[u.ID]
 	if r == nil || r.attempts[u.Number].ended {
 		return nil, nil
@@ -581,44 +581,44 @@
 	batch = slices.DeleteFunc(batch, func(u *upstream.Attempt) bool {
 		changes = changes || u.Request.SideEffects
 		a := u.HandlerState.(*attempt)
-		return a.client != nil && a.client.Disconnected() && c.desert(a)
+		return a.client != nil && a.client.Disconnected() && c.abandonDisconnected(a)
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if changes {
-		c.seeSleep()
+		c.observeSleep()
 	}
-	c.seeClocks()
+	c.observeClocks()
 	kept := batch[:0]
 	for _, u := range batch {
-		r, a := c.find(u)
+		r, a := c.findAttempt(u)
 		if r == nil {
 			continue
 		}
-		if r.over || !c.balancer.MaySend(c.now(), r.id, a.Number) || r.stage == given && c.now() >= r.leave {
-			c.end(r, a, policy.NotSent, nil)
+		if r.finished || !c.balancer.MaySend(c.now(), r.id, a.Number) || r.claim == claimGranted && c.now() >= r.sendBefore {
+			c.endAttempt(r, a, policy.NotSent, nil)
 			continue
 		}
-		if c.still.module.HoldsWrites() && c.park(r, a) {
+		if c.pause.detector.HoldsWrites() && c.deferAttempt(r, a) {
 			continue
 		}
-		if r.expires.Before(u.Deadline) { // the machine slept
-			u.Deadline = r.expires
+		if r.expiresAt.Before(u.Deadline) { // the machine slept
+			u.Deadline = r.expiresAt
 		}
-		a.begun = true
-		c.recordBegun(r, a)
+		a.started = true
+		c.recordStarted(r, a)
 		kept = append(kept, u)
 	}
 	return kept
 }
 
-// desert ends an attempt that has not begun and whose client has gone, and its request with it.
-func (c *Core) desert(a *attempt) bool {
+// abandonDisconnected ends an attempt that has not begun and whose client has gone, and its request with it.
+func (c *Core) abandonDisconnected(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r, _ := c.find(&a.Attempt); r != nil {
-		c.leave(r)
-		c.end(r, a, policy.NotSent, nil)
+	if r, _ := c.findAttempt(&a.Attempt); r != nil {
+		c.abandon(r)
+		c.endAttempt(r, a, policy.NotSent, nil)
 	}
 	return true
 }
@@ -627,12 +627,12 @@
 func (c *Core) Answered(u *upstream.Attempt, answer *request.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seeClocks()
-	if r, a := c.find(u); r != nil {
+	c.observeClocks()
+	if r, a := c.findAttempt(u); r != nil {
 		c.counts.served++
 		c.answer(r, answer, "")
-		c.end(r, a, policy.Served, answer)
-		c.sight(a.server, membership.Answered)
+		c.endAttempt(r, a, policy.Served, answer)
+		c.observeConnection(a.nodeName, membership.Answered)
 	}
 }
 
@@ -640,21 +640,21 @@
 func (c *Core) Ended(u *upstream.Attempt, answer *request.Answer, result upstream.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seeClocks()
-	r, a := c.find(u)
+	c.observeClocks()
+	r, a := c.findAttempt(u)
 	if r == nil {
 		return
 	}
-	c.end(r, a, results[result], answer)
+	c.endAttempt(r, a, resultOf[result], answer)
 	switch result {
 	case upstream.NotWritten, upstream.ConnectionLost:
-		c.sight(a.server, membership.Failed)
+		c.observeConnection(a.nodeName, membership.Failed)
 	case upstream.Busy, upstream.Failed, upstream.ConnectionLimitReached:
-		c.sight(a.server, membership.Answered)
+		c.observeConnection(a.nodeName, membership.Answered)
 	}
 }
 
-var results = [...]policy.Result{upstream.Busy: policy.Rejected, upstream.Failed: policy.Errored,
+var resultOf = [...]policy.Result{upstream.Busy: policy.Rejected, upstream.Failed: policy.Errored,
 	upstream.NotWritten: policy.ConnectFailed, upstream.ConnectionLost: policy.Reset, upstream.Malformed: policy.Malformed,
 	upstream.ConnectionLimitReached: policy.ConnectionLimitReached}
 
@@ -667,62 +667,62 @@
 }
 
 const (
-	moduleTimer = -1
-	allAttempts = -2
-	memberTimer = -3 // membership's
-	stillTimer  = -4 // a look at the clocks
+	policyTimer     = -1
+	allAttempts     = -2
+	membershipTimer = -3 // membership's
+	clockTimer      = -4 // a look at the clocks
 	// Timers due within a few milliseconds are handled together: a wake-up each
 	// would cost more than they do.
-	timerGrain = 2 * time.Millisecond
+	timerResolution = 2 * time.Millisecond
 )
 
 func (c *Core) setTimer(t timer) {
 	if c.timers.push(t) {
-		post(c.wake)
+		signal(c.timerSet)
 	}
 }
 
-func (c *Core) keepTime(ctx context.Context) {
+func (c *Core) runTimers(ctx context.Context) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.wake:
+		case <-c.timerSet:
 		case <-alarm.C:
 		}
-		alarm.Reset(max(c.fire(), timerGrain))
+		alarm.Reset(max(c.fireTimers(), timerResolution))
 	}
 }
 
-// fire handles what is due and returns how long nothing else will be.
-func (c *Core) fire() time.Duration {
+// fireTimers handles what is due and returns how long nothing else will be.
+func (c *Core) fireTimers() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seeClocks()
+	c.observeClocks()
 	for now := c.now(); len(c.timers) > 0; {
 		if wait := c.timers[0].at - now; wait > 0 {
 			return wait
 		}
 		t := c.timers.pop()
-		if t.at > c.wokenAt() { // else it is late for a stop
-			c.levels.lag = max(c.levels.lag, now-t.at)
+		if t.at > c.resumedAt() { // else it is late for a stop
+			c.overload.timerLag = max(c.overload.timerLag, now-t.at)
 		}
 		switch t.attempt {
-		case moduleTimer:
+		case policyTimer:
 			c.handle(policy.TimerFired{Token: t.id})
 			continue
-		case stillTimer: // it was looked at
+		case clockTimer: // it was looked at
 			continue
-		case memberTimer:
-			c.member(membership.TimerFired{})
+		case membershipTimer:
+			c.handleMembership(membership.TimerFired{})
 			continue
 		}
 		r := c.requests[t.id]
 		for i := 0; r != nil && i < len(r.attempts); i++ {
 			if t.attempt == allAttempts || t.attempt == i {
-				c.giveUp(r, r.attempts[i], policy.TimedOut)
+				c.cancelAttempt(r, r.attempts[i], policy.TimedOut)
 			}
 		}
 	}
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -18,121 +18,121 @@
 // come to, and gives that to the connections and to the decision module.
 
 // The wait before a lost watch of one of several sources is begun again.
-const watchPause = 500 * time.Millisecond
+const rewatchDelay = 500 * time.Millisecond
 
-// call is a call of the list's source: what it brings is taken by what was known as it began.
-type call struct {
-	name   string
-	source discovery.Source
-	known  uint64 // the version of its list: none right after a move, as another service may count otherwise
+// listCall is a call of the list's source: what it brings is taken by what was known as it began.
+type listCall struct {
+	name         string
+	source       discovery.Source
+	knownVersion uint64 // the version of its list: none right after a move, as another service may count otherwise
 }
 
-// place returns a call that begins now.
-func (c *Core) place() call {
+// newListCall returns a call that begins now.
+func (c *Core) newListCall() listCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return call{name: c.places[0].String(), source: c.registry, known: c.version}
+	return listCall{name: c.listSources[0].String(), source: c.listSource, knownVersion: c.listVersion}
 }
 
 // SetListSources makes places those of the list.
 func (c *Core) SetListSources(places []discovery.SourceConfig) {
 	c.mu.Lock()
-	c.places = places
-	c.registry, c.version = places[0].Open(), 0
-	c.member(membership.SourcesChanged{Sources: sourcesOf(places)})
+	c.listSources = places
+	c.listSource, c.listVersion = places[0].Open(), 0
+	c.handleMembership(membership.SourcesChanged{Sources: membershipSources(places)})
 	c.mu.Unlock()
-	post(c.moved)
+	signal(c.sourcesChanged)
 }
 
-// sourcesOf names the sources at places.
-func sourcesOf(places []discovery.SourceConfig) (list []membership.Source) {
+// membershipSources names the sources at places.
+func membershipSources(places []discovery.SourceConfig) (list []membership.Source) {
 	for _, p := range places {
 		list = append(list, membership.Source{Name: p.String(), NeedsConfirmation: p.NeedsConfirmation()})
 	}
 	return list
 }
 
-// fetchLists asks for the list as often as the decision module wants it.
-func (c *Core) fetchLists(ctx context.Context) {
+// runListFetches asks for the list as often as the decision module wants it.
+func (c *Core) runListFetches(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.fetch:
-			call := c.place()
+		case <-c.fetchRequested:
+			call := c.newListCall()
 			l, err := call.source.Fetch(ctx)
-			c.fetched(call, l, err)
+			c.handleFetch(call, l, err)
 		}
 	}
 }
 
-func (c *Core) fetched(from call, l discovery.List, err error) {
+func (c *Core) handleFetch(from listCall, l discovery.List, err error) {
 	if err == nil {
-		c.learn(from, l, policy.EndpointsFull)
+		c.applyList(from, l, policy.EndpointsFull)
 		return
 	}
 	c.log.Warn("list call failed", "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handle(policy.EndpointUpdate{Version: c.version, Kind: policy.EndpointsUnavailable})
+	c.handle(policy.EndpointUpdate{Version: c.listVersion, Kind: policy.EndpointsUnavailable})
 }
 
-// learn takes news of the list from one of the platform's places, unless they are none: a list that was asked
+// applyList takes news of the list from one of the platform's places, unless they are none: a list that was asked
 // for before a change must not undo what a watch has told since, nor the place before what the one now has told. A
 // version below that known as the call began is no older one, but that of a service that has begun anew.
-func (c *Core) learn(from call, l discovery.List, kind policy.EndpointUpdateKind) {
+func (c *Core) applyList(from listCall, l discovery.List, kind policy.EndpointUpdateKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case from.source != c.registry && c.settled == c.registry:
+	case from.source != c.listSource && c.confirmedSource == c.listSource:
 		return
-	case from.source == c.registry:
-		if kind != policy.EndpointsCached && l.Index < c.version && l.Index >= from.known {
-			c.log.Info("an older list is passed over", "index", l.Index, "known", c.version)
+	case from.source == c.listSource:
+		if kind != policy.EndpointsCached && l.Index < c.listVersion && l.Index >= from.knownVersion {
+			c.log.Info("an older list is passed over", "index", l.Index, "known", c.listVersion)
 			return
 		}
-		c.version = l.Index
+		c.listVersion = l.Index
 	}
 	if kind != policy.EndpointsCached {
-		c.settled = from.source
-		c.counts.told++
-		c.hear()
+		c.confirmedSource = from.source
+		c.counts.listUpdates++
+		c.markListReceived()
 	}
-	c.member(membership.ListReceived{Source: from.name, Complete: l.Snapshot || kind != policy.EndpointsDelta, Nodes: l.Nodes()})
+	c.handleMembership(membership.ListReceived{Source: from.name, Complete: l.Snapshot || kind != policy.EndpointsDelta, Nodes: l.Nodes()})
 }
 
-// hear notes that a list has come. c.mu is held.
-func (c *Core) hear() {
-	if !c.heard {
-		c.heard = true
-		close(c.known)
+// markListReceived notes that a list has come. c.mu is held.
+func (c *Core) markListReceived() {
+	if !c.hasList {
+		c.hasList = true
+		close(c.listReceived)
 	}
 }
 
-// member gives membership an event and does what it asks: the connections first, so that
+// handleMembership gives membership an event and does what it asks: the connections first, so that
 // the decision module never names a node that they don't know. c.mu is held.
-func (c *Core) member(event membership.Event) {
+func (c *Core) handleMembership(event membership.Event) {
 	now := c.now()
 	if _, told := event.(membership.ListReceived); told {
-		c.levels.told = now
+		c.overload.lastListAt = now
 	}
-	c.news = c.members.Handle(now, event, c.news[:0])
-	update := policy.EndpointUpdate{Version: c.version, Kind: policy.EndpointsDelta}
+	c.membershipActions = c.reconciler.Handle(now, event, c.membershipActions[:0])
+	update := policy.EndpointUpdate{Version: c.listVersion, Kind: policy.EndpointsDelta}
 	var there []upstream.Node
 	var gone []string
-	for _, action := range c.news {
+	for _, action := range c.membershipActions {
 		switch a := action.(type) {
 		case membership.Change:
-			keyless := c.binary.has(&a.Node)
-			update.Endpoints = append(update.Endpoints, policy.Endpoint{Server: a.Name, Zone: place(c.zones, a.Zone), MachineKind: place(c.kinds, a.Type),
-				Cell: a.Group, State: modes[a.Status], Weight: a.Weight, StartedAt: a.Started, NoDeduplication: keyless})
-			if c.infer && c.heard { // what it was started with is in its configuration
+			keyless := c.binaryNodes.matches(&a.Node)
+			update.Endpoints = append(update.Endpoints, policy.Endpoint{Server: a.Name, Zone: indexOrLen(c.zones, a.Zone), MachineKind: indexOrLen(c.kinds, a.Type),
+				Cell: a.Group, State: modeOfStatus[a.Status], Weight: a.Weight, StartedAt: a.Started, NoDeduplication: keyless})
+			if c.reconcileLists && c.hasList { // what it was started with is in its configuration
 				c.log.Info("node", "name", a.Name, "address", a.Address, "is", a.Status.String(), "was", a.Previous.String(), "source", a.Source, "why", a.Reason)
 			}
-			c.record.Record(eventlog.NodeUpdated{Node: a.Name, Mode: a.Status.String(), Version: c.version})
+			c.recorder.Record(eventlog.NodeUpdated{Node: a.Name, Mode: a.Status.String(), Version: c.listVersion})
 			if a.Status == membership.Gone {
 				gone = append(gone, a.Name)
-				delete(c.failed, a.Name)
+				delete(c.failedNodes, a.Name)
 				continue
 			}
 			n := upstream.Node{Name: a.Name, Address: a.Address}
@@ -144,55 +144,55 @@
 			}
 			there = append(there, n)
 		case membership.Refetch:
-			c.log.Warn("list collapsed, looking again", "source", a.Source, "in_doubt", len(c.members.Unconfirmed(a.Source)))
+			c.log.Warn("list collapsed, looking again", "source", a.Source, "in_doubt", len(c.reconciler.Unconfirmed(a.Source)))
 			select {
-			case c.look <- a.Source:
+			case c.refetchRequested <- a.Source:
 			default: // many are asked for already; a doubt ends without one as well
 			}
 		case membership.SetTimer:
-			c.setTimer(timer{at: c.now() + a.After, attempt: memberTimer})
+			c.setTimer(timer{at: c.now() + a.After, attempt: membershipTimer})
 		}
 	}
-	c.nodes.UpdateNodes(there)
+	c.pool.UpdateNodes(there)
 	if _, told := event.(membership.ListReceived); told || len(update.Endpoints) > 0 {
 		c.handle(update)
 	}
-	c.nodes.RemoveNodes(gone)
+	c.pool.RemoveNodes(gone)
 }
 
-var modes = map[membership.Status]policy.EndpointState{membership.Up: policy.Serving, membership.Draining: policy.Draining, membership.Gone: policy.Removed}
+var modeOfStatus = map[membership.Status]policy.EndpointState{membership.Up: policy.Serving, membership.Draining: policy.Draining, membership.Gone: policy.Removed}
 
-// place is the index of a name, behind the known ones for one that is not known.
-func place(names []string, name string) int {
+// indexOrLen is the index of a name, behind the known ones for one that is not known.
+func indexOrLen(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
 	}
 	return len(names)
 }
 
-// sight tells membership what connections see of a node. c.mu is held.
-func (c *Core) sight(node string, sight membership.Observation) {
-	if c.infer && (sight == membership.Failed || c.failed[node]) {
+// observeConnection tells membership what connections see of a node. c.mu is held.
+func (c *Core) observeConnection(node string, sight membership.Observation) {
+	if c.reconcileLists && (sight == membership.Failed || c.failedNodes[node]) {
 		if sight == membership.Failed {
-			c.failed[node] = true
+			c.failedNodes[node] = true
 		} else {
-			delete(c.failed, node)
+			delete(c.failedNodes, node)
 		}
-		c.member(membership.ConnectionObserved{Node: node, Observation: sight})
+		c.handleMembership(membership.ConnectionObserved{Node: node, Observation: sight})
 	}
 }
 
 // follower is one source that is followed.
 type follower struct {
-	place  discovery.SourceConfig
+	config discovery.SourceConfig
 	source discovery.Source
 	cancel context.CancelFunc
 }
 
-// follow keeps a watch on each source of the list. When they change, those that are none
+// followSources keeps a watch on each source of the list. When they change, those that are none
 // any more are heard until the new ones have told something: a drain that is announced
 // meanwhile must not be missed.
-func (c *Core) follow(ctx context.Context) {
+func (c *Core) followSources(ctx context.Context) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	followers := make(map[string]*follower)
@@ -200,7 +200,7 @@
 	var waiting map[string]bool // new ones that have told nothing yet
 	adapt := func() {
 		c.mu.Lock()
-		places := c.places
+		places := c.listSources
 		c.mu.Unlock()
 		waiting = make(map[string]bool)
 		for _, p := range places {
@@ -208,15 +208,15 @@
 				continue
 			}
 			own, cancel := context.WithCancel(ctx)
-			f := &follower{place: p, source: p.Open(), cancel: cancel}
+			f := &follower{config: p, source: p.Open(), cancel: cancel}
 			followers[p.String()] = f
 			waiting[p.String()] = true
-			tasks.Go(func() { c.followOne(own, f, told) })
+			tasks.Go(func() { c.followSource(own, f, told) })
 		}
 	}
 	retire := func() {
 		c.mu.Lock()
-		places := c.places
+		places := c.listSources
 		c.mu.Unlock()
 		for name, f := range followers {
 			if !slices.ContainsFunc(places, func(p discovery.SourceConfig) bool { return p.String() == name }) {
@@ -230,13 +230,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.moved:
+		case <-c.sourcesChanged:
 			adapt()
 		case name := <-told:
 			delete(waiting, name)
-		case name := <-c.look:
+		case name := <-c.refetchRequested:
 			if f := followers[name]; f != nil {
-				tasks.Go(func() { c.lookAgain(ctx, f) })
+				tasks.Go(func() { c.refetchList(ctx, f) })
 			}
 		}
 		if len(waiting) == 0 {
@@ -245,17 +245,17 @@
 	}
 }
 
-// followOne watches one source until ctx ends, over and over.
-func (c *Core) followOne(ctx context.Context, f *follower, told chan<- string) {
-	name, first := f.place.String(), true
+// followSource watches one source until ctx ends, over and over.
+func (c *Core) followSource(ctx context.Context, f *follower, told chan<- string) {
+	name, first := f.config.String(), true
 	for ctx.Err() == nil {
 		err := f.source.Watch(ctx, 0, func(l discovery.List) {
 			if ctx.Err() != nil {
 				return
 			}
 			c.mu.Lock()
-			c.hear()
-			c.member(membership.ListReceived{Source: name, Complete: l.Snapshot, Nodes: l.Nodes()})
+			c.markListReceived()
+			c.handleMembership(membership.ListReceived{Source: name, Complete: l.Snapshot, Nodes: l.Nodes()})
 			c.mu.Unlock()
 			if first {
 				first = false
@@ -271,27 +271,27 @@
 		c.log.Warn("source of the list lost", "source", name, "error", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchPause):
+		case <-time.After(rewatchDelay):
 		}
 	}
 }
 
-// lookTime bounds a second look: later it would come too late for the drain rule.
-const lookTime = 300 * time.Millisecond
+// refetchTimeout bounds a second look: later it would come too late for the drain rule.
+const refetchTimeout = 300 * time.Millisecond
 
-// lookAgain asks a source for its list past whatever it may have kept.
-func (c *Core) lookAgain(ctx context.Context, f *follower) {
-	ctx, cancel := context.WithTimeout(ctx, lookTime)
+// refetchList asks a source for its list past whatever it may have kept.
+func (c *Core) refetchList(ctx context.Context, f *follower) {
+	ctx, cancel := context.WithTimeout(ctx, refetchTimeout)
 	defer cancel()
 	l, err := f.source.Fetch(ctx)
 	if err != nil {
-		c.log.Warn("second look failed", "source", f.place.String(), "error", err)
+		c.log.Warn("second look failed", "source", f.config.String(), "error", err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.member(membership.RefetchFailed{Source: f.place.String()})
+		c.handleMembership(membership.RefetchFailed{Source: f.config.String()})
 		return
 	}
-	c.member(membership.ListReceived{Source: f.place.String(), Complete: true, Refetched: true, Nodes: l.Nodes()})
+	c.handleMembership(membership.ListReceived{Source: f.config.String(), Complete: true, Refetched: true, Nodes: l.Nodes()})
 }
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -13,7 +13,7 @@
 // [Core.Recorder], and does nothing unless events are logged.
 
 // Recorder takes the events of what the core's connections do.
-func (c *Core) Recorder() *eventlog.Recorder { return c.record }
+func (c *Core) Recorder() *eventlog.Recorder { return c.recorder }
 
 // Addressed is a Reply that knows the address of its client.
 type Addressed interface{ Address() string }
@@ -26,56 +26,56 @@
 	return ""
 }
 
-// left returns the time until a request's deadline.
-func (c *Core) left(r *InFlightRequest) time.Duration { return r.deadline - c.now() }
+// remaining returns the time until a request's deadline.
+func (c *Core) remaining(r *InFlightRequest) time.Duration { return r.deadline - c.now() }
 
-func (c *Core) recordTaken(r *InFlightRequest) {
-	if !c.record.Enabled() {
+func (c *Core) recordAccepted(r *InFlightRequest) {
+	if !c.recorder.Enabled() {
 		return
 	}
 	age := time.Duration(0)
 	if r.request.Arrival.Latest > 0 {
-		age = c.mono() - r.request.Arrival.Latest
+		age = c.monotonic() - r.request.Arrival.Latest
 	}
-	c.record.Record(eventlog.RequestAccepted{ID: r.request.ID, Class: r.request.Class, Client: addressOf(r.reply),
-		Timeout: r.request.Timeout, Age: age, Remaining: c.left(r)})
+	c.recorder.Record(eventlog.RequestAccepted{ID: r.request.ID, Class: r.request.Class, Client: addressOf(r.reply),
+		Timeout: r.request.Timeout, Age: age, Remaining: c.remaining(r)})
 }
 
-func (c *Core) recordRefusal(in *request.Request, reply Reply, reason string) {
-	if c.record.Enabled() {
-		c.record.Record(eventlog.RequestRejected{ID: in.ID, Client: addressOf(reply), Reason: reason})
+func (c *Core) recordRejected(in *request.Request, reply Reply, reason string) {
+	if c.recorder.Enabled() {
+		c.recorder.Record(eventlog.RequestRejected{ID: in.ID, Client: addressOf(reply), Reason: reason})
 	}
 }
 
-func (c *Core) recordSent(r *InFlightRequest, a *attempt, reason policy.Reason) {
-	if c.record.Enabled() {
-		c.record.Record(eventlog.AttemptDispatched{ID: r.request.ID, Attempt: a.Number, Node: a.server, Reason: reason.String()})
+func (c *Core) recordDispatched(r *InFlightRequest, a *attempt, reason policy.Reason) {
+	if c.recorder.Enabled() {
+		c.recorder.Record(eventlog.AttemptDispatched{ID: r.request.ID, Attempt: a.Number, Node: a.nodeName, Reason: reason.String()})
 	}
 }
 
-func (c *Core) recordBegun(r *InFlightRequest, a *attempt) {
-	if c.record.Enabled() {
-		c.record.Record(eventlog.AttemptStarted{ID: r.request.ID, Attempt: a.Number, Node: a.server, Remaining: time.Until(a.Deadline)})
+func (c *Core) recordStarted(r *InFlightRequest, a *attempt) {
+	if c.recorder.Enabled() {
+		c.recorder.Record(eventlog.AttemptStarted{ID: r.request.ID, Attempt: a.Number, Node: a.nodeName, Remaining: time.Until(a.Deadline)})
 	}
 }
 
-func (c *Core) recordEnd(r *InFlightRequest, a *attempt, result policy.Result) {
-	if c.record.Enabled() {
-		c.record.Record(eventlog.AttemptEnded{ID: r.request.ID, Attempt: a.Number, Node: a.server, Result: result.String(),
-			Duration: c.now() - a.sent})
+func (c *Core) recordEnded(r *InFlightRequest, a *attempt, result policy.Result) {
+	if c.recorder.Enabled() {
+		c.recorder.Record(eventlog.AttemptEnded{ID: r.request.ID, Attempt: a.Number, Node: a.nodeName, Result: result.String(),
+			Duration: c.now() - a.dispatchedAt})
 	}
 }
 
-func (c *Core) recordAnswer(r *InFlightRequest, a *request.Answer, reason string) {
-	if c.record.Enabled() {
-		c.record.Record(eventlog.RequestAnswered{ID: r.request.ID, Answer: a.Kind.String(), Reason: reason,
-			Duration: c.now() - r.taken, Remaining: c.left(r)})
+func (c *Core) recordAnswered(r *InFlightRequest, a *request.Answer, reason string) {
+	if c.recorder.Enabled() {
+		c.recorder.Record(eventlog.RequestAnswered{ID: r.request.ID, Answer: a.Kind.String(), Reason: reason,
+			Duration: c.now() - r.acceptedAt, Remaining: c.remaining(r)})
 	}
 }
 
-func (c *Core) recordLeft(r *InFlightRequest) {
-	if c.record.Enabled() {
-		c.record.Record(eventlog.RequestAbandoned{ID: r.request.ID, Duration: c.now() - r.taken, Remaining: c.left(r)})
+func (c *Core) recordAbandoned(r *InFlightRequest) {
+	if c.recorder.Enabled() {
+		c.recorder.Record(eventlog.RequestAbandoned{ID: r.request.ID, Duration: c.now() - r.acceptedAt, Remaining: c.remaining(r)})
 	}
 }
 
--- a/internal/core/still_test.go
+++ b/internal/core/still_test.go
@@ -18,11 +18,11 @@
 	"mulleinpier/policy"
 )
 
-// replies is a Reply that anybody may look at.
-type replies struct{ finished atomic.Int64 }
+// atomicReply is a Reply that anybody may look at.
+type atomicReply struct{ finished atomic.Int64 }
 
-func (r *replies) Finish(*request.Answer) { r.finished.Add(1) }
-func (r *replies) Release()               {}
+func (r *atomicReply) Finish(*request.Answer) { r.finished.Add(1) }
+func (r *atomicReply) Release()               {}
 
 // TestHeldSendsGoInPortions guards the waking of a proxy: what is decided while the list is asked
 // for is held; then it goes in portions, each written as soon as it is let go, and none is held twice.
@@ -59,15 +59,15 @@
 	tell := func(event pause.Event) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.stands(now, event)
+		c.handlePause(now, event)
 	}
-	c.still.module = pause.New(limits, pause.ClockReading{})
+	c.pause.detector = pause.New(limits, pause.ClockReading{})
 	tell(pause.ClockChecked{})
-	reply := &replies{}
+	reply := &atomicReply{}
 	for i := range 10 {
 		c.Submit(&request.Request{Verb: request.Get, Key: fmt.Sprint(i), ID: fmt.Sprint(i), Class: "read", Timeout: -1}, reply)
 	}
-	if n := len(c.still.parked); n != 10 || reply.finished.Load() != 0 || isClosed(c.Resumed()) {
+	if n := len(c.pause.deferred); n != 10 || reply.finished.Load() != 0 || isClosed(c.Resumed()) {
 		t.Fatalf("%d held, %d answered, awake: %v", n, reply.finished.Load(), isClosed(c.Resumed()))
 	}
 	for _, want := range []int64{4, 8} {
--- a/internal/core/work.go
+++ b/internal/core/work.go
@@ -25,31 +25,31 @@
 func (c *Core) SetTakeoverCoordinator(d TakeoverCoordinator) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.desk = d
+	c.takeover = d
 }
 
-// stage is how far a request's leave has come.
-type stage uint8
+// claimState is how far a request's leave has come.
+type claimState uint8
 
 const (
-	free   stage = iota // it needs none
-	asking              // it waits for it
-	given               // until Held.leave
+	claimNone    claimState = iota // it needs none
+	claimPending                   // it waits for it
+	claimGranted                   // until Held.leave
 )
 
-// asksLeave tells whether a request that has just come needs leave, and asks for it. c.mu is held.
-func (c *Core) asksLeave(r *InFlightRequest, class *policy.Class) bool {
-	if c.desk == nil || class.Idempotency != policy.IdempotentWithKey || r.request.Verb != request.Set {
+// requestClaim tells whether a request that has just come needs leave, and asks for it. c.mu is held.
+func (c *Core) requestClaim(r *InFlightRequest, class *policy.Class) bool {
+	if c.takeover == nil || class.Idempotency != policy.IdempotentWithKey || r.request.Verb != request.Set {
 		return false
 	}
-	r.stage = asking
+	r.claim = claimPending
 	switch {
-	case c.desk.Claim(r.id, r.request, class.DedupWindow, r.expires):
-	case c.desk.RequiresReplica():
-		c.counts.refused++
+	case c.takeover.Claim(r.id, r.request, class.DedupWindow, r.expiresAt):
+	case c.takeover.RequiresReplica():
+		c.counts.rejected++
 		c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: time.Second}, "taken over")
 	default:
-		r.stage = free
+		r.claim = claimNone
 		return false
 	}
 	return true
@@ -59,16 +59,16 @@
 func (c *Core) ClaimDecided(id uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seeSleep()
+	c.observeSleep()
 	r := c.requests[id]
-	if r == nil || r.stage != asking || r.over {
+	if r == nil || r.claim != claimPending || r.finished {
 		return false
 	}
-	r.stage = free
+	r.claim = claimNone
 	switch verdict {
 	case takeover.Proceed:
-		r.stage, r.leave = given, c.now()+within
-		c.arrive(r)
+		r.claim, r.sendBefore = claimGranted, c.now()+within
+		c.admit(r)
 	case takeover.ReturnReceipt:
 		c.counts.served++
 		c.answer(r, &request.Answer{Kind: request.Stored, Receipt: receipt}, "taken over")
@@ -78,22 +78,22 @@
 	case takeover.KeyConflict:
 		c.answer(r, &request.Answer{Kind: request.Invalid, Reason: "k belongs to another write"}, "taken over")
 	default:
-		c.counts.refused++
-		c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: c.advice(r)}, "taken over")
+		c.counts.rejected++
+		c.answer(r, &request.Answer{Kind: request.Busy, RetryAfter: c.retryAfter(r)}, "taken over")
 	}
 	return true
 }
 
-// advice is when a refused request may come again.
-func (c *Core) advice(r *InFlightRequest) time.Duration {
+// retryAfter is when a refused request may come again.
+func (c *Core) retryAfter(r *InFlightRequest) time.Duration {
 	if class, ok := c.rules.classes[r.request.Class]; ok {
 		return c.balancer.RetryAfter(class)
 	}
 	return 0
 }
 
-// arrive gives a request to the decision module. What it named may be gone since it came.
-func (c *Core) arrive(r *InFlightRequest) {
+// admit gives a request to the decision module. What it named may be gone since it came.
+func (c *Core) admit(r *InFlightRequest) {
 	class, known := c.rules.classes[r.request.Class]
 	tenant := 0
 	if known && len(c.rules.tenants) > 0 {
@@ -107,11 +107,11 @@
 		Write: r.request.Verb == request.Set, IsRetry: r.request.Retry})
 }
 
-// nobody is the reply of a work that no client waits for.
-type nobody struct{ release func() }
+// detachedReply is the reply of a work that no client waits for.
+type detachedReply struct{ release func() }
 
-func (nobody) Finish(*request.Answer) {}
-func (n nobody) Release() {
+func (detachedReply) Finish(*request.Answer) {}
+func (n detachedReply) Release() {
 	if n.release != nil {
 		n.release()
 	}
@@ -122,47 +122,47 @@
 func (c *Core) ResumeWrite(in *request.Request, within time.Duration) (id uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seeSleep()
+	c.observeSleep()
 	class, known := c.rules.classes[in.Class]
-	if !known || within <= 0 || c.desk == nil {
+	if !known || within <= 0 || c.takeover == nil {
 		return 0, false
 	}
-	c.last++
-	in.Serial, in.SideEffects = uint32(c.last), true
-	wait := c.rules.set.Classes[class].Deadline
-	r := &InFlightRequest{id: c.last, request: in, reply: nobody{}, deadline: c.now() + wait, expires: time.Now().Add(wait), stage: given, leave: c.now() + within}
+	c.lastID++
+	in.Serial, in.SideEffects = uint32(c.lastID), true
+	wait := c.rules.policy.Classes[class].Deadline
+	r := &InFlightRequest{id: c.lastID, request: in, reply: detachedReply{}, deadline: c.now() + wait, expiresAt: time.Now().Add(wait), claim: claimGranted, sendBefore: c.now() + within}
 	c.requests[r.id] = r
-	c.open[in.ID] = struct{}{}
+	c.requestIDs[in.ID] = struct{}{}
 	c.setTimer(timer{at: r.deadline, id: r.id, attempt: allAttempts})
-	c.arrive(r)
+	c.admit(r)
 	return r.id, true
 }
 
-// settle tells what a request with leave came to. c.mu is held.
-func (c *Core) settle(r *InFlightRequest, a *request.Answer) {
-	if r.stage != given {
+// completeClaim tells what a request with leave came to. c.mu is held.
+func (c *Core) completeClaim(r *InFlightRequest, a *request.Answer) {
+	if r.claim != claimGranted {
 		return
 	}
-	r.stage = free
-	if c.desk == nil { // it ended meanwhile
+	r.claim = claimNone
+	if c.takeover == nil { // it ended meanwhile
 		return
 	}
 	switch a.Kind {
 	case request.Stored:
-		c.desk.Complete(r.id, takeover.Served, a.Receipt)
+		c.takeover.Complete(r.id, takeover.Served, a.Receipt)
 	case request.Busy, request.Invalid:
-		c.desk.Complete(r.id, takeover.NotExecuted, "")
+		c.takeover.Complete(r.id, takeover.NotExecuted, "")
 	default:
-		c.desk.Complete(r.id, takeover.Unknown, "")
+		c.takeover.Complete(r.id, takeover.Unknown, "")
 	}
 }
 
-// outlives has a work with leave go on without its client, and tells whether it does: who asks again for it, anywhere,
+// detachClient has a work with leave go on without its client, and tells whether it does: who asks again for it, anywhere,
 // wants to know what came of it. c.mu is held.
-func (c *Core) outlives(r *InFlightRequest) bool {
-	if r.stage != given {
+func (c *Core) detachClient(r *InFlightRequest) bool {
+	if r.claim != claimGranted {
 		return false
 	}
-	r.reply = nobody{r.reply.Release}
+	r.reply = detachedReply{r.reply.Release}
 	return true
 }
--- a/internal/core/work_test.go
+++ b/internal/core/work_test.go
@@ -22,48 +22,48 @@
 	"mulleinpier/policy"
 )
 
-// fakeDesk notes what a core asks and settles.
-type fakeDesk struct {
+// fakeCoordinator notes what a core asks and settles.
+type fakeCoordinator struct {
 	full, strict bool
 
-	mu      sync.Mutex
-	asked   []uint64
-	settled map[uint64]takeover.Outcome
+	mu       sync.Mutex
+	claims   []uint64
+	outcomes map[uint64]takeover.Outcome
 }
 
-func (d *fakeDesk) Claim(id uint64, _ *request.Request, _ time.Duration, _ time.Time) bool {
+func (d *fakeCoordinator) Claim(id uint64, _ *request.Request, _ time.Duration, _ time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.full {
-		d.asked = append(d.asked, id)
+		d.claims = append(d.claims, id)
 	}
 	return !d.full
 }
 
-func (d *fakeDesk) Complete(id uint64, outcome takeover.Outcome, _ string) {
+func (d *fakeCoordinator) Complete(id uint64, outcome takeover.Outcome, _ string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.settled[id] = outcome
+	d.outcomes[id] = outcome
 }
 
-func (d *fakeDesk) RequiresReplica() bool { return d.strict }
+func (d *fakeCoordinator) RequiresReplica() bool { return d.strict }
 
 // outcome is what a work was settled as, 0 for not yet.
-func (d *fakeDesk) outcome(id uint64) takeover.Outcome {
+func (d *fakeCoordinator) outcome(id uint64) takeover.Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.settled[id]
+	return d.outcomes[id]
 }
 
-// heard is a Reply that keeps the answer.
-type heard struct{ answers chan request.Answer }
+// recordedReply is a Reply that keeps the answer.
+type recordedReply struct{ answers chan request.Answer }
 
-func newHeard() *heard                    { return &heard{make(chan request.Answer, 4)} }
-func (h *heard) Finish(a *request.Answer) { h.answers <- *a }
-func (h *heard) Release()                 {}
+func newRecordedReply() *recordedReply            { return &recordedReply{make(chan request.Answer, 4)} }
+func (h *recordedReply) Finish(a *request.Answer) { h.answers <- *a }
+func (h *recordedReply) Release()                 {}
 
-// withDesk is a core whose one node stores whatever comes, and the commands that have come to it.
-func withDesk(t *testing.T, d *fakeDesk) (c *Core, came func() []string) {
+// coreWithCoordinator is a core whose one node stores whatever comes, and the commands that have come to it.
+func coreWithCoordinator(t *testing.T, d *fakeCoordinator) (c *Core, came func() []string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.settled = make(map[uint64]takeover.Outcome)
+	d.outcomes = make(map[uint64]takeover.Outcome)
 	c.SetTakeoverCoordinator(d)
 	ctx, cancel := context.WithCancel(context.Background())
 	var task sync.WaitGroup
@@ -121,44 +121,44 @@
 	}
 }
 
-func handover(id string) *request.Request {
+func keyedWrite(id string) *request.Request {
 	return &request.Request{Verb: request.Set, Key: "order", ID: id, Class: "write", IdempotencyKey: "k" + id, Value: []byte("x\r\n")[:1], Timeout: -1}
 }
 
 // TestNothingGoesOutWithoutLeave walks a keyed write through each verdict: only with leave does anything come to a node, and
 // each is answered once.
 func TestNothingGoesOutWithoutLeave(t *testing.T) {
-	d := &fakeDesk{}
-	c, came := withDesk(t, d)
+	d := &fakeCoordinator{}
+	c, came := coreWithCoordinator(t, d)
 	for i, x := range []struct {
 		verdict takeover.Verdict
 		want    request.AnswerKind
 	}{{takeover.ReturnReceipt, request.Stored}, {takeover.OutcomeUnknown, request.Failed}, {takeover.KeyConflict, request.Invalid}, {takeover.Reject, request.Busy}} {
-		h := newHeard()
-		c.Submit(handover(fmt.Sprint(i)), h)
-		if !c.ClaimDecided(d.asked[i], x.verdict, 0, "r") {
+		h := newRecordedReply()
+		c.Submit(keyedWrite(fmt.Sprint(i)), h)
+		if !c.ClaimDecided(d.claims[i], x.verdict, 0, "r") {
 			t.Errorf("verdict %d is not wanted", x.verdict)
 		}
 		if a := testutil.Receive(t, "an answer", h.answers); a.Kind != x.want || x.verdict == takeover.ReturnReceipt && a.Receipt != "r" {
 			t.Errorf("verdict %d: answered %+v", x.verdict, a)
 		}
-		if c.ClaimDecided(d.asked[i], takeover.Proceed, time.Minute, "") {
+		if c.ClaimDecided(d.claims[i], takeover.Proceed, time.Minute, "") {
 			t.Errorf("verdict %d: it is wanted twice", x.verdict)
 		}
 	}
 	if lines := came(); len(lines) != 0 {
 		t.Errorf("came to the node: %q", lines)
 	}
-	h := newHeard()
-	c.Submit(handover("sent"), h)
-	id := d.asked[4]
+	h := newRecordedReply()
+	c.Submit(keyedWrite("sent"), h)
+	id := d.claims[4]
 	c.ClaimDecided(id, takeover.Proceed, time.Minute, "")
 	if a := testutil.Receive(t, "an answer", h.answers); a.Kind != request.Stored || d.outcome(id) != takeover.Served {
 		t.Errorf("answered %+v, settled %d", a, d.outcome(id))
 	}
-	h = newHeard()
-	c.Submit(handover("late"), h)
-	id = d.asked[5]
+	h = newRecordedReply()
+	c.Submit(keyedWrite("late"), h)
+	id = d.claims[5]
 	c.ClaimDecided(id, takeover.Proceed, 0, "") // its leave is over before anything can go out
 	if a := testutil.Receive(t, "an answer", h.answers); a.Kind == request.Stored {
 		t.Errorf("sent after its leave: %+v", a)
@@ -168,14 +168,14 @@
 		t.Errorf("came to the node: %q", lines)
 	}
 	d.full, d.strict = true, true
-	h = newHeard()
-	c.Submit(handover("full"), h)
+	h = newRecordedReply()
+	c.Submit(keyedWrite("full"), h)
 	if a := testutil.Receive(t, "an answer", h.answers); a.Kind != request.Busy {
 		t.Errorf("no room, strict: %+v", a)
 	}
 	d.strict = false
-	h = newHeard()
-	c.Submit(handover("plain"), h)
+	h = newRecordedReply()
+	c.Submit(keyedWrite("plain"), h)
 	if a := testutil.Receive(t, "an answer", h.answers); a.Kind != request.Stored {
 		t.Errorf("no room, plainly: %+v", a)
 	}
@@ -184,24 +184,24 @@
 // TestWorkOutlivesItsClient has a client leave after its write had leave, and another proxy's work be adopted: both go on,
 // and are settled.
 func TestWorkOutlivesItsClient(t *testing.T) {
-	d := &fakeDesk{}
-	c, came := withDesk(t, d)
-	early := c.Submit(handover("early"), newHeard())
+	d := &fakeCoordinator{}
+	c, came := coreWithCoordinator(t, d)
+	early := c.Submit(keyedWrite("early"), newRecordedReply())
 	c.ClientDisconnected([]*InFlightRequest{early}) // before any leave: nothing is to be sent
-	if c.ClaimDecided(d.asked[0], takeover.Proceed, time.Minute, "") {
+	if c.ClaimDecided(d.claims[0], takeover.Proceed, time.Minute, "") {
 		t.Error("leave for one whose client had left")
 	}
-	h := newHeard()
-	held := c.Submit(handover("a"), h)
+	h := newRecordedReply()
+	held := c.Submit(keyedWrite("a"), h)
 	c.mu.Lock() // its client leaves before its node can answer
-	held.stage, held.leave = given, c.now()+time.Minute
+	held.claim, held.sendBefore = claimGranted, c.now()+time.Minute
 	c.mu.Unlock()
 	c.ClientDisconnected([]*InFlightRequest{held})
 	c.mu.Lock()
-	c.arrive(held)
+	c.admit(held)
 	c.mu.Unlock()
-	testutil.WaitUntil(t, "it to be settled", func() bool { return d.outcome(d.asked[1]) == takeover.Served })
-	id, ok := c.ResumeWrite(handover("b"), time.Minute)
+	testutil.WaitUntil(t, "it to be settled", func() bool { return d.outcome(d.claims[1]) == takeover.Served })
+	id, ok := c.ResumeWrite(keyedWrite("b"), time.Minute)
 	if !ok {
 		t.Fatal("not adopted")
 	}
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -48,20 +48,20 @@
 }
 
 // Enabled tells whether events are written at all.
-func (r *Recorder) Enabled() bool { return r.takes(slog.LevelDebug) }
+func (r *Recorder) Enabled() bool { return r.accepts(slog.LevelDebug) }
 
-func (r *Recorder) takes(level slog.Level) bool {
+func (r *Recorder) accepts(level slog.Level) bool {
 	return r != nil && r.log.Enabled(context.Background(), level)
 }
 
 // Record takes an event. It does not wait.
-func (r *Recorder) Record(event Event) { r.take(slog.LevelDebug, event) }
+func (r *Recorder) Record(event Event) { r.enqueue(slog.LevelDebug, event) }
 
 // Warn takes an event that operators should see without asking. It does not wait.
-func (r *Recorder) Warn(event Event) { r.take(slog.LevelWarn, event) }
+func (r *Recorder) Warn(event Event) { r.enqueue(slog.LevelWarn, event) }
 
-func (r *Recorder) take(level slog.Level, event Event) {
-	if !r.takes(level) {
+func (r *Recorder) enqueue(level slog.Level, event Event) {
+	if !r.accepts(level) {
 		return
 	}
 	select {
@@ -78,14 +78,14 @@
 		case e := <-r.queue:
 			r.write(e)
 		case <-ctx.Done():
-			r.flush()
+			r.drain()
 			return
 		}
 	}
 }
 
-// flush writes what waits now.
-func (r *Recorder) flush() {
+// drain writes what waits now.
+func (r *Recorder) drain() {
 	for {
 		select {
 		case e := <-r.queue:
--- a/internal/frontend/binary/binary.go
+++ b/internal/frontend/binary/binary.go
@@ -46,27 +46,27 @@
 
 const (
 	// A response of PLAIN is no longer than a name, a secret and what is between them.
-	maxResponse = 2*sasl.MaxName + sasl.MaxSecret + 2
+	maxPlainResponse = 2*sasl.MaxName + sasl.MaxSecret + 2
 	// A connection that guesses wrong so often is closed.
-	mostGuesses = 3
+	maxFailedLogins = 3
 	// Logins that wait for the one being looked at. Each costs milliseconds of a
 	// proxy's one core: guessers must not keep it from requests, and tills that find
 	// no place are told to come again.
-	mostLogins = 16
+	maxWaitingLogins = 16
 )
 
 // Frontend is what all binary clients of a proxy have in common.
 type Frontend struct {
-	rules  atomic.Pointer[Rules]
-	prefix string // of ids: no other proxy's, nor another run's of this one
-	serial atomic.Uint64
-	stats  func(kind string) []core.Stat
+	rules    atomic.Pointer[Rules]
+	idPrefix string // of ids: no other proxy's, nor another run's of this one
+	lastID   atomic.Uint64
+	stats    func(kind string) []core.Stat
 
-	mu    sync.Mutex
-	guard *sasl.GuessLimiter
+	mu      sync.Mutex
+	guesses *sasl.GuessLimiter
 
-	logins  chan struct{} // one place
-	waiting atomic.Int32
+	loginSlot     chan struct{} // one place
+	waitingLogins atomic.Int32
 }
 
 // New returns a Front without rules, which serves nobody yet. stats are the figures of a
@@ -74,8 +74,8 @@
 func New(stats func(kind string) []core.Stat) *Frontend {
 	var random [8]byte
 	crand.Read(random[:])
-	return &Frontend{prefix: "b" + hex.EncodeToString(random[:]) + "-", stats: stats, guard: sasl.NewGuessLimiter(),
-		logins: make(chan struct{}, 1)}
+	return &Frontend{idPrefix: "b" + hex.EncodeToString(random[:]) + "-", stats: stats, guesses: sasl.NewGuessLimiter(),
+		loginSlot: make(chan struct{}, 1)}
 }
 
 // SetRules puts rules into force for what comes from now on; nil turns the front off.
@@ -86,12 +86,12 @@
 
 // session is the dialect on one connection.
 type session struct {
-	front    *Frontend
-	host     *frontend.Host
-	conn     *frontend.Conn
-	listener string
-	user     *sasl.User // nil until it has proved to be one
-	guesses  int
+	front        *Frontend
+	host         *frontend.Host
+	conn         *frontend.Conn
+	listener     string
+	user         *sasl.User // nil until it has proved to be one
+	failedLogins int
 }
 
 // NewSession begins a session of a client that came to a listener.
@@ -105,40 +105,40 @@
 // reply is the place of a request's answer.
 type reply struct {
 	frontend.Slot
-	host *frontend.Host
-	head codec.Header // of the command
-	key  string       // of a get that its answer names
-	size int          // of its body, as budgeted
+	host    *frontend.Host
+	header  codec.Header // of the command
+	key     string       // of a get that its answer names
+	bodyLen int          // of its body, as budgeted
 }
 
 // Release implements core.Reply.
-func (r *reply) Release() { r.host.BodyBudget.Release(r.size) }
+func (r *reply) Release() { r.host.BodyBudget.Release(r.bodyLen) }
 
 // Finish implements core.Reply.
 func (r *reply) Finish(a *request.Answer) {
-	quiet := r.head.Opcode.Quiet()
+	quiet := r.header.Opcode.Quiet()
 	switch a.Kind {
 	case request.Value:
 		var room [codec.HeaderLen + 4 + codec.MaxKey]byte
-		h := codec.Header{Opcode: r.head.Opcode, KeyLen: len(r.key), ExtrasLen: 4, BodyLen: 4 + len(r.key) + a.ValueLen(), Opaque: r.head.Opaque,
+		h := codec.Header{Opcode: r.header.Opcode, KeyLen: len(r.key), ExtrasLen: 4, BodyLen: 4 + len(r.key) + a.ValueLen(), Opaque: r.header.Opaque,
 			CAS: ticket.New(time.Now(), rand.Uint64())}
 		head := binary.BigEndian.AppendUint32(h.Append(room[:0], codec.ResponseMagic), a.Flags)
 		r.Slot.FinishValue(a.Frame(append(head, r.key...), nil), func() []byte {
-			return codec.AppendStatus(nil, &r.head, codec.OutOfMemory, 0)
+			return codec.AppendStatus(nil, &r.header, codec.OutOfMemory, 0)
 		})
 	case request.Stored:
 		if quiet {
 			r.FinishSilently()
 			return
 		}
-		h := codec.Header{Opcode: r.head.Opcode, Opaque: r.head.Opaque, CAS: receipt(a.Receipt)}
+		h := codec.Header{Opcode: r.header.Opcode, Opaque: r.header.Opaque, CAS: receiptCAS(a.Receipt)}
 		r.Slot.Finish(h.Append(nil, codec.ResponseMagic))
 	case request.NotFound:
 		switch {
 		case quiet:
 			r.FinishSilently()
 		case r.key != "":
-			h := codec.Header{Opcode: r.head.Opcode, KeyLen: len(r.key), Status: codec.NotFound, BodyLen: len(r.key), Opaque: r.head.Opaque}
+			h := codec.Header{Opcode: r.header.Opcode, KeyLen: len(r.key), Status: codec.NotFound, BodyLen: len(r.key), Opaque: r.header.Opaque}
 			r.Slot.Finish(append(h.Append(nil, codec.ResponseMagic), r.key...))
 		default:
 			r.status(codec.NotFound, 0)
@@ -153,19 +153,19 @@
 }
 
 func (r *reply) status(status codec.Status, after time.Duration) {
-	r.Slot.Finish(codec.AppendStatus(nil, &r.head, status, advice(after)))
+	r.Slot.Finish(codec.AppendStatus(nil, &r.header, status, retryAfterMillis(after)))
 }
 
-// advice is a wait in whole milliseconds, 0 for none.
-func advice(after time.Duration) int64 {
+// retryAfterMillis is a wait in whole milliseconds, 0 for none.
+func retryAfterMillis(after time.Duration) int64 {
 	if after <= 0 {
 		return 0
 	}
 	return max(after.Milliseconds(), 1)
 }
 
-// receipt is a receipt as a CAS has room for it: its number, if it is one.
-func receipt(text string) uint64 {
+// receiptCAS is a receipt as a CAS has room for it: its number, if it is one.
+func receiptCAS(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 10, 64); err == nil {
 		return n
 	}
@@ -174,19 +174,19 @@
 	return h.Sum64()
 }
 
-func (s *session) say(text []byte) { s.conn.AddSlot(new(frontend.Slot)).Finish(text) }
+func (s *session) answer(text []byte) { s.conn.AddSlot(new(frontend.Slot)).Finish(text) }
 
-// refuse passes over a command's body and answers by a status.
-func (s *session) refuse(h *codec.Header, status codec.Status) (bool, error) {
+// skipAndAnswer passes over a command's body and answers by a status.
+func (s *session) skipAndAnswer(h *codec.Header, status codec.Status) (bool, error) {
 	if _, err := s.conn.In.Discard(h.BodyLen); err != nil {
 		return false, err
 	}
-	s.say(codec.AppendStatus(nil, h, status, 0))
+	s.answer(codec.AppendStatus(nil, h, status, 0))
 	return false, nil
 }
 
-// mayCome tells whether a command is carried out for whoever sends it.
-func mayCome(o codec.Opcode) bool {
+// allowedUnauthenticated tells whether a command is carried out for whoever sends it.
+func allowedUnauthenticated(o codec.Opcode) bool {
 	switch o {
 	case codec.SASLList, codec.SASLAuth, codec.SASLStep, codec.Version, codec.Noop, codec.Quit, codec.QuitQ:
 		return true
@@ -215,61 +215,61 @@
 		if h.BodyLen > codec.MaxSkippedBody {
 			status = codec.TooLarge
 		}
-		s.say(codec.AppendStatus(nil, &h, status, 0))
+		s.answer(codec.AppendStatus(nil, &h, status, 0))
 		return true, nil
 	} else if err != nil {
 		return true, nil
 	}
 	rules := s.front.rules.Load()
 	if rules == nil { // turned off since
-		_, err := s.refuse(&h, codec.NotSupported)
+		_, err := s.skipAndAnswer(&h, codec.NotSupported)
 		return true, err
 	}
-	if rules.Users != nil && !mayCome(h.Opcode) {
+	if rules.Users != nil && !allowedUnauthenticated(h.Opcode) {
 		if s.user != nil {
 			s.user = rules.Users.Revalidate(s.user) // its secret may have changed, or it may be gone
 		}
 		if s.user == nil {
-			return s.refuse(&h, codec.AuthError)
+			return s.skipAndAnswer(&h, codec.AuthError)
 		}
 	}
 	if status := h.Validate(); status != codec.OK {
-		return s.refuse(&h, status)
+		return s.skipAndAnswer(&h, status)
 	}
 	switch h.Opcode {
 	case codec.Get, codec.GetQ, codec.GetK, codec.GetKQ:
-		return false, s.get(&h, rules)
+		return false, s.handleGet(&h, rules)
 	case codec.Set, codec.SetQ:
-		return false, s.set(&h, rules)
+		return false, s.handleSet(&h, rules)
 	case codec.Noop:
-		return s.refuse(&h, codec.OK)
+		return s.skipAndAnswer(&h, codec.OK)
 	case codec.Version:
-		s.value(&h, "1.6.0") // clients look at it for what the protocol has
+		s.answerText(&h, "1.6.0") // clients look at it for what the protocol has
 		return false, nil
 	case codec.Quit:
-		_, err := s.refuse(&h, codec.OK)
+		_, err := s.skipAndAnswer(&h, codec.OK)
 		return true, err
 	case codec.QuitQ:
 		return true, nil
 	case codec.Stat:
-		return false, s.stat(&h)
+		return false, s.handleStat(&h)
 	case codec.SASLList:
-		s.value(&h, "PLAIN")
+		s.answerText(&h, "PLAIN")
 		return false, nil
 	}
 	return s.login(&h, rules)
 }
 
-// value answers a command by a text.
-func (s *session) value(h *codec.Header, text string) {
+// answerText answers a command by a text.
+func (s *session) answerText(h *codec.Header, text string) {
 	out := codec.Header{Opcode: h.Opcode, BodyLen: len(text), Opaque: h.Opaque}
-	s.say(append(out.Append(nil, codec.ResponseMagic), text...))
+	s.answer(append(out.Append(nil, codec.ResponseMagic), text...))
 }
 
-// stat answers by one response a figure, and an empty one. The key names their kind.
-func (s *session) stat(h *codec.Header) error {
+// handleStat answers by one response a figure, and an empty one. The key names their kind.
+func (s *session) handleStat(h *codec.Header) error {
 	if h.BodyLen > codec.MaxKey {
-		_, err := s.refuse(h, codec.NotFound)
+		_, err := s.skipAndAnswer(h, codec.NotFound)
 		return err
 	}
 	kind := make([]byte, h.BodyLen)
@@ -278,7 +278,7 @@
 	}
 	list := s.front.stats(string(kind))
 	if list == nil {
-		s.say(codec.AppendStatus(nil, h, codec.NotFound, 0))
+		s.answer(codec.AppendStatus(nil, h, codec.NotFound, 0))
 		return nil
 	}
 	var out []byte
@@ -287,12 +287,12 @@
 		out = append(append(one.Append(out, codec.ResponseMagic), x.Name...), x.Value...)
 	}
 	last := codec.Header{Opcode: h.Opcode, Opaque: h.Opaque}
-	s.say(last.Append(out, codec.ResponseMagic))
+	s.answer(last.Append(out, codec.ResponseMagic))
 	return nil
 }
 
-// fits tells whether a key can be said in every dialect of a node.
-func fits(key string) bool {
+// validKey tells whether a key can be said in every dialect of a node.
+func validKey(key string) bool {
 	for i := range len(key) {
 		if key[i] <= ' ' || key[i] == 0x7f {
 			return false
@@ -301,8 +301,8 @@
 	return utf8.ValidString(key)
 }
 
-// from is where the session's requests come from.
-func (s *session) from() route.Client {
+// origin is where the session's requests come from.
+func (s *session) origin() route.Client {
 	c := route.Client{Listener: s.listener}
 	if s.user != nil {
 		c.User = s.user.Name
@@ -310,35 +310,35 @@
 	return c
 }
 
-func (s *session) get(h *codec.Header, rules *Rules) error {
+func (s *session) handleGet(h *codec.Header, rules *Rules) error {
 	var room [codec.MaxKey]byte
 	if _, err := io.ReadFull(s.conn.In, room[:h.KeyLen]); err != nil {
 		return err
 	}
-	r := &reply{host: s.host, head: *h}
+	r := &reply{host: s.host, header: *h}
 	in := &request.Request{Verb: request.Get, Key: string(room[:h.KeyLen]), HeaderRoom: codec.HeaderLen + 4}
 	if h.Opcode.ReturnsKey() {
 		r.key = in.Key
 		in.HeaderRoom += len(in.Key)
 	}
-	if !fits(in.Key) {
-		s.say(codec.AppendStatus(nil, h, codec.InvalidArguments, 0))
+	if !validKey(in.Key) {
+		s.answer(codec.AppendStatus(nil, h, codec.InvalidArguments, 0))
 		return nil
 	}
-	if !rules.Routes.Route(in, false, s.from()) {
-		s.say(codec.AppendStatus(nil, h, codec.NotSupported, 0))
+	if !rules.Routes.Route(in, false, s.origin()) {
+		s.answer(codec.AppendStatus(nil, h, codec.NotSupported, 0))
 		return nil
 	}
-	s.arrive(in, r)
+	s.submit(in, r)
 	return nil
 }
 
-func (s *session) set(h *codec.Header, rules *Rules) error {
+func (s *session) handleSet(h *codec.Header, rules *Rules) error {
 	if !s.host.BodyBudget.TryAcquire(h.BodyLen) {
-		_, err := s.refuse(h, codec.Busy)
+		_, err := s.skipAndAnswer(h, codec.Busy)
 		return err
 	}
-	r := &reply{host: s.host, head: *h, size: h.BodyLen}
+	r := &reply{host: s.host, header: *h, bodyLen: h.BodyLen}
 	body := make([]byte, h.BodyLen)
 	if _, err := io.ReadFull(s.conn.In, body); err != nil {
 		r.Release()
@@ -348,20 +348,20 @@
 		Value: body[h.ExtrasLen+h.KeyLen:]}
 	if status := s.routeSet(in, h.CAS, rules); status != codec.OK {
 		r.Release()
-		s.say(codec.AppendStatus(nil, h, status, 0))
+		s.answer(codec.AppendStatus(nil, h, status, 0))
 		return nil
 	}
-	s.arrive(in, r)
+	s.submit(in, r)
 	return nil
 }
 
 // routeSet finds where a write belongs, and its key if it has a ticket. What can't be
 // carried out is told by another status than OK.
 func (s *session) routeSet(in *request.Request, cas uint64, rules *Rules) codec.Status {
-	if !fits(in.Key) {
+	if !validKey(in.Key) {
 		return codec.InvalidArguments
 	}
-	if !rules.Routes.Route(in, cas != 0, s.from()) {
+	if !rules.Routes.Route(in, cas != 0, s.origin()) {
 		return codec.NotSupported
 	}
 	window := rules.DedupWindows[in.Class]
@@ -382,8 +382,8 @@
 	return codec.OK
 }
 
-func (s *session) arrive(in *request.Request, r *reply) {
-	in.ID = s.front.prefix + strconv.FormatUint(s.front.serial.Add(1), 36)
+func (s *session) submit(in *request.Request, r *reply) {
+	in.ID = s.front.idPrefix + strconv.FormatUint(s.front.lastID.Add(1), 36)
 	if s.conn.Submit(in, &r.Slot, r); r.InFlight == nil {
 		r.Release()
 	}
@@ -392,8 +392,8 @@
 // login looks at a client's proof. Three wrong ones end the connection, and how many are
 // looked at is bounded by their source.
 func (s *session) login(h *codec.Header, rules *Rules) (lost bool, err error) {
-	if h.ValueLen() > maxResponse {
-		return s.refuse(h, codec.AuthError)
+	if h.ValueLen() > maxPlainResponse {
+		return s.skipAndAnswer(h, codec.AuthError)
 	}
 	body := make([]byte, h.BodyLen)
 	if _, err := io.ReadFull(s.conn.In, body); err != nil {
@@ -402,36 +402,36 @@
 	status := codec.AuthError
 	name, secret, ok := sasl.ParsePlain(body[h.KeyLen:])
 	if ok && h.Opcode == codec.SASLAuth && string(body[:h.KeyLen]) == "PLAIN" && rules.Users != nil {
-		status = s.check(rules.Users, name, secret)
+		status = s.authenticate(rules.Users, name, secret)
 	}
 	switch status {
 	case codec.OK:
-		s.value(h, "Authenticated")
+		s.answerText(h, "Authenticated")
 		return false, nil
 	case codec.AuthError:
-		s.guesses++
+		s.failedLogins++
 	}
-	s.say(codec.AppendStatus(nil, h, status, advice(loginPause)))
-	return s.guesses >= mostGuesses, nil
+	s.answer(codec.AppendStatus(nil, h, status, retryAfterMillis(loginRetryDelay)))
+	return s.failedLogins >= maxFailedLogins, nil
 }
 
-// loginPause is when a login that found no place may come again.
-const loginPause = 200 * time.Millisecond
+// loginRetryDelay is when a login that found no place may come again.
+const loginRetryDelay = 200 * time.Millisecond
 
-func (s *session) check(users *sasl.Users, name, secret string) codec.Status {
+func (s *session) authenticate(users *sasl.Users, name, secret string) codec.Status {
 	f, source := s.front, s.conn.RemoteHost()
 	s.user = nil
-	if f.waiting.Add(1) > mostLogins {
-		f.waiting.Add(-1)
+	if f.waitingLogins.Add(1) > maxWaitingLogins {
+		f.waitingLogins.Add(-1)
 		return codec.Busy
 	}
-	f.logins <- struct{}{} // each before it ends within one derivation
+	f.loginSlot <- struct{}{} // each before it ends within one derivation
 	defer func() {
-		<-f.logins
-		f.waiting.Add(-1)
+		<-f.loginSlot
+		f.waitingLogins.Add(-1)
 	}()
 	f.mu.Lock()
-	allowed := f.guard.Allow(time.Now(), source)
+	allowed := f.guesses.Allow(time.Now(), source)
 	f.mu.Unlock()
 	if !allowed {
 		return codec.AuthError
@@ -440,7 +440,7 @@
 		return codec.AuthError
 	}
 	f.mu.Lock()
-	f.guard.Refund(time.Now(), source)
+	f.guesses.Refund(time.Now(), source)
 	f.mu.Unlock()
 	return codec.OK
 }
--- a/internal/frontend/budget.go
+++ b/internal/frontend/budget.go
@@ -4,13 +4,13 @@
 
 // Budget bounds the bytes of one kind that are held at a time.
 type Budget struct {
-	all  int64
-	free atomic.Int64
+	total int64
+	free  atomic.Int64
 }
 
 // NewBudget returns a budget of so many bytes.
 func NewBudget(bytes int) *Budget {
-	b := &Budget{all: int64(bytes)}
+	b := &Budget{total: int64(bytes)}
 	b.free.Store(int64(bytes))
 	return b
 }
@@ -26,7 +26,7 @@
 
 // TryAcquireUnreserved takes n bytes if they are free, and one part in so many of all besides.
 func (b *Budget) TryAcquireUnreserved(n, part int) bool {
-	if b.free.Add(-int64(n)) >= b.all/int64(part) {
+	if b.free.Add(-int64(n)) >= b.total/int64(part) {
 		return true
 	}
 	b.Release(n)
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	clientBuffer = 4 << 10
+	readBufferSize = 4 << 10
 	// Commands of one connection that are at work; further ones wait unread.
-	pipelined = 32
+	maxPipelined = 32
 	// A client has so long to write a command, from its first byte: one that
 	// stops half way must not hold a place, and is told so within 3 s.
-	commandTime = 2500 * time.Millisecond
+	commandTimeout = 2500 * time.Millisecond
 	// A connection without a request is closed after so long. It meets clients
 	// that connect and say nothing, or ask once and stay; whoever comes back
 	// later pays for a new connection.
@@ -45,9 +45,9 @@
 	lingerBytes   = 256 << 10
 	// A client whose last command was answered by silence has its answer only with
 	// the next one that speaks: it is waited for so long, also in a drain.
-	owedTime    = 2500 * time.Millisecond
-	writeMost   = 64 << 10 // bytes in one write
-	smallAnswer = 512      // an answer up to this size is not budgeted
+	silentAnswerTimeout = 2500 * time.Millisecond
+	maxWriteBytes       = 64 << 10 // bytes in one write
+	maxUnbudgetedAnswer = 512      // an answer up to this size is not budgeted
 )
 
 // Host is what the connections of a proxy have in common.
@@ -84,29 +84,29 @@
 // Conn is a client's connection.
 type Conn struct {
 	In      *bufio.Reader // for the session only
-	source  source
+	reader  timedReader
 	host    *Host
 	socket  *net.TCPConn
 	session Session // nil until the first command
 
-	mu       sync.Mutex
-	changed  sync.Cond // of what follows
-	replies  []*Slot   // in the order of the commands
-	busy     bool      // within a command
-	asked    bool      // a command has begun on it, ever
-	closing  bool      // to be closed if it idles still
-	ending   bool      // to be closed between requests
-	until    time.Time // when ending: no command is taken after it
-	finished bool      // half closed: nothing more is answered
-	gone     bool      // nothing can be written any more
-	stalled  bool      // the reader waits for something else than the client
-	refused  int       // commands that came late in a drain
-	since    time.Time // of the last answer
-	owed     time.Time // when the first silent answer was had that nothing has followed; zero for none
-	writing  time.Time // since when a write has been out, zero for none
-	limit    time.Time // of the command under way, as set by limitCommand; zero between commands
-	reason   string    // why it ends, for the log; the first one known
-	began    time.Time
+	mu                    sync.Mutex
+	changed               sync.Cond // of what follows
+	slots                 []*Slot   // in the order of the commands
+	inCommand             bool      // within a command
+	hasReceived           bool      // a command has begun on it, ever
+	closeIfIdle           bool      // to be closed if it idles still
+	draining              bool      // to be closed between requests
+	drainDeadline         time.Time // when ending: no command is taken after it
+	halfClosed            bool      // half closed: nothing more is answered
+	gone                  bool      // nothing can be written any more
+	readerBlocked         bool      // the reader waits for something else than the client
+	rejectedWhileDraining int       // commands that came late in a drain
+	lastAnswerAt          time.Time // of the last answer
+	silentSince           time.Time // when the first silent answer was had that nothing has followed; zero for none
+	writingSince          time.Time // since when a write has been out, zero for none
+	commandDeadline       time.Time // of the command under way, as set by limitCommand; zero between commands
+	closeReason           string    // why it ends, for the log; the first one known
+	openedAt              time.Time
 }
 
 // Slot is the place of one command's answer among those of its connection.
@@ -126,9 +126,9 @@
 // clock.
 func New(host *Host, socket *net.TCPConn, since time.Duration) *Conn {
 	now := time.Now()
-	c := &Conn{host: host, socket: socket, since: now, began: now}
-	c.source.begin(c, since)
-	c.In = bufio.NewReaderSize(&c.source, clientBuffer)
+	c := &Conn{host: host, socket: socket, lastAnswerAt: now, openedAt: now}
+	c.reader.begin(c, since)
+	c.In = bufio.NewReaderSize(&c.reader, readBufferSize)
 	c.changed.L = &c.mu
 	return c
 }
@@ -139,10 +139,10 @@
 // Address implements core.Addressed.
 func (r *Slot) Address() string { return r.conn.Address() }
 
-// because notes why the connection ends, for the log. c.mu is held.
-func (c *Conn) because(reason string) {
-	if c.reason == "" {
-		c.reason = reason
+// noteReason notes why the connection ends, for the log. c.mu is held.
+func (c *Conn) noteReason(reason string) {
+	if c.closeReason == "" {
+		c.closeReason = reason
 	}
 }
 
@@ -155,7 +155,7 @@
 
 func (c *Conn) recordEnd(unanswered int) {
 	if record := c.host.Core.Recorder(); record.Enabled() {
-		record.Record(eventlog.ClientDisconnected{Client: c.Address(), Reason: c.reason, Unanswered: unanswered, Duration: time.Since(c.began)})
+		record.Record(eventlog.ClientDisconnected{Client: c.Address(), Reason: c.closeReason, Unanswered: unanswered, Duration: time.Since(c.openedAt)})
 	}
 }
 
@@ -163,37 +163,37 @@
 func (c *Conn) Serve() {
 	c.recordBegin()
 	var writer sync.WaitGroup
-	writer.Go(c.write)
-	if c.read() {
+	writer.Go(c.writeAnswers)
+	if c.readCommands() {
 		// Framing is lost: say so and go, but only after all that was asked before.
 		c.mu.Lock()
-		c.because("framing lost")
+		c.noteReason("framing lost")
 		c.mu.Unlock()
 		c.Drain()
 		c.linger()
 	}
 	c.mu.Lock()
-	c.because("client closed")
+	c.noteReason("client closed")
 	c.gone = true
 	c.changed.Broadcast()
 	c.mu.Unlock()
 	c.socket.Close()
 	writer.Wait()
 	var unanswered []*core.InFlightRequest
-	for _, r := range c.replies {
+	for _, r := range c.slots {
 		if r.InFlight != nil {
 			unanswered = append(unanswered, r.InFlight)
 		}
 	}
-	c.recordEnd(len(c.replies))
+	c.recordEnd(len(c.slots))
 	c.host.Core.ClientDisconnected(unanswered)
 }
 
-// read takes commands until the client leaves. It returns true when what
+// readCommands takes commands until the client leaves. It returns true when what
 // follows cannot be read as commands.
-func (c *Conn) read() bool {
+func (c *Conn) readCommands() bool {
 	for {
-		if !c.await() {
+		if !c.awaitCommand() {
 			return false
 		}
 		c.limitCommand()
@@ -221,16 +221,16 @@
 func (c *Conn) limitCommand() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	until := time.Now().Add(commandTime)
-	if c.ending {
+	until := time.Now().Add(commandTimeout)
+	if c.draining {
 		if cutoff := c.cutoff(); cutoff.Before(until) {
 			// One that is to be refused still has to be read.
-			if until = cutoff; c.late() {
+			if until = cutoff; c.rejectsCommands() {
 				until = time.Now().Add(LingerTimeout / 3)
 			}
 		}
 	}
-	c.limit = until
+	c.commandDeadline = until
 	c.socket.SetReadDeadline(until)
 }
 
@@ -239,22 +239,22 @@
 	r.conn = c
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.replies) >= pipelined && !c.gone {
+	if len(c.slots) >= maxPipelined && !c.gone {
 		from := c.host.Core.Now()
-		c.stall(func() bool { return len(c.replies) < pipelined })
-		c.source.paused(from)
+		c.blockReader(func() bool { return len(c.slots) < maxPipelined })
+		c.reader.noteUnread(from)
 	}
-	c.replies = append(c.replies, r)
+	c.slots = append(c.slots, r)
 	return r
 }
 
-// stall waits with the reader until done, or until the connection is gone. c.mu is held.
-func (c *Conn) stall(done func() bool) {
-	c.stalled = true
+// blockReader waits with the reader until done, or until the connection is gone. c.mu is held.
+func (c *Conn) blockReader(done func() bool) {
+	c.readerBlocked = true
 	for !done() && !c.gone {
 		c.changed.Wait()
 	}
-	c.stalled = false
+	c.readerBlocked = false
 }
 
 // ReaderBlocked tells whether the reader would not notice that the client leaves: whoever
@@ -262,7 +262,7 @@
 func (c *Conn) ReaderBlocked() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.stalled
+	return c.readerBlocked
 }
 
 // Submit gives the core a request that has come, with r as the place of its answer. In a drain
@@ -271,9 +271,9 @@
 	in.Arrival = c.CommandArrival()
 	c.AddSlot(r)
 	c.mu.Lock()
-	late, gone := c.late(), c.gone
+	late, gone := c.rejectsCommands(), c.gone
 	if late {
-		c.refused++
+		c.rejectedWhileDraining++
 	}
 	c.mu.Unlock()
 	switch {
@@ -286,16 +286,16 @@
 	}
 }
 
-// await waits for the first byte of a command, and tells whether one is to be taken.
+// awaitCommand waits for the first byte of a command, and tells whether one is to be taken.
 //
 // The reader alone ends a connection between commands. Whoever else wants it ended
 // says so and wakes the reader: a command may have been read that nobody knows of
 // yet, and closing over it would lose it.
-func (c *Conn) await() bool {
+func (c *Conn) awaitCommand() bool {
 	for {
-		switch c.rest() {
-		case resting:
-		case ending:
+		switch c.prepareNextCommand() {
+		case keepReading:
+		case drained:
 			c.linger()
 			return false
 		case closed:
@@ -305,7 +305,7 @@
 		if err == nil {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.busy, c.asked, c.closing = true, true, false
+			c.inCommand, c.hasReceived, c.closeIfIdle = true, true, false
 			return true
 		}
 		if !isTimeout(err) {
@@ -315,59 +315,59 @@
 }
 
 // What becomes of a connection between two commands.
-type between uint8
+type readerState uint8
 
 const (
-	resting between = iota // it is read on
-	ending                 // it takes no more, and is closed once all is answered
-	closed                 // it has been closed
+	keepReading readerState = iota // it is read on
+	drained                        // it takes no more, and is closed once all is answered
+	closed                         // it has been closed
 )
 
-// rest decides on the connection as the reader comes to its next command. One that
+// prepareNextCommand decides on the connection as the reader comes to its next command. One that
 // has come already, but is not read yet, is taken first, as far as time allows:
 // the proxy may have been short of its core for a while. What comes later in a drain, while
 // others are waited for, is refused: a close over it would lose it.
-func (c *Conn) rest() between {
+func (c *Conn) prepareNextCommand() readerState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy, c.limit = false, time.Time{}
+	c.inCommand, c.commandDeadline = false, time.Time{}
 	until := time.Time{}
-	if c.closing || c.ending {
-		late := c.late()
-		waits := c.In.Buffered() > 0 || socket.Readable(c.socket) || !c.quiet()
+	if c.closeIfIdle || c.draining {
+		late := c.rejectsCommands()
+		waits := c.In.Buffered() > 0 || socket.Readable(c.socket) || !c.allAnswered()
 		switch {
-		case late && (!waits || c.refused >= pipelined):
-			c.because("drain, late")
-			return ending
+		case late && (!waits || c.rejectedWhileDraining >= maxPipelined):
+			c.noteReason("drain, late")
+			return drained
 		case late: // the writer wakes the reader when all is answered
-		case waits || c.owing(time.Now()):
-		case c.closing:
-			c.because("idle")
+		case waits || c.owesAnswer(time.Now()):
+		case c.closeIfIdle:
+			c.noteReason("idle")
 			c.socket.Close() // its last answer has long been taken: nothing to linger for
 			return closed
 		// One that was just opened is spared for a moment: its first command is on its
 		// way, and a client whose new connection closes at once can't tell what
 		// became of it.
-		case c.ending && c.asked:
-			c.because("drain")
-			return ending
+		case c.draining && c.hasReceived:
+			c.noteReason("drain")
+			return drained
 		}
-		c.closing = false
-		if c.ending && !late {
+		c.closeIfIdle = false
+		if c.draining && !late {
 			until = c.cutoff()
 		}
 	}
 	c.socket.SetReadDeadline(until)
-	return resting
+	return keepReading
 }
 
-// quiet tells whether all commands that were read are answered, and the answers
+// allAnswered tells whether all commands that were read are answered, and the answers
 // written. c.mu is held.
-func (c *Conn) quiet() bool { return len(c.replies) == 0 && c.writing.IsZero() }
+func (c *Conn) allAnswered() bool { return len(c.slots) == 0 && c.writingSince.IsZero() }
 
-// wake has a reader that waits for a command decide anew. c.mu is held.
-func (c *Conn) wake() {
-	if !c.busy && !c.finished {
+// wakeReader has a reader that waits for a command decide anew. c.mu is held.
+func (c *Conn) wakeReader() {
+	if !c.inCommand && !c.halfClosed {
 		c.socket.SetReadDeadline(time.Unix(1, 0))
 	}
 }
@@ -375,7 +375,7 @@
 // Close cuts the connection, whatever is under way on it. The reason is for the log.
 func (c *Conn) Close(reason string) {
 	c.mu.Lock()
-	c.because(reason)
+	c.noteReason(reason)
 	c.mu.Unlock()
 	c.socket.Close()
 }
@@ -386,8 +386,8 @@
 func (c *Conn) Drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ending {
-		c.endBy(time.Now().Add(LingerTimeout / 3))
+	if !c.draining {
+		c.drainBy(time.Now().Add(LingerTimeout / 3))
 	}
 }
 
@@ -395,47 +395,49 @@
 func (c *Conn) DrainNow() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endBy(time.Now())
+	c.drainBy(time.Now())
 }
 
-// endBy is what end and hurry have in common. c.mu is held.
-func (c *Conn) endBy(until time.Time) {
-	c.ending, c.until = true, until
-	if c.busy && !c.finished { // a command that is half there
+// drainBy is what end and hurry have in common. c.mu is held.
+func (c *Conn) drainBy(until time.Time) {
+	c.draining, c.drainDeadline = true, until
+	if c.inCommand && !c.halfClosed { // a command that is half there
 		c.socket.SetReadDeadline(c.cutoff())
 	}
-	c.wake()
+	c.wakeReader()
 }
 
 // RejectsCommands tells whether commands come too late to be taken.
 func (c *Conn) RejectsCommands() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.late()
+	return c.rejectsCommands()
 }
 
-// late is Late with c.mu held.
-func (c *Conn) late() bool { return c.ending && !time.Now().Before(c.cutoff()) }
+// rejectsCommands is Late with c.mu held.
+func (c *Conn) rejectsCommands() bool { return c.draining && !time.Now().Before(c.cutoff()) }
 
 // cutoff is when an ending connection takes no more commands. c.mu is held.
 func (c *Conn) cutoff() time.Time {
-	if now := time.Now(); c.owing(now) && c.until.Before(c.owed.Add(owedTime)) {
-		return c.owed.Add(owedTime)
+	if now := time.Now(); c.owesAnswer(now) && c.drainDeadline.Before(c.silentSince.Add(silentAnswerTimeout)) {
+		return c.silentSince.Add(silentAnswerTimeout)
 	}
-	return c.until
+	return c.drainDeadline
 }
 
-// owing tells whether the client waits for a sign that what was answered by silence is
+// owesAnswer tells whether the client waits for a sign that what was answered by silence is
 // done: closing now would leave it without any answer. c.mu is held.
-func (c *Conn) owing(now time.Time) bool { return !c.owed.IsZero() && now.Sub(c.owed) < owedTime }
+func (c *Conn) owesAnswer(now time.Time) bool {
+	return !c.silentSince.IsZero() && now.Sub(c.silentSince) < silentAnswerTimeout
+}
 
 // linger answers what was read, half closes the connection, and reads on until the
 // client closes too.
 func (c *Conn) linger() {
 	c.mu.Lock()
-	c.busy = false
-	c.stall(c.quiet)
-	c.finished = true
+	c.inCommand = false
+	c.blockReader(c.allAnswered)
+	c.halfClosed = true
 	c.mu.Unlock()
 	c.socket.CloseWrite()
 	c.socket.SetReadDeadline(time.Now().Add(LingerTimeout))
@@ -446,23 +448,23 @@
 func (c *Conn) IdleSince() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.since, c.idles()
+	return c.lastAnswerAt, c.isIdle()
 }
 
-// idles tells whether nothing is under way on the connection, nor will it end by
+// isIdle tells whether nothing is under way on the connection, nor will it end by
 // itself. An answer in writing is under way: the writer may wait for its
 // client, or for the core. c.mu is held.
-func (c *Conn) idles() bool {
-	return !c.busy && c.quiet() && !c.ending && !c.closing && !c.owing(time.Now())
+func (c *Conn) isIdle() bool {
+	return !c.inCommand && c.allAnswered() && !c.draining && !c.closeIfIdle && !c.owesAnswer(time.Now())
 }
 
 // CloseIdle closes a connection that idles, if the reader finds that it still does.
 func (c *Conn) CloseIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.idles() {
-		c.closing = true
-		c.wake()
+	if c.isIdle() {
+		c.closeIfIdle = true
+		c.wakeReader()
 	}
 }
 
@@ -470,7 +472,7 @@
 func (c *Conn) WriteBlockedSince() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.writing
+	return c.writingSince
 }
 
 // Disconnected implements core.DisconnectChecker.
@@ -483,7 +485,7 @@
 		return false
 	}
 	c.mu.Lock()
-	c.because("client gone")
+	c.noteReason("client gone")
 	c.gone = true
 	c.changed.Broadcast()
 	c.mu.Unlock()
@@ -508,7 +510,7 @@
 	if c.gone {
 		return
 	}
-	if len(text) > smallAnswer {
+	if len(text) > maxUnbudgetedAnswer {
 		if instead == nil {
 			c.host.AnswerBudget.Release(-len(text))
 		} else if !c.host.AnswerBudget.TryAcquire(len(text)) {
@@ -519,70 +521,70 @@
 	c.changed.Broadcast()
 }
 
-// release gives back what held answers took of the budget.
-func (h *Host) release(texts net.Buffers) {
+// releaseAnswers gives back what held answers took of the budget.
+func (h *Host) releaseAnswers(texts net.Buffers) {
 	held := 0
 	for _, text := range texts {
-		if len(text) > smallAnswer {
+		if len(text) > maxUnbudgetedAnswer {
 			held += len(text)
 		}
 	}
 	h.AnswerBudget.Release(held)
 }
 
-// write sends answers in the order of the commands.
-func (c *Conn) write() {
+// writeAnswers sends answers in the order of the commands.
+func (c *Conn) writeAnswers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		texts, taken := c.ready()
+		texts, taken := c.takeReady()
 		switch {
 		case c.gone:
-			c.host.release(texts)
-			for _, r := range c.replies {
-				c.host.release(net.Buffers{r.text})
+			c.host.releaseAnswers(texts)
+			for _, r := range c.slots {
+				c.host.releaseAnswers(net.Buffers{r.text})
 			}
 			return
 		case len(texts) == 0 && taken:
-			c.since = time.Now()
-			if c.ending && c.quiet() {
-				c.wake()
+			c.lastAnswerAt = time.Now()
+			if c.draining && c.allAnswered() {
+				c.wakeReader()
 			}
 			c.changed.Broadcast()
 		case len(texts) == 0:
 			c.changed.Wait()
 		default:
-			c.writing = time.Now()
+			c.writingSince = time.Now()
 			c.mu.Unlock()
 			left := append(net.Buffers(nil), texts...) // WriteTo eats its receiver
 			_, err := left.WriteTo(c.socket)
-			c.host.release(texts)
+			c.host.releaseAnswers(texts)
 			c.mu.Lock()
-			c.since, c.writing = time.Now(), time.Time{}
+			c.lastAnswerAt, c.writingSince = time.Now(), time.Time{}
 			if err != nil {
-				c.because("write: " + err.Error())
+				c.noteReason("write: " + err.Error())
 				c.gone = true
 				c.socket.Close() // wakes the reader
 			}
-			if c.ending && c.quiet() {
-				c.wake()
+			if c.draining && c.allAnswered() {
+				c.wakeReader()
 			}
 			c.changed.Broadcast()
 		}
 	}
 }
 
-// ready takes the answers that can be written now off the replies, and tells whether
+// takeReady takes the answers that can be written now off the replies, and tells whether
 // there were any, silent ones among them. c.mu is held.
-func (c *Conn) ready() (texts net.Buffers, taken bool) {
-	for size := 0; len(c.replies) > 0 && c.replies[0].text != nil && size < writeMost; taken = true {
-		if text := c.replies[0].text; len(text) > 0 {
-			texts, size, c.owed = append(texts, text), size+len(text), time.Time{}
-		} else if c.owed.IsZero() {
-			c.owed = time.Now()
+func (c *Conn) takeReady() (texts net.Buffers, taken bool) {
+	for size := 0; len(c.slots) > 0 && c.slots[0].text != nil && size < maxWriteBytes; taken = true {
+		if text := c.slots[0].text; len(text) > 0 {
+			texts, size, c.silentSince = append(texts, text), size+len(text), time.Time{}
+		} else if c.silentSince.IsZero() {
+			c.silentSince = time.Now()
 		}
-		c.replies[0] = nil
-		c.replies = c.replies[1:]
+		c.slots[0] = nil
+		c.slots = c.slots[1:]
 	}
 	return texts, taken
 }
--- a/internal/frontend/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -57,11 +57,11 @@
 	fmt.Fprint(peer, "mn\r\n")
 	testutil.WaitUntil(t, "the request to come", func() bool { return socket.Readable(c.socket) })
 	c.CloseIdle()
-	if got := c.rest(); got != resting || c.closing {
+	if got := c.prepareNextCommand(); got != keepReading || c.closeIfIdle {
 		t.Errorf("with a request unread the connection is at %d", got)
 	}
 	c.Drain()
-	if got := c.rest(); got != resting {
+	if got := c.prepareNextCommand(); got != keepReading {
 		t.Errorf("in a drain, with a request unread, the connection is at %d", got)
 	}
 }
@@ -103,7 +103,7 @@
 			c.mu.Unlock()
 			ask()
 			testutil.Receive(t, "the close", ended)
-			if c.ending { // once is all there is
+			if c.draining { // once is all there is
 				break
 			}
 		}
@@ -116,13 +116,13 @@
 // written, to a client that has idled for long before it asked.
 func TestAnswerInWritingIsNoIdling(t *testing.T) {
 	c, peer := pair(t)
-	c.since = time.Now().Add(-time.Hour)
+	c.lastAnswerAt = time.Now().Add(-time.Hour)
 	c.socket.SetWriteBuffer(4 << 10)
 	peer.SetReadBuffer(64 << 10)
 	r := c.AddSlot(new(Slot))
 	done := make(chan struct{})
 	go func() {
-		c.write()
+		c.writeAnswers()
 		done <- struct{}{}
 	}()
 	value := strings.Repeat("v", 1<<19)
@@ -132,7 +132,7 @@
 		t.Error("a connection whose answer is being written counts as idle")
 	}
 	c.CloseIdle()
-	if c.closing {
+	if c.closeIfIdle {
 		t.Error("a connection whose answer is being written is closed")
 	}
 	got := make([]byte, len(value))
--- a/internal/frontend/source.go
+++ b/internal/frontend/source.go
@@ -10,44 +10,44 @@
 	"mulleinpier/internal/socket"
 )
 
-// source reads a client's socket, and knows how old what it brings may be. It belongs to the
+// timedReader reads a client's socket, and knows how old what it brings may be. It belongs to the
 // connection's reader.
-type source struct {
-	conn  *Conn
-	core  *core.Core
-	read  pause.ReadTiming // the latest call that brought something
-	clean time.Duration    // when all that had come was taken last, zero for never
+type timedReader struct {
+	conn      *Conn
+	core      *core.Core
+	lastRead  pause.ReadTiming // the latest call that brought something
+	drainedAt time.Duration    // when all that had come was taken last, zero for never
 	// A time in which nothing was read, as too many commands were at work or the connection waited to be accepted.
-	pause pause.Interval
+	unreadInterval pause.Interval
 }
 
 // begin takes a connection that may have waited to be accepted since a time.
-func (s *source) begin(c *Conn, since time.Duration) {
+func (s *timedReader) begin(c *Conn, since time.Duration) {
 	s.conn, s.core = c, c.host.Core
 	now := s.core.Now()
-	s.paused(since)
-	s.clean = pause.DrainedAtAccept(now, s.pause, s.core.LastPause(), s.core.LastStall())
+	s.noteUnread(since)
+	s.drainedAt = pause.DrainedAtAccept(now, s.unreadInterval, s.core.LastPause(), s.core.LastStall())
 }
 
-// paused notes that nothing was read since a time.
-func (s *source) paused(from time.Duration) {
+// noteUnread notes that nothing was read since a time.
+func (s *timedReader) noteUnread(from time.Duration) {
 	if to := s.core.Now(); to-from >= pause.MinStall {
-		s.pause = pause.Interval{Start: from, End: to}
+		s.unreadInterval = pause.Interval{Start: from, End: to}
 	}
 }
 
 // Read implements io.Reader.
-func (s *source) Read(p []byte) (int, error) {
+func (s *timedReader) Read(p []byte) (int, error) {
 	for {
 		began := s.core.Now()
 		n, err := s.conn.socket.Read(p)
 		ended := s.core.Now()
-		if n == 0 && isTimeout(err) && s.conn.stoodWithin() {
+		if n == 0 && isTimeout(err) && s.conn.extendAfterPause() {
 			continue
 		}
 		if n > 0 {
-			s.read = pause.ReadTiming{DrainedAt: s.clean, Started: began, Ended: ended}
-			s.clean = s.read.DrainedAfter(n < len(p), s.core.LastPause(), s.core.LastStall())
+			s.lastRead = pause.ReadTiming{DrainedAt: s.drainedAt, Started: began, Ended: ended}
+			s.drainedAt = s.lastRead.DrainedAfter(n < len(p), s.core.LastPause(), s.core.LastStall())
 		}
 		return n, err
 	}
@@ -56,18 +56,18 @@
 // CommandArrival is when the last byte of the command just read may have come. It is for sessions, before
 // the next is read.
 func (c *Conn) CommandArrival() pause.Arrival {
-	s := &c.source
-	age := s.core.EstimateArrival(s.read, c.kernel)
-	if s.pause.End > s.read.DrainedAt {
-		paused := pause.EstimateArrival(s.read, s.pause, c.kernel())
+	s := &c.reader
+	age := s.core.EstimateArrival(s.lastRead, c.kernelInfo)
+	if s.unreadInterval.End > s.lastRead.DrainedAt {
+		paused := pause.EstimateArrival(s.lastRead, s.unreadInterval, c.kernelInfo())
 		age.Earliest, age.Latest = min(age.Earliest, paused.Earliest), min(age.Latest, paused.Latest)
 	}
 	return age
 }
 
-// kernel asks what the kernel knows of the connection.
-func (c *Conn) kernel() (k pause.KernelInfo) {
-	info, ok := c.info()
+// kernelInfo asks what the kernel knows of the connection.
+func (c *Conn) kernelInfo() (k pause.KernelInfo) {
+	info, ok := c.tcpInfo()
 	if !ok {
 		return k
 	}
@@ -75,7 +75,7 @@
 		SingleCommand: c.In.Buffered() == 0 && !socket.Readable(c.socket)}
 }
 
-func (c *Conn) info() (info *unix.TCPInfo, ok bool) {
+func (c *Conn) tcpInfo() (info *unix.TCPInfo, ok bool) {
 	raw, err := c.socket.SyscallConn()
 	if err != nil {
 		return nil, false
@@ -84,9 +84,9 @@
 	return info, err == nil && info != nil && info.State > 0
 }
 
-// stoodWithin gives the command under way its time anew if a stop of the process took it, and
+// extendAfterPause gives the command under way its time anew if a stop of the process took it, and
 // tells whether.
-func (c *Conn) stoodWithin() bool {
+func (c *Conn) extendAfterPause() bool {
 	gap := c.host.Core.LastPause()
 	if gap.End == 0 {
 		return false
@@ -94,11 +94,11 @@
 	woke := c.host.Core.WallTime(gap.End)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.limit.IsZero() || c.ending || !woke.After(c.limit.Add(-commandTime)) || !c.limit.Before(woke.Add(commandTime)) ||
-		time.Since(woke) >= commandTime {
+	if c.commandDeadline.IsZero() || c.draining || !woke.After(c.commandDeadline.Add(-commandTimeout)) || !c.commandDeadline.Before(woke.Add(commandTimeout)) ||
+		time.Since(woke) >= commandTimeout {
 		return false
 	}
-	c.limit = woke.Add(commandTime)
-	c.socket.SetReadDeadline(c.limit)
+	c.commandDeadline = woke.Add(commandTimeout)
+	c.socket.SetReadDeadline(c.commandDeadline)
 	return true
 }
--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -55,7 +55,7 @@
 	if !utf8.ValidString(line) {
 		return c, ErrUnknownCommand
 	}
-	verb, rest := word(line)
+	verb, rest := nextWord(line)
 	switch verb {
 	case "mn":
 		c.Noop = true
@@ -65,7 +65,7 @@
 		return c, nil
 	case "stats":
 		c.Stats = true
-		if c.Key, rest = word(rest); rest != "" || c.Key != "" && !ValidKey(c.Key) {
+		if c.Key, rest = nextWord(rest); rest != "" || c.Key != "" && !ValidKey(c.Key) {
 			return c, ErrUnknownCommand
 		}
 		return c, nil
@@ -78,11 +78,11 @@
 	}
 	skip := 0
 	bad := func(reason string) (Command, error) { return c, &ClientError{Reason: reason, SkipBytes: skip} }
-	c.Key, rest = word(rest)
+	c.Key, rest = nextWord(rest)
 	if c.Verb == request.Set {
 		var size string
-		size, rest = word(rest)
-		n, ok := length(size)
+		size, rest = nextWord(rest)
+		n, ok := parseLength(size)
 		if !ok {
 			skip = -1
 			return bad("bad data length")
@@ -95,7 +95,7 @@
 	value, params := false, false
 	for rest != "" {
 		var flag string
-		flag, rest = word(rest)
+		flag, rest = nextWord(rest)
 		switch {
 		case flag == "v" && c.Verb == request.Get && !value:
 			value = true
@@ -103,7 +103,7 @@
 			c.ID = flag[1:]
 		case len(flag) > 1 && flag[0] == 'P' && !params && printable(flag):
 			params = true
-			if reason := c.params(flag[1:], len(line)-len(rest)); reason != "" {
+			if reason := c.parseParams(flag[1:], len(line)-len(rest)); reason != "" {
 				return bad(reason)
 			}
 		default:
@@ -121,9 +121,9 @@
 	return c, nil
 }
 
-// params reads the list of flag P, which ends before place end of the line
+// parseParams reads the list of flag P, which ends before place end of the line
 // (and a space, if the line goes on).
-func (c *Command) params(list string, end int) string {
+func (c *Command) parseParams(list string, end int) string {
 	raw := &c.Raw
 	if end < len(raw.Line) || strings.HasSuffix(raw.Line, " ") {
 		end--
@@ -277,12 +277,12 @@
 // ParseAnswer reads an answer's first line.
 func ParseAnswer(line []byte) (AnswerLine, error) {
 	var a AnswerLine
-	verb, rest := cut(line)
+	verb, rest := cutWord(line)
 	switch string(verb) {
 	case "VA":
 		var size []byte
-		size, rest = cut(rest)
-		n, ok := length(string(size))
+		size, rest = cutWord(rest)
+		n, ok := parseLength(string(size))
 		if !ok {
 			return a, ErrMalformedAnswer
 		}
@@ -297,7 +297,7 @@
 	case "SERVER_ERROR":
 		a.Kind = request.Failed
 		var what []byte
-		if what, rest = cut(rest); string(what) == "busy" {
+		if what, rest = cutWord(rest); string(what) == "busy" {
 			a.Kind = request.Busy
 		}
 	case "CLIENT_ERROR", "ERROR": // no use, but whole: nothing behind it is lost
@@ -308,7 +308,7 @@
 	}
 	for len(rest) > 0 {
 		var flag []byte
-		flag, rest = cut(rest)
+		flag, rest = cutWord(rest)
 		if len(flag) == 0 {
 			return a, ErrMalformedAnswer
 		}
@@ -375,12 +375,12 @@
 	return nil
 }
 
-func word(s string) (first, rest string) {
+func nextWord(s string) (first, rest string) {
 	first, rest, _ = strings.Cut(s, " ")
 	return first, rest
 }
 
-func cut(b []byte) (first, rest []byte) {
+func cutWord(b []byte) (first, rest []byte) {
 	for i, c := range b {
 		if c == ' ' {
 			return b[:i], b[i+1:]
@@ -389,8 +389,8 @@
 	return b, nil
 }
 
-// length reads a value's length without taking a sign, a plus or what no value may be.
-func length(s string) (int, bool) {
+// parseLength reads a value's length without taking a sign, a plus or what no value may be.
+func parseLength(s string) (int, bool) {
 	if s == "" || len(s) > len("65536") {
 		return 0, false
 	}
--- a/internal/pause/age.go
+++ b/internal/pause/age.go
@@ -33,18 +33,18 @@
 	return r.Ended
 }
 
-// acceptTime is how long after a stop or a pause all that waited to be accepted has been.
-const acceptTime = time.Second
+// acceptDelay is how long after a stop or a pause all that waited to be accepted has been.
+const acceptDelay = time.Second
 
 // DrainedAtAccept is the time before which nothing can have come on a connection that was accepted now, zero for
 // never: it may have waited for that itself, or through the latest stop or pause.
 func DrainedAtAccept(now time.Duration, waited, stop, pause Interval) time.Duration {
 	switch {
-	case stop.End > 0 && now-stop.End <= acceptTime:
+	case stop.End > 0 && now-stop.End <= acceptDelay:
 		return 0
 	case waited.End > 0:
 		return waited.Start
-	case pause.End > 0 && now-pause.End <= acceptTime:
+	case pause.End > 0 && now-pause.End <= acceptDelay:
 		return pause.Start
 	}
 	return now
@@ -57,8 +57,8 @@
 	SingleCommand bool          // what was read is one whole command, and no more waits
 }
 
-// kernelGrain is how coarsely the kernel counts such ages.
-const kernelGrain = 10 * time.Millisecond
+// kernelResolution is how coarsely the kernel counts such ages.
+const kernelResolution = 10 * time.Millisecond
 
 // Arrival is how old the last byte of a command may be. Those who are at work read at once: so what
 // was read is as old as its reading, unless a stop lay between. Then it may have come at any
@@ -70,7 +70,7 @@
 }
 
 // Exact tells whether it is known when it came.
-func (a Arrival) Exact() bool { return a.Latest-a.Earliest <= kernelGrain }
+func (a Arrival) Exact() bool { return a.Latest-a.Earliest <= kernelResolution }
 
 // EstimateArrival works out how old what was read is, after the latest stop.
 func EstimateArrival(r ReadTiming, gap Interval, k KernelInfo) Arrival {
@@ -87,7 +87,7 @@
 	if k.Known {
 		a.Latest = max(a.Earliest, r.Ended-k.SinceLastByte)
 		if k.SingleCommand {
-			a.Earliest = max(a.Earliest, a.Latest-kernelGrain)
+			a.Earliest = max(a.Earliest, a.Latest-kernelResolution)
 		}
 	}
 	return a
@@ -99,8 +99,8 @@
 	SendBefore time.Duration // else it may be sent until then
 }
 
-// margin is left of a window for queues, and for clocks that differ.
-const margin = 100 * time.Millisecond
+// windowMargin is left of a window for queues, and for clocks that differ.
+const windowMargin = 100 * time.Millisecond
 
 // DecideByAge decides on a request of an age, whose client said that it waits so long (window is that
 // in which nodes drop its repeats, for keyed ones). What may change something counts as old as
@@ -114,7 +114,7 @@
 	}
 	until := a.Earliest + wait
 	if effect == IdempotentWithKey && !a.Exact() && window > 0 {
-		until = min(until, a.Earliest+window-margin)
+		until = min(until, a.Earliest+window-windowMargin)
 	}
 	return AgeDecision{Reject: now >= until, SendBefore: until}
 }
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -28,7 +28,7 @@
 			from := now + time.Duration(r.Int64N(int64(4*time.Second)))
 			now = from + time.Duration(r.Int64N(int64(200*ms)))
 			if p.Observe(from, now) {
-				if now-last > pauseMemory {
+				if now-last > stallMemory {
 					worst = 0
 				}
 				worst, last = max(worst, now-from), now
@@ -38,12 +38,12 @@
 			if margin < 0 || margin > wait*6/10+1 {
 				t.Fatalf("seed %d: margin %v of a wait of %v", seed, margin, wait)
 			}
-			if now-last < pauseMemory && wait >= time.Second && now-from-margin > lateSlack && now-from >= MinStall {
+			if now-last < stallMemory && wait >= time.Second && now-from-margin > lateTolerance && now-from >= MinStall {
 				t.Fatalf("seed %d: a pause of %v and a margin of %v", seed, now-from, margin)
 			}
 		}
-		if got := p.Worst(now + 2*pauseMemory); got != 0 {
-			t.Fatalf("seed %d: %v is remembered after %v", seed, got, 2*pauseMemory)
+		if got := p.Worst(now + 2*stallMemory); got != 0 {
+			t.Fatalf("seed %d: %v is remembered after %v", seed, got, 2*stallMemory)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 		{"on a new connection", ReadTiming{0, 1160 * ms, 1160 * ms}, 1000 * ms, true},
 		{"read clean within", ReadTiming{1100 * ms, 1100 * ms, 1155 * ms}, 1100 * ms, true},
 		{"read clean since", ReadTiming{1152 * ms, 1152 * ms, 1160 * ms}, 0, false},
-		{"read long after", ReadTiming{10 * ms, 20 * ms, 1150*ms + settleTime + 1}, 0, false},
+		{"read long after", ReadTiming{10 * ms, 20 * ms, 1150*ms + readDelay + 1}, 0, false},
 		{"read before", ReadTiming{10 * ms, 20 * ms, 999 * ms}, 0, false},
 	} {
 		if since, delayed := DelayedByStall(c.read, pause); since != c.since || delayed != c.delayed {
--- a/internal/pause/still.go
+++ b/internal/pause/still.go
@@ -86,68 +86,70 @@
 type state uint8
 
 const (
-	awake     state = iota
-	waking          // sends are held until the lists have come
-	releasing       // what was held is let go in portions
+	running    state = iota
+	recovering       // sends are held until the lists have come
+	releasing        // what was held is let go in portions
 )
 
 // Detector tells stops and leads through what follows them. The zero value is not usable.
 type Detector struct {
-	limits Limits
-	state  state
-	last   ClockReading
-	gap    Interval      // the latest
-	until  time.Duration // when waking ends at the latest; when releasing, when the next portion goes
-	held   int           // as told by Held
+	limits      Limits
+	state       state
+	lastReading ClockReading
+	lastPause   Interval      // the latest
+	deadline    time.Duration // when waking ends at the latest; when releasing, when the next portion goes
+	heldSends   int           // as told by Held
 }
 
 // New returns a module whose process is at work at a reading.
-func New(limits Limits, now ClockReading) *Detector { return &Detector{limits: limits, last: now} }
+func New(limits Limits, now ClockReading) *Detector {
+	return &Detector{limits: limits, lastReading: now}
+}
 
 // LastPause returns the latest stop.
-func (m *Detector) LastPause() Interval { return m.gap }
+func (m *Detector) LastPause() Interval { return m.lastPause }
 
 // HoldsSends tells whether sends are to be held as they are decided.
-func (m *Detector) HoldsSends() bool { return m.state != awake }
+func (m *Detector) HoldsSends() bool { return m.state != running }
 
 // HoldsWrites tells whether nothing at all is to be written: those that were let go are.
-func (m *Detector) HoldsWrites() bool { return m.state == waking }
+func (m *Detector) HoldsWrites() bool { return m.state == recovering }
 
 // SetHeldSends tells how many sends are held now, after each portion.
-func (m *Detector) SetHeldSends(n int) { m.held = n }
+func (m *Detector) SetHeldSends(n int) { m.heldSends = n }
 
 // Handle takes an event at a time, and appends what is to be done to out. A time before the
 // last look's was read before it, by one that was overtaken: it tells nothing.
 func (m *Detector) Handle(now time.Duration, event Event, out []Action) []Action {
-	if look, ok := event.(ClockChecked); ok && now >= m.last.Now {
-		asleep := max(look.TotalSleep-m.last.TotalSleep, 0)
-		before := m.last
-		m.last = ClockReading{Now: now, TotalSleep: max(look.TotalSleep, m.last.TotalSleep)}
+	if look, ok := event.(ClockChecked); ok && now >= m.lastReading.Now {
+		asleep := max(look.TotalSleep-m.lastReading.TotalSleep, 0)
+		before := m.lastReading
+		m.lastReading = ClockReading{Now: now, TotalSleep: max(look.TotalSleep, m.lastReading.TotalSleep)}
 		if now-before.Now+asleep >= m.limits.MinPause {
 			gap := Interval{Start: before.Now, End: now, Slept: asleep}
 			// What came in the stop before may be unread yet.
-			if m.gap.End > 0 && (m.state != awake || before.Now-m.gap.End < 2*m.limits.CheckInterval) {
-				gap.Start, gap.Slept = m.gap.Start, gap.Slept+m.gap.Slept
+			if m.lastPause.End > 0 && (m.state != running || before.Now-m.lastPause.End < 2*m.limits.CheckInterval) {
+				gap.Start, gap.Slept = m.lastPause.Start, gap.Slept+m.lastPause.Slept
 			}
-			m.gap = gap
-			m.state, m.until = waking, now+m.limits.MaxHold
-			return append(out, Paused{m.gap}, CheckAgain{m.limits.MaxHold})
+			m.lastPause = gap
+			m.state, m.deadline = recovering, now+m.limits.MaxHold
+			return append(out, Paused{m.lastPause}, CheckAgain{m.limits.MaxHold})
 		}
 	}
 	_, heard := event.(ListsRefreshed)
 	switch {
-	case m.state == waking && (heard || now >= m.until):
-		m.state, m.until = releasing, now
+	case m.state == recovering && (heard || now >= m.deadline):
+		m.state, m.deadline = releasing, now
 		fallthrough
-	case m.state == releasing && now >= m.until:
-		if m.held > 0 {
+	case m.state == releasing && now >= m.deadline:
+		if m.heldSends > 0 {
 			out = append(out, ReleaseSends{m.limits.ReleaseBatch})
 		}
-		if m.held <= m.limits.ReleaseBatch { // what comes from now on need not wait for what came before
-			m.state = awake
-			return append(out, Resumed{now - m.gap.End})
+		if m.heldSends <= m.limits.ReleaseBatch { // what comes from now on need not wait for what came before
+			m.state = running
+			return append(out, Resumed{now - m.lastPause.End})
 		}
-		m.until = now + m.limits.ReleaseInterval
+		m.deadline = now + m.limits.ReleaseInterval
 		out = append(out, CheckAgain{m.limits.ReleaseInterval})
 	}
 	return out
--- a/internal/pause/still_test.go
+++ b/internal/pause/still_test.go
@@ -96,7 +96,7 @@
 			if told && jitter+stop+sleep < DefaultLimits.MinPause {
 				t.Fatalf("seed %d: told after %v", seed, jitter+stop+sleep)
 			}
-			if m.state == waking && now > awakeBy {
+			if m.state == recovering && now > awakeBy {
 				t.Fatalf("seed %d: still waking at %v, woken by %v", seed, now, awakeBy)
 			}
 		}
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -67,10 +67,10 @@
 	Invalid                    // never sent on
 )
 
-var kindNames = [...]string{Value: "value", Stored: "stored", Busy: "busy", Failed: "failed", NotFound: "missing", Invalid: "bad"}
+var answerKindNames = [...]string{Value: "value", Stored: "stored", Busy: "busy", Failed: "failed", NotFound: "missing", Invalid: "bad"}
 
 // String returns the kind as logs have it.
-func (k AnswerKind) String() string { return kindNames[k] }
+func (k AnswerKind) String() string { return answerKindNames[k] }
 
 // Answer is the answer to a request.
 type Answer struct {
@@ -84,41 +84,41 @@
 	Coalesced  bool          // another fetch of the key was out
 	LoadReport []byte        // the node's load report; nil for none
 
-	buf      []byte
-	from, to int
+	buf        []byte
+	start, end int
 }
 
-// tailRoom is what a value's buffer has behind it.
-const tailRoom = 2
+// maxTailLen is what a value's buffer has behind it.
+const maxTailLen = 2
 
 // AllocateValue makes room for a value of so many bytes, and for a frame round it. What
 // it returns is to be filled.
 func (a *Answer) AllocateValue(room, size int) []byte {
-	a.Kind, a.buf, a.from, a.to = Value, make([]byte, room+size+tailRoom), room, room+size
+	a.Kind, a.buf, a.start, a.end = Value, make([]byte, room+size+maxTailLen), room, room+size
 	return a.Value()
 }
 
 // Value returns the value of a read.
-func (a *Answer) Value() []byte { return a.buf[a.from:a.to:a.to] }
+func (a *Answer) Value() []byte { return a.buf[a.start:a.end:a.end] }
 
 // Tail returns the room behind a value, two bytes: a reader whose dialect ends
 // values with as much may read it in one go, see [Answer.ValueAndTail].
-func (a *Answer) Tail() []byte { return a.buf[a.to:] }
+func (a *Answer) Tail() []byte { return a.buf[a.end:] }
 
 // ValueAndTail returns a value with the room behind it.
-func (a *Answer) ValueAndTail() []byte { return a.buf[a.from:] }
+func (a *Answer) ValueAndTail() []byte { return a.buf[a.start:] }
 
 // Frame puts a head before the value and a tail of two bytes at most behind it, in place
 // where there is room, and returns all of it. It is called once.
 func (a *Answer) Frame(head, tail []byte) []byte {
-	if len(head) > a.from || len(tail) > tailRoom {
-		return append(append(append(make([]byte, 0, len(head)+a.to-a.from+len(tail)), head...), a.Value()...), tail...)
+	if len(head) > a.start || len(tail) > maxTailLen {
+		return append(append(append(make([]byte, 0, len(head)+a.end-a.start+len(tail)), head...), a.Value()...), tail...)
 	}
-	start := a.from - len(head)
+	start := a.start - len(head)
 	copy(a.buf[start:], head)
-	n := copy(a.buf[a.to:], tail)
-	return a.buf[start : a.to+n]
+	n := copy(a.buf[a.end:], tail)
+	return a.buf[start : a.end+n]
 }
 
 // ValueLen is the length of a read's value in bytes.
-func (a *Answer) ValueLen() int { return a.to - a.from }
+func (a *Answer) ValueLen() int { return a.end - a.start }
--- a/internal/sasl/guard.go
+++ b/internal/sasl/guard.go
@@ -8,7 +8,7 @@
 	GuessRefillInterval = 2 * time.Second
 	// Sources that are remembered. Past them all others share one allowance: a
 	// guesser with many addresses must not take the memory of all.
-	mostSources = 1024
+	maxSources = 1024
 )
 
 // GuessLimiter says whether a guess is looked at. It reads no clock, and is not safe for
@@ -19,8 +19,8 @@
 }
 
 type allowance struct {
-	spent float64
-	at    time.Time
+	spent     float64
+	updatedAt time.Time
 }
 
 // NewGuessLimiter returns a Guard that has seen nothing.
@@ -29,7 +29,7 @@
 // Allow takes one guess off a source's allowance, and tells whether there was one.
 func (g *GuessLimiter) Allow(now time.Time, source string) bool {
 	a := g.find(now, source)
-	a.fade(now)
+	a.refill(now)
 	if a.spent+1 > GuessBurst {
 		return false
 	}
@@ -41,7 +41,7 @@
 // over is no guesser.
 func (g *GuessLimiter) Refund(now time.Time, source string) {
 	a := g.find(now, source)
-	a.fade(now)
+	a.refill(now)
 	a.spent = max(a.spent-1, 0)
 }
 
@@ -49,22 +49,22 @@
 	if a := g.sources[source]; a != nil {
 		return a
 	}
-	if len(g.sources) >= mostSources {
+	if len(g.sources) >= maxSources {
 		for name, a := range g.sources {
-			if a.fade(now); a.spent == 0 {
+			if a.refill(now); a.spent == 0 {
 				delete(g.sources, name)
 			}
 		}
-		if len(g.sources) >= mostSources {
+		if len(g.sources) >= maxSources {
 			return &g.others
 		}
 	}
-	a := &allowance{at: now}
+	a := &allowance{updatedAt: now}
 	g.sources[source] = a
 	return a
 }
 
-func (a *allowance) fade(now time.Time) {
-	a.spent = max(a.spent-float64(now.Sub(a.at))/float64(GuessRefillInterval), 0)
-	a.at = now
+func (a *allowance) refill(now time.Time) {
+	a.spent = max(a.spent-float64(now.Sub(a.updatedAt))/float64(GuessRefillInterval), 0)
+	a.updatedAt = now
 }
--- a/internal/sasl/sasl_test.go
+++ b/internal/sasl/sasl_test.go
@@ -109,7 +109,7 @@
 	for i := range 100000 {
 		g.Allow(now, fmt.Sprint("x", i))
 	}
-	if len(g.sources) > mostSources {
+	if len(g.sources) > maxSources {
 		t.Errorf("%d sources are remembered", len(g.sources))
 	}
 }
--- a/internal/sasl/users.go
+++ b/internal/sasl/users.go
@@ -55,9 +55,9 @@
 	byName map[string]*User
 	list   []*User
 
-	mu    sync.Mutex
-	key   []byte            // of the quick hashes
-	quick map[string][]byte // of secrets that were good, by name
+	mu          sync.Mutex
+	verifiedKey []byte            // of the quick hashes
+	verified    map[string][]byte // of secrets that were good, by name
 }
 
 // ParseUsers reads a users' file: a line each, NAME:pbkdf2-sha256:ITERATIONS:SALT:HASH with
@@ -65,7 +65,7 @@
 // are passed over. Its error joins one error a defect. key is random, and the
 // process's own.
 func ParseUsers(text string, key []byte) (*Users, error) {
-	us := &Users{byName: make(map[string]*User), key: key, quick: make(map[string][]byte)}
+	us := &Users{byName: make(map[string]*User), verifiedKey: key, verified: make(map[string][]byte)}
 	var errs []error
 	number := 0
 	for line := range strings.Lines(text) {
@@ -165,11 +165,11 @@
 		h.Write([]byte(name))
 		u = us.list[h.Sum32()%uint32(len(us.list))]
 	}
-	mac := hmac.New(sha256.New, us.key)
+	mac := hmac.New(sha256.New, us.verifiedKey)
 	mac.Write([]byte(name + "\x00" + secret))
 	sum := mac.Sum(nil)
 	us.mu.Lock()
-	quick := us.quick[name]
+	quick := us.verified[name]
 	us.mu.Unlock()
 	if known && quick != nil && hmac.Equal(quick, sum) {
 		return u
@@ -179,7 +179,7 @@
 		return nil
 	}
 	us.mu.Lock()
-	us.quick[name] = sum
+	us.verified[name] = sum
 	us.mu.Unlock()
 	return u
 }
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -120,7 +120,7 @@
 			testutil.Receive(t, "the first's look", g.looks)
 			node := testutil.Receive(t, "a connection", accepted)
 			nodes.mu.Lock()
-			nodes.nodes["n"].conns[0].socket.SetWriteBuffer(128 << 10)
+			nodes.nodes["n"].connections[0].socket.SetWriteBuffer(128 << 10)
 			nodes.mu.Unlock()
 			var big []*Attempt
 			const bigs = 40 // more than all buffers on the way hold
@@ -138,8 +138,8 @@
 			testutil.WaitUntil(t, "what has not begun to wait again", func() bool {
 				nodes.mu.Lock()
 				defer nodes.mu.Unlock()
-				c := nodes.nodes["n"].conns[0]
-				return len(c.out) > 0 || len(g.looks) > 0
+				c := nodes.nodes["n"].connections[0]
+				return len(c.queued) > 0 || len(g.looks) > 0
 			})
 			saw := make(chan string, 100)
 			go func() {
@@ -254,14 +254,14 @@
 	node.SetLinger(0)
 	node.Close()
 	nodes.mu.Lock()
-	c := nodes.nodes["n"].conns[0]
+	c := nodes.nodes["n"].connections[0]
 	nodes.mu.Unlock()
 	testutil.WaitUntil(t, "the reset to come", func() bool { return socket.PeerClosed(c.socket) })
 	g.goOn <- struct{}{} // the third's write fails
 	testutil.WaitUntil(t, "the write to fail", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
-		return c.broken || c.closed
+		return c.writeFailed || c.closed
 	})
 	close(g.answered)
 	got := map[*Attempt]end{}
@@ -340,7 +340,7 @@
 	testutil.WaitUntil(t, "the connection's end to be noticed", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
-		return len(nodes.nodes["n"].conns) == 0
+		return len(nodes.nodes["n"].connections) == 0
 	})
 	g.goOn <- struct{}{}
 	if again := testutil.Receive(t, "another look", g.looks); len(again) != 1 || again[0] != a {
@@ -364,7 +364,7 @@
 	testutil.Receive(t, "the first's look", g.looks)
 	node := testutil.Receive(t, "a connection", accepted)
 	nodes.mu.Lock()
-	nodes.nodes["n"].conns[0].socket.SetWriteBuffer(128 << 10)
+	nodes.nodes["n"].connections[0].socket.SetWriteBuffer(128 << 10)
 	nodes.mu.Unlock()
 	const bigs = 40
 	for i := range bigs {
@@ -376,10 +376,10 @@
 	testutil.WaitUntil(t, "what has not begun to wait again", func() bool {
 		nodes.mu.Lock()
 		defer nodes.mu.Unlock()
-		return len(nodes.nodes["n"].conns[0].out) > 0 || len(g.looks) > 0
+		return len(nodes.nodes["n"].connections[0].queued) > 0 || len(g.looks) > 0
 	})
 	nodes.mu.Lock()
-	broken := nodes.nodes["n"].conns[0]
+	broken := nodes.nodes["n"].connections[0]
 	nodes.mu.Unlock()
 	node.SetLinger(0)
 	node.Close()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -41,8 +41,8 @@
 	HandlerState any              // the handler's own
 
 	node      string
-	end       int  // of its bytes among those of the batch in writing
-	moved     bool // it has been taken over from a connection that ended
+	endOffset int  // of its bytes among those of the batch in writing
+	requeued  bool // it has been taken over from a connection that ended
 	abandoned bool // nobody waits for its answer
 }
 
@@ -102,24 +102,24 @@
 
 // Pool holds the connections to all cache nodes.
 type Pool struct {
-	dialect Dialect
-	handler Handler
-	log     *slog.Logger
-	record  *eventlog.Recorder // nil for none
+	dialect  Dialect
+	handler  Handler
+	log      *slog.Logger
+	recorder *eventlog.Recorder // nil for none
 
 	tasks sync.WaitGroup // dials, readers and writers
 
-	mu     sync.Mutex
-	limits Limits
-	nodes  map[string]*node
-	conns  int  // open or coming up, of all nodes
-	closed bool // Run has ended
-	warned time.Time
-	hushed int // warnings left out since
-	counts Counts
-	budget connlimit.Budget
-	start  time.Time
-	end    time.Duration // endTime, but in tests
+	mu                 sync.Mutex
+	limits             Limits
+	nodes              map[string]*node
+	connections        int  // open or coming up, of all nodes
+	closed             bool // Run has ended
+	lastWarning        time.Time
+	suppressedWarnings int // warnings left out since
+	counts             Counts
+	budget             connlimit.Budget
+	startedAt          time.Time
+	closeCheckTimeout  time.Duration // endTime, but in tests
 	// Dials end with Run: one to a node that says nothing would hold up the end of the process.
 	dials     context.Context
 	stopDials context.CancelFunc
@@ -139,7 +139,7 @@
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	counts := ns.counts
-	counts.Connections = ns.conns
+	counts.Connections = ns.connections
 	ns.counts = Counts{}
 	return counts
 }
@@ -150,31 +150,31 @@
 // A node whose table is full costs as many refusals as it takes to double
 // the wait.
 const (
-	dialPauseFirst = 50 * time.Millisecond
-	dialPauseMost  = 4 * time.Second
+	minDialBackoff = 50 * time.Millisecond
+	maxDialBackoff = 4 * time.Second
 )
 
 type node struct {
 	Node
-	listed  bool
-	conns   []*conn // in order of opening
-	dialing int
-	waiting []*Attempt // for one of the connections coming up
-	pause   time.Duration
-	dialAt  time.Time // no further connection before
+	listed      bool
+	connections []*conn // in order of opening
+	dialing     int
+	waiting     []*Attempt // for one of the connections coming up
+	dialBackoff time.Duration
+	nextDialAt  time.Time // no further connection before
 }
 
 // New returns an empty Nodes. Run must be called too.
 func New(limits Limits, dialect Dialect, handler Handler, log *slog.Logger) *Pool {
-	ns := &Pool{limits: limits, dialect: dialect, handler: handler, log: log, nodes: make(map[string]*node), start: time.Now(),
-		end: endTime}
+	ns := &Pool{limits: limits, dialect: dialect, handler: handler, log: log, nodes: make(map[string]*node), startedAt: time.Now(),
+		closeCheckTimeout: closeCheckTimeout}
 	ns.dials, ns.stopDials = context.WithCancel(context.Background())
 	ns.budget.SetCapacity(limits.FleetShare)
 	return ns
 }
 
 // SetRecorder has connections and their ends written down. It is called before anything is sent.
-func (ns *Pool) SetRecorder(record *eventlog.Recorder) { ns.record = record }
+func (ns *Pool) SetRecorder(record *eventlog.Recorder) { ns.recorder = record }
 
 // UpdateNodes adds nodes or changes what is known of them. Connections to an old
 // address, in another dialect or from before a restart lead nowhere: they get nothing new.
@@ -189,8 +189,8 @@
 		}
 		moved := n.Address != in.Address || n.Dialect != in.Dialect
 		n.Node, n.listed = in, true
-		for _, c := range slices.Clone(n.conns) {
-			if moved || c.opened.Before(in.Started) {
+		for _, c := range slices.Clone(n.connections) {
+			if moved || c.openedAt.Before(in.Started) {
 				ns.retire(c, "node moved or started anew")
 			}
 		}
@@ -204,18 +204,18 @@
 	for _, name := range names {
 		if n := ns.nodes[name]; n != nil {
 			n.listed = false
-			for _, c := range slices.Clone(n.conns) {
+			for _, c := range slices.Clone(n.connections) {
 				ns.retire(c, "node removed")
 			}
-			ns.forget(n)
+			ns.removeIfUnused(n)
 		}
 	}
 }
 
-// forget drops a node that is gone and has nothing left, or the map would grow
+// removeIfUnused drops a node that is gone and has nothing left, or the map would grow
 // with each machine replaced.
-func (ns *Pool) forget(n *node) {
-	if !n.listed && len(n.conns) == 0 && n.dialing == 0 {
+func (ns *Pool) removeIfUnused(n *node) {
+	if !n.listed && len(n.connections) == 0 && n.dialing == 0 {
 		delete(ns.nodes, n.Name)
 	}
 }
@@ -239,28 +239,28 @@
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	a.node = name
-	return ns.place(ns.nodes[name], a)
+	return ns.enqueue(ns.nodes[name], a)
 }
 
-// place prefers an idle connection, then a new one, since answers on one
+// enqueue prefers an idle connection, then a new one, since answers on one
 // connection come in order and a slow one holds up those behind it. A node's
 // table is small and shared with all proxies: where it has no room, attempts
 // are pipelined.
-func (ns *Pool) place(n *node, a *Attempt) bool {
+func (ns *Pool) enqueue(n *node, a *Attempt) bool {
 	if n == nil || ns.closed {
 		return false
 	}
-	best := n.best(ns.limits.MaxPipelined)
+	best := n.leastLoaded(ns.limits.MaxPipelined)
 	// Nothing but a new connection can help a node without any.
-	more := n.open()+n.dialing < ns.limits.MaxPerNode && (best == nil || !time.Now().Before(n.dialAt))
+	more := n.openConnections()+n.dialing < ns.limits.MaxPerNode && (best == nil || !time.Now().Before(n.nextDialAt))
 	switch {
 	case best != nil && best.outstanding() == 0:
-		best.queue(a)
-	case more && ns.room():
+		best.enqueue(a)
+	case more && ns.ensureCapacity():
 		n.waiting = append(n.waiting, a)
 		ns.dial(n)
 	case best != nil:
-		best.queue(a)
+		best.enqueue(a)
 	case n.dialing > 0 && len(n.waiting) < ns.limits.MaxPipelined:
 		n.waiting = append(n.waiting, a)
 	default:
@@ -269,24 +269,24 @@
 	return true
 }
 
-// full notes that a node has no room for a connection more. The node is well and
+// handleConnectionLimit notes that a node has no room for a connection more. The node is well and
 // its connections to others are at work: it is left alone for a moment, and this proxy
 // keeps fewer connections itself, as do all that meet such nodes.
-func (ns *Pool) full(c *conn) {
+func (ns *Pool) handleConnectionLimit(c *conn) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	ns.counts.ConnectionLimitReached++
-	ns.budget.Rejected(time.Since(ns.start), ns.conns, len(ns.nodes))
+	ns.budget.Rejected(time.Since(ns.startedAt), ns.connections, len(ns.nodes))
 	c.retired = true
 }
 
-// spare closes the connections that have idled longest while there are more than
+// closeExcess closes the connections that have idled longest while there are more than
 // the budget keeps. ns.mu is held.
-func (ns *Pool) spare() {
-	if ns.conns <= connlimit.MinConnections {
+func (ns *Pool) closeExcess() {
+	if ns.connections <= connlimit.MinConnections {
 		return
 	}
-	for most := ns.budget.Limit(time.Since(ns.start), len(ns.nodes)); ns.conns > most; {
+	for most := ns.budget.Limit(time.Since(ns.startedAt), len(ns.nodes)); ns.connections > most; {
 		if !ns.closeOldest("place for other proxies") {
 			return
 		}
@@ -294,10 +294,10 @@
 	}
 }
 
-// open counts the connections that take attempts.
-func (n *node) open() int {
+// openConnections counts the connections that take attempts.
+func (n *node) openConnections() int {
 	open := 0
-	for _, c := range n.conns {
+	for _, c := range n.connections {
 		if !c.retired {
 			open++
 		}
@@ -305,18 +305,18 @@
 	return open
 }
 
-// room makes sure that a further connection is within the limit, if need be by
+// ensureCapacity makes sure that a further connection is within the limit, if need be by
 // closing an idle one of another node.
-func (ns *Pool) room() bool {
-	return ns.conns < ns.limits.MaxConnections || ns.closeOldest("place for another node")
+func (ns *Pool) ensureCapacity() bool {
+	return ns.connections < ns.limits.MaxConnections || ns.closeOldest("place for another node")
 }
 
 // closeOldest closes the connection that has idled longest, if any idles.
 func (ns *Pool) closeOldest(reason string) bool {
 	var oldest *conn
 	for _, n := range ns.nodes {
-		for _, c := range n.conns {
-			if c.outstanding() == 0 && (oldest == nil || c.active.Before(oldest.active)) {
+		for _, c := range n.connections {
+			if c.outstanding() == 0 && (oldest == nil || c.lastActive.Before(oldest.lastActive)) {
 				oldest = c
 			}
 		}
@@ -327,16 +327,16 @@
 	return oldest != nil
 }
 
-// best returns the connection with the least out, of those equal the one used
+// leastLoaded returns the connection with the least out, of those equal the one used
 // last, so that the others become idle and leave their place to other proxies.
-func (n *node) best(most int) *conn {
+func (n *node) leastLoaded(most int) *conn {
 	var best *conn
-	for _, c := range n.conns {
+	for _, c := range n.connections {
 		if c.retired || c.outstanding() >= most {
 			continue
 		}
 		if best == nil || c.outstanding() < best.outstanding() ||
-			c.outstanding() == best.outstanding() && c.active.After(best.active) {
+			c.outstanding() == best.outstanding() && c.lastActive.After(best.lastActive) {
 			best = c
 		}
 	}
@@ -346,43 +346,43 @@
 // dial opens one more connection to a node. ns.mu is held.
 func (ns *Pool) dial(n *node) {
 	n.dialing++
-	ns.conns++
+	ns.connections++
 	ns.counts.Dials++
 	address, name, began := n.Address, n.Name, time.Now()
 	dialer := net.Dialer{Timeout: ns.limits.ConnectTimeout, KeepAlive: -1}
 	ns.tasks.Go(func() {
 		socket, err := dialer.DialContext(ns.dials, "tcp", address) // bounded by the dialer's timeout
 		if took := time.Since(began); err != nil {
-			ns.record.Record(eventlog.NodeDialFailed{Node: name, Duration: took, Err: err})
+			ns.recorder.Record(eventlog.NodeDialFailed{Node: name, Duration: took, Err: err})
 		} else {
-			ns.record.Record(eventlog.NodeConnected{Node: name, Duration: took})
+			ns.recorder.Record(eventlog.NodeConnected{Node: name, Duration: took})
 		}
-		ns.dialed(n, address, socket, err)
+		ns.dialFinished(n, address, socket, err)
 	})
 }
 
-func (ns *Pool) dialed(n *node, address string, socket net.Conn, err error) {
+func (ns *Pool) dialFinished(n *node, address string, socket net.Conn, err error) {
 	ns.mu.Lock()
 	n.dialing--
 	switch {
 	case err != nil:
-		ns.conns--
+		ns.connections--
 		ns.counts.DialFailures++
-		n.dialAt = time.Now().Add(n.pause)
-		n.pause = min(max(2*n.pause, dialPauseFirst), dialPauseMost)
+		n.nextDialAt = time.Now().Add(n.dialBackoff)
+		n.dialBackoff = min(max(2*n.dialBackoff, minDialBackoff), maxDialBackoff)
 	case address != n.Address || !n.listed || ns.closed: // the node has moved or is gone
-		ns.conns--
+		ns.connections--
 		socket.Close()
 	default:
-		n.pause = 0
-		n.conns = append(n.conns, newConn(ns, n, socket.(*net.TCPConn)))
-		n.take()
+		n.dialBackoff = 0
+		n.connections = append(n.connections, newConn(ns, n, socket.(*net.TCPConn)))
+		n.assignWaiting()
 	}
 	// What this one would have carried goes over another, if there is one.
 	var lost []*Attempt
 	for len(n.waiting) > n.dialing {
-		if best := n.best(ns.limits.MaxPipelined); best != nil {
-			best.queue(n.waiting[0])
+		if best := n.leastLoaded(ns.limits.MaxPipelined); best != nil {
+			best.enqueue(n.waiting[0])
 		} else if n.dialing == 0 {
 			lost = append(lost, n.waiting[0])
 		} else {
@@ -390,20 +390,20 @@
 		}
 		n.waiting = n.waiting[1:]
 	}
-	ns.forget(n)
+	ns.removeIfUnused(n)
 	ns.mu.Unlock()
 	for _, a := range lost {
 		ns.handler.Ended(a, nil, NotWritten)
 	}
 }
 
-// take gives the first that waits to an idle connection.
-func (n *node) take() {
+// assignWaiting gives the first that waits to an idle connection.
+func (n *node) assignWaiting() {
 	if len(n.waiting) == 0 {
 		return
 	}
-	if best := n.best(1); best != nil {
-		best.queue(n.waiting[0])
+	if best := n.leastLoaded(1); best != nil {
+		best.enqueue(n.waiting[0])
 		n.waiting = n.waiting[1:]
 	}
 }
@@ -424,8 +424,8 @@
 		return true
 	}
 	if n := ns.nodes[a.node]; n != nil {
-		for _, c := range n.conns {
-			if slices.Contains(c.sent, a) {
+		for _, c := range n.connections {
+			if slices.Contains(c.inFlight, a) {
 				ns.retire(c, "given up")
 				break
 			}
@@ -451,9 +451,9 @@
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 		return true
 	}
-	for _, c := range n.conns {
-		if i := slices.Index(c.out, a); i >= 0 {
-			c.out = slices.Delete(c.out, i, i+1)
+	for _, c := range n.connections {
+		if i := slices.Index(c.queued, a); i >= 0 {
+			c.queued = slices.Delete(c.queued, i, i+1)
 			return true
 		}
 	}
@@ -465,7 +465,7 @@
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	if n := ns.nodes[name]; n != nil {
-		for _, c := range slices.Clone(n.conns) {
+		for _, c := range slices.Clone(n.connections) {
 			if c.outstanding() == 0 {
 				c.close("not used")
 			}
@@ -476,19 +476,19 @@
 // retire lets a connection finish what is waited for. ns.mu is held.
 func (ns *Pool) retire(c *conn, reason string) {
 	c.retired = true
-	if !c.awaited() {
+	if !c.isAwaited() {
 		c.close(reason)
 	}
 }
 
-// warn logs what is wrong with a node's answers, once a second at most: a node
+// warnMalformed logs what is wrong with a node's answers, once a second at most: a node
 // that answers noise must not flood the log. ns.mu is held.
-func (ns *Pool) warn(name string, err error) {
-	if now := time.Now(); now.Sub(ns.warned) < time.Second {
-		ns.hushed++
+func (ns *Pool) warnMalformed(name string, err error) {
+	if now := time.Now(); now.Sub(ns.lastWarning) < time.Second {
+		ns.suppressedWarnings++
 	} else {
-		ns.log.Warn("cache node's answer", "node", name, "error", err, "others", ns.hushed)
-		ns.warned, ns.hushed = now, 0
+		ns.log.Warn("cache node's answer", "node", name, "error", err, "others", ns.suppressedWarnings)
+		ns.lastWarning, ns.suppressedWarnings = now, 0
 	}
 }
 
@@ -497,23 +497,23 @@
 // that vanished says nothing at all. When ctx ends it closes all and waits for the
 // end of what this package has started.
 func (ns *Pool) Run(ctx context.Context) {
-	tick := time.NewTicker(ns.pause())
+	tick := time.NewTicker(ns.sweepInterval())
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			ns.close()
+			ns.closeAll()
 			ns.tasks.Wait()
 			return
 		case now := <-tick.C:
 			ns.sweep(now)
-			tick.Reset(ns.pause())
+			tick.Reset(ns.sweepInterval())
 		}
 	}
 }
 
-// pause is the time between two sweeps.
-func (ns *Pool) pause() time.Duration {
+// sweepInterval is the time between two sweeps.
+func (ns *Pool) sweepInterval() time.Duration {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	return max(min(ns.limits.IdleTimeout, ns.limits.SilenceTimeout)/8, time.Millisecond)
@@ -523,12 +523,12 @@
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	for _, n := range ns.nodes {
-		for _, c := range slices.Clone(n.conns) {
+		for _, c := range slices.Clone(n.connections) {
 			limit, reason := ns.limits.SilenceTimeout, "silent"
 			if c.outstanding() == 0 {
 				limit, reason = ns.limits.IdleTimeout, "idle"
 			}
-			if now.Sub(c.active) > limit {
+			if now.Sub(c.lastActive) > limit {
 				c.close(reason)
 			}
 		}
@@ -542,7 +542,7 @@
 	ns.mu.Lock()
 	var idle []*conn
 	for _, n := range ns.nodes {
-		for _, c := range n.conns {
+		for _, c := range n.connections {
 			if c.outstanding() == 0 {
 				idle = append(idle, c)
 			}
@@ -563,14 +563,14 @@
 	}
 }
 
-// close closes all connections, for good.
-func (ns *Pool) close() {
+// closeAll closes all connections, for good.
+func (ns *Pool) closeAll() {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	ns.closed = true
 	ns.stopDials()
 	for _, n := range ns.nodes {
-		for _, c := range slices.Clone(n.conns) {
+		for _, c := range slices.Clone(n.connections) {
 			c.close("process ends")
 		}
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -140,8 +140,8 @@
 	handler.expectServed(t, get(t, nodes, "next"))
 	nodes.mu.Lock()
 	defer nodes.mu.Unlock()
-	if nodes.conns != 1 {
-		t.Errorf("%d connections open, want the one of the attempt served", nodes.conns)
+	if nodes.connections != 1 {
+		t.Errorf("%d connections open, want the one of the attempt served", nodes.connections)
 	}
 }
 
@@ -249,7 +249,7 @@
 		}
 	})
 	nodes.mu.Lock()
-	nodes.end = patience // a test waits for the connection's end as long as it takes
+	nodes.closeCheckTimeout = patience // a test waits for the connection's end as long as it takes
 	nodes.mu.Unlock()
 	get(t, nodes, "noroom")
 	if got := handler.next(t); got.result != ConnectionLimitReached {
@@ -293,10 +293,10 @@
 	}
 	nodes.mu.Lock()
 	defer nodes.mu.Unlock()
-	if nodes.conns > connlimit.MinConnections {
-		t.Errorf("%d connections are kept, want %d", nodes.conns, connlimit.MinConnections)
+	if nodes.connections > connlimit.MinConnections {
+		t.Errorf("%d connections are kept, want %d", nodes.connections, connlimit.MinConnections)
 	}
-	if len(nodes.nodes["n"].conns) != 1 {
+	if len(nodes.nodes["n"].connections) != 1 {
 		t.Error("the connection used all along was closed")
 	}
 }
@@ -308,7 +308,7 @@
 }
 
 func (d dozes) BeforeWrite(batch []*Attempt) []*Attempt {
-	time.Sleep(lateWrite)
+	time.Sleep(lateWriteThreshold)
 	return batch
 }
 
