--- /dev/null
+++ b/internal/core/attempts.go
@@ -0,0 +1,273 @@
+package core
+
+import (
+	"slices"
+	"time"
+
+	"mulleinpier/internal/membership"
+	"mulleinpier/internal/meta"
+	"mulleinpier/internal/request"
+	"mulleinpier/internal/upstream"
+	"mulleinpier/policy"
+)
+
+// nodeAttempt is one sending of a request to a node. It is guarded by Core.mu, and ends exactly once.
+type nodeAttempt struct {
+	upstream.Attempt
+	client       DisconnectChecker // nil where nobody can tell whether it has disconnected
+	started      bool              // its first byte may have been written
+	nodeName     string
+	dispatchedAt time.Duration // by Core.now
+	ended        bool
+	deferred     bool // it waits for the end of the recovery from a pause
+}
+
+// dispatch carries out a Send: it hands an attempt to the connections to its node, or defers it. An attempt
+// that can't be sent ends at once. c.mu is held.
+func (c *Core) dispatch(action *policy.Action) {
+	req := c.requests[action.ID]
+	if req == nil {
+		return
+	}
+	now := c.now()
+	attempt := &nodeAttempt{
+		nodeName:     action.Server,
+		dispatchedAt: now,
+		Attempt: upstream.Attempt{
+			ID:       req.id,
+			Number:   len(req.attempts),
+			Request:  req.request,
+			Deadline: req.expiresAt,
+		},
+	}
+	attempt.HandlerState = attempt
+	attempt.client, _ = req.reply.(DisconnectChecker)
+	req.attempts = append(req.attempts, attempt)
+	req.openAttempts++
+	c.counts.dispatched++
+	c.recordDispatched(req, attempt, action.Reason)
+	if req.finished || now >= req.deadline || action.After < 0 {
+		c.endAttempt(req, attempt, policy.NotSent, nil)
+		return
+	}
+	if attemptDeadline := now + action.After; action.After > 0 && attemptDeadline < req.deadline {
+		attempt.Deadline = attempt.Deadline.Add(attemptDeadline - req.deadline)
+		c.setTimer(timer{at: attemptDeadline, kind: attemptTimer, id: req.id, attempt: int32(attempt.Number)})
+	}
+	if !c.deferAttempt(req, attempt) && !c.pool.Send(attempt.nodeName, &attempt.Attempt) {
+		c.endAttempt(req, attempt, policy.ConnectFailed, nil)
+	}
+}
+
+// cancelAttempt stops waiting for an attempt. One that has not started never will, whoever has it now: it
+// ends as not sent. c.mu is held.
+func (c *Core) cancelAttempt(req *InFlightRequest, attempt *nodeAttempt, result policy.Result) {
+	if attempt.ended {
+		return
+	}
+	if attempt.deferred || c.pool.Abandon(&attempt.Attempt) || !attempt.started {
+		result = policy.NotSent
+	}
+	c.endAttempt(req, attempt, result, nil)
+}
+
+// endAttempt reports to the decision module how an attempt ended, unless it has ended. The answer is nil
+// where none was received. c.mu is held.
+func (c *Core) endAttempt(
+	req *InFlightRequest, attempt *nodeAttempt, result policy.Result, answer *request.Answer,
+) {
+	if attempt.ended {
+		return
+	}
+	attempt.ended = true
+	req.openAttempts--
+	c.counts.results[result]++
+	c.recordEnded(req, attempt, result)
+	outcome := policy.Outcome{
+		ID:      req.id,
+		Attempt: attempt.Number,
+		Server:  attempt.nodeName,
+		Result:  result,
+		Took:    c.now() - attempt.dispatchedAt,
+		Final:   req.finished,
+	}
+	if answer != nil {
+		outcome.CacheStatus = c.countCacheStatus(answer)
+		outcome.LoadReport = parseLoadReport(answer.LoadReport)
+	}
+	c.handle(outcome)
+	c.removeIfDone(req)
+}
+
+// countCacheStatus returns what an answer says of the node's cache, and counts hits and misses. c.mu is
+// held.
+func (c *Core) countCacheStatus(answer *request.Answer) (status policy.CacheStatus) {
+	switch {
+	case answer.Hit:
+		c.counts.hits++
+		return policy.CacheHit
+	case answer.Miss && answer.Coalesced:
+		c.counts.misses++
+		return policy.CacheMissCoalesced
+	case answer.Miss:
+		c.counts.misses++
+		return policy.CacheMiss
+	}
+	return status
+}
+
+// parseLoadReport reads a node's load report. It returns nil for none and for a malformed one.
+func parseLoadReport(text []byte) *policy.LoadReport {
+	if len(text) == 0 {
+		return nil
+	}
+	const unknown = -1
+	report := policy.LoadReport{InFlight: unknown, Queue: unknown, Utilization: unknown, Rate: unknown,
+		ErrorRate: unknown, X0: unknown, X1: unknown, Latency: unknown}
+	err := meta.EachLoadFigure(text, func(name string, figure float64) {
+		switch name {
+		case "inflight", "active":
+			report.InFlight = figure
+		case "queue", "waiting":
+			report.Queue = figure
+		case "util", "cpu":
+			report.Utilization = figure
+		case "latency_ms", "avg_ms":
+			report.Latency = time.Duration(figure * float64(time.Millisecond))
+		case "qps", "rps":
+			report.Rate = figure
+		case "eps", "err_rps":
+			report.ErrorRate = figure
+		case "x0":
+			report.X0 = figure
+		case "x1":
+			report.X1 = figure
+		}
+	})
+	if err != nil {
+		return nil
+	}
+	return &report
+}
+
+// findAttempt returns an attempt and its request, nil if the attempt has ended. c.mu is held.
+func (c *Core) findAttempt(sent *upstream.Attempt) (*InFlightRequest, *nodeAttempt) {
+	req := c.requests[sent.ID]
+	if req == nil || req.attempts[sent.Number].ended {
+		return nil, nil
+	}
+	return req, req.attempts[sent.Number]
+}
+
+// BeforeWrite implements upstream.Handler. An attempt may have waited for its connection, behind others, or
+// while this process was paused, and the reasons to send it may be gone. Its client, too, may have
+// disconnected without its connection's reader having noticed: then nobody waits for an answer, whatever
+// the request's class, so each client is checked right before the write.
+func (c *Core) BeforeWrite(batch []*upstream.Attempt) []*upstream.Attempt {
+	sideEffects := false
+	batch = slices.DeleteFunc(batch, func(sent *upstream.Attempt) bool {
+		sideEffects = sideEffects || sent.Request.SideEffects
+		attempt := sent.HandlerState.(*nodeAttempt)
+		if attempt.client == nil || !attempt.client.Disconnected() {
+			return false
+		}
+		c.abandonDisconnected(attempt)
+		return true
+	})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if sideEffects {
+		c.observeSleep()
+	}
+	c.observeClocks()
+	return slices.DeleteFunc(batch, func(sent *upstream.Attempt) bool { return !c.startAttempt(sent) })
+}
+
+// startAttempt reports whether the first byte of an attempt may be written now. One that may not has ended
+// or was deferred. c.mu is held.
+func (c *Core) startAttempt(sent *upstream.Attempt) bool {
+	req, attempt := c.findAttempt(sent)
+	if req == nil {
+		return false
+	}
+	if req.finished || !c.balancer.MaySend(c.now(), req.id, attempt.Number) || c.claimExpired(req) {
+		c.endAttempt(req, attempt, policy.NotSent, nil)
+		return false
+	}
+	if c.pause.detector.HoldsWrites() && c.deferAttempt(req, attempt) {
+		return false
+	}
+	if req.expiresAt.Before(sent.Deadline) { // the machine has slept since the dispatch
+		sent.Deadline = req.expiresAt
+	}
+	attempt.started = true
+	c.recordStarted(req, attempt)
+	return true
+}
+
+// abandonDisconnected ends an attempt that has not started and whose client has disconnected, and its
+// request with it.
+func (c *Core) abandonDisconnected(attempt *nodeAttempt) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if req, _ := c.findAttempt(&attempt.Attempt); req != nil {
+		c.abandon(req)
+		c.endAttempt(req, attempt, policy.NotSent, nil)
+	}
+}
+
+// Answered implements upstream.Handler.
+func (c *Core) Answered(sent *upstream.Attempt, answer *request.Answer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.observeClocks()
+	if req, attempt := c.findAttempt(sent); req != nil {
+		c.counts.served++
+		c.answer(req, answer, "")
+		c.endAttempt(req, attempt, policy.Served, answer)
+		c.observeConnection(attempt.nodeName, membership.Answered)
+	}
+}
+
+// Ended implements upstream.Handler.
+func (c *Core) Ended(sent *upstream.Attempt, answer *request.Answer, result upstream.Result) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.observeClocks()
+	req, attempt := c.findAttempt(sent)
+	if req == nil {
+		return
+	}
+	c.endAttempt(req, attempt, resultOf[result], answer)
+	switch result {
+	case upstream.NotWritten, upstream.ConnectionLost:
+		c.observeConnection(attempt.nodeName, membership.Failed)
+	case upstream.Busy, upstream.Failed, upstream.ConnectionLimitReached:
+		c.observeConnection(attempt.nodeName, membership.Answered)
+	}
+}
+
+// resultOf maps how an attempt ended on its connection to the decision module's terms.
+var resultOf = [...]policy.Result{
+	upstream.Busy:                   policy.Rejected,
+	upstream.Failed:                 policy.Errored,
+	upstream.NotWritten:             policy.ConnectFailed,
+	upstream.ConnectionLost:         policy.Reset,
+	upstream.Malformed:              policy.Malformed,
+	upstream.ConnectionLimitReached: policy.ConnectionLimitReached,
+}
+
+// WrittenLate implements upstream.Handler. The reasons to send these attempts may have been gone already
+// when they were written; nothing can be undone, so it is counted and logged.
+func (c *Core) WrittenLate(batch []*upstream.Attempt, delay time.Duration) {
+	c.mu.Lock()
+	sideEffects := 0
+	for _, sent := range batch {
+		if sent.Request.SideEffects {
+			sideEffects++
+		}
+	}
+	c.pause.writtenLate += len(batch)
+	c.mu.Unlock()
+	c.log.Warn("written late", "requests", len(batch), "changing", sideEffects, "by", delay)
+}
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -5,22 +5,27 @@
 	"log/slog"
 	"time"
 
+	"mulleinpier/internal/upstream"
 	"mulleinpier/policy"
 )
 
-// counts are what went through a core since they were last logged. One proxy's say
-// little; added up over a fleet they tell what all of it does.
+// countInterval is the time between two log lines of counts.
+const countInterval = time.Second
+
+// counts are what became of requests since they were last logged. One proxy's say little; added up over a
+// fleet they show its behaviour.
 type counts struct {
-	accepted, served, rejected, failed, abandoned int
-	dispatched, hits, misses                      int
-	results                                       [policy.ConnectionLimitReached + 1]int // attempts, by result
-	listUpdates, listFailures                     int                                    // news of the list, calls and watches that failed
-}
+	accepted, served, rejected, failed, abandoned int // requests
 
-// countInterval is the time between two lines.
-const countInterval = time.Second
+	dispatched   int                                    // attempts
+	results      [policy.ConnectionLimitReached + 1]int // attempts that ended, by result
+	hits, misses int                                    // that answers reported of nodes' caches
 
-// runCountLog logs a line of counts each countPause until ctx ends.
+	listUpdates  int // lists that came into force
+	listFailures int // watches that were lost
+}
+
+// runCountLog logs counts each countInterval until ctx ends.
 func (c *Core) runCountLog(ctx context.Context) {
 	tick := time.NewTicker(countInterval)
 	defer tick.Stop()
@@ -29,24 +34,67 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
+			c.logCountsNow(ctx)
 		}
-		c.mu.Lock()
-		n, open, cond := c.counts, len(c.requests), c.balancer.TakeCounters()
-		c.counts = counts{}
-		stops := c.pause.attrs()
-		known, other := c.balancer.AdmissionShares()
-		c.mu.Unlock()
-		u := c.pool.TakeCounts()
-		c.log.LogAttrs(ctx, slog.LevelInfo, "counts", slog.Int("arrived", n.accepted), slog.Int("served", n.served),
-			slog.Int("refused", n.rejected), slog.Int("failed", n.failed), slog.Int("left", n.abandoned), slog.Int("open", open),
-			slog.Int("sent", n.dispatched), slog.Int("hits", n.hits), slog.Int("misses", n.misses),
-			slog.Int("errored", n.results[policy.Errored]), slog.Int("full", n.results[policy.Rejected]),
-			slog.Int("timed_out", n.results[policy.TimedOut]), slog.Int("unconnected", n.results[policy.ConnectFailed]),
-			slog.Int("reset", n.results[policy.Reset]), slog.Int("cancelled", n.results[policy.Cancelled]), slog.Int("spoilt", n.results[policy.Malformed]),
-			slog.Int("told", n.listUpdates), slog.Int("lost", n.listFailures), slog.Int("nodes", cond.Servers), slog.Int("out", cond.Ejected),
-			slog.Int("asked", cond.Offered), slog.Int("turned", cond.Rejected), slog.Int("hopeless", cond.DeadlineRejections), slog.Int("pending", cond.WaitsForServer),
-			slog.Float64("gate_known", known), slog.Float64("gate_other", other),
-			slog.Int("dials", u.Dials), slog.Int("refusals", u.DialFailures), slog.Int("conns", u.Connections),
-			slog.Int("no_room", u.ConnectionLimitReached), slog.Int("closed", u.IdleClosed), slog.Any("still", slog.GroupValue(stops...)))
+	}
+}
+
+// logCountsNow logs the counts since the last call, and resets them.
+func (c *Core) logCountsNow(ctx context.Context) {
+	c.mu.Lock()
+	requests := c.counts
+	c.counts = counts{}
+	open := len(c.requests)
+	decisions := c.balancer.TakeCounters()
+	pauses := c.pause.logAttributes()
+	knownShare, otherShare := c.balancer.AdmissionShares()
+	c.mu.Unlock()
+	attributes := requests.logAttributes(open)
+	attributes = append(attributes,
+		slog.Int("nodes", decisions.Servers),
+		slog.Int("out", decisions.Ejected),
+		slog.Int("asked", decisions.Offered),
+		slog.Int("turned", decisions.Rejected),
+		slog.Int("hopeless", decisions.DeadlineRejections),
+		slog.Int("pending", decisions.WaitsForServer),
+		slog.Float64("gate_known", knownShare),
+		slog.Float64("gate_other", otherShare))
+	attributes = append(attributes, connectionAttributes(c.pool.TakeCounts())...)
+	attributes = append(attributes, slog.Any("still", slog.GroupValue(pauses...)))
+	c.log.LogAttrs(ctx, slog.LevelInfo, "counts", attributes...)
+}
+
+// logAttributes returns the counts of requests and attempts; open requests are in flight now.
+func (n *counts) logAttributes(open int) []slog.Attr {
+	return []slog.Attr{
+		slog.Int("arrived", n.accepted),
+		slog.Int("served", n.served),
+		slog.Int("refused", n.rejected),
+		slog.Int("failed", n.failed),
+		slog.Int("left", n.abandoned),
+		slog.Int("open", open),
+		slog.Int("sent", n.dispatched),
+		slog.Int("hits", n.hits),
+		slog.Int("misses", n.misses),
+		slog.Int("errored", n.results[policy.Errored]),
+		slog.Int("full", n.results[policy.Rejected]),
+		slog.Int("timed_out", n.results[policy.TimedOut]),
+		slog.Int("unconnected", n.results[policy.ConnectFailed]),
+		slog.Int("reset", n.results[policy.Reset]),
+		slog.Int("cancelled", n.results[policy.Cancelled]),
+		slog.Int("spoilt", n.results[policy.Malformed]),
+		slog.Int("told", n.listUpdates),
+		slog.Int("lost", n.listFailures),
+	}
+}
+
+// connectionAttributes returns the counts of connections to nodes.
+func connectionAttributes(connections upstream.Counts) []slog.Attr {
+	return []slog.Attr{
+		slog.Int("dials", connections.Dials),
+		slog.Int("refusals", connections.DialFailures),
+		slog.Int("conns", connections.Connections),
+		slog.Int("no_room", connections.ConnectionLimitReached),
+		slog.Int("closed", connections.IdleClosed),
 	}
 }
--- a/internal/core/still_test.go
+++ b/internal/core/pause_test.go
@@ -59,7 +59,7 @@
 	tell := func(event pause.Event) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.handlePause(now, event)
+		c.handlePauseEvent(now, event)
 	}
 	c.pause.detector = pause.New(limits, pause.ClockReading{})
 	tell(pause.ClockChecked{})
--- /dev/null
+++ b/internal/core/sources.go
@@ -0,0 +1,142 @@
+package core
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"mulleinpier/internal/discovery"
+	"mulleinpier/internal/membership"
+)
+
+// This file watches several sources of the endpoint list at a time, for package membership to reconcile.
+
+const (
+	// rewatchDelay is the wait before a lost watch of one of several sources is opened again.
+	rewatchDelay = 500 * time.Millisecond
+	// refetchTimeout bounds the second fetch of a list that has collapsed: a later answer would miss the
+	// time in which a drain must be heeded.
+	refetchTimeout = 300 * time.Millisecond
+)
+
+// follower watches one source.
+type follower struct {
+	config discovery.SourceConfig
+	source discovery.Source
+	cancel context.CancelFunc
+}
+
+// followers is the state of the goroutine of followSources.
+type followers struct {
+	core     *Core
+	ctx      context.Context
+	tasks    sync.WaitGroup
+	byName   map[string]*follower
+	awaited  map[string]bool // new sources that have not reported yet
+	reported chan string     // names of sources, each at its first list
+}
+
+// followSources keeps a watch on each source of the list until ctx ends. When the sources change, the
+// former ones are followed until all new ones have reported: a drain that is announced meanwhile must not
+// be missed.
+func (c *Core) followSources(ctx context.Context) {
+	f := &followers{core: c, ctx: ctx, byName: make(map[string]*follower), reported: make(chan string)}
+	defer f.tasks.Wait()
+	f.followNew()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-c.sourcesChanged:
+			f.followNew()
+		case name := <-f.reported:
+			delete(f.awaited, name)
+		case name := <-c.refetchRequested:
+			if follower := f.byName[name]; follower != nil {
+				f.tasks.Go(func() { c.refetchList(ctx, follower) })
+			}
+		}
+		if len(f.awaited) == 0 {
+			f.cancelFormer()
+		}
+	}
+}
+
+// followNew begins to follow the sources that are not followed yet.
+func (f *followers) followNew() {
+	f.awaited = make(map[string]bool)
+	for _, config := range f.core.listSources() {
+		name := config.String()
+		if f.byName[name] != nil {
+			continue
+		}
+		ctx, cancel := context.WithCancel(f.ctx)
+		follower := &follower{config: config, source: config.Open(), cancel: cancel}
+		f.byName[name] = follower
+		f.awaited[name] = true
+		f.tasks.Go(func() { f.core.followSource(ctx, follower, f.reported) })
+	}
+}
+
+// cancelFormer ends the watches of what is no source any more.
+func (f *followers) cancelFormer() {
+	configs := f.core.listSources()
+	for name, follower := range f.byName {
+		isNamed := func(config discovery.SourceConfig) bool { return config.String() == name }
+		if !slices.ContainsFunc(configs, isNamed) {
+			follower.cancel()
+			delete(f.byName, name)
+		}
+	}
+}
+
+// followSource watches one source until ctx ends, opening a lost watch again.
+func (c *Core) followSource(ctx context.Context, f *follower, reported chan<- string) {
+	name, first := f.config.String(), true
+	apply := func(list discovery.List) {
+		if ctx.Err() != nil {
+			return
+		}
+		c.mu.Lock()
+		c.markListReceived()
+		c.handleMembership(membership.ListReceived{Source: name, Complete: list.Snapshot, Nodes: list.Nodes()})
+		c.mu.Unlock()
+		if first {
+			first = false
+			select {
+			case reported <- name:
+			case <-ctx.Done():
+			}
+		}
+	}
+	for ctx.Err() == nil {
+		err := f.source.Watch(ctx, 0, apply)
+		if ctx.Err() != nil {
+			return
+		}
+		c.log.Warn("source of the list lost", "source", name, "error", err)
+		select {
+		case <-ctx.Done():
+		case <-time.After(rewatchDelay):
+		}
+	}
+}
+
+// refetchList fetches the list of a source past anything that is cached on the way.
+func (c *Core) refetchList(ctx context.Context, f *follower) {
+	ctx, cancel := context.WithTimeout(ctx, refetchTimeout)
+	defer cancel()
+	name := f.config.String()
+	list, err := f.source.Fetch(ctx)
+	if err != nil {
+		c.log.Warn("second look failed", "source", name, "error", err)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err != nil {
+		c.handleMembership(membership.RefetchFailed{Source: name})
+		return
+	}
+	c.handleMembership(membership.ListReceived{Source: name, Complete: true, Refetched: true, Nodes: list.Nodes()})
+}
--- /dev/null
+++ b/internal/core/takeover.go
@@ -0,0 +1,189 @@
+package core
+
+import (
+	"time"
+
+	"mulleinpier/internal/request"
+	"mulleinpier/internal/takeover"
+	"mulleinpier/policy"
+)
+
+// This file sends keyed writes only after a claim, so that another proxy can resume them if this one fails.
+
+// takeoverRejectionDelay is the advice to a client whose write is rejected for lack of a replica.
+const takeoverRejectionDelay = time.Second
+
+// claimDecided is the reason, in the event log, of an answer that a claim brought.
+const claimDecided = "taken over"
+
+// TakeoverCoordinator claims writes and is notified of their outcomes. It is called with the core's lock
+// held: its methods must neither wait nor call the core before they return.
+type TakeoverCoordinator interface {
+	// Claim requests the right to send a write; [Core.ClaimDecided] follows before the write expires. It
+	// returns false, and does nothing, where the write can't be replicated for lack of capacity.
+	Claim(id uint64, in *request.Request, window time.Duration, expires time.Time) bool
+	// Complete reports the outcome of a write whose claim was granted.
+	Complete(id uint64, outcome takeover.Outcome, receipt string)
+	// RequiresReplica reports whether a write that can't be replicated is rejected.
+	RequiresReplica() bool
+}
+
+// SetTakeoverCoordinator has keyed writes claimed from now on, or with nil not any more. It is set before
+// the first request.
+func (c *Core) SetTakeoverCoordinator(coordinator TakeoverCoordinator) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.takeover = coordinator
+}
+
+// claimState is the state of a request's claim.
+type claimState uint8
+
+const (
+	claimNone    claimState = iota // none is needed
+	claimPending                   // it has not been decided
+	claimGranted                   // until InFlightRequest.sendBefore
+)
+
+// requestClaim requests a claim for a request that has just been accepted, if it needs one. It returns
+// false where the request can be sent without. c.mu is held.
+func (c *Core) requestClaim(req *InFlightRequest, class *policy.Class) bool {
+	isKeyedWrite := class.Idempotency == policy.IdempotentWithKey && req.request.Verb == request.Set
+	if c.takeover == nil || !isKeyedWrite {
+		return false
+	}
+	req.claim = claimPending
+	if c.takeover.Claim(req.id, req.request, class.DedupWindow, req.expiresAt) {
+		return true
+	}
+	if c.takeover.RequiresReplica() {
+		c.counts.rejected++
+		c.answer(req, &request.Answer{Kind: request.Busy, RetryAfter: takeoverRejectionDelay}, claimDecided)
+		return true
+	}
+	req.claim = claimNone
+	return false
+}
+
+// ClaimDecided reports the decision on a claim. With takeover.Proceed the write may be sent for the time
+// within. It returns false if the request no longer waits for the decision.
+func (c *Core) ClaimDecided(id uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.observeSleep()
+	req := c.requests[id]
+	if req == nil || req.claim != claimPending || req.finished {
+		return false
+	}
+	req.claim = claimNone
+	switch verdict {
+	case takeover.Proceed:
+		req.claim = claimGranted
+		req.sendBefore = c.now() + within
+		c.admit(req)
+	case takeover.ReturnReceipt:
+		c.counts.served++
+		c.answer(req, &request.Answer{Kind: request.Stored, Receipt: receipt}, claimDecided)
+	case takeover.OutcomeUnknown:
+		c.counts.failed++
+		c.answer(req, &request.Answer{Kind: request.Failed}, claimDecided)
+	case takeover.KeyConflict:
+		answer := &request.Answer{Kind: request.Invalid, Reason: "k belongs to another write"}
+		c.answer(req, answer, claimDecided)
+	default:
+		c.counts.rejected++
+		c.answer(req, &request.Answer{Kind: request.Busy, RetryAfter: c.retryAfter(req)}, claimDecided)
+	}
+	return true
+}
+
+// claimExpired reports whether the time in which a claimed write may be sent is over. c.mu is held.
+func (c *Core) claimExpired(req *InFlightRequest) bool {
+	return req.claim == claimGranted && c.now() >= req.sendBefore
+}
+
+// admit gives a request to the decision module some time after it was accepted: its class or tenant may
+// have been removed, and its deadline may have passed. c.mu is held.
+func (c *Core) admit(req *InFlightRequest) {
+	class, classKnown := c.rules.classes[req.request.Class]
+	tenant, tenantKnown := c.rules.tenant(req.request.Tenant)
+	if !classKnown || !tenantKnown || c.now() >= req.deadline {
+		c.answer(req, &request.Answer{Kind: request.Busy}, claimDecided)
+		return
+	}
+	c.handle(req.arrival(class, tenant))
+}
+
+// detachedReply is the reply of a write that no client waits for.
+type detachedReply struct {
+	release func() // nil where there is nothing to release
+}
+
+// Finish implements Reply.
+func (detachedReply) Finish(*request.Answer) {}
+
+// Release implements Reply.
+func (r detachedReply) Release() {
+	if r.release != nil {
+		r.release()
+	}
+}
+
+// ResumeWrite sends a write that another proxy had claimed and not completed. It may be sent for the time
+// within. The outcome is reported to TakeoverCoordinator.Complete under the returned id. It returns false
+// for a write that can't be sent any more.
+func (c *Core) ResumeWrite(in *request.Request, within time.Duration) (id uint64, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.observeSleep()
+	class, known := c.rules.classes[in.Class]
+	if !known || within <= 0 || c.takeover == nil {
+		return 0, false
+	}
+	c.lastID++
+	in.Serial, in.SideEffects = uint32(c.lastID), true
+	timeout := c.rules.policy.Classes[class].Deadline
+	req := &InFlightRequest{
+		id:         c.lastID,
+		request:    in,
+		reply:      detachedReply{},
+		deadline:   c.now() + timeout,
+		expiresAt:  time.Now().Add(timeout),
+		claim:      claimGranted,
+		sendBefore: c.now() + within,
+	}
+	c.requests[req.id] = req
+	c.requestIDs[in.ID] = struct{}{}
+	c.setTimer(timer{at: req.deadline, kind: requestTimer, id: req.id})
+	c.admit(req)
+	return req.id, true
+}
+
+// completeClaim reports the outcome of a request whose claim was granted. c.mu is held.
+func (c *Core) completeClaim(req *InFlightRequest, answer *request.Answer) {
+	if req.claim != claimGranted {
+		return
+	}
+	req.claim = claimNone
+	if c.takeover == nil { // it was removed meanwhile
+		return
+	}
+	switch answer.Kind {
+	case request.Stored:
+		c.takeover.Complete(req.id, takeover.Served, answer.Receipt)
+	case request.Busy, request.Invalid:
+		c.takeover.Complete(req.id, takeover.NotExecuted, "")
+	default:
+		c.takeover.Complete(req.id, takeover.Unknown, "")
+	}
+}
+
+// detachClient lets a claimed write go on without its client, and reports whether it does: whoever retries
+// the write, at any proxy, needs its outcome. c.mu is held.
+func (c *Core) detachClient(req *InFlightRequest) bool {
+	if req.claim != claimGranted {
+		return false
+	}
+	req.reply = detachedReply{req.reply.Release}
+	return true
+}
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -1,39 +1,140 @@
 package core
 
-// timers is a heap, the earliest first. (container/heap would box each.)
+import (
+	"context"
+	"time"
+
+	"mulleinpier/internal/membership"
+	"mulleinpier/policy"
+)
+
+const (
+	// timerResolution is the shortest wait between two rounds of timers: those that are due within it
+	// are handled together, as waking for each would cost more than they do.
+	timerResolution = 2 * time.Millisecond
+	// noTimerWait is the wait where no timer is set; setting one ends it.
+	noTimerWait = time.Hour
+)
+
+// timerKind is what a timer is for.
+type timerKind uint8
+
+const (
+	policyTimer     timerKind = iota // the decision module's; id is its token
+	requestTimer                     // deadline of the request with number id
+	attemptTimer                     // deadline of one attempt of the request with number id
+	membershipTimer                  // of package membership
+	clockTimer                       // a check of the clocks for package pause
+)
+
+// timer is something to do at a time.
+type timer struct {
+	at      time.Duration // by Core.now
+	id      uint64
+	attempt int32 // number of the attempt of an attemptTimer
+	kind    timerKind
+}
+
+// setTimer adds a timer. c.mu is held.
+func (c *Core) setTimer(t timer) {
+	if c.timers.push(t) {
+		signal(c.timerSet)
+	}
+}
+
+// runTimers fires timers as they are due, until ctx ends.
+func (c *Core) runTimers(ctx context.Context) {
+	alarm := time.NewTimer(noTimerWait)
+	defer alarm.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-c.timerSet:
+		case <-alarm.C:
+		}
+		alarm.Reset(max(c.fireTimers(), timerResolution))
+	}
+}
+
+// fireTimers handles the timers that are due, and returns the wait until the next.
+func (c *Core) fireTimers() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.observeClocks()
+	now := c.now()
+	for len(c.timers) > 0 {
+		if wait := c.timers[0].at - now; wait > 0 {
+			return wait
+		}
+		t := c.timers.pop()
+		if t.at > c.resumedAt() { // one from before a pause is late for that, not for load
+			c.overload.timerLag = max(c.overload.timerLag, now-t.at)
+		}
+		c.fire(t)
+	}
+	return noTimerWait
+}
+
+// fire handles one timer that is due. c.mu is held.
+func (c *Core) fire(t timer) {
+	switch t.kind {
+	case policyTimer:
+		c.handle(policy.TimerFired{Token: t.id})
+	case membershipTimer:
+		c.handleMembership(membership.TimerFired{})
+	case requestTimer:
+		if req := c.requests[t.id]; req != nil {
+			for i := 0; i < len(req.attempts); i++ { // cancelling one may dispatch another
+				c.cancelAttempt(req, req.attempts[i], policy.TimedOut)
+			}
+		}
+	case attemptTimer:
+		if req := c.requests[t.id]; req != nil {
+			c.cancelAttempt(req, req.attempts[t.attempt], policy.TimedOut)
+		}
+	case clockTimer: // fireTimers has observed the clocks
+	}
+}
+
+// timers is a binary heap with the earliest timer first. container/heap would allocate for each timer.
 type timers []timer
 
-// push adds a timer and tells whether it is the earliest.
+// push adds a timer, and reports whether it is the earliest.
 func (h *timers) push(t timer) bool {
-	s := append(*h, t)
-	i := len(s) - 1
-	for i > 0 && s[i].at < s[(i-1)/2].at {
-		s[i], s[(i-1)/2] = s[(i-1)/2], s[i]
-		i = (i - 1) / 2
+	heap := append(*h, t)
+	i := len(heap) - 1
+	for i > 0 {
+		parent := (i - 1) / 2
+		if heap[i].at >= heap[parent].at {
+			break
+		}
+		heap[i], heap[parent] = heap[parent], heap[i]
+		i = parent
 	}
-	*h = s
+	*h = heap
 	return i == 0
 }
 
-// pop removes the earliest.
+// pop removes and returns the earliest timer.
 func (h *timers) pop() timer {
-	s := *h
-	first, last := s[0], len(s)-1
-	s[0] = s[last]
-	s = s[:last]
+	heap := *h
+	earliest, last := heap[0], len(heap)-1
+	heap[0] = heap[last]
+	heap = heap[:last]
 	for i := 0; ; {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
-			if s[child].at < s[least].at {
+			if heap[child].at < heap[least].at {
 				least = child
 			}
 		}
 		if least == i {
 			break
 		}
-		s[i], s[least] = s[least], s[i]
+		heap[i], heap[least] = heap[least], heap[i]
 		i = least
 	}
-	*h = s
-	return first
+	*h = heap
+	return earliest
 }
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -12,38 +12,41 @@
 	"mulleinpier/policy"
 )
 
-// This file keeps a watch of the platform's list.
+// This file watches the only source of the endpoint list: a local agent that pushes lists, or a service
+// that all proxies request them from.
 
 const (
-	// An agent on this machine answers at once, and what it has counts as told: one that says nothing
-	// to a new watch for so long is asked again beside it.
+	// agentAnswerTimeout is how long a local agent may take to answer a new watch before it is asked
+	// again beside it. It answers at once when it works, and what it knows counts as known to the proxy.
 	agentAnswerTimeout = 400 * time.Millisecond
-	// After a move, a call to the new address may wait its turn, but what it has to tell counts 4 s later: if the first has
-	// hung it is asked once more beside it. More would be a storm where all proxies move at once and calls are in turn.
+	// movedAnswerTimeout is the same after a change of address, where a call may wait its turn but its
+	// list must be heeded 4 s later. More calls would be a storm: all proxies move at once.
 	movedAnswerTimeout = 3 * time.Second
-	// The wait before a watch that has told nothing is begun again: of an agent, and after a move.
+	// agentRetryDelay and movedRetryDelay are the waits before a watch that has ended without a list is
+	// opened again: of an agent, and after a change of address.
 	agentRetryDelay = 100 * time.Millisecond
 	movedRetryDelay = 500 * time.Millisecond
-	// Watches that are open at a time: the one that has told, and those that are to take its place.
+	// maxSubscriptions bounds the watches that are open at a time: the one that has reported a list, and
+	// those that are to take its place.
 	maxSubscriptions = 4
 )
 
-// subscription is one subscription of the list. Its fields belong to the goroutine of watch, but for call.
+// subscription is one watch of the list. It belongs to the goroutine of watchList, but call.knownVersion
+// to the subscription's own.
 type subscription struct {
-	call     listCall // its known belongs to its own goroutine
+	call     listCall
 	cancel   context.CancelFunc
 	openedAt time.Time
-	answered bool // its source has answered, be it that nothing is new
-	hasList  bool
+	answered bool // its source has answered, possibly that nothing has changed
+	hasList  bool // it has reported a list
 }
 
-// subscriptionEvent is what a subscription has to say.
+// subscriptionEvent is what a subscription reports to the goroutine of watchList.
 type subscriptionEvent struct {
 	subscription *subscription
 	kind         subscriptionEventKind
 }
 
-// The words of a subscription.
 type subscriptionEventKind uint8
 
 const (
@@ -52,166 +55,197 @@
 	watchEnded
 )
 
-// subscriptions is what the goroutine of watch knows.
+// subscriptions is the state of the goroutine of watchList.
 type subscriptions struct {
 	*Core
 	ctx          context.Context
 	tasks        sync.WaitGroup
 	events       chan subscriptionEvent
 	open         []*subscription // in order of opening
-	sourceMoved  bool            // the place is another, and has told nothing yet
+	sourceMoved  bool            // the source is another, and has not reported a list yet
 	retry        *time.Timer     // when to open one more
-	retryPending bool            // that is because the last one was lost
+	retryPending bool            // retry is set because the last subscription was lost
 }
 
-// watchList keeps a subscription of the list: where lists are pushed always, else as the decision module asks for it, whom the
-// loss of one is told. A new one takes the place of the old.
+// watchList keeps a watch of the list until ctx ends: at all times where lists are pushed, else as the
+// decision module requests it, which is also notified when a watch is lost.
 //
-// When discovery moves, the old subscription is kept until the new one has told
-// something: a call may wait its turn for seconds, and a drain that is announced
-// meanwhile must not be missed. This should also cover a new address that
-// is slow or not there yet. It costs one connection more for that time.
+// When the source changes, the old watch is kept until the new one has reported a list: the call may wait
+// its turn for seconds, the new address may be slow or not serve yet, and a drain that is announced
+// meanwhile must not be missed. That costs one more connection for the time.
 func (c *Core) watchList(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &subscriptions{Core: c, ctx: ctx, events: make(chan subscriptionEvent), retry: time.NewTimer(time.Hour)}
-	defer w.retry.Stop()
-	defer w.tasks.Wait()
+	s := &subscriptions{
+		Core:   c,
+		ctx:    ctx,
+		events: make(chan subscriptionEvent),
+		retry:  time.NewTimer(noTimerWait),
+	}
+	defer s.retry.Stop()
+	defer s.tasks.Wait()
 	defer cancel()
-	if !c.pollLists {
-		w.subscribeNow()
+	if !c.listOnRequest {
+		s.subscribe()
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.subscribeRequested:
-			if !w.hasCurrent() { // else it is subscribed, by a move
-				w.subscribeNow()
+			if !s.hasCurrent() { // a change of sources may have opened it already
+				s.subscribe()
 			}
 		case <-c.sourcesChanged:
-			// Those that have told nothing yet are of no use any more; the one that has, is.
-			w.cancelMatching(func(x *subscription) bool { return !x.hasList })
-			w.sourceMoved, w.retryPending = true, false // a wait for the old place is over
-			w.subscribeNow()
-		case <-w.retry.C:
-			w.retryPending = false
-			w.subscribeNow()
-		case x := <-w.events:
-			switch x.kind {
-			case sourceAnswered:
-				w.handleAnswer(x.subscription)
-			case listArrived:
-				w.handleList(x.subscription)
-			case watchEnded:
-				w.handleLoss(x.subscription)
-			}
+			s.handleMove()
+		case <-s.retry.C:
+			s.retryPending = false
+			s.subscribe()
+		case event := <-s.events:
+			s.handleEvent(event)
 		}
 	}
 }
 
-// hasCurrent tells whether a subscription of the place now is open, or about to be.
-func (w *subscriptions) hasCurrent() bool {
-	now := w.newListCall().source
-	return w.retryPending || slices.ContainsFunc(w.open, func(x *subscription) bool { return x.call.source == now })
+// handleMove opens a watch of a new source. Of the watches of the old one only that which has reported a
+// list is of use.
+func (s *subscriptions) handleMove() {
+	s.cancelMatching(func(sub *subscription) bool { return !sub.hasList })
+	s.sourceMoved, s.retryPending = true, false
+	s.subscribe()
+}
+
+func (s *subscriptions) handleEvent(event subscriptionEvent) {
+	switch event.kind {
+	case sourceAnswered:
+		s.handleAnswer(event.subscription)
+	case listArrived:
+		s.handleList(event.subscription)
+	case watchEnded:
+		s.handleLoss(event.subscription)
+	}
 }
 
-// cancelMatching ends subscriptions.
-func (w *subscriptions) cancelMatching(which func(*subscription) bool) {
-	w.open = slices.DeleteFunc(w.open, func(x *subscription) bool {
-		if which(x) {
-			x.cancel()
-			return true
+// hasCurrent reports whether a watch of the present source is open, or about to be opened.
+func (s *subscriptions) hasCurrent() bool {
+	source := s.newListCall().source
+	isCurrent := func(sub *subscription) bool { return sub.call.source == source }
+	return s.retryPending || slices.ContainsFunc(s.open, isCurrent)
+}
+
+// cancelMatching ends the watches that match.
+func (s *subscriptions) cancelMatching(matches func(*subscription) bool) {
+	s.open = slices.DeleteFunc(s.open, func(sub *subscription) bool {
+		if !matches(sub) {
+			return false
 		}
-		return false
+		sub.cancel()
+		return true
 	})
 }
 
-// subscribeNow opens one more subscription, and has another opened beside it if it says nothing for long.
-func (w *subscriptions) subscribeNow() {
-	if len(w.open) >= maxSubscriptions { // the oldest of those that say nothing makes way
-		i := max(slices.IndexFunc(w.open, func(x *subscription) bool { return !x.hasList }), 0)
-		w.open[i].cancel()
-		w.open = slices.Delete(w.open, i, i+1)
+// subscribe opens one more watch, and arranges for another beside it should the source not answer.
+func (s *subscriptions) subscribe() {
+	if len(s.open) >= maxSubscriptions {
+		s.cancelOldest()
 	}
-	ctx, cancel := context.WithCancel(w.ctx)
-	beside := w.hasCurrent()
-	x := &subscription{call: w.newListCall(), cancel: cancel, openedAt: time.Now()}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() { w.report(ctx, x, sourceAnswered) }})
-	w.open = append(w.open, x)
+	ctx, cancel := context.WithCancel(s.ctx)
+	hadCurrent := s.hasCurrent()
+	sub := &subscription{call: s.newListCall(), cancel: cancel, openedAt: time.Now()}
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotFirstResponseByte: func() { s.report(ctx, sub, sourceAnswered) },
+	})
+	s.open = append(s.open, sub)
 	switch {
-	case !w.pollLists:
-		w.retry.Reset(agentAnswerTimeout)
-	case w.sourceMoved && !beside:
-		w.retry.Reset(movedAnswerTimeout)
+	case !s.listOnRequest:
+		s.retry.Reset(agentAnswerTimeout)
+	case s.sourceMoved && !hadCurrent:
+		s.retry.Reset(movedAnswerTimeout)
 	default:
-		w.retry.Stop()
+		s.retry.Stop()
 	}
-	w.tasks.Go(func() {
+	s.tasks.Go(func() {
 		defer cancel()
-		err := x.call.source.Watch(ctx, x.call.knownVersion, func(l discovery.List) {
-			if ctx.Err() == nil {
-				w.applyList(x.call, l, policy.EndpointsDelta)
-				x.call.knownVersion = l.Index
-				w.report(ctx, x, listArrived)
-			}
-		})
+		s.watch(ctx, sub)
+	})
+}
+
+// cancelOldest ends the oldest watch that has not reported a list, or the oldest of all.
+func (s *subscriptions) cancelOldest() {
+	withoutList := func(sub *subscription) bool { return !sub.hasList }
+	oldest := max(slices.IndexFunc(s.open, withoutList), 0)
+	s.open[oldest].cancel()
+	s.open = slices.Delete(s.open, oldest, oldest+1)
+}
+
+// watch runs one watch to its end. It has a goroutine of its own.
+func (s *subscriptions) watch(ctx context.Context, sub *subscription) {
+	err := sub.call.source.Watch(ctx, sub.call.knownVersion, func(list discovery.List) {
 		if ctx.Err() == nil {
-			w.log.Warn("watch lost", "error", err)
-			w.report(ctx, x, watchEnded)
+			s.applyList(sub.call, list, policy.EndpointsDelta)
+			sub.call.knownVersion = list.Index
+			s.report(ctx, sub, listArrived)
 		}
 	})
+	if ctx.Err() == nil {
+		s.log.Warn("watch lost", "error", err)
+		s.report(ctx, sub, watchEnded)
+	}
 }
 
-func (w *subscriptions) report(ctx context.Context, x *subscription, what subscriptionEventKind) {
+// report notifies the goroutine of watchList of what has happened to a watch.
+func (s *subscriptions) report(ctx context.Context, sub *subscription, kind subscriptionEventKind) {
 	select {
-	case w.events <- subscriptionEvent{x, what}:
+	case s.events <- subscriptionEvent{sub, kind}:
 	case <-ctx.Done():
 	}
 }
 
-// handleAnswer takes that the source has answered a subscription. Where lists are pushed, those beside it are not needed
-// any more; the one from before a move is, until this one has told something.
-func (w *subscriptions) handleAnswer(x *subscription) {
-	x.answered = true
-	if !w.pollLists && x.call.source == w.newListCall().source {
-		w.retry.Stop()
-		w.cancelMatching(func(other *subscription) bool { return other != x && other.call.source == x.call.source })
+// handleAnswer handles the first answer to a watch. Where lists are pushed, other watches of the same
+// source are not needed any more; that of the source before a move is, until this one reports a list.
+func (s *subscriptions) handleAnswer(sub *subscription) {
+	sub.answered = true
+	if s.listOnRequest || sub.call.source != s.newListCall().source {
+		return
 	}
+	s.retry.Stop()
+	s.cancelMatching(func(other *subscription) bool {
+		return other != sub && other.call.source == sub.call.source
+	})
 }
 
-// handleList takes that a subscription has told something: if it is of the place now, all others end.
-func (w *subscriptions) handleList(x *subscription) {
-	x.hasList = true
-	if x.call.source != w.newListCall().source {
+// handleList handles a list that a watch has reported: if it is of the present source, all others end.
+func (s *subscriptions) handleList(sub *subscription) {
+	sub.hasList = true
+	if sub.call.source != s.newListCall().source {
 		return
 	}
-	w.sourceMoved, w.retryPending = false, false
-	w.retry.Stop()
-	w.cancelMatching(func(other *subscription) bool { return other != x })
+	s.sourceMoved, s.retryPending = false, false
+	s.retry.Stop()
+	s.cancelMatching(func(other *subscription) bool { return other != sub })
 }
 
-// handleLoss takes that a subscription has ended. One that had been answered is opened anew at once where that costs
-// nobody anything, unless it was itself opened just now; the decision module spreads it where all proxies ask one service.
-func (w *subscriptions) handleLoss(x *subscription) {
-	w.open = slices.DeleteFunc(w.open, func(other *subscription) bool { return other == x })
+// handleLoss handles the end of a watch. One of a local agent that had answered is opened again at once,
+// unless it was opened just now. Where all proxies ask one service the decision module spreads that.
+func (s *subscriptions) handleLoss(sub *subscription) {
+	s.open = slices.DeleteFunc(s.open, func(other *subscription) bool { return other == sub })
 	switch {
-	case w.hasCurrent():
-	case !w.pollLists && x.answered && time.Since(x.openedAt) > agentAnswerTimeout:
-		w.subscribeNow()
-	case !w.pollLists:
-		w.retryAfterDelay(agentRetryDelay)
-	case w.sourceMoved:
-		w.retryAfterDelay(movedRetryDelay)
+	case s.hasCurrent():
+	case !s.listOnRequest && sub.answered && time.Since(sub.openedAt) > agentAnswerTimeout:
+		s.subscribe()
+	case !s.listOnRequest:
+		s.retryAfterDelay(agentRetryDelay)
+	case s.sourceMoved:
+		s.retryAfterDelay(movedRetryDelay)
 	default:
-		w.mu.Lock()
-		w.counts.listFailures++
-		w.handle(policy.EndpointUpdate{Version: w.listVersion, Kind: policy.EndpointsUnavailable})
-		w.mu.Unlock()
+		s.mu.Lock()
+		s.counts.listFailures++
+		s.handle(policy.EndpointUpdate{Version: s.endpoints.version, Kind: policy.EndpointsUnavailable})
+		s.mu.Unlock()
 	}
 }
 
-// retryAfterDelay has a subscription opened after a while, of some spread.
-func (w *subscriptions) retryAfterDelay(d time.Duration) {
-	w.retryPending = true
-	w.retry.Reset(d/2 + rand.N(d))
+// retryAfterDelay opens a watch after half to one and a half times a delay, so that proxies spread.
+func (s *subscriptions) retryAfterDelay(delay time.Duration) {
+	s.retryPending = true
+	s.retry.Reset(delay/2 + rand.N(delay))
 }
