--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -12,206 +12,240 @@
 	"mulleinpier/policy"
 )
 
-// This file keeps a watch of the platform's list.
+// This file watches the only source of the endpoint list: a local agent that pushes lists, or a service
+// that all proxies request them from.
 
 const (
-	// An agent on this machine answers at once, and what it has counts as told: one that says nothing
-	// to a new watch for so long is asked again beside it.
-	agentWait = 400 * time.Millisecond
-	// After a move, a call to the new address may wait its turn, but what it has to tell counts 4 s later: if the first has
-	// hung it is asked once more beside it. More would be a storm where all proxies move at once and calls are in turn.
-	movedWait = 3 * time.Second
-	// The wait before a watch that has told nothing is begun again: of an agent, and after a move.
-	agentPause = 100 * time.Millisecond
-	movedPause = 500 * time.Millisecond
-	// Watches that are open at a time: the one that has told, and those that are to take its place.
-	mostWatches = 4
+	// agentAnswerTimeout is how long a local agent may take to answer a new watch before it is asked
+	// again beside it. It answers at once when it works, and what it knows counts as known to the proxy.
+	agentAnswerTimeout = 400 * time.Millisecond
+	// movedAnswerTimeout is the same after a change of address, where a call may wait its turn but its
+	// list must be heeded 4 s later. More calls would be a storm: all proxies move at once.
+	movedAnswerTimeout = 3 * time.Second
+	// agentRetryDelay and movedRetryDelay are the waits before a watch that has ended without a list is
+	// opened again: of an agent, and after a change of address.
+	agentRetryDelay = 100 * time.Millisecond
+	movedRetryDelay = 500 * time.Millisecond
+	// maxSubscriptions bounds the watches that are open at a time: the one that has reported a list, and
+	// those that are to take its place.
+	maxSubscriptions = 4
 )
 
-// watching is one subscription of the list. Its fields belong to the goroutine of watch, but for call.
-type watching struct {
-	call     call // its known belongs to its own goroutine
+// subscription is one watch of the list. It belongs to the goroutine of watchList, but call.knownVersion
+// to the subscription's own.
+type subscription struct {
+	call     listCall
 	cancel   context.CancelFunc
-	opened   time.Time
-	answered bool // its source has answered, be it that nothing is new
-	told     bool
+	openedAt time.Time
+	answered bool // its source has answered, possibly that nothing has changed
+	hasList  bool // it has reported a list
 }
 
-// heardOf is what a subscription has to say.
-type heardOf struct {
-	watch *watching
-	what  word
+// subscriptionEvent is what a subscription reports to the goroutine of watchList.
+type subscriptionEvent struct {
+	subscription *subscription
+	kind         subscriptionEventKind
 }
 
-// The words of a subscription.
-type word uint8
+type subscriptionEventKind uint8
 
 const (
-	answered word = iota
-	told
-	lost
+	sourceAnswered subscriptionEventKind = iota
+	listArrived
+	watchEnded
 )
 
-// watches is what the goroutine of watch knows.
-type watches struct {
+// subscriptions is the state of the goroutine of watchList.
+type subscriptions struct {
 	*Core
-	ctx    context.Context
-	tasks  sync.WaitGroup
-	news   chan heardOf
-	open   []*watching // in order of opening
-	moved  bool        // the place is another, and has told nothing yet
-	again  *time.Timer // when to open one more
-	paused bool        // that is because the last one was lost
+	ctx          context.Context
+	tasks        sync.WaitGroup
+	events       chan subscriptionEvent
+	open         []*subscription // in order of opening
+	sourceMoved  bool            // the source is another, and has not reported a list yet
+	retry        *time.Timer     // when to open one more
+	retryPending bool            // retry is set because the last subscription was lost
 }
 
-// watch keeps a subscription of the list: where lists are pushed always, else as the decision module asks for it, whom the
-// loss of one is told. A new one takes the place of the old.
+// watchList keeps a watch of the list until ctx ends: at all times where lists are pushed, else as the
+// decision module requests it, which is also notified when a watch is lost.
 //
-// When discovery moves, the old subscription is kept until the new one has told
-// something: a call may wait its turn for seconds, and a drain that is announced
-// meanwhile must not be missed. This should also cover a new address that
-// is slow or not there yet. It costs one connection more for that time.
-func (c *Core) watch(ctx context.Context) {
+// When the source changes, the old watch is kept until the new one has reported a list: the call may wait
+// its turn for seconds, the new address may be slow or not serve yet, and a drain that is announced
+// meanwhile must not be missed. That costs one more connection for the time.
+func (c *Core) watchList(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &watches{Core: c, ctx: ctx, news: make(chan heardOf), again: time.NewTimer(time.Hour)}
-	defer w.again.Stop()
-	defer w.tasks.Wait()
+	s := &subscriptions{
+		Core:   c,
+		ctx:    ctx,
+		events: make(chan subscriptionEvent),
+		retry:  time.NewTimer(noTimerWait),
+	}
+	defer s.retry.Stop()
+	defer s.tasks.Wait()
 	defer cancel()
-	if !c.askList {
-		w.begin()
+	if !c.listOnRequest {
+		s.subscribe()
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.subscribe:
-			if !w.has() { // else it is subscribed, by a move
-				w.begin()
-			}
-		case <-c.moved:
-			// Those that have told nothing yet are of no use any more; the one that has, is.
-			w.drop(func(x *watching) bool { return !x.told })
-			w.moved, w.paused = true, false // a wait for the old place is over
-			w.begin()
-		case <-w.again.C:
-			w.paused = false
-			w.begin()
-		case x := <-w.news:
-			switch x.what {
-			case answered:
-				w.answered(x.watch)
-			case told:
-				w.heard(x.watch)
-			case lost:
-				w.lost(x.watch)
+		case <-c.subscribeRequested:
+			if !s.hasCurrent() { // a change of sources may have opened it already
+				s.subscribe()
 			}
+		case <-c.sourcesChanged:
+			s.handleMove()
+		case <-s.retry.C:
+			s.retryPending = false
+			s.subscribe()
+		case event := <-s.events:
+			s.handleEvent(event)
 		}
 	}
 }
 
-// has tells whether a subscription of the place now is open, or about to be.
-func (w *watches) has() bool {
-	now := w.place().source
-	return w.paused || slices.ContainsFunc(w.open, func(x *watching) bool { return x.call.source == now })
+// handleMove opens a watch of a new source. Of the watches of the old one only that which has reported a
+// list is of use.
+func (s *subscriptions) handleMove() {
+	s.cancelMatching(func(sub *subscription) bool { return !sub.hasList })
+	s.sourceMoved, s.retryPending = true, false
+	s.subscribe()
+}
+
+func (s *subscriptions) handleEvent(event subscriptionEvent) {
+	switch event.kind {
+	case sourceAnswered:
+		s.handleAnswer(event.subscription)
+	case listArrived:
+		s.handleList(event.subscription)
+	case watchEnded:
+		s.handleLoss(event.subscription)
+	}
 }
 
-// drop ends subscriptions.
-func (w *watches) drop(which func(*watching) bool) {
-	w.open = slices.DeleteFunc(w.open, func(x *watching) bool {
-		if which(x) {
-			x.cancel()
-			return true
+// hasCurrent reports whether a watch of the present source is open, or about to be opened.
+func (s *subscriptions) hasCurrent() bool {
+	source := s.newListCall().source
+	isCurrent := func(sub *subscription) bool { return sub.call.source == source }
+	return s.retryPending || slices.ContainsFunc(s.open, isCurrent)
+}
+
+// cancelMatching ends the watches that match.
+func (s *subscriptions) cancelMatching(matches func(*subscription) bool) {
+	s.open = slices.DeleteFunc(s.open, func(sub *subscription) bool {
+		if !matches(sub) {
+			return false
 		}
-		return false
+		sub.cancel()
+		return true
 	})
 }
 
-// begin opens one more subscription, and has another opened beside it if it says nothing for long.
-func (w *watches) begin() {
-	if len(w.open) >= mostWatches { // the oldest of those that say nothing makes way
-		i := max(slices.IndexFunc(w.open, func(x *watching) bool { return !x.told }), 0)
-		w.open[i].cancel()
-		w.open = slices.Delete(w.open, i, i+1)
+// subscribe opens one more watch, and arranges for another beside it should the source not answer.
+func (s *subscriptions) subscribe() {
+	if len(s.open) >= maxSubscriptions {
+		s.cancelOldest()
 	}
-	ctx, cancel := context.WithCancel(w.ctx)
-	beside := w.has()
-	x := &watching{call: w.place(), cancel: cancel, opened: time.Now()}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() { w.say(ctx, x, answered) }})
-	w.open = append(w.open, x)
+	ctx, cancel := context.WithCancel(s.ctx)
+	hadCurrent := s.hasCurrent()
+	sub := &subscription{call: s.newListCall(), cancel: cancel, openedAt: time.Now()}
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotFirstResponseByte: func() { s.report(ctx, sub, sourceAnswered) },
+	})
+	s.open = append(s.open, sub)
 	switch {
-	case !w.askList:
-		w.again.Reset(agentWait)
-	case w.moved && !beside:
-		w.again.Reset(movedWait)
+	case !s.listOnRequest:
+		s.retry.Reset(agentAnswerTimeout)
+	case s.sourceMoved && !hadCurrent:
+		s.retry.Reset(movedAnswerTimeout)
 	default:
-		w.again.Stop()
+		s.retry.Stop()
 	}
-	w.tasks.Go(func() {
+	s.tasks.Go(func() {
 		defer cancel()
-		err := x.call.source.Watch(ctx, x.call.known, func(l discovery.List) {
-			if ctx.Err() == nil {
-				w.learn(x.call, l, policy.EndpointsDelta)
-				x.call.known = l.Index
-				w.say(ctx, x, told)
-			}
-		})
+		s.watch(ctx, sub)
+	})
+}
+
+// cancelOldest ends the oldest watch that has not reported a list, or the oldest of all.
+func (s *subscriptions) cancelOldest() {
+	withoutList := func(sub *subscription) bool { return !sub.hasList }
+	oldest := max(slices.IndexFunc(s.open, withoutList), 0)
+	s.open[oldest].cancel()
+	s.open = slices.Delete(s.open, oldest, oldest+1)
+}
+
+// watch runs one watch to its end. It has a goroutine of its own.
+func (s *subscriptions) watch(ctx context.Context, sub *subscription) {
+	err := sub.call.source.Watch(ctx, sub.call.knownVersion, func(list discovery.List) {
 		if ctx.Err() == nil {
-			w.log.Warn("watch lost", "error", err)
-			w.say(ctx, x, lost)
+			s.applyList(sub.call, list, policy.EndpointsDelta)
+			sub.call.knownVersion = list.Index
+			s.report(ctx, sub, listArrived)
 		}
 	})
+	if ctx.Err() == nil {
+		s.log.Warn("watch lost", "error", err)
+		s.report(ctx, sub, watchEnded)
+	}
 }
 
-func (w *watches) say(ctx context.Context, x *watching, what word) {
+// report notifies the goroutine of watchList of what has happened to a watch.
+func (s *subscriptions) report(ctx context.Context, sub *subscription, kind subscriptionEventKind) {
 	select {
-	case w.news <- heardOf{x, what}:
+	case s.events <- subscriptionEvent{sub, kind}:
 	case <-ctx.Done():
 	}
 }
 
-// answered takes that the source has answered a subscription. Where lists are pushed, those beside it are not needed
-// any more; the one from before a move is, until this one has told something.
-func (w *watches) answered(x *watching) {
-	x.answered = true
-	if !w.askList && x.call.source == w.place().source {
-		w.again.Stop()
-		w.drop(func(other *watching) bool { return other != x && other.call.source == x.call.source })
+// handleAnswer handles the first answer to a watch. Where lists are pushed, other watches of the same
+// source are not needed any more; that of the source before a move is, until this one reports a list.
+func (s *subscriptions) handleAnswer(sub *subscription) {
+	sub.answered = true
+	if s.listOnRequest || sub.call.source != s.newListCall().source {
+		return
 	}
+	s.retry.Stop()
+	s.cancelMatching(func(other *subscription) bool {
+		return other != sub && other.call.source == sub.call.source
+	})
 }
 
-// heard takes that a subscription has told something: if it is of the place now, all others end.
-func (w *watches) heard(x *watching) {
-	x.told = true
-	if x.call.source != w.place().source {
+// handleList handles a list that a watch has reported: if it is of the present source, all others end.
+func (s *subscriptions) handleList(sub *subscription) {
+	sub.hasList = true
+	if sub.call.source != s.newListCall().source {
 		return
 	}
-	w.moved, w.paused = false, false
-	w.again.Stop()
-	w.drop(func(other *watching) bool { return other != x })
+	s.sourceMoved, s.retryPending = false, false
+	s.retry.Stop()
+	s.cancelMatching(func(other *subscription) bool { return other != sub })
 }
 
-// lost takes that a subscription has ended. One that had been answered is opened anew at once where that costs
-// nobody anything, unless it was itself opened just now; the decision module spreads it where all proxies ask one service.
-func (w *watches) lost(x *watching) {
-	w.open = slices.DeleteFunc(w.open, func(other *watching) bool { return other == x })
+// handleLoss handles the end of a watch. One of a local agent that had answered is opened again at once,
+// unless it was opened just now. Where all proxies ask one service the decision module spreads that.
+func (s *subscriptions) handleLoss(sub *subscription) {
+	s.open = slices.DeleteFunc(s.open, func(other *subscription) bool { return other == sub })
 	switch {
-	case w.has():
-	case !w.askList && x.answered && time.Since(x.opened) > agentWait:
-		w.begin()
-	case !w.askList:
-		w.pause(agentPause)
-	case w.moved:
-		w.pause(movedPause)
+	case s.hasCurrent():
+	case !s.listOnRequest && sub.answered && time.Since(sub.openedAt) > agentAnswerTimeout:
+		s.subscribe()
+	case !s.listOnRequest:
+		s.retryAfterDelay(agentRetryDelay)
+	case s.sourceMoved:
+		s.retryAfterDelay(movedRetryDelay)
 	default:
-		w.mu.Lock()
-		w.counts.lost++
-		w.handle(policy.EndpointUpdate{Version: w.version, Kind: policy.EndpointsUnavailable})
-		w.mu.Unlock()
+		s.mu.Lock()
+		s.counts.listFailures++
+		s.handle(policy.EndpointUpdate{Version: s.endpoints.version, Kind: policy.EndpointsUnavailable})
+		s.mu.Unlock()
 	}
 }
 
-// pause has a subscription opened after a while, of some spread.
-func (w *watches) pause(d time.Duration) {
-	w.paused = true
-	w.again.Reset(d/2 + rand.N(d))
+// retryAfterDelay opens a watch after half to one and a half times a delay, so that proxies spread.
+func (s *subscriptions) retryAfterDelay(delay time.Duration) {
+	s.retryPending = true
+	s.retry.Reset(delay/2 + rand.N(delay))
 }
