--- /dev/null
+++ b/internal/lease/expiry.go
@@ -0,0 +1,224 @@
+package lease
+
+import (
+	"slices"
+	"time"
+)
+
+// maxUnconfirmedRenewals bounds the renewals that wait for a confirmation of leadership.
+const maxUnconfirmedRenewals = 4096
+
+// ExpiryManager tracks lease deadlines on the leader. A new leader does not know when its predecessor last renewed a
+// lease, so it restarts the full duration of every lease that it inherits.
+type ExpiryManager struct {
+	parameters          Parameters
+	machine             *StateMachine // applied to by the caller
+	leading             bool
+	deadlines           map[uint64]leaseDeadline // by fencing token
+	waiterLastSeen      map[waiterKey]time.Duration
+	unconfirmedRenewals []renewal // in the order of their sequences
+	lastSequence        uint64
+}
+
+// leaseDeadline is when a grant may be taken back.
+type leaseDeadline struct {
+	task     string
+	at       time.Duration
+	expiring bool // its Expire has been proposed: it is not renewed any more
+}
+
+// waiterKey names a waiter.
+type waiterKey struct {
+	task, holder string
+	nonce        uint64
+}
+
+// renewal is one that waits until this voter is known to lead still.
+type renewal struct {
+	sequence  uint64
+	requestID uint64
+	task      string
+	token     uint64
+}
+
+// NewExpiryManager returns the expiry manager of a voter. The caller applies commands to the state machine, and tells
+// of each by CommandApplied.
+func NewExpiryManager(parameters Parameters, machine *StateMachine) *ExpiryManager {
+	return &ExpiryManager{
+		parameters:     parameters,
+		machine:        machine,
+		deadlines:      make(map[uint64]leaseDeadline),
+		waiterLastSeen: make(map[waiterKey]time.Duration),
+	}
+}
+
+// IsLeader tells whether this voter takes itself for the leader.
+func (m *ExpiryManager) IsLeader() bool { return m.leading }
+
+// TimeLeft returns how long a grant is kept yet, for display. It is known on the leader alone.
+func (m *ExpiryManager) TimeLeft(token uint64, now time.Duration) (time.Duration, bool) {
+	d, ok := m.deadlines[token]
+	return d.at - now, ok
+}
+
+// Handle takes an event at a time and appends what is to be done to out.
+func (m *ExpiryManager) Handle(now time.Duration, event ExpiryEvent, out []ExpiryAction) []ExpiryAction {
+	switch e := event.(type) {
+	case LeadershipAcquired:
+		m.becomeLeader(now)
+	case LeadershipLost:
+		return m.stepDown(out)
+	case CommandApplied:
+		if m.leading {
+			m.commandApplied(now, &e)
+		}
+	case WaiterSeen:
+		w := waiterKey{e.Task, e.Holder, e.Nonce}
+		if _, ok := m.waiterLastSeen[w]; ok {
+			m.waiterLastSeen[w] = now
+		}
+	case Renew:
+		return m.renew(e, out)
+	case LeadershipConfirmed:
+		return m.confirmRenewals(now, e.Sequence, out)
+	case Tick:
+		if m.leading {
+			return m.proposeSilentWaiters(now, m.proposeExpired(now, out))
+		}
+	}
+	return out
+}
+
+// becomeLeader restarts the time of all grants and waiters.
+func (m *ExpiryManager) becomeLeader(now time.Duration) {
+	m.leading = true
+	clear(m.deadlines)
+	clear(m.waiterLastSeen)
+	for name, t := range m.machine.Tasks {
+		for _, g := range t.Grants {
+			m.setDeadline(now, name, g)
+		}
+		for _, w := range t.Waiters {
+			m.waiterLastSeen[waiterKey{name, w.Holder, w.Nonce}] = now
+		}
+	}
+}
+
+func (m *ExpiryManager) setDeadline(now time.Duration, task string, g Grant) {
+	m.deadlines[g.Token] = leaseDeadline{task: task, at: now + m.parameters.voterDuration(g.Duration)}
+}
+
+// stepDown answers the renewals that wait: this voter can't know whether they hold.
+func (m *ExpiryManager) stepDown(out []ExpiryAction) []ExpiryAction {
+	m.leading = false
+	for _, r := range m.unconfirmedRenewals {
+		out = append(out, RenewalResult{r.requestID, NoAnswer})
+	}
+	m.unconfirmedRenewals = nil
+	return out
+}
+
+// commandApplied follows the grants and waiters that a command has made or ended.
+func (m *ExpiryManager) commandApplied(now time.Duration, e *CommandApplied) {
+	for _, token := range e.Result.EndedTokens {
+		delete(m.deadlines, token)
+	}
+	for _, g := range e.Result.NewGrants {
+		delete(m.waiterLastSeen, waiterKey{e.Command.Task, g.Holder, g.Nonce})
+		m.setDeadline(now, e.Command.Task, g)
+	}
+	c := &e.Command
+	if waits := c.Kind == Acquire && e.Result.Err == nil && e.Result.Grant.Token == 0; waits {
+		m.waiterLastSeen[waiterKey{c.Task, c.Holder, c.Nonce}] = now
+	}
+}
+
+// renew asks for a confirmation of leadership before it renews: a leader that was replaced without noticing must not.
+// A request that came before a confirmation was asked for is confirmed by it.
+func (m *ExpiryManager) renew(e Renew, out []ExpiryAction) []ExpiryAction {
+	switch {
+	case !m.leading || len(m.unconfirmedRenewals) >= maxUnconfirmedRenewals:
+		return append(out, RenewalResult{e.RequestID, NoAnswer})
+	case !m.isRenewable(e.Task, e.Token):
+		return append(out, RenewalResult{e.RequestID, NotHeld})
+	}
+	m.lastSequence++
+	m.unconfirmedRenewals = append(m.unconfirmedRenewals, renewal{m.lastSequence, e.RequestID, e.Task, e.Token})
+	return append(out, ConfirmLeadership{m.lastSequence})
+}
+
+// confirmRenewals carries out the renewals up to a sequence.
+func (m *ExpiryManager) confirmRenewals(now time.Duration, sequence uint64, out []ExpiryAction) []ExpiryAction {
+	for len(m.unconfirmedRenewals) > 0 && m.unconfirmedRenewals[0].sequence <= sequence {
+		r := m.unconfirmedRenewals[0]
+		m.unconfirmedRenewals = m.unconfirmedRenewals[1:]
+		outcome := NotHeld
+		if m.isRenewable(r.task, r.token) {
+			g, _ := m.machine.FindGrant(r.task, r.token)
+			at := max(m.deadlines[r.token].at, now+m.parameters.voterDuration(g.Duration))
+			m.deadlines[r.token] = leaseDeadline{task: r.task, at: at}
+			outcome = Granted
+		}
+		out = append(out, RenewalResult{r.requestID, outcome})
+	}
+	return out
+}
+
+func (m *ExpiryManager) isRenewable(task string, token uint64) bool {
+	g, ok := m.machine.FindGrant(task, token)
+	d := m.deadlines[token]
+	return m.leading && ok && !g.Revoked && !d.expiring && d.task == task
+}
+
+// proposeExpired proposes the end of the grants whose time is over, in the order of their tokens so that the same
+// events bring the same actions.
+func (m *ExpiryManager) proposeExpired(now time.Duration, out []ExpiryAction) []ExpiryAction {
+	var expired []uint64
+	for token, d := range m.deadlines {
+		if now >= d.at && !d.expiring {
+			expired = append(expired, token)
+		}
+	}
+	slices.Sort(expired)
+	for _, token := range expired {
+		d := m.deadlines[token]
+		d.expiring = true
+		m.deadlines[token] = d
+		out = append(out, Propose{Command{Kind: Expire, Task: d.task, Token: token}})
+	}
+	return out
+}
+
+// proposeSilentWaiters takes waiters out of their queues that have sent nothing for the duration of their lease, in a
+// fixed order as well.
+func (m *ExpiryManager) proposeSilentWaiters(now time.Duration, out []ExpiryAction) []ExpiryAction {
+	var silent []waiterKey
+	for w, seen := range m.waiterLastSeen {
+		if now-seen > m.waiterTimeout(w) {
+			silent = append(silent, w)
+		}
+	}
+	slices.SortFunc(silent, func(a, b waiterKey) int {
+		if a.nonce != b.nonce {
+			return int(min(max(int64(a.nonce-b.nonce), -1), 1))
+		}
+		return len(a.holder) - len(b.holder)
+	})
+	for _, w := range silent {
+		delete(m.waiterLastSeen, w)
+		out = append(out, Propose{Command{Kind: Release, Task: w.task, Holder: w.holder, Nonce: w.nonce}})
+	}
+	return out
+}
+
+// waiterTimeout returns how long a waiter may be silent; 0 for one that is in no queue.
+func (m *ExpiryManager) waiterTimeout(w waiterKey) time.Duration {
+	if t := m.machine.Tasks[w.task]; t != nil {
+		for _, x := range t.Waiters {
+			if x.Holder == w.holder && x.Nonce == w.nonce {
+				return m.parameters.voterDuration(x.Duration)
+			}
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/lease/interleaving_world_test.go
@@ -0,0 +1,311 @@
+package lease
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+)
+
+// This file is a small world that tests exhaust by interleavings: two voters that lead one after the other, two
+// contenders of one task, one change of the leader that the old one may not notice, one crash and restart, one stop,
+// and messages that are lost, late and duplicated. The majority behind the leader is taken for granted: the consensus
+// library has its own proof.
+
+// worldTick is how finely time passes.
+const worldTick = 100 * ms
+
+// maxMessagesInFlight bounds the messages at a time; any more are lost.
+const maxMessagesInFlight = 3
+
+// leaseTicks is the duration of a lease.
+const leaseTicks = 4
+
+// worldParameters are such that the drift shows within a lease of four ticks.
+var worldParameters = Parameters{
+	MaxClockDrift: 0.25,
+	SafetyMargin:  worldTick,
+	MinDuration:   worldTick,
+	MaxDuration:   time.Hour,
+}
+
+// plantedDefect is put into the world to see it found.
+type plantedDefect struct {
+	noMargin             bool // nor an allowance for drift
+	forgetfulVoter       bool // the new leader knows nothing of the old one's grants
+	countsFromResponse   bool // a holder counts its lease from the answer, not from the request
+	excessiveDrift       bool // a holder's clock is slower than the bound
+	inheritedLeasesEnded bool // a new leader believes all inherited leases over
+}
+
+// messageKind is what a message in flight is.
+type messageKind byte
+
+const (
+	requestMessage      messageKind = 'q'
+	responseMessage     messageKind = 'a'
+	confirmationMessage messageKind = 'c' // of leadership
+)
+
+type message struct {
+	kind        messageKind
+	voter       int
+	contender   int
+	incarnation int // of the contender
+	request     SendRequest
+	response    Response
+	sequence    uint64 // of a confirmation
+}
+
+// faults are how often each may befall a world.
+type faults struct{ lose, duplicate, changeLeader, stop, crash, release int }
+
+type world struct {
+	now              int // ticks
+	leader           int // the voter that leads in truth
+	machines         [2]*StateMachine
+	managers         [2]*ExpiryManager
+	sessions         [2]*Session
+	incarnations     [2]int
+	stopped          int // contender, -1 for none
+	inFlight         []message
+	renewals         map[uint64]message // being confirmed, by request ID
+	lastRequestID    uint64
+	highestToken     uint64 // that a valid session had
+	faultsLeft       faults
+	oldLeaderDeposed bool
+	defect           plantedDefect
+	parameters       Parameters
+}
+
+func newWorld(defect plantedDefect, f faults) *world {
+	w := &world{
+		stopped:    -1,
+		renewals:   make(map[uint64]message),
+		defect:     defect,
+		parameters: worldParameters,
+		faultsLeft: f,
+	}
+	if defect.noMargin {
+		w.parameters.SafetyMargin = 0
+		w.parameters.MaxClockDrift = 0
+	}
+	for v := range w.machines {
+		w.machines[v] = NewStateMachine()
+		w.managers[v] = NewExpiryManager(w.parameters, w.machines[v])
+	}
+	w.managers[0].Handle(0, LeadershipAcquired{}, nil)
+	for i := range w.sessions {
+		w.sessions[i] = w.newSession(fmt.Sprint("c", i, ".0"), uint64(i+1))
+	}
+	return w
+}
+
+func (w *world) newSession(holder string, nonce uint64) *Session {
+	return NewSession(w.parameters, "a", holder, nonce, leaseTicks*worldTick, true)
+}
+
+// voterNow is the voters' clock, fast by the drift bound.
+func (w *world) voterNow() time.Duration { return w.scale(1 + worldParameters.MaxClockDrift) }
+
+// holderNow is the contenders' clock, slow by the drift bound.
+func (w *world) holderNow() time.Duration {
+	if w.defect.excessiveDrift {
+		return w.scale(0.25)
+	}
+	return w.scale(1 - worldParameters.MaxClockDrift)
+}
+
+func (w *world) scale(by float64) time.Duration {
+	return time.Duration(float64(w.now) * by * float64(worldTick))
+}
+
+func (w *world) copy() *world {
+	c := *w
+	for v := range w.machines {
+		machine := &StateMachine{Tasks: make(map[string]*Task)}
+		copyTasks(machine, w.machines[v])
+		manager := *w.managers[v]
+		manager.machine = machine
+		manager.deadlines = maps.Clone(manager.deadlines)
+		manager.waiterLastSeen = maps.Clone(manager.waiterLastSeen)
+		manager.unconfirmedRenewals = slices.Clone(manager.unconfirmedRenewals)
+		c.machines[v] = machine
+		c.managers[v] = &manager
+	}
+	for i := range w.sessions {
+		session := *w.sessions[i]
+		c.sessions[i] = &session
+	}
+	c.inFlight = slices.Clone(w.inFlight)
+	c.renewals = maps.Clone(w.renewals)
+	return &c
+}
+
+// copyTasks gives a voter the tasks and the last token of another.
+func copyTasks(to, from *StateMachine) {
+	for name, t := range from.Tasks {
+		to.Tasks[name] = &Task{
+			MaxHolders: t.MaxHolders,
+			Grants:     slices.Clone(t.Grants),
+			Waiters:    slices.Clone(t.Waiters),
+		}
+	}
+	to.LastToken = from.LastToken
+}
+
+// key names a state.
+func (w *world) key() string {
+	var b strings.Builder
+	fmt.Fprint(&b, w.now, w.leader, w.incarnations, w.stopped, w.highestToken, w.faultsLeft, w.oldLeaderDeposed, "|")
+	for v := range w.machines {
+		for name, t := range w.machines[v].Tasks {
+			fmt.Fprint(&b, name, *t)
+		}
+		m := w.managers[v]
+		fmt.Fprint(&b, w.machines[v].LastToken, m.leading, m.deadlines, m.waiterLastSeen)
+		fmt.Fprint(&b, m.unconfirmedRenewals, m.lastSequence, "|")
+		s := w.sessions[v]
+		fmt.Fprint(&b, s.state, s.token, s.validUntil, s.nextRequest, s.requestSent, s.requestPending, s.sequence, "|")
+	}
+	inFlight := make([]string, len(w.inFlight))
+	for i := range w.inFlight {
+		inFlight[i] = fmt.Sprint(w.inFlight[i])
+	}
+	slices.Sort(inFlight)
+	fmt.Fprint(&b, inFlight, w.renewals)
+	return b.String()
+}
+
+func (w *world) send(m message) {
+	if len(w.inFlight) < maxMessagesInFlight {
+		w.inFlight = append(w.inFlight, m)
+	} // else it is lost
+}
+
+func (w *world) respond(to message, r Response) {
+	w.send(message{kind: responseMessage, contender: to.contender, incarnation: to.incarnation, response: r})
+}
+
+// tellVoter gives a voter's expiry manager an event and does what it asks.
+func (w *world) tellVoter(v int, event ExpiryEvent) {
+	for _, a := range w.managers[v].Handle(w.voterNow(), event, nil) {
+		switch a := a.(type) {
+		case ConfirmLeadership:
+			if v == w.leader { // a majority says so now; the word may come late
+				w.send(message{kind: confirmationMessage, voter: v, sequence: a.Sequence})
+			}
+		case RenewalResult:
+			m := w.renewals[a.RequestID]
+			delete(w.renewals, a.RequestID)
+			w.respond(m, Response{m.request.Sequence, a.Outcome, m.request.Token})
+		case Propose:
+			if v == w.leader {
+				w.commit(v, a.Command)
+			}
+		}
+	}
+}
+
+// commit has the true leader carry out a command.
+func (w *world) commit(v int, c Command) Result {
+	r := w.machines[v].Apply(&c)
+	w.tellVoter(v, CommandApplied{c, r})
+	return r
+}
+
+func (w *world) renew(v int, m message, token uint64) {
+	w.lastRequestID++
+	m.request.Token = token
+	w.renewals[w.lastRequestID] = m
+	w.tellVoter(v, Renew{w.lastRequestID, "a", token})
+}
+
+// deliver brings a message to its receiver: a request to voter v.
+func (w *world) deliver(m message, v int) {
+	switch m.kind {
+	case requestMessage:
+		w.deliverRequest(m, v)
+	case confirmationMessage:
+		w.tellVoter(m.voter, LeadershipConfirmed{m.sequence})
+	case responseMessage:
+		if m.incarnation == w.incarnations[m.contender] {
+			w.tellContender(m.contender, m.response)
+		}
+	}
+}
+
+func (w *world) deliverRequest(m message, v int) {
+	switch {
+	case !w.managers[v].IsLeader():
+		w.respond(m, Response{Sequence: m.request.Sequence})
+		return
+	case m.request.Token > 0:
+		w.renew(v, m, m.request.Token)
+		return
+	case v != w.leader: // it is never decided
+		return
+	}
+	w.tellVoter(v, WaiterSeen{"a", m.request.Command.Holder, m.request.Command.Nonce})
+	r := w.commit(v, m.request.Command)
+	switch {
+	case r.Grant.Token > 0 && !r.Created:
+		w.renew(v, m, r.Grant.Token)
+	case r.Grant.Token > 0:
+		w.respond(m, Response{m.request.Sequence, Granted, r.Grant.Token})
+	default:
+		w.respond(m, Response{Sequence: m.request.Sequence, Outcome: Queued})
+	}
+}
+
+// tellContender gives a contender's session an event and does what it asks.
+func (w *world) tellContender(i int, e SessionEvent) {
+	s := w.sessions[i]
+	r, isResponse := e.(Response)
+	if w.defect.countsFromResponse && isResponse &&
+		r.Outcome == Granted && s.requestPending && r.Sequence == s.sequence {
+		s.requestSent = w.holderNow()
+	}
+	for _, a := range s.Handle(w.holderNow(), e, nil) {
+		m := message{kind: requestMessage, contender: i, incarnation: w.incarnations[i]}
+		switch a := a.(type) {
+		case SendRequest:
+			m.request = a
+			w.send(m)
+		case SendRelease:
+			m.request = SendRequest{Command: a.Command}
+			w.send(m)
+		}
+	}
+}
+
+// passTick lets a tick go by: all but a stopped contender notice.
+func (w *world) passTick() {
+	w.now++
+	for v := range w.managers {
+		w.tellVoter(v, Tick{})
+	}
+	for i := range w.sessions {
+		if i != w.stopped {
+			w.tellContender(i, TimerFired{})
+		}
+	}
+}
+
+// violation says which guarantee the state breaks, "" for none.
+func (w *world) violation() string {
+	valid := 0
+	for _, s := range w.sessions {
+		if token, ok := s.Valid(w.holderNow()); ok {
+			if valid++; token < w.highestToken {
+				return fmt.Sprintf("token %d after %d", token, w.highestToken)
+			}
+			w.highestToken = token
+		}
+	}
+	if valid > 1 {
+		return "two holders"
+	}
+	return ""
+}
--- a/internal/lease/permit.go
+++ b/internal/lease/permit.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// This file decides what a process does about permits: leave to drain or reload, of which a fleet has few at a time.
+// This file decides what a process does about permits: leases that let it drain or reload, of which a fleet has few at
+// a time.
 
-// PermitTask is the task whose holders may drain or reload, and PermitLength how long one that has ended without a word
-// keeps others from it.
 const (
-	PermitTask     = "restart"
+	// PermitTask is the task whose holders may drain or reload.
+	PermitTask = "restart"
+	// PermitDuration is how long a permit keeps others waiting after its holder has ended without releasing it.
 	PermitDuration = 10 * time.Second
 )
 
-// HolderName is how a process is called as a holder: by its name, its process's number and what else tells it apart.
+// HolderName returns the name of one run of a process as a lease holder: NAME/PID/NONCE.
 func HolderName(name string, pid int, nonce uint64) string {
 	return name + "/" + strconv.Itoa(pid) + "/" + strconv.FormatUint(nonce, 16)
 }
 
-// process reads a holder's name.
-func process(holder string) (name string, pid int, ok bool) {
-	rest, _, found := cutLast(holder)
-	name, number, again := cutLast(rest)
+// parseHolderName takes a holder's name apart. The process's own name may contain slashes.
+func parseHolderName(holder string) (name string, pid int, ok bool) {
+	rest, _, hasNonce := cutLast(holder)
+	name, number, hasPID := cutLast(rest)
 	pid, err := strconv.Atoi(number)
-	return name, pid, found && again && err == nil
+	return name, pid, hasNonce && hasPID && err == nil
 }
 
 func cutLast(s string) (before, after string, found bool) {
@@ -36,33 +37,35 @@
 	return s[:i], s[i+1:], true
 }
 
-// OrphanedTokens are the grants of a task that processes of a name have left behind: not of this process, and of one that runs no
-// more on this machine. Whoever comes up after them gives them back: a permit covers a restart to its end. One that
-// runs still gives back its own.
-func OrphanedTokens(t *Task, name string, self int, runs func(pid int) bool) (numbers []uint64) {
+// OrphanedTokens returns the fencing tokens of a task's grants that earlier processes of a name have left behind:
+// those of processes that run no more on this machine, self excepted. The process that comes up after them releases
+// these, as a permit covers a restart to its end. A process that still runs releases its own.
+func OrphanedTokens(t *Task, name string, self int, isRunning func(pid int) bool) (tokens []uint64) {
 	if t == nil {
 		return nil
 	}
 	for _, g := range t.Grants {
-		if n, pid, ok := process(g.Holder); ok && n == name && pid != self && !runs(pid) {
-			numbers = append(numbers, g.Token)
+		holder, pid, ok := parseHolderName(g.Holder)
+		if ok && holder == name && pid != self && !isRunning(pid) {
+			tokens = append(tokens, g.Token)
 		}
 	}
-	return numbers
+	return tokens
 }
 
-// PermitVerdict is what follows when no permit has come.
+// PermitVerdict is what a process does while it has no permit.
 type PermitVerdict uint8
 
 // The verdicts.
 const (
-	KeepWaiting          PermitVerdict = iota // serving meanwhile
-	ProceedWithoutPermit                      // without one
+	KeepWaiting PermitVerdict = iota // and serve meanwhile
+	ProceedWithoutPermit
 )
 
-// DecideWithoutPermit decides for a process that has waited for so long and is to wait for most.
-func DecideWithoutPermit(waited, most time.Duration, insist bool) PermitVerdict {
-	if waited < most || insist {
+// DecideWithoutPermit decides for a process that has waited for a time. One that insists on a permit waits for ever;
+// any other goes on without one after maxWait.
+func DecideWithoutPermit(waited, maxWait time.Duration, insist bool) PermitVerdict {
+	if waited < maxWait || insist {
 		return KeepWaiting
 	}
 	return ProceedWithoutPermit
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -2,23 +2,30 @@
 
 import "time"
 
-// Session is one holder's side of one task, through one taking of it. Time is that of a clock which counts
+const (
+	// retryPause separates two requests of which the first brought no grant.
+	retryPause = 50 * time.Millisecond
+	// requestTimeout is how long a response is waited for.
+	requestTimeout = 300 * time.Millisecond
+)
+
+// Session is a holder's side of one task, through one acquisition of it. Its times are those of a clock which counts
 // the machine's sleep.
 type Session struct {
-	terms    Parameters
-	Task     string
-	Holder   string
-	Nonce    uint64
-	Duration time.Duration
-	Wait     bool
-
-	state  SessionState
-	number uint64
-	until  time.Duration
-	next   time.Duration // when to ask again
-	out    time.Duration // when the request under way was sent
-	busy   bool          // one is under way
-	serial uint64        // of it
+	parameters Parameters
+	Task       string
+	Holder     string
+	Nonce      uint64
+	Duration   time.Duration // of the lease
+	Wait       bool
+
+	state          SessionState
+	token          uint64
+	validUntil     time.Duration
+	nextRequest    time.Duration // when to send the next request
+	requestSent    time.Duration // when the pending request was sent
+	requestPending bool
+	sequence       uint64 // of the last request
 }
 
 // SessionState is where a session stands.
@@ -27,100 +34,48 @@
 // The states.
 const (
 	Acquiring SessionState = iota // it wants the task, or waits for its turn
-	Holding                       // it may act, as long as [Session.Valid] says so
-	Finished                      // it is given back, lost or refused, for good
-)
-
-// SessionEvent is what a Session is told.
-type SessionEvent interface{ sessionEvent() }
-
-type (
-	// TimerFired lets time pass.
-	TimerFired struct{}
-	// Response is the voters' to the request of a serial.
-	Response struct {
-		Sequence uint64
-		Outcome  Outcome
-		Token    uint64 // with Granted
-	}
-	// ReleaseRequested gives the task back, or the place in its queue.
-	ReleaseRequested struct{}
-)
-
-// Outcome is what an answer says.
-type Outcome uint8
-
-// The outcomes.
-const (
-	NoAnswer Outcome = iota // nobody answered who could: nothing is known
-	Queued                  // it waits for its turn
-	Granted                 // it holds, counted from when the request was sent
-	Refused                 // the task is taken, and it does not wait
-	NotHeld                 // it holds no more
+	Holding                       // it may act as long as [Session.Valid] says so
+	Finished                      // it was given back, lost or refused, for good
 )
 
-func (TimerFired) sessionEvent()       {}
-func (Response) sessionEvent()         {}
-func (ReleaseRequested) sessionEvent() {}
-
-// SessionAction is what a Session wants done.
-type SessionAction interface{ sessionAction() }
-
-type (
-	// SendRequest sends a request to the voters: a Take, which also renews, under a serial.
-	SendRequest struct {
-		Sequence uint64
-		Command  Command
-		Token    uint64 // that it holds: a renewal; 0 for a Take
+// NewSession returns a session that sends its first request at its first TimerFired.
+func NewSession(
+	parameters Parameters, task, holder string, nonce uint64, duration time.Duration, wait bool,
+) *Session {
+	return &Session{
+		parameters: parameters,
+		Task:       task,
+		Holder:     holder,
+		Nonce:      nonce,
+		Duration:   duration,
+		Wait:       wait,
 	}
-	// SendRelease sends a last word that needs no answer, a Release, once nothing is done under the grant any more.
-	SendRelease struct{ Command Command }
-	// Acquired tells that the session holds.
-	Acquired struct{ Token uint64 }
-	// Ended tells that it does not, any more or ever.
-	Ended struct{ Outcome Outcome }
-)
-
-func (SendRequest) sessionAction() {}
-func (SendRelease) sessionAction() {}
-func (Acquired) sessionAction()    {}
-func (Ended) sessionAction()       {}
-
-// retryPause is between two requests that nobody answered; askTime is how long one is waited for.
-const (
-	retryPause = 50 * time.Millisecond
-	askTime    = 300 * time.Millisecond
-)
-
-// NewSession returns a session that asks at its first Pass.
-func NewSession(terms Parameters, task, holder string, nonce uint64, length time.Duration, wait bool) *Session {
-	return &Session{terms: terms, Task: task, Holder: holder, Nonce: nonce, Duration: length, Wait: wait}
 }
 
-// State tells where the session stands at a time.
+// State returns where the session stands at a time.
 func (s *Session) State(now time.Duration) SessionState {
-	if s.state == Holding && now >= s.until {
+	if s.state == Holding && now >= s.validUntil {
 		return Finished
 	}
 	return s.state
 }
 
-// Valid tells whether its holder may act at a time, and under which number.
-func (s *Session) Valid(now time.Duration) (number uint64, ok bool) {
-	return s.number, s.state == Holding && now < s.until
+// Valid tells whether the holder may act at a time, and under which fencing token.
+func (s *Session) Valid(now time.Duration) (token uint64, ok bool) {
+	return s.token, s.state == Holding && now < s.validUntil
 }
 
-// ValidUntil is when its holder must have stopped.
-func (s *Session) ValidUntil() time.Duration { return s.until }
+// ValidUntil returns when the holder must have stopped.
+func (s *Session) ValidUntil() time.Duration { return s.validUntil }
 
-// NextWakeup is when to let time pass again.
+// NextWakeup returns when the session needs its next TimerFired.
 func (s *Session) NextWakeup() time.Duration {
-	next := s.next
-	if s.busy {
-		next = s.out + askTime
+	next := s.nextRequest
+	if s.requestPending {
+		next = s.requestSent + requestTimeout
 	}
 	if s.state == Holding {
-		next = min(next, s.until)
+		next = min(next, s.validUntil)
 	}
 	return next
 }
@@ -130,59 +85,84 @@
 	if s.state == Finished {
 		return out
 	}
-	if s.state == Holding && now >= s.until { // whatever has come meanwhile came too late
+	if s.state == Holding && now >= s.validUntil { // whatever has come meanwhile came too late
 		s.state = Finished
 		return append(out, Ended{NotHeld})
 	}
 	switch e := event.(type) {
 	case TimerFired:
-		if s.busy && now >= s.out+askTime {
-			s.busy, s.next = false, now
-		}
-		if !s.busy && now >= s.next {
-			s.serial++
-			s.busy, s.out = true, now
-			out = append(out, SendRequest{s.serial, Command{Kind: Acquire, Task: s.Task, Holder: s.Holder, Nonce: s.Nonce, Duration: s.Duration, Wait: s.Wait}, s.number})
-		}
+		return s.sendIfDue(now, out)
 	case ReleaseRequested:
-		c := Command{Kind: Release, Task: s.Task, Holder: s.Holder, Nonce: s.Nonce, Token: s.number}
 		s.state = Finished
-		return append(out, SendRelease{c}, Ended{NotHeld})
+		return append(out, SendRelease{s.releaseCommand()}, Ended{NotHeld})
 	case Response:
-		if e.Sequence != s.serial || !s.busy { // of an older request: when that was sent is not known any more
-			return out
+		if e.Sequence != s.sequence || !s.requestPending {
+			return out // to an older request: when that was sent is not known any more
 		}
-		s.busy = false
-		return s.answered(now, e, out)
+		s.requestPending = false
+		return s.handleResponse(now, e, out)
 	}
 	return out
 }
 
-func (s *Session) answered(now time.Duration, e Response, out []SessionAction) []SessionAction {
-	third := s.Duration / 3
+// sendIfDue sends a request if one is due and none is pending.
+func (s *Session) sendIfDue(now time.Duration, out []SessionAction) []SessionAction {
+	if s.requestPending && now >= s.requestSent+requestTimeout {
+		s.requestPending = false
+		s.nextRequest = now
+	}
+	if s.requestPending || now < s.nextRequest {
+		return out
+	}
+	s.sequence++
+	s.requestPending = true
+	s.requestSent = now
+	return append(out, SendRequest{s.sequence, s.acquireCommand(), s.token})
+}
+
+func (s *Session) handleResponse(now time.Duration, e Response, out []SessionAction) []SessionAction {
 	switch e.Outcome {
-	case NoAnswer:
-		s.next = now + min(retryPause, third)
-	case Queued:
-		s.next = now + min(retryPause, third)
+	case NoAnswer, Queued:
+		s.nextRequest = now + min(retryPause, s.renewInterval())
 	case Granted:
-		until := s.out + s.terms.holders(s.Duration)
-		s.next = s.out + third
-		if now >= until || s.state == Holding && e.Token != s.number {
-			s.next = now
-			return out // too old to be worth anything: it is asked for anew
-		}
-		s.until = max(s.until, until)
-		if s.state == Acquiring {
-			s.state, s.number = Holding, e.Token
-			out = append(out, Acquired{e.Token})
-		}
+		return s.handleGrant(now, e.Token, out)
 	default:
 		if s.state == Holding { // revoked, or taken back: it stops now, and need not be waited out
-			out = append(out, SendRelease{Command{Kind: Release, Task: s.Task, Holder: s.Holder, Nonce: s.Nonce, Token: s.number}})
+			out = append(out, SendRelease{s.releaseCommand()})
 		}
 		s.state = Finished
 		out = append(out, Ended{e.Outcome})
 	}
 	return out
 }
+
+// handleGrant counts the lease from when the request was sent, which is before the voters do.
+func (s *Session) handleGrant(now time.Duration, token uint64, out []SessionAction) []SessionAction {
+	until := s.requestSent + s.parameters.holderDuration(s.Duration)
+	if now >= until || s.state == Holding && token != s.token {
+		s.nextRequest = now
+		return out // too old to be worth anything: it is asked for anew
+	}
+	s.nextRequest = s.requestSent + s.renewInterval()
+	s.validUntil = max(s.validUntil, until)
+	if s.state == Acquiring {
+		s.state = Holding
+		s.token = token
+		out = append(out, Acquired{token})
+	}
+	return out
+}
+
+// renewInterval separates a request from the next one after a grant.
+func (s *Session) renewInterval() time.Duration { return s.Duration / 3 }
+
+func (s *Session) acquireCommand() Command {
+	return Command{
+		Kind: Acquire, Task: s.Task, Holder: s.Holder, Nonce: s.Nonce,
+		Duration: s.Duration, Wait: s.Wait,
+	}
+}
+
+func (s *Session) releaseCommand() Command {
+	return Command{Kind: Release, Task: s.Task, Holder: s.Holder, Nonce: s.Nonce, Token: s.token}
+}
--- /dev/null
+++ b/internal/lease/voters.go
@@ -0,0 +1,48 @@
+package lease
+
+// maxVoters bounds the voters of a fleet.
+const maxVoters = 7
+
+// VoterID returns a voter's ID, 0 for none of that name.
+func (m *StateMachine) VoterID(name string) uint64 {
+	for id, n := range m.Voters {
+		if n == name {
+			return id
+		}
+	}
+	return 0
+}
+
+// CheckVoterChange returns the ID of the voter that an AddVoter or RemoveVoter adds or removes, or
+// ErrInvalidVoterChange.
+func (m *StateMachine) CheckVoterChange(c *Command) (id uint64, err error) {
+	id = m.VoterID(c.To)
+	if c.Kind == AddVoter {
+		if id != 0 || len(m.Voters) >= maxVoters {
+			return 0, ErrInvalidVoterChange
+		}
+		return m.LastVoterID + 1, nil
+	}
+	if c.Kind == RemoveVoter && (id == 0 || len(m.Voters) == 1) {
+		return 0, ErrInvalidVoterChange
+	}
+	return id, nil
+}
+
+// changeVoters adds or removes a voter. A command whose ID is not the expected one is refused: another change was
+// applied since it was proposed.
+func (m *StateMachine) changeVoters(c *Command) error {
+	id, err := m.CheckVoterChange(c)
+	switch {
+	case err != nil:
+		return err
+	case id != c.VoterID:
+		return ErrInvalidVoterChange
+	case c.Kind == AddVoter:
+		m.LastVoterID = id
+		m.Voters[id] = c.To
+	default:
+		delete(m.Voters, id)
+	}
+	return nil
+}
