--- a/internal/lease/expiry.go
+++ b/internal/lease/expiry.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// IsLeader tells whether this voter takes itself for the leader.
+// IsLeader reports whether this voter takes itself for the leader.
 func (m *ExpiryManager) IsLeader() bool { return m.leading }
 
 // TimeLeft returns how long a grant is kept yet, for display. It is known on the leader alone.
--- a/internal/lease/expiry_messages.go
+++ b/internal/lease/expiry_messages.go
@@ -1,6 +1,6 @@
 package lease
 
-// ExpiryEvent is what an [ExpiryManager] is told.
+// ExpiryEvent is an input of an [ExpiryManager].
 type ExpiryEvent interface{ expiryEvent() }
 
 type (
--- /dev/null
+++ b/internal/lease/quorum/apply.go
@@ -0,0 +1,186 @@
+package quorum
+
+import (
+	"encoding/binary"
+	"errors"
+
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"mulleinpier/internal/lease"
+)
+
+const (
+	// snapshotInterval is how many entries are applied between two snapshots.
+	snapshotInterval = 2000
+	// keptEntries are kept before a snapshot, for voters that are a little behind.
+	keptEntries = 200
+)
+
+// advance takes the next of what the library wants done, unless something is being saved.
+func (r *Replica) advance() {
+	if r.leading && r.node.BasicStatus().RaftState != raft.StateLeader {
+		r.loseLeadership()
+	}
+	if r.saving != nil || !r.node.HasReady() {
+		return
+	}
+	ready := r.node.Ready()
+	r.saving = &ready
+	state := PersistentState{Entries: ready.Entries}
+	if hasHardState(&ready) {
+		state.HardState = ready.HardState
+	}
+	if hasSnapshot(&ready) {
+		state.Snapshot = ready.Snapshot
+	}
+	if state.HardState == nil && state.Snapshot == nil && len(state.Entries) == 0 {
+		r.saveCompleted()
+		r.advance()
+		return
+	}
+	r.do(Save{state})
+}
+
+func hasHardState(ready *raft.Ready) bool {
+	return ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState)
+}
+
+func hasSnapshot(ready *raft.Ready) bool {
+	return ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot)
+}
+
+// saveCompleted sends and applies what was waiting to be saved.
+func (r *Replica) saveCompleted() {
+	if r.saving == nil {
+		return
+	}
+	ready := *r.saving
+	r.saving = nil
+	if hasSnapshot(&ready) {
+		if err := errors.Join(r.storage.ApplySnapshot(ready.Snapshot), r.restore(ready.Snapshot)); err != nil {
+			panic(err) // Handle halts this voter
+		}
+	}
+	if hasHardState(&ready) {
+		r.storage.SetHardState(ready.HardState)
+	}
+	r.storage.Append(ready.Entries)
+	if len(ready.Messages) > 0 {
+		r.do(Send{ready.Messages})
+	}
+	for _, e := range ready.CommittedEntries {
+		r.apply(e)
+	}
+	for _, s := range ready.ReadStates {
+		if len(s.RequestCtx) == 8 {
+			r.tellExpiry(lease.LeadershipConfirmed{Sequence: binary.BigEndian.Uint64(s.RequestCtx)})
+		}
+	}
+	r.node.Advance(ready)
+	r.compact()
+}
+
+// apply carries out a decided entry. Every voter passes over an entry without a readable command alike.
+func (r *Replica) apply(e *raftpb.Entry) {
+	r.applied = e.GetIndex()
+	r.noteLeadership(e)
+	data, change := decodeEntryData(e)
+	var entry logEntry
+	if len(data) == 0 || cbor.Unmarshal(data, &entry) != nil {
+		if change != nil {
+			r.node.ApplyConfChange(&raftpb.ConfChange{}) // it is over, and changes nothing
+		}
+		return
+	}
+	result := r.machine.Apply(&entry.Command)
+	if change != nil {
+		r.applyVoterChange(change, result.Err)
+	}
+	r.tellExpiry(lease.CommandApplied{Command: entry.Command, Result: result})
+	if len(result.NewGrants) > 0 && r.leading {
+		r.do(WaitersGranted{entry.Command.Task, result.NewGrants})
+	}
+	r.answerProposal(&entry, &result)
+}
+
+// noteLeadership begins to lead with the first entry of this voter's own term: all that was decided before the term
+// lies before that entry.
+func (r *Replica) noteLeadership(e *raftpb.Entry) {
+	status := r.node.BasicStatus()
+	if !r.leading && status.RaftState == raft.StateLeader && e.GetTerm() == status.GetTerm() {
+		r.leading = true
+		r.tellExpiry(lease.LeadershipAcquired{})
+		r.do(LeadershipChanged{true})
+	}
+}
+
+// decodeEntryData returns the encoded logEntry of an entry, and its change of voters, if it is one.
+func decodeEntryData(e *raftpb.Entry) (data []byte, change *raftpb.ConfChange) {
+	if e.GetType() != raftpb.EntryType_EntryConfChange {
+		return e.GetData(), nil
+	}
+	change = new(raftpb.ConfChange)
+	if err := proto.Unmarshal(e.GetData(), change); err != nil {
+		panic(err) // Handle halts this voter
+	}
+	return change.GetContext(), change
+}
+
+// applyVoterChange tells the library of a change of voters. One that the state machine has refused changes nobody.
+func (r *Replica) applyVoterChange(change *raftpb.ConfChange, refused error) {
+	if refused != nil {
+		r.node.ApplyConfChange(&raftpb.ConfChange{})
+		return
+	}
+	r.voters = r.node.ApplyConfChange(change)
+	r.votersChanged = true
+}
+
+// answerProposal answers the request that an entry was proposed for, if it was by this voter in this run.
+func (r *Replica) answerProposal(entry *logEntry, result *lease.Result) {
+	if _, mine := r.pending[entry.RequestID]; !mine || entry.Proposer != r.incarnation {
+		return
+	}
+	delete(r.pending, entry.RequestID)
+	response := Response{RequestID: entry.RequestID, Err: result.Err}
+	switch {
+	case result.Err != nil:
+		response.Outcome = lease.Refused
+	case entry.Command.Kind != lease.Acquire:
+		response.Outcome = lease.NotHeld
+	case result.Grant.Token == 0:
+		response.Outcome = lease.Queued
+	case result.Created:
+		response.Outcome = lease.Granted
+		response.Token = result.Grant.Token
+	default:
+		r.renew(entry.RequestID, entry.Command.Task, result.Grant.Token)
+		return
+	}
+	r.do(response)
+}
+
+// compact cuts the log at a snapshot: every snapshotInterval entries, and after a change of voters, as a new voter is
+// brought up by a snapshot that names it.
+func (r *Replica) compact() {
+	if r.applied < r.snapshotIndex+snapshotInterval && !r.votersChanged {
+		return
+	}
+	data, err := cbor.Marshal(r.machine)
+	if err != nil {
+		return
+	}
+	snapshot, err := r.storage.CreateSnapshot(r.applied, r.voters, data)
+	if err != nil {
+		return
+	}
+	r.snapshotIndex = r.applied
+	r.votersChanged = false
+	if r.applied > keptEntries {
+		r.storage.Compact(r.applied - keptEntries)
+	}
+	r.do(CompactLog{snapshot})
+}
--- a/internal/lease/quorum/fuzz_test.go
+++ b/internal/lease/quorum/fuzz_test.go
@@ -4,47 +4,78 @@
 	"testing"
 
 	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
 
 	"mulleinpier/internal/lease"
 )
 
-// FuzzHeard guards what voters send one another: whatever comes is not read, dropped, taken, or has this voter stand
-// down; nothing of it ends the process, and a voter that has stood down says nothing more.
+// FuzzHeard guards what voters send one another: whatever comes is not decoded, dropped, applied, or halts this voter;
+// nothing of it ends the process, and a voter that has halted says nothing more.
 func FuzzHeard(f *testing.F) {
-	for _, kind := range []raftpb.MessageType{raftpb.MessageType_MsgHeartbeat, raftpb.MessageType_MsgApp, raftpb.MessageType_MsgVote, raftpb.MessageType_MsgSnap} {
-		text, err := Encode(&raftpb.Message{Type: kind.Enum(), From: ptr(uint64(2)), To: ptr(uint64(1)), Term: ptr(uint64(3)), Index: ptr(uint64(1)), LogTerm: ptr(uint64(1)),
-			Commit: ptr(uint64(1)), Snapshot: &raftpb.Snapshot{Data: []byte{0xa0}, Metadata: &raftpb.SnapshotMetadata{Index: ptr(uint64(9)), Term: ptr(uint64(2)),
-				ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}}}}})
+	for _, kind := range []raftpb.MessageType{
+		raftpb.MessageType_MsgHeartbeat,
+		raftpb.MessageType_MsgApp,
+		raftpb.MessageType_MsgVote,
+		raftpb.MessageType_MsgSnap,
+	} {
+		data, err := Encode(fuzzMessage(kind))
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(text)
+		f.Add(data)
 	}
-	first, err := InitialState("a", "b", "c")
+	initial, err := InitialState("a", "b", "c")
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		m, err := Decode(text)
+	acquire := lease.Command{
+		Kind: lease.Acquire, Task: "x", Holder: "h", Nonce: 1,
+		Duration: lease.DefaultParameters.MinDuration,
+	}
+	f.Fuzz(func(t *testing.T, data []byte) {
+		m, err := Decode(data)
 		if err != nil {
 			return
 		}
-		r, err := New(1, 7, first, lease.DefaultParameters, true)
+		r, err := New(1, 7, initial, lease.DefaultParameters, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		down := false
-		for _, event := range []Event{MessageReceived{m}, SaveCompleted{}, Tick{}, SaveCompleted{}, RequestReceived{RequestID: 1, Command: lease.Command{Kind: lease.Acquire, Task: "x", Holder: "h", Nonce: 1, Duration: lease.DefaultParameters.MinDuration}}} {
+		halted := false
+		for _, event := range []Event{
+			MessageReceived{m}, SaveCompleted{}, Tick{}, SaveCompleted{},
+			RequestReceived{RequestID: 1, Command: acquire},
+		} {
 			for _, a := range r.Handle(0, event) {
 				switch a.(type) {
 				case Halted:
-					down = true
+					halted = true
 				case Send, Save:
-					if down {
-						t.Fatalf("%T of one that has stood down", a)
+					if halted {
+						t.Fatalf("%T of one that has halted", a)
 					}
 				}
 			}
 		}
 	})
 }
+
+func fuzzMessage(kind raftpb.MessageType) *raftpb.Message {
+	return &raftpb.Message{
+		Type:    kind.Enum(),
+		From:    proto.Uint64(2),
+		To:      proto.Uint64(1),
+		Term:    proto.Uint64(3),
+		Index:   proto.Uint64(1),
+		LogTerm: proto.Uint64(1),
+		Commit:  proto.Uint64(1),
+		Snapshot: &raftpb.Snapshot{
+			Data: []byte{0xa0},
+			Metadata: &raftpb.SnapshotMetadata{
+				Index:     proto.Uint64(9),
+				Term:      proto.Uint64(2),
+				ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}},
+			},
+		},
+	}
+}
--- a/internal/lease/quorum/lives_test.go
+++ b/internal/lease/quorum/lives_test.go
@@ -24,12 +24,12 @@
 
 const ms = time.Millisecond
 
-// flaw is a defect put in, to see it found.
-type flaw struct {
+// plantedDefect is a defect put in, to see it found.
+type plantedDefect struct {
 	margin, forgets, sendsFirst, drift bool
 }
 
-type happening struct {
+type scheduledEvent struct {
 	at   time.Duration
 	turn int
 	do   func()
@@ -59,17 +59,17 @@
 	waiting []func()
 }
 
-type life struct {
+type scenario struct {
 	rng    *rand.Rand
 	now    time.Duration
-	due    []happening
+	due    []scheduledEvent
 	turn   int
 	voters []*voter
 	who    []*contender
 	cut    map[[2]int]bool // ways from a voter to a voter
 	tags   map[uint64]func(Response)
 	tag    uint64
-	flaw   flaw
+	flaw   plantedDefect
 	terms  lease.Parameters
 	nonces uint64
 
@@ -85,11 +85,11 @@
 
 const length = 400 * ms
 
-func newLife(seed uint64, f flaw) *life { return newLifeOf(seed, f, 3) }
+func newLife(seed uint64, f plantedDefect) *scenario { return newLifeOf(seed, f, 3) }
 
 // newLifeOf is newLife with so many contenders.
-func newLifeOf(seed uint64, f flaw, contenders int) *life {
-	l := &life{rng: rand.New(rand.NewPCG(seed, 1)), cut: make(map[[2]int]bool), tags: make(map[uint64]func(Response)), flaw: f, terms: lease.DefaultParameters}
+func newLifeOf(seed uint64, f plantedDefect, contenders int) *scenario {
+	l := &scenario{rng: rand.New(rand.NewPCG(seed, 1)), cut: make(map[[2]int]bool), tags: make(map[uint64]func(Response)), flaw: f, terms: lease.DefaultParameters}
 	if f.margin {
 		l.terms.SafetyMargin, l.terms.MaxClockDrift = -60*ms, 0
 	}
@@ -126,10 +126,10 @@
 	return l
 }
 
-func (l *life) after(d time.Duration, do func()) {
+func (l *scenario) after(d time.Duration, do func()) {
 	l.turn++
-	h := happening{l.now + max(d, 0), l.turn, do}
-	at, _ := slices.BinarySearchFunc(l.due, h, func(a, b happening) int {
+	h := scheduledEvent{l.now + max(d, 0), l.turn, do}
+	at, _ := slices.BinarySearchFunc(l.due, h, func(a, b scheduledEvent) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
@@ -138,10 +138,10 @@
 	l.due = slices.Insert(l.due, at, h)
 }
 
-func (l *life) clock(rate float64) time.Duration { return time.Duration(float64(l.now) * rate) }
+func (l *scenario) clock(rate float64) time.Duration { return time.Duration(float64(l.now) * rate) }
 
 // boot starts a voter from its disk.
-func (l *life) boot(v *voter) {
+func (l *scenario) boot(v *voter) {
 	v.run = l.rng.Uint64() | 1
 	if l.flaw.forgets && v.replica != nil {
 		first, _ := InitialState("1", "2", "3")
@@ -157,7 +157,7 @@
 }
 
 // elect has some voter ask for votes, now and then.
-func (l *life) elect() {
+func (l *scenario) elect() {
 	v := l.pick()
 	if !slices.ContainsFunc(l.voters, func(v *voter) bool { return v.replica.IsLeader() && !v.down && !v.stopped }) || l.rng.IntN(8) == 0 {
 		l.at(v, func() { l.act(v, v.replica.Campaign(l.clock(v.rate))) })
@@ -166,7 +166,7 @@
 }
 
 // pick returns a voter that has its disk, whatever else befell it.
-func (l *life) pick() *voter {
+func (l *scenario) pick() *voter {
 	for {
 		if v := l.voters[l.rng.IntN(len(l.voters))]; !v.lost {
 			return v
@@ -176,7 +176,7 @@
 
 // replace gives a voter that has lost its disk up, and seats another of its name, as operators do: under a new seat,
 // with an empty memory.
-func (l *life) replace(v *voter, kind lease.CommandKind) {
+func (l *scenario) replace(v *voter, kind lease.CommandKind) {
 	again := func(kind lease.CommandKind) { l.after(100*ms, func() { l.replace(v, kind) }) }
 	at := slices.IndexFunc(l.voters, func(x *voter) bool { return x.replica.IsLeader() && !x.down && !x.stopped })
 	if at < 0 {
@@ -207,7 +207,7 @@
 	again(kind)
 }
 
-func (l *life) beat(v *voter) {
+func (l *scenario) beat(v *voter) {
 	if v.lost {
 		return
 	}
@@ -216,7 +216,7 @@
 }
 
 // at has a voter do something, when it goes on if it is stopped.
-func (l *life) at(v *voter, do func()) {
+func (l *scenario) at(v *voter, do func()) {
 	switch {
 	case v.down:
 	case v.stopped && len(v.waiting) < 100:
@@ -227,7 +227,7 @@
 	}
 }
 
-func (l *life) act(v *voter, actions []Action) {
+func (l *scenario) act(v *voter, actions []Action) {
 	run := v.run
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -283,7 +283,7 @@
 	}
 }
 
-func (l *life) send(from *voter, m *raftpb.Message) {
+func (l *scenario) send(from *voter, m *raftpb.Message) {
 	text, err := Encode(m)
 	if err != nil {
 		panic(err)
@@ -321,7 +321,7 @@
 }
 
 // begin has a contender want the task anew.
-func (l *life) begin(c *contender) {
+func (l *scenario) begin(c *contender) {
 	l.nonces++
 	c.run++
 	c.session = lease.NewSession(l.terms, "a", fmt.Sprint(c.name, ".", c.run), l.nonces, length, true)
@@ -341,7 +341,7 @@
 	pass()
 }
 
-func (l *life) later(c *contender, do func()) {
+func (l *scenario) later(c *contender, do func()) {
 	if c.stopped {
 		if len(c.waiting) < 100 {
 			c.waiting = append(c.waiting, do)
@@ -351,7 +351,7 @@
 	do()
 }
 
-func (l *life) tell(c *contender, e lease.SessionEvent) {
+func (l *scenario) tell(c *contender, e lease.SessionEvent) {
 	run, session := c.run, c.session
 	now := l.clock(c.rate)
 	for _, a := range session.Handle(now, e, nil) {
@@ -371,7 +371,7 @@
 }
 
 // request takes a contender's wish to a voter and the answer back, each late, lost or doubled.
-func (l *life) request(c *contender, run int, a lease.SendRequest) {
+func (l *scenario) request(c *contender, run int, a lease.SendRequest) {
 	for range 1 + l.rng.IntN(20)/19 {
 		l.asked++
 		if l.rng.IntN(20) == 0 {
@@ -408,7 +408,7 @@
 }
 
 // trouble befalls something, time and again.
-func (l *life) trouble() {
+func (l *scenario) trouble() {
 	v, c := l.pick(), l.who[l.rng.IntN(len(l.who))]
 	span := time.Duration(l.rng.IntN(1500)) * ms
 	switch l.rng.IntN(7) {
@@ -477,7 +477,7 @@
 }
 
 // judge looks at all contenders as they are in truth.
-func (l *life) judge() {
+func (l *scenario) judge() {
 	valid := 0
 	for _, c := range l.who {
 		if n, ok := c.session.Valid(l.clock(c.rate)); ok {
@@ -494,7 +494,7 @@
 	}
 }
 
-func (l *life) play(until time.Duration) {
+func (l *scenario) play(until time.Duration) {
 	l.after(100*ms, l.trouble)
 	for l.now <= until && l.broken == "" {
 		h := l.due[0]
@@ -520,7 +520,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		tasks.Go(func() {
 			for seed := next.Add(1) - 1; seed < uint64(lives) && !t.Failed(); seed = next.Add(1) - 1 {
-				l := newLife(seed, flaw{})
+				l := newLife(seed, plantedDefect{})
 				l.play(6 * time.Second)
 				if l.broken != "" || l.downs != "" {
 					t.Errorf("seed %d: %s %s", seed, l.broken, l.downs)
@@ -544,7 +544,7 @@
 // TestThreeHundredInstances has them want one task of three voters, of which one is slow to save, with all faults: one
 // holds at a time, and it goes round.
 func TestThreeHundredInstances(t *testing.T) {
-	l := newLifeOf(1, flaw{}, 300)
+	l := newLifeOf(1, plantedDefect{}, 300)
 	l.voters[2].slow = 100 * ms
 	const span = 10 * time.Second
 	l.play(span)
@@ -560,7 +560,7 @@
 
 // TestFlawsAreFound plants one defect after the other.
 func TestFlawsAreFound(t *testing.T) {
-	for name, f := range map[string]flaw{"margin under zero, no drift allowed for": {margin: true}, "a voter that forgets its log": {forgets: true},
+	for name, f := range map[string]plantedDefect{"margin under zero, no drift allowed for": {margin: true}, "a voter that forgets its log": {forgets: true},
 		"promises before they are saved": {sendsFirst: true}, "drift past the bound": {drift: true}} {
 		found, lives := "", 0
 		for seed := uint64(0); seed < 3000 && found == ""; seed++ {
--- a/internal/lease/quorum/recorded_test.go
+++ b/internal/lease/quorum/recorded_test.go
@@ -17,25 +17,25 @@
 
 // recordedEntries are entries of the voters' log as they were recorded from an earlier version, by file: one of each
 // kind of command.
-var recordedEntries = map[string]entry{
-	"entry-acquire.cbor": {Tag: 1, By: 0xfedcba9876543211,
+var recordedEntries = map[string]logEntry{
+	"entry-acquire.cbor": {RequestID: 1, Proposer: 0xfedcba9876543211,
 		Command: lease.Command{Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second, Wait: true}},
-	"entry-release.cbor":       {Tag: 2, By: 3, Command: lease.Command{Kind: lease.Release, Task: "restart", Token: 1}},
-	"entry-leave-queue.cbor":   {Tag: 2, By: 3, Command: lease.Command{Kind: lease.Release, Task: "restart", Holder: "p1/10/7", Nonce: 7}},
-	"entry-transfer.cbor":      {Tag: 3, By: 3, Command: lease.Command{Kind: lease.Transfer, Task: "restart", Token: 1, To: "p2/11/8"}},
-	"entry-revoke.cbor":        {Tag: 4, By: 3, Command: lease.Command{Kind: lease.Revoke, Task: "restart", Token: 1}},
-	"entry-expire.cbor":        {By: 3, Command: lease.Command{Kind: lease.Expire, Task: "restart", Token: 1}},
-	"entry-set-limit.cbor":     {Tag: 5, By: 3, Command: lease.Command{Kind: lease.SetLimit, Task: "restart", MaxHolders: 4}},
-	"entry-hand-over.cbor":     {Tag: 6, By: 3, Command: lease.Command{Kind: lease.HandOver, Task: "restart", Token: 1, To: "p2/11/8"}},
-	"entry-add-voter.cbor":     {Tag: 7, By: 3, Command: lease.Command{Kind: lease.AddVoter, To: "v2", VoterID: 4}},
-	"entry-remove-voter.cbor":  {Tag: 8, By: 3, Command: lease.Command{Kind: lease.RemoveVoter, To: "v2", VoterID: 3}},
-	"entry-unknown-kind.cbor":  {Tag: 9, By: 3, Command: lease.Command{Kind: 99, Task: "restart"}},
+	"entry-release.cbor":       {RequestID: 2, Proposer: 3, Command: lease.Command{Kind: lease.Release, Task: "restart", Token: 1}},
+	"entry-leave-queue.cbor":   {RequestID: 2, Proposer: 3, Command: lease.Command{Kind: lease.Release, Task: "restart", Holder: "p1/10/7", Nonce: 7}},
+	"entry-transfer.cbor":      {RequestID: 3, Proposer: 3, Command: lease.Command{Kind: lease.Transfer, Task: "restart", Token: 1, To: "p2/11/8"}},
+	"entry-revoke.cbor":        {RequestID: 4, Proposer: 3, Command: lease.Command{Kind: lease.Revoke, Task: "restart", Token: 1}},
+	"entry-expire.cbor":        {Proposer: 3, Command: lease.Command{Kind: lease.Expire, Task: "restart", Token: 1}},
+	"entry-set-limit.cbor":     {RequestID: 5, Proposer: 3, Command: lease.Command{Kind: lease.SetLimit, Task: "restart", MaxHolders: 4}},
+	"entry-hand-over.cbor":     {RequestID: 6, Proposer: 3, Command: lease.Command{Kind: lease.HandOver, Task: "restart", Token: 1, To: "p2/11/8"}},
+	"entry-add-voter.cbor":     {RequestID: 7, Proposer: 3, Command: lease.Command{Kind: lease.AddVoter, To: "v2", VoterID: 4}},
+	"entry-remove-voter.cbor":  {RequestID: 8, Proposer: 3, Command: lease.Command{Kind: lease.RemoveVoter, To: "v2", VoterID: 3}},
+	"entry-unknown-kind.cbor":  {RequestID: 9, Proposer: 3, Command: lease.Command{Kind: 99, Task: "restart"}},
 	"entry-empty-command.cbor": {},
 }
 
-// recordedBook is a state of the leases in which each field is set, with one task and one voter so that its encoding has
+// recordedState is a state of the leases in which each field is set, with one task and one voter so that its encoding has
 // one order.
-var recordedBook = lease.StateMachine{
+var recordedState = lease.StateMachine{
 	Tasks: map[string]*lease.Task{"restart": {MaxHolders: 2,
 		Grants: []lease.Grant{{Holder: "p1/10/7", Nonce: 7, Token: 41, Duration: 10 * time.Second, Revoked: true},
 			{Holder: "p2/11/8", Nonce: 8, Token: 42, Duration: time.Hour}},
@@ -51,7 +51,7 @@
 	for name, want := range recordedEntries {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
 	}
-	testutil.CheckRecordedCBOR(t, "testdata/state.cbor", recordedBook)
+	testutil.CheckRecordedCBOR(t, "testdata/state.cbor", recordedState)
 	var many lease.StateMachine
 	if err := cbor.Unmarshal(testutil.Recorded(t, "testdata/state-many.cbor"), &many); err != nil || !reflect.DeepEqual(many, recordedManyTasks()) {
 		t.Errorf("a state of many tasks: %v, %+v", err, many)
@@ -78,7 +78,7 @@
 
 // recordedMessages are what voters send one another.
 func recordedMessages() map[string]*raftpb.Message {
-	snapshot, err := cbor.Marshal(recordedBook)
+	snapshot, err := cbor.Marshal(recordedState)
 	if err != nil {
 		panic(err)
 	}
@@ -137,7 +137,7 @@
 			}
 		}
 	}
-	if got := *r.StateMachine(); !reflect.DeepEqual(got, recordedBook) {
-		t.Errorf("after the snapshot: %+v, want %+v", got, recordedBook)
+	if got := *r.StateMachine(); !reflect.DeepEqual(got, recordedState) {
+		t.Errorf("after the snapshot: %+v, want %+v", got, recordedState)
 	}
 }
--- /dev/null
+++ b/internal/lease/quorum/requests.go
@@ -0,0 +1,137 @@
+package quorum
+
+import (
+	"encoding/binary"
+
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"mulleinpier/internal/lease"
+)
+
+// maxPending bounds the proposals, and the renewals, that are under way.
+const maxPending = 4096
+
+// pendingRenewal is the request that a renewal belongs to.
+type pendingRenewal struct{ requestID, token uint64 }
+
+// logEntry is what the voters' log holds.
+type logEntry struct {
+	RequestID uint64        `cbor:"1,keyasint"` // of the proposer; 0 for a command of its expiry manager
+	Proposer  uint64        `cbor:"2,keyasint"` // incarnation of the voter that proposed it
+	Command   lease.Command `cbor:"3,keyasint"`
+}
+
+// handleRequest takes a request of a holder or an operator.
+func (r *Replica) handleRequest(e RequestReceived) {
+	if !r.leading || len(r.pending) >= maxPending || len(r.renewals) >= maxPending {
+		r.do(Response{RequestID: e.RequestID})
+		return
+	}
+	if e.Token > 0 {
+		r.renew(e.RequestID, e.Command.Task, e.Token)
+		return
+	}
+	if err := r.checkCommand(&e.Command); err != nil {
+		r.do(Response{RequestID: e.RequestID, Outcome: lease.Refused, Err: err})
+		return
+	}
+	if c := &e.Command; c.Kind == lease.Acquire {
+		r.tellExpiry(lease.WaiterSeen{Task: c.Task, Holder: c.Holder, Nonce: c.Nonce})
+		if r.answerRepeated(e) {
+			return
+		}
+	}
+	r.propose(e.RequestID, e.Command)
+}
+
+// checkCommand returns what is wrong with a command, and fills in the voter ID of a change of voters.
+func (r *Replica) checkCommand(c *lease.Command) error {
+	if err := r.parameters.CheckCommand(c); err != nil {
+		return err
+	}
+	if c.Kind != lease.AddVoter && c.Kind != lease.RemoveVoter {
+		return nil
+	}
+	id, err := r.machine.CheckVoterChange(c)
+	c.VoterID = id
+	return err
+}
+
+// answerRepeated answers an Acquire that was decided before, and reports whether it was: nothing new is to be decided.
+func (r *Replica) answerRepeated(e RequestReceived) bool {
+	t := r.machine.Tasks[e.Command.Task]
+	if t == nil {
+		return false
+	}
+	for _, g := range t.Grants {
+		if g.Holder == e.Command.Holder && g.Nonce == e.Command.Nonce {
+			r.renew(e.RequestID, e.Command.Task, g.Token)
+			return true
+		}
+	}
+	for _, w := range t.Waiters {
+		if w.Holder == e.Command.Holder && w.Nonce == e.Command.Nonce {
+			r.do(Response{RequestID: e.RequestID, Outcome: lease.Queued})
+			return true
+		}
+	}
+	return false
+}
+
+func (r *Replica) renew(requestID uint64, task string, token uint64) {
+	r.lastRenewalID++
+	r.renewals[r.lastRenewalID] = pendingRenewal{requestID, token}
+	r.tellExpiry(lease.Renew{RequestID: r.lastRenewalID, Task: task, Token: token})
+}
+
+// propose puts a command before the voters. The request ID is 0 for a command of the expiry manager.
+func (r *Replica) propose(requestID uint64, c lease.Command) {
+	err := r.proposeEntry(requestID, c)
+	switch {
+	case requestID == 0: // the expiry manager proposes anew what is still due
+	case err != nil:
+		r.do(Response{RequestID: requestID})
+	default:
+		r.pending[requestID] = c
+	}
+}
+
+func (r *Replica) proposeEntry(requestID uint64, c lease.Command) error {
+	data, err := cbor.Marshal(logEntry{RequestID: requestID, Proposer: r.incarnation, Command: c})
+	if err != nil {
+		return err
+	}
+	switch c.Kind {
+	case lease.AddVoter:
+		return r.proposeVoterChange(raftpb.ConfChangeType_ConfChangeAddNode, c.VoterID, data)
+	case lease.RemoveVoter:
+		return r.proposeVoterChange(raftpb.ConfChangeType_ConfChangeRemoveNode, c.VoterID, data)
+	default:
+		return r.node.Propose(data)
+	}
+}
+
+func (r *Replica) proposeVoterChange(kind raftpb.ConfChangeType, id uint64, entry []byte) error {
+	return r.node.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: &id, Context: entry})
+}
+
+// tellExpiry gives the expiry manager an event and does what it asks.
+func (r *Replica) tellExpiry(event lease.ExpiryEvent) {
+	for _, a := range r.expiry.Handle(r.now, event, nil) {
+		switch a := a.(type) {
+		case lease.ConfirmLeadership:
+			r.node.ReadIndex(binary.BigEndian.AppendUint64(nil, a.Sequence))
+		case lease.Propose:
+			r.propose(0, a.Command)
+		case lease.RenewalResult:
+			renewal := r.renewals[a.RequestID]
+			delete(r.renewals, a.RequestID)
+			response := Response{RequestID: renewal.requestID, Outcome: a.Outcome}
+			if a.Outcome == lease.Granted {
+				response.Token = renewal.token
+			}
+			r.do(response)
+		}
+	}
+}
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -60,7 +60,7 @@
 	return s.state
 }
 
-// Valid tells whether the holder may act at a time, and under which fencing token.
+// Valid reports whether the holder may act at a time, and under which fencing token.
 func (s *Session) Valid(now time.Duration) (token uint64, ok bool) {
 	return s.token, s.state == Holding && now < s.validUntil
 }
--- a/internal/lease/session_messages.go
+++ b/internal/lease/session_messages.go
@@ -1,6 +1,6 @@
 package lease
 
-// SessionEvent is what a [Session] is told.
+// SessionEvent is an input of a [Session].
 type SessionEvent interface{ sessionEvent() }
 
 type (
--- a/internal/lease/statemachine.go
+++ b/internal/lease/statemachine.go
@@ -161,7 +161,7 @@
 	return Result{}
 }
 
-// isFrom tells whether a waiter is the command's sender, through the same acquisition.
+// isFrom reports whether a waiter is the command's sender, through the same acquisition.
 func (c *Command) isFrom(w Waiter) bool { return w.Holder == c.Holder && w.Nonce == c.Nonce }
 
 // grant adds a grant with the next fencing token.
