--- /dev/null
+++ b/internal/membership/confirm.go
@@ -0,0 +1,157 @@
+package membership
+
+import (
+	"maps"
+	"time"
+)
+
+// This file decides whether nodes that a complete list lacks are gone, or the list has collapsed and the source has to
+// confirm it (rules 2 and 3).
+
+// refetchInterval is the time between a failed refetch and the next.
+const refetchInterval = 250 * time.Millisecond
+
+// pendingRemovals are the nodes missing from a collapsed list. Their last reports stay in force.
+type pendingRemovals struct {
+	since         time.Duration
+	until         time.Duration
+	lastRefetch   time.Duration // when the last refetch was requested
+	names         map[string]bool
+	listEmpty     bool
+	refetchFailed bool
+}
+
+// add makes further nodes unconfirmed.
+func (p *pendingRemovals) add(names []string) {
+	for _, name := range names {
+		p.names[name] = true
+	}
+}
+
+// handleMissing decides on the nodes that a complete list lacks.
+func (r *Reconciler) handleMissing(s *source, e ListReceived, missing []string) {
+	if len(missing) == 0 {
+		return
+	}
+	remaining := countPresent(e.Nodes)
+	switch p := s.pending; {
+	case !s.NeedsConfirmation, p == nil && !r.hasCollapsed(s, remaining, len(missing)):
+	case p == nil:
+		r.startConfirmation(s, remaining, missing)
+		return
+	case e.Refetched && remaining > 0: // confirmed
+		s.pending = nil
+	default:
+		r.extendConfirmation(s, remaining, missing)
+		return
+	}
+	for _, name := range missing {
+		s.remove(name, r.now, "not in the list")
+	}
+}
+
+func countPresent(nodes []Node) (count int) {
+	for i := range nodes {
+		if nodes[i].Status != Gone {
+			count++
+		}
+	}
+	return count
+}
+
+// startConfirmation makes the missing nodes of a collapsed list unconfirmed, and has the list fetched again.
+func (r *Reconciler) startConfirmation(s *source, remaining int, missing []string) {
+	limits := &r.settings.Limits
+	p := &pendingRemovals{
+		since:     r.now,
+		until:     r.now + limits.ConfirmTimeout,
+		names:     make(map[string]bool),
+		listEmpty: remaining == 0,
+	}
+	if p.listEmpty {
+		p.until = r.now + limits.FailedConfirmTimeout
+	}
+	p.add(missing)
+	s.pending = p
+	r.refetch(s)
+	r.setTimer(p.until - r.now)
+}
+
+// extendConfirmation takes a list that shows the same collapse again, or that lacks further nodes.
+func (r *Reconciler) extendConfirmation(s *source, remaining int, missing []string) {
+	p := s.pending
+	if remaining > 0 && p.listEmpty { // no longer empty: what is still missing is a loss like any other
+		p.listEmpty = false
+		p.until = min(p.until, r.now+r.settings.Limits.ConfirmTimeout)
+		r.refetch(s)
+		r.setTimer(r.settings.Limits.ConfirmTimeout)
+	}
+	p.listEmpty = p.listEmpty || remaining == 0
+	p.add(missing)
+}
+
+// confirmPresent ends the confirmation of nodes that a list contains.
+func (s *source) confirmPresent(names map[string]bool) {
+	if s.pending == nil {
+		return
+	}
+	for name := range names {
+		delete(s.pending.names, name)
+	}
+	if len(s.pending.names) == 0 {
+		s.pending = nil
+	}
+}
+
+// refetch has the list of a source fetched again.
+func (r *Reconciler) refetch(s *source) {
+	s.pending.lastRefetch = r.now
+	r.actions = append(r.actions, Refetch{s.Name})
+}
+
+// refetchFailed extends the confirmation of a source, nil for an unknown one.
+func (r *Reconciler) refetchFailed(s *source) {
+	if s == nil || s.pending == nil {
+		return
+	}
+	if p := s.pending; !p.refetchFailed {
+		p.refetchFailed = true
+		p.until = p.since + r.settings.Limits.FailedConfirmTimeout
+		r.setTimer(r.settings.Limits.FailedConfirmTimeout)
+	}
+	r.setTimer(refetchInterval)
+}
+
+// retryRefetches fetches lists again whose last refetch has failed.
+func (r *Reconciler) retryRefetches() {
+	for _, s := range r.sources {
+		if s.pending != nil && s.pending.refetchFailed && r.now-s.pending.lastRefetch >= refetchInterval {
+			r.refetch(s)
+		}
+	}
+}
+
+// hasCollapsed reports whether too little of a list is left. A single loss is none, even that of the last node.
+func (r *Reconciler) hasCollapsed(s *source, remaining, missing int) bool {
+	window := r.settings.Limits.CollapseWindow
+	maps.DeleteFunc(s.losses, func(_ string, lostAt time.Duration) bool { return r.now-lostAt > window })
+	if missing == 1 && len(s.losses) == 0 {
+		return false
+	}
+	before := remaining + missing + len(s.losses)
+	return float64(remaining) < r.settings.Limits.MinRemainingShare*float64(before)
+}
+
+// expirePending removes the nodes whose time for confirmation is over.
+func (r *Reconciler) expirePending() {
+	for _, s := range r.sources {
+		p := s.pending
+		if p == nil || r.now < p.until {
+			continue
+		}
+		for name := range p.names {
+			s.remove(name, r.now, "not in the list for "+(r.now-p.since).Round(time.Millisecond).String())
+		}
+		s.pending = nil
+	}
+}
--- /dev/null
+++ b/internal/membership/restarts_test.go
@@ -0,0 +1,124 @@
+package membership
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestFlappingNodesAreHeldDown guards rule 4: a node leaves at once, returns later each time, and never are all nodes
+// held down.
+func TestFlappingNodesAreHeldDown(t *testing.T) {
+	h := newHarness(t, consulSettings())
+	h.handle(completeList("c", "abcd"))
+	up, last := time.Duration(0), 0
+	for i := range 150 { // every 200 ms, half of it gone
+		h.handle(completeList("c", "bcd"))
+		if strings.Contains(h.servingNames(), "a") {
+			t.Fatal("a node that is gone serves")
+		}
+		h.pass(200 * ms)
+		h.handle(completeList("c", "abcd"))
+		if strings.Contains(h.servingNames(), "a") {
+			up, last = up+200*ms, i
+		}
+		h.pass(200 * ms)
+	}
+	if up > 2*time.Second || last > 20 {
+		t.Errorf("a flapping node served %v of a minute, last at its flap %d", up, last)
+	}
+	h.pass(DefaultLimits.MaxHoldDown)
+	h.expect("abcd", "steady for as long as a hold-down may last")
+	if got := h.published["a"]; got.Started != 0 {
+		t.Errorf("the same instance, absent for moments only, counts as started at %v", got.Started)
+	}
+	for range 10 {
+		h.handle(completeList("c", "ABCD"))
+		h.expect("", "all drain")
+		h.pass(100 * ms)
+		h.handle(completeList("c", "abcd"))
+		if h.servingNames() == "" {
+			t.Fatal("all nodes are held down")
+		}
+	}
+}
+
+// restartCases are what may happen to node a, and whether it counts as started anew behind that.
+var restartCases = []struct {
+	name      string
+	restarted bool
+	play      func(*harness)
+}{
+	{"from the start", false, func(*harness) {}},
+	{"drained and back", false, func(h *harness) {
+		h.handle(completeList("c", "Abcd"))
+		h.pass(time.Minute)
+		h.handle(completeList("c", "abcd"))
+	}},
+	{"gone for a moment", false, func(h *harness) {
+		h.handle(completeList("c", "bcd"))
+		h.pass(time.Second)
+		h.handle(completeList("c", "abcd"))
+	}},
+	{"gone for long", true, func(h *harness) {
+		h.handle(completeList("c", "bcd"))
+		h.pass(DefaultLimits.CacheRetention + ms)
+		h.handle(completeList("c", "abcd"))
+	}},
+	{"gone for a moment, its process ended", true, func(h *harness) {
+		for range DefaultLimits.FailureThreshold {
+			h.handle(ConnectionObserved{"a", Failed})
+			h.pass(minFailureInterval)
+		}
+		h.handle(completeList("c", "bcd"))
+		h.pass(time.Second)
+		h.handle(completeList("c", "abcd"))
+	}},
+	{"another instance at once", true, func(h *harness) {
+		e := completeList("c", "abcd")
+		e.Nodes[0].Instance = "2"
+		h.handle(e)
+	}},
+	{"replaced while the source is silent", true, func(h *harness) {
+		for range DefaultLimits.FailureThreshold {
+			h.handle(ConnectionObserved{"a", Failed})
+			h.pass(minFailureInterval)
+		}
+		h.pass(10 * time.Minute)
+		h.handle(ConnectionObserved{"a", Answered})
+	}},
+	{"a connection that fails with all requests that waited on it", false, func(h *harness) {
+		for range 100 {
+			h.handle(ConnectionObserved{"a", Failed})
+		}
+		h.handle(ConnectionObserved{"a", Answered})
+	}},
+	{"single connections that fail", false, func(h *harness) {
+		for range 100 {
+			h.handle(ConnectionObserved{"a", Failed})
+			h.pass(minFailureInterval)
+			h.handle(ConnectionObserved{"a", Answered})
+		}
+	}},
+	{"new", true, func(h *harness) {
+		h.handle(completeList("c", "bcd"))
+		h.pass(DefaultLimits.ForgetAfter + time.Second)
+		h.handle(completeList("c", "abcd"))
+	}},
+}
+
+func TestStartTimesAreInferred(t *testing.T) {
+	for _, c := range restartCases {
+		h := newHarness(t, consulSettings())
+		h.handle(completeList("c", "abcd"))
+		c.play(h)
+		h.pass(DefaultLimits.MaxHoldDown)
+		got, serving := h.published["a"].Started, h.servingNames()
+		if (got != 0) != c.restarted || got > h.now || !strings.Contains(serving, "a") {
+			t.Errorf("%s: counts as started at %v of %v; %s serve", c.name, got, h.now, serving)
+		}
+		if h.published["b"].Started != 0 {
+			t.Errorf("%s: another counts as started", c.name)
+		}
+	}
+}
