--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -7,104 +7,173 @@
 	"testing"
 )
 
-// TestEveryStateAnswersEveryEvent walks the table through completely, against
-// the answers written down once more by state. It guards invariant 1.
-func TestEveryStateAnswersEveryEvent(t *testing.T) {
-	type row map[Event]step
-	starting := func(self, started State, do ...Action) row {
-		return row{Hangup: {StartingReloadQueued, nil}, DrainPermitted: {self, nil}, Terminate: {Draining, []Action{NotifyStopping, StartDrain}},
-			Started: {started, do}, StartFailed: {Stopped, []Action{ExitFailed}}, ConfigValid: {self, []Action{DiscardConfig}},
-			ConfigInvalid: {self, nil}, ServingEnded: {Stopped, []Action{ExitFailed}}, WatchdogTick: {self, []Action{NotifyWatchdog}}}
-	}
-	reloading := func(self, next State, good, bad []Action) row {
-		return row{Hangup: {ReloadingReloadQueued, nil}, Terminate: {AwaitingPermit, []Action{RequestPermit}}, DrainPermitted: {self, nil},
-			Started: {self, nil}, StartFailed: {Stopped, []Action{ExitFailed}}, ConfigValid: {next, good},
-			ConfigInvalid: {next, bad}, ServingEnded: {Stopped, []Action{ExitFailed}}, WatchdogTick: {self, []Action{NotifyWatchdog}}}
+// answers are the expected answers of a state.
+type answers map[Event]transition
+
+// startingAnswers are those of a daemon that is not ready. A start leads to started.
+func startingAnswers(self, started State, actions ...Action) answers {
+	return answers{
+		Hangup:         {StartingReloadQueued, nil},
+		Terminate:      {Draining, []Action{NotifyStopping, StartDrain}},
+		Started:        {started, actions},
+		StartFailed:    {Stopped, []Action{ExitFailed}},
+		ConfigValid:    {self, []Action{DiscardConfig}},
+		ConfigInvalid:  {self, nil},
+		ServingEnded:   {Stopped, []Action{ExitFailed}},
+		WatchdogTick:   {self, []Action{NotifyWatchdog}},
+		DrainPermitted: {self, nil},
 	}
-	ending := func(self, term State, do ...Action) row {
-		return row{Hangup: {self, []Action{LogReloadIgnored}}, DrainPermitted: {self, nil}, Terminate: {term, do}, Started: {self, nil},
-			StartFailed: {Stopped, []Action{Exit}}, ConfigValid: {self, []Action{DiscardConfig}}, ConfigInvalid: {self, nil},
-			ServingEnded: {Stopped, []Action{Exit}}, WatchdogTick: {self, []Action{NotifyWatchdog}}}
+}
+
+// reloadingAnswers are those of a daemon that reads a configuration. The end of that leads to next.
+func reloadingAnswers(self, next State, valid, invalid []Action) answers {
+	return answers{
+		Hangup:         {ReloadingReloadQueued, nil},
+		Terminate:      {AwaitingPermit, []Action{RequestPermit}},
+		Started:        {self, nil},
+		StartFailed:    {Stopped, []Action{ExitFailed}},
+		ConfigValid:    {next, valid},
+		ConfigInvalid:  {next, invalid},
+		ServingEnded:   {Stopped, []Action{ExitFailed}},
+		WatchdogTick:   {self, []Action{NotifyWatchdog}},
+		DrainPermitted: {self, nil},
 	}
-	want := map[State]row{
-		Starting:             starting(Starting, Serving, NotifyReady),
-		StartingReloadQueued: starting(StartingReloadQueued, Reloading, NotifyReady, NotifyReloading, ReadConfig),
-		Serving: {Hangup: {Reloading, []Action{NotifyReloading, ReadConfig}}, Terminate: {AwaitingPermit, []Action{RequestPermit}}, DrainPermitted: {Serving, nil},
-			Started: {Serving, nil}, StartFailed: {Stopped, []Action{ExitFailed}}, ConfigValid: {Serving, []Action{DiscardConfig}},
-			ConfigInvalid: {Serving, nil}, ServingEnded: {Stopped, []Action{ExitFailed}}, WatchdogTick: {Serving, []Action{NotifyWatchdog}}},
-		Reloading:             reloading(Reloading, Serving, []Action{ApplyConfig, NotifyReady}, []Action{NotifyReady}),
-		ReloadingReloadQueued: reloading(ReloadingReloadQueued, Reloading, []Action{ApplyConfig, ReadConfig}, []Action{ReadConfig}),
-		AwaitingPermit: {Hangup: {AwaitingPermit, []Action{LogReloadIgnored}}, Terminate: {Draining, []Action{NotifyStopping, StartDrain}}, DrainPermitted: {Draining, []Action{NotifyStopping, StartDrain}},
-			Started: {AwaitingPermit, nil}, StartFailed: {Stopped, []Action{Exit}}, ConfigValid: {AwaitingPermit, []Action{DiscardConfig}}, ConfigInvalid: {AwaitingPermit, nil},
-			ServingEnded: {Stopped, []Action{ExitFailed}}, WatchdogTick: {AwaitingPermit, []Action{NotifyWatchdog}}},
-		Draining: ending(Draining, Stopping, ShortenDrain),
-		Stopping: ending(Stopping, Stopping),
-		Stopped: {Hangup: {Stopped, nil}, DrainPermitted: {Stopped, nil}, Terminate: {Stopped, nil}, Started: {Stopped, nil}, StartFailed: {Stopped, nil},
-			ConfigValid: {Stopped, []Action{DiscardConfig}}, ConfigInvalid: {Stopped, nil}, ServingEnded: {Stopped, nil}, WatchdogTick: {Stopped, nil}},
+}
+
+// endingAnswers are those of a daemon that drains.
+func endingAnswers(self, terminated State, actions ...Action) answers {
+	return answers{
+		Hangup:         {self, []Action{LogReloadIgnored}},
+		Terminate:      {terminated, actions},
+		Started:        {self, nil},
+		StartFailed:    {Stopped, []Action{Exit}},
+		ConfigValid:    {self, []Action{DiscardConfig}},
+		ConfigInvalid:  {self, nil},
+		ServingEnded:   {Stopped, []Action{Exit}},
+		WatchdogTick:   {self, []Action{NotifyWatchdog}},
+		DrainPermitted: {self, nil},
 	}
-	for s := range states {
-		for e := range events {
-			expected, ok := want[s][e]
+}
+
+// expectedAnswers is the table written down once more by state.
+var expectedAnswers = map[State]answers{
+	Starting:             startingAnswers(Starting, Serving, NotifyReady),
+	StartingReloadQueued: startingAnswers(StartingReloadQueued, Reloading, NotifyReady, NotifyReloading, ReadConfig),
+	Serving: {
+		Hangup:         {Reloading, []Action{NotifyReloading, ReadConfig}},
+		Terminate:      {AwaitingPermit, []Action{RequestPermit}},
+		Started:        {Serving, nil},
+		StartFailed:    {Stopped, []Action{ExitFailed}},
+		ConfigValid:    {Serving, []Action{DiscardConfig}},
+		ConfigInvalid:  {Serving, nil},
+		ServingEnded:   {Stopped, []Action{ExitFailed}},
+		WatchdogTick:   {Serving, []Action{NotifyWatchdog}},
+		DrainPermitted: {Serving, nil},
+	},
+	Reloading: reloadingAnswers(Reloading, Serving, []Action{ApplyConfig, NotifyReady}, []Action{NotifyReady}),
+	ReloadingReloadQueued: reloadingAnswers(ReloadingReloadQueued, Reloading,
+		[]Action{ApplyConfig, ReadConfig}, []Action{ReadConfig}),
+	AwaitingPermit: {
+		Hangup:         {AwaitingPermit, []Action{LogReloadIgnored}},
+		Terminate:      {Draining, []Action{NotifyStopping, StartDrain}},
+		Started:        {AwaitingPermit, nil},
+		StartFailed:    {Stopped, []Action{Exit}},
+		ConfigValid:    {AwaitingPermit, []Action{DiscardConfig}},
+		ConfigInvalid:  {AwaitingPermit, nil},
+		ServingEnded:   {Stopped, []Action{ExitFailed}},
+		WatchdogTick:   {AwaitingPermit, []Action{NotifyWatchdog}},
+		DrainPermitted: {Draining, []Action{NotifyStopping, StartDrain}},
+	},
+	Draining: endingAnswers(Draining, Stopping, ShortenDrain),
+	Stopping: endingAnswers(Stopping, Stopping),
+	Stopped: {
+		Hangup:         {Stopped, nil},
+		Terminate:      {Stopped, nil},
+		Started:        {Stopped, nil},
+		StartFailed:    {Stopped, nil},
+		ConfigValid:    {Stopped, []Action{DiscardConfig}},
+		ConfigInvalid:  {Stopped, nil},
+		ServingEnded:   {Stopped, nil},
+		WatchdogTick:   {Stopped, nil},
+		DrainPermitted: {Stopped, nil},
+	},
+}
+
+// TestEveryStateAnswersEveryEvent goes through the complete table. It guards invariant 1.
+func TestEveryStateAnswersEveryEvent(t *testing.T) {
+	for s := range stateCount {
+		for e := range eventCount {
+			want, ok := expectedAnswers[s][e]
 			if !ok {
-				t.Fatalf("%v: no answer to event %d is written down", s, e)
+				t.Fatalf("%v: no answer to event %d is expected", s, e)
 			}
 			m := Machine{state: s}
-			if do := m.Handle(e); m.State() != expected.to || !slices.Equal(do, expected.do) {
-				t.Errorf("%v: event %d led to %v with %v, want %v with %v", s, e, m.State(), do, expected.to, expected.do)
+			if actions := m.Handle(e); m.State() != want.next || !slices.Equal(actions, want.actions) {
+				t.Errorf("%v: event %d led to %v with %v, want %v with %v",
+					s, e, m.State(), actions, want.next, want.actions)
 			}
 		}
 	}
 }
 
-// history is what a random life brought.
+// history is the course of a random life.
 type history struct {
 	states  []State // after each event
 	events  []Event
 	actions [][]Action
 }
 
-func live(seed uint64, n int) history {
+// randomLife plays n random events to a new machine.
+func randomLife(seed uint64, n int) history {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var m Machine
 	var h history
-	reading := 0
+	reads := 0 // that have not ended
 	for range n {
-		e := Event(rng.IntN(int(events)))
-		if (e == ConfigValid || e == ConfigInvalid) && reading == 0 || e == Started && m.State() > StartingReloadQueued {
-			e = WatchdogTick // can't come now
-		}
-		if (e == Terminate || e == StartFailed || e == ServingEnded) && rng.IntN(8) > 0 {
-			e = Hangup // or lives would be short
-		}
+		e := randomEvent(rng, m.State(), reads)
 		if e == ConfigValid || e == ConfigInvalid {
-			reading--
+			reads--
 		}
-		do := m.Handle(e)
-		if slices.Contains(do, ReadConfig) {
-			reading++
+		actions := m.Handle(e)
+		if slices.Contains(actions, ReadConfig) {
+			reads++
 		}
-		h.states, h.events, h.actions = append(h.states, m.State()), append(h.events, e), append(h.actions, do)
+		h.states = append(h.states, m.State())
+		h.events = append(h.events, e)
+		h.actions = append(h.actions, actions)
 	}
 	return h
 }
 
-// TestDrainIsFinal guards invariants 2 and 5: nothing is read or put into force
-// once the end has begun, and a configuration only after it was asked for.
+// randomEvent draws an event that is possible in a state, seldom one that ends it soon.
+func randomEvent(rng *rand.Rand, s State, reads int) Event {
+	e := Event(rng.IntN(int(eventCount)))
+	if (e == ConfigValid || e == ConfigInvalid) && reads == 0 || e == Started && s > StartingReloadQueued {
+		return WatchdogTick
+	}
+	if (e == Terminate || e == StartFailed || e == ServingEnded) && rng.IntN(8) > 0 {
+		return Hangup
+	}
+	return e
+}
+
+// TestDrainIsFinal guards invariants 2, 5 and 6: no configuration is read or applied once the end has begun, and each is
+// applied only after it was requested.
 func TestDrainIsFinal(t *testing.T) {
 	for seed := range uint64(2000) {
-		h := live(seed, 60)
-		ending, asked := false, false
-		for i, do := range h.actions {
-			for _, a := range do {
+		h := randomLife(seed, 60)
+		ending, requested := false, false
+		for i, actions := range h.actions {
+			for _, a := range actions {
 				switch {
-				case ending && (a == ReadConfig || a == ApplyConfig || a == NotifyReady || a == NotifyReloading):
+				case ending && slices.Contains([]Action{ReadConfig, ApplyConfig, NotifyReady, NotifyReloading}, a):
 					t.Fatalf("seed %d: action %d after the end had begun: %v", seed, a, h)
 				case a == ReadConfig:
-					asked = true
-				case a == ApplyConfig && !asked:
-					t.Fatalf("seed %d: put into force unasked: %v", seed, h)
+					requested = true
+				case a == ApplyConfig && !requested:
+					t.Fatalf("seed %d: applied without a request: %v", seed, h)
 				case a == ApplyConfig:
-					asked = false
+					requested = false
 				}
 			}
 			if ending && h.states[i] < Draining {
@@ -115,38 +184,38 @@
 	}
 }
 
-// TestHangupsAreHeeded guards invariant 1: after the last hangup of a daemon that
-// goes on, the configuration is read anew before it serves again.
-func TestHangupsAreHeeded(t *testing.T) {
+// TestHangupsAreServed guards invariant 1: after the last hangup of a daemon that keeps serving, the configuration is
+// read once more before the daemon is Serving again.
+func TestHangupsAreServed(t *testing.T) {
 	for seed := range uint64(2000) {
-		h := live(seed, 60)
-		owed := false
-		for i, do := range h.actions {
+		h := randomLife(seed, 60)
+		unserved := false
+		for i, actions := range h.actions {
 			if h.events[i] == Hangup && h.states[i] < Draining {
-				owed = true
+				unserved = true
 			}
-			if slices.Contains(do, ReadConfig) {
-				owed = false
+			if slices.Contains(actions, ReadConfig) {
+				unserved = false
 			}
-			if owed && h.states[i] == Serving {
-				t.Fatalf("seed %d: serving with a hangup unheeded: %v", seed, h)
+			if unserved && h.states[i] == Serving {
+				t.Fatalf("seed %d: serving after an unserved hangup: %v", seed, h)
 			}
 		}
 	}
 }
 
-// TestReadyIsToldAfterEachReload guards invariant 4: a service manager that
-// waits for READY after RELOADING never waits for good.
-func TestReadyIsToldAfterEachReload(t *testing.T) {
+// TestReadyIsNotifiedAfterEachReload guards invariant 4: a service manager that waits for READY after RELOADING never
+// waits for good.
+func TestReadyIsNotifiedAfterEachReload(t *testing.T) {
 	for seed := range uint64(2000) {
-		h := live(seed, 60)
+		h := randomLife(seed, 60)
 		ready, reloading := false, false
-		for i, do := range h.actions {
-			for _, a := range do {
+		for i, actions := range h.actions {
+			for _, a := range actions {
 				switch a {
 				case NotifyReady:
 					if ready && !reloading {
-						t.Fatalf("seed %d: ready told twice: %v", seed, h)
+						t.Fatalf("seed %d: notified ready twice: %v", seed, h)
 					}
 					ready, reloading = true, false
 				case NotifyReloading:
@@ -157,7 +226,7 @@
 				}
 			}
 			if reloading && h.states[i] == Serving {
-				t.Fatalf("seed %d: serving, but told reloading: %v", seed, h)
+				t.Fatalf("seed %d: serving, but notified reloading: %v", seed, h)
 			}
 		}
 	}
@@ -165,7 +234,7 @@
 
 // TestTwoTerminationsEndEveryLife guards invariant 3.
 func TestTwoTerminationsEndEveryLife(t *testing.T) {
-	for s := range states {
+	for s := range stateCount {
 		m := Machine{state: s}
 		m.Handle(Terminate)
 		m.Handle(Terminate)
@@ -176,7 +245,7 @@
 }
 
 func TestSameEventsGiveSameActions(t *testing.T) {
-	if a, b := live(7, 500), live(7, 500); !reflect.DeepEqual(a, b) {
+	if a, b := randomLife(7, 500), randomLife(7, 500); !reflect.DeepEqual(a, b) {
 		t.Error("two lives with the same events differ")
 	}
 }
--- /dev/null
+++ b/internal/lifecycle/table.go
@@ -0,0 +1,113 @@
+package lifecycle
+
+// transition is the answer to an event in a state.
+type transition struct {
+	next    State
+	actions []Action
+}
+
+func to(next State, actions ...Action) transition { return transition{next, actions} }
+
+// table holds all decisions: a row for each state, an entry for each event.
+var table = [stateCount][eventCount]transition{
+	Starting: {
+		Hangup:         to(StartingReloadQueued),
+		Terminate:      to(Draining, NotifyStopping, StartDrain),
+		Started:        to(Serving, NotifyReady),
+		StartFailed:    to(Stopped, ExitFailed),
+		ConfigValid:    to(Starting, DiscardConfig),
+		ConfigInvalid:  to(Starting),
+		ServingEnded:   to(Stopped, ExitFailed), // it never served
+		WatchdogTick:   to(Starting, NotifyWatchdog),
+		DrainPermitted: to(Starting),
+	},
+	StartingReloadQueued: {
+		Hangup:         to(StartingReloadQueued),
+		Terminate:      to(Draining, NotifyStopping, StartDrain),
+		Started:        to(Reloading, NotifyReady, NotifyReloading, ReadConfig),
+		StartFailed:    to(Stopped, ExitFailed),
+		ConfigValid:    to(StartingReloadQueued, DiscardConfig),
+		ConfigInvalid:  to(StartingReloadQueued),
+		ServingEnded:   to(Stopped, ExitFailed),
+		WatchdogTick:   to(StartingReloadQueued, NotifyWatchdog),
+		DrainPermitted: to(StartingReloadQueued),
+	},
+	Serving: {
+		Hangup:         to(Reloading, NotifyReloading, ReadConfig),
+		Terminate:      to(AwaitingPermit, RequestPermit),
+		Started:        to(Serving),
+		StartFailed:    to(Stopped, ExitFailed),
+		ConfigValid:    to(Serving, DiscardConfig),
+		ConfigInvalid:  to(Serving),
+		ServingEnded:   to(Stopped, ExitFailed), // nobody asked it to end
+		WatchdogTick:   to(Serving, NotifyWatchdog),
+		DrainPermitted: to(Serving),
+	},
+	Reloading: {
+		Hangup:         to(ReloadingReloadQueued), // the file may have changed since it was read
+		Terminate:      to(AwaitingPermit, RequestPermit),
+		Started:        to(Reloading),
+		StartFailed:    to(Stopped, ExitFailed),
+		ConfigValid:    to(Serving, ApplyConfig, NotifyReady),
+		ConfigInvalid:  to(Serving, NotifyReady),
+		ServingEnded:   to(Stopped, ExitFailed),
+		WatchdogTick:   to(Reloading, NotifyWatchdog),
+		DrainPermitted: to(Reloading),
+	},
+	ReloadingReloadQueued: {
+		Hangup:      to(ReloadingReloadQueued), // one more read covers all of them
+		Terminate:   to(AwaitingPermit, RequestPermit),
+		Started:     to(ReloadingReloadQueued),
+		StartFailed: to(Stopped, ExitFailed),
+		// It is applied although the next read is due, or an endless stream of hangups would keep all of them out of force.
+		ConfigValid:    to(Reloading, ApplyConfig, ReadConfig),
+		ConfigInvalid:  to(Reloading, ReadConfig),
+		ServingEnded:   to(Stopped, ExitFailed),
+		WatchdogTick:   to(ReloadingReloadQueued, NotifyWatchdog),
+		DrainPermitted: to(ReloadingReloadQueued),
+	},
+	AwaitingPermit: {
+		Hangup:         to(AwaitingPermit, LogReloadIgnored),
+		Terminate:      to(Draining, NotifyStopping, StartDrain), // a second termination does not wait for the permit
+		Started:        to(AwaitingPermit),
+		StartFailed:    to(Stopped, Exit),
+		ConfigValid:    to(AwaitingPermit, DiscardConfig),
+		ConfigInvalid:  to(AwaitingPermit),
+		ServingEnded:   to(Stopped, ExitFailed), // nobody asked it to end
+		WatchdogTick:   to(AwaitingPermit, NotifyWatchdog),
+		DrainPermitted: to(Draining, NotifyStopping, StartDrain),
+	},
+	Draining: {
+		Hangup:         to(Draining, LogReloadIgnored),
+		Terminate:      to(Stopping, ShortenDrain),
+		Started:        to(Draining),
+		StartFailed:    to(Stopped, Exit), // there was nothing to drain
+		ConfigValid:    to(Draining, DiscardConfig),
+		ConfigInvalid:  to(Draining),
+		ServingEnded:   to(Stopped, Exit),
+		WatchdogTick:   to(Draining, NotifyWatchdog),
+		DrainPermitted: to(Draining),
+	},
+	Stopping: {
+		Hangup:         to(Stopping, LogReloadIgnored),
+		Terminate:      to(Stopping),
+		Started:        to(Stopping),
+		StartFailed:    to(Stopped, Exit),
+		ConfigValid:    to(Stopping, DiscardConfig),
+		ConfigInvalid:  to(Stopping),
+		ServingEnded:   to(Stopped, Exit),
+		WatchdogTick:   to(Stopping, NotifyWatchdog),
+		DrainPermitted: to(Stopping),
+	},
+	Stopped: {
+		Hangup:         to(Stopped),
+		Terminate:      to(Stopped),
+		Started:        to(Stopped),
+		StartFailed:    to(Stopped),
+		ConfigValid:    to(Stopped, DiscardConfig),
+		ConfigInvalid:  to(Stopped),
+		ServingEnded:   to(Stopped),
+		WatchdogTick:   to(Stopped),
+		DrainPermitted: to(Stopped),
+	},
+}
