--- /dev/null
+++ b/cmd/fleettest/recorded_test.go
@@ -0,0 +1,216 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/fleettest"
+	"mulleinpier/internal/testutil"
+)
+
+// The files in testdata/recorded are outputs of the version before the programs were renamed. Scripts and
+// dashboards read verbs, flags, JSON, exit codes and the text of stats, so this version must still produce them.
+
+// recorded reads a recorded file.
+func recorded(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "recorded", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+var (
+	helpFlag     = regexp.MustCompile(`^ +(?:(-\w), +)?(--[a-z-]+(?:=\S+)?)`)
+	helpArgument = regexp.MustCompile(`^ +([<\[]\S+)`)
+)
+
+// signature reduces a help text to what scripts depend on: the usage line, flags with their placeholders and
+// defaults, and arguments.
+func signature(help string) (lines []string) {
+	for line := range strings.Lines(help) {
+		line = strings.TrimRight(line, "\n")
+		if usage, ok := strings.CutPrefix(line, "Usage: "); ok {
+			_, usage, _ = strings.Cut(usage, " ")
+			lines = append(lines, "usage "+usage)
+		}
+		if m := helpFlag.FindStringSubmatch(line); m != nil {
+			lines = append(lines, strings.TrimSpace("flag "+m[2]+" "+m[1]))
+		} else if m := helpArgument.FindStringSubmatch(line); m != nil {
+			lines = append(lines, "argument "+m[1])
+		}
+	}
+	return lines
+}
+
+func TestVerbsAndFlagsAsRecorded(t *testing.T) {
+	var got bytes.Buffer
+	for _, verb := range []string{"wave", "play", "up", "cost", "times", "consul", "degrade", "clients", "still", "lease", "takeover", "peers",
+		"members", "conform", "sight", "double", "relay", "holder"} {
+		out, err := exec.Command(filepath.Join(bin, "fleettest"), verb, "--help").Output()
+		if err != nil {
+			t.Errorf("%s --help: %v", verb, err)
+		}
+		for _, line := range signature(string(out)) {
+			fmt.Fprintf(&got, "%s: %s\n", verb, line)
+		}
+	}
+	if want := recorded(t, "flags.txt"); !bytes.Equal(got.Bytes(), want) {
+		t.Errorf("verbs and flags differ from those recorded; got\n%s\nwant\n%s", got.Bytes(), want)
+	}
+}
+
+func TestBuiltInScenariosAsRecorded(t *testing.T) {
+	out, err := exec.Command(filepath.Join(bin, "fleettest"), "--list").Output()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names strings.Builder
+	for line := range strings.Lines(string(out)) {
+		name, _, _ := strings.Cut(line, " ")
+		names.WriteString(name + "\n")
+	}
+	if want := string(recorded(t, "scenarios.txt")); names.String() != want {
+		t.Errorf("got\n%s\nwant\n%s", names.String(), want)
+	}
+}
+
+// A recorded report, read into the type that this version writes, must come out again byte for byte: so no field
+// has another name, type or place.
+func TestReportsAsRecorded(t *testing.T) {
+	for _, c := range []struct {
+		file string
+		into any
+	}{
+		{"clients.json", &fleettest.ClientsReport{}},
+		{"conform.json", &fleettest.ConformanceReport{}},
+		{"cost.json", &fleettest.CostReport{}},
+		{"gaps.json", &fleettest.LeaseGapsReport{}},
+		{"lease.json", &fleettest.LeaseReport{}},
+		{"peers.json", &fleettest.PeersReport{}},
+		{"sight.json", &fleettest.Report{}},
+		{"times.json", &fleettest.StartStopReport{}},
+	} {
+		t.Run(c.file, func(t *testing.T) {
+			text := recorded(t, c.file)
+			decoder := json.NewDecoder(bytes.NewReader(text))
+			decoder.DisallowUnknownFields()
+			if err := decoder.Decode(c.into); err != nil {
+				t.Fatal(err)
+			}
+			again, err := json.MarshalIndent(c.into, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			if again = append(again, '\n'); !bytes.Equal(again, text) {
+				t.Errorf("got\n%s\nwant\n%s", again, text)
+			}
+		})
+	}
+}
+
+// Each line of exit-codes.txt is an exit code and the arguments, of commands that end before a fleet is started.
+func TestExitCodesAsRecorded(t *testing.T) {
+	lines := bufio.NewScanner(bytes.NewReader(recorded(t, "exit-codes.txt")))
+	for lines.Scan() {
+		text, args, _ := strings.Cut(lines.Text(), "\t")
+		want, err := strconv.Atoi(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		cmd := exec.Command(filepath.Join(bin, "fleettest"), strings.Fields(args)...)
+		out, _ := cmd.CombinedOutput()
+		if got := cmd.ProcessState.ExitCode(); got != want {
+			t.Errorf("%s: exit %d, want %d: %s", args, got, want, out)
+		}
+	}
+}
+
+// figure matches a number in the text of stats.
+var figure = regexp.MustCompile(`^-?\d+(\.\d+)?$`)
+
+// readStats asks a proxy for its stats, and returns the answers with each number replaced by N.
+func readStats(t *testing.T, address string) string {
+	t.Helper()
+	socket, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer socket.Close()
+	socket.SetDeadline(time.Now().Add(testutil.Timeout))
+	in := bufio.NewReader(socket)
+	var text strings.Builder
+	for _, command := range []string{"stats", "stats service", "stats nothing", "stats a b"} {
+		fmt.Fprintf(socket, "%s\r\n", command)
+		fmt.Fprintf(&text, "> %s\n", command)
+		for more := true; more; {
+			line, err := in.ReadString('\n')
+			if err != nil {
+				t.Fatal(err)
+			}
+			words := strings.Split(strings.TrimSuffix(line, "\r\n"), " ")
+			if last := len(words) - 1; figure.MatchString(words[last]) {
+				words[last] = "N"
+			}
+			text.WriteString(strings.Join(words, " ") + "\n")
+			more = words[0] == "STAT"
+		}
+	}
+	return text.String()
+}
+
+// write sends one write through a proxy and waits for its receipt.
+func write(t *testing.T, address string) {
+	t.Helper()
+	socket, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer socket.Close()
+	socket.SetDeadline(time.Now().Add(testutil.Timeout))
+	fmt.Fprint(socket, "ms order 2 O1 Pc=write,k=1\r\nhi\r\n")
+	if line, err := bufio.NewReader(socket).ReadString('\n'); !strings.HasPrefix(line, "HD O1") {
+		t.Fatalf("answered %q, %v", line, err)
+	}
+}
+
+func TestStatsAsRecorded(t *testing.T) {
+	cmd := exec.Command(filepath.Join(bin, "fleettest"), "up")
+	out, err := cmd.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer cmd.Wait()
+	defer cmd.Process.Signal(syscall.SIGINT)
+	address := ""
+	for in := bufio.NewScanner(out); in.Scan() && in.Text() != "ready"; {
+		if at, ok := strings.CutPrefix(in.Text(), "proxy "); ok {
+			address = at
+		}
+	}
+	write(t, address)
+	// The figures are there once the proxy has sampled itself and has seen a request.
+	testutil.WaitUntil(t, "all figures", func() bool {
+		text := readStats(t, address)
+		return strings.Contains(text, "STAT service_memory ") && strings.Contains(text, "STAT service_late_handovers ")
+	})
+	if got, want := readStats(t, address), string(recorded(t, "stats.txt")); got != want {
+		t.Errorf("got\n%s\nwant\n%s", got, want)
+	}
+}
--- /dev/null
+++ b/cmd/mulleinctl/recorded_test.go
@@ -0,0 +1,187 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/lease"
+	"mulleinpier/internal/lease/agent"
+	"mulleinpier/internal/loadgen"
+	"mulleinpier/internal/peer"
+	"mulleinpier/internal/takeover"
+)
+
+// The files in testdata/recorded are outputs of the version before the program was renamed. Scripts read
+// verbs, flags, JSON and exit codes, so this version must still produce them.
+
+// recorded reads a recorded file.
+func recorded(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "recorded", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+var (
+	helpFlag     = regexp.MustCompile(`^ +(?:(-\w), +)?(--[a-z-]+(?:=\S+)?)`)
+	helpArgument = regexp.MustCompile(`^ +([<\[]\S+)`)
+	helpVariable = regexp.MustCompile(`\(\$\w+\)`)
+)
+
+// signature reduces a help text to what scripts depend on: the usage line, flags with their placeholders and
+// defaults, arguments and environment variables.
+func signature(help string) (lines []string) {
+	for line := range strings.Lines(help) {
+		line = strings.TrimRight(line, "\n")
+		if usage, ok := strings.CutPrefix(line, "Usage: "); ok {
+			_, usage, _ = strings.Cut(usage, " ")
+			lines = append(lines, "usage "+usage)
+		}
+		if m := helpFlag.FindStringSubmatch(line); m != nil {
+			lines = append(lines, strings.TrimSpace("flag "+m[2]+" "+m[1]))
+		} else if m := helpArgument.FindStringSubmatch(line); m != nil {
+			lines = append(lines, "argument "+m[1])
+		}
+		if m := helpVariable.FindString(line); m != "" {
+			lines = append(lines, "variable "+m)
+		}
+	}
+	return lines
+}
+
+func TestVerbsAndFlagsAsRecorded(t *testing.T) {
+	verbs := []string{"get", "set", "load", "fleet list", "work list"}
+	for _, verb := range []string{"hold", "list", "show", "release", "revoke", "limit", "hand", "init", "enrol", "dismiss"} {
+		verbs = append(verbs, "lease "+verb)
+	}
+	var got bytes.Buffer
+	for _, verb := range verbs {
+		var out, log bytes.Buffer
+		err := run(context.Background(), append(strings.Fields(verb), "--help"), strings.NewReader(""), &out, &log)
+		if code(err) != 0 {
+			t.Errorf("%s --help: exit %d: %v", verb, code(err), err)
+		}
+		for _, line := range signature(out.String()) {
+			fmt.Fprintf(&got, "%s: %s\n", verb, line)
+		}
+	}
+	if want := recorded(t, "flags.txt"); !bytes.Equal(got.Bytes(), want) {
+		t.Errorf("verbs and flags differ from those recorded; got\n%s\nwant\n%s", got.Bytes(), want)
+	}
+}
+
+// A recorded JSON output, read into the type that this version prints, must come out again byte for byte: so no
+// field has another name, type or place.
+func TestJSONAsRecorded(t *testing.T) {
+	for _, c := range []struct {
+		file   string
+		into   any
+		indent string // of the outputs that are written to a file
+	}{
+		{"fleet-list.json", &[]peer.MemberState{}, ""},
+		{"lease-list.json", &agent.VoterState{}, ""},
+		{"lease-show.json", &lease.Task{}, ""},
+		{"lease-show-revoked.json", &lease.Task{}, ""},
+		{"work-list.json", &[]takeover.WriteStatus{}, ""},
+		{"work-list-empty.json", &[]takeover.WriteStatus{}, ""},
+		{"load.json", &loadgen.Result{}, " "},
+	} {
+		t.Run(c.file, func(t *testing.T) {
+			text := recorded(t, c.file)
+			decoder := json.NewDecoder(bytes.NewReader(text))
+			decoder.DisallowUnknownFields()
+			if err := decoder.Decode(c.into); err != nil {
+				t.Fatal(err)
+			}
+			var again bytes.Buffer
+			encoder := json.NewEncoder(&again)
+			encoder.SetIndent("", c.indent)
+			if err := encoder.Encode(c.into); err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(again.Bytes(), text) {
+				t.Errorf("got\n%s\nwant\n%s", again.Bytes(), text)
+			}
+		})
+	}
+}
+
+// Each line of exit-codes.txt is an exit code, the quoted standard output and the arguments.
+func TestExitCodesAsRecorded(t *testing.T) {
+	nodes, err := scriptednode.Start(scriptednode.Meta, 1, recordedReaction)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nodes.Close()
+	list := filepath.Join(t.TempDir(), "proxies")
+	if err := os.WriteFile(list, []byte(nodes.Address(0)+"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	places := strings.NewReplacer("{proxy}", nodes.Address(0), "{list}", list)
+	lines := bufio.NewScanner(bytes.NewReader(recorded(t, "exit-codes.txt")))
+	for lines.Scan() {
+		columns := strings.SplitN(lines.Text(), "\t", 3)
+		want, err := strconv.Atoi(columns[0])
+		if err != nil {
+			t.Fatal(err)
+		}
+		stdout, err := strconv.Unquote(columns[1])
+		if err != nil {
+			t.Fatal(err)
+		}
+		var out, log bytes.Buffer
+		args := strings.Fields(places.Replace(columns[2]))
+		err = run(context.Background(), args, strings.NewReader("from input"), &out, &log)
+		if code(err) != want || out.String() != stdout {
+			t.Errorf("%s: exit %d, want %d; printed %q, want %q; %v", columns[2], code(err), want, out.String(), stdout, err)
+		}
+	}
+}
+
+// recordedReaction is what the proxy did to which key when the exit codes were recorded.
+func recordedReaction(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
+	switch a.Key {
+	case "none":
+		return scriptednode.Miss
+	case "busy":
+		return scriptednode.Busy
+	case "lost":
+		return scriptednode.Fail
+	case "bad":
+		return scriptednode.Invalid
+	}
+	return scriptednode.Serve
+}
+
+func TestLoadTableAsRecorded(t *testing.T) {
+	nodes, err := scriptednode.Start(scriptednode.Meta, 1, recordedReaction)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nodes.Close()
+	var out bytes.Buffer
+	args := strings.Fields("load --clients=2 --rate=50 --for=100ms --kind=brief --proxies=" + nodes.Address(0))
+	if err := run(context.Background(), args, nil, &out, &out); err != nil {
+		t.Fatal(err)
+	}
+	var rows strings.Builder
+	for line := range strings.Lines(out.String()) {
+		name, _, _ := strings.Cut(line, "  ")
+		rows.WriteString(name + "\n")
+	}
+	if want := string(recorded(t, "load-rows.txt")); rows.String() != want {
+		t.Errorf("got\n%s\nwant\n%s", rows.String(), want)
+	}
+}
