--- a/client/client.go
+++ b/client/client.go
@@ -446,7 +446,7 @@
 		switch choice.Kind {
 		case balance.Send:
 			if k := c.place(choice.Proxy, now.Monotonic); k != nil {
-				wait, _ := r.StartAttempt(now, c.budget.CanAfford(r.Effect()))
+				wait, _ := r.StartAttempt(now, c.budget)
 				k.open++
 				k.live++
 				c.open++
@@ -551,7 +551,7 @@
 	}
 	failed := a.outcome == retry.TimedOut || a.outcome == retry.ConnectionLost || a.outcome == retry.MalformedAnswer
 	c.balancer.RequestEnded(k.proxy, now.Monotonic, failed, a.outcome == retry.Rejected, a.advice)
-	c.pace.RecordOutcome(now.Monotonic, a.outcome == retry.Rejected)
+	c.pace.RecordOutcome(now.Monotonic, a.outcome)
 	if a.outcome == retry.TimedOut {
 		c.endLocked(k)
 	}
