--- a/client/client.go
+++ b/client/client.go
@@ -342,13 +342,14 @@
 			defer socket.Close()
 		}
 		now := c.options.clock().Monotonic
-		c.balancer.DialEnded(p, now, err == nil)
 		if err != nil {
+			c.balancer.DialFailed(p, now)
 			c.counts.dialFails.Add(1)
 			c.rouse(c.waiters.Len()) // they choose anew
 			c.mu.Unlock()
 			return
 		}
+		c.balancer.DialSucceeded(p)
 		k := newConn(c, p, socket, now)
 		c.conns[p] = append(c.conns[p], k)
 		c.tasks.Go(k.write)
@@ -368,7 +369,11 @@
 	c.mu.Lock()
 	now := c.options.clock().Monotonic
 	c.endLocked(k)
-	c.balancer.ConnClosed(k.proxy, now, !own && (due || now-k.idle < briefly))
+	if !own && (due || now-k.idle < briefly) {
+		c.balancer.ConnLost(k.proxy, now)
+	} else {
+		c.balancer.ConnClosed(k.proxy)
+	}
 	list := c.conns[k.proxy]
 	for i := range list {
 		if list[i] == k {
@@ -549,8 +554,7 @@
 	if !a.away {
 		k.open--
 	}
-	failed := a.outcome == retry.TimedOut || a.outcome == retry.ConnectionLost || a.outcome == retry.MalformedAnswer
-	c.balancer.RequestEnded(k.proxy, now.Monotonic, failed, a.outcome == retry.Rejected, a.advice)
+	c.balancer.RequestEnded(k.proxy, now.Monotonic, balanceOutcome(a.outcome), a.advice)
 	c.pace.RecordOutcome(now.Monotonic, a.outcome)
 	if a.outcome == retry.TimedOut {
 		c.endLocked(k)
@@ -573,6 +577,17 @@
 	return v, closed
 }
 
+// balanceOutcome is what an attempt's outcome says of its proxy.
+func balanceOutcome(o retry.Outcome) balance.Outcome {
+	switch o {
+	case retry.TimedOut, retry.ConnectionLost, retry.MalformedAnswer:
+		return balance.Failed
+	case retry.Rejected:
+		return balance.Rejected
+	}
+	return balance.Answered
+}
+
 // try makes one try on a connection, and returns how it ended.
 func (c *Client) try(ctx context.Context, k *conn, wire *request.Request, sent, wait time.Duration, info *TryInfo) (a reply) {
 	t := tries.Get().(*try)
