--- a/internal/overload/service.go
+++ b/internal/overload/service.go
@@ -164,7 +164,7 @@
 func (Unpin) event()  {}
 
 // Transition is one change of the level in force. Its fields are the written schema of the
-// records, in docs/operators/service.md; fields may be added, none is renamed or taken out.
+// records, in docs/operators/overload.md; fields may be added, none is renamed or taken out.
 type Transition struct {
 	At             time.Duration `json:"at_ns"` // of the clock that events had
 	From           string        `json:"from"`
