--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,124 +1,299 @@
 package policy
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
 
-// crowded is a balancer whose gates let about the open share through, with classes of worth 1
-// (safe) and 2 (keyed) and two tenants, of which the first has a quota of 50 a second.
-func crowded(t *testing.T, open float64) (*Balancer, time.Duration) {
-	t.Helper()
-	b, now := harness(t)
-	set := *b.settings
-	set.Classes = []Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeightShare: 0.3},
-		{Name: "handover", Idempotency: IdempotentWithKey, DedupWindow: time.Second, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2}}
-	set.Tenants, set.OverQuotaFactor = []Tenant{{Name: "florist", Quota: 50}, {Name: "others"}}, 0.2
-	set.Limits.MaxRetryAfter = 1200 * time.Millisecond
-	if err := b.Reconfigure(set); err != nil {
-		t.Fatal(err)
-	}
-	shut(b, now, open)
-	return b, now
-}
+// The classes and tenants of newSheddingBalancer.
+const (
+	readClass     = 0 // idempotent, of weight 1
+	handoverClass = 1 // with an idempotency key, of weight 2
 
-// pathGates returns the gates of a balancer's paths by whether they expect a hit.
-func pathGates(b *Balancer) map[bool]*admissionGate {
-	return map[bool]*admissionGate{true: &b.paths[hitPath].gate, false: &b.paths[fetchPath].gate}
-}
+	tenantWithQuota    = 0 // 50 requests a second
+	tenantWithoutQuota = 1
+)
 
-// shut sets the gates to an open share as if many had been asked.
-func shut(b *Balancer, now time.Duration, open float64) {
-	for _, g := range pathGates(b) {
-		*g = admissionGate{offered: 1e6, completed: 1e6, inTime: open / admissionSlack * 1e6, updated: now, minRetention: 1}
+// newSheddingBalancer returns a balancer whose gates admit about a share of requests.
+func newSheddingBalancer(t *testing.T, share float64) (*Balancer, time.Duration) {
+	t.Helper()
+	b, now := newTestBalancer(t)
+	settings := *b.settings
+	settings.Classes = []Class{
+		{
+			Name:             "read",
+			LatencyObjective: time.Second,
+			Deadline:         2 * time.Second,
+			PriorityWeight:   1,
+			LateWeightShare:  0.3,
+		},
+		{
+			Name:             "handover",
+			Idempotency:      IdempotentWithKey,
+			DedupWindow:      time.Second,
+			LatencyObjective: time.Second,
+			Deadline:         2 * time.Second,
+			PriorityWeight:   2,
+		},
 	}
-	for _, s := range b.servers {
-		s.gate = admissionGate{}
+	settings.Tenants = []Tenant{{Name: "florist", Quota: 50}, {Name: "others"}}
+	settings.OverQuotaFactor = 0.2
+	settings.Limits.MaxRetryAfter = 1200 * time.Millisecond
+	if err := b.Reconfigure(settings); err != nil {
+		t.Fatal(err)
 	}
+	setGates(b, now, share)
+	return b, now
 }
 
-// passed asks for so many requests and returns the share that was sent on.
-func passed(b *Balancer, now time.Duration, open float64, n int, arrival func(i int) Arrival) float64 {
+// admittedShare offers n requests to gates that admit a share, and returns the share that was sent to a server.
+func admittedShare(b *Balancer, now time.Duration, share float64, n int, arrival func(i int) Arrival) float64 {
 	sends := 0
 	for i := range n {
-		shut(b, now, open)
+		setGates(b, now, share)
 		a := arrival(i)
 		a.Deadline = now + 2*time.Second
-		out := b.Handle(now, a, nil)
-		for _, to := range sent(out) {
+		for _, server := range sendTargets(b.Handle(now, a, nil)) {
 			sends++
-			b.Handle(now, Outcome{ID: a.ID, Server: to, Result: Reset, Final: true}, nil) // tells nothing of load
+			// A reset says nothing of load.
+			b.Handle(now, Outcome{ID: a.ID, Server: server, Result: Reset, Final: true}, nil)
 		}
 	}
 	return float64(sends) / float64(n)
 }
 
-// TestAdmissionIsByWorth guards against gates that shed by chance: handovers, and tenants
-// within their share, go before the rest, and the whole that passes stays what it was.
-func TestAdmissionIsByWorth(t *testing.T) {
-	b, now := crowded(t, 0.5)
-	var sends, asked [3]float64 // handovers, others' reads, reads over the florist's share
+// TestAdmissionIsByWeight guards against gates that shed by chance: handovers, and tenants within their quota, go
+// before the rest, and the share that is admitted in all stays what it was.
+func TestAdmissionIsByWeight(t *testing.T) {
+	const open = 0.5
+	b, now := newSheddingBalancer(t, open)
+	kinds := []struct {
+		name           string
+		arrival        Arrival
+		every          int // rounds
+		offered, admit float64
+	}{
+		{
+			name:    "handovers",
+			arrival: Arrival{Class: handoverClass, Tenant: tenantWithoutQuota, Key: "h", Write: true},
+			every:   10,
+		},
+		{
+			name:    "reads",
+			arrival: Arrival{Tenant: tenantWithoutQuota, Key: "k"},
+			every:   1,
+		},
+		{
+			name:    "reads over quota", // ten times the quota
+			arrival: Arrival{Tenant: tenantWithQuota, Key: "k"},
+			every:   2,
+		},
+	}
 	id := uint64(0)
 	for round := range 2000 {
-		now += time.Millisecond // the florist asks for ten times its share
-		for kind, a := range []Arrival{{Class: 1, Tenant: 1, Key: "h", Write: true}, {Tenant: 1, Key: "k"}, {Tenant: 0, Key: "k"}} {
-			if kind == 0 && round%10 > 0 || kind == 2 && round%2 > 0 {
+		now += time.Millisecond
+		for i := range kinds {
+			kind := &kinds[i]
+			if round%kind.every > 0 {
 				continue
 			}
 			id++
+			a := kind.arrival
 			a.ID = id
-			asked[kind]++
-			sends[kind] += passed(b, now, 0.5, 1, func(int) Arrival { return a })
+			kind.offered++
+			kind.admit += admittedShare(b, now, open, 1, func(int) Arrival { return a })
 		}
 	}
-	for kind := range sends {
-		sends[kind] /= asked[kind]
-	}
-	if sends[0] < 0.99 || sends[1] < 0.5 || sends[2] > 0.3 || sends[2] == 0 {
-		t.Errorf("passed: handovers %.2f, others %.2f, over the share %.2f", sends[0], sends[1], sends[2])
+	share := func(i int) float64 { return kinds[i].admit / kinds[i].offered }
+	if share(0) < 0.99 || share(1) < 0.5 || share(2) > 0.3 || share(2) == 0 {
+		t.Errorf("admitted: handovers %.2f, reads %.2f, reads over quota %.2f", share(0), share(1), share(2))
 	}
-	whole := (sends[0]*asked[0] + sends[1]*asked[1] + sends[2]*asked[2]) / (asked[0] + asked[1] + asked[2])
-	if whole < 0.45 || whole > 0.6 {
-		t.Errorf("in all %.2f passed gates that let half through", whole)
+	admitted := kinds[0].admit + kinds[1].admit + kinds[2].admit
+	offered := kinds[0].offered + kinds[1].offered + kinds[2].offered
+	if total := admitted / offered; total < 0.45 || total > 0.6 {
+		t.Errorf("in all %.2f passed gates that admit half", total)
 	}
 }
 
-// TestAdmissionWithoutWorths guards against settings that tell no worth: all are alike then,
-// and chance decides.
-func TestAdmissionWithoutWorths(t *testing.T) {
-	b, now := crowded(t, 0.5)
+// TestAdmissionWithoutWeights guards against settings that give no weights: all requests are alike then, and chance
+// decides.
+func TestAdmissionWithoutWeights(t *testing.T) {
+	b, now := newSheddingBalancer(t, 0.5)
 	for i := range b.settings.Classes {
 		b.settings.Classes[i].PriorityWeight = 0
 	}
-	share := passed(b, now, 0.5, 4000, func(i int) Arrival { return Arrival{ID: uint64(i + 1), Class: i % 2, Tenant: 1} })
+	share := admittedShare(b, now, 0.5, 4000, func(i int) Arrival {
+		return Arrival{ID: uint64(i + 1), Class: i % 2, Tenant: tenantWithoutQuota}
+	})
 	if share < 0.45 || share > 0.6 {
-		t.Errorf("%.2f passed, want about half", share)
+		t.Errorf("%.2f admitted, want about half", share)
 	}
 }
 
-// TestSharesRefill guards the tenants' shares: what is left comes back with time, no more
-// than a burst of it, and a clock that stands grants nothing.
-func TestSharesRefill(t *testing.T) {
-	b, now := crowded(t, 1)
-	take := func() (within int) {
+// TestQuotasRefill guards the tenants' quotas: what is used comes back with time, no more than a burst of it, and a
+// clock that stands still grants nothing.
+func TestQuotasRefill(t *testing.T) {
+	b, now := newSheddingBalancer(t, 1)
+	charge := func(tenant int) (over bool) {
+		return b.chargeQuota(&request{Arrival: Arrival{Tenant: tenant}})
+	}
+	chargeMany := func() (within int) {
 		b.now = now
 		for range 500 {
-			if !b.chargeQuota(&request{Arrival: Arrival{Tenant: 0}}) {
+			if !charge(tenantWithQuota) {
 				within++
 			}
 		}
 		return within
 	}
-	if first, again := take(), take(); first != 50 || again != 0 {
-		t.Errorf("within the share at first %d, then %d, want 50 and 0", first, again)
+	if first, again := chargeMany(), chargeMany(); first != 50 || again != 0 {
+		t.Errorf("within the quota at first %d, then %d, want 50 and 0", first, again)
 	}
-	if now += 100 * time.Millisecond; take() != 5 {
+	now += 100 * time.Millisecond
+	if chargeMany() != 5 {
 		t.Error("a tenth of a second did not bring a tenth of the quota")
 	}
-	if now += time.Hour; take() != 50 {
+	now += time.Hour
+	if chargeMany() != 50 {
 		t.Error("an hour did not bring one burst")
 	}
-	if b.chargeQuota(&request{Arrival: Arrival{Tenant: 1}}) || b.chargeQuota(&request{Arrival: Arrival{Tenant: 7}}) {
+	const noTenant = 7
+	if charge(tenantWithoutQuota) || charge(noTenant) {
 		t.Error("a tenant without a quota is over it")
 	}
 }
+
+// TestGateClosesAndReopens guards against queues that retries keep full, and against rejections that outlast their
+// cause.
+func TestGateClosesAndReopens(t *testing.T) {
+	b, now := newTestBalancer(t)
+	id := uint64(0)
+	run := func(requests int, latency time.Duration) (share float64) {
+		sends := 0
+		for range requests {
+			now += 5 * time.Millisecond
+			id++
+			actions := b.Handle(now, Arrival{ID: id, Deadline: now + 3*time.Second}, nil)
+			for _, server := range sendTargets(actions) {
+				sends++
+				outcome := Outcome{ID: id, Server: server, Result: Served, Took: latency, Final: true}
+				b.Handle(now+latency, outcome, nil)
+			}
+		}
+		return float64(sends) / float64(requests)
+	}
+	const inTime, late = 20 * time.Millisecond, 1500 * time.Millisecond
+	run(400, inTime)
+	run(1200, late)
+	if share := run(200, late); share > 0.3 {
+		t.Errorf("%.2f still sent when all answers are late", share)
+	}
+	run(2000, inTime)
+	if share := run(400, inTime); share < 0.99 {
+		t.Errorf("%.2f sent ten seconds after the recovery", share)
+	}
+}
+
+// runSlowly gives a balancer n requests, two a second, whose attempts all end with a result. It returns the share of
+// the second half that was sent.
+func runSlowly(b *Balancer, now time.Duration, n int, result Result) float64 {
+	sends := 0
+	for i := range n {
+		now += 500 * time.Millisecond
+		id := uint64(i + 1)
+		servers := sendTargets(b.Handle(now, Arrival{ID: id, Key: fmt.Sprint(i), Deadline: now + time.Second}, nil))
+		if i >= n/2 && len(servers) > 0 {
+			sends++
+		}
+		for number := 0; len(servers) > 0; number++ {
+			outcome := Outcome{ID: id, Attempt: number, Server: servers[0], Result: result}
+			servers = sendTargets(b.Handle(now, outcome, nil))
+		}
+		b.Handle(now, ClientLeft{ID: id}, nil)
+	}
+	return float64(sends) / float64((n+1)/2)
+}
+
+// TestGateOfFewRequestsCloses guards against many proxies of few requests each, none of which sees enough within the
+// gate's memory to shut it on a failed origin.
+func TestGateOfFewRequestsCloses(t *testing.T) {
+	b, now := newTestBalancer(t)
+	if share := runSlowly(b, now, 200, Errored); share > 0.25 {
+		t.Errorf("%.2f still sent when every fetch fails", share)
+	}
+}
+
+// TestFailedConnectionsKeepTheGateOpen guards against sites that are cut off: no result from there says anything about
+// the load elsewhere.
+func TestFailedConnectionsKeepTheGateOpen(t *testing.T) {
+	b, now := newTestBalancer(t)
+	if share := runSlowly(b, now, 200, ConnectFailed); share < 0.9 {
+		t.Errorf("%.2f sent when connections fail", share)
+	}
+}
+
+// TestLostAnswersAreNoOverload guards against a server that takes requests and never answers: the gates would shut for
+// all, though nothing is busy.
+func TestLostAnswersAreNoOverload(t *testing.T) {
+	b, now := newTestBalancer(t)
+	const (
+		interval = 5 * time.Millisecond
+		patience = 700 * time.Millisecond
+	)
+	lost, shed := map[uint64]bool{}, 0
+	for i := range uint64(2000) {
+		now += interval
+		if id := i + 1 - uint64(patience/interval); lost[id] {
+			b.Handle(now, TimerFired{Token: id<<timerKindBits | timerDeadline}, nil)
+			b.Handle(now, Outcome{ID: id, Server: "a", Result: Cancelled, Took: patience, Final: true}, nil)
+		}
+		id := i + 1
+		deadline := now + patience + time.Millisecond
+		actions := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint(i % 50), Deadline: deadline}, nil)
+		switch servers := sendTargets(actions); {
+		case len(servers) == 0:
+			shed++
+		case servers[0] == "a":
+			lost[id] = true
+		default:
+			outcome := Outcome{ID: id, Server: servers[0], Result: Served, Took: 20 * time.Millisecond, Final: true}
+			b.Handle(now, outcome, nil)
+		}
+	}
+	if len(lost) > 16 || shed > 8 {
+		t.Errorf("of 2000 requests %d were lost and %d shed", len(lost), shed)
+	}
+}
+
+// TestGatesSpareOnlyEjectedServers guards the gates in an overload: a queue that stays full for a second makes its
+// server look faulty. It must shut the gates all the same, and is not made up for at another server, whose queue it
+// would fill.
+func TestGatesSpareOnlyEjectedServers(t *testing.T) {
+	for _, c := range []struct {
+		logOdds float64 // before the failure; the probabilities after it are about 0.27, 0.73 and 0.95
+		spared  bool
+	}{
+		{0, false},
+		{2, false},
+		{6, true},
+	} {
+		t.Run(fmt.Sprint(c.logOdds), func(t *testing.T) {
+			b := newFleetBalancer(t, 5)
+			actions := b.Handle(time.Hour, Arrival{ID: 1, Key: "k", Deadline: time.Hour + 2*time.Second}, nil)
+			server := sendTargets(actions)[0]
+			suspicion := &b.servers[server].suspicions[0]
+			suspicion.Decay(time.Hour, time.Second)
+			suspicion.LogOdds = c.logOdds
+			outcome := Outcome{ID: 1, Server: server, Result: Rejected, Took: time.Millisecond}
+			actions = b.Handle(time.Hour+time.Millisecond, outcome, nil)
+			if retried := len(sendTargets(actions)) > 0; retried != c.spared {
+				t.Errorf("retried: %v", retried)
+			}
+			completed := b.paths[fetchPath].gate.completed + b.paths[hitPath].gate.completed
+			if completed > 0 == c.spared {
+				t.Errorf("%.2f completions counted at the gates", completed)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/endpoints_test.go
@@ -0,0 +1,110 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/bloom"
+)
+
+// TestDrainingServerGetsNothing guards the drain rule at the change itself.
+func TestDrainingServerGetsNothing(t *testing.T) {
+	b, now := newTestBalancer(t)
+	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{
+		{Server: "a", State: Draining},
+		{Server: "b", State: Removed},
+		{Server: "c", State: Draining},
+	}}, nil)
+	for i := range uint64(50) {
+		now += time.Millisecond
+		actions := b.Handle(now, Arrival{ID: i + 1, Deadline: now + time.Second}, nil)
+		for _, server := range sendTargets(actions) {
+			if server != "d" {
+				t.Fatalf("sent to %s", server)
+			}
+		}
+	}
+}
+
+// TestRestartEmptiesTheFilter guards against hits expected from a cache that has started anew.
+func TestRestartEmptiesTheFilter(t *testing.T) {
+	b, now := newTestBalancer(t)
+	s := b.servers["a"]
+	positions := bloom.PositionsOf(bloom.Hash("k"))
+	s.filter.Add(&positions)
+	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{{Server: "a", StartedAt: now}}}, nil)
+	if s.filter.Contains(&positions) {
+		t.Error("the filter survived a restart")
+	}
+}
+
+// TestRemovedServersAreForgotten guards against a map that grows with each server replaced, where names are ever new.
+func TestRemovedServersAreForgotten(t *testing.T) {
+	b, now := newTestBalancer(t)
+	for i := range 200 {
+		now += time.Second
+		b.Handle(now, EndpointUpdate{Version: uint64(i + 2), Endpoints: []Endpoint{
+			{Server: fmt.Sprint("n", i)},
+			{Server: fmt.Sprint("n", i-1), State: Removed},
+		}}, nil)
+	}
+	if len(b.servers) > 30 {
+		t.Errorf("%d servers known where 4 are listed", len(b.servers))
+	}
+}
+
+// TestSubscribeBackoffLeavesTimeForDrains: a subscription counts as silent 3 s after its last message, and what it
+// missed counts as known 6 s after it fell silent. The wait before the next call must leave a good part of the rest,
+// whatever interval the settings give for polling. Failures in a row wait longer, and calls are spread.
+func TestSubscribeBackoffLeavesTimeForDrains(t *testing.T) {
+	const (
+		silentAfter = 3 * time.Second
+		knownAfter  = 6 * time.Second
+		callTimeout = 3 * time.Second
+	)
+	for _, poll := range []time.Duration{0, time.Second, 4 * time.Second, 10 * time.Second, time.Minute} {
+		t.Run(poll.String(), func(t *testing.T) {
+			shortest, longest, longestSecond := time.Hour, time.Duration(0), time.Duration(0)
+			for seed := range uint64(200) {
+				waits := subscribeBackoffs(t, poll, seed)
+				shortest, longest = min(shortest, waits[0]), max(longest, waits[0])
+				longestSecond = max(longestSecond, waits[1])
+				// However many calls have failed, one more that takes its time is over before a change counts.
+				for _, wait := range waits[2:] {
+					if wait > knownAfter-callTimeout {
+						t.Fatalf("a further wait is %v", wait)
+					}
+				}
+			}
+			if longest > knownAfter-silentAfter-500*time.Millisecond {
+				t.Errorf("the first wait is up to %v", longest)
+			}
+			if poll > 0 && (longest < 2*shortest || longestSecond <= longest) {
+				t.Errorf("the first wait is %v to %v, the second up to %v", shortest, longest, longestSecond)
+			}
+		})
+	}
+}
+
+// subscribeBackoffs returns the waits after six calls for the endpoint list that fail in a row.
+func subscribeBackoffs(t *testing.T, poll time.Duration, seed uint64) (waits [6]time.Duration) {
+	t.Helper()
+	b, err := New(Settings{
+		Classes:            []Class{{LatencyObjective: time.Second, Deadline: time.Second}},
+		EndpointsOnRequest: true,
+		Rules:              Rules{MaxPollInterval: poll},
+	}, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsCached}, nil)
+	for i := range waits {
+		for _, a := range b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsUnavailable}, nil) {
+			if a.Kind == SetTimer {
+				waits[i] = a.After
+			}
+		}
+	}
+	return waits
+}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,7 +10,12 @@
 // One proxy routes one request to the only server of its list.
 func Example() {
 	b, err := policy.New(policy.Settings{
-		Classes:    []policy.Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
+		Classes: []policy.Class{{
+			Name:             "read",
+			LatencyObjective: 300 * time.Millisecond,
+			Deadline:         time.Second,
+			PriorityWeight:   1,
+		}},
 		ProxyCount: 1,
 		Limits:     policy.Limits{MaxAttempts: 2},
 	}, 1)
@@ -18,18 +23,19 @@
 		fmt.Println(err)
 		return
 	}
-	list := policy.EndpointUpdate{Kind: policy.EndpointsCached, Endpoints: []policy.Endpoint{{Server: "cache-1"}}}
-	b.Handle(0, list, nil)
+	endpoints := []policy.Endpoint{{Server: "cache-1"}}
+	b.Handle(0, policy.EndpointUpdate{Kind: policy.EndpointsCached, Endpoints: endpoints}, nil)
 	now := 5 * time.Millisecond
-	for _, a := range b.Handle(now, policy.Arrival{ID: 7, Key: "item-12", Deadline: now + time.Second}, nil) {
+	arrival := policy.Arrival{ID: 7, Key: "item-12", Deadline: now + time.Second}
+	for _, a := range b.Handle(now, arrival, nil) {
 		switch a.Kind {
 		case policy.SetTimer:
-			fmt.Println("wake after", a.After)
+			fmt.Println("set a timer for", a.After)
 		case policy.Send:
 			fmt.Println("send", a.ID, "to", a.Server)
 		}
 	}
 	// Output:
-	// wake after 1s
+	// set a timer for 1s
 	// send 7 to cache-1
 }
--- /dev/null
+++ b/policy/outlier_test.go
@@ -0,0 +1,297 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/outlier"
+)
+
+// TestFaultyServersAreLearntFromFewRequests guards a proxy that meets a server once in three seconds: what fails time
+// and again gets little within half a minute, however healthy it was before.
+func TestFaultyServersAreLearntFromFewRequests(t *testing.T) {
+	b := newFleetBalancer(t, 1)
+	isFaulty := func(s string) bool { return s == "s03" || s == "s17" || s == "s31" || s == "s44" }
+	_, now := runRequests(b, time.Hour, 0, 600, resultWhere(Served, noServer))
+	_, now = runRequests(b, now, 1000, 600, resultWhere(Errored, isFaulty))
+	firstAttempts, _ := runRequests(b, now, 2000, 600, resultWhere(Errored, isFaulty))
+	got := sumWhere(firstAttempts, isFaulty)
+	if got > 20 { // 40 are their share
+		t.Errorf("%d of 600 requests still go to four faulty servers of sixty", got)
+	}
+	if got == 0 {
+		t.Error("nothing goes to them any more: their recovery would not be seen")
+	}
+}
+
+// TestLostZoneIsLearntAsOne guards against a proxy that has to learn about each server of a lost zone by itself.
+func TestLostZoneIsLearntAsOne(t *testing.T) {
+	b := newFleetBalancer(t, 2)
+	isLost := func(server string) bool { return b.servers[server].Zone == 2 }
+	_, now := runRequests(b, time.Hour, 0, 200, resultWhere(Served, noServer))
+	_, now = runRequests(b, now, 1000, 20, resultWhere(ConnectFailed, isLost))
+	firstAttempts, _ := runRequests(b, now, 2000, 100, resultWhere(ConnectFailed, isLost))
+	if got := sumWhere(firstAttempts, isLost); got > 2 { // 25 are its share
+		t.Errorf("a second after a zone was lost %d of 100 requests still go there", got)
+	}
+}
+
+// TestFailuresEverywhereEjectNoServer guards the gates: failures at all servers are load, and must count.
+func TestFailuresEverywhereEjectNoServer(t *testing.T) {
+	b := newFleetBalancer(t, 3)
+	now, n := time.Hour, 0
+	for range 20 {
+		for _, s := range b.serving {
+			now += 20 * time.Millisecond
+			b.now = now
+			n++
+			sample := healthSample{}
+			if n%7 < 4 {
+				sample = healthSample{failed: 1, unreached: 1}
+			}
+			b.recordHealth(s, &attempt{server: s, sentAt: now}, 0, sample)
+		}
+	}
+	faulty := 0
+	for _, s := range b.serving {
+		if b.faultProbability(s, 0) >= 0.5 {
+			faulty++
+		}
+	}
+	if faulty > len(b.serving)/10 {
+		t.Errorf("%d of %d servers count as faulty where four in seven attempts fail", faulty, len(b.serving))
+	}
+}
+
+// TestAttemptsInFlightTogetherFailOnce guards healthy servers that pause, or lose a connection, under many requests:
+// each such moment would move all keys of a server for seconds.
+func TestAttemptsInFlightTogetherFailOnce(t *testing.T) {
+	b := newFleetBalancer(t, 4)
+	now := time.Hour + time.Second
+	const requests = 20
+	for id := uint64(1); id <= requests; id++ {
+		for _, s := range b.serving[1:] { // all requests go to one server
+			s.backoffUntil = now + time.Minute
+		}
+		b.Handle(now, Arrival{ID: id, Key: fmt.Sprint("k", id), Deadline: now + 2*time.Second}, nil)
+	}
+	server := b.serving[0]
+	const latency = 100 * time.Millisecond
+	for id := uint64(1); id <= requests; id++ {
+		b.Handle(now+latency, Outcome{ID: id, Server: server.Server, Result: Reset, Took: latency}, nil)
+	}
+	b.now = now + latency
+	if p := b.faultProbability(server, 0); p >= 0.5 || p == 0 {
+		t.Errorf("one connection's end under twenty requests gives a fault probability of %.2f", p)
+	}
+}
+
+// faultAfter records thirty attempts a second for some seconds at one server. Those that fail do so after half a
+// second, the others are answered at once. It returns the fault probability at the end.
+func faultAfter(t *testing.T, seconds int, fails func(i int) bool) float64 {
+	b := newFleetBalancer(t, 5)
+	type completion struct {
+		at      time.Duration
+		attempt *attempt
+		sample  healthSample
+	}
+	var completions []completion
+	s := b.serving[0]
+	for i := range 30 * seconds {
+		sentAt := time.Hour + time.Second + time.Duration(i)*time.Second/30
+		c := completion{at: sentAt + 50*time.Millisecond, attempt: &attempt{server: s, sentAt: sentAt}}
+		if fails(i) {
+			c.at, c.sample.failed = sentAt+500*time.Millisecond, 1
+		}
+		completions = append(completions, c)
+	}
+	slices.SortStableFunc(completions, func(x, y completion) int { return int(x.at - y.at) })
+	for _, c := range completions {
+		b.now = c.at
+		b.recordHealth(s, c.attempt, 0, c.sample)
+		for _, other := range b.serving[1:] { // which are healthy
+			b.recordHealth(other, &attempt{server: other, sentAt: b.now}, 0, healthSample{})
+		}
+	}
+	return b.faultProbability(s, 0)
+}
+
+// TestSlowServerOfManyRequestsIsEjected guards a busy proxy: most of what it sends to a server is late and the rest is
+// answered, so a failure that was in flight with another must count again once something was answered between them.
+func TestSlowServerOfManyRequestsIsEjected(t *testing.T) {
+	p := faultAfter(t, 4, func(i int) bool { return i*7%10 < 7 })
+	if p < ejectionProbability-outlier.PriorProbability {
+		t.Errorf("a server that fails seven in ten of thirty requests a second has a fault probability of %.2f", p)
+	}
+	if p := faultAfter(t, 4, func(i int) bool { return i%12 == 0 }); p > singleFailureProbability {
+		t.Errorf("a server that fails one in twelve has a fault probability of %.2f", p)
+	}
+	// A pause of 0.3 s: all that is sent in it is late, and nothing is answered meanwhile.
+	if p := faultAfter(t, 1, func(i int) bool { return i >= 21 }); p > singleFailureProbability {
+		t.Errorf("a server that paused once has a fault probability of %.2f", p)
+	}
+}
+
+// answer is how a simulated server answers an attempt.
+type answer struct {
+	latency time.Duration // 0 for never
+	status  CacheStatus
+}
+
+// runShortObjective plays requests at twelve servers, one each 5 ms, of a class whose latency objective is little more
+// than a fetch takes. Timers fire at their time. It returns the balancer.
+func runShortObjective(t *testing.T, length time.Duration, answers func(server string, request int) answer) *Balancer {
+	t.Helper()
+	const patience = 670 * time.Millisecond
+	b, err := New(Settings{
+		Classes: []Class{{
+			LatencyObjective: 150 * time.Millisecond,
+			Deadline:         patience,
+			PriorityWeight:   1,
+			LateWeightShare:  0.3,
+		}},
+		ProxyCount: 2,
+		Zones:      []string{"a"},
+		Limits:     Limits{MaxAttempts: 3, AllowCancel: true, AllowHedging: true},
+	}, 6)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var endpoints []Endpoint
+	for i := range 12 {
+		endpoints = append(endpoints, Endpoint{Server: fmt.Sprintf("s%02d", i)})
+	}
+	start := time.Hour
+	b.Handle(start, EndpointUpdate{Kind: EndpointsCached, Endpoints: endpoints}, nil)
+	events := eventQueue{attempts: make(map[uint64]int)}
+	for i, now := 0, start; now < start+length; i, now = i+1, now+5*time.Millisecond {
+		key := fmt.Sprint("k", i%997)
+		events.add(now, Arrival{ID: uint64(i + 1), Tenant: -1, Key: key, Deadline: now + patience})
+		for events.isDue(now) {
+			event := events.take()
+			for _, a := range b.Handle(event.at, event.event, nil) {
+				events.carryOut(event.at, a, func(server string) answer { return answers(server, i) })
+			}
+		}
+	}
+	return b
+}
+
+// eventQueue holds events that are still to come, and how many attempts each request has had.
+type eventQueue struct {
+	events   []timedEvent
+	attempts map[uint64]int
+}
+
+type timedEvent struct {
+	at    time.Duration
+	event Event
+}
+
+func (q *eventQueue) add(at time.Duration, event Event) {
+	q.events = append(q.events, timedEvent{at, event})
+}
+
+// isDue reports whether an event is due at now, and brings the earliest to the front.
+func (q *eventQueue) isDue(now time.Duration) bool {
+	slices.SortStableFunc(q.events, func(x, y timedEvent) int { return int(x.at - y.at) })
+	return len(q.events) > 0 && q.events[0].at <= now
+}
+
+func (q *eventQueue) take() timedEvent {
+	first := q.events[0]
+	q.events = q.events[1:]
+	return first
+}
+
+// carryOut adds the events that follow an action.
+func (q *eventQueue) carryOut(now time.Duration, a Action, answers func(server string) answer) {
+	switch a.Kind {
+	case Send:
+		number := q.attempts[a.ID]
+		q.attempts[a.ID]++
+		if answer := answers(a.Server); answer.latency > 0 {
+			q.add(now+answer.latency, Outcome{
+				ID:          a.ID,
+				Attempt:     number,
+				Server:      a.Server,
+				Result:      Served,
+				Took:        answer.latency,
+				CacheStatus: answer.status,
+				Final:       true,
+			})
+		}
+	case SetTimer:
+		q.add(now+a.After, TimerFired{Token: a.Token})
+	case Cancel:
+		q.add(now, Outcome{ID: a.ID, Attempt: a.Attempt, Result: Cancelled})
+	}
+}
+
+// TestFetchesOfAShortObjectiveAreNoFailures guards healthy fleets whose latency objective is little more than a fetch
+// takes: a fetch that takes as long as usual must not count as a failure, or healthy servers would be avoided and their
+// keys fetched elsewhere.
+func TestFetchesOfAShortObjectiveAreNoFailures(t *testing.T) {
+	usual := func(_ string, i int) answer {
+		switch {
+		case i%4 == 1:
+			return answer{110 * time.Millisecond, CacheMiss}
+		case i%16 == 2:
+			return answer{95 * time.Millisecond, CacheHit}
+		}
+		return answer{40 * time.Millisecond, CacheHit}
+	}
+	b := runShortObjective(t, 6*time.Second, usual)
+	for _, s := range b.serving {
+		if p := b.faultProbability(s, 0); p > singleFailureProbability {
+			t.Errorf("%s is healthy and has a fault probability of %.2f", s.Server, p)
+		}
+	}
+	if rate := b.baselineFailureRate(0); rate > 2*outlier.HealthyFailureRate {
+		t.Errorf("%.2f of attempts at healthy servers count as failed", rate)
+	}
+	b = runShortObjective(t, 6*time.Second, func(server string, i int) answer {
+		if server == "s03" && i > 400 {
+			return answer{} // silent from then on
+		}
+		return usual(server, i)
+	})
+	if p := b.faultProbability(b.servers["s03"], 0); p < 0.5 {
+		t.Errorf("a silent server has a fault probability of %.2f", p)
+	}
+}
+
+// TestSuspectsAreAvoidedWhereMetSeldom guards the origin: a server that pauses may look faulty for seconds, and each
+// of its keys that is asked elsewhere meanwhile is a fetch. A busy proxy knows soon enough; one that meets a server
+// once in seconds cannot wait.
+func TestSuspectsAreAvoidedWhereMetSeldom(t *testing.T) {
+	const often, seldom = time.Millisecond, 50 * time.Millisecond // between two requests of the proxy
+	for _, c := range []struct {
+		name     string
+		interval time.Duration
+		logOdds  float64
+		avoided  bool
+	}{
+		{"often, suspected", often, 4.5, false},
+		{"often, ejected", often, 8, true},
+		{"seldom, suspected", seldom, 4.5, true},
+		{"seldom, after one failure", seldom, 2, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFleetBalancer(t, 7)
+			b.now = time.Hour
+			for range 2000 {
+				b.now += c.interval
+				b.connectionFailures.Observe(b.now, 1, 0)
+			}
+			s := b.serving[0]
+			s.suspicions[0].Decay(b.now, outlier.DecayTime)
+			s.suspicions[0].LogOdds = c.logOdds
+			if got := b.avoidanceCost(s, 0); got > 0 != c.avoided {
+				t.Errorf("fault probability %.2f, avoidance cost %.2f", b.faultProbability(s, 0), got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/pause_test.go
@@ -0,0 +1,124 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// TestPauseSaysNothingOfServers guards what a proxy has learnt against a pause of its own: what was in flight completes
+// late, all at once; no server is worse for it, no gate opens by it and no filter forgets.
+func TestPauseSaysNothingOfServers(t *testing.T) {
+	t.Run("notified", func(t *testing.T) {
+		p := newPausedProxy(t)
+		p.pause()
+		p.balancer.Handle(p.now, ProcessPaused{Duration: pauseLength}, nil)
+		p.completeAll()
+		if hurt, decayed := p.isHurt(), p.offered() < p.offeredBefore; hurt || decayed {
+			t.Errorf("hurt %v, gate decayed %v: processing time %v to %v, %v of %v offered",
+				hurt, decayed, p.processingTimeBefore, p.balancer.processingTime, p.offered(), p.offeredBefore)
+		}
+	})
+	t.Run("not notified", func(t *testing.T) {
+		p := newPausedProxy(t)
+		p.pause()
+		p.completeAll()
+		if !p.isHurt() {
+			t.Error("nothing was hurt without the notification: the test shows nothing")
+		}
+	})
+}
+
+// pausedProxy is a balancer that has served some requests, with more in flight as its process is paused.
+type pausedProxy struct {
+	balancer *Balancer
+	now      time.Duration
+	lastID   uint64
+	inFlight map[uint64]string // server by request
+
+	processingTimeBefore, offeredBefore float64
+}
+
+func newPausedProxy(t *testing.T) *pausedProxy {
+	t.Helper()
+	b, err := New(Settings{
+		ProxyCount:    3,
+		Zones:         []string{"a"},
+		MachineKinds:  []string{"k"},
+		OriginKind:    -1,
+		EventInterval: 5 * time.Millisecond,
+		Classes: []Class{
+			{Name: "read", LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
+		},
+		Limits: Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true},
+		Rules:  Rules{SlowStartShare: 0.3, SlowStartWindow: time.Second},
+	}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var endpoints []Endpoint
+	for _, name := range []string{"x", "y", "z"} {
+		endpoints = append(endpoints, Endpoint{Server: name, State: Serving, Weight: 1})
+	}
+	b.Handle(0, EndpointUpdate{Version: 1, Kind: EndpointsFull, Endpoints: endpoints}, nil)
+	p := &pausedProxy{balancer: b, inFlight: map[uint64]string{}}
+	for range 200 {
+		p.arrive()
+		p.now += 20 * time.Millisecond
+		p.complete(p.lastID, Served, 20*time.Millisecond)
+	}
+	p.processingTimeBefore, p.offeredBefore = b.processingTime, p.offered()
+	for range 20 {
+		p.arrive()
+	}
+	return p
+}
+
+func (p *pausedProxy) offered() float64 { return p.balancer.paths[hitPath].gate.offered }
+
+func (p *pausedProxy) arrive() {
+	p.lastID++
+	key := string(rune('a' + p.lastID%7))
+	arrival := Arrival{ID: p.lastID, Key: key, Deadline: p.now + 2*time.Second}
+	for _, a := range p.balancer.Handle(p.now, arrival, nil) {
+		if a.Kind == Send {
+			p.inFlight[a.ID] = a.Server
+		}
+	}
+}
+
+func (p *pausedProxy) complete(id uint64, result Result, latency time.Duration) {
+	server, ok := p.inFlight[id]
+	if !ok {
+		return
+	}
+	p.balancer.Handle(p.now, Outcome{ID: id, Server: server, Result: result, Took: latency, CacheStatus: CacheHit}, nil)
+	delete(p.inFlight, id)
+}
+
+const pauseLength = 1500 * time.Millisecond
+
+func (p *pausedProxy) pause() { p.now += pauseLength }
+
+// completeAll ends what was in flight in the pause: half of it timed out, the rest was answered.
+func (p *pausedProxy) completeAll() {
+	for id, server := range p.inFlight {
+		if id%2 == 0 {
+			p.complete(id, TimedOut, 20*time.Millisecond)
+			continue
+		}
+		outcome := Outcome{ID: id, Server: server, Result: Served, Took: pauseLength, CacheStatus: CacheHit}
+		p.balancer.Handle(p.now, outcome, nil)
+	}
+	p.balancer.now = p.now
+}
+
+// isHurt reports whether the pause has changed what is thought of servers or of load.
+func (p *pausedProxy) isHurt() bool {
+	b := p.balancer
+	hurt := b.processingTime > 1.05*p.processingTimeBefore || b.paths[hitPath].gate.admitShare(admissionPrior) < 1
+	for _, s := range b.serving {
+		hurt = hurt || s.consecutiveFailures > 0 || b.faultProbability(s, 0) > singleFailureProbability ||
+			s.backoffUntil > p.now
+	}
+	return hurt
+}
--- /dev/null
+++ b/policy/rendezvous_test.go
@@ -0,0 +1,88 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+const testZones = 4
+
+// newZonalBalancer returns a balancer as one of eighty proxies over sixty servers in four zones, to which each server
+// keeps so many connections.
+func newZonalBalancer(t *testing.T, connections float64) *Balancer {
+	t.Helper()
+	b := newFleetBalancer(t, 1)
+	settings := *b.settings
+	settings.ConnectionsPerServer = connections
+	settings.Costs = Costs{OriginFetch: 0.15, CrossZone: 0.02, Handshake: 0.115}
+	if err := b.Reconfigure(settings); err != nil {
+		t.Fatal(err)
+	}
+	var endpoints []Endpoint
+	for _, s := range b.servers {
+		endpoints = append(endpoints, s.Endpoint)
+	}
+	b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsFull, Endpoints: endpoints}, nil)
+	return b
+}
+
+// requestsByZone gives a balancer n requests for new keys and returns how many go to each zone, its own one first.
+func requestsByZone(b *Balancer, n int) (zones [testZones]int) {
+	firstAttempts, _ := runRequests(b, time.Hour, 0, n, func(string) Result { return Served })
+	for server, got := range firstAttempts {
+		zones[b.servers[server].Zone] += got
+	}
+	return zones
+}
+
+// TestZonalHomesFollowConnections guards few connections, and the origin where they are many: keys have a home in each
+// zone only where a handshake and a zone crossing saved weigh more than the fetches that it costs.
+func TestZonalHomesFollowConnections(t *testing.T) {
+	if got := requestsByZone(newZonalBalancer(t, 0.2), 400); got[0] < 350 {
+		t.Errorf("with a connection to a fifth of the servers %v requests go to the zones", got)
+	}
+	for _, connections := range []float64{0, 1, 5} { // 0: no bound
+		for zone, n := range requestsByZone(newZonalBalancer(t, connections), 400) {
+			if n < 60 || n > 140 {
+				t.Errorf("with %v connections zone %d of four gets %d of 400 requests", connections, zone, n)
+			}
+		}
+	}
+	b := newZonalBalancer(t, 0.2)
+	settings := *b.settings
+	settings.Costs.Handshake = 0
+	if err := b.Reconfigure(settings); err != nil {
+		t.Fatal(err)
+	}
+	if b.zonalHomes {
+		t.Error("homes in each zone stay after handshakes cost nothing any more")
+	}
+	if got := requestsByZone(b, 400); got[0] > 140 {
+		t.Errorf("where handshakes cost nothing %v requests go to the zones", got)
+	}
+}
+
+// TestLostZoneOfZonalHomesIsAvoided guards the proxies of a zone whose servers cannot be reached: they must not go on
+// asking there, nor reject what others could serve.
+func TestLostZoneOfZonalHomesIsAvoided(t *testing.T) {
+	b := newZonalBalancer(t, 0.2)
+	isOwnZone := func(server string) bool { return b.servers[server].Zone == 0 }
+	result := resultWhere(ConnectFailed, isOwnZone)
+	_, now := runRequests(b, time.Hour, 0, 100, result)
+	firstAttempts, _ := runRequests(b, now, 100, 200, result)
+	lost := sumWhere(firstAttempts, isOwnZone)
+	all := sumWhere(firstAttempts, func(string) bool { return true })
+	if all < 195 || lost > all/5 {
+		t.Errorf("of 200 requests %d are sent, %d of them to the lost zone", all, lost)
+	}
+}
+
+// TestFullOriginGathersHomes guards the origin: while a fetch takes much longer than the baseline, keys go to the home
+// that all proxies ask.
+func TestFullOriginGathersHomes(t *testing.T) {
+	b := newZonalBalancer(t, 0.2)
+	b.missPenalty, b.baselineMissPenalty = 0.4, 0.1
+	if got := requestsByZone(b, 200); got[0] > 100 {
+		t.Errorf("with a queue at the origin %v of 200 requests go to the zones", got)
+	}
+}
--- /dev/null
+++ b/policy/slowstart_test.go
@@ -0,0 +1,166 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+// TestWarmingServerGetsItsShare guards against a start's burst: a server that warms up looks idle and fast, and would
+// be sent everything.
+func TestWarmingServerGetsItsShare(t *testing.T) {
+	b, now := newTestBalancer(t, "d")
+	toWarming, all := 0, 0
+	for i := range uint64(400) {
+		now += 5 * time.Millisecond
+		actions := b.Handle(now, Arrival{ID: i + 1, Key: fmt.Sprint(i), Deadline: now + time.Second}, nil)
+		for _, server := range sendTargets(actions) {
+			all++
+			if server == "d" {
+				toWarming++
+			}
+			outcome := Outcome{ID: i + 1, Server: server, Result: Served, Took: 20 * time.Millisecond, Final: true}
+			b.Handle(now, outcome, nil)
+		}
+	}
+	// 2 s at a fifth of a warm server's hundred or so, slowStartMargin times, and one more by chance.
+	if all != 400 || toWarming > 30 || toWarming == 0 {
+		t.Errorf("the warming server got %d of %d", toWarming, all)
+	}
+}
+
+// TestWarmingServerIsNotFaulty guards new servers: they are slow and ask the origin since they are not warm yet.
+func TestWarmingServerIsNotFaulty(t *testing.T) {
+	b, now := newTestBalancer(t, "d")
+	s := b.servers["d"]
+	for i := range 10 {
+		b.now = now + time.Duration(i)*time.Second
+		b.recordHealth(s, &attempt{server: s, sentAt: b.now}, 0, healthSample{failed: 1, unreached: 1})
+	}
+	if p := b.faultProbability(s, 0); p > 0 {
+		t.Errorf("ten late answers of a warming server give a fault probability of %.2f", p)
+	}
+}
+
+// TestMostServersWarmingUp guards the warm servers: where six in ten have just started, what those may not take
+// overflows the others. It guards the warming ones too: no window of the rule's length may bring one of them more than
+// the multiple of its share.
+func TestMostServersWarmingUp(t *testing.T) {
+	const (
+		warming = 36
+		warm    = 24
+		share   = 0.3
+
+		window           = 1000 // requests
+		overloadMultiple = 3
+	)
+	b := newFleetBalancer(t, 5)
+	b.settings.Rules.SlowStartShare, b.settings.Rules.SlowStartWindow = share, time.Hour
+	now := time.Hour + time.Second
+	var started []Endpoint
+	for i := range warming {
+		started = append(started, Endpoint{Server: fmt.Sprintf("s%02d", i), Zone: i % 4, StartedAt: now})
+	}
+	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: started}, nil)
+	dueEach := share / (warm + warming*share)
+	all, toWarming := 0, 0
+	inWindow := make(map[string]int)
+	for id := uint64(1); id <= 5*window; id++ {
+		now += 5 * time.Millisecond
+		actions := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint("k", id), Deadline: now + 2*time.Second}, nil)
+		for _, server := range sendTargets(actions) {
+			all++
+			if b.capacityShare(b.servers[server]) < 1 {
+				toWarming++
+				inWindow[server]++
+				if float64(inWindow[server]) > overloadMultiple*dueEach*window {
+					t.Fatalf("%s got %d of %d requests", server, inWindow[server], window)
+				}
+			}
+			b.Handle(now, Outcome{ID: id, Server: server, Result: Served, Took: time.Millisecond}, nil)
+		}
+		if id%window == 0 {
+			clear(inWindow)
+		}
+	}
+	// A part of the tokens is never used: the keys of a warming server do not come when it has some.
+	due := warming * dueEach
+	if got := float64(toWarming) / float64(all); got < due/2 || got > 1.5*due {
+		t.Errorf("%.2f of all sends go to warming servers, due are %.2f and half of them at least", got, due)
+	}
+}
+
+// TestWarmingServerGetsItsShareOfFewRequests guards a warming server among sixty, met by proxies that see twenty
+// requests a second each: all together send it some of its due share from the first seconds on, and no more. The rest
+// is lost, as a proxy that has tokens left seldom has a key of the server.
+func TestWarmingServerGetsItsShareOfFewRequests(t *testing.T) {
+	const requests = 100 // of each proxy, in 5 s
+	toNew, all := 0, 0
+	for seed := range uint64(80) {
+		b := newFleetBalancer(t, seed)
+		b.settings.Rules = Rules{SlowStartShare: 0.2, SlowStartWindow: 8 * time.Second}
+		started := []Endpoint{{Server: "new", StartedAt: time.Hour}}
+		b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsDelta, Endpoints: started}, nil)
+		firstAttempts, _ := runRequests(b, time.Hour, 0, requests, resultWhere(Served, noServer))
+		toNew += firstAttempts["new"]
+		all += requests
+	}
+	const meanCapacity = 0.45 // in these 5 s
+	due := slowStartMargin * float64(all) * meanCapacity / (60 + meanCapacity)
+	if got := float64(toNew); got < due/6 || got > due*1.25 {
+		t.Errorf("a warming server got %d of %d, due are %.0f", toNew, all, due)
+	}
+}
+
+// TestZonalHomesGrantSlowStartTokens guards warming servers whose requests come from the proxies of their own zone
+// alone: these grant what the others do not, but never so much that all clients at one zone push a server over.
+func TestZonalHomesGrantSlowStartTokens(t *testing.T) {
+	const (
+		requests = 100
+		due      = 0.2 / 60.8 * requests // the capacity of one warming server over the fleet's
+	)
+	for _, c := range []struct {
+		name             string
+		connections      float64
+		overloadMultiple float64
+		own, others      float64 // in due shares
+	}{
+		{"no zonal homes", 0, 3, slowStartMargin, slowStartMargin},
+		{"four zones", 0.2, 9, 4 * slowStartMargin, 0},
+		{"the multiple itself, if every request came to this zone", 0.2, 3, 3, 0},
+		{"no multiple set: no more than any proxy", 0.2, 0, slowStartMargin, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newZonalBalancer(t, c.connections)
+			settings := *b.settings
+			settings.Rules.SlowStartShare = 0.2
+			settings.Rules.SlowStartWindow = 10 * time.Second
+			settings.Rules.OverloadMultiple = c.overloadMultiple
+			if err := b.Reconfigure(settings); err != nil {
+				t.Fatal(err)
+			}
+			var started []Endpoint
+			for zone := range 4 {
+				started = append(started, Endpoint{Server: fmt.Sprint("new", zone), Zone: zone, StartedAt: time.Hour})
+			}
+			b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsDelta, Endpoints: started}, nil)
+			for _, endpoint := range started {
+				b.servers[endpoint.Server].slowStartTokens = 0
+			}
+			for range requests {
+				b.grantSlowStartTokens()
+			}
+			for zone, endpoint := range started {
+				want := c.others * due
+				if zone == 0 {
+					want = c.own * due
+				}
+				want = min(want, maxSlowStartTokens)
+				if got := b.servers[endpoint.Server].slowStartTokens; math.Abs(got-want) > 0.01 {
+					t.Errorf("the server of zone %d is granted %.2f sends, not %.2f", zone, got, want)
+				}
+			}
+		})
+	}
+}
