--- a/cmd/mulleinpier/still_test.go
+++ b/cmd/mulleinpier/still_test.go
@@ -77,8 +77,8 @@
 			t.Errorf("old request %d came to nodes %d times", i, n)
 		}
 	}
-	waitLine(t, r.lines, "stood still")
-	waitLine(t, r.lines, "at work again")
+	waitLine(t, r.lines, "process paused")
+	waitLine(t, r.lines, "process resumed")
 	r.signal(syscall.SIGTERM)
 	r.end()
 }
@@ -225,7 +225,7 @@
 			}
 		}
 	}
-	waitLine(t, r.lines, "at work again")
+	waitLine(t, r.lines, "process resumed")
 	r.signal(syscall.SIGTERM)
 	r.end()
 }
@@ -237,10 +237,10 @@
 	r.configure("[test]\nsleep_at = \"1s\"\nsleep_for = \"30s\"\n")
 	r.start()
 	r.hear("READY=1")
-	if line := waitLine(t, r.lines, "stood still"); !strings.Contains(line, "asleep=30.0") && !strings.Contains(line, "asleep=29.9") && !strings.Contains(line, "asleep=30s") {
+	if line := waitLine(t, r.lines, "process paused"); !strings.Contains(line, "slept=30.0") && !strings.Contains(line, "slept=29.9") && !strings.Contains(line, "slept=30s") {
 		t.Errorf("%s", line)
 	}
-	waitLine(t, r.lines, "at work again")
+	waitLine(t, r.lines, "process resumed")
 	c := r.call()
 	c.send("ms a 1 Oa Pc=write,k=k0,d=2000\r\nx\r\n")
 	if got := c.line(); !strings.HasPrefix(got, "HD ") && !strings.HasPrefix(got, "SERVER_ERROR busy") {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -17,7 +17,7 @@
 	client       DisconnectChecker // nil where nobody can tell whether it has disconnected
 	started      bool              // its first byte may have been written
 	nodeName     string
-	dispatchedAt time.Duration // by Core.now
+	dispatchedAt time.Duration // by Core.policyTime
 	ended        bool
 	deferred     bool // it waits for the end of the recovery from a pause
 }
@@ -29,7 +29,7 @@
 	if req == nil {
 		return
 	}
-	now := c.now()
+	now := c.policyTime()
 	attempt := &nodeAttempt{
 		nodeName:     action.Server,
 		dispatchedAt: now,
@@ -88,7 +88,7 @@
 		Attempt: attempt.Number,
 		Server:  attempt.nodeName,
 		Result:  result,
-		Took:    c.now() - attempt.dispatchedAt,
+		Took:    c.policyTime() - attempt.dispatchedAt,
 		Final:   req.finished,
 	}
 	if answer != nil {
@@ -190,7 +190,7 @@
 	if req == nil {
 		return false
 	}
-	if req.finished || !c.balancer.MaySend(c.now(), req.id, attempt.Number) || c.claimExpired(req) {
+	if req.finished || !c.balancer.MaySend(c.policyTime(), req.id, attempt.Number) || c.claimExpired(req) {
 		c.endAttempt(req, attempt, policy.NotSent, nil)
 		return false
 	}
@@ -269,5 +269,5 @@
 	}
 	c.pause.writtenLate += len(batch)
 	c.mu.Unlock()
-	c.log.Warn("written late", "requests", len(batch), "changing", sideEffects, "by", delay)
+	c.log.Warn("attempts written late", "attempts", len(batch), "side_effects", sideEffects, "delay", delay)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -158,7 +158,7 @@
 	if len(config.InitialList.Endpoints) > 0 || !config.ReconcileLists {
 		c.applyList(c.newListCall(), config.InitialList, policy.EndpointsCached)
 	}
-	c.logTransitions(c.configureOverload(&config.Overload, c.now()))
+	c.logTransitions(c.configureOverload(&config.Overload, c.policyTime()))
 	return c, nil
 }
 
@@ -173,7 +173,7 @@
 	c.rules = newRules(next)
 	c.pool.SetLimits(next.Upstream)
 	c.overload.listsPeriodic = listsArePeriodic(next)
-	transitions := c.configureOverload(&next.Overload, c.now())
+	transitions := c.configureOverload(&next.Overload, c.policyTime())
 	c.mu.Unlock()
 	c.logTransitions(transitions)
 	return nil
@@ -198,9 +198,9 @@
 	tasks.Wait()
 }
 
-// now returns the time that the decision module counts by: Unix time, so that the start times of an
+// policyTime returns the time that the decision module counts by: Unix time, so that the start times of an
 // endpoint list need no mapping, advanced by the monotonic clock and by the machine's sleep.
-func (c *Core) now() time.Duration {
+func (c *Core) policyTime() time.Duration {
 	started := time.Duration(c.startedAt.UnixNano())
 	slept := time.Duration(c.pause.sleepOffset.Load())
 	return started + c.monotonic() + slept
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -14,7 +14,7 @@
 	}
 	c.handling = true
 	for i := 0; i < len(c.pendingEvents); i++ {
-		c.actions = c.balancer.Handle(c.now(), c.pendingEvents[i], c.actions[:0])
+		c.actions = c.balancer.Handle(c.policyTime(), c.pendingEvents[i], c.actions[:0])
 		for j := range c.actions {
 			c.execute(&c.actions[j])
 		}
@@ -42,7 +42,7 @@
 			c.fail(req, action.Reason.String())
 		}
 	case policy.SetTimer:
-		c.setTimer(timer{at: c.now() + action.After, kind: policyTimer, id: action.Token})
+		c.setTimer(timer{at: c.policyTime() + action.After, kind: policyTimer, id: action.Token})
 	case policy.Subscribe:
 		signal(c.subscribeRequested)
 	case policy.FetchEndpoints:
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -115,7 +115,7 @@
 		c.applyList(call, list, policy.EndpointsFull)
 		return
 	}
-	c.log.Warn("list call failed", "error", err)
+	c.log.Warn("endpoint list fetch failed", "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handle(policy.EndpointUpdate{Version: c.endpoints.version, Kind: policy.EndpointsUnavailable})
@@ -136,7 +136,7 @@
 	if fromPresentSource {
 		outdated := list.Index < state.version && list.Index >= call.knownVersion
 		if kind != policy.EndpointsCached && outdated {
-			c.log.Info("an older list is passed over", "index", list.Index, "known", state.version)
+			c.log.Info("outdated endpoint list ignored", "version", list.Index, "known_version", state.version)
 			return
 		}
 		state.version = list.Index
@@ -161,7 +161,7 @@
 // handleMembership gives package membership an event and carries out the actions that follow. Connections
 // come first, so that the decision module never names a node that they don't know. c.mu is held.
 func (c *Core) handleMembership(event membership.Event) {
-	now := c.now()
+	now := c.policyTime()
 	_, isList := event.(membership.ListReceived)
 	if isList {
 		c.overload.lastListAt = now
@@ -185,7 +185,7 @@
 		case membership.Refetch:
 			c.requestRefetch(action.Source)
 		case membership.SetTimer:
-			c.setTimer(timer{at: c.now() + action.After, kind: membershipTimer})
+			c.setTimer(timer{at: c.policyTime() + action.After, kind: membershipTimer})
 		}
 	}
 	c.pool.UpdateNodes(present)
@@ -199,13 +199,13 @@
 // c.mu is held.
 func (c *Core) reportNodeChange(change *membership.Change) {
 	if c.reconcileLists && c.endpoints.received {
-		c.log.Info("node", "name", change.Name, "address", change.Address,
-			"is", change.Status.String(), "was", change.Previous.String(),
-			"source", change.Source, "why", change.Reason)
+		c.log.Info("node status changed", "node", change.Name, "address", change.Address,
+			"status", change.Status.String(), "previous", change.Previous.String(),
+			"source", change.Source, "reason", change.Reason)
 	}
 	c.recorder.Record(eventlog.NodeUpdated{
 		Node:    change.Name,
-		Mode:    change.Status.String(),
+		Status:  change.Status.String(),
 		Version: c.endpoints.version,
 	})
 }
@@ -214,7 +214,7 @@
 // confirmed ends without it as well. c.mu is held.
 func (c *Core) requestRefetch(source string) {
 	unconfirmed := len(c.endpoints.reconciler.Unconfirmed(source))
-	c.log.Warn("list collapsed, looking again", "source", source, "in_doubt", unconfirmed)
+	c.log.Warn("endpoint list collapsed", "source", source, "unconfirmed", unconfirmed)
 	select {
 	case c.refetchRequested <- source:
 	default:
--- /dev/null
+++ b/internal/core/helpers_test.go
@@ -0,0 +1,61 @@
+package core
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/discovery"
+	"mulleinpier/internal/membership"
+	"mulleinpier/internal/upstream"
+	"mulleinpier/policy"
+)
+
+// oneNodeConfig configures a core for one node and one class, with times long enough not to matter.
+func oneNodeConfig(nodeAddress string, class policy.Class) *Config {
+	class.LatencyObjective = 20 * time.Second
+	class.Deadline = time.Minute
+	class.PriorityWeight = 1
+	return &Config{
+		ListSources:    []discovery.SourceConfig{{StaticAddresses: nodeAddress}},
+		InitialList:    discovery.StaticList(nodeAddress),
+		ReconcileLists: true,
+		Membership:     membership.DefaultLimits,
+		MaxInFlight:    100,
+		Policy: policy.Settings{
+			ProxyCount:    1,
+			OriginKind:    -1,
+			EventInterval: 5 * time.Millisecond,
+			Limits:        policy.Limits{MaxAttempts: 1},
+			Classes:       []policy.Class{class},
+		},
+		Upstream: upstream.Limits{
+			MaxPerNode:     4,
+			MaxConnections: 4,
+			MaxPipelined:   64,
+			ConnectTimeout: time.Minute,
+			IdleTimeout:    time.Minute,
+			SilenceTimeout: time.Minute,
+		},
+	}
+}
+
+// serveConnections listens on a free port, until the test ends, and serves each connection by serve.
+func serveConnections(t *testing.T, serve func(net.Conn)) (address string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			connection, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serve(connection)
+		}
+	}()
+	return listener.Addr().String()
+}
--- a/internal/core/overload.go
+++ b/internal/core/overload.go
@@ -40,14 +40,15 @@
 	enabled       bool
 	controller    *overload.Controller
 	meter         overload.Meter
-	level         overload.Level                     // that the decision module was notified of
-	timerLag      time.Duration                      // the largest delay of a timer since the last sample
-	lastListAt    time.Duration                      // when a list source last reported, by Core.now
-	listsPeriodic bool                               // a list source reports periodically, so that its silence is a signal
-	history       [historyLength]overload.Transition // a ring; the latest is at transitions-1
-	transitions   int                                // since the start
+	level         overload.Level // that the decision module was notified of
+	timerLag      time.Duration  // the largest delay of a timer since the last sample
+	lastListAt    time.Duration  // when a list source last reported, by Core.policyTime
+	listsPeriodic bool           // a list source reports periodically, so that its silence is a signal
 	pinnedLevel   overload.Level
 	pinnedUntil   time.Time // of the pin in force
+
+	transitions int                                // since the start
+	history     [historyLength]overload.Transition // a ring: number i is at i%historyLength
 }
 
 func newOverloadState(config *Config) overloadState {
@@ -116,7 +117,7 @@
 		c.mu.Unlock()
 		return
 	}
-	now := c.now()
+	now := c.policyTime()
 	sample := overload.Sample{Signals: c.overloadSignals(now, memory, sockets)}
 	transitions := c.overload.controller.Handle(now, sample, nil)
 	c.rememberTransitions(transitions)
@@ -176,9 +177,9 @@
 func (c *Core) logTransitions(transitions []overload.Transition) {
 	for i := range transitions {
 		t := &transitions[i]
-		c.log.Warn("service level", "from", t.From, "to", t.To, "cause", t.Cause,
-			"figure", t.Value, "bound", t.Threshold, "stay_s", t.MinStaySeconds,
-			"also", t.OtherCauses, "pinned", t.Pinned)
+		c.log.Warn("degradation level changed", "from", t.From, "to", t.To, "cause", t.Cause,
+			"value", t.Value, "threshold", t.Threshold, "min_stay_s", t.MinStaySeconds,
+			"other_causes", t.OtherCauses, "pinned", t.Pinned)
 	}
 }
 
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -7,12 +7,18 @@
 	"mulleinpier/policy"
 )
 
-// TestLevelsAgree guards the numbers that pass from package service to package policy.
-func TestLevelsAgree(t *testing.T) {
-	for level, want := range map[overload.Level]policy.DegradationLevel{overload.Full: policy.LevelFull, overload.Economy: policy.LevelEconomy,
-		overload.Late: policy.LevelLate, overload.Handovers: policy.LevelHandovers, overload.Shelter: policy.LevelShelter} {
+// TestOverloadLevelsMatchPolicyLevels guards the conversion of levels from package overload to package
+// policy by their numbers.
+func TestOverloadLevelsMatchPolicyLevels(t *testing.T) {
+	for level, want := range map[overload.Level]policy.DegradationLevel{
+		overload.Full:      policy.LevelFull,
+		overload.Economy:   policy.LevelEconomy,
+		overload.Late:      policy.LevelLate,
+		overload.Handovers: policy.LevelHandovers,
+		overload.Shelter:   policy.LevelShelter,
+	} {
 		if policy.DegradationLevel(level) != want {
-			t.Errorf("%v is %d there", level, want)
+			t.Errorf("level %v converts to %d, want %d", level, policy.DegradationLevel(level), want)
 		}
 	}
 }
--- a/internal/core/pause.go
+++ b/internal/core/pause.go
@@ -150,8 +150,8 @@
 	return interval
 }
 
-// resumedAt returns when the latest pause ended, by Core.now.
-func (c *Core) resumedAt() time.Duration { return c.LastPause().End + c.now() - c.monotonic() }
+// resumedAt returns when the latest pause ended, by Core.policyTime.
+func (c *Core) resumedAt() time.Duration { return c.LastPause().End + c.policyTime() - c.monotonic() }
 
 // Resumed returns a channel that is closed while nothing is held for a pause.
 func (c *Core) Resumed() <-chan struct{} {
@@ -173,10 +173,10 @@
 		case pause.ReleaseSends:
 			c.releaseDeferred(action.Max)
 		case pause.CheckAgain:
-			c.setTimer(timer{at: c.now() + action.After, kind: clockTimer})
+			c.setTimer(timer{at: c.policyTime() + action.After, kind: clockTimer})
 		case pause.Resumed:
 			close(s.resumed)
-			c.log.Info("at work again", "after", action.After)
+			c.log.Info("process resumed", "duration", action.After)
 		}
 	}
 }
@@ -199,7 +199,8 @@
 	}
 	c.overload.lastListAt += interval.Duration() // it was this process that was silent, not the sources
 	c.handle(policy.ProcessPaused{Duration: interval.Duration()})
-	c.log.Warn("stood still", "for", interval.Duration(), "asleep", interval.Slept, "open", len(c.requests))
+	c.log.Warn("process paused", "duration", interval.Duration(), "slept", interval.Slept,
+		"in_flight", len(c.requests))
 	signal(s.refresh)
 }
 
@@ -240,7 +241,7 @@
 	}
 	decision := pause.DecideByAge(now, idempotencyOf(class), timeout, class.DedupWindow, arrival)
 	due := decision.SendBefore - c.pause.stalls.SafetyMargin(now, timeout)
-	return due + c.now() - now, decision.Reject || now >= due
+	return due + c.policyTime() - now, decision.Reject || now >= due
 }
 
 // idempotencyOf maps a class's idempotency to the terms of package pause.
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -26,7 +26,7 @@
 }
 
 // remaining returns the time until a request's deadline.
-func (c *Core) remaining(req *InFlightRequest) time.Duration { return req.deadline - c.now() }
+func (c *Core) remaining(req *InFlightRequest) time.Duration { return req.deadline - c.policyTime() }
 
 func (c *Core) recordAccepted(req *InFlightRequest) {
 	if !c.recorder.Enabled() {
@@ -86,7 +86,7 @@
 		Attempt:  attempt.Number,
 		Node:     attempt.nodeName,
 		Result:   result.String(),
-		Duration: c.now() - attempt.dispatchedAt,
+		Duration: c.policyTime() - attempt.dispatchedAt,
 	})
 }
 
@@ -98,7 +98,7 @@
 		ID:        req.request.ID,
 		Answer:    answer.Kind.String(),
 		Reason:    reason,
-		Duration:  c.now() - req.acceptedAt,
+		Duration:  c.policyTime() - req.acceptedAt,
 		Remaining: c.remaining(req),
 	})
 }
@@ -109,7 +109,7 @@
 	}
 	c.recorder.Record(eventlog.RequestAbandoned{
 		ID:        req.request.ID,
-		Duration:  c.now() - req.acceptedAt,
+		Duration:  c.policyTime() - req.acceptedAt,
 		Remaining: c.remaining(req),
 	})
 }
--- a/internal/core/refresh.go
+++ b/internal/core/refresh.go
@@ -50,7 +50,7 @@
 	list, err := call.source.Fetch(ctx)
 	switch {
 	case err != nil:
-		c.log.Warn("no list after standing still", "source", config.String(), "error", err)
+		c.log.Warn("endpoint list refresh failed", "source", config.String(), "error", err)
 	case c.reconcileLists:
 		c.mu.Lock()
 		c.handleMembership(membership.ListReceived{Source: call.name, Complete: true, Nodes: list.Nodes()})
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -25,16 +25,16 @@
 // ended. It is guarded by Core.mu.
 type InFlightRequest struct {
 	id           uint64
-	acceptedAt   time.Duration // by Core.now
+	acceptedAt   time.Duration // by Core.policyTime
 	request      *request.Request
-	deadline     time.Duration // when its answer is due, by Core.now
+	deadline     time.Duration // when its answer is due, by Core.policyTime
 	expiresAt    time.Time     // the same by the system's clock
 	reply        Reply
 	attempts     []*nodeAttempt
 	openAttempts int  // attempts that have not ended
 	finished     bool // it was answered, or its client has disconnected
 	claim        claimState
-	sendBefore   time.Duration // with claimGranted: no attempt starts from then on, by Core.now
+	sendBefore   time.Duration // with claimGranted: no attempt starts from then on, by Core.policyTime
 }
 
 // nothingStarted reports whether no byte of a request has been written to a node. Once the request is
@@ -87,13 +87,13 @@
 		return nil
 	}
 	if !c.hasCapacity(class) {
-		c.answerRejected(in, reply, "no room", c.balancer.RetryAfter(classIndex))
+		c.answerRejected(in, reply, "no capacity", c.balancer.RetryAfter(classIndex))
 		return nil
 	}
 	deadline, tooOld := c.decideByAge(in, class, effectiveTimeout(in, class))
 	if tooOld {
 		c.pause.rejectedByAge++
-		c.answerRejected(in, reply, "aged", c.balancer.RetryAfter(classIndex))
+		c.answerRejected(in, reply, "too old", c.balancer.RetryAfter(classIndex))
 		return nil
 	}
 	req := c.register(in, reply, deadline)
@@ -119,11 +119,11 @@
 	in.Serial = uint32(c.lastID)
 	req := &InFlightRequest{
 		id:         c.lastID,
-		acceptedAt: c.now(),
+		acceptedAt: c.policyTime(),
 		request:    in,
 		reply:      reply,
 		deadline:   deadline,
-		expiresAt:  time.Now().Add(deadline - c.now()),
+		expiresAt:  time.Now().Add(deadline - c.policyTime()),
 	}
 	c.requests[req.id] = req
 	c.requestIDs[in.ID] = struct{}{}
@@ -196,7 +196,7 @@
 		if !req.request.SideEffects || req.nothingStarted() {
 			answer = &request.Answer{Kind: request.Busy, RetryAfter: c.retryAfter(req)}
 		}
-		c.log.Warn("given up at the end", "id", req.request.ID, "attempts", len(req.attempts))
+		c.log.Warn("request aborted", "request", req.request.ID, "attempts", len(req.attempts))
 		c.answer(req, answer, "process ends")
 		c.handle(policy.ClientLeft{ID: req.id})
 	}
--- a/internal/core/sources.go
+++ b/internal/core/sources.go
@@ -115,7 +115,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		c.log.Warn("source of the list lost", "source", name, "error", err)
+		c.log.Warn("endpoint list source lost", "source", name, "error", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(rewatchDelay):
@@ -130,7 +130,7 @@
 	name := f.config.String()
 	list, err := f.source.Fetch(ctx)
 	if err != nil {
-		c.log.Warn("second look failed", "source", name, "error", err)
+		c.log.Warn("endpoint list refetch failed", "source", name, "error", err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -14,7 +14,7 @@
 const takeoverRejectionDelay = time.Second
 
 // claimDecided is the reason, in the event log, of an answer that a claim brought.
-const claimDecided = "taken over"
+const claimDecided = "claim decided"
 
 // TakeoverCoordinator claims writes and is notified of their outcomes. It is called with the core's lock
 // held: its methods must neither wait nor call the core before they return.
@@ -79,7 +79,7 @@
 	switch verdict {
 	case takeover.Proceed:
 		req.claim = claimGranted
-		req.sendBefore = c.now() + within
+		req.sendBefore = c.policyTime() + within
 		c.admit(req)
 	case takeover.ReturnReceipt:
 		c.counts.served++
@@ -99,7 +99,7 @@
 
 // claimExpired reports whether the time in which a claimed write may be sent is over. c.mu is held.
 func (c *Core) claimExpired(req *InFlightRequest) bool {
-	return req.claim == claimGranted && c.now() >= req.sendBefore
+	return req.claim == claimGranted && c.policyTime() >= req.sendBefore
 }
 
 // admit gives a request to the decision module some time after it was accepted: its class or tenant may
@@ -107,7 +107,7 @@
 func (c *Core) admit(req *InFlightRequest) {
 	class, classKnown := c.rules.classes[req.request.Class]
 	tenant, tenantKnown := c.rules.tenant(req.request.Tenant)
-	if !classKnown || !tenantKnown || c.now() >= req.deadline {
+	if !classKnown || !tenantKnown || c.policyTime() >= req.deadline {
 		c.answer(req, &request.Answer{Kind: request.Busy}, claimDecided)
 		return
 	}
@@ -147,10 +147,10 @@
 		id:         c.lastID,
 		request:    in,
 		reply:      detachedReply{},
-		deadline:   c.now() + timeout,
+		deadline:   c.policyTime() + timeout,
 		expiresAt:  time.Now().Add(timeout),
 		claim:      claimGranted,
-		sendBefore: c.now() + within,
+		sendBefore: c.policyTime() + within,
 	}
 	c.requests[req.id] = req
 	c.requestIDs[in.ID] = struct{}{}
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -29,7 +29,7 @@
 
 // timer is something to do at a time.
 type timer struct {
-	at      time.Duration // by Core.now
+	at      time.Duration // by Core.policyTime
 	id      uint64
 	attempt int32 // number of the attempt of an attemptTimer
 	kind    timerKind
@@ -62,7 +62,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.observeClocks()
-	now := c.now()
+	now := c.policyTime()
 	for len(c.timers) > 0 {
 		if wait := c.timers[0].at - now; wait > 0 {
 			return wait
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -187,7 +187,7 @@
 		}
 	})
 	if ctx.Err() == nil {
-		s.log.Warn("watch lost", "error", err)
+		s.log.Warn("endpoint list watch lost", "error", err)
 		s.report(ctx, sub, watchEnded)
 	}
 }
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -20,84 +20,74 @@
 	"mulleinpier/policy"
 )
 
-// watchSilence is less than what passes for the loss of a watch.
+// watchSilence is a silence that is too short to count as the loss of a watch.
 const watchSilence = 2 * time.Second
 
-// scriptedSource is a source of the list that does what a test tells it, call by call.
+// scriptedSource is a source of the endpoint list that a test scripts call by call.
 type scriptedSource struct {
-	listener net.Listener
-	calls    chan *sourceCall
+	addr  string
+	calls chan *sourceCall
 }
 
-// sourceCall is a call of it, a watch or one for the whole list.
+// sourceCall is a call of a scriptedSource.
 type sourceCall struct {
 	net.Conn
-	watch bool
-	from  string
+	watch bool   // it is a watch, not a fetch of the complete list
+	from  string // the version that the caller knows
 }
 
 func startSource(t *testing.T) *scriptedSource {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	a := &scriptedSource{listener: l, calls: make(chan *sourceCall, 1000)}
-	t.Cleanup(func() { l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { c.Close() })
-			go func() {
-				r, err := http.ReadRequest(bufio.NewReader(c))
-				if err != nil {
-					return
-				}
-				a.calls <- &sourceCall{Conn: c, watch: r.FormValue("watch") == "1", from: r.FormValue("from")}
-			}()
+	source := &scriptedSource{calls: make(chan *sourceCall, 1000)}
+	source.addr = serveConnections(t, func(connection net.Conn) {
+		t.Cleanup(func() { connection.Close() })
+		r, err := http.ReadRequest(bufio.NewReader(connection))
+		if err != nil {
+			return
 		}
-	}()
-	return a
+		source.calls <- &sourceCall{
+			Conn:  connection,
+			watch: r.FormValue("watch") == "1",
+			from:  r.FormValue("from"),
+		}
+	})
+	return source
 }
 
-func (a *scriptedSource) address() string { return a.listener.Addr().String() }
-
 // next returns the next call.
-func (a *scriptedSource) next(t *testing.T, what string) *sourceCall {
+func (s *scriptedSource) next(t *testing.T, what string) *sourceCall {
 	t.Helper()
-	return testutil.Receive(t, what, a.calls)
+	return testutil.Receive(t, what, s.calls)
 }
 
-// firstWatch takes the first watch, and tells by it that the node is up.
-func (a *scriptedSource) firstWatch(t *testing.T, c *Core, index int) *sourceCall {
+// firstWatch waits for the first watch, and reports over it that the node is up.
+func (s *scriptedSource) firstWatch(t *testing.T, c *Core, index int) *sourceCall {
 	t.Helper()
-	first := a.next(t, "a watch")
+	first := s.next(t, "a watch")
 	first.sendHeader()
 	first.sendList(index, true, "up")
 	c.expectServing(t, "the node to be up", true)
 	return first
 }
 
-// sendHeader answers a call, with nothing behind yet.
+// sendHeader answers a call without a list yet.
 func (c *sourceCall) sendHeader() { fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n") }
 
 // sendList writes a list in which n1 has a status.
-func (c *sourceCall) sendList(index int, whole bool, status string) {
-	fmt.Fprintf(c, `{"index":%d,"snapshot":%v,"endpoints":[{"name":"n1","address":"127.0.0.1:9","status":"%s"}]}`+"\n", index, whole, status)
+func (c *sourceCall) sendList(index int, complete bool, status string) {
+	endpoint := fmt.Sprintf(`{"name":"n1","address":"127.0.0.1:9","status":"%s"}`, status)
+	fmt.Fprintf(c, `{"index":%d,"snapshot":%v,"endpoints":[%s]}`+"\n", index, complete, endpoint)
 }
 
-// isOpen tells that the proxy still waits for an answer to a call.
+// isOpen reports whether the proxy still waits for an answer to a call.
 func (c *sourceCall) isOpen() bool {
 	c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err := c.Read(make([]byte, 1))
-	var late net.Error
-	return errors.As(err, &late) && late.Timeout()
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// sendHeartbeats gives signs of life from now on, as an idle watch does.
+// sendHeartbeats sends empty lines from now on, as an idle watch does.
 func (c *sourceCall) sendHeartbeats(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -115,16 +105,34 @@
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(testutil.Timeout))
 	if _, err := io.Copy(io.Discard, c); err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Fatal("a call that is of no use any more is kept")
+		t.Fatal("a call that is no longer needed is kept")
 	}
 }
 
-func startCore(t *testing.T, ask bool, address string) *Core {
+// startCore runs a core with one list source, until the test ends. With onRequest the decision module
+// requests each list.
+func startCore(t *testing.T, onRequest bool, address string) *Core {
 	t.Helper()
-	c, err := New(&Config{ListSources: []discovery.SourceConfig{{Address: address}}, MaxInFlight: 10,
-		Upstream: upstream.Limits{MaxPerNode: 1, MaxConnections: 4, MaxPipelined: 4, ConnectTimeout: time.Second, IdleTimeout: time.Hour, SilenceTimeout: time.Hour},
-		Policy: policy.Settings{ProxyCount: 1, EndpointsOnRequest: ask, Classes: []policy.Class{{Name: "read", LatencyObjective: time.Second, Deadline: time.Second}},
-			Limits: policy.Limits{MaxAttempts: 3}, Rules: policy.Rules{MaxPollInterval: 400 * time.Millisecond}}}, slog.New(slog.DiscardHandler))
+	config := &Config{
+		ListSources: []discovery.SourceConfig{{Address: address}},
+		MaxInFlight: 10,
+		Upstream: upstream.Limits{
+			MaxPerNode:     1,
+			MaxConnections: 4,
+			MaxPipelined:   4,
+			ConnectTimeout: time.Second,
+			IdleTimeout:    time.Hour,
+			SilenceTimeout: time.Hour,
+		},
+		Policy: policy.Settings{
+			ProxyCount:         1,
+			EndpointsOnRequest: onRequest,
+			Classes:            []policy.Class{{Name: "read", LatencyObjective: time.Second, Deadline: time.Second}},
+			Limits:             policy.Limits{MaxAttempts: 3},
+			Rules:              policy.Rules{MaxPollInterval: 400 * time.Millisecond},
+		},
+	}
+	c, err := New(config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,28 +164,35 @@
 	return out
 }
 
+// expectServing waits until there is a serving node, or none.
 func (c *Core) expectServing(t *testing.T, what string, serves bool) {
 	t.Helper()
 	testutil.WaitUntil(t, what, func() bool { return c.HasServingNodes() == serves })
 }
 
-// TestSilentWatchIsOpenedAnew: a watch that falls silent, ends, is reset or stops in the middle of an object is opened
-// anew, whether lists are pushed or asked for; a drain that it missed is heeded, and so is the return.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+// TestSilentWatchIsReopened guards that a watch that falls silent, ends, is reset or stops in the middle of an
+// object is opened again, whether lists are pushed or requested; a drain that it missed is heeded, and so is
+// the node's return.
+func TestSilentWatchIsReopened(t *testing.T) {
 	for name, end := range map[string]func(*sourceCall){
-		"silent":     func(*sourceCall) {},
-		"ended":      func(c *sourceCall) { c.Close() },
-		"reset":      func(c *sourceCall) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
-		"mid-object": func(c *sourceCall) { fmt.Fprint(c, `{"index":2,"snapshot":false,"endpoints":[{"name":"n1",`) },
+		"silent": func(*sourceCall) {},
+		"ended":  func(c *sourceCall) { c.Close() },
+		"reset": func(c *sourceCall) {
+			c.Conn.(*net.TCPConn).SetLinger(0)
+			c.Close()
+		},
+		"mid-object": func(c *sourceCall) {
+			fmt.Fprint(c, `{"index":2,"snapshot":false,"endpoints":[{"name":"n1",`)
+		},
 	} {
-		for _, ask := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, asked %v", name, ask), func(t *testing.T) {
+		for _, onRequest := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, on request %v", name, onRequest), func(t *testing.T) {
 				t.Parallel()
-				a := startSource(t)
-				c := startCore(t, ask, a.address())
-				first := a.firstWatch(t, c, 1)
+				source := startSource(t)
+				c := startCore(t, onRequest, source.addr)
+				first := source.firstWatch(t, c, 1)
 				end(first)
-				second := a.next(t, "a new watch")
+				second := source.next(t, "a new watch")
 				if !second.watch || second.from != "1" {
 					t.Errorf("the new call: watch %v from %s", second.watch, second.from)
 				}
@@ -191,26 +206,27 @@
 	}
 }
 
-// TestSilentAgentIsAskedOn: an agent that says nothing, as while discovery is down, is asked again and again, but not in a
-// storm; what it has once it speaks is learnt from whichever call it answers, and the others end.
-func TestSilentAgentIsAskedOn(t *testing.T) {
-	a := startSource(t)
-	c := startCore(t, false, a.address())
-	first := a.firstWatch(t, c, 1)
+// TestSilentAgentIsRetriedAtBoundedRate guards that an agent that does not answer, as while discovery is down, is
+// called again and again, but at a bounded rate and with a bounded number of open calls. Its list is taken
+// from whichever call it answers, and the others end.
+func TestSilentAgentIsRetriedAtBoundedRate(t *testing.T) {
+	source := startSource(t)
+	c := startCore(t, false, source.addr)
+	first := source.firstWatch(t, c, 1)
 	first.Close()
 	begun := time.Now()
 	var calls []*sourceCall
 	for i := range 2 * maxSubscriptions {
-		calls = append(calls, a.next(t, "one more watch"))
+		calls = append(calls, source.next(t, "one more watch"))
 		if i > 0 && !calls[i-1].isOpen() {
-			t.Error("asked again only after the call before was given up")
+			t.Error("called again only after the previous call was given up")
 		}
 	}
 	if took := time.Since(begun); took < time.Duration(len(calls)-2)*agentAnswerTimeout {
 		t.Errorf("%d calls in %v", len(calls), took)
 	}
 	for _, old := range calls[:maxSubscriptions] {
-		old.waitClosed(t) // the number that are open is bounded
+		old.waitClosed(t)
 	}
 	last := calls[len(calls)-1]
 	last.sendHeader()
@@ -223,35 +239,37 @@
 	c.expectServing(t, "the return to be heeded", true)
 }
 
-// TestAgentWithNothingNewIsBelieved: an agent that answers, and has nothing to tell, is not asked again.
-func TestAgentWithNothingNewIsBelieved(t *testing.T) {
-	a := startSource(t)
-	c := startCore(t, false, a.address())
-	first := a.firstWatch(t, c, 1)
+// TestAgentWithoutChangesIsNotRetried guards that an agent that answers without reporting a change is not called
+// again.
+func TestAgentWithoutChangesIsNotRetried(t *testing.T) {
+	source := startSource(t)
+	c := startCore(t, false, source.addr)
+	first := source.firstWatch(t, c, 1)
 	first.Close()
-	second := a.next(t, "a new watch")
+	second := source.next(t, "a new watch")
 	second.sendHeader()
 	for range 10 {
 		time.Sleep(agentAnswerTimeout / 4)
 		fmt.Fprintln(second)
 	}
-	if n := len(a.calls); n > 0 {
-		t.Errorf("asked %d times more", n)
+	if n := len(source.calls); n > 0 {
+		t.Errorf("called %d more times", n)
 	}
 	second.sendList(2, false, "draining")
 	c.expectServing(t, "the drain to be heeded", false)
 }
 
-// TestOlderListUndoesNothing: a whole list that was asked for before a watch told a drain comes behind it.
-func TestOlderListUndoesNothing(t *testing.T) {
+// TestOutdatedListIsIgnored guards guarantee 4: a complete list that was requested before a watch reported a
+// drain arrives after it.
+func TestOutdatedListIsIgnored(t *testing.T) {
 	for _, status := range []string{"draining", "removed"} {
-		a := startSource(t)
-		c := startCore(t, false, a.address())
-		watch := a.firstWatch(t, c, 8)
+		source := startSource(t)
+		c := startCore(t, false, source.addr)
+		watch := source.firstWatch(t, c, 8)
 		signal(c.fetchRequested)
-		list := a.next(t, "a call for the list")
+		list := source.next(t, "a fetch of the list")
 		if list.watch {
-			t.Fatal("a watch where a call for the list was due")
+			t.Fatal("a watch where a fetch was expected")
 		}
 		watch.sendList(9, false, status)
 		c.expectServing(t, "the drain to be heeded", false)
@@ -259,55 +277,55 @@
 		list.sendList(8, true, "up")
 		list.Close()
 		signal(c.fetchRequested)
-		list = a.next(t, "one more call for the list") // calls come in turn: the one before is taken
+		list = source.next(t, "one more fetch of the list") // fetches are made in turn: the previous one is applied
 		if c.HasServingNodes() {
-			t.Errorf("a list from before it has undone that the node is %s", status)
+			t.Errorf("an outdated list has undone that the node is %s", status)
 		}
 		list.sendHeader()
 		list.sendList(10, true, "up")
 		list.Close()
 		c.expectServing(t, "a newer list to be heeded", true)
-		// A service that has begun anew counts from the start.
+		// A service that has restarted counts from the start.
 		watch.Close()
-		watch = a.next(t, "a new watch")
+		watch = source.next(t, "a new watch")
 		watch.sendHeader()
 		watch.sendList(2, true, "draining")
-		c.expectServing(t, "the list of a service that has begun anew to be heeded", false)
+		c.expectServing(t, "the list of a restarted service to be heeded", false)
 		watch.sendList(3, false, "up")
 		c.expectServing(t, "its changes to be heeded", true)
 	}
 }
 
-// TestMovesKeepWhatSpeaks: the watch of the old place is heard until a new one has told something: through a new place that
-// says nothing or refuses, and through a second move in the middle of the first.
-func TestMovesKeepWhatSpeaks(t *testing.T) {
-	for _, ask := range []bool{false, true} {
-		t.Run(fmt.Sprint("asked ", ask), func(t *testing.T) {
+// TestSourceChangeKeepsReportingWatch guards that the watch of the old source is kept until a new one has reported
+// a list: through a new source that does not answer, and through a second change in the middle of the first.
+func TestSourceChangeKeepsReportingWatch(t *testing.T) {
+	for _, onRequest := range []bool{false, true} {
+		t.Run(fmt.Sprint("on request ", onRequest), func(t *testing.T) {
 			t.Parallel()
-			old, deaf, next := startSource(t), startSource(t), startSource(t)
-			c := startCore(t, ask, old.address())
+			old, silent, newest := startSource(t), startSource(t), startSource(t)
+			c := startCore(t, onRequest, old.addr)
 			watch := old.firstWatch(t, c, 50)
 			watch.sendHeartbeats(t)
-			c.SetListSources([]discovery.SourceConfig{{Address: deaf.address()}})
-			hung := deaf.next(t, "a watch of the new place")
+			c.SetListSources([]discovery.SourceConfig{{Address: silent.addr}})
+			hung := silent.next(t, "a watch of the new source")
 			watch.sendList(51, false, "draining")
-			c.expectServing(t, "a drain told by the old place to be heeded", false)
-			beside := deaf.next(t, "one more beside the one that says nothing")
+			c.expectServing(t, "a drain reported by the old source to be heeded", false)
+			beside := silent.next(t, "another watch beside the one without an answer")
 			if !hung.isOpen() {
-				t.Error("asked again only after the call before was given up")
+				t.Error("called again only after the previous call was given up")
 			}
-			c.SetListSources([]discovery.SourceConfig{{Address: next.address()}})
+			c.SetListSources([]discovery.SourceConfig{{Address: newest.addr}})
 			hung.waitClosed(t)
 			beside.waitClosed(t)
 			watch.sendList(52, false, "up")
-			c.expectServing(t, "what the old place tells to be heeded after two moves", true)
-			now := next.next(t, "a watch of the newest place")
+			c.expectServing(t, "what the old source reports to be heeded after two changes", true)
+			now := newest.next(t, "a watch of the newest source")
 			if now.from != "0" {
-				t.Errorf("the newest place is asked from %s on", now.from)
+				t.Errorf("the newest source is watched from version %s on, want 0", now.from)
 			}
 			now.sendHeader()
 			now.sendList(3, true, "draining")
-			c.expectServing(t, "the newest place to be heeded", false)
+			c.expectServing(t, "the newest source to be heeded", false)
 			watch.waitClosed(t)
 			now.sendList(4, false, "up")
 			c.expectServing(t, "its changes to be heeded", true)
@@ -315,14 +333,15 @@
 	}
 }
 
-// TestFlappingAgentIsNoLoop: an agent that answers and ends each watch is not asked without a pause.
-func TestFlappingAgentIsNoLoop(t *testing.T) {
-	a := startSource(t)
-	startCore(t, false, a.address())
+// TestFlappingAgentIsNotRetriedInALoop guards that an agent that answers and ends each watch is called with
+// delays.
+func TestFlappingAgentIsNotRetriedInALoop(t *testing.T) {
+	source := startSource(t)
+	startCore(t, false, source.addr)
 	const calls = 20
 	begun := time.Now()
 	for i := range calls {
-		w := a.next(t, "a watch")
+		w := source.next(t, "a watch")
 		w.sendHeader()
 		w.sendList(i+1, true, "up")
 		w.Close()
@@ -332,37 +351,38 @@
 	}
 }
 
-// TestSubscriptionLeavesAMoveAlone: the decision module asks for a subscription while one of the new place waits for its turn. That
-// keeps its turn, and is the only one.
-func TestSubscriptionLeavesAMoveAlone(t *testing.T) {
-	a, next := startSource(t), startSource(t)
-	c := startCore(t, true, a.address())
-	a.firstWatch(t, c, 1)
-	c.SetListSources([]discovery.SourceConfig{{Address: next.address()}})
-	moved := next.next(t, "a watch of the new place")
+// TestSubscribeDuringSourceChangeKeepsItsWatch has the decision module request a watch while one of the new source
+// waits for its turn: that one keeps its turn, and stays the only one.
+func TestSubscribeDuringSourceChangeKeepsItsWatch(t *testing.T) {
+	old, newest := startSource(t), startSource(t)
+	c := startCore(t, true, old.addr)
+	old.firstWatch(t, c, 1)
+	c.SetListSources([]discovery.SourceConfig{{Address: newest.addr}})
+	moved := newest.next(t, "a watch of the new source")
 	signal(c.subscribeRequested)
-	testutil.WaitUntil(t, "the wish to be heard", func() bool { return len(c.subscribeRequested) == 0 })
+	testutil.WaitUntil(t, "the request to be received", func() bool { return len(c.subscribeRequested) == 0 })
 	time.Sleep(agentAnswerTimeout / 4)
-	if n := len(next.calls); n > 0 || !moved.isOpen() {
-		t.Errorf("%d calls more, the first open: %v", n, moved.isOpen())
+	if n := len(newest.calls); n > 0 || !moved.isOpen() {
+		t.Errorf("%d more calls, the first open: %v", n, moved.isOpen())
 	}
 	moved.sendHeader()
 	moved.sendList(1, true, "draining")
-	c.expectServing(t, "the new place to be heeded", false)
+	c.expectServing(t, "the new source to be heeded", false)
 }
 
-// TestMoveInAPauseIsFollowed: a second move comes while a lost watch of the first is waited with, and its own first call is lost too.
-func TestMoveInAPauseIsFollowed(t *testing.T) {
-	a, dead, next := startSource(t), startSource(t), startSource(t)
-	c := startCore(t, true, a.address())
-	a.firstWatch(t, c, 1).sendHeartbeats(t)
-	c.SetListSources([]discovery.SourceConfig{{Address: dead.address()}})
-	dead.next(t, "a watch of the new place").Close()
+// TestSourceChangeDuringRetryDelayIsFollowed changes the source a second time during the delay after a lost watch
+// of the first change; the first call of the second source is lost too.
+func TestSourceChangeDuringRetryDelayIsFollowed(t *testing.T) {
+	old, dead, newest := startSource(t), startSource(t), startSource(t)
+	c := startCore(t, true, old.addr)
+	old.firstWatch(t, c, 1).sendHeartbeats(t)
+	c.SetListSources([]discovery.SourceConfig{{Address: dead.addr}})
+	dead.next(t, "a watch of the new source").Close()
 	time.Sleep(movedRetryDelay / 5)
-	c.SetListSources([]discovery.SourceConfig{{Address: next.address()}})
-	next.next(t, "a watch of the newest place").Close()
-	again := next.next(t, "one more watch of the newest place")
+	c.SetListSources([]discovery.SourceConfig{{Address: newest.addr}})
+	newest.next(t, "a watch of the newest source").Close()
+	again := newest.next(t, "one more watch of the newest source")
 	again.sendHeader()
 	again.sendList(1, true, "draining")
-	c.expectServing(t, "the newest place to be heeded", false)
+	c.expectServing(t, "the newest source to be heeded", false)
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,15 +1,17 @@
-// Package eventlog writes down what becomes of each request, attempt and connection, one line an
-// event, so that an incident can be read back from the logs of the processes.
+// Package eventlog logs what becomes of each request, attempt and connection, one line for each event, so
+// that an incident can be reconstructed from the logs of the processes.
 //
 // Guarantees:
 //
 //  1. [Recorder.Record] never waits and does no I/O: it may be called with a lock held.
 //  2. An event carries the time at which it was recorded, not that at which it was written.
-//  3. At most [queueLength] events wait to be written. Those that find no place are counted, and the
+//  3. At most queueLength events wait to be written. Those for which there is no place are counted, and the
 //     count is logged.
 //
-// Events are logged at the level debug, those of [Recorder.Warn] as warnings. Below it a call costs one look at the level, and callers
-// that would have to gather figures ask [Recorder.Enabled] first.
+// Events are logged at level debug, those of [Recorder.Warn] as warnings. While debug is off a call costs one
+// check of the level; callers that would have to gather figures check [Recorder.Enabled] first.
+//
+// The package starts no goroutine: the caller runs [Recorder.Run], which owns the writing.
 package eventlog
 
 import (
@@ -24,40 +26,41 @@
 
 // Event is something that happened: one of the types of this package.
 type Event interface {
-	// describe returns the event's message and what belongs to it.
+	// describe returns the event's log message and attributes.
 	describe() (message string, attributes []slog.Attr)
 }
 
-// entry is an event and when it happened.
+// entry is a recorded event.
 type entry struct {
-	at    time.Time
+	at    time.Time // when it was recorded
 	level slog.Level
 	event Event
 }
 
-// Recorder takes events and writes them to a logger. A nil Recorder takes none.
+// Recorder queues events and writes them to a logger. It is safe for concurrent use; a nil Recorder ignores
+// all events.
 type Recorder struct {
 	log     *slog.Logger
 	queue   chan entry
-	dropped atomic.Int64
+	dropped atomic.Int64 // events that found the queue full, since this was last logged
 }
 
-// New returns a Recorder that writes to log. Run must be called too.
+// New returns a Recorder that writes to log while [Recorder.Run] runs.
 func New(log *slog.Logger) *Recorder {
 	return &Recorder{log: log, queue: make(chan entry, queueLength)}
 }
 
-// Enabled tells whether events are written at all.
+// Enabled reports whether events other than warnings are written.
 func (r *Recorder) Enabled() bool { return r.accepts(slog.LevelDebug) }
 
 func (r *Recorder) accepts(level slog.Level) bool {
 	return r != nil && r.log.Enabled(context.Background(), level)
 }
 
-// Record takes an event. It does not wait.
+// Record records an event. It does not wait.
 func (r *Recorder) Record(event Event) { r.enqueue(slog.LevelDebug, event) }
 
-// Warn takes an event that operators should see without asking. It does not wait.
+// Warn records an event that operators should see without enabling debug logs. It does not wait.
 func (r *Recorder) Warn(event Event) { r.enqueue(slog.LevelWarn, event) }
 
 func (r *Recorder) enqueue(level slog.Level, event Event) {
@@ -71,7 +74,7 @@
 	}
 }
 
-// Run writes events until ctx ends, and then those that still wait.
+// Run writes events until ctx ends, and then those that are still queued.
 func (r *Recorder) Run(ctx context.Context) {
 	for {
 		select {
@@ -84,7 +87,7 @@
 	}
 }
 
-// drain writes what waits now.
+// drain writes the events that are queued now.
 func (r *Recorder) drain() {
 	for {
 		select {
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
+// recorderAt returns a Recorder at a log level, and what it writes.
 func recorderAt(level slog.Level) (*Recorder, *bytes.Buffer) {
 	var out bytes.Buffer
 	return New(slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level}))), &out
 }
 
-// run writes all that has been recorded.
-func run(r *Recorder) {
+// writeQueued writes all that has been recorded.
+func writeQueued(r *Recorder) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	r.Run(ctx)
@@ -27,33 +28,35 @@
 	r.Record(RequestAbandoned{ID: "a1", Duration: 40 * time.Millisecond})
 	before := time.Now()
 	time.Sleep(20 * time.Millisecond)
-	run(r)
+	writeQueued(r)
 	at, rest, _ := strings.Cut(strings.TrimPrefix(out.String(), "time="), " ")
 	written, err := time.Parse(time.RFC3339Nano, at)
 	if err != nil || written.After(before.Add(time.Millisecond)) {
 		t.Errorf("written with the time %s, recorded before %v: %v", at, before, err)
 	}
-	if want := "msg=\"client left\" id=a1 took=40ms"; !strings.Contains(rest, want) {
+	if want := "msg=\"request abandoned\" request=a1 duration=40ms"; !strings.Contains(rest, want) {
 		t.Errorf("wrote %q, want %q in it", rest, want)
 	}
 }
 
-// TestWhatFindsNoPlaceIsCounted guards guarantees 1 and 3: nothing reads, and Record returns.
-func TestWhatFindsNoPlaceIsCounted(t *testing.T) {
+// TestDroppedEventsAreCounted guards guarantees 1 and 3: while nothing writes, Record returns.
+func TestDroppedEventsAreCounted(t *testing.T) {
 	r, out := recorderAt(slog.LevelDebug)
 	for range queueLength + 3 {
 		r.Record(ProcessStalled{})
 	}
-	run(r)
-	if lines := strings.Count(out.String(), "held up"); lines != queueLength || !strings.Contains(out.String(), "msg=\"events dropped\" count=3") {
-		t.Errorf("%d events written, and of the others: %.120q", lines, out.String())
+	writeQueued(r)
+	lines := strings.Count(out.String(), "process stalled")
+	if lines != queueLength || !strings.Contains(out.String(), "msg=\"events dropped\" count=3") {
+		t.Errorf("%d events written, want %d and a line about the other 3: %.120q", lines, queueLength, out.String())
 	}
 }
 
-func TestNothingIsTakenBelowDebug(t *testing.T) {
+// TestNoEventIsRecordedBelowDebug guards that events cost nothing while debug logs are off.
+func TestNoEventIsRecordedBelowDebug(t *testing.T) {
 	r, out := recorderAt(slog.LevelInfo)
 	r.Record(ProcessStalled{})
-	run(r)
+	writeQueued(r)
 	(*Recorder)(nil).Record(ProcessStalled{})
 	if out.Len() > 0 || len(r.queue) > 0 {
 		t.Errorf("wrote %q", out.String())
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -5,169 +5,224 @@
 	"time"
 )
 
-// RequestAccepted tells that a request was read and given to the core.
+// RequestAccepted reports that a request was read and accepted by the core.
 type RequestAccepted struct {
 	ID        string
 	Class     string
 	Client    string        // address of its connection
-	Timeout   time.Duration // as its client said
-	Age       time.Duration // since its last byte came, as far as the proxy knows
-	Remaining time.Duration // until its deadline as the proxy reckons it
+	Timeout   time.Duration // that the client asked for; negative if it did not say
+	Age       time.Duration // since its last byte arrived, as far as the proxy knows
+	Remaining time.Duration // until the deadline that the proxy works to
 }
 
-// AttemptDispatched tells that the module chose a node for a request.
-type AttemptDispatched struct {
-	ID      string
-	Attempt int
-	Node    string
-	Reason  string // why there is this attempt
+func (e RequestAccepted) describe() (string, []slog.Attr) {
+	return "request accepted", []slog.Attr{
+		slog.String("request", e.ID),
+		slog.String("class", e.Class),
+		slog.String("client", e.Client),
+		slog.Duration("timeout", e.Timeout),
+		slog.Duration("age", e.Age),
+		slog.Duration("remaining", e.Remaining),
+	}
 }
 
-// AttemptStarted tells that an attempt was let go, right before its first byte is written.
-type AttemptStarted struct {
-	ID        string
-	Attempt   int
-	Node      string
-	Remaining time.Duration // until the deadline that its node is told
+// RequestRejected reports a request that was answered without being accepted.
+type RequestRejected struct {
+	ID     string
+	Client string // address of its connection
+	Reason string
 }
 
-// AttemptEnded tells how an attempt ended.
-type AttemptEnded struct {
-	ID       string
-	Attempt  int
-	Node     string
-	Result   string
-	Duration time.Duration
+func (e RequestRejected) describe() (string, []slog.Attr) {
+	return "request rejected", []slog.Attr{
+		slog.String("request", e.ID),
+		slog.String("client", e.Client),
+		slog.String("reason", e.Reason),
+	}
 }
 
-// RequestAnswered tells that a request got its final answer.
+// RequestAnswered reports the answer to an accepted request.
 type RequestAnswered struct {
 	ID        string
-	Answer    string
-	Reason    string // of a refusal or failure
-	Duration  time.Duration
+	Answer    string        // its kind
+	Reason    string        // of a rejection or failure
+	Duration  time.Duration // since it was accepted
 	Remaining time.Duration // until its deadline; negative if it is late
 }
 
-// RequestRejected tells of a request that was answered without being taken.
-type RequestRejected struct {
-	ID     string
-	Client string
-	Reason string
+func (e RequestAnswered) describe() (string, []slog.Attr) {
+	return "request answered", []slog.Attr{
+		slog.String("request", e.ID),
+		slog.String("answer", e.Answer),
+		slog.String("reason", e.Reason),
+		slog.Duration("duration", e.Duration),
+		slog.Duration("remaining", e.Remaining),
+	}
 }
 
-// RequestAbandoned tells that a request's client has gone before the answer.
+// RequestAbandoned reports a request whose client disconnected before the answer.
 type RequestAbandoned struct {
 	ID        string
-	Duration  time.Duration
+	Duration  time.Duration // since it was accepted
 	Remaining time.Duration // until its deadline
 }
 
-// ClientConnected tells of a client's new connection.
-type ClientConnected struct{ Client string }
-
-// ClientDisconnected tells of the end of a client's connection.
-type ClientDisconnected struct {
-	Client     string
-	Reason     string
-	Unanswered int           // commands that were read and got no answer
-	Duration   time.Duration // since it was accepted
+func (e RequestAbandoned) describe() (string, []slog.Attr) {
+	return "request abandoned", []slog.Attr{
+		slog.String("request", e.ID),
+		slog.Duration("duration", e.Duration),
+		slog.Duration("remaining", e.Remaining),
+	}
 }
 
-// NodeConnected tells of a connection to a node that came up.
-type NodeConnected struct {
-	Node     string
-	Duration time.Duration
+// AttemptDispatched reports that the decision module chose a node for a request.
+type AttemptDispatched struct {
+	ID      string // of the request
+	Attempt int    // counted from zero
+	Node    string
+	Reason  string // why there is this attempt
 }
 
-// NodeDisconnected tells of the end of a connection to a node.
-type NodeDisconnected struct {
-	Node     string
-	Reason   string
-	InFlight int // attempts that were written on it and not answered
-	Queued   int // attempts that were not yet written on it
+func (e AttemptDispatched) describe() (string, []slog.Attr) {
+	return "attempt dispatched", []slog.Attr{
+		slog.String("request", e.ID),
+		slog.Int("attempt", e.Attempt),
+		slog.String("node", e.Node),
+		slog.String("reason", e.Reason),
+	}
 }
 
-// NodeDialFailed tells of a connection to a node that did not come up.
-type NodeDialFailed struct {
-	Node     string
-	Duration time.Duration
-	Err      error
+// AttemptStarted reports an attempt right before its first byte is written.
+type AttemptStarted struct {
+	ID        string // of the request
+	Attempt   int
+	Node      string
+	Remaining time.Duration // until the deadline that the node is told
 }
 
-// NodeUpdated tells of a change of a node in the list in force.
-type NodeUpdated struct {
-	Node, Mode string
-	Version    uint64
+func (e AttemptStarted) describe() (string, []slog.Attr) {
+	return "attempt started", []slog.Attr{
+		slog.String("request", e.ID),
+		slog.Int("attempt", e.Attempt),
+		slog.String("node", e.Node),
+		slog.Duration("remaining", e.Remaining),
+	}
 }
 
-// ProcessStalled tells that nothing of the process ran for a while.
-type ProcessStalled struct {
-	Duration time.Duration
-	CPUTime  time.Duration // processor time that the process used since the latest tick before
-	Count    int           // since this was last told, this one among them
-	InFlight int           // requests
+// AttemptEnded reports how an attempt ended.
+type AttemptEnded struct {
+	ID       string // of the request
+	Attempt  int
+	Node     string
+	Result   string
+	Duration time.Duration // since it was dispatched
 }
 
-func (e RequestAccepted) describe() (string, []slog.Attr) {
-	return "request taken", []slog.Attr{slog.String("id", e.ID), slog.String("class", e.Class), slog.String("client", e.Client),
-		slog.Duration("wait", e.Timeout), slog.Duration("age", e.Age), slog.Duration("left", e.Remaining)}
+func (e AttemptEnded) describe() (string, []slog.Attr) {
+	return "attempt ended", []slog.Attr{
+		slog.String("request", e.ID),
+		slog.Int("attempt", e.Attempt),
+		slog.String("node", e.Node),
+		slog.String("result", e.Result),
+		slog.Duration("duration", e.Duration),
+	}
 }
 
-func (e AttemptDispatched) describe() (string, []slog.Attr) {
-	return "attempt sent", []slog.Attr{slog.String("id", e.ID), slog.Int("attempt", e.Attempt), slog.String("node", e.Node),
-		slog.String("reason", e.Reason)}
+// ClientConnected reports a new connection from a client.
+type ClientConnected struct {
+	Client string // its address
 }
 
-func (e AttemptStarted) describe() (string, []slog.Attr) {
-	return "attempt begun", []slog.Attr{slog.String("id", e.ID), slog.Int("attempt", e.Attempt), slog.String("node", e.Node),
-		slog.Duration("left", e.Remaining)}
+func (e ClientConnected) describe() (string, []slog.Attr) {
+	return "client connected", []slog.Attr{slog.String("client", e.Client)}
 }
 
-func (e AttemptEnded) describe() (string, []slog.Attr) {
-	return "attempt ended", []slog.Attr{slog.String("id", e.ID), slog.Int("attempt", e.Attempt), slog.String("node", e.Node),
-		slog.String("result", e.Result), slog.Duration("took", e.Duration)}
+// ClientDisconnected reports the end of a connection from a client.
+type ClientDisconnected struct {
+	Client     string // its address
+	Reason     string
+	Unanswered int           // commands that were read and got no answer
+	Duration   time.Duration // since it was accepted
 }
 
-func (e RequestAnswered) describe() (string, []slog.Attr) {
-	return "request answered", []slog.Attr{slog.String("id", e.ID), slog.String("answer", e.Answer), slog.String("reason", e.Reason),
-		slog.Duration("took", e.Duration), slog.Duration("left", e.Remaining)}
+func (e ClientDisconnected) describe() (string, []slog.Attr) {
+	return "client disconnected", []slog.Attr{
+		slog.String("client", e.Client),
+		slog.String("reason", e.Reason),
+		slog.Int("unanswered", e.Unanswered),
+		slog.Duration("duration", e.Duration),
+	}
 }
 
-func (e RequestRejected) describe() (string, []slog.Attr) {
-	return "request refused", []slog.Attr{slog.String("id", e.ID), slog.String("client", e.Client), slog.String("reason", e.Reason)}
+// NodeConnected reports a new connection to a node.
+type NodeConnected struct {
+	Node     string
+	Duration time.Duration // of the dial
 }
 
-func (e RequestAbandoned) describe() (string, []slog.Attr) {
-	return "client left", []slog.Attr{slog.String("id", e.ID), slog.Duration("took", e.Duration), slog.Duration("left", e.Remaining)}
+func (e NodeConnected) describe() (string, []slog.Attr) {
+	return "node connected", []slog.Attr{slog.String("node", e.Node), slog.Duration("duration", e.Duration)}
 }
 
-func (e ClientConnected) describe() (string, []slog.Attr) {
-	return "client connected", []slog.Attr{slog.String("client", e.Client)}
+// NodeDialFailed reports a connection to a node that was not established.
+type NodeDialFailed struct {
+	Node     string
+	Duration time.Duration // of the dial
+	Err      error
 }
 
-func (e ClientDisconnected) describe() (string, []slog.Attr) {
-	return "client closed", []slog.Attr{slog.String("client", e.Client), slog.String("reason", e.Reason),
-		slog.Int("unanswered", e.Unanswered), slog.Duration("lived", e.Duration)}
+func (e NodeDialFailed) describe() (string, []slog.Attr) {
+	return "node dial failed", []slog.Attr{
+		slog.String("node", e.Node),
+		slog.Duration("duration", e.Duration),
+		slog.Any("error", e.Err),
+	}
 }
 
-func (e NodeConnected) describe() (string, []slog.Attr) {
-	return "node connected", []slog.Attr{slog.String("node", e.Node), slog.Duration("took", e.Duration)}
+// NodeDisconnected reports the end of a connection to a node.
+type NodeDisconnected struct {
+	Node     string
+	Reason   string
+	InFlight int // attempts that were written to it and not answered
+	Queued   int // attempts that were not yet written to it
 }
 
 func (e NodeDisconnected) describe() (string, []slog.Attr) {
-	return "node closed", []slog.Attr{slog.String("node", e.Node), slog.String("reason", e.Reason),
-		slog.Int("open", e.InFlight), slog.Int("queued", e.Queued)}
+	return "node disconnected", []slog.Attr{
+		slog.String("node", e.Node),
+		slog.String("reason", e.Reason),
+		slog.Int("in_flight", e.InFlight),
+		slog.Int("queued", e.Queued),
+	}
 }
 
-func (e NodeDialFailed) describe() (string, []slog.Attr) {
-	return "dial failed", []slog.Attr{slog.String("node", e.Node), slog.Duration("took", e.Duration), slog.Any("error", e.Err)}
+// NodeUpdated reports a change of a node in the endpoint list in force.
+type NodeUpdated struct {
+	Node, Status string
+	Version      uint64 // of the list
 }
 
 func (e NodeUpdated) describe() (string, []slog.Attr) {
-	return "node listed", []slog.Attr{slog.String("node", e.Node), slog.String("mode", e.Mode), slog.Uint64("version", e.Version)}
+	return "node updated", []slog.Attr{
+		slog.String("node", e.Node),
+		slog.String("status", e.Status),
+		slog.Uint64("version", e.Version),
+	}
+}
+
+// ProcessStalled reports that nothing of the process ran for a while, too briefly for a pause.
+type ProcessStalled struct {
+	Duration time.Duration
+	CPUTime  time.Duration // that the process used since the periodic check before
+	Count    int           // stalls since the last such event, this one included
+	InFlight int           // requests
 }
 
 func (e ProcessStalled) describe() (string, []slog.Attr) {
-	return "held up", []slog.Attr{slog.Duration("for", e.Duration), slog.Duration("cpu", e.CPUTime), slog.Int("times", e.Count), slog.Int("open", e.InFlight)}
+	return "process stalled", []slog.Attr{
+		slog.Duration("duration", e.Duration),
+		slog.Duration("cpu_time", e.CPUTime),
+		slog.Int("count", e.Count),
+		slog.Int("in_flight", e.InFlight),
+	}
 }
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -130,7 +130,7 @@
 	force := make(map[string]time.Time)
 	for in := bufio.NewScanner(f); in.Scan(); {
 		line := in.Text()
-		if !strings.Contains(line, "msg=node ") || !strings.Contains(line, " is=draining ") {
+		if !strings.Contains(line, `msg="node status changed" `) || !strings.Contains(line, " status=draining ") {
 			continue
 		}
 		fields := make(map[string]string)
@@ -140,8 +140,8 @@
 			}
 		}
 		at, err := time.Parse(time.RFC3339Nano, fields["time"])
-		if _, known := force[fields["name"]]; err == nil && !known {
-			force[fields["name"]] = at
+		if _, known := force[fields["node"]]; err == nil && !known {
+			force[fields["node"]] = at
 		}
 	}
 	return force, nil
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -487,7 +487,7 @@
 	if now := time.Now(); now.Sub(ns.lastWarning) < time.Second {
 		ns.suppressedWarnings++
 	} else {
-		ns.log.Warn("cache node's answer", "node", name, "error", err, "others", ns.suppressedWarnings)
+		ns.log.Warn("node answer malformed", "node", name, "error", err, "suppressed", ns.suppressedWarnings)
 		ns.lastWarning, ns.suppressedWarnings = now, 0
 	}
 }
