--- a/internal/lease/quorum/doc.go
+++ b/internal/lease/quorum/doc.go
@@ -8,6 +8,6 @@
 //  3. A voter whose disk has failed says nothing any more.
 //  4. What is kept is bounded: the log is compacted at a snapshot of the state machine.
 //
-// It does not find other voters or carry messages to them, and it does not decide what a lease means: see packages agent
-// and lease. A [Replica] is not safe for concurrent use and starts no goroutines; it belongs to its caller.
+// It does not find other voters or carry messages to them, and it does not decide what a lease means: see packages
+// agent and lease. A [Replica] is not safe for concurrent use and starts no goroutines; it belongs to its caller.
 package quorum
--- a/internal/lease/quorum/recorded_test.go
+++ b/internal/lease/quorum/recorded_test.go
@@ -15,31 +15,54 @@
 	"mulleinpier/internal/testutil"
 )
 
-// recordedEntries are entries of the voters' log as they were recorded from an earlier version, by file: one of each
-// kind of command.
+// recordedEntries are entries of the voters' log as an earlier version wrote them, by file: one of each kind of
+// command.
 var recordedEntries = map[string]logEntry{
-	"entry-acquire.cbor": {RequestID: 1, Proposer: 0xfedcba9876543211,
-		Command: lease.Command{Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second, Wait: true}},
-	"entry-release.cbor":       {RequestID: 2, Proposer: 3, Command: lease.Command{Kind: lease.Release, Task: "restart", Token: 1}},
-	"entry-leave-queue.cbor":   {RequestID: 2, Proposer: 3, Command: lease.Command{Kind: lease.Release, Task: "restart", Holder: "p1/10/7", Nonce: 7}},
-	"entry-transfer.cbor":      {RequestID: 3, Proposer: 3, Command: lease.Command{Kind: lease.Transfer, Task: "restart", Token: 1, To: "p2/11/8"}},
-	"entry-revoke.cbor":        {RequestID: 4, Proposer: 3, Command: lease.Command{Kind: lease.Revoke, Task: "restart", Token: 1}},
-	"entry-expire.cbor":        {Proposer: 3, Command: lease.Command{Kind: lease.Expire, Task: "restart", Token: 1}},
-	"entry-set-limit.cbor":     {RequestID: 5, Proposer: 3, Command: lease.Command{Kind: lease.SetLimit, Task: "restart", MaxHolders: 4}},
-	"entry-hand-over.cbor":     {RequestID: 6, Proposer: 3, Command: lease.Command{Kind: lease.HandOver, Task: "restart", Token: 1, To: "p2/11/8"}},
-	"entry-add-voter.cbor":     {RequestID: 7, Proposer: 3, Command: lease.Command{Kind: lease.AddVoter, To: "v2", VoterID: 4}},
-	"entry-remove-voter.cbor":  {RequestID: 8, Proposer: 3, Command: lease.Command{Kind: lease.RemoveVoter, To: "v2", VoterID: 3}},
+	"entry-acquire.cbor": {RequestID: 1, Proposer: 0xfedcba9876543211, Command: lease.Command{
+		Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second, Wait: true,
+	}},
+	"entry-release.cbor": {RequestID: 2, Proposer: 3, Command: lease.Command{
+		Kind: lease.Release, Task: "restart", Token: 1,
+	}},
+	"entry-leave-queue.cbor": {RequestID: 2, Proposer: 3, Command: lease.Command{
+		Kind: lease.Release, Task: "restart", Holder: "p1/10/7", Nonce: 7,
+	}},
+	"entry-transfer.cbor": {RequestID: 3, Proposer: 3, Command: lease.Command{
+		Kind: lease.Transfer, Task: "restart", Token: 1, To: "p2/11/8",
+	}},
+	"entry-revoke.cbor": {RequestID: 4, Proposer: 3, Command: lease.Command{
+		Kind: lease.Revoke, Task: "restart", Token: 1,
+	}},
+	"entry-expire.cbor": {Proposer: 3, Command: lease.Command{
+		Kind: lease.Expire, Task: "restart", Token: 1,
+	}},
+	"entry-set-limit.cbor": {RequestID: 5, Proposer: 3, Command: lease.Command{
+		Kind: lease.SetLimit, Task: "restart", MaxHolders: 4,
+	}},
+	"entry-hand-over.cbor": {RequestID: 6, Proposer: 3, Command: lease.Command{
+		Kind: lease.HandOver, Task: "restart", Token: 1, To: "p2/11/8",
+	}},
+	"entry-add-voter.cbor": {RequestID: 7, Proposer: 3, Command: lease.Command{
+		Kind: lease.AddVoter, To: "v2", VoterID: 4,
+	}},
+	"entry-remove-voter.cbor": {RequestID: 8, Proposer: 3, Command: lease.Command{
+		Kind: lease.RemoveVoter, To: "v2", VoterID: 3,
+	}},
 	"entry-unknown-kind.cbor":  {RequestID: 9, Proposer: 3, Command: lease.Command{Kind: 99, Task: "restart"}},
 	"entry-empty-command.cbor": {},
 }
 
-// recordedState is a state of the leases in which each field is set, with one task and one voter so that its encoding has
-// one order.
+// recordedState is a state of the leases in which each field is set, with one task and one voter so that its encoding
+// has one order.
 var recordedState = lease.StateMachine{
-	Tasks: map[string]*lease.Task{"restart": {MaxHolders: 2,
-		Grants: []lease.Grant{{Holder: "p1/10/7", Nonce: 7, Token: 41, Duration: 10 * time.Second, Revoked: true},
-			{Holder: "p2/11/8", Nonce: 8, Token: 42, Duration: time.Hour}},
-		Waiters: []lease.Waiter{{Holder: "p3/12/9", Nonce: 9, Duration: 250 * time.Millisecond}}}},
+	Tasks: map[string]*lease.Task{"restart": {
+		MaxHolders: 2,
+		Grants: []lease.Grant{
+			{Holder: "p1/10/7", Nonce: 7, Token: 41, Duration: 10 * time.Second, Revoked: true},
+			{Holder: "p2/11/8", Nonce: 8, Token: 42, Duration: time.Hour},
+		},
+		Waiters: []lease.Waiter{{Holder: "p3/12/9", Nonce: 9, Duration: 250 * time.Millisecond}},
+	}},
 	LastToken:   42,
 	Voters:      map[uint64]string{4: "v2"},
 	LastVoterID: 4,
@@ -58,14 +81,19 @@
 	}
 }
 
-// recordedManyTasks is a state whose encoding has no order of its own.
+// recordedManyTasks is a state whose encoding has no one order.
 func recordedManyTasks() lease.StateMachine {
-	b := lease.NewStateMachine("v0", "v1", "v2")
+	m := lease.NewStateMachine("v0", "v1", "v2")
 	for i := range 20 {
-		b.Apply(&lease.Command{Kind: lease.Acquire, Task: fmt.Sprint("t", i), Holder: "a", Nonce: uint64(i + 1), Duration: time.Second})
-		b.Apply(&lease.Command{Kind: lease.Acquire, Task: fmt.Sprint("t", i%7), Holder: "b", Nonce: uint64(i + 100), Duration: time.Minute, Wait: true})
+		m.Apply(&lease.Command{
+			Kind: lease.Acquire, Task: fmt.Sprint("t", i), Holder: "a", Nonce: uint64(i + 1), Duration: time.Second,
+		})
+		m.Apply(&lease.Command{
+			Kind: lease.Acquire, Task: fmt.Sprint("t", i%7), Holder: "b", Nonce: uint64(i + 100),
+			Duration: time.Minute, Wait: true,
+		})
 	}
-	return *b
+	return *m
 }
 
 func recordedEntryData(name string) []byte {
@@ -82,23 +110,45 @@
 	if err != nil {
 		panic(err)
 	}
-	change, err := proto.Marshal(&raftpb.ConfChange{Type: raftpb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: proto.Uint64(4),
-		Context: recordedEntryData("entry-add-voter.cbor")})
+	change, err := proto.Marshal(&raftpb.ConfChange{
+		Type:    raftpb.ConfChangeType_ConfChangeAddNode.Enum(),
+		NodeId:  proto.Uint64(4),
+		Context: recordedEntryData("entry-add-voter.cbor"),
+	})
 	if err != nil {
 		panic(err)
 	}
+	from, to, term := proto.Uint64(2), proto.Uint64(1), proto.Uint64(3)
 	return map[string]*raftpb.Message{
-		"message-heartbeat.pb": {Type: raftpb.MessageType_MsgHeartbeat.Enum(), From: proto.Uint64(2), To: proto.Uint64(1), Term: proto.Uint64(3),
-			Commit: proto.Uint64(17), Context: []byte{0, 0, 0, 0, 0, 0, 0, 9}},
-		"message-vote.pb": {Type: raftpb.MessageType_MsgVote.Enum(), From: proto.Uint64(2), To: proto.Uint64(1), Term: proto.Uint64(3),
-			Index: proto.Uint64(17), LogTerm: proto.Uint64(2)},
-		"message-append.pb": {Type: raftpb.MessageType_MsgApp.Enum(), From: proto.Uint64(2), To: proto.Uint64(1), Term: proto.Uint64(3),
-			Index: proto.Uint64(17), LogTerm: proto.Uint64(2), Commit: proto.Uint64(16), Entries: []*raftpb.Entry{
-				{Term: proto.Uint64(3), Index: proto.Uint64(18), Type: raftpb.EntryType_EntryNormal.Enum(), Data: recordedEntryData("entry-acquire.cbor")},
-				{Term: proto.Uint64(3), Index: proto.Uint64(19), Type: raftpb.EntryType_EntryConfChange.Enum(), Data: change}}},
-		"message-snapshot.pb": {Type: raftpb.MessageType_MsgSnap.Enum(), From: proto.Uint64(2), To: proto.Uint64(1), Term: proto.Uint64(3),
-			Snapshot: &raftpb.Snapshot{Data: snapshot, Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(17), Term: proto.Uint64(2),
-				ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 4}}}}},
+		"message-heartbeat.pb": {
+			Type: raftpb.MessageType_MsgHeartbeat.Enum(), From: from, To: to, Term: term,
+			Commit: proto.Uint64(17), Context: []byte{0, 0, 0, 0, 0, 0, 0, 9},
+		},
+		"message-vote.pb": {
+			Type: raftpb.MessageType_MsgVote.Enum(), From: from, To: to, Term: term,
+			Index: proto.Uint64(17), LogTerm: proto.Uint64(2),
+		},
+		"message-append.pb": {
+			Type: raftpb.MessageType_MsgApp.Enum(), From: from, To: to, Term: term,
+			Index: proto.Uint64(17), LogTerm: proto.Uint64(2), Commit: proto.Uint64(16),
+			Entries: []*raftpb.Entry{
+				{
+					Term: proto.Uint64(3), Index: proto.Uint64(18), Type: raftpb.EntryType_EntryNormal.Enum(),
+					Data: recordedEntryData("entry-acquire.cbor"),
+				},
+				{
+					Term: proto.Uint64(3), Index: proto.Uint64(19), Type: raftpb.EntryType_EntryConfChange.Enum(),
+					Data: change,
+				},
+			},
+		},
+		"message-snapshot.pb": {
+			Type: raftpb.MessageType_MsgSnap.Enum(), From: from, To: to, Term: term,
+			Snapshot: &raftpb.Snapshot{Data: snapshot, Metadata: &raftpb.SnapshotMetadata{
+				Index: proto.Uint64(17), Term: proto.Uint64(2),
+				ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 4}},
+			}},
+		},
 	}
 }
 
@@ -115,14 +165,14 @@
 	}
 }
 
-// TestRecordedSnapshotIsApplied has a voter take the recorded append and snapshot messages: what it applies are the
-// recorded commands.
+// TestRecordedSnapshotIsApplied has a voter take the recorded snapshot message: what it knows then is the recorded
+// state.
 func TestRecordedSnapshotIsApplied(t *testing.T) {
-	saved, err := InitialState("v0", "v1", "v2")
+	initial, err := InitialState("v0", "v1", "v2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(1, 5, saved, lease.DefaultParameters, false)
+	r, err := New(1, 5, initial, lease.DefaultParameters, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,8 +182,8 @@
 	}
 	for _, event := range []Event{MessageReceived{m}, SaveCompleted{}} {
 		for _, a := range r.Handle(0, event) {
-			if down, ok := a.(Halted); ok {
-				t.Fatal(down.Err)
+			if halted, ok := a.(Halted); ok {
+				t.Fatal(halted.Err)
 			}
 		}
 	}
