--- a/internal/lease/agent/agent_test.go
+++ b/internal/lease/agent/agent_test.go
@@ -21,18 +21,18 @@
 	"mulleinpier/internal/testutil"
 )
 
-// fleet is three voters in this process, each with a disk and a listener of its own.
-type fleet struct {
-	t      *testing.T
-	Fleet  Fleet
-	paths  []string
-	ends   []func()
-	broken [3]atomic.Bool // disks
+// testFleet is three voters in this process, each with a disk and a listener of its own.
+type testFleet struct {
+	t           *testing.T
+	Fleet       Fleet
+	paths       []string
+	stops       []func()
+	brokenDisks [3]atomic.Bool // disks
 }
 
-func newFleet(t *testing.T) *fleet {
+func newFleet(t *testing.T) *testFleet {
 	t.Helper()
-	f := &fleet{t: t, Fleet: Fleet{Name: "test"}, ends: make([]func(), 3)}
+	f := &testFleet{t: t, Fleet: Fleet{Name: "test"}, stops: make([]func(), 3)}
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.5:0") // where no connection goes out from
 		if err != nil {
@@ -49,21 +49,21 @@
 		f.start(i)
 	}
 	t.Cleanup(func() {
-		for i := range f.ends {
+		for i := range f.stops {
 			f.stop(i)
 		}
 	})
 	return f
 }
 
-func (f *fleet) start(i int) {
+func (f *testFleet) start(i int) {
 	f.t.Helper()
 	v, err := Open(f.paths[i], f.Fleet, f.Fleet.Voters[i].Name, slog.New(slog.DiscardHandler))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	v.sync = func() error {
-		if f.broken[i].Load() {
+	v.beforeSave = func() error {
+		if f.brokenDisks[i].Load() {
 			return errors.New("no space left on device")
 		}
 		return nil
@@ -75,17 +75,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var task sync.WaitGroup
 	task.Go(func() { v.Run(ctx, l) })
-	f.ends[i] = func() { cancel(); task.Wait() }
+	f.stops[i] = func() { cancel(); task.Wait() }
 }
 
-func (f *fleet) stop(i int) {
-	if f.ends[i] != nil {
-		f.ends[i]()
-		f.ends[i] = nil
+func (f *testFleet) stop(i int) {
+	if f.stops[i] != nil {
+		f.stops[i]()
+		f.stops[i] = nil
 	}
 }
 
-func (f *fleet) client() *Client {
+func (f *testFleet) client() *Client {
 	f.t.Helper()
 	c, err := NewClient(f.Fleet)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return c
 }
 
-func (f *fleet) hold(task, name string, wait bool) *Holder {
+func (f *testFleet) hold(task, name string, wait bool) *Holder {
 	f.t.Helper()
 	h, err := f.client().Hold(context.Background(), task, name, 2*time.Second, wait)
 	if err != nil {
@@ -105,7 +105,7 @@
 	return h
 }
 
-func (f *fleet) await(h *Holder) uint64 {
+func (f *testFleet) await(h *Holder) uint64 {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
@@ -116,13 +116,13 @@
 	return n
 }
 
-func (f *fleet) leader() int {
+func (f *testFleet) leader() int {
 	f.t.Helper()
 	at := -1
 	c := f.client()
 	testutil.WaitUntil(f.t, "a leader", func() bool {
 		s, err := c.LeaderState(context.Background())
-		at = int(f.Fleet.number(s.Leader)) - 1
+		at = f.Fleet.voterIndex(s.Leader)
 		return err == nil && s.IsLeader
 	})
 	return at
@@ -195,7 +195,7 @@
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
 	first := f.await(a)
-	f.broken[f.leader()].Store(true)
+	f.brokenDisks[f.leader()].Store(true)
 	a.Close()
 	if second := f.await(f.hold("x", "b", true)); second <= first {
 		t.Errorf("number %d after %d", second, first)
@@ -367,7 +367,7 @@
 	const contenders = 1000
 	var acting, most, acts atomic.Int32
 	var tasks sync.WaitGroup
-	places := make(chan struct{}, atOnce)
+	places := make(chan struct{}, concurrentContenders)
 	for i := range contenders {
 		c := f.client()
 		tasks.Go(func() {
@@ -413,7 +413,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if _, err := c.ask(context.Background(), lease.Command{Kind: lease.Acquire, Task: "x", Holder: "a", Nonce: 1, Duration: time.Second}, 0); err == nil {
+	if _, err := c.send(context.Background(), lease.Command{Kind: lease.Acquire, Task: "x", Holder: "a", Nonce: 1, Duration: time.Second}, 0); err == nil {
 		t.Error("another fleet is answered")
 	}
 	for _, body := range []string{"", "\xff\xff", "\xa1\x01\x09"} {
--- /dev/null
+++ b/internal/lease/agent/client.go
@@ -0,0 +1,151 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"time"
+
+	"mulleinpier/internal/lease"
+	"mulleinpier/internal/peer"
+	"mulleinpier/internal/peer/rpc"
+)
+
+// executeRetryPause separates two attempts to have a command carried out.
+const executeRetryPause = 50 * time.Millisecond
+
+// Client asks the voters of a fleet. It is safe for concurrent use.
+type Client struct {
+	fleet Fleet
+	http  *http.Client
+
+	mu     sync.Mutex
+	leader int // place of the voter that is taken for the leader
+}
+
+// NewClient returns a client of a fleet.
+func NewClient(f Fleet) (*Client, error) {
+	if err := f.Validate(); err != nil {
+		return nil, err
+	}
+	return &Client{fleet: f, http: rpc.NewClient(0)}, nil
+}
+
+// Close ends idle connections.
+func (c *Client) Close() { c.http.CloseIdleConnections() }
+
+// send sends a request once, to the voter that is taken for the leader. A voter that does not lead says which one does;
+// after one that does not answer the next is taken for the leader.
+func (c *Client) send(ctx context.Context, command lease.Command, token uint64) (Reply, error) {
+	c.mu.Lock()
+	leader := c.leader
+	c.mu.Unlock()
+	request := Request{Header: rpc.NewHeader(c.fleet.Name), Command: command, Token: token}
+	var reply Reply
+	err := rpc.Post(ctx, c.http, c.fleet.Voters[leader].Address, requestPath, request, &reply)
+	if err != nil || reply.Outcome == lease.NoAnswer {
+		next := (leader + 1) % len(c.fleet.Voters)
+		if named := c.fleet.voterIndex(reply.Leader); named >= 0 && named != leader {
+			next = named
+		}
+		c.mu.Lock()
+		c.leader = next
+		c.mu.Unlock()
+	}
+	return reply, err
+}
+
+// Execute has a command carried out, and asks until a voter that can decide has answered or ctx ends. A refusal is an
+// error.
+func (c *Client) Execute(ctx context.Context, command lease.Command) (Reply, error) {
+	for {
+		reply, err := c.send(ctx, command, 0)
+		if err == nil && reply.Outcome != lease.NoAnswer {
+			if reply.Error != "" {
+				err = errors.New(reply.Error)
+			}
+			return reply, err
+		}
+		select {
+		case <-ctx.Done():
+			return Reply{}, errors.Join(errors.New("lease: no voter that can decide has answered"), err)
+		case <-time.After(executeRetryPause):
+		}
+	}
+}
+
+// queryState asks one voter for its state.
+func (c *Client) queryState(ctx context.Context, voter VoterAddress) (s VoterState, err error) {
+	url := "http://" + voter.Address + statePath
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return s, err
+	}
+	response, err := c.http.Do(request)
+	if err != nil {
+		return s, err
+	}
+	defer response.Body.Close()
+	return s, json.NewDecoder(io.LimitReader(response.Body, rpc.MaxBodyBytes)).Decode(&s)
+}
+
+// VoterStates asks each voter for its state; a voter that does not answer is left out.
+func (c *Client) VoterStates(ctx context.Context) (list []VoterState) {
+	for _, voter := range c.fleet.Voters {
+		if s, err := c.queryState(ctx, voter); err == nil {
+			list = append(list, s)
+		}
+	}
+	return list
+}
+
+// Members returns the fleet's instances as the majority of the voters sees them that answer until ctx ends, and how
+// many voters do.
+func (c *Client) Members(ctx context.Context) (list []peer.MemberState, answered int) {
+	states := make([]VoterState, len(c.fleet.Voters))
+	errs := make([]error, len(c.fleet.Voters))
+	var tasks sync.WaitGroup
+	for i, voter := range c.fleet.Voters {
+		tasks.Go(func() { states[i], errs[i] = c.queryState(ctx, voter) })
+	}
+	tasks.Wait()
+	for _, err := range errs {
+		if err == nil {
+			answered++
+		}
+	}
+	view := peer.NewView(peer.DefaultParameters, answered, 0)
+	for i, s := range states {
+		if errs[i] == nil {
+			view.Merge(0, c.fleet.Voters[i].Name, true, s.Members)
+		}
+	}
+	return view.Members(), answered
+}
+
+// LeaderState returns the leader's state, or, where no voter that answers leads, the state of the first that answers.
+func (c *Client) LeaderState(ctx context.Context) (VoterState, error) {
+	var first VoterState
+	var errs error
+	for _, voter := range c.fleet.Voters {
+		s, err := c.queryState(ctx, voter)
+		if err != nil {
+			errs = errors.Join(errs, fmt.Errorf("%s: %w", voter.Name, err))
+			continue
+		}
+		if s.IsLeader {
+			return s, nil
+		}
+		if first.Voter == "" {
+			first = s
+		}
+	}
+	if first.Voter == "" {
+		return first, errors.Join(errors.New("lease: no voter answers"), errs)
+	}
+	return first, nil
+}
--- a/internal/lease/agent/norace_test.go
+++ b/internal/lease/agent/norace_test.go
@@ -2,5 +2,5 @@
 
 package agent
 
-// atOnce is how many contenders wait at a time.
-const atOnce = 1000
+// concurrentContenders is how many contenders wait at a time.
+const concurrentContenders = 1000
--- a/internal/lease/agent/race_test.go
+++ b/internal/lease/agent/race_test.go
@@ -2,5 +2,5 @@
 
 package agent
 
-// atOnce is how many contenders wait at a time: under the race detector a thousand ask faster than voters can answer.
-const atOnce = 300
+// concurrentContenders is how many contenders wait at a time: under the race detector a thousand ask faster than voters can answer.
+const concurrentContenders = 300
--- a/internal/lease/agent/recorded_test.go
+++ b/internal/lease/agent/recorded_test.go
@@ -26,8 +26,8 @@
 // recordedBook tells of; v2 lost its first file, and was seated again. joining.bolt is the file of a voter that has been
 // made, but never run.
 
-// recordedBook is what the recorded voters had agreed on.
-func recordedBook() *lease.StateMachine {
+// recordedStateMachine is what the recorded voters had agreed on.
+func recordedStateMachine() *lease.StateMachine {
 	grant := func(holder string, nonce, number uint64, revoked bool) lease.Grant {
 		return lease.Grant{Holder: holder, Nonce: nonce, Token: number, Duration: time.Hour, Revoked: revoked}
 	}
@@ -61,7 +61,7 @@
 	if named, records, err = l.Load(); err != nil {
 		t.Fatal(err)
 	}
-	if saved, seat, err = remember(l, "test"); err != nil {
+	if saved, seat, err = loadState(l, "test"); err != nil {
 		t.Fatal(err)
 	}
 	return path, named, records, saved, seat
@@ -96,7 +96,7 @@
 		if metadata.GetIndex() != c.snapshot || last != c.last {
 			t.Errorf("%s: a snapshot at %d and entries to %d, want %d and %d", c.file, metadata.GetIndex(), last, c.snapshot, c.last)
 		}
-		again, err := change(quorum.PersistentState{HardState: saved.HardState, Snapshot: saved.Snapshot, Entries: saved.Entries})
+		again, err := storageChange(quorum.PersistentState{HardState: saved.HardState, Snapshot: saved.Snapshot, Entries: saved.Entries})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,7 +120,7 @@
 // TestRecordedVotersGoOn runs three voters of this version from the recorded files: they agree on what was recorded, and
 // their next number is higher than all before.
 func TestRecordedVotersGoOn(t *testing.T) {
-	f := &fleet{t: t, Fleet: Fleet{Name: "test"}, ends: make([]func(), 3)}
+	f := &testFleet{t: t, Fleet: Fleet{Name: "test"}, stops: make([]func(), 3)}
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.5:0")
 		if err != nil {
@@ -136,7 +136,7 @@
 		f.start(i)
 	}
 	t.Cleanup(func() {
-		for i := range f.ends {
+		for i := range f.stops {
 			f.stop(i)
 		}
 	})
@@ -152,18 +152,18 @@
 	if s.VoterID != wantSeats[at] {
 		t.Errorf("%s has seat %d, want %d", s.Voter, s.VoterID, wantSeats[at])
 	}
-	got, want := listed(t, s.StateMachine), listed(t, recordedBook())
+	got, want := stateJSON(t, s.StateMachine), stateJSON(t, recordedStateMachine())
 	if got != want {
 		t.Errorf("agreed on\n%s, want\n%s", got, want)
 	}
 	reply, err := c.Execute(ctx, lease.Command{Kind: lease.Acquire, Task: "next", Holder: "n/1/1", Nonce: 1, Duration: time.Hour})
-	if err != nil || reply.Outcome != lease.Granted || reply.Token != recordedBook().LastToken+1 {
+	if err != nil || reply.Outcome != lease.Granted || reply.Token != recordedStateMachine().LastToken+1 {
 		t.Errorf("the next grant: %+v, %v", reply, err)
 	}
 }
 
-// listed is a state as JSON, with empty lists as none.
-func listed(t *testing.T, b *lease.StateMachine) string {
+// stateJSON is a state as JSON, with empty lists as none.
+func stateJSON(t *testing.T, b *lease.StateMachine) string {
 	t.Helper()
 	b = b.Clone()
 	for _, task := range b.Tasks {
@@ -204,8 +204,8 @@
 	"reply-not-held.cbor":  {Outcome: lease.NotHeld},
 }
 
-// recordedLetter is what one voter sends another.
-func recordedLetter(t *testing.T) letter {
+// recordedVoterMessages is what one voter sends another.
+func recordedVoterMessages(t *testing.T) voterMessages {
 	var messages [][]byte
 	for _, kind := range []raftpb.MessageType{raftpb.MessageType_MsgHeartbeat, raftpb.MessageType_MsgHeartbeatResp} {
 		from, to, term := uint64(2), uint64(1), uint64(3)
@@ -215,7 +215,7 @@
 		}
 		messages = append(messages, text)
 	}
-	return letter{Header: recordedHead, Messages: messages, From: "v1", Seat: 2}
+	return voterMessages{Header: recordedHead, Messages: messages, From: "v1", VoterID: 2}
 }
 
 // TestRecordedMessages guards fleets of mixed versions: what voters, holders and operators say to one another is read from
@@ -227,7 +227,7 @@
 	for name, want := range recordedReplies {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
 	}
-	testutil.CheckRecordedCBOR(t, "testdata/voter-messages.cbor", recordedLetter(t))
+	testutil.CheckRecordedCBOR(t, "testdata/voter-messages.cbor", recordedVoterMessages(t))
 	for text, err := range map[string]error{
 		"lease: the task is taken":                  lease.ErrHeld,
 		"lease: there is no such grant":             lease.ErrUnknownGrant,
@@ -241,8 +241,8 @@
 	}
 }
 
-// recordedState is what a voter tells those who look, with each field set.
-var recordedState = VoterState{Voter: "v1", VoterID: 2, Leader: "v0", IsLeader: true, HaltReason: "quorum: save: no space left on device",
+// recordedVoterState is what a voter tells those who look, with each field set.
+var recordedVoterState = VoterState{Voter: "v1", VoterID: 2, Leader: "v0", IsLeader: true, HaltReason: "quorum: save: no space left on device",
 	StateMachine: &lease.StateMachine{
 		Tasks: map[string]*lease.Task{"restart": {MaxHolders: 2,
 			Grants: []lease.Grant{{Holder: "p1/10/7", Token: 41, Duration: 10 * time.Second, Revoked: true},
@@ -260,10 +260,10 @@
 func TestRecordedState(t *testing.T) {
 	recorded := testutil.Recorded(t, "testdata/state.json")
 	var got VoterState
-	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, recordedState) {
-		t.Errorf("decodes to %+v, want %+v (error %v)", got, recordedState, err)
+	if err := json.Unmarshal(recorded, &got); err != nil || !reflect.DeepEqual(got, recordedVoterState) {
+		t.Errorf("decodes to %+v, want %+v (error %v)", got, recordedVoterState, err)
 	}
-	if encoded, err := json.Marshal(recordedState); err != nil || !bytes.Equal(encoded, recorded) {
+	if encoded, err := json.Marshal(recordedVoterState); err != nil || !bytes.Equal(encoded, recorded) {
 		t.Errorf("now encoded as\n%s, recorded as\n%s (error %v)", encoded, recorded, err)
 	}
 }
--- a/internal/lease/quorum/recorded_test.go
+++ b/internal/lease/quorum/recorded_test.go
@@ -76,7 +76,8 @@
 	}
 	testutil.CheckRecordedCBOR(t, "testdata/state.cbor", recordedState)
 	var many lease.StateMachine
-	if err := cbor.Unmarshal(testutil.Recorded(t, "testdata/state-many.cbor"), &many); err != nil || !reflect.DeepEqual(many, recordedManyTasks()) {
+	err := cbor.Unmarshal(testutil.Recorded(t, "testdata/state-many.cbor"), &many)
+	if err != nil || !reflect.DeepEqual(many, recordedManyTasks()) {
 		t.Errorf("a state of many tasks: %v, %+v", err, many)
 	}
 }
--- a/internal/peer/rpc/talk.go
+++ b/internal/peer/rpc/talk.go
@@ -9,6 +9,7 @@
 	"context"
 	"fmt"
 	"io"
+	"log/slog"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -133,3 +134,36 @@
 	}
 	return cbor.Unmarshal(text, into)
 }
+
+// Bounds of a server of fleet messages.
+const (
+	readHeaderTimeout = time.Second
+	readTimeout       = 2 * time.Second
+	maxHeaderBytes    = 8 << 10
+)
+
+// NewServer returns a server of fleet messages. Its errors are not logged: they are those of its clients.
+func NewServer(handler http.Handler, writeTimeout time.Duration) *http.Server {
+	return &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       IdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
+	}
+}
+
+// NewClient returns a client for exchanges that are answered at once, with at most so many connections to each server
+// (0 for no bound), of which two are kept while idle.
+func NewClient(maxConnections int) *http.Client {
+	return &http.Client{
+		Timeout: ExchangeTimeout,
+		Transport: &http.Transport{
+			MaxIdleConnsPerHost: 2,
+			MaxConnsPerHost:     maxConnections,
+			IdleConnTimeout:     IdleTimeout,
+		},
+	}
+}
