--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -5,63 +5,94 @@
 	"time"
 )
 
-// Counts are what has happened since they were last told. They may be any finite figures;
-// what is nonsense makes its share unknown.
+// Counts are what has happened since they were last reported. They may be any finite numbers; invalid ones make their
+// share unknown.
 type Counts struct {
-	Reads, LateReads           float64 // requests but keyed writes that ended, of them not in time
-	Handovers, LateHandovers   float64 // keyed writes
-	Offered, Rejected          float64 // requests that came to the gates, of them turned away there
-	Fetches, FailedFetches     float64 // misses and writes that ended, of them with an error or silence
-	TimedFetches, FetchTimeSum float64 // those that were measured, and the sum of what the origin added, in aims
+	// Requests other than keyed writes that ended, and of them those not in time. Handovers are keyed writes.
+	Reads, LateReads         float64
+	Handovers, LateHandovers float64
+
+	Offered, Rejected      float64 // requests that reached the gates, and of them those rejected there
+	Fetches, FailedFetches float64 // misses and writes that ended, and of them those that failed or got no answer
+
+	// Fetches that were measured, and the sum of what the origin added to them, in latency objectives.
+	TimedFetches, FetchTimeSum float64
 }
 
 const (
-	// meterMemory is that of the counts: long enough for a proxy of a few requests a second.
-	meterMemory = 3 * time.Second
-	// meterPrior is how many good ends are assumed besides what was seen: at a proxy of few
-	// requests one that is late must be no trouble.
-	meterPrior = 20.0
-	// handoverPrior is that of handovers and of times, of which there are few: a third of them
-	// late must not take until it is over to show.
+	// meterDecayTime is long enough for a proxy of a few requests a second.
+	meterDecayTime = 3 * time.Second
+
+	// The priors are good outcomes that are assumed besides those seen: at a proxy of few requests a single late one
+	// must be no overload. The second is for handovers and times, of which there are few: a third of them late must
+	// not take until it is over to show.
+	meterPrior    = 20.0
 	handoverPrior = 5.0
+
+	// minMeterCount is the number of events under which a share is unknown.
+	minMeterCount = 0.5
 )
 
-// Meter makes shares of counts, fading. The zero Meter is ready.
+// Meter turns counts into shares that decay. The zero Meter is ready for use.
 type Meter struct {
-	shares [5]struct{ all, bad float64 }
-	at     time.Duration
-	begun  bool
+	shares  [len(meteredSignals)]share
+	updated time.Duration
+	started bool
 }
 
-// meterOf are the troubles whose figures a meter has, in the order of its shares.
-var meterOf = [...]Signal{LateReads, LateHandovers, Rejections, OriginErrors, OriginLatency}
+type share struct{ all, bad float64 }
+
+// meteredSignals are the signals that a meter measures, in the order of its shares.
+var meteredSignals = [...]Signal{LateReads, LateHandovers, Rejections, OriginErrors, OriginLatency}
+
+func (c *Counts) shares() [len(meteredSignals)]share {
+	return [...]share{
+		{c.Reads, c.LateReads},
+		{c.Handovers, c.LateHandovers},
+		{c.Offered, c.Rejected},
+		{c.Fetches, c.FailedFetches},
+		{c.TimedFetches, c.FetchTimeSum},
+	}
+}
 
-// Add counts what has happened until now. A clock that goes back counts as one that stands.
+// Add counts what has happened until now. A clock that goes back counts as one that stands still.
 func (m *Meter) Add(now time.Duration, c Counts) {
-	fade := 1.0
-	if m.begun {
-		fade = math.Exp(-float64(max(now-m.at, 0)) / float64(meterMemory))
+	retention := 1.0
+	if m.started {
+		retention = math.Exp(-float64(max(now-m.updated, 0)) / float64(meterDecayTime))
 	}
-	m.at, m.begun = now, true
-	for i, x := range [...][2]float64{{c.Reads, c.LateReads}, {c.Handovers, c.LateHandovers}, {c.Offered, c.Rejected}, {c.Fetches, c.FailedFetches}, {c.TimedFetches, c.FetchTimeSum}} {
+	m.updated, m.started = now, true
+	for i, added := range c.shares() {
 		s := &m.shares[i]
-		s.all, s.bad = s.all*fade, s.bad*fade
-		if all, bad := x[0], x[1]; all >= 0 && bad >= 0 && !math.IsInf(all, 0) && !math.IsInf(bad, 0) && (bad <= all || meterOf[i] == OriginLatency) {
-			s.all, s.bad = s.all+all, s.bad+bad
+		s.all *= retention
+		s.bad *= retention
+		if added.isValid(meteredSignals[i]) {
+			s.all += added.all
+			s.bad += added.bad
 		}
 	}
 }
 
-// Fill enters the shares among signals. Of what nothing has happened lately none is known.
-func (m *Meter) Fill(s *Signals) {
-	for i, trouble := range meterOf {
-		s[trouble] = Unknown
-		if x := m.shares[i]; x.all >= 0.5 {
-			prior := meterPrior
-			if trouble == LateHandovers || trouble == OriginLatency {
-				prior = handoverPrior
-			}
-			s[trouble] = x.bad / (x.all + prior)
+func (s share) isValid(signal Signal) bool {
+	if !(s.all >= 0 && s.bad >= 0) || math.IsInf(s.all, 0) || math.IsInf(s.bad, 0) {
+		return false
+	}
+	isMean := signal == OriginLatency // not a share: the sum may exceed the count
+	return isMean || s.bad <= s.all
+}
+
+// Fill enters the shares among signals. A share of which nothing has happened lately is unknown.
+func (m *Meter) Fill(signals *Signals) {
+	for i, signal := range meteredSignals {
+		signals[signal] = Unknown
+		s := m.shares[i]
+		if s.all < minMeterCount {
+			continue
+		}
+		prior := meterPrior
+		if signal == LateHandovers || signal == OriginLatency {
+			prior = handoverPrior
 		}
+		signals[signal] = s.bad / (s.all + prior)
 	}
 }
