--- /dev/null
+++ b/internal/bloom/filter_test.go
@@ -0,0 +1,40 @@
+package bloom
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestFilterForgetsInTwoRotations(t *testing.T) {
+	var f Filter
+	p := PositionsOf(Hash("k"))
+	f.Add(&p)
+	f.Rotate()
+	if !f.Contains(&p) {
+		t.Fatal("forgotten after one rotation")
+	}
+	f.Rotate()
+	if f.Contains(&p) || f.FalsePositiveRate() != 0 {
+		t.Fatal("remembered after two rotations")
+	}
+}
+
+func TestFalsePositiveRateIsAboutWhatIsSeen(t *testing.T) {
+	const probes = 4000
+	var f Filter
+	for i := range 600 {
+		p := PositionsOf(Hash(fmt.Sprint("in", i)))
+		f.Add(&p)
+	}
+	falsePositives := 0
+	for i := range probes {
+		p := PositionsOf(Hash(fmt.Sprint("out", i)))
+		if f.Contains(&p) {
+			falsePositives++
+		}
+	}
+	seen, estimated := float64(falsePositives)/probes, f.FalsePositiveRate()
+	if estimated < seen/2 || estimated > 2*seen+0.01 {
+		t.Errorf("false positives %.3f, estimated %.3f", seen, estimated)
+	}
+}
