--- a/cmd/simadapter/session_test.go
+++ b/cmd/simadapter/session_test.go
@@ -18,7 +18,7 @@
 	sessionCount  = 8
 )
 
-// TestRecordedSessions replays recorded sessions on the simulator's wire and holds that each reply is the
+// TestRecordedSessions replays recorded sessions on the simulator's wire and guards that each reply is the
 // same to the byte. A decision that changed on purpose is recorded anew with -record, in a commit of its own.
 func TestRecordedSessions(t *testing.T) {
 	for seed := range uint64(sessionCount) {
--- /dev/null
+++ b/internal/simwire/fields.go
@@ -0,0 +1,133 @@
+package simwire
+
+import (
+	"encoding/hex"
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	absent = "-" // stands for a value that is absent
+
+	maxNumber = 1e12 // magnitude of a number that is accepted
+
+	requestIDBits = 52
+	indexBits     = 31
+)
+
+// fields takes the tab-separated values of one line in order; the first defect stays in err.
+type fields struct {
+	line int
+	name string // of the message
+	rest string // values not yet taken
+	more bool   // there are such values
+	err  error
+}
+
+func (f *fields) errorf(field, format string, args ...any) error {
+	return &SyntaxError{f.line, f.name + " " + field, fmt.Sprintf(format, args...)}
+}
+
+// invalid notes a value that is not valid.
+func (f *fields) invalid(field, value string) {
+	if f.err == nil {
+		f.err = f.errorf(field, "cannot be %q", value)
+	}
+}
+
+// end notes values that are left over.
+func (f *fields) end() {
+	if f.err == nil && f.more {
+		f.err = f.errorf("line", "has more values than are known")
+	}
+}
+
+// remainder takes the rest of the line, tabs included.
+func (f *fields) remainder(field string) string {
+	if f.err == nil && !f.more {
+		f.err = f.errorf(field, "is missing")
+	}
+	f.more = false
+	return f.rest
+}
+
+// text takes a value; absent is "".
+func (f *fields) text(field string) string {
+	if f.err != nil {
+		return ""
+	}
+	if !f.more {
+		f.err = f.errorf(field, "is missing")
+		return ""
+	}
+	var value string
+	value, f.rest, f.more = strings.Cut(f.rest, "\t")
+	if value == absent {
+		return ""
+	}
+	return value
+}
+
+// number takes a finite number; absent is 0.
+func (f *fields) number(field string) float64 {
+	value := f.text(field)
+	if value == "" {
+		return 0
+	}
+	x, err := strconv.ParseFloat(value, 64)
+	if err != nil || math.IsNaN(x) || math.Abs(x) > maxNumber {
+		f.invalid(field, value)
+		return 0
+	}
+	return x
+}
+
+// duration takes a number of milliseconds.
+func (f *fields) duration(field string) time.Duration { return milliseconds(f.number(field)) }
+
+func milliseconds(ms float64) time.Duration {
+	return time.Duration(math.Round(ms * float64(time.Millisecond)))
+}
+
+// unsigned takes an unsigned integer of so many bits; absent is 0.
+func (f *fields) unsigned(field string, bits int) uint64 {
+	value := f.text(field)
+	if value == "" {
+		return 0
+	}
+	x, err := strconv.ParseUint(value, 10, bits)
+	if err != nil {
+		f.invalid(field, value)
+	}
+	return x
+}
+
+func (f *fields) requestID() uint64 { return f.unsigned("Handle", requestIDBits) }
+
+func (f *fields) index(field string) int { return int(f.unsigned(field, indexBits)) }
+
+func (f *fields) flag(field string) bool { return f.unsigned(field, 1) == 1 }
+
+// word takes one of the known words and returns its index.
+func (f *fields) word(field string, known []string) int {
+	value := f.text(field)
+	i := slices.Index(known, value)
+	if i < 0 {
+		f.invalid(field, value)
+		return 0
+	}
+	return i
+}
+
+func (f *fields) hexBytes(field string) []byte {
+	value := f.text(field)
+	data, err := hex.DecodeString(value)
+	if err != nil {
+		f.invalid(field, value)
+	}
+	return data
+}
