--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter hosts one balancer for each instance of the simulator's line protocol, which it reads from standard
-// input and answers on standard output. It ends with exit code 1 and a message on standard error where its input is
-// invalid.
+// Command simadapter hosts one balancer for each instance of the simulator's line protocol, which it reads from
+// standard input and answers on standard output. It ends with exit code 1 and a message on standard error where its
+// input is invalid.
 package main
 
 import (
