--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -2,119 +2,135 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"mulleinpier/policy"
 )
 
-// ask is what a client wants, through all its tries.
-type ask struct {
-	id    uint64
-	class int
-	key   string
-	write bool
-	began time.Duration
-	until time.Duration // the client waits
-	over  bool
+// clientRequest is what a client wants, through all its attempts.
+type clientRequest struct {
+	id      uint64
+	class   int
+	key     string
+	write   bool
+	started time.Duration
+	until   time.Duration // the client waits
+	over    bool
 }
 
-// leastTry is the time that a client needs for another try.
-const leastTry = 50 * time.Millisecond
-
-// arrive draws the next request of all clients.
-func (f *Fleet) arrive() {
-	f.after(time.Duration(f.rng.ExpFloat64()/f.Clients.RequestsPerSecond*float64(time.Second)), func() {
-		f.nextID++
-		r := &ask{id: f.nextID, key: fmt.Sprint("k", f.popular.Uint64()), began: f.now}
-		for x := f.rng.Float64(); r.class < len(f.Clients.ClassShares)-1; r.class++ {
-			if x -= f.Clients.ClassShares[r.class]; x < 0 {
-				break
-			}
-		}
-		class := &f.Settings.Classes[r.class]
-		r.write, r.until = class.Idempotency != policy.Idempotent, f.now+class.Deadline
-		f.count().Requests++
-		f.at(r.until+f.Settings.Rules.ResponseGrace, func() { f.gone(r) })
-		f.try(r)
-		f.arrive()
+const (
+	// minAttemptTime is the time that a client needs for another attempt.
+	minAttemptTime = 50 * time.Millisecond
+
+	maxConnectAttempts = 8 // at proxies that may be down
+
+	// forgetAfter is a time after the end of a request at which nothing of it is left anywhere.
+	forgetAfter = 10 * time.Second
+)
+
+// scheduleArrival draws the next request of all clients.
+func (f *Fleet) scheduleArrival() {
+	wait := time.Duration(f.rng.ExpFloat64() / f.Clients.RequestsPerSecond * float64(time.Second))
+	f.scheduleAfter(wait, func() {
+		r := f.newRequest()
+		f.counters().Requests++
+		f.schedule(r.until+f.Settings.Rules.ResponseGrace, func() { f.endRequest(r) })
+		f.attempt(r)
+		f.scheduleArrival()
 	})
 }
 
-// try asks any proxy that is up.
-func (f *Fleet) try(r *ask) {
-	if r.over || r.until-f.now < leastTry {
+func (f *Fleet) newRequest() *clientRequest {
+	f.lastID++
+	r := &clientRequest{id: f.lastID, key: fmt.Sprint("k", f.keys.Uint64()), started: f.now}
+	r.class = f.drawClass()
+	class := &f.Settings.Classes[r.class]
+	r.write = class.Idempotency != policy.Idempotent
+	r.until = f.now + class.Deadline
+	return r
+}
+
+func (f *Fleet) drawClass() int {
+	x := f.rng.Float64()
+	class := 0
+	for ; class < len(f.Clients.ClassShares)-1; class++ {
+		x -= f.Clients.ClassShares[class]
+		if x < 0 {
+			break
+		}
+	}
+	return class
+}
+
+// attempt sends a client's request to any proxy that is up.
+func (f *Fleet) attempt(r *clientRequest) {
+	if r.over || r.until-f.now < minAttemptTime {
 		return
 	}
-	for range 8 { // tries at connecting
-		if p := f.proxies[f.draw()]; !p.dead {
-			f.count().ClientAttempts++
-			f.after(f.MessageDelay, func() {
-				if p.dead {
-					f.broke(r)
-					return
-				}
-				p.take(r, r.until)
-			})
-			return
+	for range maxConnectAttempts {
+		p := f.proxies[f.drawProxy()]
+		if p.dead {
+			continue
 		}
+		f.counters().ClientAttempts++
+		f.scheduleAfter(f.MessageDelay, func() {
+			if p.dead {
+				f.failed(r)
+				return
+			}
+			p.accept(r, r.until)
+		})
+		return
 	}
-	f.after(f.Clients.RetryPause, func() { f.try(r) })
+	f.retryAfter(r, f.Clients.RetryPause)
 }
 
-// draw is the proxy that the next connection is dealt to.
-func (f *Fleet) draw() int {
-	if f.Clients.HotProxyFactor > 0 && f.rng.Float64() < f.Clients.HotProxyFactor/float64(len(f.proxies)) {
+// drawProxy returns the index of the proxy that the next connection goes to.
+func (f *Fleet) drawProxy() int {
+	hot := f.Clients.HotProxyFactor
+	if hot > 0 && f.rng.Float64() < hot/float64(len(f.proxies)) {
 		return 0
 	}
 	return f.rng.IntN(len(f.proxies))
 }
 
-// refused is an answer that promises that another try is harmless.
-func (f *Fleet) refused(r *ask, advice time.Duration) {
+func (f *Fleet) retryAfter(r *clientRequest, pause time.Duration) {
+	f.scheduleAfter(pause, func() { f.attempt(r) })
+}
+
+// rejected is an answer that promises that another attempt is harmless.
+func (f *Fleet) rejected(r *clientRequest, retryAfter time.Duration) {
 	if f.Clients.IgnoreRetryAfter {
-		advice = 0
+		retryAfter = 0
 	}
-	f.after(max(advice, f.Clients.RetryPause), func() { f.try(r) })
+	f.retryAfter(r, max(retryAfter, f.Clients.RetryPause))
 }
 
-// failed is an answer that promises nothing: only what is safe is asked again.
-func (f *Fleet) failed(r *ask) {
+// failed is an answer, or the end of a connection before one, that promises nothing: only idempotent requests are
+// retried.
+func (f *Fleet) failed(r *clientRequest) {
 	if f.Settings.Classes[r.class].Idempotency == policy.Idempotent {
-		f.after(f.Clients.RetryPause, func() { f.try(r) })
+		f.retryAfter(r, f.Clients.RetryPause)
 	}
 }
 
-// broke is a connection to a proxy that ended before the answer.
-func (f *Fleet) broke(r *ask) { f.failed(r) }
-
-func (f *Fleet) served(r *ask) {
+func (f *Fleet) served(r *clientRequest) {
 	if r.over {
 		return
 	}
 	r.over = true
-	if c := f.second(r.began); f.now-r.began <= f.Settings.Classes[r.class].LatencyObjective {
-		c.InTime++
+	if f.now-r.started <= f.Settings.Classes[r.class].LatencyObjective {
+		f.countersAt(r.started).InTime++
 	} else {
-		c.Late++
+		f.countersAt(r.started).Late++
 	}
 }
 
-// gone is a client whose time is up.
-func (f *Fleet) gone(r *ask) {
-	f.after(10*time.Second, func() { delete(f.effects, r.id) }) // nothing of it is left anywhere
+// endRequest ends a request whose client's time is up.
+func (f *Fleet) endRequest(r *clientRequest) {
+	f.scheduleAfter(forgetAfter, func() { delete(f.firstRuns, r.id) })
 	if !r.over {
 		r.over = true
-		f.second(r.began).Unanswered++
-	}
-}
-
-// sorted are the identities of a proxy's requests in one order in every play.
-func (f *Fleet) sorted(open map[uint64]*held) []uint64 {
-	ids := make([]uint64, 0, len(open))
-	for id := range open {
-		ids = append(ids, id)
+		f.countersAt(r.started).Unanswered++
 	}
-	slices.Sort(ids)
-	return ids
 }
--- /dev/null
+++ b/internal/simulation/fleet.go
@@ -0,0 +1,92 @@
+package simulation
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	maxViolations = 20
+
+	// startTime is the virtual time of the beginning: in events zero stands for never.
+	startTime = time.Hour
+
+	// Parameters of the distribution of keys: nearly Zipf's law, flattened at the most popular keys.
+	keyExponent = 1.05
+	keyOffset   = 8
+)
+
+// Fleet is one run of a plan.
+type Fleet struct {
+	Plan
+	PerSecond  []Counters
+	Violations []string // of rules, the first ones
+	Peak       struct{ Connections int }
+
+	now       time.Duration
+	rng       *rand.Rand
+	events    eventQueue
+	lastEvent uint64 // sequence number
+	proxies   []*proxy
+	nodes     map[string]*node
+	names     []string // of nodes, in the order in which they were added
+	lastID    uint64   // of requests, at clients and at proxies
+	keys      *rand.Zipf
+
+	originBusyUntil time.Duration
+	listVersion     uint64
+	listCalls       []time.Duration          // of the last second
+	firstRuns       map[uint64]time.Duration // of requests that must not run twice, by ID
+}
+
+// New sets a fleet up: all nodes are warm and listed, all proxies have the list but empty filters.
+func New(p Plan) (*Fleet, error) {
+	f := &Fleet{
+		Plan:      p,
+		now:       startTime,
+		rng:       rand.New(rand.NewPCG(p.Seed, 7)),
+		nodes:     make(map[string]*node),
+		firstRuns: make(map[uint64]time.Duration),
+	}
+	f.keys = rand.NewZipf(f.rng, keyExponent, keyOffset, uint64(max(p.Clients.Keys, 1)-1))
+	for i := range p.Nodes {
+		f.addNode(fmt.Sprintf("n%03d", i), i%len(p.Settings.Zones), 0)
+	}
+	f.proxies = make([]*proxy, p.Proxies)
+	for i := range f.proxies {
+		if err := f.startProxy(i); err != nil {
+			return nil, err
+		}
+	}
+	f.scheduleArrival()
+	return f, nil
+}
+
+// At runs do so long after the beginning.
+func (f *Fleet) At(after time.Duration, do func()) { f.schedule(startTime+after, do) }
+
+// RunUntil runs the fleet until so long after the beginning.
+func (f *Fleet) RunUntil(end time.Duration) {
+	for f.events.isDue(startTime + end) {
+		e := f.events.take()
+		f.now = e.at
+		e.do()
+	}
+	f.now = startTime + end
+}
+
+func (f *Fleet) schedule(at time.Duration, do func()) {
+	f.lastEvent++
+	f.events.add(event{at: at, sequence: f.lastEvent, do: do})
+}
+
+func (f *Fleet) scheduleAfter(d time.Duration, do func()) { f.schedule(f.now+d, do) }
+
+// violation records that a rule was broken.
+func (f *Fleet) violation(format string, args ...any) {
+	if len(f.Violations) < maxViolations {
+		text := fmt.Sprintf(format, args...)
+		f.Violations = append(f.Violations, fmt.Sprintf("%v: %s", f.now-startTime, text))
+	}
+}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -10,84 +10,88 @@
 // Fault is what may be wrong with a node.
 type Fault int
 
-// The troubles.
+// The faults.
 const (
 	Healthy       Fault = iota
 	AnswersErrors       // answers each request with an error, at once
 	Silent              // answers none
-	Unreachable         // takes no connection and breaks those that are open
-	Slow                // takes slowTimes as long for all
+	Unreachable         // accepts no connection and breaks those that are open
+	Slow                // takes slowFactor times as long for each request
 )
 
-const slowTimes = 3
+const slowFactor = 3
 
 type node struct {
 	policy.Endpoint
-	trouble Fault
-	free    []time.Duration          // at which each worker is free
-	keys    map[string]time.Duration // and their last use
-	fetches map[string]time.Duration // that are out, and when they end
-	conns   int
-	cold    []time.Duration // of requests within the last FallTime, while cold
+	fault       Fault
+	workersFree []time.Duration          // time at which each worker is free
+	keys        map[string]time.Duration // last use
+	fetches     map[string]time.Duration // in flight, and when they end
+	connections int
+	recent      []time.Duration // requests within the last OverloadWindow, while the node warms up
 }
 
-// add puts a node into service; started is 0 for one that has long been warm.
-func (f *Fleet) add(name string, zone int, started time.Duration) {
-	f.nodes[name] = &node{Endpoint: policy.Endpoint{Server: name, Zone: zone, StartedAt: started},
-		free: make([]time.Duration, f.Node.Workers), keys: make(map[string]time.Duration),
-		fetches: make(map[string]time.Duration)}
+// addNode puts a node into service; startedAt is 0 for one that has long been warm.
+func (f *Fleet) addNode(name string, zone int, startedAt time.Duration) {
+	f.nodes[name] = &node{
+		Endpoint:    policy.Endpoint{Server: name, Zone: zone, StartedAt: startedAt},
+		workersFree: make([]time.Duration, f.Node.Workers),
+		keys:        make(map[string]time.Duration),
+		fetches:     make(map[string]time.Duration),
+	}
 	f.names = append(f.names, name)
-	f.version++
+	f.listVersion++
 }
 
-// NodeNames are those of all nodes that there have been, in order of their coming.
+// NodeNames are those of all nodes that there have been, in the order in which they were added.
 func (f *Fleet) NodeNames() []string { return f.names }
 
-// SetFault befalls a node, or leaves it.
-func (f *Fleet) SetFault(name string, t Fault) { f.nodes[name].trouble = t }
+// SetFault gives a node a fault, or ends it.
+func (f *Fleet) SetFault(name string, fault Fault) { f.nodes[name].fault = fault }
 
-// Crash takes nodes away without a word: the list goes on naming them.
+// Crash makes nodes unreachable without notice: the endpoint list goes on naming them.
 func (f *Fleet) Crash(names ...string) {
 	for _, name := range names {
 		n := f.nodes[name]
-		n.trouble = Unreachable
+		n.fault = Unreachable
 		for _, p := range f.proxies {
-			p.drop(n)
+			p.connectionLost(n)
 		}
 	}
 }
 
-// Restart brings nodes back empty and cold, and the list tells it.
+// Restart brings nodes back empty and cold, and announces it in the endpoint list.
 func (f *Fleet) Restart(names ...string) {
-	var news []policy.Endpoint
+	var changed []policy.Endpoint
 	for _, name := range names {
 		n := f.nodes[name]
-		n.trouble, n.StartedAt, n.State = Healthy, f.now, policy.Serving
-		n.keys, n.fetches, n.cold = make(map[string]time.Duration), make(map[string]time.Duration), nil
-		clear(n.free)
-		news = append(news, n.Endpoint)
+		n.fault, n.StartedAt, n.State = Healthy, f.now, policy.Serving
+		n.keys, n.fetches = make(map[string]time.Duration), make(map[string]time.Duration)
+		n.recent = nil
+		clear(n.workersFree)
+		changed = append(changed, n.Endpoint)
 	}
-	f.tell(news)
+	f.announce(changed)
 }
 
-// Drain has the list say that nodes drain; they leave later by Lose and Forget.
-func (f *Fleet) Drain(names ...string) { f.mode(policy.Draining, names) }
+// Drain has the endpoint list say that nodes are draining; Crash and Remove end them later.
+func (f *Fleet) Drain(names ...string) { f.setState(policy.Draining, names) }
 
-// Remove has the list say that nodes are gone.
-func (f *Fleet) Remove(names ...string) { f.mode(policy.Removed, names) }
+// Remove has the endpoint list say that nodes are gone.
+func (f *Fleet) Remove(names ...string) { f.setState(policy.Removed, names) }
 
-func (f *Fleet) mode(mode policy.EndpointState, names []string) {
-	var news []policy.Endpoint
+func (f *Fleet) setState(state policy.EndpointState, names []string) {
+	var changed []policy.Endpoint
 	for _, name := range names {
 		n := f.nodes[name]
-		n.State = mode
-		news = append(news, n.Endpoint)
+		n.State = state
+		changed = append(changed, n.Endpoint)
 	}
-	f.tell(news)
+	f.announce(changed)
 }
 
-// warmth is the share of its capacity that a node has.
-func (f *Fleet) warmth(n *node) float64 {
+// capacityShare is the share of its full capacity that a node has.
+func (f *Fleet) capacityShare(n *node) float64 {
 	age, rules := f.now-n.StartedAt, &f.Settings.Rules
 	if n.StartedAt == 0 || age >= rules.SlowStartWindow {
 		return 1
@@ -100,110 +104,130 @@
 	return float64(f.Node.Workers) * float64(d) / float64(f.Node.ServiceTime)
 }
 
-// reach is an attempt that comes in at a node.
-func (f *Fleet) reach(n *node, a *attempt) {
-	c := f.count()
+// receive handles an attempt that arrives at a node.
+func (f *Fleet) receive(n *node, a *attempt) {
+	c := f.counters()
 	c.Sends++
-	warmth := f.warmth(n)
-	if warmth < 1 {
+	share := f.capacityShare(n)
+	if share < 1 {
 		c.SendsToWarming++
-		f.watch(n, warmth)
+		f.checkOverload(n, share)
 	}
-	switch n.trouble {
+	switch n.fault {
 	case AnswersErrors:
 		c.SendsToFaulty++
-		f.end(a, policy.Errored, policy.CacheUnknown)
-		return
+		f.complete(a, policy.Errored, policy.CacheUnknown)
 	case Silent:
 		c.SendsToFaulty++
-		return
 	case Unreachable:
-		f.end(a, policy.Reset, policy.CacheUnknown)
-		return
+		f.complete(a, policy.Reset, policy.CacheUnknown)
+	default:
+		f.work(n, a, share)
 	}
-	w := 0
-	for i := range n.free {
-		if n.free[i] < n.free[w] {
-			w = i
+}
+
+// work has the next free worker serve an attempt, unless the queue is full.
+func (f *Fleet) work(n *node, a *attempt, capacityShare float64) {
+	worker := 0
+	for i := range n.workersFree {
+		if n.workersFree[i] < n.workersFree[worker] {
+			worker = i
 		}
 	}
-	work := time.Duration(float64(f.Node.ServiceTime) / warmth)
-	if n.trouble == Slow {
-		work *= slowTimes
+	free := &n.workersFree[worker]
+	serviceTime := f.drawServiceTime(n, capacityShare)
+	if *free-f.now > time.Duration(f.Node.MaxQueued)*serviceTime/time.Duration(f.Node.Workers) {
+		f.complete(a, policy.Rejected, policy.CacheUnknown)
+		return
 	}
-	if by := f.Node.ServiceTimeSigma; by > 0 {
-		work = time.Duration(float64(work) * math.Exp(by*f.rng.NormFloat64()-by*by/2))
+	*free = max(*free, f.now) + serviceTime
+	f.schedule(*free, func() { f.finish(n, a) })
+}
+
+func (f *Fleet) drawServiceTime(n *node, capacityShare float64) time.Duration {
+	serviceTime := time.Duration(float64(f.Node.ServiceTime) / capacityShare)
+	if n.fault == Slow {
+		serviceTime *= slowFactor
 	}
-	if n.free[w]-f.now > time.Duration(f.Node.MaxQueued)*work/time.Duration(f.Node.Workers) {
-		f.end(a, policy.Rejected, policy.CacheUnknown)
-		return
+	if sigma := f.Node.ServiceTimeSigma; sigma > 0 {
+		factor := math.Exp(sigma*f.rng.NormFloat64() - sigma*sigma/2) // of mean 1
+		serviceTime = time.Duration(float64(serviceTime) * factor)
 	}
-	n.free[w] = max(n.free[w], f.now) + work
-	f.at(n.free[w], func() { f.worked(n, a) })
+	return serviceTime
 }
 
-// worked is a request that a worker has done with.
-func (f *Fleet) worked(n *node, a *attempt) {
+// finish answers an attempt that a worker is done with.
+func (f *Fleet) finish(n *node, a *attempt) {
 	r := a.request
-	f.run(r.ask)
+	f.recordRun(r.clientRequest)
 	if r.write {
-		f.end(a, policy.Served, policy.CacheUnknown)
+		f.complete(a, policy.Served, policy.CacheUnknown)
 		return
 	}
-	if used, ok := n.keys[r.key]; ok && f.now-used < f.Node.IdleTTL {
+	if lastUse, ok := n.keys[r.key]; ok && f.now-lastUse < f.Node.IdleTTL {
 		n.keys[r.key] = f.now
-		f.count().Hits++
-		f.end(a, policy.Served, policy.CacheHit)
+		f.counters().Hits++
+		f.complete(a, policy.Served, policy.CacheHit)
 		return
 	}
-	f.count().Misses++
-	if done := n.fetches[r.key]; done > f.now {
-		f.at(done, func() { f.end(a, policy.Served, policy.CacheMissCoalesced) })
+	f.counters().Misses++
+	if ends := n.fetches[r.key]; ends > f.now {
+		f.schedule(ends, func() { f.complete(a, policy.Served, policy.CacheMissCoalesced) })
 		return
 	}
-	wait := max(f.origin-f.now, 0)
+	f.fetch(n, a)
+}
+
+// fetch gets a key from the origin, unless its queue is too long.
+func (f *Fleet) fetch(n *node, a *attempt) {
+	key := a.request.key
+	wait := max(f.originBusyUntil-f.now, 0)
 	if wait > f.Origin.MaxQueueTime {
-		f.count().FetchesRejected++
-		f.end(a, policy.Errored, policy.CacheUnknown)
+		f.counters().FetchesRejected++
+		f.complete(a, policy.Errored, policy.CacheUnknown)
 		return
 	}
-	f.count().Fetches++
-	f.origin = f.now + wait + time.Duration(float64(time.Second)/f.Origin.FetchesPerSecond)
-	done := f.now + wait + f.Origin.FetchTime
-	n.fetches[r.key] = done
-	f.at(done, func() {
-		if n.fetches[r.key] != done {
+	f.counters().Fetches++
+	f.originBusyUntil = f.now + wait + time.Duration(float64(time.Second)/f.Origin.FetchesPerSecond)
+	ends := f.now + wait + f.Origin.FetchTime
+	n.fetches[key] = ends
+	f.schedule(ends, func() {
+		if n.fetches[key] != ends {
 			return // restarted since
 		}
-		delete(n.fetches, r.key)
-		n.keys[r.key] = f.now
-		f.end(a, policy.Served, policy.CacheMiss)
+		delete(n.fetches, key)
+		n.keys[key] = f.now
+		f.complete(a, policy.Served, policy.CacheMiss)
 	})
 }
 
-// run is the effect of a request.
-func (f *Fleet) run(r *ask) {
+// recordRun checks that a request does not run twice against its class.
+func (f *Fleet) recordRun(r *clientRequest) {
 	class := &f.Settings.Classes[r.class]
 	if class.Idempotency == policy.Idempotent {
 		return
 	}
-	first, ran := f.effects[r.id]
-	switch {
-	case !ran:
-		f.effects[r.id] = f.now
-	case class.Idempotency == policy.NotIdempotent || f.now-first > class.DedupWindow+f.Settings.EventInterval:
-		f.broken("%s %d ran twice, %v apart", class.Name, r.id, f.now-first)
+	first, hasRun := f.firstRuns[r.id]
+	if !hasRun {
+		f.firstRuns[r.id] = f.now
+		return
+	}
+	isDropped := class.Idempotency == policy.IdempotentWithKey &&
+		f.now-first <= class.DedupWindow+f.Settings.EventInterval
+	if !isDropped {
+		f.violation("%s %d ran twice, %v apart", class.Name, r.id, f.now-first)
 	}
 }
 
-// watch looks whether a cold node is pushed over.
-func (f *Fleet) watch(n *node, warmth float64) {
+// checkOverload checks that a node that warms up does not get so much that it would collapse.
+func (f *Fleet) checkOverload(n *node, capacityShare float64) {
 	rules := &f.Settings.Rules
-	for len(n.cold) > 0 && f.now-n.cold[0] > rules.OverloadWindow {
-		n.cold = n.cold[1:]
+	for len(n.recent) > 0 && f.now-n.recent[0] > rules.OverloadWindow {
+		n.recent = n.recent[1:]
 	}
-	n.cold = append(n.cold, f.now)
-	if got, most := float64(len(n.cold)), rules.OverloadMultiple*warmth*f.capacity(rules.OverloadWindow); got > most {
-		f.broken("cold %s got %.0f within %v, pushed over by %.0f", n.Server, got, rules.OverloadWindow, most)
+	n.recent = append(n.recent, f.now)
+	limit := rules.OverloadMultiple * capacityShare * f.capacity(rules.OverloadWindow)
+	if got := float64(len(n.recent)); got > limit {
+		f.violation("warming %s got %.0f within %v, collapses over %.0f", n.Server, got, rules.OverloadWindow, limit)
 	}
 }
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -8,25 +8,24 @@
 	"mulleinpier/policy"
 )
 
-// proxy is one instance of the modules, with the little of the proxy proper that they need.
+// proxy is one instance of the modules, with the little of a real proxy that they need.
 type proxy struct {
-	fleet   *Fleet
-	index   int
-	modules *policy.Balancer
-	budget  connlimit.Budget
-	dead    bool
-	open    map[uint64]*held
-	conns   map[string]*conn
-	order   []string                   // of conns, the one used last at the end
-	told    map[string]policy.Endpoint // that are listed
-	listens bool                       // to news of the list
-}
+	fleet      *Fleet
+	index      int
+	balancer   *policy.Balancer
+	dead       bool
+	inFlight   map[uint64]*proxyRequest
+	endpoints  map[string]policy.Endpoint // that are listed, as far as the proxy knows
+	subscribed bool                       // to changes of the endpoint list
 
-type conn struct{ out int }
+	budget       connlimit.Budget
+	connections  map[string]*connection // by node
+	recentlyUsed []string               // nodes of connections, the most recently used last
+}
 
-// held is a request that a proxy owes an answer.
-type held struct {
-	*ask
+// proxyRequest is a request that a proxy owes an answer.
+type proxyRequest struct {
+	*clientRequest
 	id       uint64
 	proxy    *proxy
 	deadline time.Duration
@@ -35,303 +34,223 @@
 }
 
 type attempt struct {
-	request *held
-	number  int
-	node    *node
-	sent    time.Duration
-	conn    bool // it holds a place on one
-	done    bool
+	request       *proxyRequest
+	number        int
+	node          *node
+	sentAt        time.Duration
+	hasConnection bool
+	done          bool
 }
 
-// begin starts an instance anew: what it knew is lost but the list.
-func (f *Fleet) begin(i int) error {
-	set := f.Settings
-	if set.ProxyCount == 0 {
-		set.ProxyCount = f.Proxies
+// startProxy starts an instance anew: what it knew is lost but the endpoint list.
+func (f *Fleet) startProxy(index int) error {
+	settings := f.Settings
+	if settings.ProxyCount == 0 {
+		settings.ProxyCount = f.Proxies
 	}
-	set.ProxyIndex, set.Zone = i, i%len(set.Zones)
-	b, err := policy.New(set, f.Seed*1000+f.turn+uint64(i))
+	settings.ProxyIndex, settings.Zone = index, index%len(settings.Zones)
+	seed := f.Seed*1000 + f.lastEvent + uint64(index)
+	b, err := policy.New(settings, seed)
 	if err != nil {
 		return err
 	}
-	p := &proxy{fleet: f, index: i, modules: b, open: make(map[uint64]*held), conns: make(map[string]*conn),
-		told: make(map[string]policy.Endpoint)}
-	p.budget.SetCapacity(connlimit.Capacity{ConnectionsPerNode: f.Node.MaxConnections, Proxies: set.ProxyCount})
-	f.proxies[i] = p
-	p.hear(policy.EndpointsCached, f.members())
+	p := &proxy{
+		fleet:       f,
+		index:       index,
+		balancer:    b,
+		inFlight:    make(map[uint64]*proxyRequest),
+		connections: make(map[string]*connection),
+		endpoints:   make(map[string]policy.Endpoint),
+	}
+	p.budget.SetCapacity(connlimit.Capacity{
+		ConnectionsPerNode: f.Node.MaxConnections,
+		Proxies:            settings.ProxyCount,
+	})
+	f.proxies[index] = p
+	p.updateEndpoints(policy.EndpointsCached, f.endpoints())
 	return nil
 }
 
-// KillProxies ends instances as if by a signal that can't be caught; new ones begin after down.
-func (f *Fleet) KillProxies(down time.Duration, indices ...int) {
+// KillProxies ends instances as if by a signal that cannot be caught; new ones start after downtime.
+func (f *Fleet) KillProxies(downtime time.Duration, indices ...int) {
 	for _, i := range indices {
-		p := f.proxies[i]
-		p.dead = true
-		for name, c := range p.conns {
-			f.nodes[name].conns--
-			c.out = 0
-		}
-		for _, id := range f.sorted(p.open) {
-			h := p.open[id]
-			h.over = true
-			f.after(f.MessageDelay, func() { f.broke(h.ask) })
-		}
-		f.after(down, func() {
-			if err := f.begin(i); err != nil {
-				f.broken("%v", err)
+		f.proxies[i].kill()
+		f.scheduleAfter(downtime, func() {
+			if err := f.startProxy(i); err != nil {
+				f.violation("%v", err)
 			}
 		})
 	}
 }
 
-// members is the list as it stands.
-func (f *Fleet) members() []policy.Endpoint {
-	var list []policy.Endpoint
-	for _, name := range f.names {
-		if m := f.nodes[name].Endpoint; m.State != policy.Removed {
-			list = append(list, m)
-		}
+func (p *proxy) kill() {
+	f := p.fleet
+	p.dead = true
+	for name, c := range p.connections {
+		f.nodes[name].connections--
+		c.inUse = 0
 	}
-	return list
-}
-
-// tell brings news of the list to all that subscribe; those that don't learn them by a call.
-func (f *Fleet) tell(news []policy.Endpoint) {
-	f.version++
-	for _, p := range f.proxies {
-		if p.listens {
-			f.after(f.MessageDelay, func() { p.hear(policy.EndpointsDelta, news) })
-		}
+	for _, id := range p.sortedIDs() {
+		r := p.inFlight[id]
+		r.over = true
+		f.scheduleAfter(f.MessageDelay, func() { f.failed(r.clientRequest) })
 	}
 }
 
-// subscribe is a call to the list service: it answers so many a second and breaks off the others.
-func (p *proxy) subscribe() {
-	f := p.fleet
-	for len(f.calls) > 0 && f.now-f.calls[0] >= time.Second {
-		f.calls = f.calls[1:]
-	}
-	f.count().EndpointListCalls++
-	if f.EndpointList.CallsPerSecond > 0 && float64(len(f.calls)) >= f.EndpointList.CallsPerSecond {
-		f.count().EndpointListCallsLost++
-		f.after(2*f.MessageDelay, func() { p.hear(policy.EndpointsUnavailable, nil) })
-		return
+// sortedIDs are the IDs of the requests in flight, in the same order in every run.
+func (p *proxy) sortedIDs() []uint64 {
+	ids := make([]uint64, 0, len(p.inFlight))
+	for id := range p.inFlight {
+		ids = append(ids, id)
 	}
-	f.calls = append(f.calls, f.now)
-	f.after(2*f.MessageDelay, func() {
-		p.listens = true
-		p.hear(policy.EndpointsFull, f.members())
-	})
+	slices.Sort(ids)
+	return ids
 }
 
-func (p *proxy) hear(kind policy.EndpointUpdateKind, members []policy.Endpoint) {
+func (p *proxy) updateEndpoints(kind policy.EndpointUpdateKind, endpoints []policy.Endpoint) {
 	if p.dead {
 		return
 	}
 	if kind == policy.EndpointsFull || kind == policy.EndpointsCached {
-		clear(p.told)
+		clear(p.endpoints)
 	}
-	for _, m := range members {
-		if m.State == policy.Removed {
-			delete(p.told, m.Server)
+	for _, endpoint := range endpoints {
+		if endpoint.State == policy.Removed {
+			delete(p.endpoints, endpoint.Server)
 		} else {
-			p.told[m.Server] = m
+			p.endpoints[endpoint.Server] = endpoint
 		}
 	}
-	p.handle(policy.EndpointUpdate{Version: p.fleet.version, Kind: kind, Endpoints: members})
-	for _, name := range slices.Clone(p.order) {
-		if m, ok := p.told[name]; (!ok || m.State != policy.Serving) && p.conns[name].out == 0 {
-			p.close(name)
+	p.handle(policy.EndpointUpdate{Version: p.fleet.listVersion, Kind: kind, Endpoints: endpoints})
+	for _, name := range slices.Clone(p.recentlyUsed) {
+		if !p.isServing(name) && p.connections[name].inUse == 0 {
+			p.closeConnection(name)
 		}
 	}
 }
 
-// take is a request of a client.
-func (p *proxy) take(r *ask, deadline time.Duration) {
+// isServing reports whether the proxy knows a node as serving.
+func (p *proxy) isServing(name string) bool {
+	endpoint, ok := p.endpoints[name]
+	return ok && endpoint.State == policy.Serving
+}
+
+// accept takes a request of a client.
+func (p *proxy) accept(c *clientRequest, deadline time.Duration) {
 	f := p.fleet
-	f.nextID++
-	h := &held{ask: r, id: f.nextID, proxy: p, deadline: deadline}
-	p.open[h.id] = h
-	// Every accepted request gets its answer, or its client is seen to go without.
-	f.at(deadline+f.Settings.Rules.ResponseGrace, func() {
-		if !h.over {
-			f.broken("proxy %d owes %d an answer", p.index, r.id)
+	f.lastID++
+	r := &proxyRequest{clientRequest: c, id: f.lastID, proxy: p, deadline: deadline}
+	p.inFlight[r.id] = r
+	f.schedule(deadline+f.Settings.Rules.ResponseGrace, func() {
+		if !r.over {
+			f.violation("proxy %d owes %d an answer", p.index, c.id)
 		}
 	})
-	p.handle(policy.Arrival{ID: h.id, Class: r.class, Tenant: -1, Key: r.key, Deadline: deadline, Write: r.write})
+	p.handle(policy.Arrival{
+		ID:       r.id,
+		Class:    c.class,
+		Tenant:   noTenant,
+		Key:      c.key,
+		Deadline: deadline,
+		Write:    c.write,
+	})
 }
 
+const noTenant = -1
+
+// handle feeds the balancer an event and carries out its actions.
 func (p *proxy) handle(e policy.Event) {
 	if p.dead {
 		return
 	}
 	f := p.fleet
-	for _, a := range p.modules.Handle(f.now, e, nil) {
-		h := p.open[a.ID]
+	for _, a := range p.balancer.Handle(f.now, e, nil) {
+		r := p.inFlight[a.ID]
 		switch a.Kind {
 		case policy.Send:
-			p.send(h, f.nodes[a.Server])
+			p.send(r, f.nodes[a.Server])
 		case policy.Cancel:
-			y := h.attempts[a.Attempt]
-			f.after(0, func() { f.end(y, policy.Cancelled, policy.CacheUnknown) })
+			cancelled := r.attempts[a.Attempt]
+			f.scheduleAfter(0, func() { f.complete(cancelled, policy.Cancelled, policy.CacheUnknown) })
 		case policy.Reject, policy.Fail:
-			p.answer(h, a.Kind, a.After)
+			p.answer(r, a)
 		case policy.SetTimer:
-			f.after(max(a.After, f.Settings.EventInterval), func() { p.handle(policy.TimerFired{Token: a.Token}) })
+			f.scheduleAfter(max(a.After, f.Settings.EventInterval), func() {
+				p.handle(policy.TimerFired{Token: a.Token})
+			})
 		case policy.Subscribe:
-			f.after(f.MessageDelay, p.subscribe)
+			f.scheduleAfter(f.MessageDelay, func() { f.subscribe(p) })
 		case policy.CloseIdle:
-			if c := p.conns[a.Server]; c != nil && c.out == 0 {
-				p.close(a.Server)
+			if c := p.connections[a.Server]; c != nil && c.inUse == 0 {
+				p.closeConnection(a.Server)
 			}
 		}
 	}
 }
 
-// answer gives a client its final answer, once.
-func (p *proxy) answer(h *held, kind policy.ActionKind, advice time.Duration) {
+// answer gives a client the final answer of a Reject or a Fail, once.
+func (p *proxy) answer(r *proxyRequest, a policy.Action) {
 	f := p.fleet
-	if h.over {
-		f.broken("proxy %d answers %d twice", p.index, h.ask.id)
+	if r.over {
+		f.violation("proxy %d answers %d twice", p.index, r.clientRequest.id)
 		return
 	}
-	h.over = true
-	if kind == policy.Reject {
-		f.count().Rejected++
-		f.after(f.MessageDelay, func() { f.refused(h.ask, advice) })
+	r.over = true
+	if a.Kind == policy.Reject {
+		f.counters().Rejected++
+		f.scheduleAfter(f.MessageDelay, func() { f.rejected(r.clientRequest, a.After) })
 	} else {
-		f.count().Failed++
-		f.after(f.MessageDelay, func() { f.failed(h.ask) })
+		f.counters().Failed++
+		f.scheduleAfter(f.MessageDelay, func() { f.failed(r.clientRequest) })
 	}
-	p.forget(h)
+	p.forget(r)
 }
 
-func (p *proxy) forget(h *held) {
-	for _, a := range h.attempts {
+// forget drops a request once it is over and no attempt of it is in flight.
+func (p *proxy) forget(r *proxyRequest) {
+	for _, a := range r.attempts {
 		if !a.done {
 			return
 		}
 	}
-	if h.over {
-		delete(p.open, h.id)
+	if r.over {
+		delete(p.inFlight, r.id)
 	}
 }
 
-// send takes an attempt to a node, over a connection that is open or a new one.
-func (p *proxy) send(h *held, n *node) {
-	f := p.fleet
-	a := &attempt{request: h, number: len(h.attempts), node: n, sent: f.now}
-	h.attempts = append(h.attempts, a)
-	if m, ok := p.told[n.Server]; !ok || m.State != policy.Serving {
-		f.broken("proxy %d sends to %s, which it knows to be drained or gone", p.index, n.Server)
-	}
-	way := f.MessageDelay
-	if c := p.conns[n.Server]; c == nil {
-		f.count().Handshakes++
-		way *= 3
-		switch {
-		case n.trouble == Unreachable:
-			f.count().SendsToUnreachable++
-			f.after(2*f.MessageDelay, func() { f.end(a, policy.ConnectFailed, policy.CacheUnknown) })
-			return
-		case f.Node.MaxConnections > 0 && n.conns >= f.Node.MaxConnections:
-			f.count().ConnectionsRejected++
-			f.after(way+f.MessageDelay, func() {
-				p.budget.Rejected(f.now, len(p.conns), len(p.told))
-				p.trim()
-				f.end(a, policy.ConnectionLimitReached, policy.CacheUnknown)
-			})
-			return
-		}
-		p.conns[n.Server] = &conn{}
-		n.conns++
-		f.Peak.Connections = max(f.Peak.Connections, n.conns)
-	}
-	p.use(n.Server)
-	p.conns[n.Server].out++
-	a.conn = true
-	f.after(way, func() {
-		if !a.done && p.modules.MaySend(f.now, h.id, a.number) {
-			f.reach(n, a)
-		} else {
-			f.end(a, policy.NotSent, policy.CacheUnknown)
-		}
-	})
-	p.trim()
-}
-
-// use marks a connection as the one used last.
-func (p *proxy) use(name string) {
-	p.order = append(without(p.order, name), name)
-}
-
-// trim closes idle connections beyond the proxy's share, those first that were not used for longest.
-func (p *proxy) trim() {
-	most := p.budget.Limit(p.fleet.now, len(p.told))
-	for i := 0; i < len(p.order) && len(p.order) > most; {
-		if name := p.order[i]; p.conns[name].out == 0 {
-			p.close(name)
-		} else {
-			i++
-		}
-	}
-}
-
-func without(names []string, name string) []string {
-	if i := slices.Index(names, name); i >= 0 {
-		return slices.Delete(names, i, i+1)
-	}
-	return names
-}
-
-func (p *proxy) close(name string) {
-	p.order = without(p.order, name)
-	delete(p.conns, name)
-	p.fleet.nodes[name].conns--
-}
-
-// drop is the end of the connection to a node that was lost.
-func (p *proxy) drop(n *node) {
-	if p.dead || p.conns[n.Server] == nil {
+// complete brings the end of an attempt back to its proxy.
+func (f *Fleet) complete(a *attempt, result policy.Result, status policy.CacheStatus) {
+	fromNode := result != policy.Cancelled && result != policy.NotSent && a.hasConnection
+	if fromNode {
+		f.scheduleAfter(f.MessageDelay, func() { a.request.proxy.completed(a, result, status) })
 		return
 	}
-	f := p.fleet
-	p.close(n.Server)
-	for _, id := range f.sorted(p.open) {
-		for _, a := range p.open[id].attempts {
-			if a.node == n && !a.done {
-				a.conn = false
-				f.after(f.MessageDelay, func() { f.end(a, policy.Reset, policy.CacheUnknown) })
-			}
-		}
-	}
-}
-
-// end brings the end of an attempt back to its proxy, once.
-func (f *Fleet) end(a *attempt, result policy.Result, note policy.CacheStatus) {
-	if result != policy.Cancelled && result != policy.NotSent && a.conn {
-		f.after(f.MessageDelay, func() { f.ended(a, result, note) })
-		return
-	}
-	f.ended(a, result, note)
+	a.request.proxy.completed(a, result, status)
 }
 
-func (f *Fleet) ended(a *attempt, result policy.Result, note policy.CacheStatus) {
-	h := a.request
-	p := h.proxy
+// completed handles the end of an attempt, once.
+func (p *proxy) completed(a *attempt, result policy.Result, status policy.CacheStatus) {
+	f, r := p.fleet, a.request
 	if a.done || p.dead {
 		return
 	}
 	a.done = true
-	if c := p.conns[a.node.Server]; c != nil && a.conn {
-		c.out--
-		p.trim()
+	if c := p.connections[a.node.Server]; c != nil && a.hasConnection {
+		c.inUse--
+		p.closeExcess()
 	}
-	if result == policy.Served && !h.over {
-		h.over = true
-		f.after(f.MessageDelay, func() { f.served(h.ask) })
+	if result == policy.Served && !r.over {
+		r.over = true
+		f.scheduleAfter(f.MessageDelay, func() { f.served(r.clientRequest) })
 	}
-	p.handle(policy.Outcome{ID: h.id, Attempt: a.number, Server: a.node.Server, Result: result, CacheStatus: note,
-		Took: f.now - a.sent, Final: h.over})
-	p.forget(h)
+	p.handle(policy.Outcome{
+		ID:          r.id,
+		Attempt:     a.number,
+		Server:      a.node.Server,
+		Result:      result,
+		CacheStatus: status,
+		Took:        f.now - a.sentAt,
+		Final:       r.over,
+	})
+	p.forget(r)
 }
--- /dev/null
+++ b/internal/simulation/zonal_homes_test.go
@@ -0,0 +1,58 @@
+package simulation
+
+import (
+	"testing"
+	"time"
+)
+
+// TestZonalHomesSaveHandshakes compares what a proxy of a large fleet pays for connections with what homes in each zone
+// cost at the origin: without a fault, and while a third of the nodes is slow.
+func TestZonalHomesSaveHandshakes(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		slowNodes     func(i int) bool
+		maxHandshakes float64 // for a request
+	}{
+		{"no fault", func(int) bool { return false }, 0.35},
+		{"a third slow", func(i int) bool { return i%3 == 0 }, 0.45},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			script := func(f *Fleet) {
+				for _, name := range nodesWhere(f, c.slowNodes) {
+					f.At(4*time.Second, func() { f.SetFault(name, Slow) })
+				}
+			}
+			single := run(t, plan80WithCosts(1), 16*time.Second, script).Sum(8, 15)
+			zonal := run(t, plan80WithZonalHomes(1), 16*time.Second, script).Sum(8, 15)
+			t.Logf("handshakes %.3f -> %.3f, misses %.3f -> %.3f, in time %.3f -> %.3f",
+				handshakesPerRequest(single), handshakesPerRequest(zonal), missShare(single), missShare(zonal),
+				inTimeShare(single), inTimeShare(zonal))
+			got, with1 := handshakesPerRequest(zonal), handshakesPerRequest(single)
+			if got > c.maxHandshakes || got > with1*0.7 {
+				t.Errorf("%.3f handshakes for a request, %.3f with one home", got, with1)
+			}
+			if missShare(zonal) > missShare(single)+0.25 {
+				t.Errorf("%.3f of reads miss, %.3f with one home", missShare(zonal), missShare(single))
+			}
+			if inTimeShare(zonal) < inTimeShare(single)-0.01 {
+				t.Errorf("%.3f in time, %.3f with one home", inTimeShare(zonal), inTimeShare(single))
+			}
+		})
+	}
+}
+
+// TestFullOriginGathersHomes guards the origin: homes in each zone fetch more, and where it can take little more than
+// one home's fetches they are given up before it is full.
+func TestFullOriginGathersHomes(t *testing.T) {
+	idle := run(t, plan80WithZonalHomes(1), 18*time.Second, nil).Sum(10, 16)
+	f := run(t, plan80WithZonalHomes(1), 18*time.Second, func(f *Fleet) {
+		f.At(8*time.Second, func() { f.Origin.FetchesPerSecond = 0.9 * float64(idle.Fetches) / 6 })
+	})
+	full := f.Sum(10, 16)
+	t.Logf("misses %.3f -> %.3f, in time %.3f -> %.3f, fetches rejected %d",
+		missShare(idle), missShare(full), inTimeShare(idle), inTimeShare(full), full.FetchesRejected)
+	if missShare(full) > missShare(idle)*0.95 {
+		t.Errorf("%.3f of reads miss with a full origin, %.3f with one that is not", missShare(full), missShare(idle))
+	}
+	checkInTime(t, full, 0.97, "with a full origin")
+}
