--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -42,6 +42,9 @@
 	done          bool
 }
 
+// seedsPerPlan keeps the seeds of the instances of two plans apart.
+const seedsPerPlan = 1000
+
 // startProxy starts an instance anew: what it knew is lost but the endpoint list.
 func (f *Fleet) startProxy(index int) error {
 	settings := f.Settings
@@ -49,7 +52,7 @@
 		settings.ProxyCount = f.Proxies
 	}
 	settings.ProxyIndex, settings.Zone = index, index%len(settings.Zones)
-	seed := f.Seed*1000 + f.lastEvent + uint64(index)
+	seed := f.Seed*seedsPerPlan + f.lastEvent + uint64(index)
 	b, err := policy.New(settings, seed)
 	if err != nil {
 		return err
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -60,7 +60,7 @@
 	return max(minAdmitShare, min(1, boost*(g.inTime+prior)/(g.offered+prior)))
 }
 
-// inTimeMargin is 1 when all that completed was in time, and 0 when less than four in five was.
+// inTimeMargin is 1 when all that completed was in time, and falls to 0 at four in five.
 func (g *admissionGate) inTimeMargin(prior float64) float64 {
 	return max(0, 5*(g.inTime+prior)/(g.completed+prior)-4)
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -116,9 +116,13 @@
 
 // LoadReport is a server's load report; a negative value was not reported.
 type LoadReport struct {
-	InFlight, Queue, Utilization, Rate, ErrorRate, X0, X1 float64
-
-	Latency time.Duration
+	InFlight    float64 // requests
+	Queue       float64 // requests that wait
+	Utilization float64
+	Rate        float64 // requests a second
+	ErrorRate   float64 // errors a second
+	X0, X1      float64 // without a meaning that the protocol defines
+	Latency     time.Duration
 }
 
 // Outcome ends an attempt; each Send gets exactly one.
--- a/policy/history_test.go
+++ b/policy/history_test.go
@@ -374,7 +374,7 @@
 }
 
 func (h *history) step() {
-	if h.rng.IntN(4) > 0 { // some clocks do not advance
+	if h.rng.IntN(4) > 0 { // the clock does not always advance
 		h.now += time.Duration(1+h.rng.IntN(3)) * 5 * ms
 	}
 	h.fireTimers()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -35,6 +35,9 @@
 	// maxFaultyShare of all servers may be faulty; beyond it the failures affect all.
 	maxFaultyShare = 0.2
 
+	// recentResponse is how long after its last response a server counts as one that can be reached.
+	recentResponse = outlier.DecayTime / 8
+
 	// chanceProbability is the probability under which something is not taken for chance.
 	chanceProbability = 0.01
 )
@@ -88,7 +91,7 @@
 		return nil
 	}
 	zone := &b.zoneSuspicions[s.Zone]
-	if zone.LogOdds <= 0 || b.now-s.lastResponse <= outlier.DecayTime/8 {
+	if zone.LogOdds <= 0 || b.now-s.lastResponse <= recentResponse {
 		return nil
 	}
 	return zone
--- a/policy/request.go
+++ b/policy/request.go
@@ -37,6 +37,10 @@
 	attempts        []attempt
 }
 
+// deadlineMargin is how many event intervals before its deadline a request without an answer is ended, so that its
+// client gets the answer in time.
+const deadlineMargin = 2
+
 func (b *Balancer) handleArrival(a Arrival) {
 	if b.requests[a.ID] != nil {
 		return
@@ -54,7 +58,7 @@
 	r.filterPositions = bloom.PositionsOf(r.keyHash)
 	r.overQuota = b.chargeQuota(r)
 	b.grantSlowStartTokens()
-	b.setTimer(timerDeadline, a.ID, a.Deadline-b.now-2*b.settings.EventInterval)
+	b.setTimer(timerDeadline, a.ID, a.Deadline-b.now-deadlineMargin*b.settings.EventInterval)
 	b.admitAndSend(r)
 }
 
@@ -92,13 +96,13 @@
 // objective, well over Settings.EventInterval.
 const serverWaitInterval = 25 * time.Millisecond
 
+// minServerWait is the time before its deadline from which a request no longer waits for a server: one that comes later
+// could hardly answer.
+const minServerWait = 3 * serverWaitInterval
+
 // handleNoServer keeps a request that has no server now until one may have come.
 func (b *Balancer) handleNoServer(r *request) {
-	if b.noServerCanRun(r) {
-		b.endUnserved(r, ReasonNoServer)
-		return
-	}
-	if r.Deadline-b.now <= 3*serverWaitInterval {
+	if b.noServerCanRun(r) || r.Deadline-b.now <= minServerWait {
 		b.endUnserved(r, ReasonNoServer)
 		return
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,6 +5,9 @@
 	retryTokensPerSuccess = 0.1
 	maxRetryTokens        = 10.0
 
+	// retryMargin is how many event intervals before its deadline a request is no longer retried.
+	retryMargin = 4
+
 	// handoverRetryReserve is the part of the budget that is reserved for keyed requests from LevelHandovers on.
 	handoverRetryReserve = maxRetryTokens / 4
 )
@@ -12,7 +15,7 @@
 // retryOrEnd decides what follows an attempt that served nothing.
 func (b *Balancer) retryOrEnd(r *request, e Outcome) {
 	originFailed := b.originFailed(r, e)
-	hasTime := b.now < r.Deadline-4*r.settings.EventInterval
+	hasTime := b.now < r.Deadline-retryMargin*r.settings.EventInterval
 	if hasTime && !originFailed && b.payForRetry(r, e.Result) {
 		if s, path := b.chooseServer(r); s != nil {
 			b.send(r, s, path, ReasonRetry)
