--- a/internal/overload/transition.go
+++ b/internal/overload/transition.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Transition is one change of the level in force. Its fields are the schema of the records in
-// docs/operators/service.md; fields may be added, none is renamed or removed in JSON.
+// docs/operators/overload.md; fields may be added, none is renamed or removed in JSON.
 type Transition struct {
 	At             time.Duration `json:"at_ns"` // on the events' clock
 	From           string        `json:"from"`
