--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -369,9 +369,9 @@
 // untilTick bounds the states that are all visited.
 const untilTick = 4
 
-// TestSmallWorld guards guarantees 1 to 3 in every state that the world reaches in its first ticks, and in
+// TestNoPauseRepeatsAnEffect guards guarantees 1 to 3 in every state that the world reaches in its first ticks, and in
 // random courses beyond. Each planted defect is found.
-func TestSmallWorld(t *testing.T) {
+func TestNoPauseRepeatsAnEffect(t *testing.T) {
 	begun, states := time.Now(), 0
 	for name, f := range map[string]faults{"lost": {lose: 1}, "doubled": {double: 1}, "leader changes": {change: 1}, "stop": {stop: 1}, "crash": {crash: 1},
 		"release": {release: 1}, "leader changes, stop": {change: 1, stop: 1}, "leader changes, crash": {change: 1, crash: 1}} {
--- a/internal/takeover/world_test.go
+++ b/internal/takeover/world_test.go
@@ -610,9 +610,9 @@
 	return lives, effects, wrong
 }
 
-// TestSmallWorld guards guarantee 1 over all lives with up to two choices that are not the usual one, or with as many as
+// TestNoPauseRepeatsAnEffect guards guarantee 1 over all lives with up to two choices that are not the usual one, or with as many as
 // MULLEINPIER_DEPTH says.
-func TestSmallWorld(t *testing.T) {
+func TestNoPauseRepeatsAnEffect(t *testing.T) {
 	depth := 2
 	if n, err := strconv.Atoi(os.Getenv("MULLEINPIER_DEPTH")); err == nil {
 		depth = n
