--- /dev/null
+++ b/internal/upstream/writer.go
@@ -0,0 +1,182 @@
+package upstream
+
+import (
+	"errors"
+	"net"
+	"slices"
+	"time"
+)
+
+const (
+	// maxCopiedBody is the size up to which bodies are copied behind their line, which saves a write.
+	maxCopiedBody = 8 << 10
+	// writeTimeout is how long a node may accept no data until what has not been started is checked anew
+	// before it is written: meanwhile its client may have disconnected, or its node have begun to drain.
+	writeTimeout = 100 * time.Millisecond
+	// lateWriteThreshold is how long after the check of a batch its write is reported as late.
+	lateWriteThreshold = 300 * time.Millisecond
+)
+
+// runWriter writes queued attempts until the connection is closed, as many at a time as there are.
+func (c *conn) runWriter() {
+	var buffer []byte // reused between batches
+	c.pool.mu.Lock()
+	for c.waitQueued() {
+		buffer = c.writeQueued(buffer)
+	}
+	c.endAttempts()
+}
+
+// waitQueued waits for queued attempts. It returns false once the connection is closed. Pool.mu is held,
+// except while it waits.
+func (c *conn) waitQueued() bool {
+	for (len(c.queued) == 0 || c.writeFailed) && !c.closed {
+		c.writerWake.Wait()
+	}
+	return !c.closed
+}
+
+// writeQueued has the handler check all queued attempts and writes those that remain. It returns the buffer
+// for reuse. Pool.mu is held, except during the check and the write.
+func (c *conn) writeQueued(buffer []byte) []byte {
+	batch := c.queued
+	c.queued, c.writing, c.beingChecked = nil, true, len(batch)
+	c.pool.mu.Unlock()
+	checkedAt := time.Now()
+	batch = c.pool.handler.BeforeWrite(batch)
+	parts, buffer := encodeBatch(c.dialect, batch, buffer[:0])
+	c.pool.mu.Lock()
+	c.beingChecked = 0
+	if c.closed {
+		c.queued, c.writing = append(batch, c.queued...), false
+		return buffer
+	}
+	c.inFlight, c.incomplete = append(c.inFlight, batch...), len(batch)
+	batch = c.writeBatch(parts, batch, checkedAt)
+	c.writing = false
+	if slices.ContainsFunc(batch, func(a *Attempt) bool { return a.abandoned }) {
+		c.retired = true // one was abandoned while it was being written
+	}
+	if c.retired && !c.writeFailed && !c.inUse() {
+		c.close("no attempt waited for")
+	}
+	return buffer
+}
+
+// writeBatch writes a batch, and returns those of its attempts that were started. Those that were not when the
+// node accepted no data for writeTimeout are queued again. Pool.mu is held, except during writes.
+func (c *conn) writeBatch(parts net.Buffers, batch []*Attempt, checkedAt time.Time) []*Attempt {
+	for written := 0; written < batchSize(batch); {
+		c.pool.mu.Unlock()
+		n, err := c.writeParts(&parts)
+		delay := time.Since(checkedAt)
+		if delay >= lateWriteThreshold && written == 0 && n > 0 {
+			c.pool.handler.WrittenLate(batch, delay)
+		}
+		c.pool.mu.Lock()
+		written += n
+		timedOut := isTimeout(err)
+		if timedOut && !c.closed {
+			batch = c.requeueNotStarted(batch, written)
+			parts = firstBytes(parts, batchSize(batch)-written)
+			if c.retired && !c.hasWaiters() { // the rest would be for nobody
+				c.close("attempt abandoned while written")
+			}
+		}
+		c.incomplete = countIncomplete(batch, written)
+		if err != nil && !timedOut || c.closed {
+			c.failWrites()
+			break
+		}
+	}
+	return batch
+}
+
+// writeParts writes as much of parts as the node accepts within writeTimeout, and removes that from parts.
+func (c *conn) writeParts(parts *net.Buffers) (int, error) {
+	c.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
+	n, err := parts.WriteTo(c.socket)
+	return int(n), err
+}
+
+// requeueNotStarted queues those attempts of a batch again of which nothing is among the bytes written, and
+// returns the others. Pool.mu is held.
+func (c *conn) requeueNotStarted(batch []*Attempt, written int) (started []*Attempt) {
+	count, start := 0, 0
+	for count < len(batch) && start < written {
+		start = batch[count].endOffset
+		count++
+	}
+	notStarted := batch[count:]
+	// At most the batch is in flight: an answer can't have come to what was not written.
+	c.inFlight = c.inFlight[:max(len(c.inFlight)-len(notStarted), 0)]
+	c.queued = append(slices.Clone(notStarted), c.queued...)
+	return batch[:count]
+}
+
+// failWrites retires a connection that can't be written to. Answers that came before the failure may be
+// unread: the reader gets them and then the end, soon. Pool.mu is held.
+func (c *conn) failWrites() {
+	c.writeFailed, c.retired = true, true
+	if !c.closed {
+		c.socket.SetReadDeadline(time.Now().Add(answerTimeout))
+	}
+}
+
+// encodeBatch returns a batch as parts to write, and the buffer that most of them lie in. It sets where each
+// attempt ends.
+func encodeBatch(dialect Dialect, batch []*Attempt, buffer []byte) (net.Buffers, []byte) {
+	var parts net.Buffers
+	now := time.Now()
+	partStart, written := 0, 0
+	for _, a := range batch {
+		headStart, value := len(buffer), a.Request.Value
+		buffer = dialect.AppendHead(buffer, a.Request, a.Deadline.Sub(now))
+		if len(value) <= maxCopiedBody {
+			buffer = append(buffer, value...)
+		} else {
+			parts = append(parts, buffer[partStart:len(buffer):len(buffer)], value)
+			partStart = len(buffer)
+			written += len(value)
+		}
+		buffer = dialect.AppendTail(buffer, a.Request)
+		written += len(buffer) - headStart
+		a.endOffset = written
+	}
+	return append(parts, buffer[partStart:]), buffer
+}
+
+// batchSize returns the length of a batch in bytes.
+func batchSize(batch []*Attempt) int {
+	if len(batch) == 0 {
+		return 0
+	}
+	return batch[len(batch)-1].endOffset
+}
+
+// countIncomplete returns how many attempts of a batch end beyond the bytes written.
+func countIncomplete(batch []*Attempt, written int) (count int) {
+	for _, a := range batch {
+		if a.endOffset > written {
+			count++
+		}
+	}
+	return count
+}
+
+// firstBytes returns the first n bytes of parts.
+func firstBytes(parts net.Buffers, n int) net.Buffers {
+	for i, part := range parts {
+		if n <= len(part) {
+			return append(parts[:i:i], part[:n])
+		}
+		n -= len(part)
+	}
+	return parts
+}
+
+// isTimeout reports whether an error is that of a deadline of a socket.
+func isTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
+}
