--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,7 @@
-// Package clock reads the system's clocks that the standard library doesn't give: how far the one
-// that counts the machine's sleep is ahead of the monotonic one, which Go's times go by.
+// Package clock reads how long the machine has slept, which the standard library does not tell: Go's times are
+// by the monotonic clock, which stands still meanwhile.
+//
+// The package has no state and starts no goroutine.
 package clock
 
 import (
@@ -8,28 +10,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// TotalSleep returns by how much CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC: the time that the machine
-// has slept. Where either can't be read it is zero, as if it never slept. Between the two readings the
-// process may be put off its core; then it seems less, by as much, for this once, and never more.
+// TotalSleep returns how long the machine has slept since boot: by how much CLOCK_BOOTTIME is ahead of
+// CLOCK_MONOTONIC. Where either can't be read it is zero. If the process loses its processor between the two
+// readings the result is too small by as much, for this once; it is never too large.
 func TotalSleep() time.Duration {
-	var boot, mono unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono) != nil {
+	var boot, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0
 	}
-	return time.Duration(boot.Nano() - mono.Nano())
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
+		return 0
+	}
+	return time.Duration(boot.Nano() - monotonic.Nano())
 }
 
-// SimulatedSleep is Ahead of a machine that seems to sleep for a time once, so long after now, and whose clock that counts
-// sleep runs off the monotonic one by a part of it, drift. It is for rehearsals: the monotonic clock of a real one
-// stands meanwhile, and so do all timers.
-func SimulatedSleep(at, d time.Duration, drift float64) func() time.Duration {
-	begun := time.Now()
+// SimulatedSleep returns a replacement of TotalSleep for fault tests. By it the machine sleeps once for a
+// duration, some time after now, and its clock that counts sleep deviates from the monotonic one by the share
+// drift. Unlike in a real sleep the monotonic clock and all timers go on.
+func SimulatedSleep(after, duration time.Duration, drift float64) func() time.Duration {
+	start := time.Now()
 	return func() time.Duration {
-		since := time.Since(begun)
-		off := time.Duration(drift * float64(since))
-		if since < at || d == 0 {
-			return TotalSleep() + off
+		elapsed := time.Since(start)
+		total := TotalSleep() + time.Duration(drift*float64(elapsed))
+		if elapsed >= after {
+			total += duration
 		}
-		return TotalSleep() + off + d
+		return total
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// TestAheadIsSteady guards the looks that compare two readings: a machine that doesn't sleep must not
-// seem to.
-func TestAheadIsSteady(t *testing.T) {
-	first, most := TotalSleep(), time.Duration(0)
+// TestTotalSleepIsSteady guards the comparison of two readings: a machine that does not sleep must not seem
+// to.
+func TestTotalSleepIsSteady(t *testing.T) {
+	first, largest := TotalSleep(), time.Duration(0)
 	for range 1000 {
-		most = max(most, TotalSleep())
+		largest = max(largest, TotalSleep())
 	}
-	if by := most - first; by > 100*time.Millisecond && first > 0 || most < -time.Second {
-		t.Errorf("%v ahead, then %v", first, most)
+	if growth := largest - first; growth > 100*time.Millisecond && first > 0 || largest < -time.Second {
+		t.Errorf("%v of sleep, then %v", first, largest)
 	}
 }
 
-func TestSleeping(t *testing.T) {
-	if by := SimulatedSleep(time.Hour, time.Minute, 0)() - TotalSleep(); by > time.Second {
-		t.Errorf("asleep by %v an hour early", by)
+func TestSimulatedSleep(t *testing.T) {
+	if slept := SimulatedSleep(time.Hour, time.Minute, 0)() - TotalSleep(); slept > time.Second {
+		t.Errorf("slept %v an hour early", slept)
 	}
-	if by := SimulatedSleep(0, time.Minute, 0)() - TotalSleep(); by < 59*time.Second {
-		t.Errorf("asleep by %v, want a minute", by)
+	if slept := SimulatedSleep(0, time.Minute, 0)() - TotalSleep(); slept < 59*time.Second {
+		t.Errorf("slept %v, want a minute", slept)
 	}
 	slow := SimulatedSleep(0, 0, -0.5)
 	time.Sleep(100 * time.Millisecond)
-	if by := slow() - TotalSleep(); by > -50*time.Millisecond || by < -time.Minute {
-		t.Errorf("ahead by %v, want 50 ms back and more", by)
+	if drift := slow() - TotalSleep(); drift > -50*time.Millisecond || drift < -time.Minute {
+		t.Errorf("drifted by %v, want -50ms or more", drift)
 	}
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,13 +1,16 @@
-// Package request is the program's own idea of a request and of its answer. Fronts
-// make the one of what clients send and say the other in their clients' dialect;
-// upstream does the same towards nodes. What lies between knows no dialect.
+// Package request defines a request and its answer independently of any protocol. Frontends translate the
+// requests of clients into it, and its answers into the clients' dialect; package upstream does the same
+// towards nodes. What lies between knows no dialect.
 //
 // Invariants:
 //
-//  1. A value passes from node to client without a copy: it is read into a buffer
-//     that has room for the client's frame, which is put round it in place.
-//  2. What a client of a text dialect wrote goes on to a node of the same dialect
-//     unchanged, but for the time that the proxy waits.
+//  1. A value passes from node to client without a copy: it is read into a buffer with room for the client's
+//     frame, which is written around it in place.
+//  2. What a client of a text dialect wrote is sent to a node of the same dialect unchanged, except for the
+//     time that the proxy waits.
+//
+// The package does no I/O, has no state and starts no goroutine. A Request is not changed after the core has
+// accepted it; an Answer belongs to whoever it was passed to.
 package request
 
 import (
@@ -16,10 +19,10 @@
 	"mulleinpier/internal/pause"
 )
 
-// Verb is a request's kind.
+// Verb is what a request does.
 type Verb uint8
 
-// The kinds of requests.
+// The verbs.
 const (
 	Get Verb = iota // reads a key
 	Set             // writes one
@@ -29,96 +32,109 @@
 type Request struct {
 	Verb           Verb
 	Key            string
-	ID             string // of this try, never again; tells its answer from others
+	ID             string // unique to this try; tells its answer from others
 	Value          []byte // of a Set
 	Class          string
 	Tenant         string
 	IdempotencyKey string        // "" for none
 	Timeout        time.Duration // how long the client waits; negative if it did not say
-	Arrival        pause.Arrival // when its last byte may have come, by the core's clock; zero for just now
-	Retry          bool          // marked by the client as a repetition
-	Flags          uint32        // of a Set: kept with the value by nodes whose dialect has room for it
-	SideEffects    bool          // set by the core: a repeat may do harm, as the settings have its class
-	Serial         uint32        // set by the core: tells answers apart where a dialect has no room for the id
-	HeaderRoom     int           // bytes that the client's front puts before a value, at the most
+	Arrival        pause.Arrival // when its last byte may have arrived, by the core's clock; zero for just now
+	Retry          bool          // marked by the client as a retry
+	Flags          uint32        // of a Set: kept with the value by nodes whose dialect has flags
+	HeaderRoom     int           // the most bytes that the client's frontend writes before a value
 	Raw            RawLine
+
+	SideEffects bool   // set by the core: by its class, executing it twice may do harm
+	Serial      uint32 // set by the core: tells answers apart where a dialect has no room for the id
 }
 
-// RawLine is a request's line as its client wrote it, with the place of the figure that
-// tells the client's wait, or where it would go. It is empty for requests of
-// dialects that have no such line.
+// RawLine is a request's line as its client wrote it. It is empty for requests of dialects without such a line.
 type RawLine struct {
-	Line                     string
+	Line string
+	// TimeoutStart and TimeoutEnd are the place of the number in the line that is the client's timeout, or
+	// where it is to be inserted.
 	TimeoutStart, TimeoutEnd int
-	InsertTimeout            bool // there is no such figure yet
+	InsertTimeout            bool // the line has no such number yet
 }
 
 // AnswerKind is the kind of an answer.
 type AnswerKind uint8
 
-// The kinds of answers. A node gives all but Bad, which is a front's or the
-// core's to a request that can't be meant.
+// The kinds of answers. A node gives all but Invalid, which a frontend or the core gives to a request that is
+// wrong in itself.
 const (
 	Value    AnswerKind = iota // a read's value
 	Stored                     // a write's receipt
-	Busy                       // refused: trying again is harmless
-	Failed                     // it may have run
-	NotFound                   // a read found that there is no such key
-	Invalid                    // never sent on
+	Busy                       // rejected; a retry is harmless
+	Failed                     // it may have been executed
+	NotFound                   // a read's key does not exist
+	Invalid                    // it was not sent to any node
 )
 
-var answerKindNames = [...]string{Value: "value", Stored: "stored", Busy: "busy", Failed: "failed", NotFound: "missing", Invalid: "bad"}
+var answerKindNames = [...]string{
+	Value:    "value",
+	Stored:   "stored",
+	Busy:     "busy",
+	Failed:   "failed",
+	NotFound: "not found",
+	Invalid:  "invalid",
+}
 
-// String returns the kind as logs have it.
+// String returns the kind's name for logs.
 func (k AnswerKind) String() string { return answerKindNames[k] }
 
 // Answer is the answer to a request.
 type Answer struct {
 	Kind       AnswerKind
 	Receipt    string        // of Stored
-	RetryAfter time.Duration // of Busy: when to come again, 0 for no advice
-	Reason     string        // of Bad
+	RetryAfter time.Duration // of Busy: when to retry, 0 for no advice
+	Reason     string        // of Invalid
 	Flags      uint32        // of Value
-	Hit        bool          // the node had a copy
-	Miss       bool          // it had none
-	Coalesced  bool          // another fetch of the key was out
+	Hit        bool          // the node had the key cached
+	Miss       bool          // the node did not have it cached
+	Coalesced  bool          // of a miss: another fetch of the key was under way
 	LoadReport []byte        // the node's load report; nil for none
 
-	buf        []byte
-	start, end int
+	buffer     []byte
+	start, end int // of the value in buffer
 }
 
-// maxTailLen is what a value's buffer has behind it.
+// maxTailLen is the room after a value in its buffer, in bytes.
 const maxTailLen = 2
 
-// AllocateValue makes room for a value of so many bytes, and for a frame round it. What
-// it returns is to be filled.
-func (a *Answer) AllocateValue(room, size int) []byte {
-	a.Kind, a.buf, a.start, a.end = Value, make([]byte, room+size+maxTailLen), room, room+size
+// AllocateValue makes the answer a Value of so many bytes, with room for a header before it. The returned value
+// is to be filled.
+func (a *Answer) AllocateValue(headerRoom, valueLen int) []byte {
+	a.Kind = Value
+	a.buffer = make([]byte, headerRoom+valueLen+maxTailLen)
+	a.start, a.end = headerRoom, headerRoom+valueLen
 	return a.Value()
 }
 
 // Value returns the value of a read.
-func (a *Answer) Value() []byte { return a.buf[a.start:a.end:a.end] }
+func (a *Answer) Value() []byte { return a.buffer[a.start:a.end:a.end] }
 
-// Tail returns the room behind a value, two bytes: a reader whose dialect ends
-// values with as much may read it in one go, see [Answer.ValueAndTail].
-func (a *Answer) Tail() []byte { return a.buf[a.end:] }
+// ValueLen returns the length of a read's value in bytes.
+func (a *Answer) ValueLen() int { return a.end - a.start }
 
-// ValueAndTail returns a value with the room behind it.
-func (a *Answer) ValueAndTail() []byte { return a.buf[a.start:] }
+// Tail returns the room after a value, two bytes: a reader whose dialect ends values with two bytes may read
+// both at once, see [Answer.ValueAndTail].
+func (a *Answer) Tail() []byte { return a.buffer[a.end:] }
 
-// Frame puts a head before the value and a tail of two bytes at most behind it, in place
-// where there is room, and returns all of it. It is called once.
+// ValueAndTail returns a value with the room after it.
+func (a *Answer) ValueAndTail() []byte { return a.buffer[a.start:] }
+
+// Frame writes a head before the value and a tail after it, in place where there is room, and returns all of
+// it. It is called once.
 func (a *Answer) Frame(head, tail []byte) []byte {
 	if len(head) > a.start || len(tail) > maxTailLen {
-		return append(append(append(make([]byte, 0, len(head)+a.end-a.start+len(tail)), head...), a.Value()...), tail...)
+		framed := make([]byte, 0, len(head)+a.ValueLen()+len(tail))
+		framed = append(framed, head...)
+		framed = append(framed, a.Value()...)
+		return append(framed, tail...)
 	}
 	start := a.start - len(head)
-	copy(a.buf[start:], head)
-	n := copy(a.buf[a.end:], tail)
-	return a.buf[start : a.end+n]
+	copy(a.buffer[start:], head)
+	tailLen := copy(a.buffer[a.end:], tail)
+	return a.buffer[start : a.end+tailLen]
 }
-
-// ValueLen is the length of a read's value in bytes.
-func (a *Answer) ValueLen() int { return a.end - a.start }
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -5,30 +5,42 @@
 	"testing"
 )
 
-// TestFrameGoesRoundTheValue guards invariant 1, and frames that find no room.
-func TestFrameGoesRoundTheValue(t *testing.T) {
-	for _, c := range []struct {
-		room       int
+// TestFrameIsWrittenInPlace guards invariant 1, and frames for which there is no room.
+func TestFrameIsWrittenInPlace(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		headerRoom int
 		head, tail string
 		inPlace    bool
-	}{{10, "head ", "\r\n", true}, {5, "head ", "\r\n", true}, {4, "head ", "\r\n", false}, {10, "", "", true}, {10, "h", "long", false}} {
-		var a Answer
-		copy(a.AllocateValue(c.room, 5), "value")
-		before := &a.Value()[0]
-		got := a.Frame([]byte(c.head), []byte(c.tail))
-		if string(got) != c.head+"value"+c.tail {
-			t.Errorf("room %d: framed as %q", c.room, got)
+	}{
+		{"room to spare", 10, "head ", "\r\n", true},
+		{"just enough room", 5, "head ", "\r\n", true},
+		{"too little room", 4, "head ", "\r\n", false},
+		{"no frame", 10, "", "", true},
+		{"a long tail", 10, "h", "long", false},
+	} {
+		var answer Answer
+		copy(answer.AllocateValue(test.headerRoom, 5), "value")
+		before := &answer.Value()[0]
+		got := answer.Frame([]byte(test.head), []byte(test.tail))
+		if string(got) != test.head+"value"+test.tail {
+			t.Errorf("%s: framed as %q", test.name, got)
 		}
-		if at := bytes.Index(got, []byte("value")); (&got[at] == before) != c.inPlace {
-			t.Errorf("room %d, %q: copied: %v", c.room, c.head, &got[at] != before)
+		at := bytes.Index(got, []byte("value"))
+		if inPlace := &got[at] == before; inPlace != test.inPlace {
+			t.Errorf("%s: framed in place: %v, want %v", test.name, inPlace, test.inPlace)
 		}
 	}
 }
 
-func TestWholeValueIsReadWithItsEnd(t *testing.T) {
-	var a Answer
-	a.AllocateValue(3, 2)
-	if n := copy(a.ValueAndTail(), "hi\r\n"); n != 4 || string(a.Value()) != "hi" || string(a.Tail()) != "\r\n" || a.ValueLen() != 2 {
-		t.Errorf("%d read, value %q, tail %q", n, a.Value(), a.Tail())
+// TestValueIsReadWithItsTail guards that a value and the two bytes after it can be read at once.
+func TestValueIsReadWithItsTail(t *testing.T) {
+	var answer Answer
+	answer.AllocateValue(3, 2)
+	if n := copy(answer.ValueAndTail(), "hi\r\n"); n != 4 {
+		t.Errorf("%d bytes read, want 4", n)
+	}
+	if string(answer.Value()) != "hi" || string(answer.Tail()) != "\r\n" || answer.ValueLen() != 2 {
+		t.Errorf("value %q of %d bytes, tail %q", answer.Value(), answer.ValueLen(), answer.Tail())
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,7 @@
-// Package socket asks the kernel about a connection. Nothing here waits, or reads: each may be called while
-// another goroutine reads or writes.
+// Package socket asks the kernel about the state of a TCP connection.
+//
+// Nothing here waits or consumes data: each function may be called while other goroutines read or write the
+// connection. The package has no state and starts no goroutine.
 package socket
 
 import (
@@ -10,42 +12,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// Readable tells whether unread bytes, or a connection's end, wait in the kernel.
+// Readable reports whether unread bytes, or the end of the connection, wait in the kernel.
 func Readable(c *net.TCPConn) bool {
 	_, err := peek(c)
 	return err == nil
 }
 
-// PeerClosed tells whether the other end has closed, half closed or reset a connection, whatever of what came
-// before is unread, or this end has closed it.
+// PeerClosed reports whether the peer has closed, half closed or reset a connection, even if bytes from before
+// that are unread, or this end has closed it.
 func PeerClosed(c *net.TCPConn) bool {
-	switch n, err := peek(c); {
+	n, err := peek(c)
+	switch {
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
 		return false
-	case err != nil, n == 0: // a reset comes as an error, and n is -1 then
+	case err != nil, n == 0: // a reset comes as an error, with n = -1
 		return true
 	}
-	// Behind unread bytes only the state of the connection tells.
+	return hangUpPending(c)
+}
+
+// hangUpPending reports whether the end of a connection follows its unread bytes: peeking at these does not
+// tell, only the connection's state does.
+func hangUpPending(c *net.TCPConn) bool {
+	const hangUp = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
 	}
-	var ended bool
-	failed := raw.Control(func(fd uintptr) {
+	var pending bool
+	err = raw.Control(func(fd uintptr) {
 		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(state, 0)
-		ended = err == nil && n > 0 && state[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		pending = err == nil && n > 0 && state[0].Revents&hangUp != 0
 	})
-	return ended || failed != nil
+	return pending || err != nil
 }
 
+// peek reads one byte of a connection without consuming it or waiting for it.
 func peek(c *net.TCPConn) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	failed := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return n, errors.Join(err, failed)
+	return n, errors.Join(err, controlErr)
 }
--- a/internal/upstream/blocked_test.go
+++ b/internal/upstream/blocked_test.go
@@ -83,6 +83,15 @@
 	return ids
 }
 
+// countAll counts equal ids until there are no more.
+func countAll(ids <-chan string) map[string]int {
+	times := map[string]int{}
+	for id := range ids {
+		times[id]++
+	}
+	return times
+}
+
 // TestUnstartedPartOfABatchIsCheckedAgain guards guarantee 2: what a node did not accept of a batch must not be
 // sent after the rest once the node reads again, unless it still may.
 func TestUnstartedPartOfABatchIsCheckedAgain(t *testing.T) {
@@ -102,10 +111,7 @@
 				t.Errorf("%d served, the late one: %v", len(served), served[late])
 			}
 			b.node.Close()
-			times := map[string]int{}
-			for id := range received {
-				times[id]++
-			}
+			times := countAll(received)
 			if times["late"] > 0 != mayStart {
 				t.Errorf("the node received the late one %d times", times["late"])
 			}
