--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -234,18 +234,28 @@
 	c.socket.SetReadDeadline(until)
 }
 
-// AddSlot makes r the place of the next answer, and waits while there are too many.
-func (c *Conn) AddSlot(r *Slot) *Slot {
-	r.conn = c
+// AddSlot makes slot the place of the next answer, and waits while there are too many.
+func (c *Conn) AddSlot(slot *Slot) *Slot {
+	slot.conn = c
 	c.mu.Lock()
-	defer c.mu.Unlock()
 	if len(c.slots) >= maxPipelined && !c.gone {
-		from := c.host.Core.Now()
-		c.blockReader(func() bool { return len(c.slots) < maxPipelined })
-		c.reader.noteUnread(from)
+		c.mu.Unlock()
+		c.waitForSlot()
+		c.mu.Lock()
 	}
-	c.slots = append(c.slots, r)
-	return r
+	c.slots = append(c.slots, slot)
+	c.mu.Unlock()
+	return slot
+}
+
+// waitForSlot waits until one more command may be in flight. Nothing is read meanwhile. The core's clock is asked
+// without c.mu: it may take the core's lock, under which the core answers the commands of this connection.
+func (c *Conn) waitForSlot() {
+	start := c.host.Core.Now()
+	c.mu.Lock()
+	c.blockReader(func() bool { return len(c.slots) < maxPipelined })
+	c.mu.Unlock()
+	c.reader.noteUnread(start)
 }
 
 // blockReader waits with the reader until done, or until the connection is gone. c.mu is held.
