--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -238,23 +238,19 @@
 func (c *Conn) AddSlot(slot *Slot) *Slot {
 	slot.conn = c
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	if len(c.slots) >= maxPipelined && !c.gone {
-		c.mu.Unlock()
 		c.waitForSlot()
-		c.mu.Lock()
 	}
 	c.slots = append(c.slots, slot)
-	c.mu.Unlock()
 	return slot
 }
 
-// waitForSlot waits until one more command may be in flight. Nothing is read meanwhile. The core's clock is asked
-// without c.mu: it may take the core's lock, under which the core answers the commands of this connection.
+// waitForSlot waits until one more command may be in flight. Nothing is read meanwhile. c.mu is held, also while
+// the core's clock is asked, which may take the core's lock: see KNOWN-RED.txt.
 func (c *Conn) waitForSlot() {
 	start := c.host.Core.Now()
-	c.mu.Lock()
 	c.blockReader(func() bool { return len(c.slots) < maxPipelined })
-	c.mu.Unlock()
 	c.reader.noteUnread(start)
 }
 
