--- a/internal/lease/agent/doc.go
+++ b/internal/lease/agent/doc.go
@@ -5,7 +5,7 @@
 //
 //  1. A voter without its file does not vote; a file is made once, by [InitVoter] or [InitJoiningVoter].
 //  2. What a voter promises is on its disk before it is sent.
-//  3. [Holder.RunGuarded] begins an action only while the lease is valid, ends the action's context when the lease ends,
+//  3. [Holder.RunGuarded] begins an action only while the lease is valid, ends its context when the lease ends,
 //     and says so when the action has outlived it.
 //  4. A holder whose grant was revoked releases it only after its last action has ended.
 //
--- /dev/null
+++ b/internal/lease/agent/holder_test.go
@@ -0,0 +1,186 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/lease"
+	"mulleinpier/internal/testutil"
+)
+
+// TestOneHolderAtATime acquires, waits, releases, and loses the leader: tokens rise, and nobody is left waiting.
+func TestOneHolderAtATime(t *testing.T) {
+	f := newFleet(t)
+	a := f.hold("x", "a", true)
+	first := f.await(a)
+	if err := f.hold("x", "late", false).wantRefused(); err != nil {
+		t.Error(err)
+	}
+	b := f.hold("x", "b", true)
+	f.waitForWaiters(f.client(), 1)
+	f.stop(f.leader())
+	if err := a.RunGuarded(context.Background(), func(_ context.Context, token uint64) error {
+		if token != first {
+			t.Errorf("acts under %d, holds %d", token, first)
+		}
+		return nil
+	}); err != nil {
+		t.Errorf("an action while the leader changes: %v", err)
+	}
+	a.Close()
+	f.wantHigher(f.await(b), first)
+	if err := a.RunGuarded(context.Background(), doNothing); !errors.Is(err, ErrLeaseLost) {
+		t.Errorf("acts after it released the task: %v", err)
+	}
+}
+
+// TestRevokedGrantIsWaitedOut guards guarantee 4 of package lease: a revoked holder goes on until its time is over, and
+// nobody before.
+func TestRevokedGrantIsWaitedOut(t *testing.T) {
+	f := newFleet(t)
+	a := f.hold("x", "a", true)
+	token := f.await(a)
+	b := f.hold("x", "b", true)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
+	defer cancel()
+	lost := a.Lost(ctx)
+	if _, err := f.client().Execute(ctx, lease.Command{Kind: lease.Revoke, Task: "x", Token: token}); err != nil {
+		t.Fatal(err)
+	}
+	f.await(b)
+	if err := a.RunGuarded(ctx, doNothing); !errors.Is(err, ErrLeaseLost) {
+		t.Errorf("b holds while a may act: %v", err)
+	}
+	<-lost
+}
+
+// TestRevokedDuringAction guards guarantee 4 where it matters most: a holder that acts as its grant is revoked releases
+// it no sooner than its action has ended.
+func TestRevokedDuringAction(t *testing.T) {
+	f := newFleet(t)
+	a := f.hold("x", "a", true)
+	token := f.await(a)
+	b := f.hold("x", "b", true)
+	started, ended := make(chan struct{}), make(chan error, 1)
+	var acting atomic.Bool
+	go func() {
+		ended <- a.RunGuarded(context.Background(), func(ctx context.Context, _ uint64) error {
+			acting.Store(true)
+			close(started)
+			<-ctx.Done() // its time is over, and it takes a while yet
+			time.Sleep(200 * time.Millisecond)
+			acting.Store(false)
+			return nil
+		})
+	}()
+	<-started
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
+	defer cancel()
+	if _, err := f.client().Execute(ctx, lease.Command{Kind: lease.Revoke, Task: "x", Token: token}); err != nil {
+		t.Fatal(err)
+	}
+	f.await(b)
+	if acting.Load() {
+		t.Error("b holds while a acts")
+	}
+	if err := testutil.Receive(t, "the action to end", ended); err != nil {
+		t.Errorf("an action that ended while its grant was waited for: %v", err)
+	}
+}
+
+// TestHandOver has an operator hand a task to the last of three waiters: it is the next holder.
+func TestHandOver(t *testing.T) {
+	f := newFleet(t)
+	a := f.hold("x", "a", true)
+	token := f.await(a)
+	c := f.client()
+	var waiting []*Holder
+	for i := range 3 {
+		waiting = append(waiting, f.hold("x", fmt.Sprint("w", i), true))
+		f.waitForWaiters(c, i+1)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
+	defer cancel()
+	last := f.leaderState(ctx).StateMachine.Tasks["x"].Waiters[2].Holder
+	if _, err := c.Execute(ctx, lease.Command{Kind: lease.HandOver, Task: "x", Token: token, To: last}); err != nil {
+		t.Fatal(err)
+	}
+	f.wantHigher(f.await(waiting[2]), token)
+	for _, w := range waiting[:2] {
+		if err := w.RunGuarded(ctx, doNothing); !errors.Is(err, ErrLeaseLost) {
+			t.Errorf("a waiter that was passed over acts: %v", err)
+		}
+	}
+}
+
+// TestHandOverToDeadWaiter hands a task to a waiter that has died: its grant runs out, and the next one holds.
+func TestHandOverToDeadWaiter(t *testing.T) {
+	f := newFleet(t)
+	a := f.hold("x", "a", true)
+	token := f.await(a)
+	c := f.client()
+	var waiting []*Holder
+	for i := range 2 {
+		waiting = append(waiting, f.hold("x", fmt.Sprint("w", i), true))
+		f.waitForWaiters(c, i+1)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
+	defer cancel()
+	first := f.leaderState(ctx).StateMachine.Tasks["x"].Waiters[0].Holder
+	waiting[0].Abandon()
+	if _, err := c.Execute(ctx, lease.Command{Kind: lease.HandOver, Task: "x", Token: token, To: first}); err != nil {
+		t.Fatal(err)
+	}
+	f.wantHigher(f.await(waiting[1]), token)
+}
+
+// TestManyContenders has a thousand ask for one task at three voters: each has it once, one at a time.
+func TestManyContenders(t *testing.T) {
+	if testing.Short() {
+		t.Skip("a thousand contenders")
+	}
+	f := newFleet(t)
+	const contenders = 1000
+	var acting, maxActing, actions atomic.Int32
+	act := func(context.Context, uint64) error {
+		if n := acting.Add(1); n > maxActing.Load() {
+			maxActing.Store(n)
+		}
+		actions.Add(1)
+		acting.Add(-1)
+		return nil
+	}
+	var tasks sync.WaitGroup
+	slots := make(chan struct{}, concurrentContenders)
+	for i := range contenders {
+		c := f.client()
+		tasks.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			ctx, cancel := context.WithTimeout(context.Background(), 4*testutil.Timeout)
+			defer cancel()
+			h, err := c.Hold(ctx, "x", fmt.Sprint("c", i), 5*time.Second, true)
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			defer h.Close()
+			if _, err := h.Await(ctx); err != nil {
+				t.Errorf("contender %d: %v", i, err)
+				return
+			}
+			if err := h.RunGuarded(ctx, act); err != nil {
+				t.Errorf("contender %d: %v", i, err)
+			}
+		})
+	}
+	tasks.Wait()
+	if actions.Load() != contenders || maxActing.Load() != 1 {
+		t.Errorf("%d actions, %d at a time", actions.Load(), maxActing.Load())
+	}
+}
--- a/internal/lease/agent/recorded_test.go
+++ b/internal/lease/agent/recorded_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -22,23 +21,27 @@
 	"mulleinpier/internal/testutil"
 )
 
-// The files testdata/v0.bolt to v2.bolt are those of three voters of an earlier version, after the history that
-// recordedBook tells of; v2 lost its first file, and was seated again. joining.bolt is the file of a voter that has been
-// made, but never run.
+// The files testdata/v0.bolt to v2.bolt are those of three voters of an earlier version, after the history that led to
+// recordedStateMachine. v2 lost its first file, and was replaced under a new ID. joining.bolt is the file of a voter
+// that was made, but never run.
 
 // recordedStateMachine is what the recorded voters had agreed on.
 func recordedStateMachine() *lease.StateMachine {
-	grant := func(holder string, nonce, number uint64, revoked bool) lease.Grant {
-		return lease.Grant{Holder: holder, Nonce: nonce, Token: number, Duration: time.Hour, Revoked: revoked}
+	grant := func(holder string, nonce, token uint64) lease.Grant {
+		return lease.Grant{Holder: holder, Nonce: nonce, Token: token, Duration: time.Hour}
 	}
+	revoked := grant("c1/1/5", 5, 3)
+	revoked.Revoked = true
 	return &lease.StateMachine{
 		Tasks: map[string]*lease.Task{
-			"restart": {MaxHolders: 2, Grants: []lease.Grant{grant("p2/11/8", 8, 2, false), grant("p3/12/9", 9, 4, false)}, Waiters: []lease.Waiter{}},
-			"move": {MaxHolders: 1, Grants: []lease.Grant{grant("c1/1/5", 5, 3, true)},
-				Waiters: []lease.Waiter{{Holder: "c3/1/7", Nonce: 7, Duration: time.Hour}, {Holder: "c2/1/6", Nonce: 6, Duration: time.Hour}}},
-			"given":  {MaxHolders: 1, Grants: []lease.Grant{grant("d2/1/2", 2, 6, false)}, Waiters: []lease.Waiter{}},
-			"late":   {MaxHolders: 1, Grants: []lease.Grant{grant("c9/1/9", 9, 7, false)}},
-			"closed": {MaxHolders: 1, Grants: []lease.Grant{}},
+			"restart": {MaxHolders: 2, Grants: []lease.Grant{grant("p2/11/8", 8, 2), grant("p3/12/9", 9, 4)}},
+			"move": {MaxHolders: 1, Grants: []lease.Grant{revoked}, Waiters: []lease.Waiter{
+				{Holder: "c3/1/7", Nonce: 7, Duration: time.Hour},
+				{Holder: "c2/1/6", Nonce: 6, Duration: time.Hour},
+			}},
+			"given":  {MaxHolders: 1, Grants: []lease.Grant{grant("d2/1/2", 2, 6)}},
+			"late":   {MaxHolders: 1, Grants: []lease.Grant{grant("c9/1/9", 9, 7)}},
+			"closed": {MaxHolders: 1},
 		},
 		LastToken:   8,
 		Voters:      map[uint64]string{1: "v0", 2: "v1", 4: "v2"},
@@ -46,152 +49,156 @@
 	}
 }
 
-// recordedVoter copies a recorded file and reads it.
-func recordedVoter(t *testing.T, file string) (path string, named map[string][]byte, records []store.Record, saved quorum.PersistentState, seat uint64) {
+// copyRecorded copies a recorded file, so that it can be opened.
+func copyRecorded(t *testing.T, file, path string) {
 	t.Helper()
-	path = filepath.Join(t.TempDir(), file)
 	if err := os.WriteFile(path, testutil.Recorded(t, "testdata/"+file), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, err := store.Open(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	if named, records, err = l.Load(); err != nil {
-		t.Fatal(err)
-	}
-	if saved, seat, err = loadState(l, "test"); err != nil {
-		t.Fatal(err)
-	}
-	return path, named, records, saved, seat
 }
 
-// TestRecordedVotersFiles guards the voters' files: what an earlier version saved is read, and would be saved as the same
-// bytes, so that the earlier version reads what this one saves.
+// TestRecordedVotersFiles guards the voters' files: what an earlier version saved is read, and would be saved as the
+// same bytes, so that the earlier version reads what this one saves.
 func TestRecordedVotersFiles(t *testing.T) {
 	for _, c := range []struct {
-		file           string
-		seat           uint64 // as the file has it: 0 for one of the first voters
-		voters         []uint64
-		snapshot, last uint64 // indices
+		file      string
+		id        uint64 // as the file has it: 0 for one of the first voters
+		voters    []uint64
+		snapshot  uint64 // index
+		lastEntry uint64 // index
 	}{
 		{"v0.bolt", 0, []uint64{1, 2, 4}, 16, 19},
 		{"v1.bolt", 0, []uint64{1, 2, 4}, 16, 19},
 		{"v2.bolt", 4, []uint64{1, 2, 4}, 16, 19},
 		{"joining.bolt", 5, nil, 0, 0},
 	} {
-		_, named, records, saved, seat := recordedVoter(t, c.file)
-		if seat != c.seat {
-			t.Errorf("%s: seat %d, want %d", c.file, seat, c.seat)
-		}
-		metadata := saved.Snapshot.GetMetadata()
-		if got := metadata.GetConfState().GetVoters(); !reflect.DeepEqual(got, c.voters) {
-			t.Errorf("%s: voters %v, want %v", c.file, got, c.voters)
-		}
-		last := metadata.GetIndex()
-		for _, e := range saved.Entries {
-			last = e.GetIndex()
-		}
-		if metadata.GetIndex() != c.snapshot || last != c.last {
-			t.Errorf("%s: a snapshot at %d and entries to %d, want %d and %d", c.file, metadata.GetIndex(), last, c.snapshot, c.last)
-		}
-		again, err := storageChange(quorum.PersistentState{HardState: saved.HardState, Snapshot: saved.Snapshot, Entries: saved.Entries})
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, name := range []string{"hard", "snapshot"} {
-			if !bytes.Equal(again.Named[name], named[name]) {
-				t.Errorf("%s: %s is now saved as\n%x, recorded as\n%x", c.file, name, again.Named[name], named[name])
+		t.Run(c.file, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), c.file)
+			copyRecorded(t, c.file, path)
+			l, err := store.Open(path)
+			if err != nil {
+				t.Fatal(err)
 			}
-		}
-		recorded := make(map[uint64][]byte)
-		for _, r := range records {
-			recorded[r.Index] = r.Data
-		}
-		for _, r := range again.Records {
-			if !bytes.Equal(r.Data, recorded[r.Index]) {
-				t.Errorf("%s: entry %d is now saved as\n%x, recorded as\n%x", c.file, r.Index, r.Data, recorded[r.Index])
+			defer l.Close()
+			saved, id, err := loadState(l, "test")
+			if err != nil {
+				t.Fatal(err)
 			}
-		}
+			if id != c.id {
+				t.Errorf("ID %d, want %d", id, c.id)
+			}
+			metadata := saved.Snapshot.GetMetadata()
+			if got := metadata.GetConfState().GetVoters(); !reflect.DeepEqual(got, c.voters) {
+				t.Errorf("voters %v, want %v", got, c.voters)
+			}
+			last := metadata.GetIndex()
+			for _, e := range saved.Entries {
+				last = e.GetIndex()
+			}
+			if metadata.GetIndex() != c.snapshot || last != c.lastEntry {
+				t.Errorf("a snapshot at %d and entries to %d, want %d and %d",
+					metadata.GetIndex(), last, c.snapshot, c.lastEntry)
+			}
+			checkSavedAlike(t, l, saved)
+		})
 	}
 }
 
-// TestRecordedVotersGoOn runs three voters of this version from the recorded files: they agree on what was recorded, and
-// their next number is higher than all before.
-func TestRecordedVotersGoOn(t *testing.T) {
-	f := &testFleet{t: t, Fleet: Fleet{Name: "test"}, stops: make([]func(), 3)}
-	for i := range 3 {
-		l, err := net.Listen("tcp", "127.0.0.5:0")
-		if err != nil {
-			t.Fatal(err)
+// checkSavedAlike checks that a state would be saved as the bytes that are in the file.
+func checkSavedAlike(t *testing.T, l *store.Log, saved quorum.PersistentState) {
+	t.Helper()
+	named, records, err := l.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := storageChange(saved)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"hard", "snapshot"} {
+		if !bytes.Equal(again.Named[name], named[name]) {
+			t.Errorf("%s is now saved as\n%x, recorded as\n%x", name, again.Named[name], named[name])
 		}
-		name := fmt.Sprint("v", i)
-		f.Fleet.Voters = append(f.Fleet.Voters, VoterAddress{name, l.Addr().String()})
-		l.Close()
-		path, _, _, _, _ := recordedVoter(t, name+".bolt")
-		f.paths = append(f.paths, path)
 	}
-	for i := range 3 {
-		f.start(i)
+	recorded := make(map[uint64][]byte)
+	for _, r := range records {
+		recorded[r.Index] = r.Data
 	}
-	t.Cleanup(func() {
-		for i := range f.stops {
-			f.stop(i)
+	for _, r := range again.Records {
+		if !bytes.Equal(r.Data, recorded[r.Index]) {
+			t.Errorf("entry %d is now saved as\n%x, recorded as\n%x", r.Index, r.Data, recorded[r.Index])
 		}
-	})
-	at := f.leader()
+	}
+}
+
+// TestRecordedVotersGoOn runs three voters of this version from the recorded files: they agree on what was recorded,
+// and their next token is higher than all before.
+func TestRecordedVotersGoOn(t *testing.T) {
+	f := newStoppedFleet(t)
+	for i, path := range f.paths {
+		copyRecorded(t, fmt.Sprintf("v%d.bolt", i), path)
+		f.start(i)
+	}
+	leader := f.leader()
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
-	c := f.client()
-	s, err := c.LeaderState(ctx)
-	if err != nil {
-		t.Fatal(err)
-	}
-	wantSeats := []uint64{1, 2, 4}
-	if s.VoterID != wantSeats[at] {
-		t.Errorf("%s has seat %d, want %d", s.Voter, s.VoterID, wantSeats[at])
+	s := f.leaderState(ctx)
+	wantIDs := []uint64{1, 2, 4}
+	if s.VoterID != wantIDs[leader] {
+		t.Errorf("%s has ID %d, want %d", s.Voter, s.VoterID, wantIDs[leader])
 	}
-	got, want := stateJSON(t, s.StateMachine), stateJSON(t, recordedStateMachine())
-	if got != want {
+	if got, want := machineJSON(t, s.StateMachine), machineJSON(t, recordedStateMachine()); got != want {
 		t.Errorf("agreed on\n%s, want\n%s", got, want)
 	}
-	reply, err := c.Execute(ctx, lease.Command{Kind: lease.Acquire, Task: "next", Holder: "n/1/1", Nonce: 1, Duration: time.Hour})
+	acquire := lease.Command{Kind: lease.Acquire, Task: "next", Holder: "n/1/1", Nonce: 1, Duration: time.Hour}
+	reply, err := f.client().Execute(ctx, acquire)
 	if err != nil || reply.Outcome != lease.Granted || reply.Token != recordedStateMachine().LastToken+1 {
 		t.Errorf("the next grant: %+v, %v", reply, err)
 	}
 }
 
-// stateJSON is a state as JSON, with empty lists as none.
-func stateJSON(t *testing.T, b *lease.StateMachine) string {
+// machineJSON is a state machine as JSON, with absent lists as empty ones. It leaves out nonces, as JSON does.
+func machineJSON(t *testing.T, m *lease.StateMachine) string {
 	t.Helper()
-	b = b.Clone()
-	for _, task := range b.Tasks {
-		task.Grants, task.Waiters = append([]lease.Grant{}, task.Grants...), append([]lease.Waiter{}, task.Waiters...)
+	m = m.Clone()
+	for _, task := range m.Tasks {
+		task.Grants = append([]lease.Grant{}, task.Grants...)
+		task.Waiters = append([]lease.Waiter{}, task.Waiters...)
 	}
-	text, err := json.MarshalIndent(b, "", " ")
+	text, err := json.MarshalIndent(m, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-var recordedHead = rpc.Header{Version: 1, Fleet: "shop", MinVersion: 1}
+var recordedHeader = rpc.Header{Version: 1, Fleet: "shop", MinVersion: 1}
 
-// recordedRequests are requests of holders and operators as they were recorded from an earlier version, by file.
+// recordedRequests are requests of holders and operators as an earlier version wrote them, by file.
 var recordedRequests = map[string]Request{
-	"request-acquire.cbor": {Header: recordedHead,
-		Command: lease.Command{Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second, Wait: true}},
-	"request-renew.cbor": {Header: recordedHead, Token: 41,
-		Command: lease.Command{Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second}},
-	"request-release.cbor":  {Header: recordedHead, Command: lease.Command{Kind: lease.Release, Task: "restart", Holder: "p1/10/7", Nonce: 7, Token: 41}},
-	"request-transfer.cbor": {Header: recordedHead, Command: lease.Command{Kind: lease.Transfer, Task: "restart", Token: 41, To: "p2/11/8"}},
-	"request-revoke.cbor":   {Header: recordedHead, Command: lease.Command{Kind: lease.Revoke, Task: "restart", Token: 41}},
-	"request-set-limit.cbor": {Header: recordedHead,
-		Command: lease.Command{Kind: lease.SetLimit, Task: "restart", MaxHolders: 4}},
-	"request-hand-over.cbor":    {Header: recordedHead, Command: lease.Command{Kind: lease.HandOver, Task: "restart", Token: 41, To: "p2/11/8"}},
-	"request-add-voter.cbor":    {Header: recordedHead, Command: lease.Command{Kind: lease.AddVoter, To: "v2"}},
-	"request-remove-voter.cbor": {Header: recordedHead, Command: lease.Command{Kind: lease.RemoveVoter, To: "v2"}},
+	"request-acquire.cbor": {Header: recordedHeader, Command: lease.Command{
+		Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second, Wait: true,
+	}},
+	"request-renew.cbor": {Header: recordedHeader, Token: 41, Command: lease.Command{
+		Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second,
+	}},
+	"request-release.cbor": {Header: recordedHeader, Command: lease.Command{
+		Kind: lease.Release, Task: "restart", Holder: "p1/10/7", Nonce: 7, Token: 41,
+	}},
+	"request-transfer.cbor": {Header: recordedHeader, Command: lease.Command{
+		Kind: lease.Transfer, Task: "restart", Token: 41, To: "p2/11/8",
+	}},
+	"request-revoke.cbor": {Header: recordedHeader, Command: lease.Command{
+		Kind: lease.Revoke, Task: "restart", Token: 41,
+	}},
+	"request-set-limit.cbor": {Header: recordedHeader, Command: lease.Command{
+		Kind: lease.SetLimit, Task: "restart", MaxHolders: 4,
+	}},
+	"request-hand-over.cbor": {Header: recordedHeader, Command: lease.Command{
+		Kind: lease.HandOver, Task: "restart", Token: 41, To: "p2/11/8",
+	}},
+	"request-add-voter.cbor":    {Header: recordedHeader, Command: lease.Command{Kind: lease.AddVoter, To: "v2"}},
+	"request-remove-voter.cbor": {Header: recordedHeader, Command: lease.Command{Kind: lease.RemoveVoter, To: "v2"}},
 }
 
 // recordedReplies are the answers to them.
@@ -215,11 +222,11 @@
 		}
 		messages = append(messages, text)
 	}
-	return voterMessages{Header: recordedHead, Messages: messages, From: "v1", VoterID: 2}
+	return voterMessages{Header: recordedHeader, Messages: messages, From: "v1", VoterID: 2}
 }
 
-// TestRecordedMessages guards fleets of mixed versions: what voters, holders and operators say to one another is read from
-// and written for earlier versions. The texts of errors are part of it: they are shown to operators.
+// TestRecordedMessages guards fleets of mixed versions: what voters, holders and operators send one another is read
+// from and written for earlier versions, on the same paths. The texts of errors are part of it: operators see them.
 func TestRecordedMessages(t *testing.T) {
 	for name, want := range recordedRequests {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
@@ -228,6 +235,11 @@
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
 	}
 	testutil.CheckRecordedCBOR(t, "testdata/voter-messages.cbor", recordedVoterMessages(t))
+	for path, want := range map[string]string{messagesPath: "/v1/raft", requestPath: "/v1/lease", statePath: "/v1/book"} {
+		if path != want {
+			t.Errorf("%s was %s", path, want)
+		}
+	}
 	for text, err := range map[string]error{
 		"lease: the task is taken":                  lease.ErrHeld,
 		"lease: there is no such grant":             lease.ErrUnknownGrant,
@@ -236,25 +248,43 @@
 		"lease: the voters can't be changed so":     lease.ErrInvalidVoterChange,
 	} {
 		if err.Error() != text {
-			t.Errorf("%q is now told as %q", text, err)
+			t.Errorf("%q now reads %q", text, err)
 		}
 	}
 }
 
-// recordedVoterState is what a voter tells those who look, with each field set.
-var recordedVoterState = VoterState{Voter: "v1", VoterID: 2, Leader: "v0", IsLeader: true, HaltReason: "quorum: save: no space left on device",
+// recordedVoterState is what a voter reports of itself, with each field set.
+var recordedVoterState = VoterState{
+	Voter:      "v1",
+	VoterID:    2,
+	Leader:     "v0",
+	IsLeader:   true,
+	HaltReason: "quorum: save: no space left on device",
 	StateMachine: &lease.StateMachine{
-		Tasks: map[string]*lease.Task{"restart": {MaxHolders: 2,
-			Grants: []lease.Grant{{Holder: "p1/10/7", Token: 41, Duration: 10 * time.Second, Revoked: true},
-				{Holder: "p2/11/8", Token: 42, Duration: time.Hour}},
-			Waiters: []lease.Waiter{{Holder: "p3/12/9", Duration: 250 * time.Millisecond}}}},
-		LastToken: 42, Voters: map[uint64]string{1: "v0", 2: "v1", 4: "v2"}, LastVoterID: 4},
+		Tasks: map[string]*lease.Task{"restart": {
+			MaxHolders: 2,
+			Grants: []lease.Grant{
+				{Holder: "p1/10/7", Token: 41, Duration: 10 * time.Second, Revoked: true},
+				{Holder: "p2/11/8", Token: 42, Duration: time.Hour},
+			},
+			Waiters: []lease.Waiter{{Holder: "p3/12/9", Duration: 250 * time.Millisecond}},
+		}},
+		LastToken:   42,
+		Voters:      map[uint64]string{1: "v0", 2: "v1", 4: "v2"},
+		LastVoterID: 4,
+	},
 	SecondsLeft: map[uint64]float64{41: 0.25, 42: 3599.5},
 	Members: []peer.MemberState{
-		{Member: peer.Member{Name: "p1", Incarnation: 0xfedcba9876543211, Address: "10.0.0.1:7400", Zone: "a", Version: 1}, State: peer.Alive},
+		{
+			Member: peer.Member{Name: "p1", Incarnation: 0xfedcba9876543211, Address: "10.0.0.1:7400", Zone: "a", Version: 1},
+			State:  peer.Alive,
+		},
 		{Member: peer.Member{Name: "p2", Incarnation: 3, Leaving: true}, State: peer.Suspect},
-		{Member: peer.Member{Name: "p3", Incarnation: 9}, State: peer.Gone}},
-	Traffic: rpc.Traffic{Messages: 12, Bytes: 3456}, DiskSyncs: 7}
+		{Member: peer.Member{Name: "p3", Incarnation: 9}, State: peer.Gone},
+	},
+	Traffic:   rpc.Traffic{Messages: 12, Bytes: 3456},
+	DiskSyncs: 7,
+}
 
 // TestRecordedState guards what operators' programs read of a voter: its JSON is as an earlier version wrote it.
 func TestRecordedState(t *testing.T) {
