--- /dev/null
+++ b/internal/store/log.go
@@ -0,0 +1,198 @@
+// Package store keeps what must outlive a process: a file of numbered records and a few named ones. It knows bytes, and
+// nothing of what they are about.
+//
+// Guarantees:
+//
+//  1. What a call has returned from without an error lasts, over a kill and a loss of power, as far as the disk keeps
+//     its promise to sync.
+//  2. A call that fails has changed nothing.
+//  3. A file that was not made by Create is not opened, and one is never made over another.
+//
+// It does not repair files and keeps no copies. It starts no goroutines; a [Log] belongs to its caller until Close.
+package store
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	bolt "go.etcd.io/bbolt"
+)
+
+// ErrNotFound says that there is no file: it was never made, or is lost.
+var ErrNotFound = errors.New("store: there is none")
+
+const (
+	// lockTimeout bounds the wait for another process that has the file open.
+	lockTimeout = time.Second
+	fileMode    = 0o600
+	// unfinishedSuffix is that of a file while it is being made.
+	unfinishedSuffix = ".making"
+)
+
+// The buckets of a file.
+var (
+	namedBucket = []byte("heads") // by name
+	logBucket   = []byte("log")   // by index, big-endian
+)
+
+// Log is a file of numbered records and a few named ones. It is safe for concurrent use.
+type Log struct{ db *bolt.DB }
+
+// Change is what one Save does, all or nothing, in the order of the fields.
+type Change struct {
+	// Named records are replaced.
+	Named map[string][]byte
+	// DropFrom, unless 0, drops the records of that index and above.
+	DropFrom uint64
+	// DropThrough, unless 0, drops the records up to that index.
+	DropThrough uint64
+	// Records are added.
+	Records []Record
+}
+
+// Record is a numbered record.
+type Record struct {
+	Index uint64
+	Data  []byte
+}
+
+// Create makes a file, which must not exist, with a first change.
+func Create(path string, first Change) error {
+	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
+		return fmt.Errorf("store: %s is there already", path)
+	}
+	unfinished := path + unfinishedSuffix
+	os.Remove(unfinished) // of a process that ended while it made one
+	if err := createFile(unfinished, first); err != nil {
+		return fmt.Errorf("store: %w", err)
+	}
+	if err := os.Rename(unfinished, path); err != nil { // complete or not at all
+		return fmt.Errorf("store: %w", err)
+	}
+	if err := syncDirectory(filepath.Dir(path)); err != nil {
+		return fmt.Errorf("store: %w", err)
+	}
+	return nil
+}
+
+func createFile(path string, first Change) error {
+	db, err := bolt.Open(path, fileMode, &bolt.Options{Timeout: lockTimeout})
+	if err != nil {
+		return err
+	}
+	l := &Log{db}
+	err = db.Update(func(tx *bolt.Tx) error {
+		_, namedErr := tx.CreateBucket(namedBucket)
+		_, logErr := tx.CreateBucket(logBucket)
+		return errors.Join(namedErr, logErr)
+	})
+	if err == nil {
+		err = l.Save(first)
+	}
+	return errors.Join(err, l.Close())
+}
+
+// syncDirectory makes a rename in a directory last.
+func syncDirectory(path string) error {
+	d, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	return errors.Join(d.Sync(), d.Close())
+}
+
+// Open opens a file that Create has made.
+func Open(path string) (*Log, error) {
+	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
+		return nil, fmt.Errorf("%w: %s", ErrNotFound, path)
+	}
+	db, err := bolt.Open(path, fileMode, &bolt.Options{Timeout: lockTimeout})
+	if err != nil {
+		return nil, fmt.Errorf("store: %s: %w", path, err)
+	}
+	err = db.View(func(tx *bolt.Tx) error {
+		if tx.Bucket(namedBucket) == nil || tx.Bucket(logBucket) == nil {
+			return errors.New("it holds something else")
+		}
+		return nil
+	})
+	if err != nil {
+		db.Close()
+		return nil, fmt.Errorf("store: %s: %w", path, err)
+	}
+	return &Log{db}, nil
+}
+
+// Close ends the use of the file.
+func (l *Log) Close() error { return l.db.Close() }
+
+// Save makes a change last.
+func (l *Log) Save(c Change) error {
+	return l.db.Update(func(tx *bolt.Tx) error {
+		for name, data := range c.Named {
+			if err := tx.Bucket(namedBucket).Put([]byte(name), data); err != nil {
+				return err
+			}
+		}
+		records := tx.Bucket(logBucket)
+		if c.DropFrom > 0 {
+			if err := deleteRange(records, indexKey(c.DropFrom), nil); err != nil {
+				return err
+			}
+		}
+		if c.DropThrough > 0 {
+			if err := deleteRange(records, nil, indexKey(c.DropThrough)); err != nil {
+				return err
+			}
+		}
+		for _, r := range c.Records {
+			if err := records.Put(indexKey(r.Index), r.Data); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
+
+// indexKey returns a record's key; keys are ordered as indices are.
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+
+// deleteRange deletes the records from one key on, through another unless that is nil.
+func deleteRange(b *bolt.Bucket, from, through []byte) error {
+	var keys [][]byte
+	c := b.Cursor()
+	for k, _ := c.Seek(from); k != nil && (through == nil || string(k) <= string(through)); k, _ = c.Next() {
+		keys = append(keys, append([]byte(nil), k...))
+	}
+	for _, k := range keys {
+		if err := b.Delete(k); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Load returns all that is kept, the numbered records in order.
+func (l *Log) Load() (named map[string][]byte, records []Record, err error) {
+	named = make(map[string][]byte)
+	err = l.db.View(func(tx *bolt.Tx) error {
+		return errors.Join(
+			tx.Bucket(namedBucket).ForEach(func(k, v []byte) error {
+				named[string(k)] = append([]byte(nil), v...)
+				return nil
+			}),
+			tx.Bucket(logBucket).ForEach(func(k, v []byte) error {
+				if len(k) != 8 {
+					return errors.New("store: a record without a number")
+				}
+				records = append(records, Record{binary.BigEndian.Uint64(k), append([]byte(nil), v...)})
+				return nil
+			}),
+		)
+	})
+	return named, records, err
+}
--- a/internal/store/voter_test.go
+++ b/internal/store/log_test.go
@@ -46,28 +46,34 @@
 	}
 	defer l.Close()
 	named, got, err := l.Load()
-	if err != nil || !reflect.DeepEqual(got, records(3, 300)) || string(named["x"]) != "1" || len(named) != 2 {
-		t.Errorf("%v, %v, %v", named, got, err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, records(3, 300)) {
+		t.Errorf("records %v", got)
+	}
+	if string(named["x"]) != "1" || len(named) != 2 {
+		t.Errorf("named records %v", named)
 	}
 }
 
-// TestTornFileIsNotOpened guards against memory that is half there: it is an error, never an empty one.
+// TestTornFileIsNotOpened guards against a file of which a part is lost: it is an error, never an empty file.
 func TestTornFileIsNotOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a")
 	if err := Create(path, Change{Named: map[string][]byte{"x": make([]byte, 20000)}}); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range []int{0, 100, 4096} {
-		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
+		if err := os.WriteFile(path, complete[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if l, err := Open(path); err == nil {
 			l.Close()
-			t.Errorf("opened with %d of %d bytes", n, len(whole))
+			t.Errorf("opened with %d of %d bytes", n, len(complete))
 		}
 	}
 }
--- a/internal/store/recorded_test.go
+++ b/internal/store/recorded_test.go
@@ -9,8 +9,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestRecordedFileIsRead guards against a change of the file's layout: a file that an earlier version made and changed is
-// opened, holds what that version saved, and takes further changes.
+// TestRecordedFileIsRead guards against a change of the file's layout: a file that an earlier version made and changed
+// is opened, holds what that version saved, and takes further changes.
 func TestRecordedFileIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(path, testutil.Recorded(t, "testdata/log.bolt"), 0o600); err != nil {
@@ -22,7 +22,13 @@
 	}
 	defer l.Close()
 	wantNamed := map[string][]byte{"hard": []byte("second"), "fleet": []byte("shop"), "empty": {}}
-	wantRecords := []Record{{3, []byte("three")}, {4, []byte("four, replaced")}, {5, []byte{}}, {300, []byte{0, 255}}, {1 << 40, []byte("far")}}
+	wantRecords := []Record{
+		{3, []byte("three")},
+		{4, []byte("four, replaced")},
+		{5, []byte{}},
+		{300, []byte{0, 255}},
+		{1 << 40, []byte("far")},
+	}
 	check := func() {
 		t.Helper()
 		named, records, err := l.Load()
@@ -49,7 +55,13 @@
 	check()
 	wantNamed["hard"] = []byte("third")
 	wantRecords = append(wantRecords[1:3:3], Record{6, []byte("six")})
-	if err := l.Save(Change{Named: map[string][]byte{"hard": []byte("third")}, DropFrom: 6, DropThrough: 3, Records: []Record{{6, []byte("six")}}}); err != nil {
+	err = l.Save(Change{
+		Named:       map[string][]byte{"hard": []byte("third")},
+		DropFrom:    6,
+		DropThrough: 3,
+		Records:     []Record{{6, []byte("six")}},
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
 	check()
