--- a/internal/takeover/register_test.go
+++ b/internal/takeover/register_test.go
@@ -49,7 +49,7 @@
 	if got := only(t, r.Handle(110*ms, ClaimRequest{RequestID: 4, Write: work("k"), Owner: a, Epoch: 1}, nil)); got.Decision == Granted {
 		t.Errorf("a former owner has leave: %+v", got)
 	}
-	if out := r.Handle(120*ms, Completion{ID: "k", Owner: a, Epoch: 1, Outcome: Unknown}, nil); len(out) != 0 || r.works["k"].outcome != InFlight {
+	if out := r.Handle(120*ms, Completion{ID: "k", Owner: a, Epoch: 1, Outcome: Unknown}, nil); len(out) != 0 || r.entries["k"].outcome != InFlight {
 		t.Errorf("a former owner gives it up: %+v", out)
 	}
 	r.Handle(200*ms, Completion{ID: "k", Owner: a, Epoch: 1, Outcome: Served, Receipt: "r"}, nil) // but what it was served is so
@@ -62,8 +62,8 @@
 		t.Errorf("listed as %+v", list)
 	}
 	r.Handle(DefaultParameters.OutcomeRetention+201*ms, Tick{}, nil)
-	if r.Len() != 0 || r.bytes != 0 {
-		t.Errorf("%d works of %d bytes are kept", r.Len(), r.bytes)
+	if r.Len() != 0 || r.payloadBytes != 0 {
+		t.Errorf("%d works of %d bytes are kept", r.Len(), r.payloadBytes)
 	}
 }
 
@@ -91,7 +91,7 @@
 	r := NewRegistry(DefaultParameters, Owner{"h", 1}, -time.Hour)
 	r.Handle(0, ClaimRequest{RequestID: 1, Write: work("k"), Owner: a}, nil)
 	r.Handle(1400*ms, OwnerLost{a}, nil)
-	if out := r.Handle(1410*ms, Tick{}, nil); len(out) != 0 || r.works["k"].outcome != Unknown {
+	if out := r.Handle(1410*ms, Tick{}, nil); len(out) != 0 || r.entries["k"].outcome != Unknown {
 		t.Errorf("after its window: %+v", out)
 	}
 	if got := only(t, r.Handle(2*time.Second, ClaimRequest{RequestID: 2, Write: work("k"), Owner: b}, nil)); got.Decision != WindowExpired {
--- /dev/null
+++ b/internal/takeover/registry.go
@@ -0,0 +1,221 @@
+package takeover
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// entry is a write as a holder knows it.
+type entry struct {
+	write      Write
+	owner      Owner
+	epoch      uint64
+	ownerCount int           // owners so far that had permission
+	rank       int           // of this holder
+	firstSend  time.Duration // when the write may have run first, by this registry's clock
+	orphaned   bool          // its owner is lost, or has given it up
+	takeoverAt time.Duration // when this holder takes an orphaned write over, if no other has
+	outcome    Outcome
+	receipt    string
+	since      time.Duration // of the outcome, or of the entry
+	waiters    []ClaimRequest
+	// uncertain marks a write that came as a retry in the registry's recovery period: it may have run longer ago than
+	// is known here.
+	uncertain bool
+}
+
+// Registry is what a holder knows. The zero value is not usable.
+type Registry struct {
+	parameters   Parameters
+	self         Owner
+	startedAt    time.Duration // or when it returned
+	entries      map[string]*entry
+	byArrival    []string // IDs, for what runs out
+	payloadBytes int
+	orphans      map[string]struct{} // IDs of orphaned writes
+}
+
+// NewRegistry returns an empty registry of a process that starts now.
+func NewRegistry(parameters Parameters, self Owner, now time.Duration) *Registry {
+	return &Registry{
+		parameters: parameters,
+		self:       self,
+		startedAt:  now,
+		entries:    make(map[string]*entry),
+		orphans:    make(map[string]struct{}),
+	}
+}
+
+// Len returns how many writes are known.
+func (r *Registry) Len() int { return len(r.entries) }
+
+// List returns up to limit of the writes that are known: first those whose outcome is unknown, then the orphaned ones,
+// those in flight and those served.
+func (r *Registry) List(now time.Duration, limit int) []WriteStatus {
+	ranks := map[State]int{StateUnknown: 0, StateLost: 1, StateOpen: 2, StateServed: 3}
+	var list []WriteStatus
+	for id, e := range r.entries {
+		list = append(list, WriteStatus{
+			ID:         id,
+			Owner:      e.owner.Name,
+			Epoch:      e.epoch,
+			OwnerCount: e.ownerCount,
+			State:      e.state(),
+			Age:        now - e.firstSend,
+			Receipt:    e.receipt,
+		})
+	}
+	slices.SortFunc(list, func(a, b WriteStatus) int {
+		return cmp.Or(ranks[a.State]-ranks[b.State], cmp.Compare(a.ID, b.ID))
+	})
+	return list[:min(len(list), limit)]
+}
+
+func (e *entry) state() State {
+	switch {
+	case e.outcome == Served:
+		return StateServed
+	case e.outcome == Unknown:
+		return StateUnknown
+	case e.orphaned:
+		return StateLost
+	}
+	return StateOpen
+}
+
+// Handle takes an event at a time and appends what is to be done to out.
+func (r *Registry) Handle(now time.Duration, event Event, out []Action) []Action {
+	switch e := event.(type) {
+	case ClaimRequest:
+		return r.claim(now, e, out)
+	case Completion:
+		return r.complete(now, &e, out)
+	case OwnerLost:
+		return r.ownerLost(now, e.Owner, out)
+	case OwnerReturned:
+		r.ownerReturned(e.Owner)
+	case WaiterLeft:
+		if w := r.entries[e.ID]; w != nil {
+			w.waiters = slices.DeleteFunc(w.waiters, func(c ClaimRequest) bool { return c.RequestID == e.RequestID })
+		}
+	case Rejoined:
+		r.startedAt = now
+	case Tick:
+		return r.forget(now, r.takeOverOrphans(now, out))
+	}
+	return out
+}
+
+// ownerLost orphans the writes in flight of a lost owner.
+func (r *Registry) ownerLost(now time.Duration, owner Owner, out []Action) []Action {
+	for _, id := range r.byArrival {
+		e := r.entries[id]
+		if e != nil && e.owner == owner && e.outcome == InFlight && !e.orphaned {
+			out = r.orphan(now, e, out)
+		}
+	}
+	return out
+}
+
+// orphan leaves a write to who waits for it, or to a holder in its turn.
+func (r *Registry) orphan(now time.Duration, e *entry, out []Action) []Action {
+	e.orphaned = true
+	e.takeoverAt = now + time.Duration(e.rank)*r.parameters.TakeoverInterval
+	r.orphans[e.write.ID] = struct{}{}
+	if len(e.waiters) == 0 {
+		return out
+	}
+	next := e.waiters[0]
+	e.waiters = e.waiters[1:]
+	return r.grantTo(now, e, next, e.epoch+1, out)
+}
+
+func (r *Registry) ownerReturned(owner Owner) {
+	for id := range r.orphans {
+		if e := r.entries[id]; e != nil && e.owner == owner && e.orphaned {
+			e.orphaned = false
+			delete(r.orphans, id)
+		}
+	}
+}
+
+// isWithinWindow reports whether a repeat is dropped that is sent now, or while a permission lasts that is cut to the
+// window.
+func (r *Registry) isWithinWindow(now time.Duration, e *entry) bool {
+	return now-e.firstSend < r.parameters.atLeast(e.write.DedupWindow)
+}
+
+// finish gives a write its outcome, which all who wait learn.
+func (r *Registry) finish(now time.Duration, e *entry, o Outcome, receipt string, out []Action) []Action {
+	e.outcome, e.receipt, e.since = o, receipt, now
+	r.payloadBytes -= len(e.write.Payload)
+	e.write.Payload = nil
+	delete(r.orphans, e.write.ID)
+	for _, w := range e.waiters {
+		out = append(out, e.outcomeResponse(w.RequestID))
+	}
+	e.waiters = nil
+	return out
+}
+
+// outcomeResponse says what came of a write.
+func (e *entry) outcomeResponse(requestID uint64) ClaimResponse {
+	if e.outcome == Served {
+		return ClaimResponse{RequestID: requestID, Decision: AlreadyServed, Receipt: e.receipt}
+	}
+	return ClaimResponse{RequestID: requestID, Decision: WindowExpired}
+}
+
+func (r *Registry) remove(id string) {
+	e := r.entries[id]
+	r.payloadBytes -= len(e.write.Payload)
+	delete(r.entries, id)
+	delete(r.orphans, id)
+}
+
+// takeOverOrphans takes over what is orphaned, in this holder's turn.
+func (r *Registry) takeOverOrphans(now time.Duration, out []Action) []Action {
+	var due []string
+	for id := range r.orphans {
+		if now >= r.entries[id].takeoverAt {
+			due = append(due, id)
+		}
+	}
+	slices.Sort(due) // the same events bring the same actions
+	for _, id := range due {
+		e := r.entries[id]
+		if !r.isWithinWindow(now, e) || e.uncertain {
+			out = r.finish(now, e, Unknown, "", out)
+			continue
+		}
+		previous := e.owner
+		e.owner = r.self
+		e.epoch++
+		e.ownerCount++
+		e.orphaned = false
+		delete(r.orphans, id)
+		out = append(out, TakeOver{e.write, e.epoch, now - e.firstSend, previous})
+	}
+	return out
+}
+
+// forget gives writes up that nobody has completed, and removes outcomes that were kept for long enough.
+func (r *Registry) forget(now time.Duration, out []Action) []Action {
+	for len(r.byArrival) > 0 {
+		id := r.byArrival[0]
+		e := r.entries[id]
+		switch {
+		case e == nil:
+		case e.outcome == InFlight && now-e.since >= r.parameters.MaxInFlightAge:
+			out = r.finish(now, e, Unknown, "", out)
+			r.byArrival = append(r.byArrival, id)
+		case e.outcome != InFlight && now-e.since >= r.parameters.OutcomeRetention:
+			r.remove(id)
+		default:
+			return out
+		}
+		r.byArrival = r.byArrival[1:]
+	}
+	return out
+}
--- a/internal/takeover/world_test.go
+++ b/internal/takeover/world_test.go
@@ -83,7 +83,7 @@
 		p := &proxy{world: w, rate: 1 + 0.05*float64(1-i)}
 		p.Name, p.Zone = fmt.Sprint("p", i), fmt.Sprint("z", i)
 		p.boot(uint64(i + 1))
-		p.reg.born = -w.terms.OutcomeRetention // it has run for long
+		p.reg.startedAt = -w.terms.OutcomeRetention // it has run for long
 		w.proxies = append(w.proxies, p)
 	}
 	return w
@@ -93,7 +93,7 @@
 	p.Incarnation, p.up = run, true
 	p.reg = NewRegistry(p.world.terms, p.Owner, p.now())
 	if p.world.d.forgetful { // and it says nothing of that
-		p.reg.born = -p.world.terms.OutcomeRetention
+		p.reg.startedAt = -p.world.terms.OutcomeRetention
 	}
 	p.asks, p.gone, p.waiting = make(map[uint64]func(ClaimResponse)), make(map[Owner]bool), nil
 }
@@ -324,7 +324,7 @@
 		}
 		look := p.now() < until
 		if !mayHaveRun { // the owner's own repeats keep to the window from its own first, as policy has it
-			until = min(until, p.now()+w.terms.short(window))
+			until = min(until, p.now()+w.terms.atLeast(window))
 		}
 		if w.faults > 0 && w.c.choose("stop between look and write", 2) == 1 { // the hole, for less than the margin
 			w.faults--
@@ -540,8 +540,8 @@
 		wrong = "a receipt of nothing"
 	}
 	for _, p := range w.proxies {
-		for _, x := range p.reg.works {
-			if x.outcome == InFlight && x.gone {
+		for _, x := range p.reg.entries {
+			if x.outcome == InFlight && x.orphaned {
 				wrong += fmt.Sprintf(" %s leaves a lost work open", p.Name)
 			}
 			if x.outcome == Unknown && w.receipts > 0 && !strings.Contains(strings.Join(w.answers, ","), "unknown") && w.lives == 0 {
