--- /dev/null
+++ b/internal/takeover/holders_test.go
@@ -0,0 +1,37 @@
+package takeover
+
+import (
+	"fmt"
+	"testing"
+)
+
+// TestRankHolders guards that any proxy finds the same holders, in different zones, and that a loss moves few writes.
+func TestRankHolders(t *testing.T) {
+	var candidates []Candidate
+	for i := range 12 {
+		candidates = append(candidates, Candidate{Owner{fmt.Sprint("p", i), 1}, fmt.Sprint("z", i%3)})
+	}
+	firsts, moved := make(map[string]int), 0
+	for i := range 3000 {
+		id := fmt.Sprint("key", i)
+		list := RankHolders(id, candidates)
+		if len(list) != len(candidates) || list[0].Zone == list[1].Zone || list[1].Zone == list[2].Zone {
+			t.Fatalf("%s: %+v", id, list)
+		}
+		firsts[list[0].Name]++
+		if without := RankHolders(id, candidates[1:]); without[0].Name != list[0].Name {
+			moved++
+			if list[0].Name != "p0" {
+				t.Errorf("%s moved from %s as p0 went", id, list[0].Name)
+			}
+		}
+	}
+	for name, n := range firsts {
+		if n < 150 || n > 350 {
+			t.Errorf("%s is first for %d of 3000", name, n)
+		}
+	}
+	if moved != firsts["p0"] {
+		t.Errorf("%d moved, p0 had %d", moved, firsts["p0"])
+	}
+}
--- a/internal/takeover/recorded_test.go
+++ b/internal/takeover/recorded_test.go
@@ -12,21 +12,21 @@
 	"mulleinpier/internal/testutil"
 )
 
-// recordedPlaces are twelve instances in three zones.
-func recordedPlaces() (places []Candidate) {
+// recordedCandidates are twelve instances in three zones.
+func recordedCandidates() (list []Candidate) {
 	for i := range 12 {
-		places = append(places, Candidate{Owner{fmt.Sprint("p", i), uint64(i)}, fmt.Sprint("z", i%3)})
+		list = append(list, Candidate{Owner{fmt.Sprint("p", i), uint64(i)}, fmt.Sprint("z", i%3)})
 	}
-	return places
+	return list
 }
 
-// orderText is the order of the instances for some keys, a line each.
-func orderText() string {
+// rankingText is the ranking of the instances for some keys, a line each.
+func rankingText() string {
 	var text strings.Builder
 	for i := range 50 {
 		id := fmt.Sprintf("order\x00shop\x00k%d", i)
 		fmt.Fprintf(&text, "%q", id)
-		for _, p := range RankHolders(id, recordedPlaces()) {
+		for _, p := range RankHolders(id, recordedCandidates()) {
 			fmt.Fprint(&text, " ", p.Name)
 		}
 		fmt.Fprintln(&text)
@@ -34,16 +34,20 @@
 	return text.String()
 }
 
-// TestRecordedOrder guards fleets of mixed versions: every version finds the same holders for a key.
-func TestRecordedOrder(t *testing.T) {
-	if got := orderText(); got != string(testutil.Recorded(t, "testdata/holders.txt")) {
+// TestRecordedRanking guards fleets of mixed versions: every version finds the same holders for a key.
+func TestRecordedRanking(t *testing.T) {
+	if got := rankingText(); got != string(testutil.Recorded(t, "testdata/holders.txt")) {
 		t.Errorf("holders are ranked otherwise than by an earlier version:\n%s", got)
 	}
 }
 
+// recordedList is a listing as an earlier version wrote it.
 var recordedList = []WriteStatus{
-	{ID: "order\x00shop\x00k1", Owner: "p1", Epoch: 2, OwnerCount: 2, State: "unknown", Age: 31 * time.Second},
-	{ID: "order\x00shop\x00k2", Owner: "p2", Epoch: 1, OwnerCount: 1, State: "served", Age: 1500 * time.Millisecond, Receipt: "r-1"},
+	{ID: "order\x00shop\x00k1", Owner: "p1", Epoch: 2, OwnerCount: 2, State: StateUnknown, Age: 31 * time.Second},
+	{
+		ID: "order\x00shop\x00k2", Owner: "p2", Epoch: 1, OwnerCount: 1, State: StateServed,
+		Age: 1500 * time.Millisecond, Receipt: "r-1",
+	},
 }
 
 // TestRecordedList guards the listing that operators' programs read: its JSON is as an earlier version wrote it.
--- /dev/null
+++ b/internal/takeover/registry_test.go
@@ -0,0 +1,171 @@
+package takeover
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+var (
+	ownerA = Owner{"a", 1}
+	ownerB = Owner{"b", 1}
+	holder = Owner{"h", 1}
+)
+
+func write(id string) Write {
+	return Write{ID: id, Digest: 1, DedupWindow: window, Payload: make([]byte, 10)}
+}
+
+// newTestRegistry returns a registry that has run for long.
+func newTestRegistry() *Registry { return NewRegistry(DefaultParameters, holder, -time.Hour) }
+
+// only returns the one response among actions.
+func only(t *testing.T, actions []Action) ClaimResponse {
+	t.Helper()
+	if len(actions) != 1 {
+		t.Fatalf("%+v: want one response", actions)
+	}
+	r, ok := actions[0].(ClaimResponse)
+	if !ok {
+		t.Fatalf("%+v: want a response", actions)
+	}
+	return r
+}
+
+// TestRegistry follows a write from its first claim until it is forgotten.
+func TestRegistry(t *testing.T) {
+	r := newTestRegistry()
+	claim := func(now time.Duration, o Owner, requestID uint64) ClaimResponse {
+		return only(t, r.Handle(now, ClaimRequest{RequestID: requestID, Write: write("k"), Owner: o}, nil))
+	}
+	got := claim(0, ownerA, 1)
+	if got.Decision != Granted || got.Age != 0 || got.MayHaveForgotten || got.Epoch != 1 {
+		t.Errorf("new: %+v", got)
+	}
+	list := r.List(50*ms, 10)
+	if len(list) != 1 || list[0].State != StateOpen || list[0].Owner != "a" || list[0].Age != 50*ms {
+		t.Errorf("listed as %+v", list)
+	}
+	if got := claim(ms, ownerB, 2); got.Decision != InProgress {
+		t.Errorf("another owner has it: %+v", got)
+	}
+	other := ClaimRequest{RequestID: 3, Write: Write{ID: "k", Digest: 2}, Owner: ownerB}
+	if got := only(t, r.Handle(2*ms, other, nil)); got.Decision != Conflict {
+		t.Errorf("another write under the key: %+v", got)
+	}
+	got = only(t, r.Handle(100*ms, OwnerLost{ownerA}, nil))
+	want := ClaimResponse{RequestID: 2, Decision: Granted, Epoch: 2, Age: 100 * ms, PreviousOwner: ownerA}
+	if got != want {
+		t.Errorf("the owner is lost: %+v, want %+v", got, want)
+	}
+	former := ClaimRequest{RequestID: 4, Write: write("k"), Owner: ownerA, Epoch: 1}
+	if got := only(t, r.Handle(110*ms, former, nil)); got.Decision == Granted {
+		t.Errorf("a former owner has permission: %+v", got)
+	}
+	unknown := Completion{ID: "k", Owner: ownerA, Epoch: 1, Outcome: Unknown}
+	if out := r.Handle(120*ms, unknown, nil); len(out) != 0 || r.entries["k"].outcome != InFlight {
+		t.Errorf("a former owner gives it up: %+v", out)
+	}
+	// But that it was served by a former owner is a fact.
+	r.Handle(200*ms, Completion{ID: "k", Owner: ownerA, Epoch: 1, Outcome: Served, Receipt: "r"}, nil)
+	for _, o := range []Owner{ownerA, ownerB} {
+		if got := claim(300*ms, o, 5); got.Decision != AlreadyServed || got.Receipt != "r" {
+			t.Errorf("served: %+v", got)
+		}
+	}
+	list = r.List(time.Second, 10)
+	if len(list) != 1 || list[0].State != StateServed || list[0].Receipt != "r" || list[0].OwnerCount != 2 {
+		t.Errorf("listed as %+v", list)
+	}
+	r.Handle(DefaultParameters.OutcomeRetention+201*ms, Tick{}, nil)
+	if r.Len() != 0 || r.payloadBytes != 0 {
+		t.Errorf("%d writes of %d bytes are kept", r.Len(), r.payloadBytes)
+	}
+}
+
+// TestTakeoverTurns has holders take an orphaned write over in their order.
+func TestTakeoverTurns(t *testing.T) {
+	for rank := range 3 {
+		r := newTestRegistry()
+		r.Handle(0, ClaimRequest{RequestID: 1, Write: write("k"), Owner: ownerA, Rank: rank}, nil)
+		r.Handle(100*ms, OwnerLost{ownerA}, nil)
+		takenOverAt := time.Duration(-1)
+		for now := 100 * ms; now < time.Second && takenOverAt < 0; now += 10 * ms {
+			for _, a := range r.Handle(now, Tick{}, nil) {
+				takeOver, ok := a.(TakeOver)
+				if !ok {
+					continue
+				}
+				takenOverAt = now
+				if takeOver.Epoch != 2 || takeOver.Age != now || takeOver.PreviousOwner != ownerA {
+					t.Errorf("%+v at %v", takeOver, now)
+				}
+			}
+		}
+		if want := 100*ms + time.Duration(rank)*DefaultParameters.TakeoverInterval; takenOverAt != want {
+			t.Errorf("rank %d takes it over at %v, want %v", rank, takenOverAt, want)
+		}
+	}
+}
+
+// TestNoTakeoverAfterWindow has an owner be lost so late that repeats may not be dropped any more.
+func TestNoTakeoverAfterWindow(t *testing.T) {
+	r := newTestRegistry()
+	r.Handle(0, ClaimRequest{RequestID: 1, Write: write("k"), Owner: ownerA}, nil)
+	r.Handle(1400*ms, OwnerLost{ownerA}, nil)
+	if out := r.Handle(1410*ms, Tick{}, nil); len(out) != 0 || r.entries["k"].outcome != Unknown {
+		t.Errorf("after its window: %+v", out)
+	}
+	again := ClaimRequest{RequestID: 2, Write: write("k"), Owner: ownerB}
+	if got := only(t, r.Handle(2*time.Second, again, nil)); got.Decision != WindowExpired {
+		t.Errorf("claimed then: %+v", got)
+	}
+}
+
+// TestUncertaintyLasts has a retry fail that a registry in its recovery period can't judge: once that is over, and the
+// registry knows no more than before, who asks again is told the same.
+func TestUncertaintyLasts(t *testing.T) {
+	r := NewRegistry(DefaultParameters, holder, 0)
+	later := 2 * DefaultParameters.RecoveryPeriod
+	retry := ClaimRequest{RequestID: 1, Write: write("k"), Owner: ownerA, Retry: true}
+	if got := only(t, r.Handle(ms, retry, nil)); got.Decision != Granted || !got.MayHaveForgotten {
+		t.Errorf("a retry in the recovery period: %+v", got)
+	}
+	r.Handle(2*ms, Completion{ID: "k", Owner: ownerA, Epoch: 1, Outcome: Unknown}, nil)
+	retry = ClaimRequest{RequestID: 2, Write: write("k"), Owner: ownerB, Retry: true}
+	if got := only(t, r.Handle(later, retry, nil)); got.Decision != WindowExpired {
+		t.Errorf("claimed again after it: %+v", got)
+	}
+	served := Completion{ID: "k", Owner: Owner{"c", 1}, Epoch: 1, Outcome: Served, Receipt: "r"}
+	r.Handle(later, served, nil)
+	retry.RequestID = 3
+	if got := only(t, r.Handle(later, retry, nil)); got.Decision != AlreadyServed {
+		t.Errorf("once its owner has completed it: %+v", got)
+	}
+}
+
+// TestRegistryIsBounded guards guarantee 5.
+func TestRegistryIsBounded(t *testing.T) {
+	parameters := DefaultParameters
+	parameters.MaxWrites, parameters.MaxBytes, parameters.MaxWaiters = 3, 25, 2
+	r := NewRegistry(parameters, holder, -time.Hour)
+	for i := range 4 {
+		claim := ClaimRequest{RequestID: 1, Write: write(fmt.Sprint(i)), Owner: ownerA}
+		got := only(t, r.Handle(0, claim, nil))
+		if (got.Decision == Declined) != (i >= 2) { // by its bytes
+			t.Errorf("write %d: %+v", i, got)
+		}
+	}
+	for i := range 3 {
+		claim := ClaimRequest{RequestID: 1, Write: write("0"), Owner: Owner{fmt.Sprint("o", i), 1}}
+		got := only(t, r.Handle(0, claim, nil))
+		if (got.Decision == Declined) != (i >= 2) {
+			t.Errorf("waiter %d: %+v", i, got)
+		}
+	}
+	r.Handle(parameters.MaxInFlightAge, Tick{}, nil)
+	r.Handle(parameters.MaxInFlightAge+parameters.OutcomeRetention, Tick{}, nil)
+	if r.Len() != 0 {
+		t.Errorf("%d are never forgotten", r.Len())
+	}
+}
--- /dev/null
+++ b/internal/takeover/simulation_writes_test.go
@@ -0,0 +1,258 @@
+package takeover
+
+import "time"
+
+const (
+	// responseTicks is how long a holder's response is waited for.
+	responseTicks = 6
+	// repeatTicks separates two sends of a write that no answer comes to.
+	repeatTicks = 10
+	// maxCompletionSends bounds how often a holder is told what came of a write, completionTicks apart.
+	maxCompletionSends = 20
+	completionTicks    = 8
+)
+
+// claim asks a holder, which may be the proxy itself.
+func (p *simulatedProxy) claim(holder *simulatedProxy, request ClaimRequest, answered func(ClaimResponse)) {
+	s := p.simulation
+	s.send(p, holder, func() {
+		holder.lastRequestID++
+		request.RequestID = holder.lastRequestID
+		holder.responses[request.RequestID] = func(r ClaimResponse) {
+			if s.defects.ageNotSent {
+				r.Age = min(r.Age, 1)
+			}
+			s.send(holder, p, func() { answered(r) })
+		}
+		holder.handle(request)
+	})
+}
+
+// holders are the two best holders beside this proxy.
+func (p *simulatedProxy) holders() (list []*simulatedProxy) {
+	var candidates []Candidate
+	for _, other := range p.simulation.proxies {
+		if other != p {
+			candidates = append(candidates, other.Candidate)
+		}
+	}
+	for _, c := range RankHolders("k", candidates) {
+		for _, other := range p.simulation.proxies {
+			if other.Owner == c.Owner && len(list) < 2 {
+				list = append(list, other)
+			}
+		}
+	}
+	return list
+}
+
+// ownedWrite is a proxy's part in one write that it owns, or wants to.
+type ownedWrite struct {
+	proxy   *simulatedProxy
+	claim   *Claim
+	holders []*simulatedProxy
+	decided bool
+	// act does what the verdict asks, once.
+	act func(Verdict, time.Duration)
+}
+
+// proceed acts once the verdict stands.
+func (w *ownedWrite) proceed() {
+	verdict, deadline := w.claim.Verdict()
+	if verdict == Undecided || w.decided {
+		return
+	}
+	w.decided = true
+	w.act(verdict, deadline)
+}
+
+// ask asks a holder, and does without it where no response comes.
+func (w *ownedWrite) ask(holder *simulatedProxy, request ClaimRequest, then func(ClaimResponse)) {
+	p := w.proxy
+	answered := false
+	p.claim(holder, request, func(r ClaimResponse) {
+		answered = true
+		w.claim.HandleResponse(holder.Name, r)
+		then(r)
+		w.proceed()
+	})
+	p.simulation.after(responseTicks, func() {
+		p.whenRunning(func() {
+			if !answered {
+				answered = true
+				w.doWithout(holder)
+				w.proceed()
+			}
+		})
+	})
+}
+
+func (w *ownedWrite) doWithout(holder *simulatedProxy) {
+	gone := w.proxy.gone[holder.Owner] || !holder.up && w.proxy.gone[Owner{holder.Name, holder.Incarnation}]
+	if gone {
+		w.claim.HolderGone(holder.Name)
+	} else {
+		w.claim.HolderTimedOut(holder.Name)
+	}
+}
+
+// serve has a client ask at a proxy, and wait for so many ticks.
+func (p *simulatedProxy) serve(client string, waitTicks int) {
+	s := p.simulation
+	write := Write{ID: "k", Digest: 1, DedupWindow: window, Payload: []byte("x")}
+	if s.defects.longWindow {
+		write.DedupWindow = 10 * window
+	}
+	deadline := s.now + waitTicks
+	answer := s.answerOnce(client)
+	kind := ClientRetry
+	if client == "first" {
+		kind = FirstAttempt
+	}
+	w := &ownedWrite{proxy: p, holders: p.holders()}
+	options := Options{Replicas: 2, RequireReplica: true}
+	w.claim = NewClaim(s.parameters, write.DedupWindow, p.clock(), len(w.holders), options, kind)
+	w.act = func(verdict Verdict, until time.Duration) {
+		switch verdict {
+		case Proceed:
+			p.sendWrite(w.holders, w.claim.Epoch(), until, deadline, answer)
+		case ReturnReceipt:
+			answer("served")
+			p.complete(w.holders, w.claim.Epoch(), Served)
+		case OutcomeUnknown:
+			answer("unknown")
+			p.complete(w.holders, w.claim.Epoch(), Unknown)
+		case KeyConflict:
+			answer("clash")
+		default:
+			answer("busy")
+			p.complete(w.holders, w.claim.Epoch(), NotExecuted) // by this owner
+		}
+	}
+	request := func(rank int) ClaimRequest {
+		return ClaimRequest{Write: write, Owner: p.Owner, Rank: rank, Retry: kind == ClientRetry}
+	}
+	w.ask(p, request(len(w.holders)), func(r ClaimResponse) {
+		if r.Decision == Granted || r.Decision == WindowExpired {
+			for rank, holder := range w.holders {
+				w.ask(holder, request(rank), func(ClaimResponse) {})
+			}
+		}
+	})
+	s.after(waitTicks, func() {
+		p.whenRunning(func() {
+			w.claim.ClientTimedOut()
+			w.proceed()
+			answer("late")
+		})
+	})
+}
+
+// answerOnce returns what answers a client, the first time.
+func (s *simulation) answerOnce(client string) func(text string) {
+	answered := false
+	return func(text string) {
+		if answered {
+			return
+		}
+		answered = true
+		s.answers = append(s.answers, client+" "+text)
+		if text == "served" {
+			s.receipts++
+		}
+	}
+}
+
+// sendWrite sends the write to the node group until the permission ends, again where no answer comes, and completes it.
+func (p *simulatedProxy) sendWrite(
+	holders []*simulatedProxy, epoch uint64, until time.Duration, deadline int, answer func(string),
+) {
+	s := p.simulation
+	mayHaveRun, ended := false, false
+	end := func(o Outcome) {
+		if !ended {
+			ended = true
+			p.complete(holders, epoch, o)
+		}
+	}
+	var attempt func()
+	attempt = func() {
+		if ended {
+			return
+		}
+		permitted := p.clock() < until
+		if !mayHaveRun { // the owner's own repeats keep to the window from its own first, as policy has it
+			until = min(until, p.clock()+s.parameters.atLeast(window))
+		}
+		if s.faultsLeft > 0 && s.chooser.choose("stop between look and write", 2) == 1 { // for less than the margin
+			s.faultsLeft--
+		}
+		if !permitted && !s.defects.noCheckBeforeSend {
+			if !mayHaveRun {
+				end(NotExecuted)
+				answer("busy")
+			}
+			return
+		}
+		mayHaveRun = true
+		s.sendToNode(p, func() {
+			answer("served")
+			end(Served)
+		})
+		s.after(repeatTicks, func() { p.whenRunning(attempt) })
+	}
+	attempt()
+	s.after(max(deadline-s.now, 0)+80, func() { p.whenRunning(func() { end(Unknown) }) })
+	s.after(deadline-s.now, func() { p.whenRunning(func() { answer("unknown") }) })
+}
+
+// complete says to all holders what came of the write, until they have heard it.
+func (p *simulatedProxy) complete(holders []*simulatedProxy, epoch uint64, o Outcome) {
+	s := p.simulation
+	c := Completion{ID: "k", Digest: 1, Owner: p.Owner, Epoch: epoch, Outcome: o, Receipt: "r"}
+	p.handle(c)
+	for _, holder := range holders {
+		heard := false
+		var notify func(left int)
+		notify = func(left int) {
+			if heard || left == 0 {
+				return
+			}
+			s.send(p, holder, func() {
+				holder.handle(c)
+				s.send(holder, p, func() { heard = true })
+			})
+			s.after(completionTicks, func() { p.whenRunning(func() { notify(left - 1) }) })
+		}
+		notify(maxCompletionSends)
+	}
+}
+
+// takeOver goes on with an orphaned write: the other holders are heard before it is sent.
+func (p *simulatedProxy) takeOver(a TakeOver) {
+	s := p.simulation
+	age := a.Age
+	if s.defects.ageNotSent {
+		age = 1
+	}
+	w := &ownedWrite{proxy: p, holders: p.holders()}
+	w.claim = NewClaim(s.parameters, a.Write.DedupWindow, p.clock(), len(w.holders), Options{Replicas: 2}, TakenOver)
+	w.act = func(verdict Verdict, until time.Duration) {
+		switch verdict {
+		case Proceed:
+			p.sendWrite(w.holders, a.Epoch, until, s.now+20, func(string) {})
+		case ReturnReceipt:
+			p.complete(w.holders, a.Epoch, Served)
+		default:
+			p.complete(w.holders, a.Epoch, Unknown)
+		}
+	}
+	w.claim.HandleResponse(p.Name, ClaimResponse{
+		Decision: Granted, Epoch: a.Epoch, Age: age, PreviousOwner: a.PreviousOwner,
+	})
+	for rank, holder := range w.holders {
+		w.ask(holder, ClaimRequest{
+			Write: a.Write, Owner: p.Owner, Rank: rank, Epoch: a.Epoch, Age: age, Retry: true,
+		}, func(ClaimResponse) {})
+	}
+}
