--- a/cmd/mulleinpier/takeover_test.go
+++ b/cmd/mulleinpier/takeover_test.go
@@ -131,7 +131,7 @@
 	for _, n := range a.nodes {
 		n.SetFault(node.Fault{})
 	}
-	waitLine(t, b.lines, "work taken over")
+	waitLine(t, b.lines, "write taken over")
 	if got := b.handover("again", "k1", "v", ",r=1"); !strings.HasPrefix(got, "HD ") {
 		t.Errorf("answered %q", got)
 	}
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -142,7 +142,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r.TakenOver += bytes.Count(text, []byte(`msg="work taken over"`))
+		r.TakenOver += bytes.Count(text, []byte(`msg="write taken over"`))
 	}
 	r.VerdictLine = r.Verdict()
 	return r, ctx.Err()
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -5,7 +5,7 @@
 // Verdict is what an owner does with a write.
 type Verdict uint8
 
-// The verdicts. The numbers reach the log.
+// The verdicts.
 const (
 	Undecided           Verdict = iota // it waits for holders
 	Proceed                            // it sends the write until the permission ends, not a moment later
@@ -16,6 +16,19 @@
 	ProceedUnreplicated                // no holder can be had, and the configuration has it go on as without any
 )
 
+var verdictNames = [...]string{
+	Undecided:           "undecided",
+	Proceed:             "proceed",
+	ReturnReceipt:       "return receipt",
+	OutcomeUnknown:      "outcome unknown",
+	Reject:              "reject",
+	KeyConflict:         "key conflict",
+	ProceedUnreplicated: "proceed unreplicated",
+}
+
+// String returns the verdict as logs have it.
+func (v Verdict) String() string { return verdictNames[v] }
+
 // Options say how a proxy goes about writes.
 type Options struct {
 	Replicas       int  // holders beside the owner: 1 or 2
--- /dev/null
+++ b/internal/takeover/coordinator/claims.go
@@ -0,0 +1,246 @@
+package coordinator
+
+import (
+	"slices"
+	"time"
+
+	"mulleinpier/internal/takeover"
+)
+
+const (
+	// responseTimeout is how long a holder's response is waited for.
+	responseTimeout = 150 * time.Millisecond
+	// answerMargin is how long before its time is over a client is answered.
+	answerMargin = 30 * time.Millisecond
+)
+
+// claim is this proxy's claim to a write.
+type claim struct {
+	*takeover.Claim
+	id        uint64 // among this proxy's claims
+	requestID uint64 // the core's; 0 for a write that is taken over
+	write     takeover.Write
+	kind      takeover.ClaimKind
+	epoch     uint64 // that the write is completed under
+	holders   []takeover.Owner
+	// awaited are the holders that have not answered, and until when they are waited for.
+	awaited     map[string]time.Duration
+	deadline    time.Duration // when the client's time is over
+	othersAsked bool
+	// What the other holders are told of a write that was taken over.
+	takenEpoch uint64
+	takenAge   time.Duration
+}
+
+// newClaim returns a claim at this proxy's registry and at the write's other holders.
+func (c *Coordinator) newClaim(write takeover.Write, kind takeover.ClaimKind, now time.Duration) *claim {
+	holders, gone := c.holders(write.ID)
+	c.lastID++
+	options := takeover.Options{Replicas: c.options.Replicas, RequireReplica: c.options.RequireReplica}
+	cl := &claim{
+		Claim: takeover.NewClaim(
+			takeover.DefaultParameters, write.DedupWindow, now, len(holders), options, kind),
+		id:      c.lastID,
+		write:   write,
+		kind:    kind,
+		awaited: make(map[string]time.Duration),
+	}
+	for _, name := range gone {
+		cl.ReplaceHolder(name)
+	}
+	for _, m := range holders {
+		cl.holders = append(cl.holders, m.Owner)
+	}
+	c.claims[cl.id] = cl
+	return cl
+}
+
+// startClaim claims a client's write: at this proxy's own registry first.
+func (c *Coordinator) startClaim(w *writeArrived) {
+	c.count(func(n *Counts) { n.Claims++ })
+	kind := takeover.FirstAttempt
+	if w.retry {
+		kind = takeover.ClientRetry
+	}
+	now := c.options.Clock()
+	cl := c.newClaim(w.write, kind, now)
+	cl.requestID = w.requestID
+	cl.deadline = now + time.Until(w.expires) - answerMargin
+	c.requesters[cl.id] = requester{claimID: cl.id, isSelf: true}
+	c.tellRegistry(takeover.ClaimRequest{
+		RequestID: cl.id,
+		Write:     w.write,
+		Owner:     c.options.Self,
+		Rank:      len(cl.holders),
+		Retry:     w.retry,
+	})
+}
+
+// holderAnswered takes a holder's response to a claim.
+func (c *Coordinator) holderAnswered(cl *claim, holder string, r takeover.ClaimResponse) {
+	if r.Decision == takeover.InProgress {
+		c.count(func(n *Counts) { n.InProgress++ })
+	}
+	isSelf := holder == c.options.Self.Name
+	if _, awaited := cl.awaited[holder]; !isSelf && !awaited && !cl.IsInProgress() {
+		return // it was given up already
+	}
+	delete(cl.awaited, holder)
+	if r.Decision == takeover.Granted && r.Age == 0 && c.wasAbsent(holder) {
+		r.MayHaveForgotten = true // it was passed over while it was absent, whatever it knows of that
+	}
+	cl.HandleResponse(holder, r)
+	mayAsk := r.Decision == takeover.Granted || r.Decision == takeover.WindowExpired
+	if isSelf && mayAsk && !cl.othersAsked {
+		c.askOthers(cl, 0, 0)
+	}
+	c.decide(cl)
+}
+
+// wasAbsent reports whether a holder was lost, or came back, not long ago.
+func (c *Coordinator) wasAbsent(holder string) bool {
+	at, ok := c.presenceChanged[holder]
+	return ok && c.options.Clock()-at < takeover.DefaultParameters.RecoveryPeriod
+}
+
+// askOthers asks the other holders. One that has ended meanwhile is gone.
+func (c *Coordinator) askOthers(cl *claim, epoch uint64, age time.Duration) {
+	cl.othersAsked = true
+	cl.takenEpoch, cl.takenAge = epoch, age
+	for rank, o := range cl.holders {
+		m := c.members[o.Name]
+		if m == nil || m.Owner != o || c.gone[o] {
+			cl.HolderGone(o.Name)
+			continue
+		}
+		c.askHolder(cl, m, rank)
+	}
+}
+
+func (c *Coordinator) askHolder(cl *claim, m *member, rank int) {
+	cl.awaited[m.Name] = c.options.Clock() + responseTimeout
+	m.queue(func(o *outbox) {
+		o.claims = append(o.claims, claimRequest{
+			ClaimID: cl.id,
+			Write:   cl.write,
+			Rank:    rank,
+			Epoch:   cl.takenEpoch,
+			Age:     cl.takenAge,
+			Retry:   cl.kind != takeover.FirstAttempt,
+		})
+	})
+}
+
+// replaceSilentHolders asks others in place of the holders that have not answered in time.
+func (c *Coordinator) replaceSilentHolders(cl *claim, now time.Duration) {
+	for holder, until := range cl.awaited {
+		if now < until {
+			continue
+		}
+		delete(cl.awaited, holder)
+		c.count(func(n *Counts) { n.HolderTimeouts++ })
+		if !c.replaceHolder(cl, holder) {
+			cl.HolderTimedOut(holder)
+		}
+	}
+}
+
+// replaceHolder asks another proxy in place of a holder that has not answered: that one may be paused, which is known
+// only later. It reports whether there is another.
+func (c *Coordinator) replaceHolder(cl *claim, holder string) bool {
+	if len(cl.holders) >= 2*c.options.Replicas+1 { // enough were asked
+		return false
+	}
+	for _, m := range c.rankedMembers(cl.write.ID) {
+		if !slices.Contains(cl.holders, m.Owner) && !c.gone[m.Owner] {
+			cl.ReplaceHolder(holder)
+			cl.holders = append(cl.holders, m.Owner)
+			c.askHolder(cl, m, len(cl.holders)-1)
+			return true
+		}
+	}
+	return false
+}
+
+// decide does what follows once a claim's verdict stands.
+func (c *Coordinator) decide(cl *claim) {
+	verdict, deadline := cl.Verdict()
+	if verdict == takeover.Undecided || c.claims[cl.id] != cl {
+		return
+	}
+	delete(c.claims, cl.id)
+	delete(c.requesters, cl.id)
+	if cl.requestID == 0 {
+		c.decideTakenOver(cl, verdict, deadline)
+		return
+	}
+	c.decideForClient(cl, verdict, deadline)
+}
+
+// decideForClient permits the core to send, or has it answer the client. Where nothing is sent the holders are told.
+func (c *Coordinator) decideForClient(cl *claim, verdict takeover.Verdict, deadline time.Duration) {
+	switch verdict {
+	case takeover.Proceed:
+		c.count(func(n *Counts) { n.Proceeded++ })
+		c.permit(cl, deadline-c.options.Clock())
+		return
+	case takeover.ProceedUnreplicated:
+		c.count(func(n *Counts) { n.Unreplicated++ })
+		// The holders that know of it, be it the own registry alone, are to learn what came of it.
+		c.permit(cl, takeover.DefaultParameters.PermissionDuration)
+		return
+	}
+	c.core.ClaimDecided(cl.requestID, verdict, 0, cl.Receipt())
+	switch verdict {
+	case takeover.ReturnReceipt:
+		c.count(func(n *Counts) { n.Served++ })
+		cl.epoch = cl.Epoch()
+		c.complete(cl, takeover.Served, cl.Receipt())
+	case takeover.OutcomeUnknown:
+		c.count(func(n *Counts) { n.OutcomeUnknown++ })
+		// And so it stays: who asks again later, when those that may have forgotten are past their recovery period, is
+		// not to find that they know nothing.
+		c.completeUnsent(cl, takeover.Unknown)
+	case takeover.KeyConflict:
+		c.count(func(n *Counts) { n.Rejected++ })
+	default:
+		c.count(func(n *Counts) { n.Rejected++ })
+		c.completeUnsent(cl, takeover.NotExecuted)
+	}
+}
+
+// permit has the core send a write, if that is still wanted.
+func (c *Coordinator) permit(cl *claim, within time.Duration) {
+	cl.epoch = max(cl.Epoch(), 1)
+	c.sending[cl.requestID] = cl
+	if !c.core.ClaimDecided(cl.requestID, takeover.Proceed, within, "") {
+		delete(c.sending, cl.requestID)
+		c.completeUnsent(cl, takeover.NotExecuted)
+	}
+}
+
+// completeUnsent completes a write that this owner does not send.
+func (c *Coordinator) completeUnsent(cl *claim, outcome takeover.Outcome) {
+	cl.epoch = max(cl.Epoch(), 1)
+	c.complete(cl, outcome, "")
+}
+
+// complete tells all holders what came of a write, this proxy's own registry first.
+func (c *Coordinator) complete(cl *claim, outcome takeover.Outcome, receipt string) {
+	c.tellRegistry(takeover.Completion{
+		ID:      cl.write.ID,
+		Digest:  cl.write.Digest,
+		Owner:   c.options.Self,
+		Epoch:   cl.epoch,
+		Outcome: outcome,
+		Receipt: receipt,
+	})
+	for _, o := range cl.holders {
+		if m := c.members[o.Name]; m != nil && m.Owner == o {
+			m.queue(func(out *outbox) {
+				out.completions = append(out.completions,
+					completion{cl.write.ID, cl.write.Digest, cl.epoch, outcome, receipt})
+			})
+		}
+	}
+}
--- /dev/null
+++ b/internal/takeover/coordinator/inputs.go
@@ -0,0 +1,121 @@
+package coordinator
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"mulleinpier/internal/peer/rpc"
+	"mulleinpier/internal/takeover"
+)
+
+// maxListedWrites bounds what is listed of writes.
+const maxListedWrites = 1000
+
+// writeArrived is a client's write that the core wants to send.
+type writeArrived struct {
+	requestID uint64 // the core's
+	write     takeover.Write
+	retry     bool
+	expires   time.Time // when the client's time is over
+}
+
+func (w writeArrived) handle(c *Coordinator) { c.startClaim(&w) }
+
+// writeFinished is what came of a write that the core was permitted to send.
+type writeFinished struct {
+	requestID uint64
+	outcome   takeover.Outcome
+	receipt   string
+}
+
+func (w writeFinished) handle(c *Coordinator) {
+	if cl := c.sending[w.requestID]; cl != nil {
+		delete(c.sending, w.requestID)
+		c.complete(cl, w.outcome, w.receipt)
+	}
+}
+
+// listRequest asks for the list of writes.
+type listRequest struct{ reply chan []takeover.WriteStatus }
+
+func (l listRequest) handle(c *Coordinator) {
+	l.reply <- c.registry.List(c.options.Clock(), maxListedWrites)
+}
+
+// handle takes another proxy's message.
+func (m *message) handle(c *Coordinator) {
+	for _, r := range m.Claims {
+		c.lastID++
+		c.requesters[c.lastID] = requester{owner: m.From, claimID: r.ClaimID}
+		c.tellRegistry(takeover.ClaimRequest{
+			RequestID: c.lastID,
+			Write:     r.Write,
+			Owner:     m.From,
+			Rank:      r.Rank,
+			Epoch:     r.Epoch,
+			Age:       r.Age,
+			Retry:     r.Retry,
+		})
+	}
+	for _, done := range m.Completions {
+		c.tellRegistry(takeover.Completion{
+			ID:      done.ID,
+			Digest:  done.Digest,
+			Owner:   m.From,
+			Epoch:   done.Epoch,
+			Outcome: done.Outcome,
+			Receipt: done.Receipt,
+		})
+	}
+	for _, r := range m.Responses {
+		if cl := c.claims[r.ClaimID]; cl != nil {
+			c.holderAnswered(cl, m.From.Name, takeover.ClaimResponse{
+				Decision:         r.Decision,
+				Epoch:            r.Epoch,
+				Age:              r.Age,
+				Receipt:          r.Receipt,
+				MayHaveForgotten: r.MayHaveForgotten,
+				PreviousOwner:    r.PreviousOwner,
+			})
+		}
+	}
+}
+
+func (c *Coordinator) handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST "+messagePath, c.serveMessage)
+	mux.HandleFunc("GET "+WritesPath, c.serveList)
+	return mux
+}
+
+// serveMessage takes another proxy's message.
+func (c *Coordinator) serveMessage(w http.ResponseWriter, r *http.Request) {
+	var m message
+	if !rpc.ReadRequest(w, r, c.options.Fleet, &m) {
+		return
+	}
+	if m.To != c.options.Self { // for a process that was here before
+		http.Error(w, "another process", http.StatusGone)
+		return
+	}
+	if !c.enqueue(&m) {
+		http.Error(w, "no room", http.StatusServiceUnavailable)
+		return
+	}
+	w.WriteHeader(http.StatusOK)
+}
+
+func (c *Coordinator) serveList(w http.ResponseWriter, r *http.Request) {
+	l := listRequest{make(chan []takeover.WriteStatus, 1)}
+	if !c.enqueue(l) {
+		http.Error(w, "no room", http.StatusServiceUnavailable)
+		return
+	}
+	select {
+	case <-r.Context().Done():
+	case list := <-l.reply:
+		w.Header().Set("Content-Type", "application/json")
+		json.NewEncoder(w).Encode(list)
+	}
+}
--- /dev/null
+++ b/internal/takeover/coordinator/outbox.go
@@ -0,0 +1,124 @@
+package coordinator
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"mulleinpier/internal/peer/rpc"
+	"mulleinpier/internal/takeover"
+)
+
+const (
+	// maxQueued bounds the claims, and the responses, that wait for another proxy; more is dropped, and made up for by
+	// who waits for it.
+	maxQueued = 8192
+	// maxQueuedCompletions is more, as completions are kept until they are heard.
+	maxQueuedCompletions = 4 * maxQueued
+	// maxBatch bounds the items of each kind in one message.
+	maxBatch = 256
+	// completionTimeout is how long a holder may be out of reach before it learns no outcome.
+	completionTimeout = 5 * time.Second
+	// retryPause separates two messages of which the first failed.
+	retryPause = 20 * time.Millisecond
+)
+
+// outbox is what is to be sent to another proxy.
+type outbox struct {
+	claims      []claimRequest
+	completions []completion
+	responses   []claimResponse
+}
+
+// member is another proxy.
+type member struct {
+	takeover.Candidate
+	address string
+	stop    context.CancelFunc
+	wake    chan struct{}
+
+	mu     sync.Mutex
+	outbox outbox
+}
+
+// queue changes what is to be sent, drops what has no room, and wakes the member's carrier.
+func (m *member) queue(change func(o *outbox)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	o := &m.outbox
+	change(o)
+	o.claims = o.claims[:min(len(o.claims), maxQueued)]
+	o.responses = o.responses[:min(len(o.responses), maxQueued)]
+	o.completions = o.completions[:min(len(o.completions), maxQueuedCompletions)]
+	select {
+	case m.wake <- struct{}{}:
+	default:
+	}
+}
+
+// takeBatch takes what one message holds out of the outbox.
+func (m *member) takeBatch() (batch outbox) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	batch.claims, m.outbox.claims = cutBatch(m.outbox.claims)
+	batch.responses, m.outbox.responses = cutBatch(m.outbox.responses)
+	batch.completions, m.outbox.completions = cutBatch(m.outbox.completions)
+	return batch
+}
+
+func cutBatch[T any](list []T) (batch, rest []T) {
+	n := min(len(list), maxBatch)
+	return list[:n:n], list[n:]
+}
+
+func (o *outbox) len() int { return len(o.claims) + len(o.responses) + len(o.completions) }
+
+// carry takes what is queued for a member to it, as much as there is at a time. Completions are sent until they are
+// heard, or for completionTimeout; what else is lost is made up for by who waits for it.
+func (c *Coordinator) carry(ctx context.Context, m *member) {
+	var failingSince time.Time // zero while messages are heard
+	for {
+		batch := m.takeBatch()
+		if batch.len() == 0 {
+			select {
+			case <-ctx.Done():
+				return
+			case <-m.wake:
+			}
+			continue
+		}
+		if c.post(ctx, m, &batch) == nil {
+			failingSince = time.Time{}
+			continue
+		}
+		if ctx.Err() != nil {
+			return
+		}
+		if failingSince.IsZero() {
+			failingSince = time.Now()
+		}
+		if len(batch.completions) > 0 && time.Since(failingSince) < completionTimeout {
+			m.queue(func(o *outbox) { o.completions = append(batch.completions, o.completions...) })
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(retryPause):
+		}
+	}
+}
+
+func (c *Coordinator) post(ctx context.Context, m *member, batch *outbox) error {
+	c.count(func(n *Counts) {
+		n.Messages++
+		n.MessageItems += batch.len()
+	})
+	return rpc.Post(ctx, c.http, m.address, messagePath, message{
+		Header:      rpc.NewHeader(c.options.Fleet),
+		From:        c.options.Self,
+		To:          m.Owner,
+		Claims:      batch.claims,
+		Completions: batch.completions,
+		Responses:   batch.responses,
+	}, nil)
+}
