--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -6,72 +6,73 @@
 	"time"
 )
 
-// View is what one instance holds of all, from the opinions of the watchers. The zero value is not usable.
+// View is what one instance knows of all members, from the watchers' reports. The zero value is not usable.
 type View struct {
-	terms    Parameters
-	watchers int
-	opinions map[string]*opinion // by watcher
-	members  map[string]MemberState
-	blind    bool
-	since    time.Duration // that it is blind, or not
+	parameters    Parameters
+	watchers      int
+	reports       map[string]*report // by watcher
+	members       map[string]MemberState
+	isolated      bool
+	isolatedSince time.Duration // or since when it is not
 }
 
-type opinion struct {
-	heard time.Duration
-	list  map[string]MemberState
+// report is a watcher's opinion of all members.
+type report struct {
+	received time.Duration
+	members  map[string]MemberState
 }
 
-// Change is a member whose state, or process, has changed. Was is 0 for one that is new.
+// Change is a member whose state, or process, has changed. Previous is 0 for one that is new.
 type Change struct {
 	MemberState
 	Previous State
 }
 
-// NewView returns the view of one that has heard nothing, with so many watchers.
-func NewView(terms Parameters, watchers int, now time.Duration) *View {
-	return &View{terms: terms, watchers: watchers, opinions: make(map[string]*opinion), members: make(map[string]MemberState), blind: true, since: now}
+// NewView returns the view of an instance that has heard nothing, with so many watchers.
+func NewView(parameters Parameters, watchers int, now time.Duration) *View {
+	return &View{
+		parameters:    parameters,
+		watchers:      watchers,
+		reports:       make(map[string]*report),
+		members:       make(map[string]MemberState),
+		isolated:      true,
+		isolatedSince: now,
+	}
 }
 
-// majority is how many of the watchers have to agree.
+// majority returns how many of the watchers have to agree.
 func (v *View) majority() int { return v.watchers/2 + 1 }
 
-// Merge takes a watcher's opinion at a time: of all, or of those of whom it has changed since it was told last.
-func (v *View) Merge(now time.Duration, watcher string, whole bool, list []MemberState) []Change {
-	o := v.opinions[watcher]
-	if o == nil {
-		if !whole {
-			return nil // the rest was never heard
+// Merge takes a watcher's report at a time: of all members if it is complete, else of those that have changed since the
+// watcher's last report.
+func (v *View) Merge(now time.Duration, watcher string, complete bool, list []MemberState) []Change {
+	r := v.reports[watcher]
+	if r == nil {
+		if !complete {
+			return nil // the rest was never received
 		}
-		o = &opinion{}
-		v.opinions[watcher] = o
+		r = &report{}
+		v.reports[watcher] = r
 	}
-	o.heard = now
-	if whole {
-		o.list = make(map[string]MemberState, len(list))
+	r.received = now
+	if complete {
+		r.members = make(map[string]MemberState, len(list))
 	}
 	for _, s := range list {
-		if _, known := o.list[s.Name]; known || len(o.list) < v.terms.MaxMembers {
-			o.list[s.Name] = s
+		if _, known := r.members[s.Name]; known || len(r.members) < v.parameters.MaxMembers {
+			r.members[s.Name] = s
 		}
 	}
 	return v.Tick(now)
 }
 
-// Tick lets time pass.
+// Tick lets time pass and returns what has changed.
 func (v *View) Tick(now time.Duration) (changes []Change) {
-	fresh := 0
-	for _, o := range v.opinions {
-		if now-o.heard < v.terms.GoneAfter {
-			fresh++
-		}
-	}
-	if blind := fresh < v.majority(); blind != v.blind {
-		v.blind, v.since = blind, now
-	}
-	if v.blind {
+	v.updateIsolated(now)
+	if v.isolated {
 		return nil
 	}
-	for _, name := range v.names() {
+	for _, name := range v.knownNames() {
 		s, known := v.judge(now, name)
 		old := v.members[name]
 		switch {
@@ -85,60 +86,85 @@
 	return changes
 }
 
-// names are all that are known of, in order.
-func (v *View) names() (list []string) {
-	seen := make(map[string]bool)
-	add := func(name string) {
-		if !seen[name] {
-			seen[name] = true
-			list = append(list, name)
+func (v *View) updateIsolated(now time.Duration) {
+	fresh := 0
+	for _, r := range v.reports {
+		if v.isFresh(now, r) {
+			fresh++
 		}
 	}
+	if isolated := fresh < v.majority(); isolated != v.isolated {
+		v.isolated, v.isolatedSince = isolated, now
+	}
+}
+
+func (v *View) isFresh(now time.Duration, r *report) bool {
+	return now-r.received < v.parameters.GoneAfter
+}
+
+// knownNames returns the names of all members that are known of, in order.
+func (v *View) knownNames() (list []string) {
 	for name := range v.members {
-		add(name)
+		list = append(list, name)
 	}
-	for _, o := range v.opinions {
-		for name := range o.list {
-			add(name)
+	for _, r := range v.reports {
+		for name := range r.members {
+			list = append(list, name)
 		}
 	}
 	slices.Sort(list)
-	return list
+	return slices.Compact(list)
 }
 
-// judge counts the opinions that are fresh. Of several processes of one name the one counts that most watchers see
-// alive.
-func (v *View) judge(now time.Duration, name string) (MemberState, bool) {
-	type run struct {
-		seen         MemberState
-		alive, votes int
-	}
-	runs, gone := make(map[uint64]*run), 0 // who has not heard of the latest process says of the name that it is gone
-	for _, o := range v.opinions {
-		s, ok := o.list[name]
-		if !ok || now-o.heard >= v.terms.GoneAfter {
+// votes are what the fresh reports say of one process of a member.
+type votes struct {
+	seen         MemberState
+	alive, total int
+}
+
+// isBetter reports whether a process rather counts than another of its name: the one that most watchers see alive.
+func (r *votes) isBetter(than *votes) bool {
+	return cmp.Or(
+		cmp.Compare(r.alive, than.alive),
+		cmp.Compare(r.total, than.total),
+		cmp.Compare(r.seen.Incarnation, than.seen.Incarnation),
+	) > 0
+}
+
+// countVotes counts what the fresh reports say of a member, by its incarnations. A watcher that has not heard of the
+// latest process says of the name that it is gone, so these votes count for all of them.
+func (v *View) countVotes(now time.Duration, name string) (best *votes, gone int) {
+	processes := make(map[uint64]*votes)
+	for _, r := range v.reports {
+		s, ok := r.members[name]
+		if !ok || !v.isFresh(now, r) {
 			continue
 		}
-		r := runs[s.Incarnation]
-		if r == nil {
-			r = &run{seen: s}
-			runs[s.Incarnation] = r
+		p := processes[s.Incarnation]
+		if p == nil {
+			p = &votes{seen: s}
+			processes[s.Incarnation] = p
 		}
-		r.votes++
+		p.total++
 		switch s.State {
 		case Alive:
-			r.alive++
-			r.seen.Leaving = r.seen.Leaving || s.Leaving
+			p.alive++
+			p.seen.Leaving = p.seen.Leaving || s.Leaving
 		case Gone:
 			gone++
 		}
 	}
-	var best *run
-	for _, r := range runs {
-		if best == nil || cmp.Or(cmp.Compare(r.alive, best.alive), cmp.Compare(r.votes, best.votes), cmp.Compare(r.seen.Incarnation, best.seen.Incarnation)) > 0 {
-			best = r
+	for _, p := range processes {
+		if best == nil || p.isBetter(best) {
+			best = p
 		}
 	}
+	return best, gone
+}
+
+// judge returns what a majority of the watchers knows of a member, and whether any of them knows it.
+func (v *View) judge(now time.Duration, name string) (MemberState, bool) {
+	best, gone := v.countVotes(now, name)
 	if best == nil {
 		return MemberState{}, false
 	}
@@ -157,14 +183,14 @@
 	return s, true
 }
 
-// Isolated tells whether too few watchers are heard, and since when that is so, or is not.
-func (v *View) Isolated() (bool, time.Duration) { return v.blind, v.since }
+// Isolated reports whether too few watchers are heard, and since when that is so, or is not.
+func (v *View) Isolated() (isolated bool, since time.Duration) { return v.isolated, v.isolatedSince }
 
-// Members are all that are known, by name.
+// Members returns all members that are known, by name.
 func (v *View) Members() (list []MemberState) {
 	for _, s := range v.members {
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b MemberState) int { return cmp.Compare(a.Name, b.Name) })
+	sortByName(list)
 	return list
 }
