--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,11 +1,11 @@
 // Package peer decides which of a fleet's instances live. It does no I/O and reads no clock: its callers pass the time
-// with each event. The fleet's voters are the watchers: every instance sends heartbeats to each of them, and each has an
-// opinion of its own ([Detector]); every instance receives all opinions and goes by their majority ([View]).
+// with each event. The fleet's voters are the watchers: every instance sends heartbeats to each of them, and each has
+// an opinion of its own ([Detector]); every instance receives all opinions and goes by their majority ([View]).
 //
 // Guarantees, where a majority of the watchers runs and is heard:
 //
 //  1. An instance whose process ends is gone [Parameters.ReconnectGrace] after its connections have ended.
-//  2. One that is silent is gone [Parameters.GoneAfter] after its last heartbeat, and never while its silence is shorter.
+//  2. One that is silent is gone [Parameters.GoneAfter] after its last heartbeat, and never before.
 //  3. A watcher that was paused itself finds nobody gone for it.
 //  4. Of two processes of one name the first counts until it is gone or says that it leaves; one that has been replaced
 //     never counts again.
