--- a/internal/peer/rpc/recorded_test.go
+++ b/internal/peer/rpc/recorded_test.go
@@ -8,18 +8,18 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestRecordedMessages guards fleets of mixed versions: the head of every message is read from and written for earlier
-// versions, and a message of a later one is understood as far as it says so.
+// TestRecordedMessages guards fleets of mixed versions: the header of every message is read from and written for
+// earlier versions, and a message of a later one is understood as far as it says so.
 func TestRecordedMessages(t *testing.T) {
 	testutil.CheckRecordedCBOR(t, "testdata/message.cbor", message{Header{Version: 1, Fleet: "shop", MinVersion: 1}, "x"})
 	testutil.CheckRecordedCBOR(t, "testdata/message-without-least.cbor", message{Header{Version: 1, Fleet: "shop"}, "x"})
 	if got, want := NewHeader("shop"), (Header{Version: 1, Fleet: "shop", MinVersion: 1}); !reflect.DeepEqual(got, want) {
-		t.Errorf("this version's head is %+v, want %+v", got, want)
+		t.Errorf("this version's header is %+v, want %+v", got, want)
 	}
 	var later message
 	want := message{Header{Version: 9, Fleet: "shop", MinVersion: 1}, "y"}
-	status, wrong := Parse(testutil.Recorded(t, "testdata/message-later.cbor"), "shop", &later)
+	status, reason := Parse(testutil.Recorded(t, "testdata/message-later.cbor"), "shop", &later)
 	if status != http.StatusOK || !reflect.DeepEqual(later, want) {
-		t.Errorf("a later version's message: %d %s, %+v", status, wrong, later)
+		t.Errorf("a later version's message: %d %s, %+v", status, reason, later)
 	}
 }
--- /dev/null
+++ b/internal/peer/rpc/rpc_test.go
@@ -0,0 +1,87 @@
+package rpc
+
+import (
+	"net/http"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// TestCompatible guards fleets that are mixed while they are being replaced: an older and a newer program understand
+// each other as far as the newer one says so.
+func TestCompatible(t *testing.T) {
+	for _, c := range []struct {
+		name                string
+		header              Header
+		version, minVersion int
+		want                bool
+	}{
+		{"the same version", Header{Version: 1}, 1, 1, true},
+		{"an older one's, at a newer", Header{Version: 1}, 3, 1, true},
+		{"an older one's, that the newer has given up", Header{Version: 1}, 3, 2, false},
+		{"a newer one's, at an older", Header{Version: 3, MinVersion: 1}, 1, 1, true},
+		{"a newer one's, too new for the older", Header{Version: 3, MinVersion: 2}, 1, 1, false},
+		{"a newer one's, that says nothing", Header{Version: 3}, 1, 1, false},
+		{"no version", Header{}, 1, 1, false},
+	} {
+		if got := Compatible(c.header, c.version, c.minVersion); got != c.want {
+			t.Errorf("%s: %v", c.name, got)
+		}
+	}
+}
+
+type message struct {
+	Header
+	Text string `cbor:"3,keyasint"`
+}
+
+func TestParse(t *testing.T) {
+	good, err := cbor.Marshal(message{NewHeader("shop"), "x"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	newer, err := cbor.Marshal(map[int]any{1: 9, 2: "shop", 30: 1, 3: "y", 77: "unheard of"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name   string
+		body   string
+		fleet  string
+		status int
+		text   string
+	}{
+		{"good", string(good), "shop", http.StatusOK, "x"},
+		{"newer", string(newer), "shop", http.StatusOK, "y"},
+		{"another fleet's", string(good), "other", http.StatusForbidden, ""},
+		{"empty", "", "shop", http.StatusBadRequest, ""},
+		{"not CBOR", "\xff\xff", "shop", http.StatusBadRequest, ""},
+		{"too new", "\xa1\x01\x09", "shop", http.StatusConflict, ""},
+		{"cut off", string(good[:len(good)-1]), "shop", http.StatusBadRequest, ""},
+	} {
+		var m message
+		status, reason := Parse([]byte(c.body), c.fleet, &m)
+		if status != c.status || (reason == "") != (status == http.StatusOK) || m.Text != c.text {
+			t.Errorf("%s: %d %q, %+v", c.name, status, reason, m)
+		}
+	}
+}
+
+// FuzzParse guards what peers send: whatever comes is rejected with a reason or read, and what was read can be written.
+func FuzzParse(f *testing.F) {
+	good, _ := cbor.Marshal(message{NewHeader("shop"), "x"})
+	f.Add(good)
+	f.Add([]byte{0xa1, 1, 9})
+	f.Fuzz(func(t *testing.T, body []byte) {
+		var m message
+		status, reason := Parse(body, "shop", &m)
+		if (status == http.StatusOK) != (reason == "") {
+			t.Fatalf("%d and %q", status, reason)
+		}
+		if status == http.StatusOK {
+			if _, err := cbor.Marshal(m); err != nil || m.Fleet != "shop" {
+				t.Fatalf("%+v: %v", m, err)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/peer/rpc/traffic.go
@@ -0,0 +1,19 @@
+package rpc
+
+import "sync/atomic"
+
+// Traffic is what this process has sent and received since its start.
+type Traffic struct {
+	Messages int64 `json:"messages"` // responses among them
+	Bytes    int64 `json:"bytes"`    // of their bodies
+}
+
+var messageCount, byteCount atomic.Int64
+
+// TrafficSoFar returns the traffic of this process.
+func TrafficSoFar() Traffic { return Traffic{messageCount.Load(), byteCount.Load()} }
+
+func countMessage(bytes int) {
+	messageCount.Add(1)
+	byteCount.Add(int64(bytes))
+}
