--- a/cmd/mulleinpier/daemon_test.go
+++ b/cmd/mulleinpier/daemon_test.go
@@ -220,7 +220,7 @@
 	r.hear("STOPPING=1")
 	r.configure("[[tenant]]\nname = \"only\"\n")
 	r.signal(syscall.SIGHUP)
-	waitLine(t, r.lines, "reload ignored")
+	waitLine(t, r.lines, "configuration reload ignored")
 	r.nodes[0].SetFault(node.Fault{})
 	r.nodes[1].SetFault(node.Fault{})
 	c.expect("VA ")
@@ -269,17 +269,17 @@
 		name, line string
 		spoil      func()
 	}{
-		{"broken", "reload failed", func() { r.configure(fresh + "[limits\n") }},
+		{"broken", "configuration reload failed", func() { r.configure(fresh + "[limits\n") }},
 		{"unknown key", "class[0].colour is unknown", func() { r.configure(fresh + "colour = 1\n") }},
-		{"vanished", "reload failed", func() { os.Remove(r.path) }},
-		{"half", "reload failed", func() { replace(t, r.path, []byte(r.text(fresh))[:30]) }},
+		{"vanished", "configuration reload failed", func() { os.Remove(r.path) }},
+		{"half", "configuration reload failed", func() { replace(t, r.path, []byte(r.text(fresh))[:30]) }},
 		{"empty", "is empty", func() { replace(t, r.path, nil) }},
-		{"a folder", "reload failed", func() { os.Remove(r.path); os.Mkdir(r.path, 0o700) }},
-		{"other memory", "reload refused", func() { os.Remove(r.path); r.configure(fresh + "[limits]\nmemory_mb = 128\n") }},
-		{"other address", "reload refused", func() {
+		{"a folder", "configuration reload failed", func() { os.Remove(r.path); os.Mkdir(r.path, 0o700) }},
+		{"other memory", "configuration reload rejected", func() { os.Remove(r.path); r.configure(fresh + "[limits]\nmemory_mb = 128\n") }},
+		{"other address", "configuration reload rejected", func() {
 			replace(t, r.path, []byte(strings.Replace(r.text(fresh), "127.0.0.3", "127.0.0.4", 1)))
 		}},
-		{"other zones", "reload refused", func() {
+		{"other zones", "configuration reload rejected", func() {
 			replace(t, r.path, []byte("zones = [\"z\"]\nzone = \"z\"\n"+r.text(fresh)))
 		}},
 	} {
@@ -296,7 +296,7 @@
 	}
 	r.configure(fresh)
 	r.signal(syscall.SIGHUP)
-	waitLine(t, r.lines, "reloaded")
+	waitLine(t, r.lines, "configuration reloaded")
 	user := r.call()
 	user.send("mg k v O1 Pc=new,d=1000\r\n")
 	user.expect("VA ")
@@ -477,8 +477,8 @@
 			}
 		}()
 		r.configure("[[class]]\nname = \"new\"\n")
-		waitLine(t, r.lines, "listening")
-		waitLine(t, r.lines, "reloaded")
+		waitLine(t, r.lines, "listener opened")
+		waitLine(t, r.lines, "configuration reloaded")
 		close(ready)
 		<-hung
 		c := r.call()
@@ -542,12 +542,12 @@
 	for _, manager := range []string{path, filepath.Join(t.TempDir(), "nobody")} {
 		r := newRig(t, node.Config{})
 		r.startUnder(manager, "WATCHDOG_USEC=20000")
-		waitLine(t, r.lines, "the service manager does not listen")
+		waitLine(t, r.lines, "service manager notification failed")
 		c := r.call()
 		c.send("mg k v O1 Pc=read,d=2000\r\n")
 		c.expect("VA ")
 		r.signal(syscall.SIGHUP)
-		waitLine(t, r.lines, "reloaded")
+		waitLine(t, r.lines, "configuration reloaded")
 		r.signal(syscall.SIGTERM)
 		r.end()
 	}
@@ -608,7 +608,7 @@
 		r.cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
 		r.cmd.ExtraFiles = []*os.File{file}
 		r.run()
-		waitLine(t, r.lines, "listening")
+		waitLine(t, r.lines, "listener opened")
 	}
 	pass()
 	stop := make(chan struct{})
--- a/cmd/mulleinpier/end_test.go
+++ b/cmd/mulleinpier/end_test.go
@@ -28,7 +28,7 @@
 	t.Cleanup(nodes.Close)
 	const deadline = 700 // milliseconds, the longest of all
 	cmd, lines := platformProgram(t, nodes, 3, deadline)
-	_, address, _ := strings.Cut(waitLine(t, lines, "listening"), "address=")
+	_, address, _ := strings.Cut(waitLine(t, lines, "listener opened"), "address=")
 	dial := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
--- a/cmd/mulleinpier/held_test.go
+++ b/cmd/mulleinpier/held_test.go
@@ -50,7 +50,7 @@
 	}
 	t.Cleanup(nodes.Close)
 	cmd, lines := platformProgram(t, nodes, 3, int(waitTime.Milliseconds()))
-	_, address, _ := strings.Cut(waitLine(t, lines, "listening"), "address=")
+	_, address, _ := strings.Cut(waitLine(t, lines, "listener opened"), "address=")
 	h := &held{t: t, process: cmd.Process, wait: cmd.Wait, address: address}
 	warm := h.client()
 	testutil.WaitUntil(t, "the nodes to be known", func() bool { return warm.serve() })
--- a/cmd/mulleinpier/main_test.go
+++ b/cmd/mulleinpier/main_test.go
@@ -134,13 +134,13 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, "127.0.0.1:0", first)
 	cmd, lines := program(t, path)
-	line := waitLine(t, lines, "listening")
+	line := waitLine(t, lines, "listener opened")
 	_, address, _ := strings.Cut(line, "address=")
 	waitCall(t, firstWatched, "the first address")
 
 	replace(t, path, []byte(`{"name":`))
 	cmd.Process.Signal(syscall.SIGHUP)
-	waitLine(t, lines, "reload failed")
+	waitLine(t, lines, "configuration reload failed")
 
 	writeConfig(t, path, "127.0.0.1:0", second)
 	cmd.Process.Signal(syscall.SIGHUP)
@@ -157,7 +157,7 @@
 		t.Errorf("after the reloads mn was answered %q, %v", answer, err)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	waitLine(t, lines, "all answered")
+	waitLine(t, lines, "drain completed")
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("after SIGTERM: %v", err)
 	}
--- a/cmd/mulleinpier/peers_test.go
+++ b/cmd/mulleinpier/peers_test.go
@@ -56,7 +56,7 @@
 			c.expect("VA ")
 			r.signal(syscall.SIGTERM)
 			if permit == "go" {
-				waitLine(t, r.lines, "no permit, going on without")
+				waitLine(t, r.lines, "permit skipped")
 				r.hear("STOPPING=1")
 				r.end()
 				return
@@ -104,7 +104,7 @@
 	fleet.Voters = []agent.VoterAddress{{Name: "v", Address: nowhere(t)}}
 	r.configure(peersOf("none", "v", fleet, memory))
 	r.signal(syscall.SIGHUP)
-	waitLine(t, r.lines, "reloaded")
+	waitLine(t, r.lines, "configuration reloaded")
 	testutil.WaitUntil(t, "the voter at its new address", func() bool {
 		s, err := client().LeaderState(ctx)
 		return err == nil && s.IsLeader && s.StateMachine.Tasks["x"] != nil && len(s.StateMachine.Tasks["x"].Grants) == 1 && s.StateMachine.Tasks["x"].Grants[0].Token == reply.Token
@@ -137,7 +137,7 @@
 		r.start()
 		r.hear("READY=1")
 		r.signal(syscall.SIGTERM)
-		waitLine(t, r.lines, "msg=permit")
+		waitLine(t, r.lines, `msg="permit granted"`)
 		r.end()
 	}
 	r.start()
--- /dev/null
+++ b/internal/daemon/permit.go
@@ -0,0 +1,119 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"os"
+	"syscall"
+	"time"
+
+	"mulleinpier/internal/lease"
+	"mulleinpier/internal/lease/agent"
+)
+
+const (
+	// leaseCallTimeout bounds calls to the voters that are no wait for a permit.
+	leaseCallTimeout = 2 * time.Second
+	// permitRetryInterval is the wait before a permit is requested again after an error.
+	permitRetryInterval = leaseCallTimeout / 10
+)
+
+// permit is a lease of the fleet that permits this process to drain or to reload. A nil permit is that of a process
+// which proceeds without one.
+type permit struct{ holder *agent.Holder }
+
+// release releases a permit whose operation is done.
+func (p *permit) release() {
+	if p != nil {
+		p.holder.Close()
+	}
+}
+
+// needsPermit reports whether permits are configured.
+func (f *fleetMember) needsPermit() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.config != nil && f.config.Permit.Enabled
+}
+
+// awaitPermit waits for a permit for an operation as the configuration says, while this process keeps serving. It
+// returns nil where none is needed, or the operation has to go on without.
+func (f *fleetMember) awaitPermit(operation string) *permit {
+	if !f.needsPermit() {
+		return nil
+	}
+	f.mu.Lock()
+	c, leases, name, lifetime, ctx := f.config.Permit, f.leases, f.name, f.ctx, f.permitWaits
+	f.mu.Unlock()
+	start := time.Now()
+	elapsed := func() time.Duration { return time.Since(start).Round(time.Millisecond) }
+	for ctx.Err() == nil {
+		holder, err := leases.Hold(lifetime, lease.PermitTask, name, lease.PermitDuration, true)
+		if err != nil {
+			f.log.Error("permit request failed", "operation", operation, "error", err)
+			return nil
+		}
+		wait, cancel := ctx, context.CancelFunc(func() {})
+		if !c.Required {
+			wait, cancel = context.WithDeadline(ctx, start.Add(c.Timeout))
+		}
+		token, err := holder.Await(wait)
+		cancel()
+		if err == nil {
+			f.log.Info("permit granted", "operation", operation, "token", token, "duration", elapsed())
+			return &permit{holder}
+		}
+		holder.Close()
+		if lease.DecideWithoutPermit(time.Since(start), c.Timeout, c.Required) == lease.ProceedWithoutPermit {
+			f.log.Warn("permit skipped", "operation", operation, "duration", elapsed(), "error", err)
+			return nil
+		}
+		if !errors.Is(err, context.DeadlineExceeded) { // its place in the queue was lost
+			sleep(ctx, permitRetryInterval)
+		}
+	}
+	return nil
+}
+
+// sleep waits for a time or the end of ctx.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
+
+// keepPermit keeps the permit to drain until stop, nil for none.
+func (f *fleetMember) keepPermit(p *permit) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.drainPermit = p
+}
+
+// releasePredecessorPermits releases the permits that an ended process of the same name has left to its successor: its
+// restart is over now. A permit that cannot be released expires by itself.
+func (f *fleetMember) releasePredecessorPermits(ctx context.Context) {
+	if !f.needsPermit() {
+		return
+	}
+	f.mu.Lock()
+	leases, name := f.leases, f.name
+	f.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
+	defer cancel()
+	state, err := leases.LeaderState(ctx)
+	if err != nil {
+		f.log.Warn("predecessor permit lookup failed", "error", err)
+		return
+	}
+	tasks := state.StateMachine.Tasks[lease.PermitTask]
+	for _, token := range lease.OrphanedTokens(tasks, name, os.Getpid(), processExists) {
+		release := lease.Command{Kind: lease.Release, Task: lease.PermitTask, Token: token}
+		if _, err := leases.Execute(ctx, release); err != nil {
+			f.log.Warn("predecessor permit release failed", "token", token, "error", err)
+		}
+	}
+}
+
+// processExists reports whether there is a process with an id on this machine.
+func processExists(pid int) bool { return !errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) }
--- /dev/null
+++ b/internal/daemon/serve.go
@@ -0,0 +1,140 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"math"
+	"net"
+	"runtime"
+	"runtime/debug"
+	"sync"
+	"syscall"
+	"time"
+
+	"mulleinpier/internal/config"
+	"mulleinpier/internal/consul"
+	"mulleinpier/internal/lifecycle"
+	"mulleinpier/internal/proxy"
+)
+
+const (
+	// bindRetryInterval is the wait before an address that another process holds is tried again.
+	bindRetryInterval = 20 * time.Millisecond
+	// gcPercent makes collections rare, which saves CPU while memory is plenty; the memory limit takes over when it is
+	// not.
+	gcPercent = 400
+	// memoryLimitTenths is the part of the configured memory that the runtime may use; the rest is for what it does
+	// not count.
+	memoryLimitTenths = 6
+)
+
+// serve is the task that starts the proxy and runs it to its end. It reports exactly one of StartFailed and
+// ServingEnded.
+func (d *daemon) serve(ctx context.Context, inherited *net.TCPListener) {
+	c, err := d.LoadConfig()
+	if err != nil {
+		d.reports <- taskReport{event: lifecycle.StartFailed, err: err}
+		return
+	}
+	limitRuntime(c.Proxy)
+	log := d.newLogger(c)
+	server, err := listen(ctx, c, inherited, log)
+	if err != nil {
+		d.reports <- taskReport{event: lifecycle.StartFailed, err: err}
+		return
+	}
+	log.Info("listener opened", "address", server.Address().String())
+	for _, warning := range c.Warnings {
+		log.Warn(warning)
+	}
+	d.reports <- taskReport{server: server, log: log}
+	var ready sync.WaitGroup
+	ready.Go(func() { d.reportStarted(ctx, server, c, log) })
+	deregister := startRegistration(ctx, server, c, log)
+	d.fleet.start(c, server.Core(), log)
+	server.Serve(ctx)
+	ready.Wait()
+	d.fleet.stop()
+	deregister()
+	log.Info("drain completed")
+	d.reports <- taskReport{event: lifecycle.ServingEnded}
+}
+
+// limitRuntime applies the configured limits to the Go runtime.
+func limitRuntime(c *proxy.Config) {
+	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(c.MemoryBytes) / 10 * memoryLimitTenths)
+}
+
+// newLogger returns the logger of a configuration.
+func (d *daemon) newLogger(c *config.Config) *slog.Logger {
+	d.logLevel.Set(c.Log.Level)
+	options := &slog.HandlerOptions{Level: &d.logLevel}
+	var handler slog.Handler = slog.NewTextHandler(d.Log, options)
+	if c.Log.JSON {
+		handler = slog.NewJSONHandler(d.Log, options)
+	}
+	return slog.New(handler).With("proxy", c.Proxy.Name)
+}
+
+// listen opens the address. It waits up to BindTimeout for another process to release it.
+func listen(
+	ctx context.Context, c *config.Config, inherited *net.TCPListener, log *slog.Logger,
+) (*proxy.Server, error) {
+	deadline := time.Now().Add(c.Startup.BindTimeout)
+	for {
+		server, err := proxy.Listen(c.Proxy, inherited, log)
+		if !errors.Is(err, syscall.EADDRINUSE) || ctx.Err() != nil || !time.Now().Before(deadline) {
+			return server, err
+		}
+		time.Sleep(bindRetryInterval)
+	}
+}
+
+// startRegistration keeps the proxy registered in Consul from when its endpoint list is ready until ctx ends. The
+// returned function waits for that and deregisters the proxy.
+func startRegistration(
+	ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger,
+) (deregister func()) {
+	if c.Registration == nil {
+		return func() {}
+	}
+	registrar := consul.NewRegistrar(*c.Registration, log)
+	var task sync.WaitGroup
+	registered := false
+	task.Go(func() {
+		select {
+		case <-server.EndpointListReady():
+			registered = true
+			registrar.Run(ctx, server.CanServe)
+		case <-ctx.Done():
+		}
+	})
+	return func() {
+		if task.Wait(); registered {
+			registrar.Deregister()
+		}
+	}
+}
+
+// reportStarted reports that clients can be served: once the endpoint list is known, or EndpointListTimeout has passed.
+// On the platform the proxy answers from the start.
+func (d *daemon) reportStarted(ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger) {
+	if !d.Platform && len(c.Proxy.InitialList.Endpoints) == 0 {
+		timeout := time.NewTimer(c.Startup.EndpointListTimeout)
+		defer timeout.Stop()
+		select {
+		case <-server.EndpointListReady():
+		case <-timeout.C:
+			log.Warn("endpoint list delayed", "sources", c.Proxy.SourceNames())
+		case <-ctx.Done():
+			return
+		}
+	}
+	if ctx.Err() == nil {
+		d.reports <- taskReport{event: lifecycle.Started}
+		d.fleet.releasePredecessorPermits(ctx)
+	}
+}
--- /dev/null
+++ b/internal/daemon/takeover.go
@@ -0,0 +1,46 @@
+package daemon
+
+import (
+	"context"
+	"net"
+	"sync"
+
+	"mulleinpier/internal/config"
+	"mulleinpier/internal/lease/agent"
+	"mulleinpier/internal/peer"
+	"mulleinpier/internal/peer/transport"
+	"mulleinpier/internal/takeover"
+	"mulleinpier/internal/takeover/coordinator"
+)
+
+// startTakeover has keyed writes replicated to other proxies, until the returned function is called. Where that cannot
+// start it is logged, and writes are sent without. f.mu is held.
+func (f *fleetMember) startTakeover(c *config.Peers, self peer.Member, heartbeats *transport.Client) (stop func()) {
+	if !c.Takeover.Enabled {
+		return func() {}
+	}
+	listener, err := net.Listen("tcp", c.Listen)
+	if err != nil {
+		f.log.Error("takeover start failed", "error", err)
+		return func() {}
+	}
+	runner := coordinator.New(f.core, coordinator.Options{
+		Fleet:          c.Fleet.Name,
+		Self:           takeover.Owner{Name: self.Name, Incarnation: self.Incarnation},
+		Zone:           self.Zone,
+		Replicas:       c.Takeover.Replicas,
+		RequireReplica: c.Takeover.Strict,
+		Clock:          agent.Now,
+		Log:            f.log,
+	})
+	ctx, cancel := context.WithCancel(f.ctx)
+	var task sync.WaitGroup
+	task.Go(func() { runner.Run(ctx, listener, heartbeats) })
+	f.core.SetTakeoverCoordinator(runner)
+	return func() {
+		f.core.SetTakeoverCoordinator(nil)
+		cancel()
+		task.Wait()
+		f.log.Info("takeover stopped", "counts", runner.Counts())
+	}
+}
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -157,8 +157,8 @@
 	return e
 }
 
-// TestDrainIsFinal guards invariants 2, 5 and 6: no configuration is read or applied once the end has begun, and each is
-// applied only after it was requested.
+// TestDrainIsFinal guards invariants 2, 5 and 6: no configuration is read or applied once the end has begun, and each
+// is applied only after it was requested.
 func TestDrainIsFinal(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := randomLife(seed, 60)
--- a/internal/lifecycle/table.go
+++ b/internal/lifecycle/table.go
@@ -59,7 +59,7 @@
 		Terminate:   to(AwaitingPermit, RequestPermit),
 		Started:     to(ReloadingReloadQueued),
 		StartFailed: to(Stopped, ExitFailed),
-		// It is applied although the next read is due, or an endless stream of hangups would keep all of them out of force.
+		// Applied although the next read is due, or an endless stream of hangups would keep all of them out of force.
 		ConfigValid:    to(Reloading, ApplyConfig, ReadConfig),
 		ConfigInvalid:  to(Reloading, ReadConfig),
 		ServingEnded:   to(Stopped, ExitFailed),
