--- a/internal/proxy/backlog_test.go
+++ b/internal/proxy/backlog_test.go
@@ -31,12 +31,12 @@
 		takers[0].expectValue(fmt.Sprint("warm", i))
 	}
 	takers[0].read("taker")
-	for i := range f.server.most - 1 {
+	for i := range f.server.maxClients - 1 {
 		u := f.connect()
 		u.read(fmt.Sprint("taker", i))
 		takers = append(takers, u)
 	}
-	testutil.WaitUntil(t, "all places to be taken", func() bool { n, open := f.server.Load(); return n >= f.server.most && open == len(takers) })
+	testutil.WaitUntil(t, "all places to be taken", func() bool { n, open := f.server.Load(); return n >= f.server.maxClients && open == len(takers) })
 	waiting := f.connect()
 	asked := time.Now()
 	waiting.send("mg k v Owaiting Pc=read,t=shops,d=%d\r\n", wait.Milliseconds())
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -44,11 +44,11 @@
 		var b connlimit.Budget
 		b.SetCapacity(config.Upstream.FleetShare)
 		for _, nodes := range []int{1, 60} {
-			if most := b.Limit(time.Second, nodes); most < connlimit.MinConnections || most > max(nodes*nodeTable, connlimit.MinConnections) {
+			if most := b.Limit(time.Second, nodes); most < connlimit.MinConnections || most > max(nodes*platformNodeConnections, connlimit.MinConnections) {
 				t.Errorf("%q proxies: %d connections to %d nodes", c.proxies, most, nodes)
 			}
 		}
-		if n := config.Upstream.MaxPerNode; n < 1 || n > nodeTable {
+		if n := config.Upstream.MaxPerNode; n < 1 || n > platformNodeConnections {
 			t.Errorf("%q proxies: %d connections to one node", c.proxies, n)
 		}
 	}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -24,7 +24,7 @@
 				return false
 			}
 		}
-		return f.server.late != nil
+		return f.server.drain.abortTimer != nil
 	})
 }
 
@@ -70,7 +70,7 @@
 	f := startFleet(t, 64, startNode(t, command.serve))
 	var clients sync.WaitGroup
 	defer clients.Wait()
-	for i := range f.server.most {
+	for i := range f.server.maxClients {
 		u := f.connect()
 		u.read(fmt.Sprint(i))
 		u.expectValue(fmt.Sprint(i))
@@ -88,7 +88,7 @@
 		})
 	}
 	waiting := f.connect() // in the backlog
-	testutil.WaitUntil(t, "all places to be taken", func() bool { n, _ := f.server.Load(); return n >= f.server.most })
+	testutil.WaitUntil(t, "all places to be taken", func() bool { n, _ := f.server.Load(); return n >= f.server.maxClients })
 	f.stop()
 	testutil.Receive(t, "the server's end", f.ended())
 	waiting.socket.Close()
@@ -128,7 +128,7 @@
 	arrived := make(chan string, 100)
 	f := startFleetWith(t, 256, once, startNode(t, func(c command) { arrived <- c.id }))
 	f.server.mu.Lock()
-	f.server.longest = 0
+	f.server.longestDeadline = 0
 	f.server.mu.Unlock()
 	users := make(map[string]*user)
 	for class, request := range classes {
--- a/internal/proxy/ends_test.go
+++ b/internal/proxy/ends_test.go
@@ -85,7 +85,7 @@
 			c.serve()
 		})
 		f := startFleetWith(t, 256, once)
-		bodies := f.server.doors[0].host.BodyBudget.Available()
+		bodies := f.server.listeners[0].host.BodyBudget.Available()
 		u := f.connect()
 		u.send("%s", request("x"))
 		testutil.WaitUntil(t, "the request to wait", func() bool { return f.server.core.InFlight() == 1 })
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -80,7 +80,7 @@
 func (f *fleet) idle(t *testing.T, bodies int) {
 	t.Helper()
 	testutil.WaitUntil(t, "nothing to be open", func() bool { return f.server.core.InFlight() == 0 })
-	testutil.WaitUntil(t, "the bytes of bodies to be free", func() bool { return f.server.doors[0].host.BodyBudget.Available() == bodies })
+	testutil.WaitUntil(t, "the bytes of bodies to be free", func() bool { return f.server.listeners[0].host.BodyBudget.Available() == bodies })
 }
 
 // ended passes the server's end on as a value.
@@ -106,7 +106,7 @@
 			<-goOn
 			c.serve()
 		}))
-		bodies := f.server.doors[0].host.BodyBudget.Available()
+		bodies := f.server.listeners[0].host.BodyBudget.Available()
 		u := f.connect()
 		var text strings.Builder
 		for i := range sent {
@@ -176,7 +176,7 @@
 				}
 				t.Cleanup(d.Close)
 				f := startFleetWith(t, 256, once, d.Address())
-				bodies := f.server.doors[0].host.BodyBudget.Available()
+				bodies := f.server.listeners[0].host.BodyBudget.Available()
 				u := f.connect()
 				u.send("%s", request("x"))
 				testutil.WaitUntil(t, "the request to wait", func() bool { return f.server.core.InFlight() == 1 })
@@ -216,7 +216,7 @@
 			c.serve()
 		}
 	}))
-	bodies, answers := f.server.doors[0].host.BodyBudget.Available(), f.server.doors[0].host.AnswerBudget.Available()
+	bodies, answers := f.server.listeners[0].host.BodyBudget.Available(), f.server.listeners[0].host.AnswerBudget.Available()
 	usual := f.connect()
 	usual.read("warm")
 	usual.expectValue("warm")
@@ -269,7 +269,7 @@
 	}
 	testutil.WaitUntil(t, "the places to be free", func() bool { n, _ := f.server.Load(); return n <= 1 })
 	f.idle(t, bodies)
-	testutil.WaitUntil(t, "the bytes of answers to be free", func() bool { return f.server.doors[0].host.AnswerBudget.Available() == answers })
+	testutil.WaitUntil(t, "the bytes of answers to be free", func() bool { return f.server.listeners[0].host.AnswerBudget.Available() == answers })
 	// Connections to the node come and go by themselves; there are no more than it takes of one proxy.
 	testutil.WaitUntil(t, "the descriptors to be free", func() bool { return descriptors() <= before+2*f.server.config.Upstream.MaxPerNode })
 }
--- /dev/null
+++ b/internal/proxy/listener.go
@@ -0,0 +1,172 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"mulleinpier/internal/frontend"
+)
+
+const (
+	// earlyCloseMargin is how many places before the last one idle connections are closed: each counts until its
+	// client closes too.
+	earlyCloseMargin = 16
+	// minIdleToEvict is the least time that a connection must have idled before it is closed to make room.
+	minIdleToEvict = 100 * time.Millisecond
+	// minBlockingAccept is the least time that an accept takes which found the backlog empty.
+	minBlockingAccept = time.Millisecond
+	// acceptRetryInterval is the wait after an accept that failed for lack of descriptors or buffers.
+	acceptRetryInterval = 10 * time.Millisecond
+)
+
+// clientListener is a listener and what its clients share.
+type clientListener struct {
+	*net.TCPListener
+	inherited bool // another process may hold it too
+	host      *frontend.Host
+	// backlogEmptyAt is when the backlog was last seen empty, by the clock of the core. It belongs to the goroutine
+	// that accepts.
+	backlogEmptyAt time.Duration
+}
+
+// openListener opens an address, or uses an inherited listener.
+func (s *Server) openListener(address string, inherited *net.TCPListener, host *frontend.Host) error {
+	l := &clientListener{TCPListener: inherited, inherited: inherited != nil, host: host}
+	if !l.inherited {
+		noKeepAlive := net.ListenConfig{KeepAlive: -1}
+		opened, err := noKeepAlive.Listen(context.Background(), "tcp", address)
+		if err != nil {
+			return fmt.Errorf("listen: %w", err)
+		}
+		l.TCPListener = opened.(*net.TCPListener)
+	}
+	s.listeners = append(s.listeners, l)
+	return nil
+}
+
+// accept accepts a connection, and notes whether the backlog was empty.
+func (l *clientListener) accept(now func() time.Duration) (*net.TCPConn, error) {
+	start := now()
+	socket, err := l.AcceptTCP()
+	if end := now(); end-start >= minBlockingAccept {
+		l.backlogEmptyAt = end
+	}
+	return socket, err
+}
+
+// acceptClients accepts connections until the listener is closed or its deadline passes.
+func (s *Server) acceptClients(l *clientListener) {
+	l.backlogEmptyAt = s.core.Now()
+	for s.makeRoom() {
+		socket, err := l.accept(s.core.Now)
+		switch {
+		case err == nil:
+			<-s.core.Resumed() // bounded: after a pause sends are deferred for a short time
+			s.serveClient(l, socket)
+		case endsAccepting(err):
+			return
+		default: // for lack of descriptors or buffers: the connection stays in the backlog
+			s.log.Warn("accept failed", "error", err)
+			time.Sleep(acceptRetryInterval)
+		}
+	}
+}
+
+// endsAccepting reports whether an accept failed because the listener is closed or its deadline has passed. Nothing
+// else ends accepting, not even a time-out of the system call: Linux returns pending network errors with new
+// connections.
+func endsAccepting(err error) bool {
+	return errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+// serveClient starts a client's goroutine. It ends with the client's connection, or with the drain.
+func (s *Server) serveClient(l *clientListener, socket *net.TCPConn) {
+	c := frontend.New(l.host, socket, l.backlogEmptyAt)
+	s.mu.Lock()
+	s.clients[c] = struct{}{}
+	s.mu.Unlock()
+	go func() {
+		c.Serve()
+		s.mu.Lock()
+		delete(s.clients, c)
+		s.changed.Broadcast()
+		s.mu.Unlock()
+	}()
+}
+
+// makeRoom closes the client that has idled longest when places run short, and waits while there is none. It reports
+// whether there is room; there is none only where a drain ends the wait. What is in the backlog has been acknowledged
+// and must not be accepted only to be dropped; nor must a connection be closed that was just accepted, since its
+// request may not have been read yet.
+func (s *Server) makeRoom() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.clients) >= s.maxClients-earlyCloseMargin {
+		s.closeLongestIdle()
+		if len(s.clients) < s.maxClients {
+			return true
+		}
+		if s.drain.acceptEnded {
+			return false
+		}
+		s.changed.Wait()
+	}
+	return true
+}
+
+// closeLongestIdle closes the client that has idled longest, if any has for minIdleToEvict. s.mu is held.
+func (s *Server) closeLongestIdle() {
+	var longest *frontend.Conn
+	since := time.Now().Add(-minIdleToEvict)
+	for c := range s.clients {
+		if at, idle := c.IdleSince(); idle && at.Before(since) {
+			longest, since = c, at
+		}
+	}
+	if longest != nil {
+		longest.CloseIdle()
+	}
+}
+
+// closeListeners closes the listeners. The backlog of an inherited one is left to the other process.
+func (s *Server) closeListeners() {
+	for _, l := range s.listeners {
+		if !l.inherited {
+			s.acceptBacklog(l)
+		}
+		l.Close()
+	}
+}
+
+// acceptBacklog accepts what the backlog holds, without waiting. A connection that arrives between this and the close
+// is reset together with its request, so nothing may come in between. Some microseconds remain; a listener that the
+// service manager holds leaves none.
+func (s *Server) acceptBacklog(l *clientListener) {
+	raw, err := l.SyscallConn()
+	if err != nil {
+		return
+	}
+	for more := true; more; {
+		raw.Control(func(fd uintptr) { more = s.acceptNonBlocking(l, int(fd)) })
+	}
+}
+
+// acceptNonBlocking accepts a connection from a listener's descriptor without waiting for one. It reports whether
+// there may be more.
+func (s *Server) acceptNonBlocking(l *clientListener, fd int) bool {
+	accepted, _, err := syscall.Accept4(fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+	if err != nil {
+		return errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR)
+	}
+	file := os.NewFile(uintptr(accepted), "")
+	defer file.Close()
+	if socket, err := net.FileConn(file); err == nil {
+		s.serveClient(l, socket.(*net.TCPConn))
+	}
+	return true
+}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -215,7 +215,7 @@
 		u.read(fmt.Sprint(i))
 		u.expectValue(fmt.Sprint(i))
 	}
-	f.server.tidy(time.Now().Add(idleLeast))
+	f.server.closeUnused(time.Now().Add(minIdleToEvict))
 	f.server.mu.Lock()
 	defer f.server.mu.Unlock()
 	idlers := 0
@@ -224,7 +224,7 @@
 			idlers++
 		}
 	}
-	if most := f.server.most / idlePart; idlers > most {
+	if most := f.server.maxClients / idleShareDivisor; idlers > most {
 		t.Errorf("%d clients hold a connection for nothing, want %d at most", idlers, most)
 	}
 }
@@ -332,7 +332,7 @@
 		}
 		c.answer("VA %d O%s h1\r\n%s\r\n", len(value), c.id, value)
 	}))
-	f.server.doors[0].host.AnswerBudget.TryAcquire(f.server.doors[0].host.AnswerBudget.Available() - 150000)
+	f.server.listeners[0].host.AnswerBudget.TryAcquire(f.server.listeners[0].host.AnswerBudget.Available() - 150000)
 	u := f.connect()
 	u.read("slow")
 	<-waiting
@@ -340,7 +340,7 @@
 		u.read(fmt.Sprint(i))
 	}
 	other := f.connect() // its turn comes when the three before it are answered
-	for f.server.doors[0].host.AnswerBudget.Available() > 60000 {
+	for f.server.listeners[0].host.AnswerBudget.Available() > 60000 {
 		other.send("mn\r\n")
 		other.expect("MN")
 	}
@@ -359,7 +359,7 @@
 	}
 	u.send("mn\r\n")
 	u.expect("MN")
-	if free := f.server.doors[0].host.AnswerBudget.Available(); free != 150000 {
+	if free := f.server.listeners[0].host.AnswerBudget.Available(); free != 150000 {
 		t.Errorf("%d bytes of 150000 free when all is written", free)
 	}
 }
