--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -16,37 +16,65 @@
 	"mulleinpier/internal/proxy"
 )
 
-// BenchmarkRead measures a read of a meta client at a meta node through the whole
-// proxy, allocations of client and node (which make next to none) included.
+// BenchmarkRead measures a read of a meta client at a meta node through the whole proxy. It includes the
+// allocations of client and node, which make next to none.
 func BenchmarkRead(b *testing.B) {
 	node, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer node.Close()
-	go func() {
-		for {
-			c, err := node.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				in, out := bufio.NewReader(c), make([]byte, 0, 256)
-				for {
-					line, err := in.ReadSlice('\n')
-					if err != nil {
-						return
-					}
-					id := strings.Index(string(line), " O") + 1
-					out = append(append(append(out[:0], "VA 2 "...), line[id:id+9]...), " h1\r\nhi\r\n"...)
-					c.Write(out)
-				}
-			}()
+	go serveBenchmarkNode(node)
+	address := startBenchmarkProxy(b, node.Addr())
+	socket, err := net.Dial("tcp", address.String())
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer socket.Close()
+	in, command := bufio.NewReader(socket), make([]byte, 0, 256)
+	response := make([]byte, len("VA 2 O12345678\r\nhi\r\n"))
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		command = fmt.Appendf(command[:0], "mg k%d v O%08d Pc=read,d=2000\r\n", i%8, i)
+		if _, err := socket.Write(command); err != nil {
+			b.Fatal(err)
 		}
-	}()
+		if _, err := io.ReadFull(in, response); err != nil || !strings.HasPrefix(string(response), "VA 2 ") {
+			b.Fatalf("%q, %v", response, err)
+		}
+	}
+}
+
+// serveBenchmarkNode answers each command with a value.
+func serveBenchmarkNode(listener net.Listener) {
+	for {
+		c, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go answerCommands(c)
+	}
+}
+
+func answerCommands(c net.Conn) {
+	defer c.Close()
+	in, out := bufio.NewReader(c), make([]byte, 0, 256)
+	for {
+		line, err := in.ReadSlice('\n')
+		if err != nil {
+			return
+		}
+		id := strings.Index(string(line), " O") + 1
+		out = append(append(append(out[:0], "VA 2 "...), line[id:id+9]...), " h1\r\nhi\r\n"...)
+		c.Write(out)
+	}
+}
+
+// startBenchmarkProxy starts a proxy of one node and returns its address.
+func startBenchmarkProxy(b *testing.B, node net.Addr) net.Addr {
+	b.Helper()
 	path := filepath.Join(b.TempDir(), "proxy.toml")
-	text := fmt.Sprintf("listen = \"127.0.0.1:0\"\nnodes.addresses = [%q]\n", node.Addr())
+	text := fmt.Sprintf("listen = \"127.0.0.1:0\"\nnodes.addresses = [%q]\n", node)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		b.Fatal(err)
 	}
@@ -64,24 +92,9 @@
 		defer close(served)
 		server.Serve(ctx)
 	}()
-	defer func() {
+	b.Cleanup(func() {
 		stop()
 		<-served
-	}()
-	socket, err := net.Dial("tcp", server.Address().String())
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer socket.Close()
-	in, out, answer := bufio.NewReader(socket), make([]byte, 0, 256), make([]byte, len("VA 2 O12345678\r\nhi\r\n"))
-	b.ReportAllocs()
-	for i := 0; b.Loop(); i++ {
-		out = fmt.Appendf(out[:0], "mg k%d v O%08d Pc=read,d=2000\r\n", i%8, i)
-		if _, err := socket.Write(out); err != nil {
-			b.Fatal(err)
-		}
-		if _, err := io.ReadFull(in, answer); err != nil || !strings.HasPrefix(string(answer), "VA 2 ") {
-			b.Fatalf("%q, %v", answer, err)
-		}
-	}
+	})
+	return server.Address()
 }
--- a/internal/proxy/ends_test.go
+++ b/internal/proxy/ends_test.go
@@ -12,104 +12,116 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestEndsOfNodeConnections ends connections to nodes in every way under requests of every effect: each request has one answer, and
-// nothing of an unsafe class comes to nodes twice; of a keyed one, what came more than once came with its key.
-func TestEndsOfNodeConnections(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
-		_, kind, _ := strings.Cut(a.ID, "-") // the key is for the id, which is new with each try of the client's
+// TestNodeConnectionFailures breaks connections to nodes in every way with requests of every effect in flight: each
+// request gets one response, no request of an unsafe class reaches nodes twice, and one of a keyed class that reaches
+// them more than once has its key.
+func TestNodeConnectionFailures(t *testing.T) {
+	react := func(_ int, request scriptednode.ReceivedRequest) scriptednode.Reaction {
+		_, kind, _ := strings.Cut(request.ID, "-")
 		kind, _, _ = strings.Cut(kind, "-")
 		return scriptednode.Reaction(kind)
-	})
+	}
+	nodes, err := scriptednode.Start(scriptednode.Meta, 3, react)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(nodes.Close)
-	f := startFleetWith(t, 512, once, nodes.Address(0), nodes.Address(1), nodes.Address(2))
-	u := f.connect()
-	for i := range 300 { // or gates would shut
+	h := startHarnessWith(t, 512, withUnsafeClass, nodes.Address(0), nodes.Address(1), nodes.Address(2))
+	u := h.connect()
+	for i := range 300 { // warms up, or admission would be reduced by what follows
 		u.send("mg kw%d v Ow-serve-%d Pc=read,t=shops,d=1900\r\n", i, i)
 		if line := u.line(); strings.HasPrefix(line, "VA ") {
 			u.line()
 		}
 	}
 	sent := 0
-	for class, request := range classes {
-		for _, kind := range []scriptednode.Reaction{scriptednode.Reset, scriptednode.TruncatedAnswer, scriptednode.Garbage, scriptednode.OtherAnswer, scriptednode.DuplicateAnswer, scriptednode.EndlessValue, scriptednode.Fail, scriptednode.Hang} {
+	for effect, request := range requestsByEffect {
+		for _, kind := range failingReactions {
 			for i := range 3 {
-				id := fmt.Sprintf("%s-%s-%d", strings.ReplaceAll(class, " ", ""), kind, i)
-				u := f.connect()
-				u.send("%s", strings.ReplaceAll(request(id), "d=1900", "d=400"))
+				id := fmt.Sprintf("%s-%s-%d", strings.ReplaceAll(effect, " ", ""), kind, i)
+				expectOneResponse(h.connect(), id, strings.ReplaceAll(request(id), "d=1900", "d=400"), kind)
 				sent++
-				switch got := u.line(); {
-				case strings.HasPrefix(got, "VA ") && strings.HasSuffix(got, " O"+id):
-					if u.line(); kind != scriptednode.DuplicateAnswer && kind != scriptednode.TruncatedAnswer {
-						t.Errorf("%s: served", id)
-					}
-				case strings.HasPrefix(got, "HD O"+id):
-					if kind != scriptednode.DuplicateAnswer && kind != scriptednode.TruncatedAnswer {
-						t.Errorf("%s: served", id)
-					}
-				case !strings.HasPrefix(got, "SERVER_ERROR "):
-					t.Errorf("%s: answered %q", id, got)
-				}
-				u.send("mn\r\n")
-				u.expect("MN") // and no second answer before it
-				u.socket.Close()
 			}
 		}
 	}
-	testutil.WaitUntil(t, "nothing to be open", func() bool { return f.server.core.InFlight() == 0 })
-	times := make(map[string]int)
-	for _, a := range nodes.Requests() {
-		if times[a.ID]++; a.Class == "put" && a.Idempotency == "" {
-			t.Errorf("%s came without its key", a.ID)
+	testutil.WaitUntil(t, "nothing to be in flight", func() bool { return h.server.core.InFlight() == 0 })
+	attempts := make(map[string]int)
+	for _, request := range nodes.Requests() {
+		attempts[request.ID]++
+		if request.Class == "put" && request.Idempotency == "" {
+			t.Errorf("%s came without its key", request.ID)
 		}
 	}
-	for id, n := range times {
+	for id, n := range attempts {
 		if strings.HasPrefix(id, "unsafe") && n > 1 {
-			t.Errorf("%s came to nodes %d times", id, n)
+			t.Errorf("%s reached nodes %d times", id, n)
 		}
 	}
-	if len(times) < sent/2 {
-		t.Errorf("%d requests came to nodes, of %d", len(times), sent)
+	if len(attempts) < sent/2 {
+		t.Errorf("%d requests reached nodes, of %d", len(attempts), sent)
 	}
 }
 
-// TestHeldForANodeOfWhoLeft: a request waits between tries, as there is no node, and its client leaves. When one is there, nothing of it
-// is sent.
-func TestHeldForANodeOfWhoLeft(t *testing.T) {
-	everyCase(t, []string{"safe", "keyed", "unsafe"}, func(t *testing.T, request func(string) string, leave func(net.Conn)) {
-		var came recorder
-		address := startNode(t, func(c command) {
-			came.note(c.id)
+// failingReactions are the ways in which a node breaks its connection, or keeps a request from being served.
+var failingReactions = []scriptednode.Reaction{
+	scriptednode.Reset, scriptednode.TruncatedAnswer, scriptednode.Garbage, scriptednode.OtherAnswer,
+	scriptednode.DuplicateAnswer, scriptednode.EndlessValue, scriptednode.Fail, scriptednode.Hang,
+}
+
+// expectOneResponse sends a request whose node fails in a way, and expects one response that fits it.
+func expectOneResponse(u *client, id, command string, kind scriptednode.Reaction) {
+	u.t.Helper()
+	mayBeServed := kind == scriptednode.DuplicateAnswer || kind == scriptednode.TruncatedAnswer
+	u.send("%s", command)
+	switch got := u.line(); {
+	case strings.HasPrefix(got, "VA ") && strings.HasSuffix(got, " O"+id):
+		u.line()
+		if !mayBeServed {
+			u.t.Errorf("%s: served", id)
+		}
+	case strings.HasPrefix(got, "HD O"+id):
+		if !mayBeServed {
+			u.t.Errorf("%s: served", id)
+		}
+	case !strings.HasPrefix(got, "SERVER_ERROR "):
+		u.t.Errorf("%s: got %q", id, got)
+	}
+	u.send("mn\r\n")
+	u.expect("MN") // and no second response before it
+	u.socket.Close()
+}
+
+// TestQueuedRequestOfDisconnectedClientIsDropped: a request waits between attempts, as there is no node, and its
+// client disconnects. It is not sent once there is a node.
+func TestQueuedRequestOfDisconnectedClientIsDropped(t *testing.T) {
+	effects := []string{"safe", "keyed", "unsafe"}
+	forEachDisconnect(t, effects, func(t *testing.T, request func(string) string, disconnect func(net.Conn)) {
+		var received idRecorder
+		address := startNode(t, func(c nodeCommand) {
+			received.add(c.id)
 			c.serve()
 		})
-		f := startFleetWith(t, 256, once)
-		bodies := f.server.listeners[0].host.BodyBudget.Available()
-		u := f.connect()
+		h := startHarnessWith(t, 256, withUnsafeClass)
+		budget := h.bodyBudget()
+		u := h.connect()
 		u.send("%s", request("x"))
-		testutil.WaitUntil(t, "the request to wait", func() bool { return f.server.core.InFlight() == 1 })
-		leave(u.socket)
-		testutil.WaitUntil(t, "the proxy to let go of it", func() bool { clients, _ := f.server.Load(); return clients == 0 })
-		f.idle(t, bodies)
+		testutil.WaitUntil(t, "the request to wait", func() bool { return h.server.core.InFlight() == 1 })
+		disconnect(u.socket)
+		h.waitNoClients(t)
+		h.waitReleased(t, budget)
 		service := endpointlist.New([]endpointlist.Entry{{Name: "n", Address: address, Status: "up", Weight: 1}})
 		t.Cleanup(service.Close)
 		at, err := service.Open(0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		next := *f.server.config
+		next := *h.server.config
 		next.ListSources = []discovery.SourceConfig{{Address: at}}
-		f.server.ReloadSources(&next)
-		other := f.connect()
-		for i := 0; ; i++ {
-			if other.read(fmt.Sprint("other", i)); strings.HasPrefix(other.line(), "VA ") {
-				break
-			}
-		}
-		for _, id := range came.all() {
+		h.server.ReloadSources(&next)
+		h.readUntilServed()
+		for _, id := range received.list() {
 			if id == "x" {
-				t.Error("it was sent on, which nobody waited for")
+				t.Error("the request was sent, for which no client waited")
 			}
 		}
 	})
--- /dev/null
+++ b/internal/proxy/handover_test.go
@@ -0,0 +1,105 @@
+package proxy_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	codec "mulleinpier/internal/binary"
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/fake/rawclient"
+	"mulleinpier/internal/testutil"
+)
+
+// setFault makes all nodes fail in a way.
+func (f *nodeFleet) setFault(kind node.FaultKind) {
+	f.t.Helper()
+	for _, n := range f.nodes {
+		if err := n.SetFault(node.Fault{Kind: kind}); err != nil {
+			f.t.Fatal(err)
+		}
+	}
+}
+
+// expectEffects waits until a write of a value has taken effect so many times.
+func (f *nodeFleet) expectEffects(want int, key, value string) {
+	f.t.Helper()
+	testutil.WaitUntil(f.t, fmt.Sprintf("%s to have taken effect %d times", value, want), func() bool {
+		return f.origin.EffectCount(key, value) == want
+	})
+}
+
+// TestRepeatedHandoverTakesEffectOnce plays clients whose handover's response is lost with its connection, or is a
+// failure, and who ask another proxy with the same ticket: within the window and long after it, in the order of the
+// table in the design note.
+func TestRepeatedHandoverTakesEffectOnce(t *testing.T) {
+	f := startNodes(t)
+	a, b := startProxy(t, f.addresses, "[binary]\n"), startProxy(t, f.addresses, "[binary]\n")
+	expectRepeatAfterCut(f, a, b)
+	expectRepeatAfterFailure(f, a, b)
+	expectDifferentHandovers(f, a, b)
+}
+
+// expectRepeatAfterCut repeats a handover whose connection ended with it in flight.
+func expectRepeatAfterCut(f *nodeFleet, a, b *testProxy) {
+	f.t.Helper()
+	first, second := a.dial(), b.dial()
+	ticket := first.readTicket("order1")
+	first.send(setCommand("order1", "cut", ticket))
+	first.Socket.Close()
+	second.send(setCommand("order1", "cut", ticket))
+	second.next(codec.OK, setOpaque)
+	f.expectEffects(1, "order1", "cut")
+}
+
+// expectRepeatAfterFailure has all nodes carry a handover out and reset: the proxy tries others and fails, so the
+// client asks the other proxy. Long after, no node drops the repeat any more, so it must not reach one.
+func expectRepeatAfterFailure(f *nodeFleet, a, b *testProxy) {
+	f.t.Helper()
+	first, second := a.dial(), b.dial()
+	ticket := first.readTicket("order2")
+	repeat := setCommand("order2", "reset", ticket)
+	f.setFault(node.Reset)
+	first.send(repeat)
+	r, err := rawclient.ReadResponse(first.Reader)
+	if err != nil || r.Status == codec.OK || r.Status == codec.Busy {
+		f.t.Fatalf("%+v, %v: want a failure, as it may have taken effect", r, err)
+	}
+	f.setFault(node.NoFault)
+	second.send(repeat)
+	second.next(codec.OK, setOpaque)
+	f.expectEffects(1, "order2", "reset")
+	testutil.WaitUntil(f.t, "the ticket to be rejected", func() bool {
+		second.send(repeat)
+		r, err := rawclient.ReadResponse(second.Reader)
+		return err == nil && r.Status == codec.Exists
+	})
+	time.Sleep(window)
+	second.send(repeat)
+	second.next(codec.Exists, setOpaque)
+	if n := f.origin.EffectCount("order2", "reset"); n != 1 {
+		f.t.Fatalf("took effect %d times", n)
+	}
+}
+
+// expectDifferentHandovers sends handovers that differ by value or by ticket: all take effect. One whose CAS is no
+// ticket, or that of another server, reaches no node.
+func expectDifferentHandovers(f *nodeFleet, a, b *testProxy) {
+	f.t.Helper()
+	first, second := a.dial(), b.dial()
+	ticket := first.readTicket("order3")
+	first.send(setCommand("order3", "left at door", ticket))
+	first.next(codec.OK, setOpaque)
+	second.send(setCommand("order3", "handed over", ticket))
+	second.next(codec.OK, setOpaque)
+	again := second.readTicket("order3")
+	second.send(setCommand("order3", "left at door", again))
+	second.next(codec.OK, setOpaque)
+	f.expectEffects(2, "order3", "left at door")
+	f.expectEffects(1, "order3", "handed over")
+	for _, cas := range []uint64{1, 12345, 1<<64 - 1} {
+		first.send(setCommand("order4", "made up", cas))
+		first.next(codec.Exists, setOpaque)
+	}
+	f.expectEffects(0, "order4", "made up")
+}
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -58,7 +58,8 @@
 		{"limits.sockets", now.MaxDescriptors, next.MaxDescriptors},
 	} {
 		if setting.now != setting.next {
-			changes = append(changes, fmt.Sprintf("%s (in force %v, asked for %v)", setting.key, setting.now, setting.next))
+			change := fmt.Sprintf("%s (in force %v, asked for %v)", setting.key, setting.now, setting.next)
+			changes = append(changes, change)
 		}
 	}
 	return changes
@@ -76,7 +77,8 @@
 // ChangesNeedingRestart returns the parts of a platform configuration that differ in next and cannot change in
 // service.
 func (c *Config) ChangesNeedingRestart(next *Config) (changed []string) {
-	limitsDiffer := c.Cores != next.Cores || c.MemoryBytes != next.MemoryBytes || c.MaxDescriptors != next.MaxDescriptors
+	limitsDiffer := c.Cores != next.Cores || c.MemoryBytes != next.MemoryBytes ||
+		c.MaxDescriptors != next.MaxDescriptors
 	for name, differs := range map[string]bool{
 		"name":     c.Name != next.Name,
 		"listen":   c.Listen != next.Listen,
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -16,114 +16,148 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestReloadBetweenSources moves a proxy under load from the platform's source to Consul
-// and back. Each has the same first node and another second one, so a move shows; no
-// request is lost, and what only the old source had gets nothing once the new one has told.
-func TestReloadBetweenSources(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 3, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Serve })
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(nodes.Close)
-	port := func(i int) (host string, port int) {
+// drainRule is the time within which a node that leaves gets no new requests any more.
+const drainRule = 500 * time.Millisecond
+
+// startConsul starts an agent whose catalogue lists some nodes as n0, n1 and so on.
+func startConsul(t *testing.T, nodes *scriptednode.Nodes, numbers ...int) (*consul.Catalogue, *consul.Agent) {
+	t.Helper()
+	catalogue := consul.New()
+	for _, i := range numbers {
 		host, text, _ := strings.Cut(nodes.Address(i), ":")
+		var port int
 		fmt.Sscan(text, &port)
-		return host, port
-	}
-	entry := func(i int) endpointlist.Entry {
-		return endpointlist.Entry{Name: fmt.Sprint("n", i), Address: nodes.Address(i), Status: "up", Weight: 1}
+		name := fmt.Sprint("n", i)
+		catalogue.Set(consul.Instance{
+			Node: "host", ID: name, Service: "cache", Address: host, Port: port, Meta: map[string]string{"name": name},
+		})
 	}
-	service := endpointlist.New([]endpointlist.Entry{entry(0), entry(1)})
-	t.Cleanup(service.Close)
-	at, err := service.Open(0)
+	agent, err := catalogue.Start("here", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := consul.New()
-	for _, i := range []int{0, 2} {
-		host, port := port(i)
-		c.Set(consul.Instance{Node: "host", ID: fmt.Sprint("n", i), Service: "cache", Address: host, Port: port, Meta: map[string]string{"name": fmt.Sprint("n", i)}})
+	t.Cleanup(agent.Close)
+	return catalogue, agent
+}
+
+// startEndpointList starts a list service with some nodes as n0, n1 and so on, and returns its address.
+func startEndpointList(t *testing.T, nodes *scriptednode.Nodes, numbers ...int) string {
+	t.Helper()
+	var entries []endpointlist.Entry
+	for _, i := range numbers {
+		entries = append(entries, endpointlist.Entry{
+			Name: fmt.Sprint("n", i), Address: nodes.Address(i), Status: "up", Weight: 1,
+		})
 	}
-	agent, err := c.Start("here", "")
+	service := endpointlist.New(entries)
+	t.Cleanup(service.Close)
+	address, err := service.Open(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(agent.Close)
-	platform := fmt.Sprintf("[nodes]\ndiscovery = %q\n", at)
-	catalogue := fmt.Sprintf("[nodes]\nconsul = %q\n[consul]\nservice = \"cache\"\n", agent.Address())
-	g := startWith(t, platform)
-	testutil.Receive(t, "the first list", closed(g.server.EndpointListReady()))
-	var stop atomic.Bool
-	var served, refused atomic.Int64
-	var clients sync.WaitGroup
-	for i := range 4 {
-		clients.Go(func() {
-			l, err := rawclient.Dial(scriptednode.Meta, g.server.Address().String(), 2*testutil.Timeout)
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			defer l.Socket.Close()
-			for n := 0; !stop.Load(); n++ {
-				if err := l.Read(fmt.Sprintf("k%d.%d", i, n%100)); err != nil {
-					t.Error(err)
-					return
-				}
-				switch a, err := l.Next(); {
-				case err != nil:
-					t.Errorf("lost: %v", err)
-					return
-				case a.Kind == request.Value:
-					served.Add(1)
-				default:
-					refused.Add(1)
-				}
-			}
-		})
+	return address
+}
+
+// lastRequest returns when a node last received a request, the zero time for never.
+func lastRequest(nodes *scriptednode.Nodes, number int) (at time.Time) {
+	for _, r := range nodes.Requests() {
+		if r.Node == number {
+			at = r.At
+		}
+	}
+	return at
+}
+
+// loadClients are clients that read without a pause.
+type loadClients struct {
+	t                *testing.T
+	served, rejected atomic.Int64
+	stopping         atomic.Bool
+	running          sync.WaitGroup
+}
+
+func startLoad(t *testing.T, p *testProxy, count int) *loadClients {
+	l := &loadClients{t: t}
+	for i := range count {
+		l.running.Go(func() { l.run(p, i) })
 	}
-	more := func() {
-		t.Helper()
-		before := served.Load()
-		testutil.WaitUntil(t, "requests to be served", func() bool { return served.Load() > before+500 })
+	return l
+}
+
+func (l *loadClients) run(p *testProxy, number int) {
+	c, err := rawclient.Dial(scriptednode.Meta, p.server.Address().String(), 2*testutil.Timeout)
+	if err != nil {
+		l.t.Error(err)
+		return
 	}
-	// last returns when a node was last asked.
-	last := func(node int) (at time.Time) {
-		for _, a := range nodes.Requests() {
-			if a.Node == node {
-				at = a.At
-			}
+	defer c.Socket.Close()
+	for n := 0; !l.stopping.Load(); n++ {
+		if err := c.Read(fmt.Sprintf("k%d.%d", number, n%100)); err != nil {
+			l.t.Error(err)
+			return
+		}
+		switch response, err := c.Next(); {
+		case err != nil:
+			l.t.Errorf("request lost: %v", err)
+			return
+		case response.Kind == request.Value:
+			l.served.Add(1)
+		default:
+			l.rejected.Add(1)
 		}
-		return at
 	}
-	more()
+}
+
+// awaitServed waits until some more requests have been served.
+func (l *loadClients) awaitServed() {
+	l.t.Helper()
+	before := l.served.Load()
+	testutil.WaitUntil(l.t, "requests to be served", func() bool { return l.served.Load() > before+500 })
+}
+
+func (l *loadClients) stop() {
+	l.stopping.Store(true)
+	l.running.Wait()
+}
+
+// TestReloadBetweenSources moves a proxy under load from the platform's source to Consul and back. Both have the
+// same first node and different second ones, so a move shows; no request is lost, and a node that only the former
+// source lists gets no request once the new source has delivered its list.
+func TestReloadBetweenSources(t *testing.T) {
+	nodes := startScriptedNodes(t, scriptednode.Meta, 3)
+	_, agent := startConsul(t, nodes, 0, 2)
+	platform := fmt.Sprintf("[nodes]\ndiscovery = %q\n", startEndpointList(t, nodes, 0, 1))
+	catalogue := fmt.Sprintf("[nodes]\nconsul = %q\n[consul]\nservice = \"cache\"\n", agent.Address())
+	p := startTestProxy(t, "", platform)
+	testutil.Receive(t, "the first list", valueOnClose(p.server.EndpointListReady()))
+	load := startLoad(t, p, 4)
+	load.awaitServed()
 	for range 2 {
-		for _, k := range []struct {
-			to       string
-			old, new int
+		for _, move := range []struct {
+			to                  string
+			formerNode, newNode int
 		}{{catalogue, 1, 2}, {platform, 2, 1}} {
-			moved := time.Now()
-			if err := g.server.Reload(g.config(k.to).Proxy); err != nil {
-				t.Fatal(err)
-			}
-			testutil.WaitUntil(t, "the new source's node to be asked", func() bool { return last(k.new).After(moved) })
-			// Nothing new half a second after the list was in force.
-			time.Sleep(500 * time.Millisecond)
-			quiet := time.Now()
-			more()
-			if at := last(k.old); at.After(quiet) {
-				t.Errorf("a node that only the old source had was asked %v later", at.Sub(quiet))
+			movedAt := time.Now()
+			p.reload(move.to)
+			testutil.WaitUntil(t, "a request to the node of the new source", func() bool {
+				return lastRequest(nodes, move.newNode).After(movedAt)
+			})
+			time.Sleep(drainRule) // from when the list was in force
+			quietFrom := time.Now()
+			load.awaitServed()
+			if at := lastRequest(nodes, move.formerNode); at.After(quietFrom) {
+				t.Errorf("a node that only the former source lists got a request %v later", at.Sub(quietFrom))
 			}
 		}
 	}
-	stop.Store(true)
-	clients.Wait()
-	if refused.Load() > served.Load()/10 {
-		t.Errorf("%d refused, %d served", refused.Load(), served.Load())
+	load.stop()
+	if served, rejected := load.served.Load(), load.rejected.Load(); rejected > served/10 {
+		t.Errorf("%d rejected, %d served", rejected, served)
 	}
 }
 
-// closed turns a channel that is closed into one that brings a value.
-func closed(c <-chan struct{}) <-chan struct{} {
+// valueOnClose turns a channel that is closed into one that brings a value.
+func valueOnClose(c <-chan struct{}) <-chan struct{} {
 	out := make(chan struct{}, 1)
 	go func() {
 		<-c
@@ -132,85 +166,101 @@
 	return out
 }
 
-// TestListsThatCollapse plays at the sockets what membership decides of an agent whose
-// list is empty for a moment and for good, and of one that truly loses most of its nodes.
-func TestListsThatCollapse(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 4, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Serve })
+// singleClient is a client that sends one read after another.
+type singleClient struct {
+	t *testing.T
+	*rawclient.Client
+}
+
+func dialSingle(t *testing.T, p *testProxy) singleClient {
+	t.Helper()
+	c, err := rawclient.Dial(scriptednode.Meta, p.server.Address().String(), 4*testutil.Timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(nodes.Close)
-	c := consul.New()
-	for i := range 4 {
-		host, text, _ := strings.Cut(nodes.Address(i), ":")
-		var port int
-		fmt.Sscan(text, &port)
-		c.Set(consul.Instance{Node: "host", ID: fmt.Sprint("n", i), Service: "cache", Address: host, Port: port})
-	}
-	agent, err := c.Start("here", "")
-	if err != nil {
-		t.Fatal(err)
+	t.Cleanup(func() { c.Socket.Close() })
+	return singleClient{t, c}
+}
+
+// get reads a key and returns the kind of the response.
+func (c singleClient) get(key string) request.AnswerKind {
+	c.t.Helper()
+	if err := c.Read(key); err != nil {
+		c.t.Fatal(err)
 	}
-	t.Cleanup(agent.Close)
-	g := startWith(t, fmt.Sprintf("[nodes]\nconsul = %q\n[consul]\nservice = \"cache\"\n[consul.list]\nfailing_time = \"2s\"\n", agent.Address()))
-	testutil.Receive(t, "the first list", closed(g.server.EndpointListReady()))
-	l, err := rawclient.Dial(scriptednode.Meta, g.server.Address().String(), 4*testutil.Timeout)
+	response, err := c.Next()
 	if err != nil {
-		t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	defer l.Socket.Close()
-	ask := func(key string) request.AnswerKind {
-		t.Helper()
-		if err := l.Read(key); err != nil {
-			t.Fatal(err)
-		}
-		a, err := l.Next()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return a.Kind
-	}
-	steady := func(d time.Duration) {
-		t.Helper()
-		for until, i := time.Now().Add(d), 0; time.Now().Before(until); i++ {
-			if ask(fmt.Sprint("k", i%50)) != request.Value {
-				t.Fatal("a request was not served")
-			}
-			time.Sleep(2 * time.Millisecond)
+	return response.Kind
+}
+
+// expectServed expects all reads to be served for a time.
+func (c singleClient) expectServed(d time.Duration) {
+	c.t.Helper()
+	for until, i := time.Now().Add(d), 0; time.Now().Before(until); i++ {
+		if c.get(fmt.Sprint("k", i%50)) != request.Value {
+			c.t.Fatal("a request was not served")
 		}
+		time.Sleep(2 * time.Millisecond)
 	}
-	steady(300 * time.Millisecond)
+}
+
+// TestCollapsedListsAtSockets checks at the sockets what membership decides of an agent whose list is empty for a
+// moment and for good, and of one that correctly loses most of its nodes.
+func TestCollapsedListsAtSockets(t *testing.T) {
+	nodes := startScriptedNodes(t, scriptednode.Meta, 4)
+	catalogue, agent := startConsul(t, nodes, 0, 1, 2, 3)
+	p := startTestProxy(t, "", fmt.Sprintf(
+		"[nodes]\nconsul = %q\n[consul]\nservice = \"cache\"\n[consul.list]\nfailing_time = \"2s\"\n", agent.Address()))
+	testutil.Receive(t, "the first list", valueOnClose(p.server.EndpointListReady()))
+	c := dialSingle(t, p)
+	c.expectServed(300 * time.Millisecond)
+	expectEmptyListIsConfirmed(t, agent, c)
+	expectRemovalWithinDrainRule(t, nodes, catalogue, agent, c)
+}
+
+// expectEmptyListIsConfirmed makes the list empty for a second, which changes nothing, and then for good.
+func expectEmptyListIsConfirmed(t *testing.T, agent *consul.Agent, c singleClient) {
+	t.Helper()
 	queries, _, _ := agent.Stats()
 	agent.SetFault(consul.EmptyList)
-	testutil.WaitUntil(t, "the empty list to be told, and looked at again", func() bool {
-		_, looks, _ := agent.Stats()
-		return looks > 0
+	testutil.WaitUntil(t, "the empty list to be fetched again", func() bool {
+		_, consistentQueries, _ := agent.Stats()
+		return consistentQueries > 0
 	})
-	steady(time.Second)
+	c.expectServed(time.Second)
 	agent.SetFault(consul.NoFault)
-	steady(2500 * time.Millisecond) // past the time of the doubt, which is over
+	c.expectServed(2500 * time.Millisecond) // past failing_time
 	agent.SetFault(consul.EmptyList)
-	testutil.WaitUntil(t, "an empty list to be believed after all", func() bool { return ask("k") == request.Busy })
+	testutil.WaitUntil(t, "the empty list to be effective after all", func() bool { return c.get("k") == request.Busy })
 	agent.SetFault(consul.NoFault)
-	testutil.WaitUntil(t, "the nodes to be back", func() bool { return ask("k") == request.Value })
+	testutil.WaitUntil(t, "the nodes to be back", func() bool { return c.get("k") == request.Value })
 	if now, _, _ := agent.Stats(); now <= queries {
-		t.Error("the agent was never asked")
+		t.Error("the agent was never queried")
 	}
-	// Three of four leave at once while their processes run on.
-	for i := range 3 {
-		c.Remove("host", fmt.Sprint("n", i))
+}
+
+// expectRemovalWithinDrainRule removes three of four nodes at once while their processes run on.
+func expectRemovalWithinDrainRule(
+	t *testing.T, nodes *scriptednode.Nodes, catalogue *consul.Catalogue, agent *consul.Agent, c singleClient,
+) {
+	t.Helper()
+	const removed, slack = 3, 50 * time.Millisecond
+	for i := range removed {
+		catalogue.Remove("host", fmt.Sprint("n", i))
 	}
-	var told time.Time
-	testutil.WaitUntil(t, "the agent to have written it", func() bool {
-		ask("k")
+	var writtenAt time.Time
+	testutil.WaitUntil(t, "the agent to have written the removal", func() bool {
+		c.get("k")
 		at, ok := agent.LeavingWrittenAt("host", "n0")
-		told = at
+		writtenAt = at
 		return ok
 	})
-	steady(time.Until(told.Add(time.Second)))
-	for _, a := range nodes.Requests() {
-		if by := a.At.Sub(told); a.Node < 3 && by > 550*time.Millisecond {
-			t.Fatalf("node %d was asked %v after the agent had written that it is gone", a.Node, by)
+	c.expectServed(time.Until(writtenAt.Add(time.Second)))
+	for _, r := range nodes.Requests() {
+		if after := r.At.Sub(writtenAt); r.Node < removed && after > drainRule+slack {
+			t.Fatalf("node %d got a request %v after the agent had written that it is gone", r.Node, after)
 		}
 	}
 }
--- /dev/null
+++ b/internal/proxy/users_test.go
@@ -0,0 +1,115 @@
+package proxy_test
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	codec "mulleinpier/internal/binary"
+	"mulleinpier/internal/fake/rawclient"
+	"mulleinpier/internal/sasl"
+	"mulleinpier/internal/testutil"
+)
+
+// writeUsers writes a file of users.
+func writeUsers(t *testing.T, path string, secrets map[string]string) {
+	t.Helper()
+	var text string
+	for name, secret := range secrets {
+		line, err := sasl.FormatUser(name, secret, 1000, [16]byte{1})
+		if err != nil {
+			t.Fatal(err)
+		}
+		text += line + "\n"
+	}
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// tillOnlyConfig is a configuration with a file of users, of which one has a route.
+func tillOnlyConfig(usersPath string) string {
+	const text = `[binary]
+users = "USERS"
+[[route]]
+user = "till"
+class = "read"
+`
+	return strings.Replace(text, "USERS", usersPath, 1)
+}
+
+const authOpaque = 9
+
+func authCommand(user, secret string) []byte {
+	return rawclient.AppendSASLPlain(nil, user, secret, authOpaque)
+}
+
+// TestReloadWithConnectionsOpen changes the routing table and a secret under connections that are open: routes are in
+// force from the next command, and a session of the former secret must authenticate again.
+func TestReloadWithConnectionsOpen(t *testing.T) {
+	f := startNodes(t)
+	file := filepath.Join(t.TempDir(), "users")
+	writeUsers(t, file, map[string]string{"till": "rose", "boss": "lily"})
+	text := tillOnlyConfig(file)
+	p := startProxy(t, f.addresses, text)
+	till := p.dial()
+	till.send(getCommand("k", 1), emptyCommand(codec.Version, 2), emptyCommand(codec.SASLList, 3))
+	till.next(codec.AuthError, 1) // before authentication only these are served
+	till.next(codec.OK, 2)
+	till.next(codec.OK, 3)
+	till.send(authCommand("till", "rose"), getCommand("k", 4))
+	till.next(codec.OK, authOpaque)
+	till.next(codec.OK, 4)
+	boss := p.dial()
+	boss.send(authCommand("boss", "lily"), getCommand("k", 4))
+	boss.next(codec.OK, authOpaque)
+	boss.next(codec.NotSupported, 4) // it has no route
+	p.reload(text + "[[route]]\nprefix = \"k\"\nuser = \"boss\"\nclass = \"read\"\n")
+	boss.send(getCommand("k", 5), getCommand("other", 6))
+	boss.next(codec.OK, 5)
+	boss.next(codec.NotSupported, 6)
+	writeUsers(t, file, map[string]string{"till": "aster", "boss": "lily"})
+	p.reload(text)
+	till.send(getCommand("k", 7), authCommand("till", "rose"), authCommand("till", "aster"), getCommand("k", 8))
+	till.next(codec.AuthError, 7)
+	till.next(codec.AuthError, authOpaque)
+	till.next(codec.OK, authOpaque)
+	till.next(codec.OK, 8)
+	boss.send(getCommand("k", 7)) // the same secret, and the first table again
+	boss.next(codec.NotSupported, 7)
+}
+
+// TestPasswordGuessing guesses from many connections. Each is closed after three guesses, known and unknown users
+// get the same response, and past the allowance not even the right secret is checked, so that guessing on is no
+// use.
+func TestPasswordGuessing(t *testing.T) {
+	f := startNodes(t)
+	file := filepath.Join(t.TempDir(), "users")
+	writeUsers(t, file, map[string]string{"till": "rose"})
+	p := startProxy(t, f.addresses, tillOnlyConfig(file))
+	var responses []string
+	for i := range 12 {
+		c := p.dial()
+		for range 3 {
+			c.send(authCommand([]string{"till", "nobody"}[i%2], "guess"))
+			r := c.next(codec.AuthError, authOpaque)
+			responses = append(responses, r.Value)
+		}
+		c.expectEnd()
+	}
+	for _, text := range responses {
+		if text != responses[0] {
+			t.Errorf("one guess got %q, another %q", text, responses[0])
+		}
+	}
+	c := p.dial()
+	c.send(authCommand("till", "rose"))
+	c.next(codec.AuthError, authOpaque)
+	testutil.WaitUntil(t, "the allowance to be restored", func() bool {
+		c := p.dial()
+		c.send(authCommand("till", "rose"))
+		r, err := rawclient.ReadResponse(c.Reader)
+		return err == nil && r.Status == codec.OK
+	})
+}
