--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -12,109 +12,134 @@
 	"github.com/BurntSushi/toml"
 )
 
-// A configuration is read at a time when the daemon serves: a file that never
-// ends must not take its memory.
-const mostBytes = 4 << 20
+// maxFileBytes bounds a file: the daemon serves while it reads one, and an endless file must not take its memory.
+const maxFileBytes = 4 << 20
 
-// defects gathers what is wrong with a file.
-type defects struct {
-	file string
-	list []error
+// errorList collects the errors of a file.
+type errorList struct {
+	file   string
+	errors []error
 }
 
-func (d *defects) add(key, format string, a ...any) {
-	d.list = append(d.list, fmt.Errorf("%s: %s %s", d.file, key, fmt.Sprintf(format, a...)))
+// add adds an error of a key.
+func (l *errorList) add(key, format string, args ...any) {
+	l.errors = append(l.errors, fmt.Errorf("%s: %s %s", l.file, key, fmt.Sprintf(format, args...)))
 }
 
-func (d *defects) err() error { return errors.Join(d.list...) }
+// addError adds an error that names its key itself.
+func (l *errorList) addError(err error) {
+	l.errors = append(l.errors, fmt.Errorf("%s: %w", l.file, err))
+}
+
+// addDuplicates adds an error for each name that is in a list of a key before.
+func (l *errorList) addDuplicates(key string, names []string) {
+	for i, name := range names {
+		if name != "" && slices.Contains(names[:i], name) {
+			l.add(key, "has %q twice: want each once", name)
+		}
+	}
+}
 
-// table is a table of the file whose keys are asked for one by one. What was
-// never asked for is unknown. A value that can't be meant is a defect, and the
-// default stands in for it, so that reading goes on to the next.
+func (l *errorList) count() int { return len(l.errors) }
+
+// err returns all errors joined, nil for none.
+func (l *errorList) err() error { return errors.Join(l.errors...) }
+
+// table is a table of the file whose keys are read one by one. A key that is never read is unknown. An invalid
+// value is an error, and the default is used in its place, so that reading goes on to the next.
 type table struct {
-	d     *defects
-	path  string // with a dot behind, or ""
-	value map[string]any
-	asked []string
+	errors *errorList
+	prefix string // of its keys, with a dot at the end, or ""
+	value  map[string]any
+	read   []string // keys
 }
 
-// load returns the text of a file.
-func load(path string) (string, error) {
+// readFile returns the text of a file.
+func readFile(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return "", err // names the file
+		return "", err // it names the file
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return "", err
 	}
-	if len(text) > mostBytes {
-		return "", fmt.Errorf("%s: more than %d bytes", path, mostBytes)
+	if len(text) > maxFileBytes {
+		return "", fmt.Errorf("%s: more than %d bytes", path, maxFileBytes)
 	}
 	if len(text) == 0 {
-		return "", fmt.Errorf("%s: is empty", path) // being written
+		return "", fmt.Errorf("%s: is empty", path) // it is being written
 	}
 	return string(text), nil
 }
 
-// parse reads a text. Its error is one that leaves nothing to look at.
-func parse(text string, d *defects) (*table, error) {
+// parse parses a text. Its error is one that leaves nothing to read.
+func parse(text string, list *errorList) (*table, error) {
 	value := make(map[string]any)
 	if _, err := toml.Decode(text, &value); err != nil {
-		return nil, fmt.Errorf("%s: %w", d.file, err)
+		return nil, fmt.Errorf("%s: %w", list.file, err)
 	}
-	return &table{d: d, value: value}, nil
+	return &table{errors: list, value: value}, nil
 }
 
-func (t *table) key(name string) string { return t.path + name }
+// key returns the complete name of a key.
+func (t *table) key(name string) string { return t.prefix + name }
 
 func (t *table) has(name string) bool {
 	_, ok := t.value[name]
 	return ok
 }
 
-// get returns the value of a key, or false where the default stands.
+// add adds an error of a key.
+func (t *table) add(name, format string, args ...any) { t.errors.add(t.key(name), format, args...) }
+
+// get returns the value of a key, or false where the default is used.
 func (t *table) get(name string) (any, bool) {
-	t.asked = append(t.asked, name)
+	t.read = append(t.read, name)
 	v, ok := t.value[name]
 	return v, ok
 }
 
-func (t *table) wrong(name string, value any, want string) {
+// reject adds an error of a value, with what is allowed instead.
+func (t *table) reject(name string, value any, want string) {
 	if text, ok := value.(string); ok {
 		value = fmt.Sprintf("%q", text)
 	}
-	t.d.add(t.key(name), "cannot be %v: want %s", value, want)
+	t.add(name, "cannot be %v: want %s", value, want)
 }
 
-// text reads a text of which check tells what is allowed instead, or "".
-func (t *table) text(name, otherwise string, check func(string) string) string {
+// check returns what is allowed in place of a text, "" if the text is.
+type check func(text string) (want string)
+
+// text reads a text.
+func (t *table) text(name, byDefault string, check check) string {
 	v, ok := t.get(name)
 	if !ok {
-		return otherwise
+		return byDefault
 	}
 	text, ok := v.(string)
 	if !ok {
-		t.wrong(name, v, "a text")
-		return otherwise
+		t.reject(name, v, "a text")
+		return byDefault
 	}
 	if want := check(text); want != "" {
-		t.wrong(name, v, want)
-		return otherwise
+		t.reject(name, v, want)
+		return byDefault
 	}
 	return text
 }
 
-func (t *table) texts(name string, otherwise []string, check func(string) string) []string {
+// texts reads a list of texts.
+func (t *table) texts(name string, byDefault []string, check check) []string {
 	v, ok := t.get(name)
 	if !ok {
-		return otherwise
+		return byDefault
 	}
 	list, ok := v.([]any)
 	if !ok {
-		t.wrong(name, v, "a list of texts")
-		return otherwise
+		t.reject(name, v, "a list of texts")
+		return byDefault
 	}
 	var texts []string
 	for i, x := range list {
@@ -124,7 +149,7 @@
 			want = "a text"
 		}
 		if want != "" {
-			t.wrong(fmt.Sprintf("%s[%d]", name, i), x, want)
+			t.reject(fmt.Sprintf("%s[%d]", name, i), x, want)
 			continue
 		}
 		texts = append(texts, text)
@@ -132,71 +157,75 @@
 	return texts
 }
 
-func (t *table) duration(name string, otherwise, least, most time.Duration) time.Duration {
+// duration reads a duration, a text such as "200ms".
+func (t *table) duration(name string, byDefault, least, most time.Duration) time.Duration {
 	v, ok := t.get(name)
 	if !ok {
-		return otherwise
+		return byDefault
 	}
 	text, _ := v.(string)
 	d, err := time.ParseDuration(text)
 	if err != nil || d < least || d > most {
-		t.wrong(name, v, fmt.Sprintf("a duration from %v to %v, such as \"%v\"", least, most, otherwise))
-		return otherwise
+		t.reject(name, v, fmt.Sprintf("a duration from %v to %v, such as \"%v\"", least, most, byDefault))
+		return byDefault
 	}
 	return d
 }
 
-func (t *table) whole(name string, otherwise, least, most int) int {
+// integer reads a whole number.
+func (t *table) integer(name string, byDefault, least, most int) int {
 	v, ok := t.get(name)
 	if !ok {
-		return otherwise
+		return byDefault
 	}
 	n, ok := v.(int64)
 	if !ok || n < int64(least) || n > int64(most) {
-		t.wrong(name, v, fmt.Sprintf("a whole number from %d to %d", least, most))
-		return otherwise
+		t.reject(name, v, fmt.Sprintf("a whole number from %d to %d", least, most))
+		return byDefault
 	}
 	return int(n)
 }
 
-func (t *table) number(name string, otherwise, least, most float64) float64 {
+// number reads a number, with a fraction or without.
+func (t *table) number(name string, byDefault, least, most float64) float64 {
 	v, ok := t.get(name)
 	if !ok {
-		return otherwise
+		return byDefault
 	}
 	x, ok := v.(float64)
-	if n, whole := v.(int64); whole {
+	if n, isInteger := v.(int64); isInteger {
 		x, ok = float64(n), true
 	}
 	if !ok || math.IsNaN(x) || x < least || x > most {
-		t.wrong(name, v, fmt.Sprintf("a number from %v to %v", least, most))
-		return otherwise
+		t.reject(name, v, fmt.Sprintf("a number from %v to %v", least, most))
+		return byDefault
 	}
 	return x
 }
 
-func (t *table) yes(name string, otherwise bool) bool {
+// boolean reads true or false.
+func (t *table) boolean(name string, byDefault bool) bool {
 	v, ok := t.get(name)
 	if !ok {
-		return otherwise
+		return byDefault
 	}
-	yes, ok := v.(bool)
+	b, ok := v.(bool)
 	if !ok {
-		t.wrong(name, v, "true or false")
-		return otherwise
+		t.reject(name, v, "true or false")
+		return byDefault
 	}
-	return yes
+	return b
 }
 
 // table returns a table within, empty if there is none.
 func (t *table) table(name string) *table {
-	in := &table{d: t.d, path: t.key(name) + "."}
+	inner := &table{errors: t.errors, prefix: t.key(name) + "."}
 	if v, ok := t.get(name); ok {
-		if in.value, ok = v.(map[string]any); !ok {
-			t.wrong(name, v, "a table")
+		if inner.value, ok = v.(map[string]any); !ok {
+			t.reject(name, v, "a table")
 		}
 	}
-	return in
+	return inner
 }
 
 // tables returns a list of tables within.
@@ -207,24 +236,24 @@
 	}
 	values, ok := v.([]map[string]any)
 	if !ok {
-		t.wrong(name, v, "tables [["+name+"]]")
+		t.reject(name, v, "tables [["+name+"]]")
 	}
 	for i, value := range values {
-		list = append(list, &table{d: t.d, path: fmt.Sprintf("%s[%d].", t.key(name), i), value: value})
+		list = append(list, &table{errors: t.errors, prefix: fmt.Sprintf("%s[%d].", t.key(name), i), value: value})
 	}
 	return list
 }
 
-// end tells the keys that were never asked for.
-func (t *table) end() {
+// rejectUnknown adds an error for each key that was never read.
+func (t *table) rejectUnknown() {
 	var unknown []string
 	for name := range t.value {
-		if !slices.Contains(t.asked, name) {
+		if !slices.Contains(t.read, name) {
 			unknown = append(unknown, name)
 		}
 	}
 	slices.Sort(unknown)
 	for _, name := range unknown {
-		t.d.add(t.key(name), "is unknown: want one of %q", t.asked)
+		t.add(name, "is unknown: want one of %q", t.read)
 	}
 }
