--- /dev/null
+++ b/client/acquire.go
@@ -0,0 +1,170 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"mulleinpier/client/internal/balance"
+	"mulleinpier/client/internal/retry"
+)
+
+// acquired is what a call waits for before each attempt: a place on a connection, or its end.
+type acquired struct {
+	conn    *connection   // nil: the call has ended
+	sentAt  time.Duration // on the client's clock
+	timeout time.Duration // of the attempt
+	isRetry bool
+
+	result     retry.Result // of a call that has ended
+	retryAfter time.Duration
+	cause      error
+}
+
+// giveUp ends a call that gets no further attempt.
+func giveUp(r *retry.Request, outcome retry.Outcome, retryAfter time.Duration, cause error) acquired {
+	d := r.GiveUp(outcome, retryAfter)
+	return acquired{result: d.Result, retryAfter: d.RetryAfter, cause: cause}
+}
+
+// errTooManyWaiting is the cause of a call that is refused because [Options.MaxWaiting] calls wait.
+var errTooManyWaiting = errors.New("too many calls wait")
+
+// acquire waits for a place for the next attempt of a call, and starts the attempt.
+func (c *Client) acquire(
+	ctx context.Context, r *retry.Request, deadline time.Duration, avoid *balance.Proxy,
+) acquired {
+	throttleChecked := false
+	for {
+		c.mu.Lock()
+		now := c.options.clock()
+		if err := c.callErrorLocked(ctx, r, now); err != nil {
+			c.mu.Unlock()
+			return giveUp(r, retry.NotSent, 0, err)
+		}
+		if !throttleChecked && !c.throttle.Allow(now.Monotonic, c.rng) {
+			c.counters.throttled.Add(1)
+			retryAfter := time.Duration(c.rng.Int64N(int64(throttledRetryAfter))) + throttledRetryAfter/2
+			c.mu.Unlock()
+			return giveUp(r, retry.Rejected, retryAfter, nil)
+		}
+		throttleChecked = true
+		choice := c.balancer.Choose(now.Monotonic, avoid)
+		if a, done := c.actLocked(choice, r, now, deadline); done {
+			c.mu.Unlock()
+			return a
+		}
+		if c.waiters.Len() >= c.options.MaxWaiting {
+			c.mu.Unlock()
+			return giveUp(r, retry.Rejected, 0, errTooManyWaiting)
+		}
+		until := deadline
+		if choice.Kind == balance.Wait {
+			until = min(until, choice.RetryAt)
+		}
+		c.waitAndUnlock(ctx, max(until-now.Monotonic, 0))
+	}
+}
+
+// throttledRetryAfter is about the advice for a call that the client's own throttle refuses.
+const throttledRetryAfter = 500 * time.Millisecond
+
+// callErrorLocked returns why no attempt of a call can be sent at now, or nil. c.mu is held.
+func (c *Client) callErrorLocked(ctx context.Context, r *retry.Request, now retry.Timestamp) error {
+	switch {
+	case c.closed:
+		return ErrClosed
+	case ctx.Err() != nil:
+		return ctx.Err()
+	case !r.CanSend(now):
+		return context.DeadlineExceeded
+	}
+	return nil
+}
+
+// actLocked does what the balancer chose. done is false if the call has to wait. c.mu is held.
+func (c *Client) actLocked(
+	choice balance.Choice, r *retry.Request, now retry.Timestamp, deadline time.Duration,
+) (a acquired, done bool) {
+	switch choice.Kind {
+	case balance.Send:
+		if conn := c.pickConnLocked(choice.Proxy, now.Monotonic); conn != nil {
+			return c.startAttemptLocked(conn, r, now), true
+		}
+	case balance.Dial:
+		c.dialLocked(choice.Proxy)
+	case balance.AllRejecting:
+		c.counters.throttled.Add(1)
+		return giveUp(r, retry.Rejected, max(choice.RetryAt-now.Monotonic, time.Millisecond), nil), true
+	case balance.Wait:
+		// Without any connection, open or being opened, it is known now that none will come in time.
+		if choice.RetryAt >= deadline && len(c.conns) == 0 && !c.balancer.IsDialing() {
+			return giveUp(r, retry.NotSent, 0, nil), true
+		}
+	}
+	return acquired{}, false
+}
+
+// startAttemptLocked starts an attempt on a connection. c.mu is held.
+func (c *Client) startAttemptLocked(conn *connection, r *retry.Request, now retry.Timestamp) acquired {
+	timeout, _ := r.StartAttempt(now, c.budget)
+	conn.inFlight++
+	conn.awaited++
+	c.inFlight++
+	c.balancer.RequestSent(conn.proxy)
+	c.counters.tries.Add(1)
+	isRetry := r.Attempts() > 1
+	if isRetry {
+		c.counters.retries.Add(1)
+	}
+	return acquired{conn: conn, sentAt: now.Monotonic, timeout: timeout, isRetry: isRetry}
+}
+
+// waiter is one wait, for a place on a connection or for an answer.
+type waiter struct {
+	woken chan struct{} // holds one, and is sent to once
+	timer *time.Timer   // stopped while in the pool
+}
+
+var waiterPool = sync.Pool{New: func() any {
+	w := &waiter{woken: make(chan struct{}, 1), timer: time.NewTimer(time.Hour)}
+	w.timer.Stop()
+	return w
+}}
+
+// waitAndUnlock unlocks c.mu, which is held, and waits until the call is woken, a time has passed or ctx ends.
+func (c *Client) waitAndUnlock(ctx context.Context, limit time.Duration) {
+	w := waiterPool.Get().(*waiter)
+	element := c.waiters.PushBack(w)
+	c.mu.Unlock()
+	w.timer.Reset(limit)
+	woken := false
+	select {
+	case <-w.woken:
+		woken = true
+	case <-w.timer.C:
+	case <-ctx.Done():
+	}
+	w.timer.Stop()
+	if !woken {
+		c.mu.Lock()
+		select {
+		case <-w.woken: // after all; a call that ends now passes the wake-up on
+			if ctx.Err() != nil {
+				c.wakeLocked(1)
+			}
+		default:
+			c.waiters.Remove(element)
+		}
+		c.mu.Unlock()
+	}
+	waiterPool.Put(w)
+}
+
+// wakeLocked lets so many waiting calls choose again. c.mu is held.
+func (c *Client) wakeLocked(n int) {
+	for ; n > 0 && c.waiters.Len() > 0; n-- {
+		c.waiters.Remove(c.waiters.Front()).(*waiter).woken <- struct{}{}
+	}
+}
--- /dev/null
+++ b/client/attempt.go
@@ -0,0 +1,186 @@
+package client
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"mulleinpier/client/internal/balance"
+	"mulleinpier/client/internal/retry"
+	"mulleinpier/internal/request"
+)
+
+// outcomeNames are the names of outcomes in [TryInfo.Outcome]; they are part of the library's interface.
+var outcomeNames = [...]string{
+	retry.Served:          "served",
+	retry.NotFound:        "missing",
+	retry.Rejected:        "refused",
+	retry.NotSent:         "unsent",
+	retry.Invalid:         "invalid",
+	retry.Failed:          "failed",
+	retry.TimedOut:        "silent",
+	retry.ConnectionLost:  "broken",
+	retry.MalformedAnswer: "spoilt",
+	retry.Canceled:        "canceled",
+}
+
+// The states of an attempt.
+const (
+	attemptWaiting   = iota // its caller waits
+	attemptAnswered         // it has an outcome
+	attemptAbandoned        // its caller has given up; an answer is dropped
+)
+
+// attempt is one request on one connection. Its caller owns it until it is put on the connection, and again once done
+// was received from; in between the connection owns it.
+type attempt struct {
+	state atomic.Int32
+	done  chan struct{} // holds one
+
+	serial    uint64 // of its id
+	isRead    bool
+	endOffset int64 // of its last byte, in all that the connection has queued
+	sentAt    time.Duration
+	timeout   time.Duration
+	info      *TryInfo // nil without hooks
+
+	outcome    retry.Outcome
+	retryAfter time.Duration
+	value      []byte
+	receipt    string
+	cause      error
+}
+
+var attemptPool = sync.Pool{New: func() any { return &attempt{done: make(chan struct{}, 1)} }}
+
+// newAttempt takes an attempt from the pool.
+func (c *Client) newAttempt(place *acquired, wire *request.Request, info *TryInfo) *attempt {
+	t := attemptPool.Get().(*attempt)
+	t.state.Store(attemptWaiting)
+	t.serial = c.lastSerial.Add(1)
+	t.isRead = wire.Verb == request.Get
+	t.sentAt = place.sentAt
+	t.timeout = place.timeout
+	t.info = info
+	t.retryAfter = 0
+	t.value = nil
+	t.receipt = ""
+	t.cause = nil
+	return t
+}
+
+// recycle puts an attempt that no connection knows any more back into the pool.
+func (t *attempt) recycle() {
+	t.value = nil
+	t.cause = nil
+	t.info = nil
+	attemptPool.Put(t)
+}
+
+// answer copies the outcome.
+func (t *attempt) answer() answer {
+	return answer{
+		outcome:    t.outcome,
+		retryAfter: t.retryAfter,
+		value:      t.value,
+		receipt:    t.receipt,
+		cause:      t.cause,
+	}
+}
+
+// attempt makes one attempt on a connection, and returns how it ended.
+func (c *Client) attempt(ctx context.Context, place *acquired, wire *request.Request, info *TryInfo) (a answer) {
+	t := c.newAttempt(place, wire, info)
+	if info != nil {
+		info.ID = string(appendID(nil, c.idPrefix, t.serial))
+		info.ConnReused = place.conn.answers.Load() > 0
+		if hook := c.options.Trace.TryStart; hook != nil {
+			hook(*info)
+		}
+	}
+	readsOwn, ok := place.conn.send(t, wire)
+	switch {
+	case !ok:
+		a.outcome = retry.NotSent
+	case readsOwn:
+		a = place.conn.readOwnAnswer(ctx, t)
+	default:
+		a = t.await(ctx)
+	}
+	if !a.mayFollow {
+		t.recycle()
+	}
+	return a
+}
+
+// await waits for the outcome of an attempt whose answer another goroutine reads.
+func (t *attempt) await(ctx context.Context) (a answer) {
+	w := waiterPool.Get().(*waiter)
+	w.timer.Reset(t.timeout)
+	defer func() {
+		w.timer.Stop()
+		waiterPool.Put(w)
+	}()
+	select {
+	case <-t.done:
+		return t.answer()
+	case <-w.timer.C:
+		a = answer{outcome: retry.TimedOut, cause: context.DeadlineExceeded}
+	case <-ctx.Done():
+		a = contextAnswer(ctx)
+	}
+	if !t.state.CompareAndSwap(attemptWaiting, attemptAbandoned) {
+		<-t.done // the outcome came at the same moment
+		return t.answer()
+	}
+	a.mayFollow = true
+	return a
+}
+
+// attemptEnded counts how an attempt ended, and decides what follows. closed is whether the client was closed.
+func (c *Client) attemptEnded(
+	conn *connection, r *retry.Request, a *answer, now retry.Timestamp,
+) (d retry.Decision, closed bool) {
+	c.mu.Lock()
+	c.inFlight--
+	conn.awaited--
+	if conn.awaited == 0 {
+		conn.idleSince = now.Monotonic
+	}
+	if !a.mayFollow {
+		conn.inFlight--
+	}
+	c.balancer.RequestEnded(conn.proxy, now.Monotonic, balanceOutcome(a.outcome), a.retryAfter)
+	c.throttle.RecordOutcome(now.Monotonic, a.outcome)
+	if a.outcome == retry.TimedOut {
+		c.drainLocked(conn)
+	}
+	drained := conn.draining && conn.inFlight == 0
+	c.wakeLocked(1)
+	isRetry := r.Attempts() > 1
+	d = r.AttemptEnded(now, a.outcome, a.retryAfter, c.budget, c.rng)
+	if a.outcome == retry.NotSent {
+		c.counters.tries.Add(-1)
+		if isRetry {
+			c.counters.retries.Add(-1)
+		}
+	}
+	closed = c.closed
+	c.mu.Unlock()
+	if drained {
+		conn.fail(errDrained)
+	}
+	return d, closed
+}
+
+// balanceOutcome is what an attempt's outcome says of its proxy.
+func balanceOutcome(o retry.Outcome) balance.Outcome {
+	switch o {
+	case retry.TimedOut, retry.ConnectionLost, retry.MalformedAnswer:
+		return balance.Failed
+	case retry.Rejected:
+		return balance.Rejected
+	}
+	return balance.Answered
+}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -58,7 +58,7 @@
 				t.Errorf("left after Close:\n%s", left)
 			}
 		}
-		if s := c.Stats(); s.Conns+s.InFlight+s.Waiting != 0 || s.Calls != s.over() {
+		if s := c.Stats(); s.Conns+s.InFlight+s.Waiting != 0 || s.Calls != s.endedCalls() {
 			t.Errorf("after Close: %+v", s)
 		}
 	})
@@ -456,7 +456,7 @@
 	path := filepath.Join(t.TempDir(), "proxies")
 	var told atomic.Int64
 	var empty atomic.Int64
-	o := Options{Proxies: file{path, 10 * ms}, Trace: Trace{List: func(list []string, err error) {
+	o := Options{Proxies: fileSource{path, 10 * ms}, Trace: Trace{List: func(list []string, err error) {
 		if err != nil {
 			empty.Add(1)
 		} else {
@@ -506,7 +506,7 @@
 // not sent again.
 func TestClockSteps(t *testing.T) {
 	var step atomic.Int64
-	real := clock()
+	real := systemClock()
 	o := Options{clock: func() retry.Timestamp {
 		now := real()
 		now.Wall += time.Duration(step.Load())
--- /dev/null
+++ b/client/connread.go
@@ -0,0 +1,218 @@
+package client
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"time"
+
+	"mulleinpier/client/internal/retry"
+	"mulleinpier/internal/meta"
+)
+
+const readBufferBytes = 4 << 10
+
+const lineEnd = "\r\n"
+
+// popAnswered removes the attempt that was answered from the pending ones; false if the connection has ended.
+func (c *connection) popAnswered() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.err != nil {
+		return false
+	}
+	c.answeredBytes = c.pending[c.firstPending].endOffset
+	c.pending[c.firstPending] = nil
+	c.firstPending++
+	if c.firstPending == len(c.pending) {
+		c.firstPending = 0
+		c.pending = c.pending[:0]
+	}
+	c.answers.Add(1)
+	return true
+}
+
+// yieldReading gives up reading, to readLoop if there is more to read.
+func (c *connection) yieldReading() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.firstPending == len(c.pending) {
+		c.reading = false
+	} else {
+		signal(c.readWanted)
+	}
+}
+
+// setReadDeadline sets the read deadline by the client's clock, 0 for none. The caller holds reading.
+func (c *connection) setReadDeadline(at time.Duration) {
+	c.readDeadline = at
+	if at == 0 {
+		c.socket.SetReadDeadline(time.Time{})
+		return
+	}
+	c.socket.SetReadDeadline(time.Now().Add(at - c.client.options.clock().Monotonic))
+}
+
+// longPast is a read deadline that ends a read at once.
+var longPast = time.Unix(1, 0)
+
+// readOwnAnswer reads the answer to the only request on the connection for its caller, until that gives up.
+func (c *connection) readOwnAnswer(ctx context.Context, t *attempt) (a answer) {
+	if ctx.Done() != nil {
+		stop := context.AfterFunc(ctx, func() { c.socket.SetReadDeadline(longPast) })
+		defer stop()
+	}
+	deadline := t.sentAt + t.timeout
+	for {
+		err := c.readAnswer(t)
+		if err == nil {
+			a = c.partial
+			c.partial = answer{}
+			if c.popAnswered() {
+				c.yieldReading()
+				return a
+			}
+			<-t.done // the connection ended at the same moment; the answer is complete all the same
+			return a
+		}
+		if !isTimeout(err) {
+			c.fail(err)
+			<-t.done
+			return t.answer()
+		}
+		switch {
+		case ctx.Err() != nil:
+			a = contextAnswer(ctx)
+		case deadline <= c.client.options.clock().Monotonic:
+			a = answer{outcome: retry.TimedOut, cause: context.DeadlineExceeded}
+		default: // it was the deadline of a reader before this one
+			c.setReadDeadline(deadline)
+			continue
+		}
+		return c.abandonReading(t, a)
+	}
+}
+
+// abandonReading gives up waiting for an answer, with the outcome a unless the connection had another one first.
+func (c *connection) abandonReading(t *attempt, a answer) answer {
+	// The state changes before reading is given up: the next reader may find the answer at once.
+	if !t.state.CompareAndSwap(attemptWaiting, attemptAbandoned) {
+		<-t.done
+		return t.answer()
+	}
+	a.mayFollow = true
+	c.yieldReading()
+	return a
+}
+
+// contextAnswer is the outcome of an attempt whose caller's context has ended.
+func contextAnswer(ctx context.Context) answer {
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
+		return answer{outcome: retry.TimedOut, cause: ctx.Err()}
+	}
+	return answer{outcome: retry.Canceled, cause: ctx.Err()}
+}
+
+// readLoop reads for the callers that do not read themselves, until the connection ends.
+func (c *connection) readLoop() {
+	for range c.readWanted {
+		if !c.readPending() {
+			return
+		}
+	}
+}
+
+// readPending reads answers until no request is pending; false if the connection has ended.
+func (c *connection) readPending() bool {
+	for first := true; ; first = false {
+		c.mu.Lock()
+		if c.err != nil { // another goroutine may be reading still
+			c.mu.Unlock()
+			return false
+		}
+		if c.firstPending == len(c.pending) {
+			c.reading = false
+			c.mu.Unlock()
+			return true
+		}
+		t := c.pending[c.firstPending]
+		c.mu.Unlock()
+		if first {
+			c.setReadDeadline(0)
+		}
+		err := c.readAnswer(t)
+		if isTimeout(err) { // the deadline of a caller that read before
+			c.setReadDeadline(0)
+			continue
+		}
+		if err != nil {
+			c.fail(err)
+			return false
+		}
+		a := c.partial
+		c.partial = answer{}
+		if !c.popAnswered() {
+			return false
+		}
+		c.deliver(t, &a)
+	}
+}
+
+// readAnswer reads the answer to an attempt into c.partial. After a timeout it can be called again, and goes on where
+// it stopped.
+func (c *connection) readAnswer(t *attempt) error {
+	a := &c.partial
+	if !c.inValue {
+		line, err := c.readLine()
+		if err != nil {
+			return err
+		}
+		size, err := a.parseFirstLine(line, c.client.idPrefix, t)
+		c.reader.Discard(len(line) + len(lineEnd))
+		if err != nil || size < 0 {
+			return err
+		}
+		a.value = make([]byte, size+len(lineEnd))
+		c.inValue = true
+		c.valueRead = 0
+	}
+	for c.valueRead < len(a.value) {
+		n, err := c.reader.Read(a.value[c.valueRead:])
+		c.valueRead += n
+		if c.valueRead < len(a.value) && err != nil {
+			if errors.Is(err, io.EOF) {
+				return errMalformedAnswer
+			}
+			return err
+		}
+	}
+	c.inValue = false
+	size := len(a.value) - len(lineEnd)
+	if string(a.value[size:]) != lineEnd {
+		return errMalformedAnswer
+	}
+	a.value = a.value[:size:size]
+	return nil
+}
+
+// readLine returns the next line without its end, and leaves it in the buffer.
+func (c *connection) readLine() ([]byte, error) {
+	for n := 1; ; {
+		if _, err := c.reader.Peek(n); err != nil {
+			if errors.Is(err, bufio.ErrBufferFull) {
+				return nil, errMalformedAnswer
+			}
+			return nil, err
+		}
+		text, _ := c.reader.Peek(c.reader.Buffered())
+		if i := bytes.IndexByte(text, '\n'); i >= 0 {
+			if i == 0 || text[i-1] != '\r' || i > meta.MaxLine {
+				return nil, errMalformedAnswer
+			}
+			return text[:i-1], nil
+		}
+		n = len(text) + 1
+	}
+}
--- a/client/errors.go
+++ b/client/errors.go
@@ -7,45 +7,43 @@
 	"time"
 )
 
-// The kinds of errors, for [errors.Is]. What each asks of the caller is said with it.
+// The kinds of errors, for [errors.Is], and what the caller should do.
 var (
 	// ErrMiss: there is no such key.
 	ErrMiss = errors.New("no such key")
-	// ErrRefused: turned away before anything was done. Trying again is harmless, after
-	// the time that [Error.RetryAfter] tells.
+	// ErrRefused: the request was rejected before anything was done. Trying again is harmless, after the time in
+	// [Error.RetryAfter].
 	ErrRefused = errors.New("refused")
-	// ErrFailed: a read failed and there was no time, try or budget for another. Trying again
-	// is harmless; whether it helps is another matter.
+	// ErrFailed: a read failed, and there was no time, try or budget for another. Trying again is harmless, though it
+	// may not help.
 	ErrFailed = errors.New("failed")
-	// ErrDeadline: a read was not answered in time. It also is a
-	// [context.DeadlineExceeded].
+	// ErrDeadline: a read was not answered in time. The error is a [context.DeadlineExceeded] too.
 	ErrDeadline = errors.New("deadline exceeded")
-	// ErrUnknown: a write may have been carried out, or may be until [Error.Settled]. Calling
-	// Set again may do it twice: use [Client.Resolve].
+	// ErrUnknown: a write may have been carried out, or may be until [Error.Settled]. To call Set again may do it
+	// twice: use [Client.Resolve].
 	ErrUnknown = errors.New("outcome unknown")
 	// ErrUnavailable: no proxy could be reached in time, nothing was sent. Trying again is harmless.
 	ErrUnavailable = errors.New("no proxy can be reached")
-	// ErrInvalid: the key, value, class or tenant can't be sent, or the proxy says that the request can't
-	// be meant. Trying again is of no use.
+	// ErrInvalid: the key, value, class or tenant can't be sent, or the proxy called the request invalid. Trying again
+	// is useless.
 	ErrInvalid = errors.New("invalid request")
-	// ErrClosed: the client was closed. A write that was under way is [ErrUnknown] too.
+	// ErrClosed: the client was closed. A write in flight ends with [ErrUnknown] too.
 	ErrClosed = errors.New("client is closed")
 )
 
-// Error is the error of a call. It is one of the kinds above, and with a context that has
-// ended also that context's error.
+// Error is the error of a call. It is one of the kinds above, and the error of the call's context if that has ended.
 type Error struct {
 	Kind  error
 	Op    string // get or set
 	Key   string
 	Tries int // that were sent
-	// RetryAfter is when to come again, of ErrRefused; 0 for no advice.
+	// RetryAfter, of ErrRefused, is how long to wait before the call is repeated; 0 for no advice.
 	RetryAfter time.Duration
-	// Idempotency is the key of a write, "" of an unsafe one.
+	// Idempotency is the idempotency key of a write, "" of an unsafe one.
 	Idempotency string
-	// Settled, of ErrUnknown, is when nothing of the write can begin any more.
+	// Settled, of ErrUnknown, is when no try of the write can start any more.
 	Settled time.Time
-	// Cause says more, or is nil.
+	// Cause is the underlying error, or nil.
 	Cause error
 }
 
@@ -65,7 +63,7 @@
 	return b.String()
 }
 
-// Unwrap lets errors.Is and errors.As see the kind and the cause.
+// Unwrap gives the kind and the cause to errors.Is and errors.As.
 func (e *Error) Unwrap() []error {
 	if e.Cause == nil {
 		return []error{e.Kind}
--- a/client/source.go
+++ b/client/source.go
@@ -12,34 +12,34 @@
 	"time"
 )
 
-// Source tells which proxies there are.
+// Source provides the list of proxies.
 type Source interface {
-	// Follow calls tell with the whole list, host:port each, at first and at each change, until ctx
-	// ends or an error: then it is called again after a pause. An empty list is not put into force: the last
-	// one stays.
-	Follow(ctx context.Context, tell func(addresses []string)) error
+	// Follow calls update with the complete list, host:port each, first and after each change, until ctx ends or an
+	// error occurs; the client calls it again after a pause then. An empty list is not put into force: the last one
+	// stays.
+	Follow(ctx context.Context, update func(addresses []string)) error
 }
 
-type static []string
+type staticSource []string
 
-// Static is a list that does not change.
-func Static(addresses ...string) Source { return static(addresses) }
+// Static returns a list that does not change.
+func Static(addresses ...string) Source { return staticSource(addresses) }
 
-func (s static) Follow(ctx context.Context, tell func([]string)) error {
-	list, err := checked(s)
+func (s staticSource) Follow(ctx context.Context, update func([]string)) error {
+	list, err := validateAddresses(s)
 	if err != nil {
 		return err
 	}
-	tell(list)
+	update(list)
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// mostProxies bounds a list.
-const mostProxies = 4096
+// maxProxies bounds the length of a list.
+const maxProxies = 4096
 
-// checked returns a list without repetitions, or what is wrong with it.
-func checked(addresses []string) ([]string, error) {
+// validateAddresses returns a sorted list without duplicates, or what is wrong with it.
+func validateAddresses(addresses []string) ([]string, error) {
 	list := slices.Clone(addresses)
 	slices.Sort(list)
 	list = slices.Compact(list)
@@ -48,31 +48,33 @@
 			return nil, fmt.Errorf("mulleinpier: proxy %q: want host:port", a)
 		}
 	}
-	if len(list) > mostProxies {
-		return nil, fmt.Errorf("mulleinpier: %d proxies: want at most %d", len(list), mostProxies)
+	if len(list) > maxProxies {
+		return nil, fmt.Errorf("mulleinpier: %d proxies: want at most %d", len(list), maxProxies)
 	}
 	return list, nil
 }
 
-type file struct {
-	path  string
-	every time.Duration
+type fileSource struct {
+	path     string
+	interval time.Duration
 }
 
-// File is a list in a file, an address a line, with comments from # on; it is read again each second. A
-// change counts once it was read twice alike, as a file may be read half written.
-func File(path string) Source { return file{path, time.Second} }
+// filePollInterval is how often a file is read.
+const filePollInterval = time.Second
 
-// mostFile bounds a file's length in bytes.
-const mostFile = 1 << 20
+// File returns the list in a file, an address a line, with comments from # on. The file is read again each second. A
+// change is put into force once it was read twice, because the first read may have met a half-written file.
+func File(path string) Source { return fileSource{path, filePollInterval} }
 
-func (f file) read() ([]string, error) {
+const maxFileBytes = 1 << 20
+
+func (f fileSource) read() ([]string, error) {
 	text, err := os.ReadFile(f.path)
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > mostFile {
-		return nil, fmt.Errorf("mulleinpier: %s: longer than %d bytes", f.path, mostFile)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("mulleinpier: %s: longer than %d bytes", f.path, maxFileBytes)
 	}
 	var list []string
 	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
@@ -81,17 +83,17 @@
 			list = append(list, line)
 		}
 	}
-	return checked(list)
+	return validateAddresses(list)
 }
 
-func (f file) Follow(ctx context.Context, tell func([]string)) error {
+func (f fileSource) Follow(ctx context.Context, update func([]string)) error {
 	list, err := f.read()
 	if err != nil {
 		return err
 	}
-	tell(list)
-	told, before := list, list
-	ticker := time.NewTicker(f.every)
+	update(list)
+	inForce, previous := list, list
+	ticker := time.NewTicker(f.interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -102,10 +104,10 @@
 		if list, err = f.read(); err != nil {
 			return err
 		}
-		if slices.Equal(list, before) && !slices.Equal(list, told) {
-			told = list
-			tell(list)
+		if slices.Equal(list, previous) && !slices.Equal(list, inForce) {
+			inForce = list
+			update(list)
 		}
-		before = list
+		previous = list
 	}
 }
--- /dev/null
+++ b/client/sourcewatch.go
@@ -0,0 +1,46 @@
+package client
+
+import "time"
+
+// minSourcePause is the least time before a source that failed is followed again.
+const minSourcePause = 500 * time.Millisecond
+
+// followSource puts the lists of the source into force until the client is closed.
+func (c *Client) followSource() {
+	for c.ctx.Err() == nil {
+		err := c.options.Proxies.Follow(c.ctx, c.applyList)
+		if c.ctx.Err() != nil {
+			return
+		}
+		c.traceList(nil, err)
+		c.mu.Lock()
+		pause := minSourcePause + time.Duration(c.rng.Int64N(int64(minSourcePause)))
+		c.mu.Unlock()
+		select {
+		case <-time.After(pause):
+		case <-c.ctx.Done():
+		}
+	}
+}
+
+// applyList puts a list into force, unless it is empty.
+func (c *Client) applyList(addresses []string) {
+	if len(addresses) == 0 {
+		c.traceList(nil, ErrUnavailable)
+		return
+	}
+	c.mu.Lock()
+	changed := c.balancer.Update(c.options.clock().Monotonic, addresses)
+	c.wakeLocked(c.waiters.Len())
+	c.mu.Unlock()
+	if changed {
+		c.sweep()
+		c.traceList(addresses, nil)
+	}
+}
+
+func (c *Client) traceList(addresses []string, err error) {
+	if hook := c.options.Trace.List; hook != nil {
+		hook(addresses, err)
+	}
+}
