--- a/cmd/fleettest/recorded_test.go
+++ b/cmd/fleettest/recorded_test.go
@@ -98,11 +98,17 @@
 		{"clients.json", &fleettest.ClientsReport{}},
 		{"conform.json", &fleettest.ConformanceReport{}},
 		{"cost.json", &fleettest.CostReport{}},
+		{"degrade.json", &fleettest.DegradationReport{}},
 		{"gaps.json", &fleettest.LeaseGapsReport{}},
 		{"lease.json", &fleettest.LeaseReport{}},
+		{"members.json", &fleettest.MembersReport{}},
 		{"peers.json", &fleettest.PeersReport{}},
 		{"sight.json", &fleettest.Report{}},
+		{"still-short.json", &fleettest.Report{}},
+		{"still.json", &fleettest.PauseReport{}},
+		{"takeover.json", &fleettest.TakeoverReport{}},
 		{"times.json", &fleettest.StartStopReport{}},
+		{"wave-permits.json", &fleettest.Report{}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			text := recorded(t, c.file)
