--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -12,14 +12,14 @@
 	"github.com/bradfitz/gomemcache/memcache"
 )
 
-// bothServe answers reads in the meta protocol and in the classic one, each with the same
-// value, as fast as one goroutine a connection can.
-func bothServe(b *testing.B) string {
+// startServer serves reads in the meta protocol and in the classic one, each with the same value, as fast as one
+// goroutine a connection can. It returns its address.
+func startServer(b *testing.B) string {
+	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	value := strings.Repeat("v", 100)
 	var tasks sync.WaitGroup
 	var mu sync.Mutex
 	var sockets []net.Conn
@@ -32,29 +32,7 @@
 			mu.Lock()
 			sockets = append(sockets, socket)
 			mu.Unlock()
-			tasks.Go(func() {
-				in, out := bufio.NewReader(socket), bufio.NewWriter(socket)
-				for {
-					line, err := in.ReadSlice('\n')
-					if err != nil {
-						return
-					}
-					if line[0] == 'm' { // mg KEY v Oid Pc=...
-						fields := strings.Fields(string(line))
-						out.WriteString("VA 100 ")
-						out.WriteString(fields[3])
-						out.WriteString(" h1\r\n")
-						out.WriteString(value)
-						out.WriteString("\r\n")
-					} else { // gets KEY
-						fields := strings.Fields(string(line))
-						fmt.Fprintf(out, "VALUE %s 0 100 1\r\n%s\r\nEND\r\n", fields[1], value)
-					}
-					if in.Buffered() == 0 && out.Flush() != nil {
-						return
-					}
-				}
-			})
+			tasks.Go(func() { serveReads(socket) })
 		}
 	})
 	b.Cleanup(func() {
@@ -69,46 +47,83 @@
 	return listener.Addr().String()
 }
 
-// BenchmarkGet reads through this client and through a known one of the classic protocol, over
-// the same stand-in, with so many goroutines.
+// serveReads answers the reads on a connection until it ends.
+func serveReads(socket net.Conn) {
+	value := strings.Repeat("v", 100)
+	in, out := bufio.NewReader(socket), bufio.NewWriter(socket)
+	for {
+		line, err := in.ReadSlice('\n')
+		if err != nil {
+			return
+		}
+		fields := strings.Fields(string(line))
+		if line[0] == 'm' { // mg KEY v Oid Pc=...
+			out.WriteString("VA 100 ")
+			out.WriteString(fields[3])
+			out.WriteString(" h1\r\n")
+			out.WriteString(value)
+			out.WriteString("\r\n")
+		} else { // gets KEY
+			fmt.Fprintf(out, "VALUE %s 0 100 1\r\n%s\r\nEND\r\n", fields[1], value)
+		}
+		if in.Buffered() == 0 && out.Flush() != nil {
+			return
+		}
+	}
+}
+
+// openGet returns a read through one of the compared clients, and what closes the client.
+func openGet(b *testing.B, name, address string, goroutines int) (get func() error, done func()) {
+	b.Helper()
+	if name == "gomemcache" {
+		c := memcache.New(address)
+		c.MaxIdleConns = goroutines
+		c.Timeout = Read.Wait
+		get = func() error {
+			_, err := c.Get("order-17")
+			return err
+		}
+		return get, func() { c.Close() }
+	}
+	c, err := New(Options{Proxies: Static(address)})
+	if err != nil {
+		b.Fatal(err)
+	}
+	get = func() error {
+		_, err := c.Get(context.Background(), "order-17")
+		return err
+	}
+	return get, func() { c.Close() }
+}
+
+// measureGet reads with so many goroutines.
+func measureGet(b *testing.B, name string, goroutines int) {
+	b.Helper()
+	get, done := openGet(b, name, startServer(b), goroutines)
+	defer done()
+	b.ReportAllocs()
+	b.ResetTimer()
+	var tasks sync.WaitGroup
+	each := b.N/goroutines + 1
+	for range goroutines {
+		tasks.Go(func() {
+			for range each {
+				if err := get(); err != nil {
+					b.Error(err)
+					return
+				}
+			}
+		})
+	}
+	tasks.Wait()
+	b.ReportMetric(float64(each*goroutines)/b.Elapsed().Seconds(), "req/s")
+}
+
+// BenchmarkGet reads through this client and through a known one of the classic protocol, from the same server.
 func BenchmarkGet(b *testing.B) {
 	for _, goroutines := range []int{1, 8, 64, 512} {
-		get := map[string]func(address string) (func() error, func()){
-			"mulleinpier": func(address string) (func() error, func()) {
-				c, err := New(Options{Proxies: Static(address)})
-				if err != nil {
-					b.Fatal(err)
-				}
-				return func() error { _, err := c.Get(context.Background(), "order-17"); return err }, func() { c.Close() }
-			},
-			"gomemcache": func(address string) (func() error, func()) {
-				c := memcache.New(address)
-				c.MaxIdleConns = goroutines
-				c.Timeout = Read.Wait
-				return func() error { _, err := c.Get("order-17"); return err }, func() { c.Close() }
-			},
-		}
 		for _, name := range []string{"gomemcache", "mulleinpier"} {
-			b.Run(fmt.Sprintf("%s/%d", name, goroutines), func(b *testing.B) {
-				one, done := get[name](bothServe(b))
-				defer done()
-				b.ReportAllocs()
-				b.ResetTimer()
-				var tasks sync.WaitGroup
-				each := b.N/goroutines + 1
-				for range goroutines {
-					tasks.Go(func() {
-						for range each {
-							if err := one(); err != nil {
-								b.Error(err)
-								return
-							}
-						}
-					})
-				}
-				tasks.Wait()
-				b.ReportMetric(float64(each*goroutines)/b.Elapsed().Seconds(), "req/s")
-			})
+			b.Run(fmt.Sprintf("%s/%d", name, goroutines), func(b *testing.B) { measureGet(b, name, goroutines) })
 		}
 	}
 }
--- /dev/null
+++ b/client/call_test.go
@@ -0,0 +1,305 @@
+package client
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"mulleinpier/client/internal/retry"
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/meta"
+)
+
+// callOfEachKind makes one call of each kind, eight in all.
+func callOfEachKind(t *testing.T, c *Client) {
+	t.Helper()
+	ctx := context.Background()
+	if v, err := c.Get(ctx, "order"); err != nil || string(v) != scriptednode.Value("order") {
+		t.Fatalf("%q, %v", v, err)
+	}
+	if v, err := c.Get(ctx, "big"); err != nil || string(v) != scriptednode.Value("big") {
+		t.Fatalf("%d bytes, %v", len(v), err)
+	}
+	if _, err := c.Get(ctx, "none"); !errors.Is(err, ErrMiss) {
+		t.Fatal(err)
+	}
+	value := bytes.Repeat([]byte("x"), meta.MaxValue)
+	if r, err := c.Set(ctx, "order", value); err != nil || r != scriptednode.Receipt {
+		t.Fatalf("%q, %v", r, err)
+	}
+	m, err := c.GetMulti(ctx, []string{"a", "b", "none", "c"})
+	if err != nil || len(m) != 3 || string(m["b"]) != scriptednode.Value("b") {
+		t.Fatalf("%v, %v", m, err)
+	}
+}
+
+// checkMarks checks what the requests of callOfEachKind say of themselves.
+func checkMarks(t *testing.T, requests []scriptednode.ReceivedRequest) {
+	t.Helper()
+	for _, r := range requests {
+		isSet := r.Value != ""
+		marked := (r.Class == "write") == isSet && (r.Idempotency != "") == isSet
+		if !marked || r.Tenant != "acme" || r.Retry || r.Wait <= 0 || r.Wait > Write.Wait {
+			t.Fatalf("%+v", r)
+		}
+	}
+}
+
+func TestGetAndSet(t *testing.T) {
+	var reported, incomplete atomic.Int64
+	trace := Trace{CallDone: func(i CallInfo) {
+		reported.Add(1)
+		if i.Op == "" || i.Key == "" || i.Tries != 1 || i.Took <= 0 {
+			incomplete.Add(1)
+		}
+	}}
+	react := func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
+		if r.Key == "none" {
+			return scriptednode.Miss
+		}
+		return scriptednode.Serve
+	}
+	c, ns := newTestClient(t, 2, Options{Tenant: "acme", Trace: trace}, react)
+	callOfEachKind(t, c)
+	checkMarks(t, ns.Requests())
+	if reported.Load() != 8 || incomplete.Load() > 0 {
+		t.Fatalf("%d calls reported, %d of them incompletely", reported.Load(), incomplete.Load())
+	}
+	if s := c.Stats(); s.Calls != 8 || s.Served != 6 || s.Missing != 2 || s.Tries != 8 || s.Retries != 0 {
+		t.Fatalf("%+v", s)
+	}
+}
+
+// outcomeCase is one reaction to the first try, and the error of each kind of call; later tries are served.
+type outcomeCase struct {
+	reaction            scriptednode.Reaction
+	read, keyed, unsafe error
+}
+
+var outcomeCases = []outcomeCase{
+	{reaction: scriptednode.Serve},
+	{reaction: scriptednode.Busy},
+	{reaction: scriptednode.Invalid, read: ErrInvalid, keyed: ErrInvalid, unsafe: ErrInvalid},
+	{reaction: scriptednode.Fail, unsafe: ErrUnknown},
+	{reaction: scriptednode.Reset, unsafe: ErrUnknown},
+	{reaction: scriptednode.TruncatedAnswer, unsafe: ErrUnknown},
+	{reaction: scriptednode.Hang, unsafe: ErrUnknown},
+	{reaction: scriptednode.Garbage, unsafe: ErrUnknown},
+	{reaction: scriptednode.OtherAnswer, unsafe: ErrUnknown},
+	{reaction: scriptednode.EndlessValue, unsafe: ErrUnknown},
+}
+
+// The tries of a call for each outcome of the first, for a read, a keyed and an unsafe write: how many a proxy sees,
+// and the error at the end.
+func TestOutcomes(t *testing.T) {
+	unsafeClass := Class{Name: "plain", Effect: Unsafe, Wait: 700 * ms}
+	for _, c := range outcomeCases {
+		t.Run(string(c.reaction)+"/read", func(t *testing.T) {
+			t.Parallel()
+			checkOutcome(t, c.reaction, Request{Key: "k"}, c.read)
+		})
+		if c.reaction == scriptednode.EndlessValue {
+			continue // a receipt has no length; the scripted value to a write is an answer to another command
+		}
+		t.Run(string(c.reaction)+"/keyed", func(t *testing.T) {
+			t.Parallel()
+			checkOutcome(t, c.reaction, Request{Key: "k", Set: true, Value: []byte("v")}, c.keyed)
+		})
+		t.Run(string(c.reaction)+"/unsafe", func(t *testing.T) {
+			t.Parallel()
+			r := Request{Key: "k", Set: true, Value: []byte("v"), Class: unsafeClass}
+			checkOutcome(t, c.reaction, r, c.unsafe)
+		})
+	}
+}
+
+// checkTries checks what the tries of a call say of themselves.
+func checkTries(t *testing.T, requests []scriptednode.ReceivedRequest, reaction scriptednode.Reaction) {
+	t.Helper()
+	for i, x := range requests {
+		if x.Retry != (i > 0) || x.Idempotency != requests[0].Idempotency {
+			t.Fatalf("try %d: %+v after %+v", i, x, requests[0])
+		}
+		if i == 0 {
+			continue
+		}
+		// After a try that had no answer less time is left.
+		if x.ID == requests[0].ID || x.Wait >= requests[0].Wait && reaction == scriptednode.Hang {
+			t.Fatalf("try %d: %+v after %+v", i, x, requests[0])
+		}
+	}
+}
+
+func checkOutcome(t *testing.T, reaction scriptednode.Reaction, r Request, want error) {
+	t.Helper()
+	client, ns := newTestClient(t, 2, Options{}, first(reaction))
+	a, err := client.Do(context.Background(), r)
+	if want == nil && err != nil || !errors.Is(err, want) {
+		t.Fatalf("got %v, want %v", err, want)
+	}
+	requests := ns.Requests()
+	repeated := reaction != scriptednode.Serve && want == nil
+	if len(requests) != a.Tries || (len(requests) > 1) != repeated {
+		t.Fatalf("%d tries seen, %d reported, repeated %v", len(requests), a.Tries, repeated)
+	}
+	checkTries(t, requests, reaction)
+	var e *Error
+	if errors.Is(err, ErrUnknown) && (!errors.As(err, &e) || e.Settled.IsZero()) {
+		t.Fatalf("%+v", e)
+	}
+}
+
+// A write whose answer is lost late, against a window of 1.5 s: within it the call goes on under the same key; past it
+// the caller is told that the outcome is unknown, and nothing more is sent.
+func TestWriteWhoseAnswerIsLost(t *testing.T) {
+	for _, c := range []struct {
+		after time.Duration
+		want  error
+	}{
+		{100 * ms, nil},
+		{1000 * ms, nil},
+		{1400 * ms, nil},
+		{1460 * ms, ErrUnknown},
+		{1490 * ms, ErrUnknown},
+		{1600 * ms, ErrUnknown},
+	} {
+		t.Run(c.after.String(), func(t *testing.T) {
+			t.Parallel()
+			// It is defined here because the check for left goroutines knows test code by the names of tests.
+			react := func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
+				if number == 0 {
+					time.Sleep(c.after)
+					return scriptednode.Reset
+				}
+				return scriptednode.Serve
+			}
+			checkLostAnswer(t, react, c.want)
+		})
+	}
+}
+
+func checkLostAnswer(t *testing.T, react reaction, want error) {
+	t.Helper()
+	// The margin is shrunk so that a try is waited for to just before the window's end, less the 50 ms under which no
+	// try is sent.
+	o := Options{Margin: 1, RetryRatio: -1, Spread: ms}
+	client, ns := newTestClient(t, 1, o, react)
+	start := time.Now()
+	_, err := client.Set(context.Background(), "order", []byte("signed"))
+	if want == nil && err != nil || !errors.Is(err, want) {
+		t.Fatalf("got %v, want %v", err, want)
+	}
+	requests := ns.Requests()
+	for _, x := range requests[1:] {
+		if late := x.At.Add(x.Wait).Sub(requests[0].At); late > 1500*ms {
+			t.Fatalf("a try that may start %v after the first", late)
+		}
+	}
+	if err == nil {
+		return
+	}
+	var e *Error
+	if !errors.As(err, &e) || e.Settled.Before(start.Add(1450*ms)) {
+		t.Fatalf("%+v", err)
+	}
+	if e.Idempotency != requests[0].Idempotency || len(requests) != 1 {
+		t.Fatalf("%+v, %d tries", e, len(requests))
+	}
+}
+
+// Resolve waits until no try can start any more, and reads.
+func TestResolve(t *testing.T) {
+	o := Options{Window: 300 * ms, RetryRatio: -1}
+	c, ns := newTestClient(t, 1, o, func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
+		if r.Value != "" {
+			return scriptednode.Fail
+		}
+		return scriptednode.Serve
+	})
+	_, err := c.Set(context.Background(), "order", []byte("signed"))
+	var e *Error
+	if !errors.As(err, &e) || !errors.Is(err, ErrUnknown) {
+		t.Fatal(err)
+	}
+	isSigned := func(v []byte) bool { return string(v) == scriptednode.Value("order") }
+	done, err := c.Resolve(context.Background(), fmt.Errorf("till: %w", err), isSigned)
+	if !done || err != nil {
+		t.Fatal(done, err)
+	}
+	if requests := ns.Requests(); requests[len(requests)-1].At.Before(e.Settled.Add(-5 * ms)) {
+		t.Fatalf("read %v before it was settled", e.Settled.Sub(requests[len(requests)-1].At))
+	}
+	if _, err := c.Resolve(context.Background(), ErrRefused, nil); !errors.Is(err, ErrInvalid) {
+		t.Fatal(err)
+	}
+}
+
+// The wall clock is set forward while a write is in flight: its window may be over, so it is not sent again.
+func TestClockSteps(t *testing.T) {
+	var step atomic.Int64
+	clock := systemClock()
+	o := Options{clock: func() retry.Timestamp {
+		now := clock()
+		now.Wall += time.Duration(step.Load())
+		return now
+	}}
+	for _, c := range []struct {
+		by   time.Duration
+		want error
+	}{{-time.Hour, nil}, {time.Hour, ErrUnknown}} {
+		step.Store(0)
+		client, _ := newTestClient(t, 1, o, func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
+			if number == 0 {
+				step.Store(int64(c.by))
+				return scriptednode.Reset
+			}
+			return scriptednode.Serve
+		})
+		_, err := client.Set(context.Background(), "k", nil)
+		if c.want == nil && err != nil || !errors.Is(err, c.want) {
+			t.Fatalf("by %v: got %v, want %v", c.by, err, c.want)
+		}
+	}
+}
+
+// Invalid requests are refused before anything is sent, and all that is wrong with options is reported together.
+func TestInvalid(t *testing.T) {
+	c, ns := newTestClient(t, 1, Options{}, always(scriptednode.Serve))
+	for _, r := range []Request{
+		{},
+		{Key: "a b"},
+		{Key: "a\r\nms"},
+		{Key: strings.Repeat("k", 251)},
+		{Key: "k", Set: true, Value: make([]byte, meta.MaxValue+1)},
+		{Key: "k", Value: []byte{}},
+		{Key: "k", Class: Class{Name: "a,b=c", Effect: Safe, Wait: time.Second}},
+		{Key: "k", Tenant: "a b"},
+		{Key: "k", Set: true, Idempotency: "a,b"},
+		{Key: "k", Set: true, Class: Plain, Idempotency: "k"},
+		{Key: "k", Class: Class{Name: "read", Effect: 7, Wait: time.Second}},
+	} {
+		if _, err := c.Do(context.Background(), r); !errors.Is(err, ErrInvalid) {
+			t.Fatalf("%.40v: %v", r, err)
+		}
+	}
+	if n := len(ns.Requests()); n != 0 {
+		t.Fatalf("%d were sent", n)
+	}
+	_, err := New(Options{
+		Tries:  -1,
+		Subset: 1000,
+		Spread: -1,
+		Idle:   -1,
+		Tenant: " ",
+		Read:   Class{Name: "x"},
+		Window: 2 * time.Hour,
+	})
+	if err == nil || strings.Count(err.Error(), "\n") != 7 {
+		t.Fatalf("%v", err)
+	}
+}
--- a/client/catalogue/catalogue.go
+++ b/client/catalogue/catalogue.go
@@ -1,11 +1,12 @@
-// Package catalogue is Consul's catalogue as a source of proxies for a client: proxies that
-// register themselves there (see the daemon's [consul.register]) are found without a list. It
-// tells only whether a proxy runs.
+// Package catalogue provides Consul's catalogue as a source of proxies for a client: proxies that register themselves
+// there (see [consul.register] in the daemon's configuration) are found without a list. It reports only whether a proxy
+// is up. It owns no goroutines; each [client.Source] follows the catalogue in the goroutine of its caller.
 package catalogue
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"time"
 
 	"mulleinpier/client"
@@ -16,44 +17,65 @@
 // Options say where the catalogue is. Agent and Service are needed.
 type Options struct {
 	Agent      string // host:port of a Consul agent
-	Service    string // that proxies register as
+	Service    string // under which proxies are registered
 	Datacenter string // "" for the agent's own
-	Tag        string // instances must have it; "" for any
+	Tag        string // that instances must have; "" for any
 	TLS        bool
 	CAFile     string // certificates to trust in place of the system's
-	TokenFile  string // holds an ACL token; read anew for each query
-	// Wait is how long a query may hang while nothing changes; 1 min, as in the daemon.
+	TokenFile  string // holds an ACL token; it is read again for each query
+	// Wait is how long a query may wait for a change; 1 min, as in the daemon.
 	Wait time.Duration
 }
 
+// The bounds and the default of [Options.Wait].
+const (
+	defaultWait = time.Minute
+	minWait     = time.Second
+	maxWait     = 10 * time.Minute
+)
+
 // source implements client.Source.
-type source struct{ place consul.SourceConfig }
+type source struct{ config consul.SourceConfig }
 
-// Consul returns the proxies of a service that are up. One that drains, is in maintenance or whose check
-// is critical leaves the list: it gets nothing new. An empty list is not put into force, see [client.Source].
+// Consul returns the proxies of a service that are up. A proxy that is draining, in maintenance or whose check is
+// critical leaves the list, and gets nothing new. An empty list is not put into force, see [client.Source].
 func Consul(o Options) (client.Source, error) {
 	if o.Agent == "" || o.Service == "" {
 		return nil, errors.New("mulleinpier: catalogue: Agent and Service are needed")
 	}
 	if o.Wait == 0 {
-		o.Wait = time.Minute
+		o.Wait = defaultWait
 	}
-	if o.Wait < time.Second || o.Wait > 10*time.Minute {
-		return nil, errors.New("mulleinpier: catalogue: want a Wait of 1 s to 10 min")
+	if o.Wait < minWait || o.Wait > maxWait {
+		return nil, fmt.Errorf("mulleinpier: catalogue: Wait cannot be %v: want %v to %v", o.Wait, minWait, maxWait)
 	}
-	return source{consul.SourceConfig{Agent: consul.Agent{Address: o.Agent, TLS: o.TLS, CAFile: o.CAFile, TokenFile: o.TokenFile}, Service: o.Service,
-		Datacenter: o.Datacenter, Tag: o.Tag, AllowStale: true, WaitTime: o.Wait}}, nil
+	return source{consul.SourceConfig{
+		Agent: consul.Agent{
+			Address:   o.Agent,
+			TLS:       o.TLS,
+			CAFile:    o.CAFile,
+			TokenFile: o.TokenFile,
+		},
+		Service:    o.Service,
+		Datacenter: o.Datacenter,
+		Tag:        o.Tag,
+		AllowStale: true,
+		WaitTime:   o.Wait,
+	}}, nil
 }
 
+// statusUp is the status of proxies that take requests.
+const statusUp = "up"
+
 // Follow implements client.Source.
-func (s source) Follow(ctx context.Context, tell func([]string)) error {
-	return s.place.Open().Watch(ctx, 0, func(l discovery.List) {
+func (s source) Follow(ctx context.Context, update func([]string)) error {
+	return s.config.Open().Watch(ctx, 0, func(l discovery.List) {
 		var up []string
 		for _, e := range l.Endpoints {
-			if e.Status == "up" {
+			if e.Status == statusUp {
 				up = append(up, e.Address)
 			}
 		}
-		tell(up)
+		update(up)
 	})
 }
--- a/client/catalogue/catalogue_test.go
+++ b/client/catalogue/catalogue_test.go
@@ -15,44 +15,57 @@
 	"mulleinpier/internal/testutil"
 )
 
-// make256 returns many keys, which are asked for together.
-func make256() (keys []string) {
+// manyKeys returns so many keys that a client that reads them in parallel uses several proxies.
+func manyKeys() (keys []string) {
 	for i := range 256 {
 		keys = append(keys, fmt.Sprint("k", i))
 	}
 	return keys
 }
 
-// A client follows the catalogue: a proxy in maintenance gets nothing new, one that joins is
-// asked, an empty list and an agent that goes quiet change nothing.
+// instance returns a proxy's registration.
+func instance(nodes *scriptednode.Nodes, i int) consul.Instance {
+	host, text, _ := net.SplitHostPort(nodes.Address(i))
+	port, _ := strconv.Atoi(text)
+	return consul.Instance{Node: "host", ID: fmt.Sprint("p", i), Service: "proxy", Address: host, Port: port}
+}
+
+// read reads one key twenty times.
+func read(t *testing.T, c *client.Client) {
+	t.Helper()
+	for range 20 {
+		if _, err := c.Get(context.Background(), "k"); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// A client follows the catalogue: a proxy in maintenance gets nothing new, one that joins gets requests, an empty list
+// changes nothing.
 func TestClientFollowsTheCatalogue(t *testing.T) {
-	var serving [2]atomic.Int64
-	ns, err := scriptednode.Start(scriptednode.Meta, 2, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
-		serving[a.Node].Add(1)
+	var served [2]atomic.Int64
+	react := func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
+		served[r.Node].Add(1)
 		return scriptednode.Serve
-	})
+	}
+	nodes, err := scriptednode.Start(scriptednode.Meta, 2, react)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ns.Close()
-	c := consul.New()
-	agent, err := c.Start("here", "")
+	defer nodes.Close()
+	fakeCatalogue := consul.New()
+	agent, err := fakeCatalogue.Start("here", "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer agent.Close()
-	instance := func(i int) consul.Instance {
-		host, text, _ := net.SplitHostPort(ns.Address(i))
-		port, _ := strconv.Atoi(text)
-		return consul.Instance{Node: "host", ID: fmt.Sprint("p", i), Service: "proxy", Address: host, Port: port}
-	}
-	c.Set(instance(0))
-	from, err := Consul(Options{Agent: agent.Address(), Service: "proxy"})
+	fakeCatalogue.Set(instance(nodes, 0))
+	source, err := Consul(Options{Agent: agent.Address(), Service: "proxy"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var lists atomic.Int64
-	l, err := client.New(client.Options{Proxies: from, Trace: client.Trace{List: func(list []string, err error) {
+	c, err := client.New(client.Options{Proxies: source, Trace: client.Trace{List: func(_ []string, err error) {
 		if err == nil {
 			lists.Add(1)
 		}
@@ -60,38 +73,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	get := func() {
-		t.Helper()
-		for range 20 {
-			if _, err := l.Get(context.Background(), "k"); err != nil {
-				t.Fatal(err)
-			}
-		}
-	}
-	get()
-	if serving[0].Load() != 20 {
-		t.Fatalf("%d at the only proxy", serving[0].Load())
+	defer c.Close()
+	read(t, c)
+	if served[0].Load() != 20 {
+		t.Fatalf("%d at the only proxy", served[0].Load())
 	}
-	c.Set(instance(1))
+	fakeCatalogue.Set(instance(nodes, 1))
 	testutil.WaitUntil(t, "the second proxy", func() bool { return lists.Load() == 2 })
-	testutil.WaitUntil(t, "it is asked", func() bool { // who asks for one thing at a time keeps to the first
-		l.GetMulti(context.Background(), make256())
-		return serving[1].Load() > 0
+	testutil.WaitUntil(t, "a request at the second proxy", func() bool {
+		c.GetMulti(context.Background(), manyKeys()) // one request at a time would stay at the first
+		return served[1].Load() > 0
 	})
-	drained := instance(0)
-	drained.Checks = []consul.Check{{CheckID: "_service_maintenance:p0", Status: "critical", Notes: "update"}}
-	c.Set(drained)
-	testutil.WaitUntil(t, "the first drains", func() bool { return lists.Load() == 3 })
-	before := serving[0].Load()
-	get()
-	if serving[0].Load() != before {
-		t.Fatal("a proxy in maintenance was asked")
+	draining := instance(nodes, 0)
+	draining.Checks = []consul.Check{{CheckID: "_service_maintenance:p0", Status: "critical", Notes: "update"}}
+	fakeCatalogue.Set(draining)
+	testutil.WaitUntil(t, "the first to drain", func() bool { return lists.Load() == 3 })
+	before := served[0].Load()
+	read(t, c)
+	if served[0].Load() != before {
+		t.Fatal("a proxy in maintenance got a request")
 	}
 	agent.SetFault(consul.EmptyList)
-	get()
+	read(t, c)
 	time.Sleep(50 * time.Millisecond)
-	get()
+	read(t, c)
+}
+
+func TestOptionsAreChecked(t *testing.T) {
 	if _, err := Consul(Options{Agent: "a:1"}); err == nil {
 		t.Fatal("no service, and no error")
 	}
--- /dev/null
+++ b/client/connection_test.go
@@ -0,0 +1,186 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"net"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/testutil"
+)
+
+// A proxy that accepts connections and answers nothing: reads are retried at the other one, and soon go there at once.
+func TestSilentProxy(t *testing.T) {
+	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: time.Second}, RetryRatio: 1}
+	c, ns := newTestClient(t, 2, o, func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
+		if r.Node == 0 {
+			return scriptednode.Hang
+		}
+		return scriptednode.Serve
+	})
+	for range 200 {
+		if _, err := c.Get(context.Background(), "k"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	silent := 0
+	for _, a := range ns.Requests() {
+		if a.Node == 0 {
+			silent++
+		}
+	}
+	if silent > 10 {
+		t.Fatalf("%d requests went to the silent proxy", silent)
+	}
+}
+
+// All proxies are gone for a while: calls end by their deadline, and are served again once the proxies are back.
+func TestAllProxiesGoneAndBack(t *testing.T) {
+	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: 500 * ms}}
+	c, ns := newTestClient(t, 2, o, always(scriptednode.Serve))
+	if _, err := c.Get(context.Background(), "k"); err != nil {
+		t.Fatal(err)
+	}
+	ns.Stop(0)
+	ns.Stop(1)
+	failed := 0
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(20 * ms) {
+		start := time.Now()
+		_, err := c.Get(context.Background(), "k")
+		if !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrDeadline) && !errors.Is(err, ErrFailed) {
+			t.Fatalf("got %v", err)
+		}
+		if took := time.Since(start); took > 10*time.Second {
+			t.Fatalf("took %v", took)
+		}
+		failed++
+	}
+	if dials := c.Stats().Dials; dials > 60 || failed < 5 {
+		t.Fatalf("%d dials for %d calls", dials, failed)
+	}
+	for i := range 2 {
+		if err := ns.Restart(i); err != nil {
+			t.Fatal(err)
+		}
+	}
+	testutil.WaitUntil(t, "served again", func() bool {
+		_, err := c.Get(context.Background(), "k")
+		return err == nil
+	})
+}
+
+// A proxy that half closes idle connections makes no call fail, not even an unsafe one.
+func TestHalfClose(t *testing.T) {
+	c, ns := newTestClient(t, 2, Options{Write: Plain, Spread: ms}, always(scriptednode.Serve))
+	for range 20 {
+		if _, err := c.Set(context.Background(), "k", nil); err != nil {
+			t.Fatal(err)
+		}
+		ns.HalfClose(0)
+		ns.HalfClose(1)
+		testutil.WaitUntil(t, "the connections are closed", func() bool { return c.Stats().Conns == 0 })
+	}
+}
+
+// Idle connections are closed, and nothing wakes up for them.
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	c, _ := newTestClient(t, 2, Options{Idle: 20 * ms}, always(scriptednode.Serve))
+	for range 3 {
+		if _, err := c.Get(context.Background(), "k"); err != nil {
+			t.Fatal(err)
+		}
+		testutil.WaitUntil(t, "closed", func() bool { return c.Stats().Conns == 0 })
+	}
+}
+
+// A proxy that has closed an idle connection is noticed before an unsafe write is sent on it, however soon: no sweep
+// runs in between.
+func TestClosedConnectionIsNoticedBeforeAWrite(t *testing.T) {
+	for range 20 {
+		c, ns := newTestClient(t, 1, Options{Write: Plain, Spread: ms, Idle: time.Hour}, always(scriptednode.Serve))
+		if _, err := c.Set(context.Background(), "k", nil); err != nil {
+			t.Fatal(err)
+		}
+		ns.HalfClose(0)
+		time.Sleep(5 * ms) // the close crosses the loopback
+		if _, err := c.Set(context.Background(), "k", nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// A request that was not written when its connection ended never ran: such an unsafe write is sent again, one that was
+// written is not.
+func TestUnwrittenRequestIsSentAgain(t *testing.T) {
+	near, far := net.Pipe() // a write blocks until it is read
+	var dials atomic.Int64
+	ns, err := scriptednode.Start(scriptednode.Meta, 1, always(scriptednode.Serve))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ns.Close()
+	c := open(t, Options{
+		Proxies: Static("a:1"),
+		Conns:   1,
+		Spread:  ms,
+		Write:   Class{Name: "plain", Effect: Unsafe, Wait: time.Minute},
+		Tries:   2,
+		Dial: func(ctx context.Context, network, _ string) (net.Conn, error) {
+			if dials.Add(1) == 1 {
+				return near, nil
+			}
+			return (&net.Dialer{}).DialContext(ctx, network, ns.Address(0))
+		},
+	})
+	ended := make(chan error, 2)
+	set := func(key string) {
+		_, err := c.Set(context.Background(), key, nil)
+		ended <- err
+	}
+	go set("first")
+	testutil.WaitUntil(t, "the first is in flight", func() bool { return c.Stats().InFlight == 1 })
+	go set("second") // behind the first, which nobody reads
+	testutil.WaitUntil(t, "the second is in flight", func() bool { return c.Stats().InFlight == 2 })
+	buf := make([]byte, 1024)
+	n, err := far.Read(buf)
+	written := string(buf[:n])
+	if err != nil || !strings.HasPrefix(written, "ms first ") || strings.Contains(written, "second") {
+		t.Fatalf("%q, %v", written, err)
+	}
+	far.Close()
+	var unknown, served int
+	for range 2 {
+		switch err := testutil.Receive(t, "an end", ended); {
+		case err == nil:
+			served++
+		case errors.Is(err, ErrUnknown):
+			unknown++
+		default:
+			t.Fatal(err)
+		}
+	}
+	if requests := ns.Requests(); unknown != 1 || served != 1 || len(requests) != 1 || requests[0].Key != "second" {
+		t.Fatalf("%d unknown, %d served, %+v", unknown, served, requests)
+	}
+}
+
+// A connection on which a try timed out takes no more requests, because they would wait behind it.
+func TestNoRequestsAfterATimeout(t *testing.T) {
+	o := Options{Conns: 2, Read: Class{Name: "read", Effect: Safe, Wait: 300 * ms}, RetryRatio: -1}
+	c, ns := newTestClient(t, 1, o, first(scriptednode.Hang))
+	if _, err := c.Get(context.Background(), "k"); !errors.Is(err, ErrDeadline) {
+		t.Fatal(err)
+	}
+	for range 5 {
+		if _, err := c.Get(context.Background(), "k"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if all, _ := ns.Accepted(); all != 2 {
+		t.Fatalf("%d connections", all)
+	}
+}
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -11,17 +11,22 @@
 	"mulleinpier/internal/fake/scriptednode"
 )
 
-// stand starts a stand-in for two proxies, so that examples run.
-func stand(react func(number int, a scriptednode.ReceivedRequest) scriptednode.Reaction) (addresses []string, done func()) {
+// reaction is what the example proxies do with a request.
+type reaction = func(number int, r scriptednode.ReceivedRequest) scriptednode.Reaction
+
+// startProxies starts two scripted proxies, so that the examples run.
+func startProxies(react reaction) (addresses []string, done func()) {
 	ns, err := scriptednode.Start(scriptednode.Meta, 2, react)
 	if err != nil {
-		log.Fatal(err)
+		panic(err)
 	}
 	return []string{ns.Address(0), ns.Address(1)}, ns.Close
 }
 
 func Example() {
-	addresses, done := stand(func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.Serve })
+	addresses, done := startProxies(func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
+		return scriptednode.Serve
+	})
 	defer done()
 
 	c, err := client.New(client.Options{Proxies: client.Static(addresses...), Tenant: "fovaros"})
@@ -40,9 +45,11 @@
 	// 7 <nil>
 }
 
-// What each error asks of its caller.
+// What the caller does after each error.
 func ExampleClient_Set() {
-	addresses, done := stand(func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return scriptednode.BusyRetryAfter })
+	addresses, done := startProxies(func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
+		return scriptednode.BusyRetryAfter
+	})
 	defer done()
 	c, err := client.New(client.Options{Proxies: client.Static(addresses...)})
 	if err != nil {
@@ -68,10 +75,10 @@
 	// not recorded; again in 1s
 }
 
-// A handover of which it is not known whether it was recorded is looked for before it is written anew.
+// A write with an unknown outcome is looked up before it is repeated.
 func ExampleClient_Resolve() {
-	addresses, done := stand(func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
-		if a.Value != "" {
+	addresses, done := startProxies(func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
+		if r.Value != "" {
 			return scriptednode.Fail
 		}
 		return scriptednode.Serve
--- a/client/fuzz_test.go
+++ b/client/fuzz_test.go
@@ -13,12 +13,47 @@
 	"mulleinpier/internal/meta"
 )
 
-// FuzzAnswers has a proxy answer a read, then a write, with anything at all: each call ends, what is served is
-// what a whole answer to this try brought, and a connection with more on it than was asked for is not used again.
+// answerSeeds are answers to start from; %s is the id of the request.
+var answerSeeds = []string{
+	"VA 2 O%s h1\r\nab\r\n", "HD O%s c7\r\n", "EN\r\n", "SERVER_ERROR busy 10\r\n", "SERVER_ERROR busy\r\n",
+	"SERVER_ERROR failed\r\n", "CLIENT_ERROR bad class\r\n", "VA 2 O%s\r\nabcd", "VA 99999999 O%s\r\n",
+	"VA 2 Oother\r\nab\r\n", "VA -1 O%s\r\n", "SERVER_ERROR busy -1\r\n",
+	"SERVER_ERROR busy 99999999999999999999\r\n", "\r\n", "\n", "VA 2 O%s\nab\r\n", "HD O%s c1\r\nHD O%s c1\r\n",
+	"\x81\x00",
+}
+
+// answerOnce reads one request, and writes the answer with the request's id put in. It returns what it wrote.
+func answerOnce(socket net.Conn, answer []byte) (wire []byte) {
+	defer socket.Close()
+	buf := make([]byte, 4096)
+	n, _ := socket.Read(buf)
+	_, rest, ok := bytes.Cut(buf[:n], []byte(" O"))
+	if !ok {
+		return nil
+	}
+	id, _, _ := bytes.Cut(rest, []byte(" "))
+	wire = bytes.ReplaceAll(answer, []byte("%s"), id)
+	socket.SetWriteDeadline(time.Now().Add(time.Second))
+	socket.Write(wire)
+	return wire
+}
+
+// checkServed checks a value that a read returned by the protocol's own parser.
+func checkServed(t *testing.T, wire, value []byte) {
+	t.Helper()
+	line, rest, complete := bytes.Cut(wire, []byte("\r\n"))
+	first, parseErr := meta.ParseAnswer(line)
+	want := make([]byte, first.ValueLen)
+	_, shortErr := io.ReadFull(bytes.NewReader(rest), want)
+	if !complete || parseErr != nil || shortErr != nil || !bytes.Equal(want, value) {
+		t.Fatalf("%q served %q", wire, value)
+	}
+}
+
+// FuzzAnswers has a proxy answer a read or a write with arbitrary bytes: each call ends, what is served is what a
+// complete answer to this try contained, and a connection with unrequested bytes on it is not used again.
 func FuzzAnswers(f *testing.F) {
-	for _, s := range []string{"VA 2 O%s h1\r\nab\r\n", "HD O%s c7\r\n", "EN\r\n", "SERVER_ERROR busy 10\r\n", "SERVER_ERROR busy\r\n", "SERVER_ERROR failed\r\n",
-		"CLIENT_ERROR bad class\r\n", "VA 2 O%s\r\nabcd", "VA 99999999 O%s\r\n", "VA 2 Oother\r\nab\r\n", "VA -1 O%s\r\n", "SERVER_ERROR busy -1\r\n",
-		"SERVER_ERROR busy 99999999999999999999\r\n", "\r\n", "\n", "VA 2 O%s\nab\r\n", "HD O%s c1\r\nHD O%s c1\r\n", "\x81\x00"} {
+	for _, s := range answerSeeds {
 		f.Add([]byte(s), true)
 		f.Add([]byte(s), false)
 	}
@@ -26,25 +61,23 @@
 		near, far := net.Pipe()
 		var peer sync.WaitGroup
 		var wire []byte
-		peer.Go(func() {
-			defer far.Close()
-			buf := make([]byte, 4096)
-			n, _ := far.Read(buf)
-			if _, rest, ok := bytes.Cut(buf[:n], []byte(" O")); ok {
-				id, _, _ := bytes.Cut(rest, []byte(" "))
-				wire = bytes.ReplaceAll(answer, []byte("%s"), id)
-				far.SetWriteDeadline(time.Now().Add(time.Second))
-				far.Write(wire)
-			}
-		})
+		peer.Go(func() { wire = answerOnce(far, answer) })
 		dials := 0
-		c, err := New(Options{Proxies: Static("a:1"), Tries: 1, RetryRatio: -1, Spread: time.Millisecond, Read: Class{"read", Safe, 200 * time.Millisecond, 0},
-			Write: Class{"write", Unsafe, 200 * time.Millisecond, 0}, Dial: func(context.Context, string, string) (net.Conn, error) {
-				if dials++; dials > 1 {
+		c, err := New(Options{
+			Proxies:    Static("a:1"),
+			Tries:      1,
+			RetryRatio: -1,
+			Spread:     time.Millisecond,
+			Read:       Class{Name: "read", Effect: Safe, Wait: 200 * time.Millisecond},
+			Write:      Class{Name: "write", Effect: Unsafe, Wait: 200 * time.Millisecond},
+			Dial: func(context.Context, string, string) (net.Conn, error) {
+				dials++
+				if dials > 1 {
 					return nil, errors.New("gone")
 				}
 				return near, nil
-			}})
+			},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,13 +89,7 @@
 			t.Fatalf("%q: %v", answer, err)
 		}
 		if err == nil && !set {
-			// The same told by the grammar's own reader.
-			line, rest, ok := bytes.Cut(wire, []byte("\r\n"))
-			first, perr := meta.ParseAnswer(line)
-			value := make([]byte, first.ValueLen)
-			if _, short := io.ReadFull(bytes.NewReader(rest), value); !ok || perr != nil || short != nil || !bytes.Equal(value, a.Value) {
-				t.Fatalf("%q served %q", wire, a.Value)
-			}
+			checkServed(t, wire, a.Value)
 		}
 		if set && err != nil && bytes.HasPrefix(wire, []byte("HD ")) && errors.Is(err, ErrRefused) {
 			t.Fatalf("%q: refused", wire)
--- a/client/helpers_test.go
+++ b/client/helpers_test.go
@@ -3,8 +3,101 @@
 import (
 	"context"
 	"net"
+	"runtime"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/fake/scriptednode"
 )
 
+const ms = time.Millisecond
+
+// reaction is what scripted proxies do with a request, by its number over all of them.
+type reaction = func(number int, r scriptednode.ReceivedRequest) scriptednode.Reaction
+
+// newTestClient starts scripted proxies, and a client of them that must leave nothing behind.
+func newTestClient(t *testing.T, count int, o Options, react reaction) (*Client, *scriptednode.Nodes) {
+	t.Helper()
+	ns, err := scriptednode.Start(scriptednode.Meta, count, react)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(ns.Close)
+	if o.Proxies == nil {
+		var list []string
+		for i := range count {
+			list = append(list, ns.Address(i))
+		}
+		o.Proxies = Static(list...)
+	}
+	return open(t, o), ns
+}
+
+// openClients counts the clients that are not closed yet.
+var openClients atomic.Int64
+
+// open returns a client that must leave nothing behind.
+func open(t *testing.T, o Options) *Client {
+	t.Helper()
+	openClients.Add(1)
+	c, err := New(o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		c.Close()
+		if openClients.Add(-1) == 0 { // Close waits for all of them
+			if stacks := clientGoroutines(); stacks != "" {
+				t.Errorf("left after Close:\n%s", stacks)
+			}
+		}
+		if s := c.Stats(); s.Conns+s.InFlight+s.Waiting != 0 || s.Calls != s.endedCalls() {
+			t.Errorf("after Close: %+v", s)
+		}
+	})
+	return c
+}
+
+// clientGoroutines returns the stacks of the goroutines that clients started. Callers that are about to return from a
+// call do not count.
+func clientGoroutines() (found string) {
+	stacks := make([]byte, 4<<20)
+	stacks = stacks[:runtime.Stack(stacks, true)]
+	for stack := range strings.SplitSeq(string(stacks), "\n\n") {
+		caller := strings.Contains(stack, "client.(*Client).Do(")
+		test := strings.Contains(stack, "testing.tRunner") || strings.Contains(stack, "client.Test")
+		if strings.Contains(stack, "mulleinpier/client.") && !caller && !test {
+			found += stack + "\n\n"
+		}
+	}
+	return found
+}
+
+// always reacts to every request alike.
+func always(r scriptednode.Reaction) reaction {
+	return func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return r }
+}
+
+// first reacts to the first requests as listed, and serves the others.
+func first(reactions ...scriptednode.Reaction) reaction {
+	return func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
+		if number < len(reactions) {
+			return reactions[number]
+		}
+		return scriptednode.Serve
+	}
+}
+
+// silentSource never provides a list.
+type silentSource struct{}
+
+func (silentSource) Follow(ctx context.Context, _ func([]string)) error {
+	<-ctx.Done()
+	return ctx.Err()
+}
+
 // blockedDial never comes up.
 func blockedDial(ctx context.Context, _, _ string) (net.Conn, error) {
 	<-ctx.Done()
--- /dev/null
+++ b/client/overload_test.go
@@ -0,0 +1,145 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/fake/scriptednode"
+	"mulleinpier/internal/testutil"
+)
+
+// A proxy that answers busy 1000 to everything for three seconds gets few requests, however many calls there are; and
+// once it serves again, so do the calls.
+func TestRetryAfterHoldsForTheProcess(t *testing.T) {
+	var recovered atomic.Bool
+	c, ns := newTestClient(t, 1, Options{}, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
+		if recovered.Load() {
+			return scriptednode.Serve
+		}
+		return scriptednode.BusyRetryAfter
+	})
+	refused := 0
+	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * ms) {
+		start := time.Now()
+		ctx, cancel := context.WithTimeout(context.Background(), 500*ms)
+		_, err := c.Get(ctx, "k")
+		cancel()
+		var e *Error
+		if !errors.Is(err, ErrRefused) || !errors.As(err, &e) || e.RetryAfter <= 0 {
+			t.Fatalf("got %v", err)
+		}
+		if took := time.Since(start); took > 400*ms { // a second is too long, which is known at once
+			t.Fatalf("refused after %v", took)
+		}
+		refused++
+	}
+	if n := len(ns.Requests()); n > 10 || refused < 30 { // three at first, then one a second
+		t.Fatalf("%d requests for %d calls", n, refused)
+	}
+	recovered.Store(true)
+	testutil.WaitUntil(t, "served again", func() bool {
+		_, err := c.Get(context.Background(), "k")
+		return err == nil
+	})
+}
+
+// A call with enough time waits as long as it was advised.
+func TestRetryAfterHoldsForTheCall(t *testing.T) {
+	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: 2 * time.Second}, RetryRatio: 1}
+	c, ns := newTestClient(t, 1, o, first(scriptednode.Serve, scriptednode.BusyRetryAfter))
+	if _, err := c.Get(context.Background(), "k"); err != nil { // pays for the retry
+		t.Fatal(err)
+	}
+	if _, err := c.Get(context.Background(), "k"); err != nil {
+		t.Fatal(err)
+	}
+	if requests := ns.Requests(); len(requests) != 3 || requests[2].At.Sub(requests[1].At) < time.Second {
+		t.Fatalf("%d tries", len(requests))
+	}
+}
+
+// Proxies that refuse nine in ten requests without advice are spared most of the requests that they would refuse; once
+// they accept everything, everything is sent.
+func TestThrottleSparesAnOverloadedService(t *testing.T) {
+	var recovered atomic.Bool
+	o := Options{Tries: 1, Conns: 1}
+	c, ns := newTestClient(t, 1, o, func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
+		if number%10 == 0 || recovered.Load() {
+			return scriptednode.Serve
+		}
+		return scriptednode.Busy
+	})
+	calls := 1500
+	for range calls {
+		var e *Error
+		_, err := c.Get(context.Background(), "k")
+		if err != nil && (!errors.Is(err, ErrRefused) || !errors.As(err, &e)) {
+			t.Fatal(err)
+		}
+		time.Sleep(ms)
+	}
+	throttled := int(c.Stats().Throttled)
+	if n := len(ns.Requests()); n+throttled != calls || throttled < calls/3 || n < calls/20 {
+		t.Fatalf("%d sent and %d throttled of %d", n, throttled, calls)
+	}
+	recovered.Store(true)
+	testutil.WaitUntil(t, "a hundred served in a row", func() bool {
+		for range 100 {
+			if _, err := c.Get(context.Background(), "k"); err != nil {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// Ten thousand goroutines on one client: the connections are bounded, and each call gets its own answer.
+func TestTenThousandGoroutines(t *testing.T) {
+	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: time.Minute}}
+	c, ns := newTestClient(t, 3, o, always(scriptednode.Serve))
+	var tasks sync.WaitGroup
+	var failed atomic.Int64
+	for i := range 10000 {
+		tasks.Go(func() {
+			key := fmt.Sprint("k", i)
+			if v, err := c.Get(context.Background(), key); err != nil || string(v) != scriptednode.Value(key) {
+				if failed.Add(1) == 1 {
+					t.Error(string(v), err)
+				}
+			}
+		})
+	}
+	tasks.Wait()
+	if all, _ := ns.Accepted(); failed.Load() > 0 || all > 12 {
+		t.Fatalf("%d failed, over %d connections", failed.Load(), all)
+	}
+}
+
+// Calls beyond MaxWaiting are refused at once.
+func TestWaitingIsBounded(t *testing.T) {
+	read := Class{Name: "read", Effect: Safe, Wait: 300 * ms}
+	c := open(t, Options{Proxies: silentSource{}, MaxWaiting: 10, Read: read})
+	var tasks sync.WaitGroup
+	var refused, deadline atomic.Int64
+	for range 30 {
+		tasks.Go(func() {
+			_, err := c.Get(context.Background(), "k")
+			late := errors.Is(err, ErrDeadline) && errors.Is(err, context.DeadlineExceeded)
+			switch {
+			case errors.Is(err, ErrRefused):
+				refused.Add(1)
+			case late || errors.Is(err, ErrUnavailable):
+				deadline.Add(1)
+			}
+		})
+	}
+	tasks.Wait()
+	if refused.Load() != 20 || deadline.Load() != 10 {
+		t.Fatalf("%d refused, %d past their deadline", refused.Load(), deadline.Load())
+	}
+}
