--- /dev/null
+++ b/cmd/mulleinctl/hold.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"syscall"
+	"time"
+
+	"mulleinpier/internal/lease"
+	"mulleinpier/internal/lease/agent"
+)
+
+type holdCommand struct {
+	voterFlags
+	Task    string        `arg:"" help:"The task."`
+	Command []string      `arg:"" passthrough:"" help:"The command, behind --."`
+	Length  time.Duration `default:"5s" help:"Duration of the lease: others wait this long when this machine is lost."`
+	Wait    time.Duration `default:"0s" help:"How long to wait for the task; 0 for not at all."`
+	Name    string        `help:"Name of the holder; the host's name if left out."`
+	Grace   time.Duration `default:"500ms" help:"Time between SIGTERM and SIGKILL when the lease ends."`
+}
+
+// The environment variables of the command that runs under a lease.
+const (
+	tokenVariable = "MULLEIN_LEASE" // the fencing token
+	taskVariable  = "MULLEIN_TASK"
+)
+
+// run waits for the lease, and runs the command while it lasts.
+func (c *holdCommand) run(ctx context.Context, out, log io.Writer) error {
+	argv := c.Command
+	if len(argv) > 0 && argv[0] == "--" {
+		argv = argv[1:]
+	}
+	if len(argv) == 0 {
+		return fmt.Errorf("%w: hold wants a command behind --", errUsage)
+	}
+	name := c.Name
+	if name == "" {
+		name, _ = os.Hostname() // without one the agent makes the name unique all the same
+	}
+	voters, err := c.open()
+	if err != nil {
+		return err
+	}
+	defer voters.Close()
+	holder, err := voters.Hold(ctx, c.Task, name, c.Length, c.Wait > 0)
+	if err != nil {
+		return fmt.Errorf("%w: %w", errUsage, err)
+	}
+	defer holder.Close()
+	if err := c.await(ctx, holder); err != nil {
+		return err
+	}
+	return holder.RunGuarded(context.WithoutCancel(ctx), func(_ context.Context, token uint64) error {
+		return c.runCommand(ctx, holder, argv, token, out, log)
+	})
+}
+
+// await waits until the lease is held.
+func (c *holdCommand) await(ctx context.Context, holder *agent.Holder) error {
+	ctx, cancel := context.WithTimeout(ctx, max(c.Wait, c.Within))
+	defer cancel()
+	_, err := holder.Await(ctx)
+	if errors.Is(err, context.DeadlineExceeded) && c.Wait > 0 {
+		return lease.ErrHeld
+	}
+	return err
+}
+
+// killMargin is kept between the end of the grace time and the end of the lease.
+const killMargin = 50 * time.Millisecond
+
+// runCommand runs the command under a grant. The command is ended before the lease is: a renewal that does not come in
+// time is noticed while the grace time is still left.
+func (c *holdCommand) runCommand(
+	ctx context.Context, holder *agent.Holder, argv []string, token uint64, out, log io.Writer,
+) (err error) {
+	lost := holder.LostBefore(ctx, c.Grace+killMargin)
+	cmd := exec.Command(argv[0], argv[1:]...)
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", tokenVariable, token), taskVariable+"="+c.Task)
+	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, out, log
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- cmd.Wait() }()
+	select {
+	case err := <-ended:
+		return err
+	case <-lost:
+		err = agent.ErrLeaseLost
+	case <-ctx.Done():
+		err = ctx.Err()
+	}
+	c.endCommand(cmd.Process.Pid, ended)
+	return err
+}
+
+// endCommand ends the command and its children, and waits for it.
+func (c *holdCommand) endCommand(pid int, ended <-chan error) {
+	syscall.Kill(-pid, syscall.SIGTERM)
+	select {
+	case <-ended:
+	case <-time.After(c.Grace):
+		syscall.Kill(-pid, syscall.SIGKILL)
+		<-ended
+	}
+}
--- a/cmd/mulleinctl/lease_test.go
+++ b/cmd/mulleinctl/lease_test.go
@@ -11,43 +11,52 @@
 	"strings"
 	"sync"
 	"testing"
-	"time"
 
 	"mulleinpier/internal/lease/agent"
 	"mulleinpier/internal/testutil"
 )
 
-// voters starts three voters whose memory was made by the verb for it, and returns the flags that name them.
-func voters(t *testing.T) []string {
+// reserveVoters returns a fleet with three voters at free addresses, and the flags that name them.
+func reserveVoters(t *testing.T) (fleet agent.Fleet, flags []string) {
 	t.Helper()
-	f := agent.Fleet{Name: "shop"}
+	fleet.Name = "shop"
 	var names []string
 	for i := range 3 {
-		l, err := net.Listen("tcp", "127.0.0.6:0") // where no connection goes out from
+		l, err := net.Listen("tcp", "127.0.0.6:0") // a host that no connection goes out from, so the port stays free
 		if err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
-		f.Voters = append(f.Voters, agent.VoterAddress{Name: fmt.Sprint("v", i), Address: l.Addr().String()})
+		fleet.Voters = append(fleet.Voters, agent.VoterAddress{Name: fmt.Sprint("v", i), Address: l.Addr().String()})
 		names = append(names, fmt.Sprintf("v%d=%s", i, l.Addr()))
 	}
-	flags := []string{"--fleet=shop", "--voters=" + strings.Join(names, ",")}
+	return fleet, []string{"--fleet=shop", "--voters=" + strings.Join(names, ",")}
+}
+
+// startVoters starts three voters whose storage is created by lease init, and returns the flags that name them.
+func startVoters(t *testing.T) []string {
+	t.Helper()
+	fleet, flags := reserveVoters(t)
 	ctx, stop := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
-	t.Cleanup(func() { stop(); tasks.Wait() })
-	for i, p := range f.Voters {
+	t.Cleanup(func() {
+		stop()
+		tasks.Wait()
+	})
+	for _, voter := range fleet.Voters {
 		memory := filepath.Join(t.TempDir(), "memory")
-		if out, code := mulleinctl(t, append([]string{"lease", "init", "--memory=" + memory}, flags...)...); code != 0 {
+		initVoter := append([]string{"lease", "init", "--memory=" + memory}, flags...)
+		if out, code := mulleinctl(t, initVoter...); code != 0 {
 			t.Fatal(out)
 		}
-		if _, code := mulleinctl(t, append([]string{"lease", "init", "--memory=" + memory}, flags...)...); code == 0 {
-			t.Fatal("memory was made twice")
+		if _, code := mulleinctl(t, initVoter...); code == 0 {
+			t.Fatal("storage was created twice")
 		}
-		v, err := agent.Open(memory, f, p.Name, slog.New(slog.DiscardHandler))
+		v, err := agent.Open(memory, fleet, voter.Name, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, err := net.Listen("tcp", f.Voters[i].Address)
+		l, err := net.Listen("tcp", voter.Address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,8 +65,14 @@
 	return flags
 }
 
-// mulleinctl runs a verb.
-func mulleinctl(t *testing.T, args ...string) (out string, exit int) {
+// result is what a command printed, and its exit code.
+type result struct {
+	out  string
+	code int
+}
+
+// mulleinctl runs a command.
+func mulleinctl(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
 	var b bytes.Buffer
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
@@ -66,69 +81,72 @@
 	if err != nil {
 		fmt.Fprintln(&b, err)
 	}
-	return b.String(), code(err)
+	return b.String(), exitCode(err)
 }
 
-// greater tells whether a line is a number above another.
-func greater(line string, than int) bool {
-	n, err := strconv.Atoi(strings.TrimSpace(line))
-	return err == nil && n > than
-}
+// leaseVerb runs a verb of mulleinctl lease.
+type leaseVerb func(verb string, args ...string) (out string, code int)
 
-func TestLeaseVerbs(t *testing.T) {
-	flags := voters(t)
-	verb := func(args ...string) (string, int) {
-		return mulleinctl(t, append(append([]string{"lease"}, args[0]), append(flags, args[1:]...)...)...)
-	}
-	if out, code := verb("hold", "backup", "--", "sh", "-c", "echo $MULLEIN_TASK $MULLEIN_LEASE"); code != 0 || out != "backup 1\n" {
-		t.Fatalf("exit %d: %q", code, out)
+// want fails the test if a verb does not end with an exit code. It returns what the verb printed.
+func (v leaseVerb) want(t *testing.T, code int, verb string, args ...string) string {
+	t.Helper()
+	out, got := v(verb, args...)
+	if got != code {
+		t.Errorf("lease %s %q: exit %d, want %d: %s", verb, args, got, code, out)
 	}
-	// It is given back, or over at the latest after its length, if the word got lost.
-	free := func() bool { out, code := verb("show", "backup"); return code == 0 && strings.Contains(out, "free") }
-	testutil.WaitUntil(t, "the task to be free", free)
-	if out, code := verb("show", "nothing"); code == 0 {
-		t.Errorf("a task that nobody asked for: %s", out)
+	return out
+}
+
+// heldFor returns the number of the grant that show lists with a duration, "" for none.
+func (v leaseVerb) heldFor(duration string) string {
+	out, _ := v("show", "backup")
+	for line := range strings.Lines(out) {
+		fields := strings.Fields(line)
+		if len(fields) > 4 && fields[0] == "backup" && fields[4] == duration {
+			return fields[2]
+		}
 	}
-	if out, code := verb("hold", "backup"); code != exitUsage {
-		t.Errorf("without a command: exit %d: %s", code, out)
+	return ""
+}
+
+func TestLeaseVerbs(t *testing.T) {
+	flags := startVoters(t)
+	var verb leaseVerb = func(verb string, args ...string) (string, int) {
+		return mulleinctl(t, append(append([]string{"lease", verb}, flags...), args...)...)
 	}
-	type result struct {
-		out  string
-		code int
+	out := verb.want(t, 0, "hold", "backup", "--", "sh", "-c", "echo $MULLEIN_TASK $MULLEIN_LEASE")
+	if out != "backup 1\n" {
+		t.Fatalf("the command printed %q", out)
 	}
+	// The lease is given back, or expires if that message was lost.
+	testutil.WaitUntil(t, "the task to be free", func() bool {
+		out, code := verb("show", "backup")
+		return code == 0 && strings.Contains(out, "free")
+	})
+	verb.want(t, exitFailed, "show", "nothing")
+	verb.want(t, exitUsage, "hold", "backup")
 	ended := make(chan result, 1)
-	begun := time.Now()
 	go func() {
 		out, code := verb("hold", "--length=10s", "backup", "--", "sleep", "60")
 		ended <- result{out, code}
 	}()
 	number := ""
-	testutil.WaitUntil(t, "it to be held", func() bool {
-		out, _ := verb("show", "backup")
-		for line := range strings.Lines(out) {
-			if f := strings.Fields(line); len(f) > 4 && f[0] == "backup" && f[4] == "10s" {
-				number = f[2]
-			}
-		}
+	testutil.WaitUntil(t, "the task to be held", func() bool {
+		number = verb.heldFor("10s")
 		return number != ""
 	})
-	if out, code := verb("hold", "backup", "--", "true"); code != exitTaken {
-		t.Errorf("taken: exit %d: %s", code, out)
-	}
-	if out, code := verb("revoke", "backup", number); code != 0 {
-		t.Errorf("revoke: exit %d: %s", code, out)
-	}
+	verb.want(t, exitTaken, "hold", "backup", "--", "true")
+	verb.want(t, 0, "revoke", "backup", number)
 	if r := testutil.Receive(t, "the command to be ended", ended); r.code != exitLost {
-		t.Errorf("revoked: exit %d after %v: %s", r.code, time.Since(begun), r.out)
-	}
-	out, code := verb("hold", "--wait=25s", "backup", "--", "sh", "-c", "echo $MULLEIN_LEASE")
-	if before, _ := strconv.Atoi(number); code != 0 || !greater(out, before) {
-		t.Errorf("after the revoked one, number %s: exit %d: %q", number, code, out)
+		t.Errorf("revoked: exit %d: %s", r.code, r.out)
 	}
-	if out, code := verb("limit", "backup", "2"); code != 0 {
-		t.Errorf("limit: exit %d: %s", code, out)
+	out = verb.want(t, 0, "hold", "--wait=25s", "backup", "--", "sh", "-c", "echo $MULLEIN_LEASE")
+	revoked, _ := strconv.Atoi(number)
+	if next, err := strconv.Atoi(strings.TrimSpace(out)); err != nil || next <= revoked {
+		t.Errorf("after the revoked grant %s came %q", number, out)
 	}
-	if out, code := verb("list", "--json"); code != 0 || !strings.Contains(out, `"most":2`) {
-		t.Errorf("exit %d: %s", code, out)
+	verb.want(t, 0, "limit", "backup", "2")
+	if out := verb.want(t, 0, "list", "--json"); !strings.Contains(out, `"most":2`) {
+		t.Errorf("limit is not 2: %s", out)
 	}
 }
--- a/cmd/mulleinctl/main_test.go
+++ b/cmd/mulleinctl/main_test.go
@@ -13,30 +13,40 @@
 	"mulleinpier/internal/loadgen"
 )
 
-// Each command against stand-in proxies, with what it prints and the code that it exits with.
-func TestCommands(t *testing.T) {
-	ns, err := scriptednode.Start(scriptednode.Meta, 1, func(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
-		switch a.Key {
-		case "none":
-			return scriptednode.Miss
-		case "busy":
-			return scriptednode.Busy
-		case "lost":
-			return scriptednode.Fail
-		case "bad":
-			return scriptednode.Invalid
-		}
-		return scriptednode.Serve
-	})
+// reactByKey is a proxy's reaction to the keys that the tests use.
+func reactByKey(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
+	switch r.Key {
+	case "none":
+		return scriptednode.Miss
+	case "busy":
+		return scriptednode.Busy
+	case "lost":
+		return scriptednode.Fail
+	case "bad":
+		return scriptednode.Invalid
+	}
+	return scriptednode.Serve
+}
+
+// startProxy starts a scripted proxy, and returns it with the path of a file that lists it.
+func startProxy(t *testing.T) (proxy *scriptednode.Nodes, list string) {
+	t.Helper()
+	proxy, err := scriptednode.Start(scriptednode.Meta, 1, reactByKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ns.Close()
-	list := filepath.Join(t.TempDir(), "proxies")
-	if err := os.WriteFile(list, []byte("# one\n"+ns.Address(0)+"\n"), 0o600); err != nil {
+	t.Cleanup(proxy.Close)
+	list = filepath.Join(t.TempDir(), "proxies")
+	if err := os.WriteFile(list, []byte("# one\n"+proxy.Address(0)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	at := "--proxies=" + ns.Address(0)
+	return proxy, list
+}
+
+// Each command against a scripted proxy, with what it prints and its exit code.
+func TestCommands(t *testing.T) {
+	proxy, list := startProxy(t)
+	at := "--proxies=" + proxy.Address(0)
 	for _, c := range []struct {
 		args     string
 		code     int
@@ -61,19 +71,34 @@
 	} {
 		var out, log bytes.Buffer
 		err := run(context.Background(), strings.Fields(c.args), strings.NewReader("from input"), &out, &log)
-		if code(err) != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(log.String(), c.log) {
-			t.Errorf("mulleinctl %s: %v (exit %d, want %d)\n%s\n%s", c.args, err, code(err), c.code, out.String(), log.String())
+		printed := strings.Contains(out.String(), c.out) && strings.Contains(log.String(), c.log)
+		if exitCode(err) != c.code || !printed {
+			t.Errorf("mulleinctl %s: %v (exit %d, want %d)\n%s\n%s",
+				c.args, err, exitCode(err), c.code, out.String(), log.String())
 		}
 	}
-	if asked := ns.Requests(); asked[len(asked)-2].Value != "from input" && asked[len(asked)-3].Value != "from input" {
-		t.Errorf("the value was not read from standard input: %+v", asked[len(asked)-3:])
+	requests := proxy.Requests()
+	last := requests[len(requests)-3:]
+	if last[1].Value != "from input" && last[0].Value != "from input" {
+		t.Errorf("the value was not read from standard input: %+v", last)
+	}
+}
+
+func TestLoadWritesItsResults(t *testing.T) {
+	proxy, _ := startProxy(t)
+	path := filepath.Join(t.TempDir(), "load.json")
+	args := []string{
+		"load", "--proxies=" + proxy.Address(0), "--json=" + path,
+		"--clients=5", "--rate=200", "--for=300ms", "--kind=brief",
 	}
-	file := filepath.Join(t.TempDir(), "load.json")
 	var out bytes.Buffer
-	err = run(context.Background(), strings.Fields("load "+at+" --clients=5 --rate=200 --for=300ms --kind=brief --json="+file), nil, &out, &out)
-	text, _ := os.ReadFile(file)
-	var r loadgen.Result
-	if err != nil || json.Unmarshal(text, &r) != nil || r.Phases[0].InTime == 0 || !strings.Contains(out.String(), "in time") {
-		t.Errorf("load: %v\n%s\n%s", err, out.String(), text)
+	err := run(context.Background(), args, nil, &out, &out)
+	text, _ := os.ReadFile(path)
+	var result loadgen.Result
+	if err != nil || json.Unmarshal(text, &result) != nil {
+		t.Fatalf("%v\n%s\n%s", err, out.String(), text)
+	}
+	if result.Phases[0].InTime == 0 || !strings.Contains(out.String(), "in time") {
+		t.Errorf("%s\n%s", out.String(), text)
 	}
 }
--- a/cmd/mulleinctl/recorded_test.go
+++ b/cmd/mulleinctl/recorded_test.go
@@ -13,7 +13,6 @@
 	"strings"
 	"testing"
 
-	"mulleinpier/internal/fake/scriptednode"
 	"mulleinpier/internal/lease"
 	"mulleinpier/internal/lease/agent"
 	"mulleinpier/internal/loadgen"
@@ -63,15 +62,16 @@
 
 func TestVerbsAndFlagsAsRecorded(t *testing.T) {
 	verbs := []string{"get", "set", "load", "fleet list", "work list"}
-	for _, verb := range []string{"hold", "list", "show", "release", "revoke", "limit", "hand", "init", "enrol", "dismiss"} {
+	leaseVerbs := []string{"hold", "list", "show", "release", "revoke", "limit", "hand", "init", "enrol", "dismiss"}
+	for _, verb := range leaseVerbs {
 		verbs = append(verbs, "lease "+verb)
 	}
 	var got bytes.Buffer
 	for _, verb := range verbs {
 		var out, log bytes.Buffer
 		err := run(context.Background(), append(strings.Fields(verb), "--help"), strings.NewReader(""), &out, &log)
-		if code(err) != 0 {
-			t.Errorf("%s --help: exit %d: %v", verb, code(err), err)
+		if exitCode(err) != 0 {
+			t.Errorf("%s --help: exit %d: %v", verb, exitCode(err), err)
 		}
 		for _, line := range signature(out.String()) {
 			fmt.Fprintf(&got, "%s: %s\n", verb, line)
@@ -120,16 +120,8 @@
 
 // Each line of exit-codes.txt is an exit code, the quoted standard output and the arguments.
 func TestExitCodesAsRecorded(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 1, recordedReaction)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nodes.Close()
-	list := filepath.Join(t.TempDir(), "proxies")
-	if err := os.WriteFile(list, []byte(nodes.Address(0)+"\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	places := strings.NewReplacer("{proxy}", nodes.Address(0), "{list}", list)
+	proxy, list := startProxy(t)
+	placeholders := strings.NewReplacer("{proxy}", proxy.Address(0), "{list}", list)
 	lines := bufio.NewScanner(bytes.NewReader(recorded(t, "exit-codes.txt")))
 	for lines.Scan() {
 		columns := strings.SplitN(lines.Text(), "\t", 3)
@@ -142,37 +134,19 @@
 			t.Fatal(err)
 		}
 		var out, log bytes.Buffer
-		args := strings.Fields(places.Replace(columns[2]))
+		args := strings.Fields(placeholders.Replace(columns[2]))
 		err = run(context.Background(), args, strings.NewReader("from input"), &out, &log)
-		if code(err) != want || out.String() != stdout {
-			t.Errorf("%s: exit %d, want %d; printed %q, want %q; %v", columns[2], code(err), want, out.String(), stdout, err)
+		if exitCode(err) != want || out.String() != stdout {
+			t.Errorf("%s: exit %d, want %d; printed %q, want %q; %v",
+				columns[2], exitCode(err), want, out.String(), stdout, err)
 		}
 	}
 }
 
-// recordedReaction is what the proxy did to which key when the exit codes were recorded.
-func recordedReaction(_ int, a scriptednode.ReceivedRequest) scriptednode.Reaction {
-	switch a.Key {
-	case "none":
-		return scriptednode.Miss
-	case "busy":
-		return scriptednode.Busy
-	case "lost":
-		return scriptednode.Fail
-	case "bad":
-		return scriptednode.Invalid
-	}
-	return scriptednode.Serve
-}
-
 func TestLoadTableAsRecorded(t *testing.T) {
-	nodes, err := scriptednode.Start(scriptednode.Meta, 1, recordedReaction)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nodes.Close()
+	proxy, _ := startProxy(t)
 	var out bytes.Buffer
-	args := strings.Fields("load --clients=2 --rate=50 --for=100ms --kind=brief --proxies=" + nodes.Address(0))
+	args := strings.Fields("load --clients=2 --rate=50 --for=100ms --kind=brief --proxies=" + proxy.Address(0))
 	if err := run(context.Background(), args, nil, &out, &out); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mulleinctl/work.go
+++ b/cmd/mulleinctl/work.go
@@ -14,43 +14,54 @@
 	"mulleinpier/internal/takeover/coordinator"
 )
 
-// workCommand tells of works in hand.
+// workCommand is about the writes in progress that a proxy has recorded.
 type workCommand struct {
-	List workListCommand `cmd:"" help:"List the works that a proxy holds, the unknown ones first."`
+	List workListCommand `cmd:"" help:"List the writes that a proxy has recorded, those with unknown outcomes first."`
 }
 
 type workListCommand struct {
-	At     string        `required:"" help:"Where the proxy takes works (peers.listen), host:port."`
+	At     string        `required:"" help:"Address of the proxy for its peers (peers.listen), host:port."`
 	JSON   bool          `help:"As JSON."`
 	Within time.Duration `default:"2s" help:"How long to wait."`
 }
 
 func (c *workListCommand) run(ctx context.Context, out io.Writer) error {
+	writes, err := c.fetch(ctx)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return json.NewEncoder(out).Encode(writes)
+	}
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(w, "work\tstate\towner\tnumber\towners\tsince\treceipt")
+	for _, x := range writes {
+		fmt.Fprintf(w, "%q\t%s\t%s\t%d\t%d\t%v\t%s\n",
+			x.ID, x.State, x.Owner, x.Epoch, x.OwnerCount, x.Age.Round(time.Millisecond), x.Receipt)
+	}
+	return w.Flush()
+}
+
+// fetch asks the proxy for its writes.
+func (c *workListCommand) fetch(ctx context.Context) (writes []takeover.WriteStatus, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Within)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.At+coordinator.WritesPath, nil)
+	url := "http://" + c.At + coordinator.WritesPath
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: %s", c.At, response.Status)
+		return nil, fmt.Errorf("%s: %s", c.At, response.Status)
 	}
-	var list []takeover.WriteStatus
-	if err := json.NewDecoder(io.LimitReader(response.Body, rpc.MaxBodyBytes)).Decode(&list); err != nil {
-		return err
-	}
-	if c.JSON {
-		return json.NewEncoder(out).Encode(list)
+	body := io.LimitReader(response.Body, rpc.MaxBodyBytes)
+	if err := json.NewDecoder(body).Decode(&writes); err != nil {
+		return nil, fmt.Errorf("writes of %s: %w", c.At, err)
 	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "work\tstate\towner\tnumber\towners\tsince\treceipt")
-	for _, h := range list {
-		fmt.Fprintf(w, "%q\t%s\t%s\t%d\t%d\t%v\t%s\n", h.ID, h.State, h.Owner, h.Epoch, h.OwnerCount, h.Age.Round(time.Millisecond), h.Receipt)
-	}
-	return w.Flush()
+	return writes, nil
 }
