--- a/internal/loadgen/library.go
+++ b/internal/loadgen/library.go
@@ -9,40 +9,49 @@
 	"mulleinpier/client"
 )
 
-// library is a till that uses the client package.
-type library struct{ client *client.Client }
+// naiveStream is the second seed of the generators of naive clients.
+const naiveStream = 8
 
-func (t *tally) open(rng *rand.Rand) (till, error) {
-	if t.config.Kind == Naive {
-		return &brief{tally: t, rng: rand.New(rand.NewPCG(rng.Uint64(), 8)), base: rng.Uint64()}, nil
+// openClient opens one client of the configured kind.
+func (r *recorder) openClient(rng *rand.Rand) (simulatedClient, error) {
+	if r.config.Kind == Naive {
+		return &naiveClient{
+			recorder: r,
+			rng:      rand.New(rand.NewPCG(rng.Uint64(), naiveStream)),
+			idPrefix: rng.Uint64(),
+		}, nil
 	}
-	o := t.config.Options
-	o.Proxies, o.Tenant = client.Static(t.config.Addresses...), t.config.Tenant
+	o := r.config.Options
+	o.Proxies = client.Static(r.config.Addresses...)
+	o.Tenant = r.config.Tenant
 	o.Trace = client.Trace{
-		DialStart: func(string) { t.dialled() },
+		DialStart: func(string) { r.dialed() },
 		DialDone: func(_ string, _ time.Duration, err error) {
 			if err != nil {
-				t.add(func(f *PhaseResult) { f.DialFails++ })
+				r.dialFailed()
 			}
 		},
-		TryDone:    t.audit.TryDone,
-		LateAnswer: t.audit.LateAnswer,
+		TryDone:    r.auditor.TryDone,
+		LateAnswer: r.auditor.LateAnswer,
 	}
 	c, err := client.New(o)
 	if err != nil {
 		return nil, err
 	}
-	return library{c}, nil
+	return libraryClient{c}, nil
 }
 
-func (l library) close() { l.client.Close() }
+// libraryClient is a client that uses the client package.
+type libraryClient struct{ client *client.Client }
 
-func (l library) call(o *order) end {
+func (c libraryClient) close() { c.client.Close() }
+
+func (c libraryClient) call(q *request) outcome {
 	var err error
-	if o.value != "" {
-		_, err = l.client.Set(context.Background(), o.key, []byte(o.value))
+	if q.isHandover() {
+		_, err = c.client.Set(context.Background(), q.key, []byte(q.value))
 	} else {
-		_, err = l.client.Get(context.Background(), o.key)
+		_, err = c.client.Get(context.Background(), q.key)
 	}
 	switch {
 	case err == nil || errors.Is(err, client.ErrMiss):
--- /dev/null
+++ b/internal/loadgen/naive.go
@@ -0,0 +1,201 @@
+package loadgen
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+
+	"mulleinpier/internal/meta"
+	wire "mulleinpier/internal/request"
+)
+
+const (
+	naiveIdleTimeout = 1500 * time.Millisecond // of connections
+	naiveDialTimeout = time.Second
+	naiveBufferBytes = 2 << 10
+	lineEnd          = "\r\n"
+)
+
+// naiveClient is a client as the operators describe those without the library.
+type naiveClient struct {
+	recorder *recorder
+	idPrefix uint64
+
+	mu     sync.Mutex
+	rng    *rand.Rand
+	serial int
+	idle   []*naiveConn // the latest last
+	closed bool
+}
+
+// naiveConn is a connection of a naive client.
+type naiveConn struct {
+	socket    net.Conn
+	reader    *bufio.Reader
+	idleSince time.Time
+}
+
+func (c *naiveClient) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+	for _, conn := range c.idle {
+		conn.socket.Close()
+	}
+	c.idle = nil
+}
+
+// connect returns an idle connection, or a new one to any proxy.
+func (c *naiveClient) connect() (*naiveConn, error) {
+	conn, address := c.takeIdle()
+	if conn != nil {
+		return conn, nil
+	}
+	c.recorder.dialed()
+	socket, err := net.DialTimeout("tcp", address, naiveDialTimeout)
+	if err != nil {
+		c.recorder.dialFailed()
+		return nil, err
+	}
+	return &naiveConn{socket: socket, reader: bufio.NewReaderSize(socket, naiveBufferBytes)}, nil
+}
+
+// takeIdle returns the latest idle connection that is not too old, or else the address of a proxy to connect to.
+func (c *naiveClient) takeIdle() (conn *naiveConn, address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.idle) > 0 {
+		last := len(c.idle) - 1
+		conn := c.idle[last]
+		c.idle = c.idle[:last]
+		if time.Since(conn.idleSince) < naiveIdleTimeout {
+			return conn, ""
+		}
+		conn.socket.Close()
+	}
+	addresses := c.recorder.config.Addresses
+	return nil, addresses[c.rng.IntN(len(addresses))]
+}
+
+// release keeps a connection for later requests.
+func (c *naiveClient) release(conn *naiveConn) {
+	conn.idleSince = time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		conn.socket.Close()
+		return
+	}
+	c.idle = append(c.idle, conn)
+}
+
+func (c *naiveClient) call(q *request) outcome {
+	options := &c.recorder.config.Options
+	class := &options.Read
+	if q.isHandover() {
+		class = &options.Write
+	}
+	deadline := time.Now().Add(class.Wait)
+	mayHaveRun := false
+	for try := 0; ; try++ {
+		wait := min(time.Until(deadline), time.Duration(q.share*float64(class.Wait)))
+		as := failed
+		if wait > 0 {
+			as = c.try(q, class.Name, wait, try)
+		}
+		switch as {
+		case served:
+			return served
+		case failed:
+			mayHaveRun = true
+		}
+		if try >= q.retries || time.Until(deadline) <= q.pause {
+			if as == failed && mayHaveRun && q.isHandover() {
+				return unknown
+			}
+			return as
+		}
+		time.Sleep(q.pause)
+	}
+}
+
+// nextID returns the id of a try.
+func (c *naiveClient) nextID() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.serial++
+	return fmt.Sprintf("b%x-%x", c.idPrefix, c.serial)
+}
+
+// try sends a request once. A connection that does not come up counts as a refusal, because nothing was sent.
+func (c *naiveClient) try(q *request, class string, wait time.Duration, number int) outcome {
+	conn, err := c.connect()
+	if err != nil {
+		return refused
+	}
+	id := c.nextID()
+	r := wire.Request{
+		Key:    q.key,
+		Class:  class,
+		Tenant: c.recorder.config.Tenant,
+		Retry:  number > 0 && q.marked,
+	}
+	if q.isHandover() {
+		r.Verb = wire.Set
+		r.Value = []byte(q.value)
+		r.IdempotencyKey = q.value
+	}
+	text := meta.AppendRequest(nil, &r, id, max(wait.Milliseconds(), 1))
+	if q.isHandover() {
+		text = append(text, q.value+lineEnd...)
+	}
+	conn.socket.SetDeadline(time.Now().Add(wait))
+	c.recorder.tried()
+	as, usable := failed, false
+	if _, err := conn.socket.Write(text); err == nil {
+		as, usable = conn.readAnswer(id, r.Verb)
+	}
+	if usable {
+		c.release(conn)
+	} else {
+		conn.socket.Close()
+	}
+	return as
+}
+
+// readAnswer reads the answer to a request, and reports whether the connection can be used for others.
+func (c *naiveConn) readAnswer(id string, verb wire.Verb) (as outcome, usable bool) {
+	line, err := c.reader.ReadSlice('\n')
+	if err != nil {
+		return failed, false
+	}
+	line = bytes.TrimSuffix(line, []byte(lineEnd))
+	if bytes.HasPrefix(line, []byte("SERVER_ERROR busy")) {
+		return refused, true
+	}
+	a, err := meta.ParseAnswer(line)
+	if err != nil {
+		return failed, false
+	}
+	ownID := string(a.ID) == id
+	switch {
+	case a.Kind == wire.Stored && verb == wire.Set && ownID:
+		return served, true
+	case a.Kind == wire.Value && verb == wire.Get && ownID:
+		_, err := io.CopyN(io.Discard, c.reader, int64(a.ValueLen+len(lineEnd)))
+		if err != nil {
+			return failed, false
+		}
+		return served, true
+	case a.Kind == wire.NotFound && verb == wire.Get:
+		return served, true
+	case a.Kind == wire.Failed:
+		return failed, true
+	}
+	return failed, false
+}
