--- a/cmd/fleettest/recorded_test.go
+++ b/cmd/fleettest/recorded_test.go
@@ -3,10 +3,8 @@
 import (
 	"bufio"
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"net"
-	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
@@ -23,39 +21,6 @@
 // The files in testdata/recorded are outputs of the version before the programs were renamed. Scripts and
 // dashboards read verbs, flags, JSON, exit codes and the text of stats, so this version must still produce them.
 
-// recorded reads a recorded file.
-func recorded(t *testing.T, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "recorded", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
-var (
-	helpFlag     = regexp.MustCompile(`^ +(?:(-\w), +)?(--[a-z-]+(?:=\S+)?)`)
-	helpArgument = regexp.MustCompile(`^ +([<\[]\S+)`)
-)
-
-// signature reduces a help text to what scripts depend on: the usage line, flags with their placeholders and
-// defaults, and arguments.
-func signature(help string) (lines []string) {
-	for line := range strings.Lines(help) {
-		line = strings.TrimRight(line, "\n")
-		if usage, ok := strings.CutPrefix(line, "Usage: "); ok {
-			_, usage, _ = strings.Cut(usage, " ")
-			lines = append(lines, "usage "+usage)
-		}
-		if m := helpFlag.FindStringSubmatch(line); m != nil {
-			lines = append(lines, strings.TrimSpace("flag "+m[2]+" "+m[1]))
-		} else if m := helpArgument.FindStringSubmatch(line); m != nil {
-			lines = append(lines, "argument "+m[1])
-		}
-	}
-	return lines
-}
-
 func TestVerbsAndFlagsAsRecorded(t *testing.T) {
 	var got bytes.Buffer
 	for _, verb := range []string{"wave", "play", "up", "cost", "times", "consul", "degrade", "clients", "still", "lease", "takeover", "peers",
@@ -64,11 +29,11 @@
 		if err != nil {
 			t.Errorf("%s --help: %v", verb, err)
 		}
-		for _, line := range signature(string(out)) {
+		for _, line := range testutil.HelpSignature(string(out)) {
 			fmt.Fprintf(&got, "%s: %s\n", verb, line)
 		}
 	}
-	if want := recorded(t, "flags.txt"); !bytes.Equal(got.Bytes(), want) {
+	if want := testutil.Recorded(t, "flags.txt"); !bytes.Equal(got.Bytes(), want) {
 		t.Errorf("verbs and flags differ from those recorded; got\n%s\nwant\n%s", got.Bytes(), want)
 	}
 }
@@ -83,13 +48,11 @@
 		name, _, _ := strings.Cut(line, " ")
 		names.WriteString(name + "\n")
 	}
-	if want := string(recorded(t, "scenarios.txt")); names.String() != want {
+	if want := string(testutil.Recorded(t, "scenarios.txt")); names.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", names.String(), want)
 	}
 }
 
-// A recorded report, read into the type that this version writes, must come out again byte for byte: so no field
-// has another name, type or place.
 func TestReportsAsRecorded(t *testing.T) {
 	for _, c := range []struct {
 		file string
@@ -111,26 +74,14 @@
 		{"wave-permits.json", &fleettest.Report{}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			text := recorded(t, c.file)
-			decoder := json.NewDecoder(bytes.NewReader(text))
-			decoder.DisallowUnknownFields()
-			if err := decoder.Decode(c.into); err != nil {
-				t.Fatal(err)
-			}
-			again, err := json.MarshalIndent(c.into, "", " ")
-			if err != nil {
-				t.Fatal(err)
-			}
-			if again = append(again, '\n'); !bytes.Equal(again, text) {
-				t.Errorf("got\n%s\nwant\n%s", again, text)
-			}
+			testutil.CheckRecordedJSON(t, c.file, c.into, " ")
 		})
 	}
 }
 
 // Each line of exit-codes.txt is an exit code and the arguments, of commands that end before a fleet is started.
 func TestExitCodesAsRecorded(t *testing.T) {
-	lines := bufio.NewScanner(bytes.NewReader(recorded(t, "exit-codes.txt")))
+	lines := bufio.NewScanner(bytes.NewReader(testutil.Recorded(t, "exit-codes.txt")))
 	for lines.Scan() {
 		text, args, _ := strings.Cut(lines.Text(), "\t")
 		want, err := strconv.Atoi(text)
@@ -216,7 +167,7 @@
 		text := readStats(t, address)
 		return strings.Contains(text, "STAT service_memory ") && strings.Contains(text, "STAT service_late_handovers ")
 	})
-	if got, want := readStats(t, address), string(recorded(t, "stats.txt")); got != want {
+	if got, want := readStats(t, address), string(testutil.Recorded(t, "stats.txt")); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
--- a/cmd/mulleinctl/lease_test.go
+++ b/cmd/mulleinctl/lease_test.go
@@ -22,13 +22,9 @@
 	fleet.Name = "shop"
 	var names []string
 	for i := range 3 {
-		l, err := net.Listen("tcp", "127.0.0.6:0") // a host that no connection goes out from, so the port stays free
-		if err != nil {
-			t.Fatal(err)
-		}
-		l.Close()
-		fleet.Voters = append(fleet.Voters, agent.VoterAddress{Name: fmt.Sprint("v", i), Address: l.Addr().String()})
-		names = append(names, fmt.Sprintf("v%d=%s", i, l.Addr()))
+		voter := agent.VoterAddress{Name: fmt.Sprint("v", i), Address: testutil.ReserveAddress(t, "127.0.0.6")}
+		fleet.Voters = append(fleet.Voters, voter)
+		names = append(names, voter.Name+"="+voter.Address)
 	}
 	return fleet, []string{"--fleet=shop", "--voters=" + strings.Join(names, ",")}
 }
--- a/cmd/mulleinctl/recorded_test.go
+++ b/cmd/mulleinctl/recorded_test.go
@@ -4,11 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
-	"regexp"
 	"strconv"
 	"strings"
 	"testing"
@@ -18,48 +14,12 @@
 	"mulleinpier/internal/loadgen"
 	"mulleinpier/internal/peer"
 	"mulleinpier/internal/takeover"
+	"mulleinpier/internal/testutil"
 )
 
 // The files in testdata/recorded are outputs of the version before the program was renamed. Scripts read
 // verbs, flags, JSON and exit codes, so this version must still produce them.
 
-// recorded reads a recorded file.
-func recorded(t *testing.T, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "recorded", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
-var (
-	helpFlag     = regexp.MustCompile(`^ +(?:(-\w), +)?(--[a-z-]+(?:=\S+)?)`)
-	helpArgument = regexp.MustCompile(`^ +([<\[]\S+)`)
-	helpVariable = regexp.MustCompile(`\(\$\w+\)`)
-)
-
-// signature reduces a help text to what scripts depend on: the usage line, flags with their placeholders and
-// defaults, arguments and environment variables.
-func signature(help string) (lines []string) {
-	for line := range strings.Lines(help) {
-		line = strings.TrimRight(line, "\n")
-		if usage, ok := strings.CutPrefix(line, "Usage: "); ok {
-			_, usage, _ = strings.Cut(usage, " ")
-			lines = append(lines, "usage "+usage)
-		}
-		if m := helpFlag.FindStringSubmatch(line); m != nil {
-			lines = append(lines, strings.TrimSpace("flag "+m[2]+" "+m[1]))
-		} else if m := helpArgument.FindStringSubmatch(line); m != nil {
-			lines = append(lines, "argument "+m[1])
-		}
-		if m := helpVariable.FindString(line); m != "" {
-			lines = append(lines, "variable "+m)
-		}
-	}
-	return lines
-}
-
 func TestVerbsAndFlagsAsRecorded(t *testing.T) {
 	verbs := []string{"get", "set", "load", "fleet list", "work list"}
 	leaseVerbs := []string{"hold", "list", "show", "release", "revoke", "limit", "hand", "init", "enrol", "dismiss"}
@@ -73,17 +33,15 @@
 		if exitCode(err) != 0 {
 			t.Errorf("%s --help: exit %d: %v", verb, exitCode(err), err)
 		}
-		for _, line := range signature(out.String()) {
+		for _, line := range testutil.HelpSignature(out.String()) {
 			fmt.Fprintf(&got, "%s: %s\n", verb, line)
 		}
 	}
-	if want := recorded(t, "flags.txt"); !bytes.Equal(got.Bytes(), want) {
+	if want := testutil.Recorded(t, "flags.txt"); !bytes.Equal(got.Bytes(), want) {
 		t.Errorf("verbs and flags differ from those recorded; got\n%s\nwant\n%s", got.Bytes(), want)
 	}
 }
 
-// A recorded JSON output, read into the type that this version prints, must come out again byte for byte: so no
-// field has another name, type or place.
 func TestJSONAsRecorded(t *testing.T) {
 	for _, c := range []struct {
 		file   string
@@ -99,21 +57,7 @@
 		{"load.json", &loadgen.Result{}, " "},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			text := recorded(t, c.file)
-			decoder := json.NewDecoder(bytes.NewReader(text))
-			decoder.DisallowUnknownFields()
-			if err := decoder.Decode(c.into); err != nil {
-				t.Fatal(err)
-			}
-			var again bytes.Buffer
-			encoder := json.NewEncoder(&again)
-			encoder.SetIndent("", c.indent)
-			if err := encoder.Encode(c.into); err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(again.Bytes(), text) {
-				t.Errorf("got\n%s\nwant\n%s", again.Bytes(), text)
-			}
+			testutil.CheckRecordedJSON(t, c.file, c.into, c.indent)
 		})
 	}
 }
@@ -122,7 +66,7 @@
 func TestExitCodesAsRecorded(t *testing.T) {
 	proxy, list := startProxy(t)
 	placeholders := strings.NewReplacer("{proxy}", proxy.Address(0), "{list}", list)
-	lines := bufio.NewScanner(bytes.NewReader(recorded(t, "exit-codes.txt")))
+	lines := bufio.NewScanner(bytes.NewReader(testutil.Recorded(t, "exit-codes.txt")))
 	for lines.Scan() {
 		columns := strings.SplitN(lines.Text(), "\t", 3)
 		want, err := strconv.Atoi(columns[0])
@@ -155,7 +99,7 @@
 		name, _, _ := strings.Cut(line, "  ")
 		rows.WriteString(name + "\n")
 	}
-	if want := string(recorded(t, "load-rows.txt")); rows.String() != want {
+	if want := string(testutil.Recorded(t, "load-rows.txt")); rows.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", rows.String(), want)
 	}
 }
--- /dev/null
+++ b/internal/testutil/wait.go
@@ -0,0 +1,39 @@
+// Package testutil holds the helpers that tests of several packages share: waiting with one generous bound, listening
+// on loopback, and comparing with outputs of earlier versions. Only tests import it. It starts no goroutines and has no
+// state; no test may depend on how long a wait took.
+package testutil
+
+import (
+	"testing"
+	"time"
+)
+
+// Timeout bounds each wait.
+const Timeout = 30 * time.Second
+
+const pollInterval = 2 * time.Millisecond
+
+// WaitUntil waits until ok returns true, or fails the test with a description of what is awaited.
+func WaitUntil(t testing.TB, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(pollInterval) {
+		if time.Now().After(end) {
+			t.Fatalf("not within %v: %s", Timeout, what)
+		}
+	}
+}
+
+// Receive returns the next value of a channel, or fails the test.
+func Receive[T any](t testing.TB, what string, from <-chan T) (value T) {
+	t.Helper()
+	select {
+	case value, ok := <-from:
+		if !ok {
+			t.Fatalf("%s: the channel is closed", what)
+		}
+		return value
+	case <-time.After(Timeout):
+		t.Fatalf("not within %v: %s", Timeout, what)
+	}
+	return value
+}
