--- a/internal/fleettest/faultinject/backlog.go
+++ b/internal/fleettest/faultinject/backlog.go
@@ -6,23 +6,25 @@
 	"time"
 )
 
-// FillBacklog opens connections to an address, so many at the most, and holds them without a word
-// until ctx ends: to a process that stands still they fill its backlog. It returns how many
-// came up.
-func FillBacklog(ctx context.Context, address string, most int) (up int) {
-	var held []net.Conn
+// backlogDialTimeout is after how long a connection that does not come up shows that the backlog is full.
+const backlogDialTimeout = 100 * time.Millisecond
+
+// FillBacklog opens up to limit connections to an address, and holds them silently until ctx ends: at a stopped process
+// they fill the backlog. It returns how many came up.
+func FillBacklog(ctx context.Context, address string, limit int) (count int) {
+	var conns []net.Conn
 	defer func() {
-		for _, c := range held {
+		for _, c := range conns {
 			c.Close()
 		}
 	}()
-	for len(held) < most && ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
+	for len(conns) < limit && ctx.Err() == nil {
+		c, err := net.DialTimeout("tcp", address, backlogDialTimeout)
 		if err != nil {
 			break // full
 		}
-		held = append(held, c)
+		conns = append(conns, c)
 	}
 	<-ctx.Done()
-	return len(held)
+	return len(conns)
 }
--- /dev/null
+++ b/internal/fleettest/faultinject/helpers_test.go
@@ -0,0 +1,114 @@
+package faultinject
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"os/exec"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/testutil"
+)
+
+// startServer calls serve with each connection until the test ends. It returns its address.
+func startServer(t *testing.T, serve func(c net.Conn)) string {
+	t.Helper()
+	listener := testutil.Listen(t)
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				serve(c)
+			}()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// startEcho starts a server that sends back what it gets.
+func startEcho(t *testing.T) string {
+	t.Helper()
+	return startServer(t, func(c net.Conn) { io.Copy(c, c) })
+}
+
+// startLineServer starts a server that calls handle with each line.
+func startLineServer(t *testing.T, handle func(c net.Conn, line string)) string {
+	t.Helper()
+	return startServer(t, func(c net.Conn) {
+		for in := bufio.NewScanner(c); in.Scan(); {
+			handle(c, in.Text())
+		}
+	})
+}
+
+// openLink opens a link that is closed with the test.
+func openLink(t *testing.T, target string) *Link {
+	t.Helper()
+	l, err := NewLink("127.0.0.1", target)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(l.Close)
+	return l
+}
+
+func setFault(t *testing.T, l *Link, f Fault) {
+	t.Helper()
+	if err := l.SetFault(f); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func dial(t *testing.T, address string) (net.Conn, *bufio.Reader) {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(testutil.Timeout))
+	return c, bufio.NewReader(c)
+}
+
+func send(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func wantLine(t *testing.T, in *bufio.Reader, want string) {
+	t.Helper()
+	if got, err := in.ReadString('\n'); err != nil || got != want {
+		t.Fatalf("%q, %v; want %q", got, err, want)
+	}
+}
+
+// wantSilence fails the test if a line comes within a tenth of a second.
+func wantSilence(t *testing.T, c net.Conn, in *bufio.Reader) {
+	t.Helper()
+	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	if got, err := in.ReadString('\n'); err == nil {
+		t.Fatalf("%q came", got)
+	}
+	c.SetReadDeadline(time.Now().Add(testutil.Timeout))
+}
+
+// startProcess starts a process that is killed at the end of the test. It returns its id.
+func startProcess(t *testing.T, name string, args ...string) (pid int) {
+	t.Helper()
+	cmd := exec.Command(name, args...)
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		cmd.Process.Kill()
+		cmd.Wait()
+	})
+	return cmd.Process.Pid
+}
--- a/internal/fleettest/faultinject/stop.go
+++ b/internal/fleettest/faultinject/stop.go
@@ -9,23 +9,22 @@
 	"time"
 )
 
-// StopSchedule is a schedule of standing still, as a paused virtual machine, a host that swaps or a
-// debugger has it: Times stops of For each, one every Every.
+// StopSchedule describes stops of a process, as of a paused virtual machine, a swapping host or a debugger.
 type StopSchedule struct {
-	Duration time.Duration
-	Interval time.Duration // from the beginning of one to that of the next
+	Duration time.Duration // of each stop
+	Interval time.Duration // from the start of one stop to that of the next
 	Count    int           // at least one
 }
 
-// settleTime bounds the wait for a process to stand.
-const settleTime = time.Second
+// stopTimeout bounds the wait until a process has stopped.
+const stopTimeout = time.Second
 
-// Run stops a process by its schedule and continues it, always, also when ctx ends. Each stop
-// is told when it stands and when it has been continued.
-func (s StopSchedule) Run(ctx context.Context, pid int, told func(from, to time.Time)) error {
+// Run stops a process by the schedule. It always continues the process, also when ctx ends. stopped is called after
+// each stop.
+func (s StopSchedule) Run(ctx context.Context, pid int, stopped func(from, to time.Time)) error {
 	for i := range max(s.Count, 1) {
 		from := time.Now()
-		if err := stopOnce(ctx, pid, s.Duration, told); err != nil {
+		if err := stopOnce(ctx, pid, s.Duration, stopped); err != nil {
 			return err
 		}
 		if i+1 < s.Count {
@@ -38,35 +37,35 @@
 	return nil
 }
 
-func stopOnce(ctx context.Context, pid int, d time.Duration, told func(from, to time.Time)) error {
+func stopOnce(ctx context.Context, pid int, d time.Duration, stopped func(from, to time.Time)) error {
 	from := time.Now()
 	if err := syscall.Kill(pid, syscall.SIGSTOP); err != nil {
-		return fmt.Errorf("stop of %d: %w", pid, err)
+		return fmt.Errorf("stop process %d: %w", pid, err)
 	}
 	defer func() {
-		syscall.Kill(pid, syscall.SIGCONT) // of one that has died meanwhile there is nothing to continue
-		told(from, time.Now())
+		syscall.Kill(pid, syscall.SIGCONT) // it fails if the process has ended, which is no matter
+		stopped(from, time.Now())
 	}()
-	for until := from.Add(settleTime); !IsStopped(pid); time.Sleep(time.Millisecond) {
+	for until := from.Add(stopTimeout); !IsStopped(pid); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) || ctx.Err() != nil {
-			return fmt.Errorf("stop of %d: it goes on", pid)
+			return fmt.Errorf("stop process %d: it still runs", pid)
 		}
 	}
 	Sleep(ctx, d-time.Since(from))
 	return nil
 }
 
-// IsStopped tells whether a process is stopped.
+// IsStopped reports whether a process is stopped.
 func IsStopped(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return false
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name may hold anything
+	_, rest, _ := strings.Cut(string(text), ") ") // after the name, which may contain anything
 	return strings.HasPrefix(rest, "T")
 }
 
-// Sleep lets a time go by, or returns when ctx ends.
+// Sleep sleeps for a time, or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/fleettest/faultinject/threads.go
+++ b/internal/fleettest/faultinject/threads.go
@@ -1,6 +1,7 @@
 package faultinject
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"strconv"
@@ -8,18 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// eachThread sets on which cores all threads of a process may run.
+// eachThread sets the cores on which the threads of a process may run.
 func eachThread(pid int, set *unix.CPUSet) error {
 	threads, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
-		return fmt.Errorf("threads of %d: %w", pid, err)
+		return fmt.Errorf("threads of process %d: %w", pid, err)
 	}
 	for _, t := range threads {
 		id, err := strconv.Atoi(t.Name())
 		if err != nil {
 			continue
 		}
-		if err := unix.SchedSetaffinity(id, set); err != nil && err != unix.ESRCH {
+		// A thread that has ended meanwhile is no matter.
+		if err := unix.SchedSetaffinity(id, set); err != nil && !errors.Is(err, unix.ESRCH) {
 			return fmt.Errorf("thread %d: %w", id, err)
 		}
 	}
