--- a/internal/testutil/recorded.go
+++ b/internal/testutil/recorded.go
@@ -2,8 +2,11 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"os"
 	"reflect"
+	"regexp"
+	"strings"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -35,3 +38,51 @@
 		t.Errorf("%s: now encoded as\n%x, recorded as\n%x (error %v)", path, encoded, recorded, err)
 	}
 }
+
+// CheckRecordedJSON reads a recorded JSON output into the type that this version prints, and fails the test unless it
+// comes out again byte for byte: so no field has another name, type or place.
+func CheckRecordedJSON(t testing.TB, path string, into any, indent string) {
+	t.Helper()
+	text := Recorded(t, path)
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		t.Fatal(err)
+	}
+	var again bytes.Buffer
+	encoder := json.NewEncoder(&again)
+	encoder.SetIndent("", indent)
+	if err := encoder.Encode(into); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again.Bytes(), text) {
+		t.Errorf("%s: got\n%s\nwant\n%s", path, again.Bytes(), text)
+	}
+}
+
+var (
+	helpFlag     = regexp.MustCompile(`^ +(?:(-\w), +)?(--[a-z-]+(?:=\S+)?)`)
+	helpArgument = regexp.MustCompile(`^ +([<\[]\S+)`)
+	helpVariable = regexp.MustCompile(`\(\$\w+\)`)
+)
+
+// HelpSignature reduces the help text of a command to what scripts depend on: the usage line, flags with their
+// placeholders and defaults, arguments and environment variables.
+func HelpSignature(help string) (lines []string) {
+	for line := range strings.Lines(help) {
+		line = strings.TrimRight(line, "\n")
+		if usage, ok := strings.CutPrefix(line, "Usage: "); ok {
+			_, usage, _ = strings.Cut(usage, " ") // without the program's name
+			lines = append(lines, "usage "+usage)
+		}
+		if m := helpFlag.FindStringSubmatch(line); m != nil {
+			lines = append(lines, strings.TrimSpace("flag "+m[2]+" "+m[1]))
+		} else if m := helpArgument.FindStringSubmatch(line); m != nil {
+			lines = append(lines, "argument "+m[1])
+		}
+		if m := helpVariable.FindString(line); m != "" {
+			lines = append(lines, "variable "+m)
+		}
+	}
+	return lines
+}
