--- a/internal/frontend/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -14,10 +14,10 @@
 	"mulleinpier/internal/testutil"
 )
 
-// echo is a dialect whose commands are lines, each answered at once.
-type echo struct{ conn *Conn }
+// upperEcho is a dialect whose commands are lines, each answered at once by itself in upper case.
+type upperEcho struct{ conn *Conn }
 
-func (e echo) ServeCommand() (bool, error) {
+func (e upperEcho) ServeCommand() (bool, error) {
 	line, err := e.conn.In.ReadSlice('\n')
 	if err == nil {
 		e.conn.AddSlot(new(Slot)).Finish([]byte(strings.ToUpper(string(line))))
@@ -25,125 +25,136 @@
 	return false, err
 }
 
-func (e echo) TimeoutAnswer() []byte { return nil }
+func (e upperEcho) TimeoutAnswer() []byte { return nil }
 
-// pair returns a client whose connection nothing serves, and its other end.
-func pair(t *testing.T) (*Conn, *net.TCPConn) {
+// connectedClient returns a client's connection that is not served yet, and the client's end of it.
+func connectedClient(t *testing.T) (*Conn, *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	peer, err := net.Dial("tcp", listener.Addr().String())
+	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { peer.Close() })
-	socket, err := listener.Accept()
+	t.Cleanup(func() { client.Close() })
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { socket.Close() })
-	host := &Host{Core: new(core.Core), BodyBudget: NewBudget(1 << 20), AnswerBudget: NewBudget(1 << 20),
-		NewSession: func(c *Conn, _ byte) Session { return echo{c} }}
-	return New(host, socket.(*net.TCPConn), host.Core.Now()), peer.(*net.TCPConn)
+	t.Cleanup(func() { accepted.Close() })
+	host := &Host{
+		Core:         new(core.Core),
+		BodyBudget:   NewBudget(1 << 20),
+		AnswerBudget: NewBudget(1 << 20),
+		NewSession:   func(c *Conn, _ byte) Session { return upperEcho{c} },
+	}
+	return New(host, accepted.(*net.TCPConn), host.Core.Now()), client.(*net.TCPConn)
+}
+
+// markGoneForTest ends the writer of a connection that is not served.
+func markGoneForTest(c *Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.markGone("test ends")
 }
 
-// TestUnreadRequestIsNoIdling guards against a proxy that was short of its core: a
-// client whose request has come, but is not read yet, must not be closed.
-func TestUnreadRequestIsNoIdling(t *testing.T) {
-	c, peer := pair(t)
-	fmt.Fprint(peer, "mn\r\n")
-	testutil.WaitUntil(t, "the request to come", func() bool { return socket.Readable(c.socket) })
+// TestUnreadCommandIsNotIdle guards invariant 1 for a proxy that was without a processor: a connection whose
+// command has arrived but is unread must not be closed.
+func TestUnreadCommandIsNotIdle(t *testing.T) {
+	c, client := connectedClient(t)
+	fmt.Fprint(client, "mn\r\n")
+	testutil.WaitUntil(t, "the command to arrive", func() bool { return socket.Readable(c.socket) })
 	c.CloseIdle()
 	if got := c.prepareNextCommand(); got != keepReading || c.closeIfIdle {
-		t.Errorf("with a request unread the connection is at %d", got)
+		t.Errorf("idle, with a command unread: decided %d, want %d", got, keepReading)
 	}
 	c.Drain()
 	if got := c.prepareNextCommand(); got != keepReading {
-		t.Errorf("in a drain, with a request unread, the connection is at %d", got)
+		t.Errorf("draining, with a command unread: decided %d, want %d", got, keepReading)
 	}
 }
 
-// TestRequestInTheReadersHandsIsNoIdling guards against a close over a request that
-// the reader has read and could not tell of yet, as when it waits for the lock
-// or for the core. On the bench it once lost ten requests at a stroke.
-func TestRequestInTheReadersHandsIsNoIdling(t *testing.T) {
+// TestCommandBeingReadIsNotIdle guards invariant 1 for a command that the reader has read while it waits for the
+// connection's lock, or for the core: the connection must not be closed.
+func TestCommandBeingReadIsNotIdle(t *testing.T) {
 	for name, end := range map[string]func(*Conn){"idle": (*Conn).CloseIdle, "drain": (*Conn).Drain} {
-		c, peer := pair(t)
-		served := make(chan struct{}, 1)
+		t.Run(name, func(t *testing.T) { testCommandBeingRead(t, end) })
+	}
+}
+
+// testCommandBeingRead sends commands until the reader has read one just before the connection is ended.
+func testCommandBeingRead(t *testing.T, end func(*Conn)) {
+	c, client := connectedClient(t)
+	served, ended := make(chan bool, 1), make(chan bool, 1)
+	go func() {
+		c.Serve()
+		served <- true
+	}()
+	in := bufio.NewReader(client)
+	client.SetDeadline(time.Now().Add(testutil.Timeout))
+	expectAnswer := func() {
+		if line, err := in.ReadString('\n'); line != "MN\r\n" {
+			t.Errorf("answered %q, %v", line, err)
+		}
+	}
+	fmt.Fprint(client, "mn\r\n")
+	expectAnswer()
+	for readBefore := false; !readBefore; {
+		c.mu.Lock()
 		go func() {
-			c.Serve()
-			served <- struct{}{}
+			end(c)
+			ended <- true
 		}()
-		in := bufio.NewReader(peer)
-		peer.SetDeadline(time.Now().Add(testutil.Timeout))
-		ask := func() {
-			if line, err := in.ReadString('\n'); line != "MN\r\n" {
-				t.Errorf("%s: answered %q, %v", name, line, err)
-			}
-		}
-		fmt.Fprint(peer, "mn\r\n")
-		ask()
-		ended := make(chan struct{}, 1)
-		for held := false; !held; { // until the reader has read and waits for the lock
-			c.mu.Lock()
-			go func() {
-				end(c)
-				ended <- struct{}{}
-			}()
-			fmt.Fprint(peer, "mn\r\n")
-			for range 100 {
-				if held = !socket.Readable(c.socket); held {
-					break
-				}
-				time.Sleep(time.Millisecond)
-			}
-			c.mu.Unlock()
-			ask()
-			testutil.Receive(t, "the close", ended)
-			if c.draining { // once is all there is
+		fmt.Fprint(client, "mn\r\n")
+		for range 100 {
+			if readBefore = !socket.Readable(c.socket); readBefore {
 				break
 			}
+			time.Sleep(time.Millisecond)
+		}
+		c.mu.Unlock()
+		expectAnswer()
+		testutil.Receive(t, "the end to be requested", ended)
+		if c.draining { // that can be tried only once
+			break
 		}
-		peer.Close()
-		testutil.Receive(t, "the end", served)
 	}
+	client.Close()
+	testutil.Receive(t, "the end of the connection", served)
 }
 
-// TestAnswerInWritingIsNoIdling guards against a close over an answer that is being
-// written, to a client that has idled for long before it asked.
-func TestAnswerInWritingIsNoIdling(t *testing.T) {
-	c, peer := pair(t)
+// TestAnswerBeingWrittenIsNotIdle guards that a connection whose answer is being written is not closed as idle, if
+// it had been idle for long before the command.
+func TestAnswerBeingWrittenIsNotIdle(t *testing.T) {
+	c, client := connectedClient(t)
 	c.lastAnswerAt = time.Now().Add(-time.Hour)
 	c.socket.SetWriteBuffer(4 << 10)
-	peer.SetReadBuffer(64 << 10)
-	r := c.AddSlot(new(Slot))
-	done := make(chan struct{})
+	client.SetReadBuffer(64 << 10)
+	slot := c.AddSlot(new(Slot))
+	writerEnded := make(chan bool, 1)
 	go func() {
 		c.writeAnswers()
-		done <- struct{}{}
+		writerEnded <- true
 	}()
 	value := strings.Repeat("v", 1<<19)
-	r.Finish([]byte(value))
-	testutil.WaitUntil(t, "the answer to be in writing", func() bool { return !c.WriteBlockedSince().IsZero() })
+	slot.Finish([]byte(value))
+	testutil.WaitUntil(t, "the answer to be written", func() bool { return !c.WriteBlockedSince().IsZero() })
 	if _, idle := c.IdleSince(); idle {
 		t.Error("a connection whose answer is being written counts as idle")
 	}
 	c.CloseIdle()
 	if c.closeIfIdle {
-		t.Error("a connection whose answer is being written is closed")
+		t.Error("a connection whose answer is being written is to be closed")
 	}
 	got := make([]byte, len(value))
-	peer.SetReadDeadline(time.Now().Add(testutil.Timeout))
-	if n, err := io.ReadFull(peer, got); err != nil {
-		t.Errorf("%d bytes of the answer came: %v", n, err)
+	client.SetReadDeadline(time.Now().Add(testutil.Timeout))
+	if n, err := io.ReadFull(client, got); err != nil {
+		t.Errorf("%d bytes of the answer arrived: %v", n, err)
 	}
 	testutil.WaitUntil(t, "the write to end", func() bool { return c.WriteBlockedSince().IsZero() })
-	c.mu.Lock()
-	c.gone = true
-	c.changed.Broadcast()
-	c.mu.Unlock()
-	testutil.Receive(t, "the writer's end", done)
+	markGoneForTest(c)
+	testutil.Receive(t, "the writer's end", writerEnded)
 }
--- a/internal/frontend/deadlock_test.go
+++ b/internal/frontend/deadlock_test.go
@@ -36,12 +36,11 @@
 
 func (r *lockedReply) Release() {}
 
-// TestFullPipelineDuringAStallDoesNotDeadlock guards the order of locks: a reader that waits for a place among its
-// connection's answers looks at the core's clock, which takes the core's lock after a stall, while the core
-// answers one of the connection's commands.
-func TestFullPipelineDuringAStallDoesNotDeadlock(t *testing.T) {
+// newCore returns a core that knows a node, and does not run.
+func newCore(t *testing.T) *core.Core {
+	t.Helper()
 	const node = "127.0.0.1:9"
-	proxy, err := core.New(&core.Config{
+	c, err := core.New(&core.Config{
 		ListSources: []discovery.SourceConfig{{StaticAddresses: node}},
 		InitialList: discovery.StaticList(node),
 		MaxInFlight: 10,
@@ -55,7 +54,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, peer := pair(t)
+	return c
+}
+
+// TestFullPipelineDuringAStallDoesNotDeadlock guards the order of locks: a reader that waits for a slot asks the
+// core's clock, which takes the core's lock after a stall, while the core answers one of the connection's
+// commands.
+func TestFullPipelineDuringAStallDoesNotDeadlock(t *testing.T) {
+	proxy := newCore(t)
+	c, client := connectedClient(t)
 	c.host.Core, c.reader.core = proxy, proxy
 	for range maxPipelined {
 		c.AddSlot(new(Slot))
@@ -77,16 +84,13 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the core waits for the connection, and its reader for the core")
 	}
-	go io.Copy(io.Discard, peer)
+	go io.Copy(io.Discard, client)
 	writerEnded := make(chan bool, 1)
 	go func() {
 		c.writeAnswers()
 		writerEnded <- true
 	}()
-	testutil.Receive(t, "the place of an answer", added)
-	c.mu.Lock()
-	c.gone = true
-	c.changed.Broadcast()
-	c.mu.Unlock()
+	testutil.Receive(t, "a slot", added)
+	markGoneForTest(c)
 	testutil.Receive(t, "the writer's end", writerEnded)
 }
--- a/internal/frontend/meta/meta.go
+++ b/internal/frontend/meta/meta.go
@@ -127,7 +127,7 @@
 	var body []byte
 	if command.Verb == request.Set {
 		size := command.ValueLen + 2
-		if !s.host.ReserveBody(size, s.host.Core.IsKeyed(command.Class)) {
+		if !s.host.ReserveBody(size, command.Class) {
 			if _, err := in.Discard(size); err != nil {
 				return false, err
 			}
