--- a/internal/frontend/meta/meta.go
+++ b/internal/frontend/meta/meta.go
@@ -1,4 +1,7 @@
-// Package meta is the front for clients that speak the meta commands.
+// Package meta serves clients that speak the meta commands of the memcache text protocol.
+//
+// It reads commands, gives requests to the core and formats their answers. What connections have in common
+// (order of answers, pipelining, draining) is package frontend's. A session belongs to its connection's reader.
 package meta
 
 import (
@@ -13,147 +16,180 @@
 	"mulleinpier/internal/request"
 )
 
-// A connection that sends so many commands in a row that can't be meant is noise: it
-// is told so and closed.
-const maxBadCommands = 8
+const (
+	// maxBadCommands is how many invalid commands in a row a connection may send: more is noise, and ends it.
+	maxBadCommands = 8
+	// lineEnd ends each line and each value.
+	lineEnd = "\r\n"
+)
 
 // session is the dialect on one connection.
 type session struct {
 	host        *frontend.Host
 	conn        *frontend.Conn
-	badCommands int // commands in a row that can't be meant
+	badCommands int // invalid commands in a row
 }
 
-// NewSession begins a session.
+// NewSession starts the dialect on a connection.
 func NewSession(host *frontend.Host, c *frontend.Conn) frontend.Session {
 	return &session{host: host, conn: c}
 }
 
-// reply is the place of a request's answer.
+// reply is where the answer to a request goes.
 type reply struct {
 	frontend.Slot
 	host    *frontend.Host
 	id      string
-	bodyLen int                // of its value, as budgeted
+	bodyLen int                // bytes of the body budget that the request uses
 	kind    request.AnswerKind // of its answer
 }
 
 // Finish implements core.Reply.
-func (r *reply) Finish(a *request.Answer) {
-	r.kind = a.Kind
-	r.Slot.FinishValue(meta.FormatAnswer(a, r.id), outOfMemory)
+func (r *reply) Finish(answer *request.Answer) {
+	r.kind = answer.Kind
+	r.Slot.FinishValue(meta.FormatAnswer(answer, r.id), outOfMemory)
 }
 
-// outOfMemory is the answer in place of one that finds no room.
-func outOfMemory() []byte { return []byte("SERVER_ERROR out of memory\r\n") }
-
 // Release implements core.Reply.
 func (r *reply) Release() { r.host.BodyBudget.Release(r.bodyLen) }
 
-// TimeoutAnswer implements front.Session.
+// outOfMemory returns the answer in place of one for which there is no budget.
+func outOfMemory() []byte { return []byte("SERVER_ERROR out of memory\r\n") }
+
+// TimeoutAnswer implements frontend.Session.
 func (s *session) TimeoutAnswer() []byte { return []byte("CLIENT_ERROR command took too long\r\n") }
 
+// answer answers a command that is no request.
 func (s *session) answer(text string) { s.conn.AddSlot(new(frontend.Slot)).Finish([]byte(text)) }
 
-// answerAndStop answers what can't be read on from. It returns true.
+// answerAndStop answers a command after which nothing can be read. It returns true, for ServeCommand.
 func (s *session) answerAndStop(text string) bool {
 	s.answer(text)
 	return true
 }
 
-// ServeCommand implements front.Session.
-func (s *session) ServeCommand() (lost bool, err error) {
-	if lost, err = s.handleCommand(); lost || err != nil || s.badCommands < maxBadCommands {
-		return lost, err
-	}
-	return s.answerAndStop("CLIENT_ERROR too many bad commands\r\n"), nil
+// answerBad answers an invalid command.
+func (s *session) answerBad(text string) {
+	s.badCommands++
+	s.answer(text)
 }
 
-// answerStats answers by a line a figure. Of a kind that there is not it says ERROR, as to any
-// command that is not known.
-func (s *session) answerStats(kind string) error {
-	list := s.host.Stats(kind)
-	if list == nil {
-		s.badCommands++
-		s.answer("ERROR\r\n")
-		return nil
-	}
+// answerGood answers a valid command that is no request.
+func (s *session) answerGood(text string) {
 	s.badCommands = 0
-	var b strings.Builder
-	for _, x := range list {
-		b.WriteString("STAT " + x.Name + " " + x.Value + "\r\n")
+	s.answer(text)
+}
+
+// ServeCommand implements frontend.Session.
+func (s *session) ServeCommand() (lost bool, err error) {
+	lost, err = s.handleCommand()
+	if lost || err != nil || s.badCommands < maxBadCommands {
+		return lost, err
 	}
-	s.answer(b.String() + "END\r\n")
-	return nil
+	return s.answerAndStop("CLIENT_ERROR too many bad commands\r\n"), nil
 }
 
+// handleCommand carries out one command.
 func (s *session) handleCommand() (lost bool, err error) {
-	in := s.conn.In
-	text, err := in.ReadSlice('\n')
+	text, err := s.conn.In.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || err == nil && len(text) > meta.MaxLine {
 		return s.answerAndStop("CLIENT_ERROR line too long\r\n"), nil
 	}
 	if err != nil {
 		return false, err
 	}
-	line, ok := strings.CutSuffix(string(text), "\r\n")
+	line, ok := strings.CutSuffix(string(text), lineEnd)
 	if !ok {
 		return s.answerAndStop("CLIENT_ERROR line does not end in CRLF\r\n"), nil
 	}
 	command, err := meta.ParseCommand(line)
-	var bad *meta.ClientError
+	var invalid *meta.ClientError
 	switch {
-	case errors.As(err, &bad):
-		if bad.SkipBytes > 0 {
-			if _, err := in.Discard(bad.SkipBytes); err != nil {
-				return false, err
-			}
-		}
-		s.badCommands++
-		s.answer("CLIENT_ERROR " + bad.Reason + "\r\n")
-		return bad.SkipBytes < 0, nil
+	case errors.As(err, &invalid):
+		return s.handleInvalid(invalid)
 	case err != nil:
-		s.badCommands++
-		s.answer("ERROR\r\n")
+		s.answerBad("ERROR\r\n")
 		return false, nil
 	case command.Noop:
-		s.badCommands = 0
-		s.answer("MN\r\n")
+		s.answerGood("MN\r\n")
+		return false, nil
+	case command.Stats:
+		s.answerStats(command.Key)
 		return false, nil
 	}
-	if command.Stats {
-		return false, s.answerStats(command.Key)
+	return s.handleRequest(&command)
+}
+
+// handleInvalid answers an invalid command, and skips its value if that can be told from commands.
+func (s *session) handleInvalid(invalid *meta.ClientError) (lost bool, err error) {
+	if invalid.SkipBytes > 0 {
+		if _, err := s.conn.In.Discard(invalid.SkipBytes); err != nil {
+			return false, err
+		}
+	}
+	s.answerBad("CLIENT_ERROR " + invalid.Reason + lineEnd)
+	return invalid.SkipBytes < 0, nil
+}
+
+// answerStats answers by one line for each statistic of a kind. To an unknown kind it answers ERROR, as to any
+// unknown command.
+func (s *session) answerStats(kind string) {
+	stats := s.host.Stats(kind)
+	if stats == nil {
+		s.answerBad("ERROR\r\n")
+		return
+	}
+	var text strings.Builder
+	for _, stat := range stats {
+		text.WriteString("STAT " + stat.Name + " " + stat.Value + lineEnd)
 	}
-	var body []byte
+	s.answerGood(text.String() + "END\r\n")
+}
+
+// handleRequest reads a request's value, if it has one, and gives the request to the core.
+func (s *session) handleRequest(command *meta.Command) (lost bool, err error) {
+	bodyLen := 0
 	if command.Verb == request.Set {
-		size := command.ValueLen + 2
-		if !s.host.ReserveBody(size, command.Class) {
-			if _, err := in.Discard(size); err != nil {
-				return false, err
-			}
-			s.answer(string(meta.FormatAnswer(&request.Answer{Kind: request.Busy}, "")))
-			return false, nil
+		bodyLen = command.ValueLen + len(lineEnd)
+		if !s.host.ReserveBody(bodyLen, command.Class) {
+			return false, s.rejectBody(bodyLen)
 		}
-		body = make([]byte, size)
-		if _, err := io.ReadFull(in, body); err != nil {
-			s.host.BodyBudget.Release(size)
+		body, err := s.readBody(bodyLen)
+		if err != nil {
+			s.host.BodyBudget.Release(bodyLen)
 			return false, err
 		}
-		if !bytes.HasSuffix(body, []byte("\r\n")) {
-			s.host.BodyBudget.Release(size)
+		if !bytes.HasSuffix(body, []byte(lineEnd)) {
+			s.host.BodyBudget.Release(bodyLen)
 			return s.answerAndStop("CLIENT_ERROR bad data chunk\r\n"), nil
 		}
 		command.Value = body[:command.ValueLen]
 	}
-	r := &reply{host: s.host, id: command.ID, bodyLen: len(body)}
+	r := &reply{host: s.host, id: command.ID, bodyLen: bodyLen}
 	command.HeaderRoom = meta.AnswerHeaderRoom(command.ID)
 	s.conn.Submit(&command.Request, &r.Slot, r)
-	s.badCommands++
 	if r.InFlight == nil {
 		r.Release()
 	}
-	if r.InFlight != nil || r.kind != request.Invalid { // one that is refused was well meant
+	if r.InFlight == nil && r.kind == request.Invalid {
+		s.badCommands++
+	} else {
 		s.badCommands = 0
 	}
 	return false, nil
 }
+
+// rejectBody skips a body for which there is no budget, and rejects its command.
+func (s *session) rejectBody(bodyLen int) error {
+	if _, err := s.conn.In.Discard(bodyLen); err != nil {
+		return err
+	}
+	s.answer(string(meta.FormatAnswer(&request.Answer{Kind: request.Busy}, "")))
+	return nil
+}
+
+func (s *session) readBody(bodyLen int) ([]byte, error) {
+	body := make([]byte, bodyLen)
+	_, err := io.ReadFull(s.conn.In, body)
+	return body, err
+}
