--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,17 +1,19 @@
-// Package route decides which class, tenant and wait a request has whose dialect can't
-// say so. It does no I/O and reads no clock.
+// Package route decides the class, tenant and timeout of a request whose dialect can't say them.
 //
 // Invariants:
 //
-//  1. The first rule that fits decides; a request that none fits is not served.
-//  2. A table is whole: each rule names a class that there is and that can carry the
-//     rule's verb, and every rule can be reached.
-//  3. A route never waits longer than its class's deadline.
+//  1. The first rule that matches decides; a request that none matches is not served.
+//  2. A table is complete: each rule names an existing class that can carry the rule's verb, and every rule can be
+//     reached.
+//  3. A route never waits longer than the deadline of its class.
+//
+// The package does no I/O and reads no clock.
 package route
 
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 
@@ -19,24 +21,23 @@
 	"mulleinpier/internal/ticket"
 )
 
-// Verb is what a rule fits.
+// Verb is which requests a rule matches.
 type Verb uint8
 
-// The verbs of rules. Reads and writes are never fitted by one rule: what is safe to
-// repeat for the one is not for the other.
+// The verbs of rules. No rule matches both reads and writes: what is idempotent for the one is not for the other.
 const (
 	Reads      Verb = iota
 	Writes          // of both kinds
-	Ticketed        // writes that bring a ticket, and so can be told from their repeats
-	Unticketed      // writes that bring none
+	Ticketed        // writes with a ticket, whose repeats can be told from them
+	Unticketed      // writes without one
 )
 
-// Rule routes the requests that fit all it names; what is empty fits all.
+// Rule routes the requests that match all that it names; what is empty matches all.
 type Rule struct {
 	Prefix   string // of the key
 	Verb     Verb
-	Listener string // name of the listener that the client came to
-	User     string // that the client has proved to be
+	Listener string // name of the listener that the client connected to
+	User     string // that the client has authenticated as
 
 	Class   string
 	Tenant  string
@@ -46,86 +47,116 @@
 // Class is what the table must know of a class.
 type Class struct {
 	Deadline     time.Duration
-	Idempotent   bool          // to repeat: fit for reads
+	Idempotent   bool          // it is fit for reads
 	DedupWindow  time.Duration // in which nodes drop repeats; 0 for a class that is not keyed
 	PartialDedup bool          // nodes drop them only among those of one zone or cell
 }
 
-// Table is a routing table. It is not changed after New, and safe for concurrent use.
+// Table is a routing table. It does not change after New, and is safe for concurrent use.
 type Table struct{ rules []Rule }
 
-// New returns a table of rules in their order. Its error joins one error a
-// defect, each by the number of its rule.
+// New returns a table of rules in their order. Its error joins one error for each defect, with the number of its rule
+// and the key of the configuration.
 func New(rules []Rule, classes map[string]Class, tenants map[string]bool) (*Table, error) {
-	var errs []error
-	wrong := func(i int, format string, a ...any) {
-		errs = append(errs, fmt.Errorf("route[%d].%s", i, fmt.Sprintf(format, a...)))
+	var defects []error
+	report := func(i int, defect error) {
+		if defect != nil {
+			defects = append(defects, fmt.Errorf("route[%d].%w", i, defect))
+		}
 	}
-	t := &Table{rules: append([]Rule(nil), rules...)}
+	t := &Table{rules: slices.Clone(rules)}
 	for i := range t.rules {
-		r := &t.rules[i]
-		class, known := classes[r.Class]
-		switch {
-		case !known:
-			wrong(i, "class cannot be %q: want a class that there is", r.Class)
-		case !class.Idempotent && r.Verb == Reads:
-			wrong(i, "class cannot be %q: reads want a class that is safe to repeat; or name another verb", r.Class)
-		case class.DedupWindow == 0 && r.Verb == Ticketed:
-			wrong(i, "class cannot be %q: ticketed writes want a keyed class", r.Class)
-		case class.DedupWindow > 0 && r.Verb == Unticketed:
-			wrong(i, "class cannot be %q: plain writes have no key, and want a class that is not keyed", r.Class)
-		case class.PartialDedup && r.Verb != Reads:
-			// A till repeats at any proxy, which knows nothing of where the first try went.
-			wrong(i, "class cannot be %q: its nodes drop repeats in parts only, and a client's repeat may come to any", r.Class)
-		case class.DedupWindow > 0 && class.DedupWindow <= 2*ticket.Margin:
-			wrong(i, "class cannot be %q: its window of %v leaves a ticket no life; want more than %v", r.Class, class.DedupWindow, 2*ticket.Margin)
-		case r.Timeout < 0 || r.Timeout > class.Deadline:
-			wrong(i, "wait cannot be %v: want no more than the deadline of class %s, %v", r.Timeout, r.Class, class.Deadline)
-		case r.Timeout == 0:
-			r.Timeout = class.Deadline
+		rule := &t.rules[i]
+		class, known := classes[rule.Class]
+		if known {
+			report(i, checkClass(rule, &class))
+		} else {
+			report(i, fmt.Errorf("class cannot be %q: want a class that there is", rule.Class))
 		}
-		switch {
-		case len(tenants) > 0 && !tenants[r.Tenant]:
-			wrong(i, "tenant cannot be %q: want a tenant that there is", r.Tenant)
-		case len(tenants) == 0 && r.Tenant != "":
-			wrong(i, "tenant cannot be %q: there are no tenants", r.Tenant)
-		}
-		for j := range rules[:i] {
-			if rules[j].covers(r) {
-				wrong(i, "prefix: the rule is never reached, as route[%d] fits all that it does", j)
-				break
-			}
+		if rule.Timeout == 0 {
+			rule.Timeout = class.Deadline
 		}
+		report(i, checkTenant(rule, tenants))
+		report(i, checkReached(rule, rules[:i]))
 	}
-	if len(errs) > 0 {
-		return nil, errors.Join(errs...)
+	if len(defects) > 0 {
+		return nil, errors.Join(defects...)
 	}
 	return t, nil
 }
 
-// covers tells whether all that fits s fits r too.
-func (r *Rule) covers(s *Rule) bool {
-	return strings.HasPrefix(s.Prefix, r.Prefix) && (r.Verb == s.Verb || r.Verb == Writes && s.Verb >= Ticketed) &&
-		(r.Listener == "" || r.Listener == s.Listener) && (r.User == "" || r.User == s.User)
+// checkClass returns the first reason why a rule can't have its class and timeout.
+func checkClass(rule *Rule, class *Class) error {
+	isKeyed := class.DedupWindow > 0
+	cannotBe := func(why string) error { return fmt.Errorf("class cannot be %q: %s", rule.Class, why) }
+	switch {
+	case !class.Idempotent && rule.Verb == Reads:
+		return cannotBe("reads want a class that is safe to repeat; or name another verb")
+	case !isKeyed && rule.Verb == Ticketed:
+		return cannotBe("ticketed writes want a keyed class")
+	case isKeyed && rule.Verb == Unticketed:
+		return cannotBe("plain writes have no key, and want a class that is not keyed")
+	case class.PartialDedup && rule.Verb != Reads:
+		// A client repeats at any proxy, which does not know where the first try was sent.
+		return cannotBe("its nodes drop repeats in parts only, and a client's repeat may come to any")
+	case isKeyed && class.DedupWindow <= 2*ticket.Margin:
+		return cannotBe(fmt.Sprintf("its window of %v leaves a ticket no life; want more than %v",
+			class.DedupWindow, 2*ticket.Margin))
+	case rule.Timeout < 0 || rule.Timeout > class.Deadline:
+		return fmt.Errorf("wait cannot be %v: want no more than the deadline of class %s, %v",
+			rule.Timeout, rule.Class, class.Deadline)
+	}
+	return nil
+}
+
+// checkTenant returns why a rule can't have its tenant.
+func checkTenant(rule *Rule, tenants map[string]bool) error {
+	switch {
+	case len(tenants) > 0 && !tenants[rule.Tenant]:
+		return fmt.Errorf("tenant cannot be %q: want a tenant that there is", rule.Tenant)
+	case len(tenants) == 0 && rule.Tenant != "":
+		return fmt.Errorf("tenant cannot be %q: there are no tenants", rule.Tenant)
+	}
+	return nil
+}
+
+// checkReached returns why a rule is never reached, because of the rules before it.
+func checkReached(rule *Rule, before []Rule) error {
+	for i := range before {
+		if before[i].covers(rule) {
+			return fmt.Errorf("prefix: the rule is never reached, as route[%d] fits all that it does", i)
+		}
+	}
+	return nil
+}
+
+// covers reports whether everything that other matches, r matches too.
+func (r *Rule) covers(other *Rule) bool {
+	isWrite := other.Verb == Ticketed || other.Verb == Unticketed
+	return strings.HasPrefix(other.Prefix, r.Prefix) &&
+		(r.Verb == other.Verb || r.Verb == Writes && isWrite) &&
+		(r.Listener == "" || r.Listener == other.Listener) &&
+		(r.User == "" || r.User == other.User)
 }
 
 // Client is where a request came from.
 type Client struct{ Listener, User string }
 
-// Route sets a request's class, tenant and wait; ticketed is of a write that brings a
-// ticket. It returns false, and sets nothing, where no rule fits.
+// Route sets a request's class, tenant and timeout; ticketed is for a write with a ticket. It returns false, and sets
+// nothing, where no rule matches.
 func (t *Table) Route(r *request.Request, ticketed bool, from Client) bool {
-	asked := Rule{Prefix: r.Key, Listener: from.Listener, User: from.User}
+	// The narrowest rule that matches the request: a rule matches the request if it covers that.
+	narrowest := Rule{Prefix: r.Key, Listener: from.Listener, User: from.User}
 	switch {
 	case r.Verb == request.Get:
-		asked.Verb = Reads
+		narrowest.Verb = Reads
 	case ticketed:
-		asked.Verb = Ticketed
+		narrowest.Verb = Ticketed
 	default:
-		asked.Verb = Unticketed
+		narrowest.Verb = Unticketed
 	}
 	for i := range t.rules {
-		if rule := &t.rules[i]; rule.covers(&asked) {
+		if rule := &t.rules[i]; rule.covers(&narrowest) {
 			r.Class, r.Tenant, r.Timeout = rule.Class, rule.Tenant, rule.Timeout
 			return true
 		}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,12 +10,17 @@
 )
 
 var (
-	classes = map[string]Class{"read": {Deadline: 2 * time.Second, Idempotent: true}, "put": {Deadline: 2500 * time.Millisecond},
-		"keyed": {Deadline: 2500 * time.Millisecond, DedupWindow: 1500 * time.Millisecond}, "brief": {Deadline: time.Second, DedupWindow: 400 * time.Millisecond}}
+	classes = map[string]Class{
+		"read":  {Deadline: 2 * time.Second, Idempotent: true},
+		"put":   {Deadline: 2500 * time.Millisecond},
+		"keyed": {Deadline: 2500 * time.Millisecond, DedupWindow: 1500 * time.Millisecond},
+		"brief": {Deadline: time.Second, DedupWindow: 400 * time.Millisecond},
+	}
 	tenants = map[string]bool{"north": true, "south": true}
 )
 
-func TestFirstRuleThatFitsDecides(t *testing.T) {
+// TestFirstMatchingRuleDecides guards invariants 1 and 3.
+func TestFirstMatchingRuleDecides(t *testing.T) {
 	table, err := New([]Rule{
 		{Prefix: "order:", User: "till", Verb: Reads, Class: "read", Tenant: "south", Timeout: time.Second},
 		{Prefix: "order:", Verb: Reads, Class: "read", Tenant: "north"},
@@ -27,12 +32,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		verb          request.Verb
 		key           string
 		from          Client
-		class, tenant string
-		wait          time.Duration
+		class, tenant string // "" for no rule
+		timeout       time.Duration
 	}{
 		{request.Get, "order:7", Client{User: "till"}, "read", "south", time.Second},
 		{request.Get, "order:7", Client{User: "other"}, "read", "north", 2 * time.Second},
@@ -44,73 +49,124 @@
 		{request.Set, "x", Client{Listener: "old"}, "", "", 0},
 		{request.Set, "till:7", Client{}, "put", "south", 2500 * time.Millisecond},
 	} {
-		r := request.Request{Verb: c.verb, Key: c.key}
-		if ok := table.Route(&r, false, c.from); ok != (c.class != "") || r.Class != c.class || r.Tenant != c.tenant || r.Timeout != c.wait {
-			t.Errorf("%+v: routed %v to %s, %s, %v", c, ok, r.Class, r.Tenant, r.Timeout)
+		r := request.Request{Verb: test.verb, Key: test.key}
+		ok := table.Route(&r, false, test.from)
+		if ok != (test.class != "") || r.Class != test.class || r.Tenant != test.tenant || r.Timeout != test.timeout {
+			t.Errorf("%+v: routed %v to %s, %s, %v", test, ok, r.Class, r.Tenant, r.Timeout)
 		}
 	}
 }
 
-func TestBadTablesAreNamed(t *testing.T) {
+// TestDefectsAreNamed guards invariants 2 and 3, and that an error names the rule and the key.
+func TestDefectsAreNamed(t *testing.T) {
+	rule := func(verb Verb, class string) []Rule { return []Rule{{Verb: verb, Class: class, Tenant: "north"}} }
 	for want, rules := range map[string][]Rule{
-		`route[0].class cannot be "none"`:                                               {{Class: "none", Tenant: "north"}},
-		`route[0].class cannot be "put": reads want`:                                    {{Class: "put", Tenant: "north"}},
-		`route[0].wait cannot be 3s`:                                                    {{Class: "read", Tenant: "north", Timeout: 3 * time.Second}},
-		`route[0].wait cannot be -1s`:                                                   {{Class: "read", Tenant: "north", Timeout: -time.Second}},
-		`route[0].tenant cannot be ""`:                                                  {{Class: "read"}},
-		`route[0].class cannot be "put": ticketed`:                                      {{Verb: Ticketed, Class: "put", Tenant: "north"}},
-		`route[0].class cannot be "keyed": plain`:                                       {{Verb: Unticketed, Class: "keyed", Tenant: "north"}},
-		`route[0].class cannot be "brief": its window`:                                  {{Verb: Writes, Class: "brief", Tenant: "north"}},
-		`route[1].prefix: the rule is never reached, as route[0] fits all that it does`: {{Verb: Writes, Class: "put", Tenant: "north"}, {Verb: Unticketed, Class: "put", Tenant: "north"}},
-		`route[1].prefix: the rule is never reached, as route[0]`:                       {{Class: "read", Tenant: "north"}, {Prefix: "a", Class: "read", Tenant: "south"}},
+		`route[0].class cannot be "none"`:              rule(Reads, "none"),
+		`route[0].class cannot be "put": reads want`:   rule(Reads, "put"),
+		`route[0].class cannot be "put": ticketed`:     rule(Ticketed, "put"),
+		`route[0].class cannot be "keyed": plain`:      rule(Unticketed, "keyed"),
+		`route[0].class cannot be "brief": its window`: rule(Writes, "brief"),
+		`route[0].wait cannot be 3s`:                   {{Class: "read", Tenant: "north", Timeout: 3 * time.Second}},
+		`route[0].wait cannot be -1s`:                  {{Class: "read", Tenant: "north", Timeout: -time.Second}},
+		`route[0].tenant cannot be ""`:                 {{Class: "read"}},
+		`route[1].prefix: the rule is never reached, as route[0] fits all that it does`: append(
+			rule(Writes, "put"), rule(Unticketed, "put")...),
+		`route[1].prefix: the rule is never reached, as route[0]`: append(
+			rule(Reads, "read"), Rule{Prefix: "a", Class: "read", Tenant: "south"}),
 	} {
-		if table, err := New(rules, classes, tenants); err == nil || table != nil || !strings.Contains(err.Error(), want) {
+		table, err := New(rules, classes, tenants)
+		if err == nil || table != nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	if _, err := New([]Rule{{Class: "read", Tenant: "north"}}, classes, nil); err == nil {
-		t.Error("a tenant was taken where there are none")
+	if _, err := New(rule(Reads, "read"), classes, nil); err == nil {
+		t.Error("a tenant was accepted where there are none")
+	}
+}
+
+// requestKind tells requests apart as the verbs of rules do.
+type requestKind int
+
+const (
+	read requestKind = iota
+	ticketedWrite
+	unticketedWrite
+)
+
+// matchesPlainly reports whether a rule matches a request by a plain reading of its fields.
+func matchesPlainly(rule *Rule, key string, kind requestKind, from Client) bool {
+	var verbMatches bool
+	switch rule.Verb {
+	case Reads:
+		verbMatches = kind == read
+	case Writes:
+		verbMatches = kind != read
+	case Ticketed:
+		verbMatches = kind == ticketedWrite
+	case Unticketed:
+		verbMatches = kind == unticketedWrite
 	}
+	listenerMatches := rule.Listener == "" || rule.Listener == from.Listener
+	userMatches := rule.User == "" || rule.User == from.User
+	return verbMatches && listenerMatches && userMatches && strings.HasPrefix(key, rule.Prefix)
 }
 
-// TestRoutesAgreeWithAPlainReading guards the invariants on random tables: the first
-// rule that fits by a plain reading decides, and no wait is over its class's.
+// TestRoutesAgreeWithAPlainReading guards invariants 1 and 3 on random tables: the first rule that matches by a
+// plain reading decides, and no timeout is over the deadline of its class.
 func TestRoutesAgreeWithAPlainReading(t *testing.T) {
-	rng := rand.New(rand.NewPCG(7, 7))
-	pick := func(list ...string) string { return list[rng.IntN(len(list))] }
-	fits := map[Verb][3]bool{Reads: {true, false, false}, Writes: {false, true, true}, Ticketed: {false, true, false}, Unticketed: {false, false, true}}
-	built := 0
+	random := rand.New(rand.NewPCG(7, 7))
+	pick := func(choices ...string) string { return choices[random.IntN(len(choices))] }
+	valid := 0
 	for range 20000 {
 		var rules []Rule
-		for range 1 + rng.IntN(4) {
-			rules = append(rules, Rule{Prefix: pick("", "a", "ab", "b"), Verb: Verb(rng.IntN(4)), Listener: pick("", "l"), User: pick("", "u"),
-				Class: pick("read", "put", "keyed"), Tenant: pick("north", "south"), Timeout: time.Duration(rng.IntN(3)) * time.Second})
+		for range 1 + random.IntN(4) {
+			rules = append(rules, Rule{
+				Prefix:   pick("", "a", "ab", "b"),
+				Verb:     Verb(random.IntN(4)),
+				Listener: pick("", "l"),
+				User:     pick("", "u"),
+				Class:    pick("read", "put", "keyed"),
+				Tenant:   pick("north", "south"),
+				Timeout:  time.Duration(random.IntN(3)) * time.Second,
+			})
 		}
 		table, err := New(rules, classes, tenants)
 		if err != nil {
 			continue
 		}
-		built++
-		r := request.Request{Verb: request.Verb(rng.IntN(2)), Key: pick("a", "ab", "abc", "b", "c")}
+		valid++
+		r := request.Request{Verb: request.Verb(random.IntN(2)), Key: pick("a", "ab", "abc", "b", "c")}
 		from := Client{Listener: pick("", "l", "m"), User: pick("", "u", "v")}
-		kind := 0 // of request: a read, a write with a ticket, one without
+		kind := read
 		if r.Verb == request.Set {
-			kind = 1 + rng.IntN(2)
+			kind = ticketedWrite + requestKind(random.IntN(2))
 		}
-		var want *Rule
-		for i := len(rules) - 1; i >= 0; i-- {
-			x := &rules[i]
-			if strings.HasPrefix(r.Key, x.Prefix) && fits[x.Verb][kind] &&
-				(x.Listener == "" || x.Listener == from.Listener) && (x.User == "" || x.User == from.User) {
-				want = x
-			}
-		}
-		ok := table.Route(&r, kind == 1, from)
-		if ok != (want != nil) || ok && (r.Class != want.Class || r.Tenant != want.Tenant || r.Timeout > classes[r.Class].Deadline || r.Timeout <= 0) {
-			t.Fatalf("%+v routes %+v from %+v as %v, want %+v", rules, r, from, ok, want)
+		expectRoute(t, table, rules, r, kind, from)
+	}
+	if valid < 1000 {
+		t.Errorf("only %d tables were valid", valid)
+	}
+}
+
+// expectRoute checks that a table routes a request by the first rule that matches plainly.
+func expectRoute(t *testing.T, table *Table, rules []Rule, r request.Request, kind requestKind, from Client) {
+	t.Helper()
+	var want *Rule
+	for i := range rules {
+		if matchesPlainly(&rules[i], r.Key, kind, from) {
+			want = &rules[i]
+			break
 		}
 	}
-	if built < 1000 {
-		t.Errorf("only %d tables were good", built)
+	ok := table.Route(&r, kind == ticketedWrite, from)
+	if ok != (want != nil) {
+		t.Fatalf("%+v routes %+v from %+v: %v, want %+v", rules, r, from, ok, want)
+	}
+	if !ok {
+		return
+	}
+	inTime := r.Timeout > 0 && r.Timeout <= classes[r.Class].Deadline
+	if r.Class != want.Class || r.Tenant != want.Tenant || !inTime {
+		t.Fatalf("%+v routes %+v from %+v, want %+v", rules, r, from, want)
 	}
 }
