--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -270,7 +270,7 @@
 	return errors.Join(errs...)
 }
 
-var memberLine = regexp.MustCompile(`(?m)^time=(\S+) .*msg="peers: member" proxy=\S+ name=(\S+) state=gone `)
+var memberLine = regexp.MustCompile(`(?m)^time=(\S+) .*msg="member state changed" proxy=\S+ member=(\S+) state=gone `)
 
 // gone is when an instance logged that another was gone, after a time; zero for never.
 func (p *peersPlay) gone(at int, name string, from time.Time) time.Time {
--- a/internal/peer/detector.go
+++ b/internal/peer/detector.go
@@ -38,6 +38,21 @@
 	TooManyMembers                 // there is no room for the member
 )
 
+var resultNames = [...]string{
+	Accepted:       "accepted",
+	Replaced:       "replaced",
+	NameTaken:      "name taken",
+	TooManyMembers: "too many members",
+}
+
+// String returns the result as logs have it.
+func (r HeartbeatResult) String() string {
+	if int(r) < len(resultNames) {
+		return resultNames[r]
+	}
+	return "unknown"
+}
+
 // watchedMember is a member as a watcher knows it.
 type watchedMember struct {
 	member         Member
--- /dev/null
+++ b/internal/peer/transport/client.go
@@ -0,0 +1,203 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/http"
+	"sync"
+	"time"
+
+	"mulleinpier/internal/peer"
+	"mulleinpier/internal/peer/rpc"
+)
+
+const (
+	// retryPause separates two heartbeats of which the first failed.
+	retryPause = 50 * time.Millisecond
+	// exchangeTimeout bounds one exchange: as a rule it is answered a heartbeat interval later.
+	exchangeTimeout = 2 * time.Second
+	// maxConnections bounds the connections to each watcher.
+	maxConnections = 2
+)
+
+// errIncompleteReport says that a watcher reports changes of what was never received.
+var errIncompleteReport = errors.New("changes of what was never heard")
+
+// Watcher is where a watcher takes heartbeats.
+type Watcher struct {
+	Name    string
+	Address string // HOST:PORT
+}
+
+// Client is this process among the others of its fleet. It is safe for concurrent use.
+type Client struct {
+	fleet    string
+	watchers []Watcher
+	clock    func() time.Duration
+	log      *slog.Logger
+	http     *http.Client
+
+	mu         sync.Mutex
+	self       peer.Member
+	view       *peer.View
+	isolated   bool                 // as it was logged last
+	lastResult peer.HeartbeatResult // of any watcher, as it was logged last
+	changed    chan struct{}        // closed with the next change of the view
+}
+
+// NewClient returns a client that has received nothing.
+func NewClient(
+	fleet string, self peer.Member, watchers []Watcher, clock func() time.Duration, log *slog.Logger,
+) *Client {
+	self.Version = rpc.Version
+	return &Client{
+		fleet:    fleet,
+		watchers: watchers,
+		clock:    clock,
+		log:      log,
+		http: &http.Client{
+			Timeout: exchangeTimeout,
+			Transport: &http.Transport{
+				MaxIdleConnsPerHost: 1,
+				MaxConnsPerHost:     maxConnections,
+				IdleConnTimeout:     rpc.IdleTimeout,
+			},
+		},
+		self:     self,
+		view:     peer.NewView(peer.DefaultParameters, len(watchers), clock()),
+		isolated: true,
+		changed:  make(chan struct{}),
+	}
+}
+
+// Run sends heartbeats to all watchers until ctx ends.
+func (c *Client) Run(ctx context.Context) {
+	var tasks sync.WaitGroup
+	for _, w := range c.watchers {
+		tasks.Go(func() { c.sendHeartbeats(ctx, w) })
+	}
+	ticker := time.NewTicker(peer.DefaultParameters.PauseThreshold)
+	defer ticker.Stop()
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+		case <-ticker.C:
+			c.mu.Lock()
+			c.notify(c.view.Tick(c.clock()))
+			c.mu.Unlock()
+		}
+	}
+	tasks.Wait()
+	c.http.CloseIdleConnections()
+}
+
+// sendHeartbeats sends heartbeats to one watcher, each once the one before has been answered.
+func (c *Client) sendHeartbeats(ctx context.Context, w Watcher) {
+	var known reportID // 0 for none
+	for ctx.Err() == nil {
+		r, err := c.exchange(ctx, w, known)
+		if err != nil {
+			known = reportID{}
+			sleep(ctx, retryPause)
+			continue
+		}
+		known = reportID{r.ServerIncarnation, r.Version}
+		c.merge(w, r)
+		if r.Result != peer.Accepted {
+			sleep(ctx, peer.DefaultParameters.HeartbeatInterval) // the watcher has answered at once
+		}
+	}
+}
+
+// reportID names the last report of a watcher.
+type reportID struct{ serverIncarnation, version uint64 }
+
+// exchange sends one heartbeat and returns the watcher's report.
+func (c *Client) exchange(ctx context.Context, w Watcher, known reportID) (*report, error) {
+	c.mu.Lock()
+	m := heartbeat{
+		Header:            rpc.NewHeader(c.fleet),
+		Member:            c.self,
+		ServerIncarnation: known.serverIncarnation,
+		KnownVersion:      known.version,
+	}
+	c.mu.Unlock()
+	var r report
+	if err := rpc.Post(ctx, c.http, w.Address, HeartbeatPath, m, &r); err != nil {
+		return nil, err
+	}
+	if !r.Complete && r.ServerIncarnation != known.serverIncarnation {
+		return nil, errIncompleteReport
+	}
+	return &r, nil
+}
+
+// merge takes a watcher's report into the view.
+func (c *Client) merge(w Watcher, r *report) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r.Result != c.lastResult {
+		c.lastResult = r.Result
+		if r.Result != peer.Accepted {
+			c.log.Warn("heartbeat rejected", "watcher", w.Name, "reason", r.Result.String())
+		}
+	}
+	c.notify(c.view.Merge(c.clock(), w.Name, r.Complete, r.Members))
+}
+
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
+
+// notify logs changes, and wakes those who wait for one. c.mu is held.
+func (c *Client) notify(changes []peer.Change) {
+	if isolated, _ := c.view.Isolated(); isolated != c.isolated {
+		c.isolated = isolated
+		if isolated { // what is known of others may be outdated
+			c.log.Warn("watcher majority lost")
+		} else {
+			c.log.Info("watcher majority reached")
+		}
+	}
+	for _, change := range changes {
+		if change.Name != c.self.Name && isArrivalOrEnd(change) {
+			c.log.Info("member state changed",
+				"member", change.Name, "state", change.State, "previous", change.Previous)
+		}
+	}
+	if len(changes) > 0 {
+		close(c.changed)
+		c.changed = make(chan struct{})
+	}
+}
+
+// isArrivalOrEnd reports whether a member is new, gone, or back.
+func isArrivalOrEnd(c peer.Change) bool {
+	return c.State != c.Previous && (c.State == peer.Gone || c.Previous == peer.Gone || c.Previous == 0)
+}
+
+// MarkLeaving makes this process known as one that drains: the next one of its name counts from then.
+func (c *Client) MarkLeaving() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.self.Leaving = true
+}
+
+// IsReplaced reports whether another process of this one's name counts since.
+func (c *Client) IsReplaced() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lastResult == peer.Replaced
+}
+
+// Members returns all members that are known, whether they may be outdated, and a channel that is closed with the next
+// change.
+func (c *Client) Members() (list []peer.MemberState, isolated bool, changed <-chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.view.Members(), c.isolated, c.changed
+}
--- /dev/null
+++ b/internal/peer/transport/server.go
@@ -0,0 +1,170 @@
+package transport
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"mulleinpier/internal/peer"
+	"mulleinpier/internal/peer/rpc"
+)
+
+// minTickWait is the least time between two ticks of a watcher.
+const minTickWait = time.Millisecond
+
+// Server is a watcher. It is safe for concurrent use.
+type Server struct {
+	fleet       string
+	incarnation uint64
+	clock       func() time.Duration
+
+	mu               sync.Mutex
+	detector         *peer.Detector
+	notifiedVersion  uint64        // that changed was closed for last
+	changed          chan struct{} // closed with the next change of the opinion
+	connections      map[net.Conn]uint64
+	lastConnectionID uint64
+	stopped          bool
+}
+
+// connectionKey finds a connection's ID in a request's context.
+type connectionKey struct{}
+
+// NewServer returns a watcher. Its HTTP server is to have its ConnContext and ConnState.
+func NewServer(fleet string, clock func() time.Duration) *Server {
+	return &Server{
+		fleet:       fleet,
+		incarnation: rand.Uint64() | 1,
+		clock:       clock,
+		detector:    peer.NewDetector(peer.DefaultParameters, clock()),
+		changed:     make(chan struct{}),
+		connections: make(map[net.Conn]uint64),
+	}
+}
+
+// ConnContext gives a connection an ID.
+func (s *Server) ConnContext(ctx context.Context, c net.Conn) context.Context {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastConnectionID++
+	s.connections[c] = s.lastConnectionID
+	return context.WithValue(ctx, connectionKey{}, s.lastConnectionID)
+}
+
+// ConnState notes a connection's end.
+func (s *Server) ConnState(c net.Conn, state http.ConnState) {
+	if state != http.StateClosed && state != http.StateHijacked {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if id, ok := s.connections[c]; ok {
+		delete(s.connections, c)
+		s.handle(peer.ConnectionLost{ConnectionID: id})
+	}
+}
+
+// handle gives the detector an event, and wakes those who wait for a change. s.mu is held.
+func (s *Server) handle(e peer.Event) peer.HeartbeatResult {
+	if s.stopped {
+		return peer.Accepted
+	}
+	result := s.detector.Handle(s.clock(), e)
+	if v := s.detector.Version(); v != s.notifiedVersion {
+		s.notifiedVersion = v
+		close(s.changed)
+		s.changed = make(chan struct{})
+	}
+	return result
+}
+
+// Stop makes the watcher report no more changes. As its connections are closed, one after another, it would take those
+// that are closed first for the ends of processes, and say so to the others.
+func (s *Server) Stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stopped = true
+}
+
+// Run lets time pass until ctx ends.
+func (s *Server) Run(ctx context.Context) {
+	for {
+		s.mu.Lock()
+		s.handle(peer.Tick{})
+		now := s.clock()
+		wait := s.detector.NextTick(now) - now
+		changed := s.changed
+		s.mu.Unlock()
+		select {
+		case <-ctx.Done():
+			return
+		case <-changed: // the next tick may be due sooner
+		case <-time.After(max(wait, minTickWait)):
+		}
+	}
+}
+
+// ServeHTTP takes a heartbeat, and answers it once there is something to report.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	var in heartbeat
+	if !rpc.ReadRequest(w, r, s.fleet, &in) {
+		return
+	}
+	connectionID, _ := r.Context().Value(connectionKey{}).(uint64)
+	s.mu.Lock()
+	result := s.handle(peer.Heartbeat{Member: in.Member, ConnectionID: connectionID})
+	s.mu.Unlock()
+	if result == peer.Accepted && !s.waitForChange(r.Context(), &in) {
+		s.mu.Lock()
+		s.handle(peer.ConnectionLost{ConnectionID: connectionID})
+		s.mu.Unlock()
+		return
+	}
+	rpc.WriteResponse(w, s.report(result, &in))
+}
+
+// waitForChange waits until the opinion is another than the sender knows, a heartbeat interval at the most. It returns
+// false where the connection has ended meanwhile, or this server does.
+func (s *Server) waitForChange(ctx context.Context, in *heartbeat) bool {
+	timer := time.NewTimer(peer.DefaultParameters.HeartbeatInterval)
+	defer timer.Stop()
+	for {
+		s.mu.Lock()
+		isKnown := in.ServerIncarnation == s.incarnation && in.KnownVersion == s.notifiedVersion
+		changed := s.changed
+		s.mu.Unlock()
+		if !isKnown {
+			return true
+		}
+		select {
+		case <-changed:
+		case <-timer.C:
+			return true
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
+
+// report returns what has changed since the version that the sender knows.
+func (s *Server) report(result peer.HeartbeatResult, in *heartbeat) report {
+	known := in.KnownVersion
+	if in.ServerIncarnation != s.incarnation {
+		known = 0
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := report{Result: result, ServerIncarnation: s.incarnation, Version: s.notifiedVersion}
+	out.Members, out.Complete = s.detector.ChangedSince(known)
+	return out
+}
+
+// Members returns what this watcher knows of all members.
+func (s *Server) Members() []peer.MemberState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.detector.Members()
+}
--- /dev/null
+++ b/internal/peer/transport/transport_test.go
@@ -0,0 +1,165 @@
+package transport
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/peer"
+	"mulleinpier/internal/testutil"
+)
+
+// watcherServer is a watcher with an HTTP server of its own.
+type watcherServer struct {
+	Watcher
+	watcher *Server
+	server  *http.Server
+}
+
+// testFleet is watchers and instances in this process, each instance with connections of its own.
+type testFleet struct {
+	t        *testing.T
+	servers  []*watcherServer
+	watchers []Watcher
+}
+
+var testStart = time.Now()
+
+func clock() time.Duration { return time.Since(testStart) }
+
+// newFleet starts three watchers.
+func newFleet(t *testing.T) *testFleet {
+	f := &testFleet{t: t}
+	for i := range 3 {
+		s := f.startWatcher(fmt.Sprint("w", i), "127.0.0.5:0")
+		f.servers = append(f.servers, s)
+		f.watchers = append(f.watchers, s.Watcher)
+	}
+	return f
+}
+
+func (f *testFleet) startWatcher(name, address string) *watcherServer {
+	f.t.Helper()
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	s := &watcherServer{Watcher: Watcher{name, l.Addr().String()}, watcher: NewServer("test", clock)}
+	mux := http.NewServeMux()
+	mux.Handle("POST "+HeartbeatPath, s.watcher)
+	s.server = &http.Server{Handler: mux, ConnContext: s.watcher.ConnContext, ConnState: s.watcher.ConnState}
+	ctx, cancel := context.WithCancel(context.Background())
+	var tasks sync.WaitGroup
+	tasks.Go(func() { s.server.Serve(l) })
+	tasks.Go(func() { s.watcher.Run(ctx) })
+	f.t.Cleanup(func() {
+		cancel()
+		s.server.Close()
+		tasks.Wait()
+	})
+	return s
+}
+
+// join starts an instance, and returns what ends it as the end of its process does.
+func (f *testFleet) join(name string, incarnation uint64) (c *Client, end func()) {
+	member := peer.Member{Name: name, Incarnation: incarnation}
+	c = NewClient("test", member, f.watchers, clock, slog.New(slog.DiscardHandler))
+	ctx, cancel := context.WithCancel(context.Background())
+	var task sync.WaitGroup
+	task.Go(func() { c.Run(ctx) })
+	end = sync.OnceFunc(func() {
+		cancel()
+		task.Wait()
+	})
+	f.t.Cleanup(end)
+	return c, end
+}
+
+// member returns what an instance knows of a member.
+func member(c *Client, name string) (s peer.MemberState, isolated bool) {
+	list, isolated, _ := c.Members()
+	for _, m := range list {
+		if m.Name == name {
+			s = m
+		}
+	}
+	return s, isolated
+}
+
+// waitForState waits until an instance knows a member to be in a state.
+func (f *testFleet) waitForState(c *Client, name string, want peer.State) {
+	f.t.Helper()
+	testutil.WaitUntil(f.t, name+" to be "+want.String(), func() bool {
+		s, isolated := member(c, name)
+		return s.State == want && !isolated
+	})
+}
+
+// TestInstancesKnowEachOther has instances come, end and come back, and a watcher end and forget.
+func TestInstancesKnowEachOther(t *testing.T) {
+	f := newFleet(t)
+	a, _ := f.join("a", 1)
+	b, endB := f.join("b", 2)
+	f.waitForState(a, "b", peer.Alive)
+	f.waitForState(b, "a", peer.Alive)
+	f.servers[0].server.Close()
+	endB()
+	f.waitForState(a, "b", peer.Gone)
+	f.startWatcher("w0", f.watchers[0].Address) // it knows nobody
+	b, endB = f.join("b", 3)
+	f.waitForState(a, "b", peer.Alive)
+	b.MarkLeaving()
+	testutil.WaitUntil(t, "b to be known to leave", func() bool {
+		s, _ := member(a, "b")
+		return s.Leaving
+	})
+	next, _ := f.join("b", 4)
+	testutil.WaitUntil(t, "b to be replaced", b.IsReplaced)
+	endB()
+	f.waitForState(next, "b", peer.Alive)
+	f.waitForState(a, "b", peer.Alive)
+}
+
+// TestIsolatedWithoutMajority ends two of three watchers: what was known last is kept, and known to be outdated.
+func TestIsolatedWithoutMajority(t *testing.T) {
+	f := newFleet(t)
+	a, _ := f.join("a", 1)
+	_, endB := f.join("b", 2)
+	f.waitForState(a, "b", peer.Alive)
+	for _, s := range f.servers[:2] {
+		s.watcher.Stop()
+		s.server.Close()
+	}
+	testutil.WaitUntil(t, "a to be isolated", func() bool {
+		_, isolated, _ := a.Members()
+		return isolated
+	})
+	endB()
+	time.Sleep(2 * peer.DefaultParameters.GoneAfter)
+	if s, isolated := member(a, "b"); s.State == peer.Gone || !isolated {
+		t.Errorf("isolated %v, b is %v", isolated, s.State)
+	}
+}
+
+// TestOtherFleetsAreIgnored has an instance of another fleet send heartbeats.
+func TestOtherFleetsAreIgnored(t *testing.T) {
+	f := newFleet(t)
+	a, _ := f.join("a", 1)
+	stranger := NewClient(
+		"other", peer.Member{Name: "s", Incarnation: 9}, f.watchers, clock, slog.New(slog.DiscardHandler))
+	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
+	defer cancel()
+	stranger.Run(ctx)
+	f.waitForState(a, "a", peer.Alive)
+	if list, _, _ := a.Members(); len(list) != 1 {
+		t.Errorf("%+v", list)
+	}
+	if list, isolated, _ := stranger.Members(); len(list) != 0 || !isolated {
+		t.Errorf("the stranger knows %+v", list)
+	}
+}
