--- a/internal/lease/agent/client.go
+++ b/internal/lease/agent/client.go
@@ -121,7 +121,7 @@
 	view := peer.NewView(peer.DefaultParameters, answered, 0)
 	for i, s := range states {
 		if errs[i] == nil {
-			view.Merge(0, c.fleet.Voters[i].Name, true, s.Members)
+			view.Merge(0, c.fleet.Voters[i].Name, peer.Report{Complete: true, Members: s.Members})
 		}
 	}
 	return view.Members(), answered
--- a/internal/lease/agent/fleet.go
+++ b/internal/lease/agent/fleet.go
@@ -35,7 +35,8 @@
 	seen := make(map[string]bool)
 	for _, v := range f.Voters {
 		if _, _, err := net.SplitHostPort(v.Address); err != nil || v.Name == "" || seen[v.Name] {
-			return fmt.Errorf("leases: voter %q at %q cannot be: want a name of its own and HOST:PORT", v.Name, v.Address)
+			return fmt.Errorf(
+				"leases: voter %q at %q cannot be: want a name of its own and HOST:PORT", v.Name, v.Address)
 		}
 		seen[v.Name] = true
 	}
--- a/internal/lease/agent/recorded_test.go
+++ b/internal/lease/agent/recorded_test.go
@@ -235,7 +235,11 @@
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
 	}
 	testutil.CheckRecordedCBOR(t, "testdata/voter-messages.cbor", recordedVoterMessages(t))
-	for path, want := range map[string]string{messagesPath: "/v1/raft", requestPath: "/v1/lease", statePath: "/v1/book"} {
+	for want, path := range map[string]string{
+		"/v1/raft":  messagesPath,
+		"/v1/lease": requestPath,
+		"/v1/book":  statePath,
+	} {
 		if path != want {
 			t.Errorf("%s was %s", path, want)
 		}
@@ -276,8 +280,10 @@
 	SecondsLeft: map[uint64]float64{41: 0.25, 42: 3599.5},
 	Members: []peer.MemberState{
 		{
-			Member: peer.Member{Name: "p1", Incarnation: 0xfedcba9876543211, Address: "10.0.0.1:7400", Zone: "a", Version: 1},
-			State:  peer.Alive,
+			Member: peer.Member{
+				Name: "p1", Incarnation: 0xfedcba9876543211, Address: "10.0.0.1:7400", Zone: "a", Version: 1,
+			},
+			State: peer.Alive,
 		},
 		{Member: peer.Member{Name: "p2", Incarnation: 3, Leaving: true}, State: peer.Suspect},
 		{Member: peer.Member{Name: "p3", Incarnation: 9}, State: peer.Gone},
--- a/internal/lease/agent/voter.go
+++ b/internal/lease/agent/voter.go
@@ -95,7 +95,7 @@
 		}
 	}
 	incarnation := rand.Uint64() | 1
-	replica, err := quorum.New(id, incarnation, saved, lease.DefaultParameters, true)
+	replica, err := quorum.New(id, incarnation, saved, lease.DefaultParameters, quorum.AutomaticElections)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -71,9 +71,9 @@
 	}
 	switch c.Kind {
 	case Acquire:
-		return isName(c.Holder) && c.Nonce > 0 && c.Duration >= p.MinDuration && c.Duration <= p.MaxDuration
+		return c.namesHolder() && p.allows(c.Duration)
 	case Release:
-		return c.Token > 0 || isName(c.Holder) && c.Nonce > 0
+		return c.Token > 0 || c.namesHolder()
 	case Transfer, HandOver:
 		return c.Token > 0 && isName(c.To)
 	case Revoke:
@@ -85,4 +85,10 @@
 	}
 }
 
+func (p Parameters) allows(duration time.Duration) bool {
+	return duration >= p.MinDuration && duration <= p.MaxDuration
+}
+
+func (c *Command) namesHolder() bool { return isName(c.Holder) && c.Nonce > 0 }
+
 func isName(s string) bool { return s != "" && len(s) <= MaxNameBytes }
--- a/internal/lease/permit.go
+++ b/internal/lease/permit.go
@@ -65,8 +65,10 @@
 // DecideWithoutPermit decides for a process that has waited for a time. One that insists on a permit waits for ever;
 // any other goes on without one after maxWait.
 func DecideWithoutPermit(waited, maxWait time.Duration, insist bool) PermitVerdict {
-	if waited < maxWait || insist {
+	switch {
+	case insist, waited < maxWait:
 		return KeepWaiting
+	default:
+		return ProceedWithoutPermit
 	}
-	return ProceedWithoutPermit
 }
--- a/internal/lease/quorum/fuzz_test.go
+++ b/internal/lease/quorum/fuzz_test.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return
 		}
-		r, err := New(1, 7, initial, lease.DefaultParameters, true)
+		r, err := New(1, 7, initial, lease.DefaultParameters, AutomaticElections)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lease/quorum/recorded_test.go
+++ b/internal/lease/quorum/recorded_test.go
@@ -173,7 +173,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(1, 5, initial, lease.DefaultParameters, false)
+	r, err := New(1, 5, initial, lease.DefaultParameters, ManualElections)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lease/quorum/replica.go
+++ b/internal/lease/quorum/replica.go
@@ -51,10 +51,18 @@
 	now     time.Duration
 }
 
-// New returns the voter that remembers a saved state. The incarnation must differ from any before it. Without
-// elections the voter asks for votes only by [Replica.Campaign].
+// Elections says when a voter asks for votes.
+type Elections uint8
+
+// The kinds of elections.
+const (
+	AutomaticElections Elections = iota // after electionTicks without a message
+	ManualElections                     // by [Replica.Campaign] alone
+)
+
+// New returns the voter that remembers a saved state. The incarnation must differ from any before it.
 func New(
-	id, incarnation uint64, saved PersistentState, parameters lease.Parameters, elections bool,
+	id, incarnation uint64, saved PersistentState, parameters lease.Parameters, elections Elections,
 ) (r *Replica, err error) {
 	defer func() { // the library panics over a state that can't be
 		if cause := recover(); cause != nil {
@@ -111,9 +119,10 @@
 	return r.storage.ApplySnapshot(s)
 }
 
-func (r *Replica) raftConfig(elections bool) *raft.Config {
+func (r *Replica) raftConfig(elections Elections) *raft.Config {
+	isAutomatic := elections == AutomaticElections
 	ticks := electionTicks
-	if !elections {
+	if !isAutomatic {
 		ticks = noElectionTicks
 	}
 	return &raft.Config{
@@ -125,8 +134,8 @@
 		MaxSizePerMsg:             maxMessageBytes,
 		MaxInflightMsgs:           maxInFlightMessages,
 		MaxUncommittedEntriesSize: maxUncommittedBytes,
-		CheckQuorum:               elections,
-		PreVote:                   elections,
+		CheckQuorum:               isAutomatic,
+		PreVote:                   isAutomatic,
 		DisableProposalForwarding: true,
 		StepDownOnRemoval:         true,
 		Logger:                    discardLogger{},
--- a/internal/lease/quorum/simulation_contenders_test.go
+++ b/internal/lease/quorum/simulation_contenders_test.go
@@ -87,7 +87,8 @@
 			s.after(s.drawRequestDelay(), func() {
 				s.whenContenderRuns(c, func() {
 					if c.incarnation == incarnation {
-						s.tellContender(c, lease.Response{Sequence: request.Sequence, Outcome: r.Outcome, Token: r.Token})
+						response := lease.Response{Sequence: request.Sequence, Outcome: r.Outcome, Token: r.Token}
+						s.tellContender(c, response)
 					}
 				})
 			})
--- a/internal/lease/quorum/simulation_test.go
+++ b/internal/lease/quorum/simulation_test.go
@@ -158,7 +158,7 @@
 		initial.HardState.Term = proto.Uint64(v.disk.HardState.GetTerm())
 		v.disk = initial
 	}
-	r, err := New(v.id, v.incarnation, v.disk, s.parameters, false)
+	r, err := New(v.id, v.incarnation, v.disk, s.parameters, ManualElections)
 	if err != nil {
 		s.haltReason, v.down = err.Error(), true
 		return
--- a/internal/peer/membership_test.go
+++ b/internal/peer/membership_test.go
@@ -138,39 +138,15 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := newFleet(3, "a", "b", "c", "d", "e")
 		f.run(time.Second)
-		incarnation := uint64(100)
-		for range 30 {
-			m := f.members[rng.IntN(len(f.members))]
-			switch rng.IntN(6) {
-			case 0:
-				f.endProcess(m)
-			case 1:
-				m.silent = true
-			case 2:
-				m.silent = false
-			case 3:
-				if m.silent {
-					incarnation++
-					m.Incarnation, m.silent = incarnation, false
-				}
-			case 4:
-				m.cutOffFrom[rng.IntN(3)] = rng.IntN(2) == 0
-			case 5:
-				f.stoppedWatchers = map[int]bool{rng.IntN(3): rng.IntN(2) == 0}
-			}
+		for i := range uint64(30) {
+			f.causeFault(rng, 101+i)
 			f.run(time.Duration(rng.IntN(80)) * 10 * ms)
 		}
 		f.stoppedWatchers = map[int]bool{}
 		f.run(2 * time.Second)
 		for _, m := range f.members {
-			reached := 0
-			for i := range 3 {
-				if !m.cutOffFrom[i] {
-					reached++
-				}
-			}
 			want := Gone
-			if !m.silent && reached >= 2 {
+			if !m.silent && m.reachedWatchers() >= 2 {
 				want = Alive
 			}
 			if s := f.state(m.Name); s != want {
@@ -181,6 +157,37 @@
 	}
 }
 
+// causeFault has something befall a member or a watcher. A process that comes back has the given incarnation.
+func (f *simulatedFleet) causeFault(rng *rand.Rand, incarnation uint64) {
+	m := f.members[rng.IntN(len(f.members))]
+	switch rng.IntN(6) {
+	case 0:
+		f.endProcess(m)
+	case 1:
+		m.silent = true
+	case 2:
+		m.silent = false
+	case 3:
+		if m.silent {
+			m.Incarnation, m.silent = incarnation, false
+		}
+	case 4:
+		m.cutOffFrom[rng.IntN(3)] = rng.IntN(2) == 0
+	case 5:
+		f.stoppedWatchers = map[int]bool{rng.IntN(3): rng.IntN(2) == 0}
+	}
+}
+
+// reachedWatchers counts the three watchers that a member reaches.
+func (m *simulatedMember) reachedWatchers() (n int) {
+	for i := range 3 {
+		if !m.cutOffFrom[i] {
+			n++
+		}
+	}
+	return n
+}
+
 // TestThreeHundredInstances has 300 instances at three watchers, of which a tenth end at once: all is known in its
 // time, and what is reported for it is bounded, as a watcher reports changes alone.
 func TestThreeHundredInstances(t *testing.T) {
--- a/internal/peer/rpc/recorded_test.go
+++ b/internal/peer/rpc/recorded_test.go
@@ -11,10 +11,12 @@
 // TestRecordedMessages guards fleets of mixed versions: the header of every message is read from and written for
 // earlier versions, and a message of a later one is understood as far as it says so.
 func TestRecordedMessages(t *testing.T) {
-	testutil.CheckRecordedCBOR(t, "testdata/message.cbor", message{Header{Version: 1, Fleet: "shop", MinVersion: 1}, "x"})
-	testutil.CheckRecordedCBOR(t, "testdata/message-without-least.cbor", message{Header{Version: 1, Fleet: "shop"}, "x"})
-	if got, want := NewHeader("shop"), (Header{Version: 1, Fleet: "shop", MinVersion: 1}); !reflect.DeepEqual(got, want) {
-		t.Errorf("this version's header is %+v, want %+v", got, want)
+	recordedHeader := Header{Version: 1, Fleet: "shop", MinVersion: 1}
+	testutil.CheckRecordedCBOR(t, "testdata/message.cbor", message{recordedHeader, "x"})
+	withoutMinVersion := message{Header{Version: 1, Fleet: "shop"}, "x"}
+	testutil.CheckRecordedCBOR(t, "testdata/message-without-least.cbor", withoutMinVersion)
+	if got := NewHeader("shop"); got != recordedHeader {
+		t.Errorf("this version's header is %+v, want %+v", got, recordedHeader)
 	}
 	var later message
 	want := message{Header{Version: 9, Fleet: "shop", MinVersion: 1}, "y"}
--- a/internal/peer/simulation_test.go
+++ b/internal/peer/simulation_test.go
@@ -67,7 +67,7 @@
 				list, complete := w.ChangedSince(f.knownVersions[i])
 				f.knownVersions[i] = w.Version()
 				f.reportedMembers += len(list)
-				f.noteChanges(f.view.Merge(f.now, fmt.Sprint(i), complete, list))
+				f.noteChanges(f.view.Merge(f.now, fmt.Sprint(i), Report{complete, list}))
 			}
 		}
 		f.noteChanges(f.view.Tick(f.now))
--- a/internal/peer/transport/client.go
+++ b/internal/peer/transport/client.go
@@ -143,7 +143,7 @@
 			c.log.Warn("heartbeat rejected", "watcher", w.Name, "reason", r.Result.String())
 		}
 	}
-	c.notify(c.view.Merge(c.clock(), w.Name, r.Complete, r.Members))
+	c.notify(c.view.Merge(c.clock(), w.Name, peer.Report{Complete: r.Complete, Members: r.Members}))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -10,16 +10,23 @@
 type View struct {
 	parameters    Parameters
 	watchers      int
-	reports       map[string]*report // by watcher
+	reports       map[string]*received // by watcher
 	members       map[string]MemberState
 	isolated      bool
 	isolatedSince time.Duration // or since when it is not
 }
 
-// report is a watcher's opinion of all members.
-type report struct {
-	received time.Duration
-	members  map[string]MemberState
+// Report is what a watcher knows: of all members if it is complete, else of those that have changed since its last
+// report.
+type Report struct {
+	Complete bool
+	Members  []MemberState
+}
+
+// received is a watcher's opinion of all members.
+type received struct {
+	at      time.Duration // of the last report
+	members map[string]MemberState
 }
 
 // Change is a member whose state, or process, has changed. Previous is 0 for one that is new.
@@ -33,7 +40,7 @@
 	return &View{
 		parameters:    parameters,
 		watchers:      watchers,
-		reports:       make(map[string]*report),
+		reports:       make(map[string]*received),
 		members:       make(map[string]MemberState),
 		isolated:      true,
 		isolatedSince: now,
@@ -43,22 +50,21 @@
 // majority returns how many of the watchers have to agree.
 func (v *View) majority() int { return v.watchers/2 + 1 }
 
-// Merge takes a watcher's report at a time: of all members if it is complete, else of those that have changed since the
-// watcher's last report.
-func (v *View) Merge(now time.Duration, watcher string, complete bool, list []MemberState) []Change {
+// Merge takes a watcher's report at a time and returns what has changed.
+func (v *View) Merge(now time.Duration, watcher string, report Report) []Change {
 	r := v.reports[watcher]
 	if r == nil {
-		if !complete {
+		if !report.Complete {
 			return nil // the rest was never received
 		}
-		r = &report{}
+		r = &received{}
 		v.reports[watcher] = r
 	}
-	r.received = now
-	if complete {
-		r.members = make(map[string]MemberState, len(list))
+	r.at = now
+	if report.Complete {
+		r.members = make(map[string]MemberState, len(report.Members))
 	}
-	for _, s := range list {
+	for _, s := range report.Members {
 		if _, known := r.members[s.Name]; known || len(r.members) < v.parameters.MaxMembers {
 			r.members[s.Name] = s
 		}
@@ -98,8 +104,8 @@
 	}
 }
 
-func (v *View) isFresh(now time.Duration, r *report) bool {
-	return now-r.received < v.parameters.GoneAfter
+func (v *View) isFresh(now time.Duration, r *received) bool {
+	return now-r.at < v.parameters.GoneAfter
 }
 
 // knownNames returns the names of all members that are known of, in order.
--- a/internal/takeover/claim_test.go
+++ b/internal/takeover/claim_test.go
@@ -2,16 +2,21 @@
 
 import "testing"
 
+// What a holder may answer, or why it does not.
+var (
+	granted   = ClaimResponse{Decision: Granted, Epoch: 1}
+	forgotten = ClaimResponse{Decision: Granted, Epoch: 1, MayHaveForgotten: true}
+	known     = ClaimResponse{Decision: Granted, Epoch: 2, Age: 500 * ms, PreviousOwner: Owner{"x", 1}}
+	served    = ClaimResponse{Decision: AlreadyServed, Receipt: "r"}
+	expired   = ClaimResponse{Decision: WindowExpired}
+	conflict  = ClaimResponse{Decision: Conflict}
+	declined  = ClaimResponse{Decision: Declined}
+	timedOut  = ClaimResponse{}
+	gone      = ClaimResponse{Decision: 99}
+)
+
 // TestClaim has an owner decide by what holders answer.
 func TestClaim(t *testing.T) {
-	granted := ClaimResponse{Decision: Granted, Epoch: 1}
-	forgotten := ClaimResponse{Decision: Granted, Epoch: 1, MayHaveForgotten: true}
-	known := ClaimResponse{Decision: Granted, Epoch: 2, Age: 500 * ms, PreviousOwner: Owner{"x", 1}}
-	served := ClaimResponse{Decision: AlreadyServed, Receipt: "r"}
-	expired := ClaimResponse{Decision: WindowExpired}
-	conflict := ClaimResponse{Decision: Conflict}
-	declined := ClaimResponse{Decision: Declined}
-	timedOut, gone := ClaimResponse{}, ClaimResponse{Decision: 99}
 	for _, c := range []struct {
 		name           string
 		kind           ClaimKind
@@ -42,19 +47,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			options := Options{Replicas: 2, RequireReplica: c.requireReplica}
 			claim := NewClaim(DefaultParameters, window, 0, 2, options, c.kind)
-			for _, r := range []struct {
-				holder   string
-				response ClaimResponse
-			}{{"own", c.own}, {"y", c.y}, {"x", c.x}} {
-				switch r.response.Decision {
-				case timedOut.Decision:
-					claim.HolderTimedOut(r.holder)
-				case gone.Decision:
-					claim.HolderGone(r.holder)
-				default:
-					claim.HandleResponse(r.holder, r.response)
-				}
-			}
+			answer(claim, "own", c.own)
+			answer(claim, "y", c.y)
+			answer(claim, "x", c.x)
 			verdict, until := claim.Verdict()
 			if verdict != c.want {
 				t.Errorf("%v, want %v", verdict, c.want)
@@ -69,13 +64,25 @@
 	}
 }
 
+// answer gives a claim a holder's response, or says why there is none.
+func answer(claim *Claim, holder string, r ClaimResponse) {
+	switch r.Decision {
+	case timedOut.Decision:
+		claim.HolderTimedOut(holder)
+	case gone.Decision:
+		claim.HolderGone(holder)
+	default:
+		claim.HandleResponse(holder, r)
+	}
+}
+
 // TestClaimWithoutOthers guards that the own registry is heard where there is no other holder.
 func TestClaimWithoutOthers(t *testing.T) {
 	claim := NewClaim(DefaultParameters, window, 0, 0, Options{Replicas: 1, RequireReplica: true}, ClientRetry)
 	if v, _ := claim.Verdict(); v != Undecided {
 		t.Errorf("before the own registry has answered: %v", v)
 	}
-	claim.HandleResponse("own", ClaimResponse{Decision: AlreadyServed, Receipt: "r"})
+	claim.HandleResponse("own", served)
 	if claim.Receipt() != "r" {
 		t.Error("the own registry's receipt is not returned")
 	}
@@ -84,7 +91,7 @@
 // TestClaimInProgressElsewhere has the client's time end while another owner has the write.
 func TestClaimInProgressElsewhere(t *testing.T) {
 	claim := NewClaim(DefaultParameters, window, 0, 2, Options{Replicas: 2, RequireReplica: true}, ClientRetry)
-	claim.HandleResponse("own", ClaimResponse{Decision: Granted, Epoch: 1})
+	claim.HandleResponse("own", granted)
 	claim.HandleResponse("y", ClaimResponse{Decision: InProgress})
 	claim.ClientTimedOut()
 	if !claim.IsInProgress() {
--- a/internal/takeover/coordinator/claims.go
+++ b/internal/takeover/coordinator/claims.go
@@ -195,17 +195,17 @@
 	case takeover.ReturnReceipt:
 		c.count(func(n *Counts) { n.Served++ })
 		cl.epoch = cl.Epoch()
-		c.complete(cl, takeover.Served, cl.Receipt())
+		c.reportOutcome(cl, takeover.Served, cl.Receipt())
 	case takeover.OutcomeUnknown:
 		c.count(func(n *Counts) { n.OutcomeUnknown++ })
 		// And so it stays: who asks again later, when those that may have forgotten are past their recovery period, is
 		// not to find that they know nothing.
-		c.completeUnsent(cl, takeover.Unknown)
+		c.reportUnsent(cl, takeover.Unknown)
 	case takeover.KeyConflict:
 		c.count(func(n *Counts) { n.Rejected++ })
 	default:
 		c.count(func(n *Counts) { n.Rejected++ })
-		c.completeUnsent(cl, takeover.NotExecuted)
+		c.reportUnsent(cl, takeover.NotExecuted)
 	}
 }
 
@@ -215,18 +215,18 @@
 	c.sending[cl.requestID] = cl
 	if !c.core.ClaimDecided(cl.requestID, takeover.Proceed, within, "") {
 		delete(c.sending, cl.requestID)
-		c.completeUnsent(cl, takeover.NotExecuted)
+		c.reportUnsent(cl, takeover.NotExecuted)
 	}
 }
 
-// completeUnsent completes a write that this owner does not send.
-func (c *Coordinator) completeUnsent(cl *claim, outcome takeover.Outcome) {
+// reportUnsent gives a write its outcome that this owner does not send.
+func (c *Coordinator) reportUnsent(cl *claim, outcome takeover.Outcome) {
 	cl.epoch = max(cl.Epoch(), 1)
-	c.complete(cl, outcome, "")
+	c.reportOutcome(cl, outcome, "")
 }
 
-// complete tells all holders what came of a write, this proxy's own registry first.
-func (c *Coordinator) complete(cl *claim, outcome takeover.Outcome, receipt string) {
+// reportOutcome tells all holders what came of a write, this proxy's own registry first.
+func (c *Coordinator) reportOutcome(cl *claim, outcome takeover.Outcome, receipt string) {
 	c.tellRegistry(takeover.Completion{
 		ID:      cl.write.ID,
 		Digest:  cl.write.Digest,
--- a/internal/takeover/coordinator/inputs.go
+++ b/internal/takeover/coordinator/inputs.go
@@ -32,7 +32,7 @@
 func (w writeFinished) handle(c *Coordinator) {
 	if cl := c.sending[w.requestID]; cl != nil {
 		delete(c.sending, w.requestID)
-		c.complete(cl, w.outcome, w.receipt)
+		c.reportOutcome(cl, w.outcome, w.receipt)
 	}
 }
 
--- a/internal/takeover/coordinator/orphans.go
+++ b/internal/takeover/coordinator/orphans.go
@@ -29,7 +29,7 @@
 // decideTakenOver goes on with a write that was taken over, or completes it.
 func (c *Coordinator) decideTakenOver(cl *claim, verdict takeover.Verdict, deadline time.Duration) {
 	if verdict == takeover.ReturnReceipt {
-		c.complete(cl, takeover.Served, cl.Receipt())
+		c.reportOutcome(cl, takeover.Served, cl.Receipt())
 		return
 	}
 	if verdict == takeover.Proceed && c.resume(cl, deadline) {
@@ -37,7 +37,7 @@
 	}
 	c.count(func(n *Counts) { n.Abandoned++ })
 	c.options.Log.Warn("write outcome unknown", "write", cl.write.ID, "verdict", verdict.String())
-	c.complete(cl, takeover.Unknown, cl.Receipt())
+	c.reportOutcome(cl, takeover.Unknown, cl.Receipt())
 }
 
 // resume has the core send a write that was taken over, and reports whether it will.
--- a/internal/takeover/registry_test.go
+++ b/internal/takeover/registry_test.go
@@ -32,28 +32,39 @@
 	return r
 }
 
-// TestRegistry follows a write from its first claim until it is forgotten.
-func TestRegistry(t *testing.T) {
+// claimAt claims write k for an owner.
+func claimAt(t *testing.T, r *Registry, now time.Duration, o Owner, requestID uint64) ClaimResponse {
+	t.Helper()
+	return only(t, r.Handle(now, ClaimRequest{RequestID: requestID, Write: write("k"), Owner: o}, nil))
+}
+
+// TestClaimsOfOneWrite has two owners claim one write, and one of them come with another write under its key.
+func TestClaimsOfOneWrite(t *testing.T) {
 	r := newTestRegistry()
-	claim := func(now time.Duration, o Owner, requestID uint64) ClaimResponse {
-		return only(t, r.Handle(now, ClaimRequest{RequestID: requestID, Write: write("k"), Owner: o}, nil))
-	}
-	got := claim(0, ownerA, 1)
-	if got.Decision != Granted || got.Age != 0 || got.MayHaveForgotten || got.Epoch != 1 {
-		t.Errorf("new: %+v", got)
+	got := claimAt(t, r, 0, ownerA, 1)
+	if want := (ClaimResponse{RequestID: 1, Decision: Granted, Epoch: 1}); got != want {
+		t.Errorf("new: %+v, want %+v", got, want)
 	}
 	list := r.List(50*ms, 10)
 	if len(list) != 1 || list[0].State != StateOpen || list[0].Owner != "a" || list[0].Age != 50*ms {
 		t.Errorf("listed as %+v", list)
 	}
-	if got := claim(ms, ownerB, 2); got.Decision != InProgress {
+	if got := claimAt(t, r, ms, ownerB, 2); got.Decision != InProgress {
 		t.Errorf("another owner has it: %+v", got)
 	}
 	other := ClaimRequest{RequestID: 3, Write: Write{ID: "k", Digest: 2}, Owner: ownerB}
 	if got := only(t, r.Handle(2*ms, other, nil)); got.Decision != Conflict {
 		t.Errorf("another write under the key: %+v", got)
 	}
-	got = only(t, r.Handle(100*ms, OwnerLost{ownerA}, nil))
+}
+
+// TestFormerOwner guards guarantees 2 and 3: the write of a lost owner goes to the one who waits. What the former owner
+// says then counts only if the write was served.
+func TestFormerOwner(t *testing.T) {
+	r := newTestRegistry()
+	claimAt(t, r, 0, ownerA, 1)
+	claimAt(t, r, ms, ownerB, 2)
+	got := only(t, r.Handle(100*ms, OwnerLost{ownerA}, nil))
 	want := ClaimResponse{RequestID: 2, Decision: Granted, Epoch: 2, Age: 100 * ms, PreviousOwner: ownerA}
 	if got != want {
 		t.Errorf("the owner is lost: %+v, want %+v", got, want)
@@ -66,14 +77,13 @@
 	if out := r.Handle(120*ms, unknown, nil); len(out) != 0 || r.entries["k"].outcome != InFlight {
 		t.Errorf("a former owner gives it up: %+v", out)
 	}
-	// But that it was served by a former owner is a fact.
 	r.Handle(200*ms, Completion{ID: "k", Owner: ownerA, Epoch: 1, Outcome: Served, Receipt: "r"}, nil)
 	for _, o := range []Owner{ownerA, ownerB} {
-		if got := claim(300*ms, o, 5); got.Decision != AlreadyServed || got.Receipt != "r" {
+		if got := claimAt(t, r, 300*ms, o, 5); got.Decision != AlreadyServed || got.Receipt != "r" {
 			t.Errorf("served: %+v", got)
 		}
 	}
-	list = r.List(time.Second, 10)
+	list := r.List(time.Second, 10)
 	if len(list) != 1 || list[0].State != StateServed || list[0].Receipt != "r" || list[0].OwnerCount != 2 {
 		t.Errorf("listed as %+v", list)
 	}
--- a/internal/takeover/simulation_faults_test.go
+++ b/internal/takeover/simulation_faults_test.go
@@ -37,18 +37,18 @@
 func (s *simulation) kill(p *simulatedProxy) {
 	old := p.Owner
 	p.up = false
-	s.noticeGone(old, true, deathNoticedTicks)
+	s.noticeGone(old, deathNoticedTicks)
 	s.after(restartTicks, func() { p.start(old.Incarnation + 10) })
 }
 
 func (s *simulation) stop(p *simulatedProxy) {
 	p.stoppedUntil = s.now + faultTicks
-	s.noticeGone(p.Owner, true, silenceNoticedTicks)
+	s.noticeGone(p.Owner, silenceNoticedTicks)
 	s.after(faultTicks, func() {
 		deferred := p.deferred
 		p.deferred = nil
 		p.handle(Rejoined{})
-		s.noticeGone(p.Owner, false, returnNoticedTicks)
+		s.noticeReturned(p.Owner)
 		for _, do := range deferred {
 			do()
 		}
@@ -57,29 +57,37 @@
 
 func (s *simulation) cutOff(p *simulatedProxy) {
 	p.cutOff = true
-	s.noticeGone(p.Owner, true, silenceNoticedTicks)
+	s.noticeGone(p.Owner, silenceNoticedTicks)
 	s.after(faultTicks, func() {
 		p.cutOff = false
 		p.whenRunning(func() { p.handle(Rejoined{}) })
-		s.noticeGone(p.Owner, false, returnNoticedTicks)
+		s.noticeReturned(p.Owner)
 	})
 }
 
-// noticeGone has the others take a process for gone after a while, or hear it again.
-func (s *simulation) noticeGone(o Owner, gone bool, ticks int) {
+// noticeGone has the others take a process for gone after a while.
+func (s *simulation) noticeGone(o Owner, ticks int) {
+	s.notice(o, ticks, func(other *simulatedProxy) {
+		other.gone[o] = true
+		other.handle(OwnerLost{o})
+	})
+}
+
+// noticeReturned has the others hear a process again.
+func (s *simulation) noticeReturned(o Owner) {
+	s.notice(o, returnNoticedTicks, func(other *simulatedProxy) {
+		other.gone[o] = false
+		other.handle(OwnerReturned{o})
+	})
+}
+
+// notice has all others that are not cut off do something about a process after a while.
+func (s *simulation) notice(o Owner, ticks int, do func(other *simulatedProxy)) {
 	s.after(ticks, func() {
 		for _, other := range s.proxies {
-			if other.Owner == o || other.cutOff {
-				continue
+			if other.Owner != o && !other.cutOff {
+				other.whenRunning(func() { do(other) })
 			}
-			other.whenRunning(func() {
-				other.gone[o] = gone
-				if gone {
-					other.handle(OwnerLost{o})
-				} else {
-					other.handle(OwnerReturned{o})
-				}
-			})
 		}
 	})
 }
--- a/internal/testutil/recorded.go
+++ b/internal/testutil/recorded.go
@@ -19,8 +19,8 @@
 	return recorded
 }
 
-// CheckRecordedCBOR guards a message against a change of its encoding: what an earlier version wrote to path must decode
-// to want, and want must encode to the very same bytes, so that the earlier version reads what this one writes.
+// CheckRecordedCBOR guards a message against a change of its encoding: what an earlier version wrote to path must
+// decode to want, and want must encode to the very same bytes, so that the earlier version reads what this one writes.
 func CheckRecordedCBOR[T any](t *testing.T, path string, want T) {
 	t.Helper()
 	recorded := Recorded(t, path)
