--- a/internal/takeover/coordinator/coordinator_test.go
+++ b/internal/takeover/coordinator/coordinator_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"net/http"
 	"testing"
+	"time"
 
 	"mulleinpier/internal/peer"
 	"mulleinpier/internal/request"
@@ -59,6 +60,8 @@
 	case in := <-c.core.resumed:
 		checkResumed(t, in)
 		taker, other = c, b
+	case <-time.After(testutil.Timeout):
+		t.Fatal("nobody takes it over")
 	}
 	taker.Complete(resumedID, takeover.Served, "r")
 	other.waitForReceipt("k", "r")
