--- a/cmd/mulleinpier/daemon_test.go
+++ b/cmd/mulleinpier/daemon_test.go
@@ -770,7 +770,7 @@
 	})
 	for _, text := range []string{"[[node", "", "[[node]]\nname = \"n0\"\n", string(both("upside"))} {
 		replace(t, nodes, []byte(text))
-		waitLine(t, r.lines, "list of nodes")
+		waitLine(t, r.lines, "endpoint list: ")
 		for range 10 {
 			if others := reach(1); others > 0 {
 				t.Errorf("with the file %q the draining node was sent to", text)
--- /dev/null
+++ b/internal/discovery/client_test.go
@@ -0,0 +1,119 @@
+package discovery
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+)
+
+const completeList = `{"index":7,"snapshot":true,"endpoints":[{"name":"n1","address":"127.0.0.1:1","status":"up"},` +
+	`{"name":"n2","address":"127.0.0.1:2","status":"draining","since_ms":5}]}`
+
+// startService starts a service that answers each call with the next response, and closes the connection.
+func startService(t *testing.T, responses <-chan string) *Client {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		c, _, err := http.NewResponseController(w).Hijack()
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		defer c.Close()
+		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", <-responses)
+	}))
+	t.Cleanup(server.Close)
+	return NewClient(strings.TrimPrefix(server.URL, "http://"))
+}
+
+// noLists are texts that are no list.
+var noLists = []string{
+	"null", "{}", "[]", `""`, `{"error":"later"}`, `{"index":8,"snapshot":true}`, `{"endpoints":null}`,
+	"<html>", "\x00\xff",
+}
+
+// TestInvalidLists guards against lists made of a broken response: cut at any length, or not a list at all, it is
+// an error and delivers nothing. An empty list would remove every node.
+func TestInvalidLists(t *testing.T) {
+	responses := make(chan string, 1)
+	c := startService(t, responses)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	defer cancel()
+	invalid := noLists
+	for n := range len(completeList) {
+		invalid = append(invalid, completeList[:n])
+	}
+	for _, text := range invalid {
+		responses <- text
+		if l, err := c.Fetch(ctx); err == nil {
+			t.Errorf("%q is accepted as a list of %d nodes", text, len(l.Endpoints))
+		}
+		responses <- text
+		delivered := 0
+		if err := c.Watch(ctx, 0, func(List) { delivered++ }); err == nil || delivered > 0 {
+			t.Errorf("%q in a watch: %d delivered, error %v", text, delivered, err)
+		}
+	}
+	responses <- completeList
+	if l, err := c.Fetch(ctx); err != nil || len(l.Endpoints) != 2 || l.Index != 7 {
+		t.Errorf("the complete list: %+v, %v", l, err)
+	}
+	// What came before the break counts.
+	responses <- completeList + "\n" + completeList[:40]
+	delivered := 0
+	if err := c.Watch(ctx, 0, func(List) { delivered++ }); err == nil || delivered != 1 {
+		t.Errorf("a complete line and half of one: %d delivered, error %v", delivered, err)
+	}
+}
+
+// TestIndentedLists guards against a service that breaks its objects into lines, has braces in its texts, and lets
+// them come in pieces: each is delivered once, complete.
+func TestIndentedLists(t *testing.T) {
+	const indented = "\n\n{\n  \"index\": 7,\n  \"snapshot\": true,\n\n  \"endpoints\": [\n" +
+		"    {\"name\": \"}n\\\"{1\", \"address\": \"127.0.0.1:1\", \"status\": \"up\"}\n  ]\n}\n"
+	responses := make(chan string, 1)
+	c := startService(t, responses)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	defer cancel()
+	responses <- indented + completeList + "\r\n" + indented
+	var lists []List
+	err := c.Watch(ctx, 0, func(l List) { lists = append(lists, l) })
+	if err == nil || len(lists) != 3 || lists[0].Endpoints[0].Name != "}n\"{1" || len(lists[1].Endpoints) != 2 {
+		t.Errorf("delivered %+v, error %v", lists, err)
+	}
+	responses <- indented
+	if l, err := c.Fetch(ctx); err != nil || l.Index != 7 {
+		t.Errorf("a complete list: %+v, %v", l, err)
+	}
+}
+
+// TestObjectsAreBounded guards against an object that never ends, and white space that never does: the one is an
+// error once it is too long, the other takes no memory.
+func TestObjectsAreBounded(t *testing.T) {
+	whiteSpace := strings.Repeat("\n", 3*maxListBytes)
+	endless := `{"a":"` + strings.Repeat("x", 2*maxListBytes)
+	in := bufio.NewReader(io.MultiReader(strings.NewReader(whiteSpace), strings.NewReader(completeList+endless)))
+	text, err := appendObject(in, nil)
+	if err != nil || string(text) != completeList {
+		t.Errorf("behind white space: %d bytes, %v", len(text), err)
+	}
+	if text, err = appendObject(in, nil); !errors.Is(err, errTooLong) || len(text) > maxListBytes {
+		t.Errorf("of an endless object: %d bytes, %v", len(text), err)
+	}
+}
+
+// TestSilenceLeavesTimeForDrain checks the timeout of a silent watch against the drain rule: what it misses counts
+// as notified 6 s after it fell silent, and a drain has to be obeyed half a second later. The wait of the decision
+// module is tested there.
+func TestSilenceLeavesTimeForDrain(t *testing.T) {
+	const heartbeatInterval, countsAsNotified = 2 * time.Second, 6 * time.Second
+	if silenceTimeout <= heartbeatInterval || silenceTimeout > countsAsNotified/2 {
+		t.Errorf("a watch counts as silent after %v", silenceTimeout)
+	}
+}
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -4,167 +4,165 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"os"
-	"strings"
 	"time"
 
 	"github.com/BurntSushi/toml"
 )
 
-// A node file is looked at so often: well under the 500 ms within which a drain
-// must show, at a cost of five calls of stat a second.
-const filePause = 200 * time.Millisecond
+// fileReadInterval is how often a node file is read: well under the 500 ms within which a drain must be noticed, at
+// the cost of five reads a second.
+const fileReadInterval = 200 * time.Millisecond
 
-// file is a node file in TOML, watched by looking at it: that works on every
-// file system, for a file that is written over and for one that is renamed into
-// place, and takes no descriptor.
-type file struct {
-	path  string
-	wrong string // what was last told of the file; of the one watch that is on
+// defaultWeight is that of a node without a weight in the file.
+const defaultWeight = 1
+
+// fileSource is a node file in TOML, watched by reading it: that works on every file system, for a file that is
+// overwritten and for one that is renamed into place, and keeps no descriptor open.
+type fileSource struct {
+	path string
+	// lastError is the error that the last watch ended with, "" for none. It belongs to the one watch that is on.
+	lastError string
+}
+
+// nodeFile is the content of a node file.
+type nodeFile struct {
+	Nodes []nodeEntry `toml:"node"`
+}
+
+type nodeEntry struct {
+	Name          string   `toml:"name"`
+	Address       string   `toml:"address"`
+	Zone          string   `toml:"zone"`
+	Type          string   `toml:"type"`
+	Status        string   `toml:"status"`
+	Group         int      `toml:"group"`
+	Weight        *float64 `toml:"weight"`
+	StartedMillis float64  `toml:"since_ms"`
 }
 
-// ReadFile reads a node file: tables [[node]] with name (the address, if left
-// out), address, zone, type, group, status, weight and since_ms as in the platform's
-// form. It takes no file that is partly wrong, nor one that names no node: an
-// empty file is one being written, or an accident.
+// endpoint returns the entry with its defaults.
+func (n *nodeEntry) endpoint() Endpoint {
+	e := Endpoint{
+		Name:          n.Name,
+		Address:       n.Address,
+		Zone:          n.Zone,
+		Type:          n.Type,
+		Group:         n.Group,
+		Status:        n.Status,
+		Weight:        defaultWeight,
+		StartedMillis: n.StartedMillis,
+	}
+	if e.Name == "" {
+		e.Name = e.Address
+	}
+	if e.Status == "" {
+		e.Status = statusUp
+	}
+	if n.Weight != nil {
+		e.Weight = *n.Weight
+	}
+	return e
+}
+
+// ReadFile reads a node file: tables [[node]] with name (by default the address), address, zone, type, group,
+// status, weight and since_ms as in the platform's form. A file that is invalid in any part is an error, and so is
+// one without a node: that is being written, or an accident.
 func ReadFile(path string) (List, error) {
-	l, _, err := readFile(path)
+	l, _, err := readWithText(path)
 	return l, err
 }
 
-func readFile(path string) (List, string, error) {
+// readWithText reads a node file and also returns its text.
+func readWithText(path string) (List, string, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return List{}, "", fmt.Errorf("list of nodes: %w", err)
+		return List{}, "", fmt.Errorf("endpoint list: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxList))
+	text, err := io.ReadAll(io.LimitReader(f, maxListBytes))
 	if err != nil {
-		return List{}, "", fmt.Errorf("list of nodes: %w", err)
+		return List{}, "", fmt.Errorf("endpoint list: %w", err)
 	}
-	var in struct {
-		Node []struct {
-			Name, Address, Zone, Type, Status string
-			Group                             int
-			Weight                            *float64
-			Since                             float64 `toml:"since_ms"`
-		}
+	l, err := parseFile(path, string(text))
+	if err != nil {
+		return List{}, "", err
 	}
-	meta, err := toml.Decode(string(text), &in)
+	return l, string(text), nil
+}
+
+// parseFile parses the text of the node file at path.
+func parseFile(path, text string) (List, error) {
+	var file nodeFile
+	meta, err := toml.Decode(text, &file)
 	if err != nil {
-		return List{}, "", fmt.Errorf("list of nodes: %s: %w", path, err)
+		return List{}, fmt.Errorf("endpoint list: %s: %w", path, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return List{}, "", fmt.Errorf("list of nodes: %s: unknown key %s", path, unknown[0])
+		return List{}, fmt.Errorf("endpoint list: %s: unknown key %s", path, unknown[0])
 	}
 	l := List{Snapshot: true}
-	seen := make(map[string]bool)
-	for _, n := range in.Node {
-		e := Endpoint{Name: n.Name, Address: n.Address, Zone: n.Zone, Type: n.Type, Group: n.Group, Status: n.Status,
-			Weight: 1, StartedMillis: n.Since}
-		if e.Name == "" {
-			e.Name = e.Address
-		}
-		if e.Status == "" {
-			e.Status = "up"
+	names := make(map[string]bool)
+	for i := range file.Nodes {
+		e := file.Nodes[i].endpoint()
+		if names[e.Name] {
+			return List{}, fmt.Errorf("endpoint list: %s: two entries named %s", path, e.Name)
 		}
-		if n.Weight != nil {
-			e.Weight = *n.Weight
-		}
-		if seen[e.Name] {
-			return List{}, "", fmt.Errorf("list of nodes: %s: two entries named %s", path, e.Name)
-		}
-		seen[e.Name] = true
+		names[e.Name] = true
 		l.Endpoints = append(l.Endpoints, e)
 	}
 	if len(l.Endpoints) == 0 {
-		return List{}, "", fmt.Errorf("list of nodes: %s: names no node", path)
+		return List{}, fmt.Errorf("endpoint list: %s: names no node", path)
 	}
-	if err := l.check(); err != nil {
-		return List{}, "", fmt.Errorf("%w (%s)", err, path)
+	if err := l.validate(); err != nil {
+		return List{}, fmt.Errorf("%w (%s)", err, path)
 	}
-	return l, string(text), nil
+	return l, nil
 }
 
 // Fetch implements Source.
-func (f *file) Fetch(ctx context.Context) (List, error) { return ReadFile(f.path) }
+func (s *fileSource) Fetch(context.Context) (List, error) { return ReadFile(s.path) }
 
-// looks is what was found at a file, look by look. A list is believed once two looks
-// in a row have found the same text: half of a file that is being written over
-// may well read as a whole one that names fewer nodes.
-type looks struct{ last, told string }
+// fileReads is what successive reads of a file have found. A text is used once two reads in a row have found it:
+// half of a file that is being overwritten may be valid, and name fewer nodes.
+type fileReads struct{ last, delivered string }
 
-// settled takes what a look has found, and tells whether that is news to be believed.
-func (k *looks) settled(text string) bool {
-	same := text == k.last
-	if k.last = text; !same || text == k.told {
+// isStableChange takes the result of a read, and reports whether it is stable and new.
+func (r *fileReads) isStableChange(text string) bool {
+	stable := text == r.last
+	r.last = text
+	if !stable || text == r.delivered {
 		return false
 	}
-	k.told = text
+	r.delivered = text
 	return true
 }
 
-// Watch implements Source. A file that can't be read or meant changes nothing: it
-// is told by the end of the watch, once until it changes, and what was told before
-// stays in force.
-func (f *file) Watch(ctx context.Context, from uint64, tell func(List)) error {
-	tick := time.NewTicker(filePause)
-	defer tick.Stop()
-	found := looks{told: f.wrong}
+// Watch implements Source. A file that cannot be read or is invalid changes nothing: its error ends the watch, once
+// until the file changes, and the former list stays in force.
+func (s *fileSource) Watch(ctx context.Context, from uint64, deliver func(List)) error {
+	ticks := time.NewTicker(fileReadInterval)
+	defer ticks.Stop()
+	reads := fileReads{delivered: s.lastError}
 	for index := from; ; {
-		l, text, err := readFile(f.path)
+		l, text, err := readWithText(s.path)
 		if err != nil {
 			text = err.Error()
 		}
-		if found.settled(text) {
+		if reads.isStableChange(text) {
 			if err != nil {
-				f.wrong = text
+				s.lastError = text
 				return err
 			}
 			index++
-			f.wrong, l.Index = "", index
-			tell(l)
+			s.lastError = ""
+			l.Index = index
+			deliver(l)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticks.C:
 		}
 	}
 }
-
-// fixed is a list that never changes.
-type fixed struct{ list List }
-
-// StaticList is the list of nodes at addresses given by commas, each named by its
-// address.
-func StaticList(addresses string) List {
-	l := List{Index: 1, Snapshot: true}
-	for address := range strings.SplitSeq(addresses, ",") {
-		l.Endpoints = append(l.Endpoints, Endpoint{Name: address, Address: address, Status: "up", Weight: 1})
-	}
-	return l
-}
-
-// CheckAddress tells whether a text is a HOST:PORT that a node may have.
-func CheckAddress(address string) error {
-	host, port, err := net.SplitHostPort(address)
-	if err != nil {
-		return err
-	}
-	if host == "" || port == "" || strings.Contains(address, ",") {
-		return fmt.Errorf("address %s: host or port is missing", address)
-	}
-	return nil
-}
-
-// Fetch implements Source.
-func (f *fixed) Fetch(context.Context) (List, error) { return f.list, nil }
-
-// Watch implements Source.
-func (f *fixed) Watch(ctx context.Context, from uint64, tell func(List)) error {
-	tell(f.list)
-	<-ctx.Done()
-	return ctx.Err()
-}
--- /dev/null
+++ b/internal/discovery/objects.go
@@ -0,0 +1,79 @@
+package discovery
+
+import (
+	"bufio"
+	"errors"
+)
+
+var (
+	errNoObject = errors.New("endpoint list: not an object")
+	errTooLong  = errors.New("endpoint list: too long")
+)
+
+// appendObject appends the next JSON object of a stream to text, however it is broken into lines, and skips white
+// space before it. It only finds where the object ends; whether it is valid is for Parse.
+func appendObject(in *bufio.Reader, text []byte) ([]byte, error) {
+	var s objectScanner
+	for {
+		if _, err := in.Peek(1); err != nil {
+			return text, err
+		}
+		if len(text) == maxListBytes {
+			return text, errTooLong
+		}
+		buffered, _ := in.Peek(min(in.Buffered(), maxListBytes-len(text)))
+		start, end, complete, err := s.scan(buffered)
+		if err != nil {
+			return text, err
+		}
+		text = append(text, buffered[start:end]...)
+		in.Discard(end) // it has been peeked at
+		if complete {
+			return text, nil
+		}
+	}
+}
+
+// objectScanner finds the end of a JSON object that comes in pieces.
+type objectScanner struct {
+	depth           int // of objects and lists that are open
+	quoted, escaped bool
+}
+
+// scan scans a piece. It returns which part of it belongs to the object, and whether that is complete.
+func (s *objectScanner) scan(piece []byte) (start, end int, complete bool, err error) {
+	for i, b := range piece {
+		if s.depth == 0 {
+			if b == ' ' || b == '\t' || b == '\r' || b == '\n' {
+				start = i + 1
+				continue
+			}
+			if b != '{' {
+				return 0, 0, false, errNoObject
+			}
+		}
+		if s.next(b) {
+			return start, i + 1, true, nil
+		}
+	}
+	return start, len(piece), false, nil
+}
+
+// next takes a byte of the object and reports whether it is the last.
+func (s *objectScanner) next(b byte) bool {
+	switch {
+	case s.escaped:
+		s.escaped = false
+	case s.quoted && b == '\\':
+		s.escaped = true
+	case b == '"':
+		s.quoted = !s.quoted
+	case s.quoted:
+	case b == '{' || b == '[':
+		s.depth++
+	case b == '}' || b == ']':
+		s.depth--
+		return s.depth == 0
+	}
+	return false
+}
