--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -1,15 +1,17 @@
-// Package consul follows the instances of a service in Consul's catalogue, and registers
-// a proxy there, by the published HTTP API (health, agent service and agent check
-// endpoints, blocking queries, consistency modes, ACL tokens). What it tells is whether
-// a process runs; nothing of it is load.
+// Package consul follows the instances of a service in Consul's catalogue, and registers a proxy there, by the
+// published HTTP API (health, agent service and agent check endpoints, blocking queries, consistency modes, ACL
+// tokens). What it reports is whether a process runs; nothing of it is load.
 //
 // Invariants:
 //
-//  1. An answer is a list only if a leader was known, it was not too stale, no ACL has
-//     filtered it and it came whole. All else is the source's failure, never news.
-//  2. Memory is bounded by [MaxInstances] and one entry at a time; a body that goes on
-//     beyond them, or comes too slowly, ends in an error.
-//  3. Two queries are at least [LeastPause] apart, whatever the index does.
+//  1. A response is a list only if a leader was known, it was not too stale, no ACL has filtered it and it is
+//     complete. Everything else is a failure of the source, never a list.
+//  2. Memory is bounded by [MaxInstances] and one entry at a time; a body that goes on beyond them, or comes too
+//     slowly, ends in an error.
+//  3. Two queries are at least [MinQueryInterval] apart, whatever the index does.
+//
+// The package does not decide whether a list is believed; package membership does. Sources and registrars run in
+// the goroutine of their caller and start none of their own.
 package consul
 
 import (
@@ -28,31 +30,32 @@
 	"time"
 )
 
-// Agent is where an agent of Consul's is, and how to speak with it. It is comparable.
+// Agent is the address of a Consul agent, and how to authenticate. It is comparable.
 type Agent struct {
 	Address   string // HOST:PORT
 	TLS       bool
 	CAFile    string // certificates to trust in place of the system's; "" for those
-	TokenFile string // holds the ACL token, read anew for each call as it may rotate; "" for none
+	TokenFile string // of the ACL token, read for each call, as it may rotate; "" for none
 }
 
-// The bounds of a call.
 const (
-	maxToken  = 4 << 10
-	maxReason = 512 // bytes of an error's body that are told
-	dialTime  = 3 * time.Second
-	// A Retry-After is heeded up to this.
-	mostRetry = 30 * time.Second
+	maxTokenBytes = 4 << 10
+	// maxReasonBytes is how much of the body of an error is reported.
+	maxReasonBytes = 512
+	maxHeaderBytes = 16 << 10
+	dialTimeout    = 3 * time.Second
+	// maxRetryAfter bounds a Retry-After that is obeyed.
+	maxRetryAfter = 30 * time.Second
 )
 
-// An answer that has begun is all there within so long. Tests shorten it.
-var bodyTime = 10 * time.Second
+// bodyTimeout bounds the time from the beginning of a response to its end. Tests shorten it.
+var bodyTimeout = 10 * time.Second
 
-// StatusError is an answer of a status that is no success.
+// StatusError is a response with a status other than success.
 type StatusError struct {
 	Status     int
-	Reason     string
-	RetryAfter time.Duration // when to come again, 0 if it does not say
+	Reason     string        // the beginning of the body
+	RetryAfter time.Duration // 0 if the response has none
 }
 
 // Error implements error.
@@ -60,7 +63,7 @@
 	return fmt.Sprintf("consul: status %d: %s", e.Status, strings.TrimSpace(e.Reason))
 }
 
-// client speaks with one agent. It is safe for concurrent use.
+// client calls one agent. It is safe for concurrent use.
 type client struct {
 	agent Agent
 	base  string
@@ -68,27 +71,38 @@
 	err   error // what is wrong with the agent's certificates
 }
 
-func newClient(a Agent) *client {
-	c := &client{agent: a, base: "http://" + a.Address}
-	transport := &http.Transport{DisableCompression: true, MaxResponseHeaderBytes: 16 << 10, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute,
-		DialContext: (&net.Dialer{Timeout: dialTime, KeepAlive: -1}).DialContext, TLSHandshakeTimeout: dialTime}
-	if a.TLS {
-		c.base = "https://" + a.Address
+func newClient(agent Agent) *client {
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
+	transport := &http.Transport{
+		DisableCompression:     true,
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		MaxIdleConnsPerHost:    2,
+		IdleConnTimeout:        time.Minute,
+		DialContext:            dialer.DialContext,
+		TLSHandshakeTimeout:    dialTimeout,
+	}
+	c := &client{agent: agent, base: "http://" + agent.Address}
+	if agent.TLS {
+		c.base = "https://" + agent.Address
 		transport.TLSClientConfig = &tls.Config{MinVersion: tls.VersionTLS12}
-		if a.CAFile != "" {
-			pem, err := os.ReadFile(a.CAFile)
-			roots := x509.NewCertPool()
-			if err == nil && !roots.AppendCertsFromPEM(pem) {
-				err = fmt.Errorf("consul: %s holds no certificate", a.CAFile)
-			}
-			c.err, transport.TLSClientConfig.RootCAs = err, roots
+		if agent.CAFile != "" {
+			transport.TLSClientConfig.RootCAs, c.err = readCertificates(agent.CAFile)
 		}
 	}
 	c.http.Transport = transport
 	return c
 }
 
-// token returns the ACL token of this moment.
+func readCertificates(path string) (*x509.CertPool, error) {
+	roots := x509.NewCertPool()
+	pem, err := os.ReadFile(path)
+	if err == nil && !roots.AppendCertsFromPEM(pem) {
+		err = fmt.Errorf("consul: %s holds no certificate", path)
+	}
+	return roots, err
+}
+
+// token returns the current ACL token, "" for none.
 func (c *client) token() (string, error) {
 	if c.agent.TokenFile == "" {
 		return "", nil
@@ -98,13 +112,21 @@
 		return "", err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxToken))
+	text, err := io.ReadAll(io.LimitReader(f, maxTokenBytes))
 	return strings.TrimSpace(string(text)), err
 }
 
-// call makes a call whose answer begins within wait. The caller closes the body, which
-// ends by itself when it has taken bodyTime, or ctx ends.
-func (c *client) call(ctx context.Context, method, path string, query url.Values, body io.Reader, wait time.Duration) (*http.Response, error) {
+// call is a call of the HTTP API.
+type call struct {
+	method, path string
+	query        url.Values
+	body         io.Reader     // nil for none
+	timeout      time.Duration // for the response to begin
+}
+
+// do makes a call and returns its response if it is a success. The caller closes the body, which ends by itself
+// when it takes longer than bodyTimeout, or ctx ends.
+func (c *client) do(ctx context.Context, call call) (*http.Response, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
@@ -113,8 +135,8 @@
 		return nil, fmt.Errorf("consul: token: %w", err)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	late := time.AfterFunc(wait, func() { cancel(errors.New("no answer in time")) })
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path+"?"+query.Encode(), body)
+	timer := time.AfterFunc(call.timeout, func() { cancel(errors.New("no answer in time")) })
+	request, err := http.NewRequestWithContext(ctx, call.method, c.base+call.path+"?"+call.query.Encode(), call.body)
 	if err != nil {
 		cancel(nil)
 		return nil, err
@@ -124,44 +146,63 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		late.Stop()
+		timer.Stop()
 		cause := context.Cause(ctx)
 		cancel(nil)
 		if cause != nil {
 			err = cause
 		}
-		return nil, fmt.Errorf("consul: %s %s: %w", method, path, err)
+		return nil, fmt.Errorf("consul: %s %s: %w", call.method, call.path, err)
 	}
-	late.Reset(bodyTime)
-	response.Body = &bounded{response.Body, func() {
-		late.Stop()
+	timer.Reset(bodyTimeout)
+	response.Body = &callBody{response.Body, func() {
+		timer.Stop()
 		cancel(nil)
 	}}
 	if response.StatusCode != http.StatusOK {
 		defer response.Body.Close()
-		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxReason))
-		return nil, &StatusError{Status: response.StatusCode, Reason: string(reason), RetryAfter: retryAfter(response.Header)}
+		return nil, statusError(response)
 	}
 	return response, nil
 }
 
-// bounded is a body whose end frees what its call holds.
-type bounded struct {
+// callBody is a body whose Close releases what its call holds.
+type callBody struct {
 	io.ReadCloser
-	end func()
+	release func()
 }
 
-func (b *bounded) Close() error {
+// Close implements io.Closer.
+func (b *callBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.end()
+	b.release()
 	return err
 }
 
-// retryAfter reads the header of that name, in seconds.
+func statusError(response *http.Response) *StatusError {
+	reason, _ := io.ReadAll(io.LimitReader(response.Body, maxReasonBytes))
+	return &StatusError{
+		Status:     response.StatusCode,
+		Reason:     string(reason),
+		RetryAfter: retryAfter(response.Header),
+	}
+}
+
+// retryAfter returns the Retry-After of a response, 0 for none. Only seconds are understood.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || seconds < 0 {
 		return 0
 	}
-	return min(time.Duration(seconds)*time.Second, mostRetry)
+	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
+}
+
+// sleep waits for a time or the end of ctx.
+func sleep(ctx context.Context, d time.Duration) {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-t.C:
+	}
 }
--- /dev/null
+++ b/internal/consul/registrar.go
@@ -0,0 +1,175 @@
+package consul
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"net/http"
+	"net/url"
+	"time"
+)
+
+// Registration describes a proxy in the catalogue.
+type Registration struct {
+	Agent
+	Service string
+	ID      string // unique at the agent
+	Host    string
+	Port    int
+	TTL     time.Duration // of its check
+	Tags    []string
+	Meta    map[string]string
+}
+
+const (
+	// callTimeout bounds the calls of a registrar.
+	callTimeout = 2 * time.Second
+	// firstRetryInterval is the wait after the first call that failed. It doubles up to the interval of the checks.
+	firstRetryInterval = 200 * time.Millisecond
+	// checksPerTTL is how often the check is passed within its TTL.
+	checksPerTTL = 3
+	// deregisterAfter is the time after which the agent removes an instance whose check fails.
+	deregisterAfter = "10m"
+)
+
+// Registrar keeps a proxy registered.
+type Registrar struct {
+	Registration
+	client *client
+	log    *slog.Logger
+}
+
+// NewRegistrar returns a Registrar. It does no I/O.
+func NewRegistrar(r Registration, log *slog.Logger) *Registrar {
+	return &Registrar{Registration: r, client: newClient(r.Agent), log: log}
+}
+
+// checkID returns the id of the TTL check.
+func (r *Registrar) checkID() string { return "service:" + r.ID }
+
+// put calls an endpoint of the agent with a body, nil for none.
+func (r *Registrar) put(ctx context.Context, path string, query url.Values, body any) error {
+	var text bytes.Buffer
+	if body != nil {
+		if err := json.NewEncoder(&text).Encode(body); err != nil {
+			return err
+		}
+	}
+	response, err := r.client.do(ctx, call{
+		method: http.MethodPut, path: path, query: query, body: &text, timeout: callTimeout,
+	})
+	if err != nil {
+		return err
+	}
+	return response.Body.Close()
+}
+
+// register registers the proxy with a check that fails unless it is passed within the TTL. A registration of the
+// same ID is replaced, and its maintenance ended.
+func (r *Registrar) register(ctx context.Context) error {
+	query := url.Values{"replace-existing-checks": {"true"}}
+	err := r.put(ctx, "/v1/agent/service/register", query, map[string]any{
+		"ID":      r.ID,
+		"Name":    r.Service,
+		"Address": r.Host,
+		"Port":    r.Port,
+		"Tags":    r.Tags,
+		"Meta":    r.Meta,
+		"Check": map[string]any{
+			"CheckID":                        r.checkID(),
+			"Name":                           "serves",
+			"TTL":                            r.TTL.String(),
+			"DeregisterCriticalServiceAfter": deregisterAfter,
+		},
+	})
+	if err != nil {
+		return err
+	}
+	return r.setMaintenance(ctx, url.Values{"enable": {"false"}})
+}
+
+func (r *Registrar) setMaintenance(ctx context.Context, query url.Values) error {
+	return r.put(ctx, "/v1/agent/service/maintenance/"+url.PathEscape(r.ID), query, nil)
+}
+
+// passCheck passes the TTL check.
+func (r *Registrar) passCheck(ctx context.Context) error {
+	return r.put(ctx, "/v1/agent/check/pass/"+url.PathEscape(r.checkID()), nil, nil)
+}
+
+// Run registers the proxy and passes its check while canServe reports true, until ctx ends; then it starts
+// maintenance. A proxy that its agent has forgotten, as one does that was restarted, is registered again.
+func (r *Registrar) Run(ctx context.Context, canServe func() bool) {
+	s := registrationState{retryInterval: firstRetryInterval}
+	for ctx.Err() == nil {
+		err := r.update(ctx, &s, canServe)
+		interval := r.TTL / checksPerTTL
+		if err == nil {
+			r.noteSuccess(&s)
+		} else if ctx.Err() == nil {
+			interval = r.noteFailure(&s, err, interval)
+		}
+		sleep(ctx, interval)
+	}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+	defer cancel()
+	query := url.Values{"enable": {"true"}, "reason": {"draining"}}
+	if err := r.setMaintenance(ctx, query); err != nil {
+		r.log.Warn("maintenance update failed", "id", r.ID, "error", err)
+	}
+}
+
+// registrationState is what Run knows of the registration.
+type registrationState struct {
+	registered    bool
+	loggedError   string // of the failure that was last logged, "" once there was a success
+	retryInterval time.Duration
+}
+
+// update registers the proxy unless it is, and passes its check if it can serve.
+func (r *Registrar) update(ctx context.Context, s *registrationState, canServe func() bool) error {
+	if !s.registered {
+		if err := r.register(ctx); err != nil {
+			return err
+		}
+	}
+	if !canServe() {
+		return nil
+	}
+	return r.passCheck(ctx)
+}
+
+// noteSuccess logs a success that follows a failure or the start.
+func (r *Registrar) noteSuccess(s *registrationState) {
+	if !s.registered || s.loggedError != "" {
+		r.log.Info("service registered", "service", r.Service, "id", r.ID, "agent", r.Address)
+	}
+	*s = registrationState{registered: true, retryInterval: firstRetryInterval}
+}
+
+// noteFailure logs a failure unless it is the same as before, and returns the wait before the next call. The agent
+// may have forgotten the proxy: registering it again does no harm.
+func (r *Registrar) noteFailure(s *registrationState, err error, interval time.Duration) time.Duration {
+	if text := err.Error(); text != s.loggedError {
+		r.log.Warn("service registration failed", "service", r.Service, "id", r.ID, "error", err)
+		s.loggedError = text
+	}
+	s.registered = false
+	interval = min(s.retryInterval, interval)
+	s.retryInterval *= 2
+	if status := (*StatusError)(nil); errors.As(err, &status) {
+		interval = max(interval, status.RetryAfter)
+	}
+	return interval
+}
+
+// Deregister removes the proxy from the catalogue.
+func (r *Registrar) Deregister() {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	defer cancel()
+	if err := r.put(ctx, "/v1/agent/service/deregister/"+url.PathEscape(r.ID), nil, nil); err != nil {
+		r.log.Warn("service deregistration failed", "id", r.ID, "error", err)
+	}
+}
--- /dev/null
+++ b/internal/consul/source_test.go
@@ -0,0 +1,101 @@
+package consul
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"testing"
+	"time"
+
+	fakeconsul "mulleinpier/internal/fake/consul"
+	"mulleinpier/internal/testutil"
+)
+
+// TestChangesAreFollowed goes through what a blocking query can meet that is no failure.
+func TestChangesAreFollowed(t *testing.T) {
+	catalogue, agent := startAgent(t, "")
+	catalogue.Set(instance("a"))
+	lists, ended := watch(t, SourceConfig{
+		Agent: Agent{Address: agent.Address()}, Service: "cache", WaitTime: 300 * time.Millisecond,
+	})
+	expect := func(want string) {
+		t.Helper()
+		for {
+			if got := statusesOf(testutil.Receive(t, want, lists)); got == want {
+				return
+			}
+		}
+	}
+	expect("n1/a=up")
+	catalogue.SetMaintenance("n1", "a", true, "disk")
+	expect("n1/a=draining")
+	catalogue.SetMaintenance("n1", "a", false, "")
+	expect("n1/a=up")
+	catalogue.ResetIndex() // the index goes backwards
+	catalogue.Set(instance("b"))
+	expect("n1/a=up n1/b=up")
+	agent.SetFault(fakeconsul.ZeroIndex)
+	catalogue.Remove("n1", "a")
+	expect("n1/b=up")
+	agent.SetFault(fakeconsul.NoFault)
+	catalogue.Remove("n1", "b")
+	expect("")
+	for len(lists) > 0 {
+		<-lists
+	}
+	time.Sleep(time.Second) // some waits that end without a change
+	if len(lists) > 0 || len(ended) > 0 {
+		t.Errorf("%d lists delivered without a change, %d ends", len(lists), len(ended))
+	}
+}
+
+// failures are the faults of an agent that end a watch, and a part of the error.
+var failures = map[fakeconsul.FaultKind]string{
+	fakeconsul.ACLFiltered:   "token does not allow",
+	fakeconsul.Leaderless:    "no leader",
+	fakeconsul.StaleLeader:   "stale",
+	fakeconsul.MalformedBody: "not a list",
+	fakeconsul.TruncatedBody: "EOF",
+	fakeconsul.HugeList:      "more than 8192 instances",
+	fakeconsul.RateLimited:   "status 429",
+	fakeconsul.Forbidden:     "status 403",
+	fakeconsul.ServerError:   "status 500",
+	fakeconsul.SlowBody:      noAnswer,
+	fakeconsul.NoResponse:    noAnswer,
+}
+
+// TestFailuresDeliverNoList guards invariant 1, and that each failure ends in its time.
+func TestFailuresDeliverNoList(t *testing.T) {
+	bodyTimeout = 2 * time.Second
+	defer func() { bodyTimeout = 10 * time.Second }()
+	for kind, want := range failures {
+		expectFailure(t, kind, want)
+	}
+}
+
+func expectFailure(t *testing.T, kind fakeconsul.FaultKind, want string) {
+	t.Helper()
+	catalogue, agent := startAgent(t, "")
+	defer agent.Close()
+	catalogue.Set(instance("a"))
+	lists, ended := watch(t, SourceConfig{
+		Agent: Agent{Address: agent.Address()}, Service: "cache", WaitTime: 100 * time.Millisecond,
+	})
+	testutil.Receive(t, "the first list", lists)
+	agent.SetFault(kind)
+	catalogue.Set(instance("b"))
+	err := testutil.Receive(t, string(kind), ended)
+	// The end of a context shows under several names, the cause among them.
+	isTimeout := want == noAnswer && errors.Is(err, context.Canceled)
+	if !strings.Contains(err.Error(), want) && !isTimeout {
+		t.Errorf("%s: ended with %v, want %q", kind, err, want)
+	}
+	for len(lists) > 0 {
+		if got := statusesOf(<-lists); got != "n1/a=up" {
+			t.Errorf("%s: delivered %q", kind, got)
+		}
+	}
+}
+
+// noAnswer is the error of a call that takes too long.
+const noAnswer = "no answer in time"
