--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli reads the words of a program's command line by kong, so that all programs here do it alike: help and the like
-// are printed and end well, and what can't be meant is an error of its own, said in one line.
+// Package cli parses the command lines of all programs here by kong in the same way: help and the like are printed
+// and end successfully, and an invalid command line is an error of its own, of one line.
 package cli
 
 import (
@@ -10,29 +10,36 @@
 	"github.com/alecthomas/kong"
 )
 
-// ErrUsage is the error of words that can't be meant.
+// ErrUsage is the error of an invalid command line.
 var ErrUsage = errors.New("bad usage")
 
-// ended is what the parser panics with once it has printed what was asked for.
-type ended struct{}
+// exit is the panic that replaces the exit of the program once the parser has printed what was asked for.
+type exit struct{}
 
-// Parse reads args into a structure of commands, and returns the command that is meant, with its arguments' names behind
-// it; "" where something was printed in its place.
+// Parse parses args into a structure of commands. It returns the command that was chosen, followed by the names of
+// its arguments, or "" where something was printed instead.
 func Parse(into any, name, description string, args []string, out, log io.Writer) (command string, err error) {
-	parser, err := kong.New(into, kong.Name(name), kong.Description(description), kong.Writers(out, log), kong.Exit(func(int) { panic(ended{}) }))
+	parser, err := kong.New(into,
+		kong.Name(name),
+		kong.Description(description),
+		kong.Writers(out, log),
+		kong.Exit(func(int) { panic(exit{}) }),
+	)
 	if err != nil {
 		return "", err
 	}
 	defer func() {
-		if p := recover(); p == (ended{}) {
+		switch p := recover(); p {
+		case nil:
+		case exit{}:
 			command, err = "", nil
-		} else if p != nil {
+		default:
 			panic(p)
 		}
 	}()
-	chosen, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		return "", fmt.Errorf("%w: %w", ErrUsage, err)
 	}
-	return chosen.Command(), nil
+	return parsed.Command(), nil
 }
--- /dev/null
+++ b/internal/sdnotify/listener.go
@@ -0,0 +1,41 @@
+package sdnotify
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+
+	"golang.org/x/sys/unix"
+)
+
+// firstPassedDescriptor is the first descriptor that a manager passes in.
+const firstPassedDescriptor = 3
+
+// Listener returns the one TCP listener that was passed in, nil for none.
+func Listener(getenv func(string) string) (*net.TCPListener, error) {
+	count := getenv("LISTEN_FDS")
+	if count == "" || getenv("LISTEN_PID") != strconv.Itoa(os.Getpid()) {
+		return nil, nil
+	}
+	if count != "1" {
+		return nil, fmt.Errorf("LISTEN_FDS cannot be %q: one socket is taken", count)
+	}
+	unix.CloseOnExec(firstPassedDescriptor)
+	file := os.NewFile(firstPassedDescriptor, "passed listener")
+	if file == nil {
+		return nil, errors.New("LISTEN_FDS: no descriptor was passed")
+	}
+	defer file.Close()
+	listener, err := net.FileListener(file) // a duplicate, non-blocking
+	if err != nil {
+		return nil, fmt.Errorf("LISTEN_FDS: %w", err)
+	}
+	tcp, ok := listener.(*net.TCPListener)
+	if !ok {
+		listener.Close()
+		return nil, fmt.Errorf("LISTEN_FDS: a %s listener was passed, want tcp", listener.Addr().Network())
+	}
+	return tcp, nil
+}
