--- a/cmd/mulleinpier/main.go
+++ b/cmd/mulleinpier/main.go
@@ -1,139 +1,133 @@
-// Command mulleinpier is a memcache proxy that spreads keys over cache nodes
-// reading through to one slow origin.
+// Command mulleinpier is a proxy for the memcache protocols: it spreads keys over read-through cache nodes before
+// one slow origin. This package parses the command line, catches signals and maps errors to exit codes; package
+// daemon does the rest.
 package main
 
 import (
-	"bufio"
-	"crypto/rand"
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"os"
 	"os/signal"
 	"runtime/debug"
 	"runtime/pprof"
-	"strings"
 	"syscall"
 	"time"
 
 	"mulleinpier/internal/cli"
 	"mulleinpier/internal/config"
 	"mulleinpier/internal/daemon"
-	"mulleinpier/internal/proxy"
-	"mulleinpier/internal/sasl"
 )
 
-// configured is a command that reads a configuration.
-type configured struct {
+const programName = "mulleinpier"
+
+// The exit codes other than success.
+const (
+	exitFailed = 1
+	exitUsage  = 2
+)
+
+// configOptions are the options of a command that reads a configuration.
+type configOptions struct {
 	Config     string `required:"" help:"The configuration's file."`
-	CPUProfile string `name:"cpuprofile" hidden:"" help:"Write a profile there; for measurements."`
+	CPUProfile string `name:"cpuprofile" hidden:"" help:"Write a CPU profile to this file; for measurements."`
 }
 
+// commands are the commands with their options.
 type commands struct {
-	Serve    configured `cmd:"" help:"Serve clients until SIGTERM."`
-	Check    configured `cmd:"" help:"Tell all that is wrong with a configuration."`
+	Serve    configOptions `cmd:"" help:"Serve clients until SIGTERM."`
+	Check    configOptions `cmd:"" help:"Print all errors of a configuration."`
 	Platform struct {
 		Reduce bool `xor:"taken" help:"With levels of reduced service."`
-		Counts bool `xor:"taken" help:"With a line a second of what went through."`
+		Counts bool `xor:"taken" help:"With a log line of counts a second."`
 	} `cmd:"" help:"Serve as the platform has it, as without a command."`
 	Secret struct {
-		User string `required:"" help:"Whose secret it is."`
+		User string `required:"" help:"The name of the user."`
 	} `cmd:"" help:"Read a secret and print its line for a file of users."`
-	Version struct{} `cmd:"" help:"Tell the version."`
+	Version struct{} `cmd:"" help:"Print the version."`
 }
 
-// settleTime is how long a configuration must have stood still to be reloaded.
-const settleTime = 50 * time.Millisecond
+// stableInterval is how long a configuration must not have changed to be reloaded.
+const stableInterval = 50 * time.Millisecond
 
-// levelVariable names the level of logging where there is no configuration of the daemon's own: debug, info, warn or error.
-const (
-	levelVariable = "MULLEINPIER_LOG_LEVEL"
-	// formerLevelVariable is the name that the variable had before; it is read for one release more.
-	formerLevelVariable = "YARROWSPAN_LOG_LEVEL"
-)
-
-// errUsage is the error of words that can't be meant.
+// errUsage is the error of an invalid command line.
 var errUsage = cli.ErrUsage
 
 func main() {
-	// First of all: until they are caught, signals end the program, and so does
-	// a reader of the log that goes away.
+	// First of all: until they are caught, signals end the program, and so does a reader of the log that goes away.
 	signal.Ignore(syscall.SIGPIPE)
 	hangups, terminations := make(chan os.Signal, 1), make(chan os.Signal, 2)
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Notify(terminations, syscall.SIGTERM, os.Interrupt)
-	err := run(os.Args[1:], os.Stdout, daemon.Options{Getenv: os.Getenv, Log: os.Stderr, Hangups: hangups,
-		Terminations: terminations})
+	err := run(os.Args[1:], os.Stdout, daemon.Options{
+		Getenv:       os.Getenv,
+		Log:          os.Stderr,
+		Hangups:      hangups,
+		Terminations: terminations,
+	})
 	switch {
 	case errors.Is(err, errUsage):
-		fmt.Fprintf(os.Stderr, "mulleinpier: %v; see mulleinpier --help\n", err)
-		os.Exit(2)
+		fmt.Fprintf(os.Stderr, "%s: %v; see %s --help\n", programName, err, programName)
+		os.Exit(exitUsage)
 	case err != nil:
-		fmt.Fprintln(os.Stderr, "mulleinpier:", oneLine(err))
-		os.Exit(1)
+		fmt.Fprintf(os.Stderr, "%s: %s\n", programName, oneLine(err))
+		os.Exit(exitFailed)
 	}
 }
 
-// oneLine says an error in one line: its first defect and how many more there are.
+// oneLine returns an error in one line: the first that is joined, and how many more there are.
 func oneLine(err error) string {
-	defects := config.Errors(err)
-	if len(defects) == 1 {
-		return defects[0].Error()
+	list := config.Errors(err)
+	if len(list) == 1 {
+		return list[0].Error()
 	}
-	return fmt.Sprintf("%v (and %d more: see mulleinpier check)", defects[0], len(defects)-1)
-}
-
-// check prints all that is wrong with a configuration, a line each.
-func check(file string, out io.Writer) error {
-	_, err := config.Read(file)
-	if err == nil {
-		fmt.Fprintln(out, file, "is good")
-		return nil
-	}
-	defects := config.Errors(err)
-	for _, defect := range defects {
-		fmt.Fprintln(out, defect)
-	}
-	return fmt.Errorf("%s: %d wrong", file, len(defects))
+	return fmt.Sprintf("%v (and %d more: see %s check)", list[0], len(list)-1, programName)
 }
 
+// run runs the command of args.
 func run(args []string, out io.Writer, o daemon.Options) error {
-	if len(args) == 0 { // the platform's start, which needs no parser
-		if o.Getenv("GW_CONFIG") == "" {
-			return fmt.Errorf("%w: no command, and GW_CONFIG is not set", errUsage)
-		}
-		o.Platform, o.LoadConfig = true, platform(o.Getenv)
-		return daemon.Run(o)
+	if len(args) == 0 {
+		return runPlatformDefault(o)
 	}
 	var c commands
-	chosen, err := cli.Parse(&c, "mulleinpier", "A memcache proxy. With GW_CONFIG set and no command it serves as the platform has it.", args, out, o.Log)
-	if err != nil || chosen == "" {
+	const description = "A memcache proxy. With GW_CONFIG set and no command it serves as the platform has it."
+	command, err := cli.Parse(&c, programName, description, args, out, o.Log)
+	if err != nil || command == "" {
 		return err
 	}
-	switch chosen {
+	switch command {
 	case "version":
-		fmt.Fprintln(out, "mulleinpier", version())
+		fmt.Fprintln(out, programName, version())
 		return nil
 	case "platform":
-		load := platform(o.Getenv)
-		o.Platform, o.LoadConfig = true, func() (*config.Config, error) {
-			read, err := load()
-			if err == nil {
-				read.Proxy.Overload.Enabled = c.Platform.Reduce
-				read.Proxy.LogCounts = c.Platform.Counts
-			}
-			return read, err
-		}
-		return daemon.Run(o)
+		return runPlatform(o, c.Platform.Reduce, c.Platform.Counts)
 	case "secret":
-		return secret(c.Secret.User, os.Stdin, out)
+		return printSecret(c.Secret.User, os.Stdin, out)
 	case "check":
 		return check(c.Check.Config, out)
+	default:
+		return serve(c.Serve, o)
 	}
-	file := c.Serve.Config
-	if c.Serve.CPUProfile != "" {
-		f, err := os.Create(c.Serve.CPUProfile)
+}
+
+// check prints all errors of a configuration, a line each.
+func check(file string, out io.Writer) error {
+	_, err := config.Read(file)
+	if err == nil {
+		fmt.Fprintln(out, file, "is good")
+		return nil
+	}
+	list := config.Errors(err)
+	for _, err := range list {
+		fmt.Fprintln(out, err)
+	}
+	return fmt.Errorf("%s: %d wrong", file, len(list))
+}
+
+// serve runs the daemon with a configuration of its own.
+func serve(options configOptions, o daemon.Options) error {
+	if options.CPUProfile != "" {
+		f, err := os.Create(options.CPUProfile)
 		if err != nil {
 			return err
 		}
@@ -143,64 +137,18 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	begun := false
+	started := false
 	o.LoadConfig = func() (*config.Config, error) {
-		if begun { // a start is late enough without the wait
-			return config.ReadStable(file, func() { time.Sleep(settleTime) })
+		if started {
+			return config.ReadStable(options.Config, func() { time.Sleep(stableInterval) })
 		}
-		begun = true
-		return config.Read(file)
+		started = true // the wait would only delay the start
+		return config.Read(options.Config)
 	}
 	return daemon.Run(o)
 }
 
-// secret prints the line of a user whose secret is the first line of in.
-func secret(user string, in io.Reader, out io.Writer) error {
-	text, err := bufio.NewReader(io.LimitReader(in, sasl.MaxSecret+2)).ReadString('\n')
-	if err != nil && err != io.EOF {
-		return err
-	}
-	var salt [16]byte
-	rand.Read(salt[:])
-	line, err := sasl.FormatUser(user, strings.TrimRight(text, "\r\n"), sasl.DefaultIterations, salt)
-	if err != nil {
-		return fmt.Errorf("%w: secret: %w", errUsage, err)
-	}
-	fmt.Fprintln(out, line)
-	return nil
-}
-
-// platform reads the platform's configuration. Environment variables go before
-// the file at the start only: they can't have changed since, so at a reload the
-// file alone counts.
-func platform(getenv func(string) string) func() (*config.Config, error) {
-	begun := false
-	level, warnings := logLevel(getenv)
-	return func() (*config.Config, error) {
-		c, err := proxy.ReadPlatformConfig(func(name string) string {
-			if begun && name != "GW_CONFIG" {
-				return ""
-			}
-			return getenv(name)
-		})
-		begun = true
-		return &config.Config{Proxy: c, Log: config.Log{Level: level}, Warnings: warnings}, err
-	}
-}
-
-// logLevel reads the platform's level of logging from the environment; a text that is no level means info.
-func logLevel(getenv func(string) string) (level slog.Level, warnings []string) {
-	text := getenv(levelVariable)
-	if former := getenv(formerLevelVariable); text == "" && former != "" {
-		text = former
-		warnings = append(warnings, formerLevelVariable+" is deprecated, set "+levelVariable)
-	}
-	if level.UnmarshalText([]byte(text)) != nil {
-		return slog.LevelInfo, warnings
-	}
-	return level, warnings
-}
-
+// version returns the version of the program and of the tool chain.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
