--- a/internal/fake/node/cache.go
+++ b/internal/fake/node/cache.go
@@ -2,36 +2,45 @@
 
 import "container/list"
 
-// cache is a bounded set of keys that forgets the one used longest ago.
+// cache is a bounded set of keys that evicts the least recently used one.
 type cache struct {
-	most  int
-	order list.List // of keys, the latest first
-	place map[string]*list.Element
+	capacity int
+	recency  list.List // of keys, the most recently used first
+	elements map[string]*list.Element
 }
 
-func newCache(most int) *cache { return &cache{most: most, place: make(map[string]*list.Element)} }
+func newCache(capacity int) *cache {
+	return &cache{capacity: capacity, elements: make(map[string]*list.Element)}
+}
+
+// contains reports whether a key is cached.
+func (c *cache) contains(key string) bool {
+	_, ok := c.elements[key]
+	return ok
+}
 
-func (c *cache) has(key string) bool {
-	e := c.place[key]
+// touch reports whether a key is cached, and marks it as just used.
+func (c *cache) touch(key string) bool {
+	e := c.elements[key]
 	if e != nil {
-		c.order.MoveToFront(e)
+		c.recency.MoveToFront(e)
 	}
 	return e != nil
 }
 
 func (c *cache) add(key string) {
-	if c.has(key) || c.most <= 0 {
+	if c.touch(key) || c.capacity <= 0 {
 		return
 	}
-	if len(c.place) >= c.most {
-		c.drop(c.order.Back().Value.(string))
+	if len(c.elements) >= c.capacity {
+		c.remove(c.recency.Back().Value.(string))
 	}
-	c.place[key] = c.order.PushFront(key)
+	c.elements[key] = c.recency.PushFront(key)
 }
 
-func (c *cache) drop(key string) {
-	if e := c.place[key]; e != nil {
-		c.order.Remove(e)
-		delete(c.place, key)
+func (c *cache) remove(key string) {
+	if e := c.elements[key]; e != nil {
+		c.recency.Remove(e)
+		delete(c.elements, key)
 	}
 }
--- /dev/null
+++ b/internal/fake/node/fault.go
@@ -0,0 +1,128 @@
+package node
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"syscall"
+	"time"
+)
+
+// FaultKind is a way in which a node fails.
+type FaultKind string
+
+// The kinds of faults.
+const (
+	NoFault     FaultKind = ""
+	Stall       FaultKind = "stall"   // nothing is started or answered, but connections are accepted
+	Reset       FaultKind = "reset"   // the connection is reset once a request has been executed
+	Late        FaultKind = "late"    // an answer is delayed by Fault.Delay
+	Busy        FaultKind = "busy"    // requests are rejected without being executed
+	Garbage     FaultKind = "garbage" // the request is executed, the answer is malformed
+	ProcessDown FaultKind = "refuse"  // the process is down: connections are reset and refused
+	MachineDown FaultKind = "vanish"  // the machine is unreachable: nothing is sent, connection attempts time out
+)
+
+// Faults lists all kinds of faults.
+var Faults = []FaultKind{NoFault, Stall, Reset, Late, Busy, Garbage, ProcessDown, MachineDown}
+
+// Fault is a kind of fault and which requests it affects.
+type Fault struct {
+	Kind  FaultKind
+	OneIn int           // Reset, Late, Busy and Garbage affect one request in this many; 0 and 1 mean all
+	Delay time.Duration // of Late
+}
+
+// ParseFault returns the kind of fault with a name.
+func ParseFault(name string) (FaultKind, error) {
+	kind := FaultKind(name)
+	if !slices.Contains(Faults, kind) {
+		return kind, fmt.Errorf("no fault is named %q: want one of %q", name, Faults)
+	}
+	return kind, nil
+}
+
+// affectsSingleRequests reports whether requests are affected one by one, as opposed to the node as a whole.
+func (k FaultKind) affectsSingleRequests() bool {
+	return k == Reset || k == Late || k == Busy || k == Garbage
+}
+
+// SetFault makes the node fail in a way from now on. The zero Fault ends the present fault.
+func (n *Node) SetFault(f Fault) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	before := n.fault.Kind
+	n.fault = f
+	n.faultEligible = 0
+	n.silenceChanged.Broadcast()
+	if before == MachineDown {
+		n.shutDown() // a machine that was down has lost its connections
+	}
+	switch {
+	case f.Kind == ProcessDown:
+		n.shutDown()
+	case f.Kind == MachineDown:
+		return n.fillBacklog()
+	case n.listener == nil && !n.closed:
+		return n.listen(n.address)
+	}
+	n.startQueued()
+	return nil
+}
+
+// isSilent reports whether the node sends nothing at all. n.mu is held.
+func (n *Node) isSilent() bool {
+	return !n.closed && (n.fault.Kind == Stall || n.fault.Kind == MachineDown)
+}
+
+// nextFault returns the fault that affects the next request, NoFault for none. n.mu is held.
+func (n *Node) nextFault() FaultKind {
+	if !n.fault.Kind.affectsSingleRequests() {
+		return NoFault
+	}
+	n.faultEligible++
+	if n.fault.OneIn > 1 && n.faultEligible%n.fault.OneIn != 0 {
+		return NoFault
+	}
+	return n.fault.Kind
+}
+
+const (
+	// With a backlog of 0 the kernel still queues a connection or two; this is far more.
+	maxBacklogFill = 8
+	// A connection attempt on loopback that takes longer is being dropped.
+	backlogDialTimeout = 50 * time.Millisecond
+)
+
+// fillBacklog stops accepting and fills the listen backlog, so that the kernel drops further connection attempts.
+// n.mu is held.
+func (n *Node) fillBacklog() error {
+	raw, err := n.listener.SyscallConn()
+	if err != nil {
+		return fmt.Errorf("fake node %q: fill listen backlog: %w", n.config.Name, err)
+	}
+	listener := n.listener
+	n.listener = nil // so that accept registers none of the connections that fill the backlog
+	raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })
+	if err != nil {
+		return fmt.Errorf("fake node %q: shrink listen backlog: %w", n.config.Name, err)
+	}
+	listener.SetDeadline(time.Unix(1, 0)) // ends accept; the socket stays open
+	n.listener = listener
+	for range maxBacklogFill {
+		c, err := net.DialTimeout("tcp", n.address, backlogDialTimeout)
+		if err != nil {
+			return nil // the backlog is full
+		}
+		n.backlogFill = append(n.backlogFill, c)
+	}
+	return fmt.Errorf("fake node %q: listen backlog not full after %d connections", n.config.Name, maxBacklogFill)
+}
+
+// emptyBacklog closes the connections that fillBacklog opened. n.mu is held.
+func (n *Node) emptyBacklog() {
+	for _, c := range n.backlogFill {
+		c.Close()
+	}
+	n.backlogFill = nil
+}
--- a/internal/fake/node/group.go
+++ b/internal/fake/node/group.go
@@ -5,49 +5,45 @@
 	"time"
 )
 
-// Group is what all nodes of a fleet have in common: the memory of handovers
-// that they drop repeats from, and the copies that a write makes void.
+// Group is what the nodes of a fleet share: the record of executed idempotency keys, by which they drop repeated
+// writes, and the invalidation of cached copies after a write. It is safe for concurrent use.
 type Group struct {
 	window time.Duration
 
-	mu    sync.Mutex
-	nodes []*Node
-	seen  map[string]*entry // by idempotency key
-	order []string          // of seen, oldest first
+	mu         sync.Mutex
+	nodes      []*Node
+	executions map[string]*execution // by idempotency key
+	order      []string              // keys of executions, oldest first
 }
 
-type entry struct {
-	since   time.Time
-	done    bool
-	receipt string
-	waiting []func(receipt string, err error)
+// writeDone receives the receipt of a write, or the error by which it had no effect.
+type writeDone func(receipt string, err error)
+
+// execution is the first write with an idempotency key.
+type execution struct {
+	startedAt time.Time
+	complete  bool
+	receipt   string
+	waiting   []writeDone // of the writes with this key, until it is complete
 }
 
-// mostSeen bounds the memory of repeats, whatever the window.
-const mostSeen = 1 << 16
+// maxExecutions bounds the record of executed keys, however long the window is.
+const maxExecutions = 1 << 16
 
-// NewGroup returns a group that drops repeats of an idempotency key for window
-// from the time at which the first was begun.
+// NewGroup returns a group that drops repeats of an idempotency key until window has passed since its first execution
+// started.
 func NewGroup(window time.Duration) *Group {
-	return &Group{window: window, seen: make(map[string]*entry)}
+	return &Group{window: window, executions: make(map[string]*execution)}
 }
 
-// once calls run for the first of the writes under a key within the window, and
-// done with its receipt for each of them. A run that failed, so had no
-// effect, is forgotten: the next is the first again.
-func (g *Group) once(key string, run func(done func(receipt string, err error)), done func(receipt string, err error)) {
+// executeOnce calls write only for the first of the writes with a key in the window, and done with its receipt for
+// each of them. A write that failed had no effect and is forgotten: the next one with the key is the first again.
+func (g *Group) executeOnce(key string, write func(writeDone), done writeDone) {
 	now := time.Now()
 	g.mu.Lock()
-	for len(g.order) > 0 {
-		oldest := g.seen[g.order[0]]
-		if oldest != nil && now.Sub(oldest.since) < g.window && len(g.order) < mostSeen {
-			break
-		}
-		delete(g.seen, g.order[0])
-		g.order = g.order[1:]
-	}
-	if e := g.seen[key]; e != nil {
-		if e.done {
+	g.forgetExpired(now)
+	if e := g.executions[key]; e != nil {
+		if e.complete {
 			g.mu.Unlock()
 			done(e.receipt, nil)
 			return
@@ -56,38 +52,55 @@
 		g.mu.Unlock()
 		return
 	}
-	e := &entry{since: now, waiting: []func(string, error){done}}
-	g.seen[key] = e
+	e := &execution{startedAt: now, waiting: []writeDone{done}}
+	g.executions[key] = e
 	g.order = append(g.order, key)
 	g.mu.Unlock()
-	run(func(receipt string, err error) {
-		g.mu.Lock()
-		waiting := e.waiting
-		e.done, e.receipt, e.waiting = true, receipt, nil
-		if err != nil && g.seen[key] == e {
-			delete(g.seen, key)
-		}
-		g.mu.Unlock()
-		for _, done := range waiting {
-			done(receipt, err)
+	write(func(receipt string, err error) { g.complete(key, e, receipt, err) })
+}
+
+// forgetExpired removes keys that are older than the window or too many. g.mu is held.
+func (g *Group) forgetExpired(now time.Time) {
+	for len(g.order) > 0 {
+		oldest := g.executions[g.order[0]]
+		if oldest != nil && now.Sub(oldest.startedAt) < g.window && len(g.order) < maxExecutions {
+			return
 		}
-	})
+		delete(g.executions, g.order[0])
+		g.order = g.order[1:]
+	}
+}
+
+// complete records the outcome of an execution and notifies all writes that wait for it.
+func (g *Group) complete(key string, e *execution, receipt string, err error) {
+	g.mu.Lock()
+	waiting := e.waiting
+	e.waiting = nil
+	e.complete = true
+	e.receipt = receipt
+	if err != nil && g.executions[key] == e {
+		delete(g.executions, key)
+	}
+	g.mu.Unlock()
+	for _, done := range waiting {
+		done(receipt, err)
+	}
 }
 
-func (g *Group) join(n *Node) {
+func (g *Group) add(n *Node) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.nodes = append(g.nodes, n)
 }
 
-// void drops all copies of a key.
-func (g *Group) void(key string) {
+// invalidate removes a key from the caches of all nodes.
+func (g *Group) invalidate(key string) {
 	g.mu.Lock()
 	nodes := g.nodes
 	g.mu.Unlock()
 	for _, n := range nodes {
 		n.mu.Lock()
-		n.cache.drop(key)
+		n.cache.remove(key)
 		n.mu.Unlock()
 	}
 }
