--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -58,10 +58,10 @@
 		return
 	}
 	c.recorder.Record(eventlog.AttemptDispatched{
-		ID:      req.request.ID,
-		Attempt: attempt.Number,
-		Node:    attempt.nodeName,
-		Reason:  reason.String(),
+		RequestID: req.request.ID,
+		Attempt:   attempt.Number,
+		Node:      attempt.nodeName,
+		Reason:    reason.String(),
 	})
 }
 
@@ -70,7 +70,7 @@
 		return
 	}
 	c.recorder.Record(eventlog.AttemptStarted{
-		ID:        req.request.ID,
+		RequestID: req.request.ID,
 		Attempt:   attempt.Number,
 		Node:      attempt.nodeName,
 		Remaining: time.Until(attempt.Deadline),
@@ -82,11 +82,11 @@
 		return
 	}
 	c.recorder.Record(eventlog.AttemptEnded{
-		ID:       req.request.ID,
-		Attempt:  attempt.Number,
-		Node:     attempt.nodeName,
-		Result:   result.String(),
-		Duration: c.policyTime() - attempt.dispatchedAt,
+		RequestID: req.request.ID,
+		Attempt:   attempt.Number,
+		Node:      attempt.nodeName,
+		Result:    result.String(),
+		Duration:  c.policyTime() - attempt.dispatchedAt,
 	})
 }
 
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -77,15 +77,15 @@
 
 // AttemptDispatched reports that the decision module chose a node for a request.
 type AttemptDispatched struct {
-	ID      string // of the request
-	Attempt int    // counted from zero
-	Node    string
-	Reason  string // why there is this attempt
+	RequestID string
+	Attempt   int // counted from zero
+	Node      string
+	Reason    string // why there is this attempt
 }
 
 func (e AttemptDispatched) describe() (string, []slog.Attr) {
 	return "attempt dispatched", []slog.Attr{
-		slog.String("request", e.ID),
+		slog.String("request", e.RequestID),
 		slog.Int("attempt", e.Attempt),
 		slog.String("node", e.Node),
 		slog.String("reason", e.Reason),
@@ -94,7 +94,7 @@
 
 // AttemptStarted reports an attempt right before its first byte is written.
 type AttemptStarted struct {
-	ID        string // of the request
+	RequestID string
 	Attempt   int
 	Node      string
 	Remaining time.Duration // until the deadline that the node is told
@@ -102,7 +102,7 @@
 
 func (e AttemptStarted) describe() (string, []slog.Attr) {
 	return "attempt started", []slog.Attr{
-		slog.String("request", e.ID),
+		slog.String("request", e.RequestID),
 		slog.Int("attempt", e.Attempt),
 		slog.String("node", e.Node),
 		slog.Duration("remaining", e.Remaining),
@@ -111,16 +111,16 @@
 
 // AttemptEnded reports how an attempt ended.
 type AttemptEnded struct {
-	ID       string // of the request
-	Attempt  int
-	Node     string
-	Result   string
-	Duration time.Duration // since it was dispatched
+	RequestID string
+	Attempt   int
+	Node      string
+	Result    string
+	Duration  time.Duration // since it was dispatched
 }
 
 func (e AttemptEnded) describe() (string, []slog.Attr) {
 	return "attempt ended", []slog.Attr{
-		slog.String("request", e.ID),
+		slog.String("request", e.RequestID),
 		slog.Int("attempt", e.Attempt),
 		slog.String("node", e.Node),
 		slog.String("result", e.Result),
