--- a/internal/lease/agent/client.go
+++ b/internal/lease/agent/client.go
@@ -59,7 +59,7 @@
 	return reply, err
 }
 
-// Execute has a command carried out, and asks until a voter that can decide has answered or ctx ends. A refusal is an
+// Execute has a command carried out, and asks until a voter that can decide has answered or ctx ends. A rejection is an
 // error.
 func (c *Client) Execute(ctx context.Context, command lease.Command) (Reply, error) {
 	for {
--- a/internal/lease/agent/fleet_test.go
+++ b/internal/lease/agent/fleet_test.go
@@ -178,8 +178,8 @@
 	return s
 }
 
-// wantRefused awaits the refusal of a holder that does not wait.
-func (h *Holder) wantRefused() error {
+// wantRejected awaits the rejection of a holder that does not wait.
+func (h *Holder) wantRejected() error {
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	if _, err := h.Await(ctx); !errors.Is(err, lease.ErrHeld) {
--- a/internal/lease/agent/guard.go
+++ b/internal/lease/agent/guard.go
@@ -12,7 +12,7 @@
 // RunGuarded is the fencing guard: it runs an action under the fencing token if the lease is valid, and looks again
 // afterwards. The action's context ends when the lease does. For an action that has outlived its lease the error is
 // [ErrExpiredDuringAction]: what it did then it did without the lease, and a resource that compares tokens has
-// refused it.
+// rejected it.
 func (h *Holder) RunGuarded(ctx context.Context, action func(ctx context.Context, token uint64) error) error {
 	h.mu.Lock()
 	token, ok := h.session.Valid(Now())
--- a/internal/lease/agent/holder.go
+++ b/internal/lease/agent/holder.go
@@ -136,7 +136,7 @@
 		switch {
 		case ok:
 			return token, nil
-		case state == lease.Finished && outcome == lease.Refused:
+		case state == lease.Finished && outcome == lease.Rejected:
 			return 0, lease.ErrHeld
 		case state == lease.Finished:
 			return 0, ErrLeaseLost
--- a/internal/lease/agent/holder_test.go
+++ b/internal/lease/agent/holder_test.go
@@ -18,7 +18,7 @@
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
 	first := f.await(a)
-	if err := f.hold("x", "late", false).wantRefused(); err != nil {
+	if err := f.hold("x", "late", false).wantRejected(); err != nil {
 		t.Error(err)
 	}
 	b := f.hold("x", "b", true)
--- a/internal/lease/agent/recorded_test.go
+++ b/internal/lease/agent/recorded_test.go
@@ -207,7 +207,7 @@
 	"reply-leader.cbor":    {Outcome: lease.NoAnswer, Leader: "v1"},
 	"reply-queued.cbor":    {Outcome: lease.Queued},
 	"reply-granted.cbor":   {Outcome: lease.Granted, Token: 41},
-	"reply-refused.cbor":   {Outcome: lease.Refused, Error: "lease: the task is taken"},
+	"reply-refused.cbor":   {Outcome: lease.Rejected, Error: "lease: the task is taken"},
 	"reply-not-held.cbor":  {Outcome: lease.NotHeld},
 }
 
--- a/internal/lease/quorum/apply.go
+++ b/internal/lease/quorum/apply.go
@@ -129,9 +129,9 @@
 	return change.GetContext(), change
 }
 
-// applyVoterChange tells the library of a change of voters. One that the state machine has refused changes nobody.
-func (r *Replica) applyVoterChange(change *raftpb.ConfChange, refused error) {
-	if refused != nil {
+// applyVoterChange tells the library of a change of voters. One that the state machine has rejected changes nobody.
+func (r *Replica) applyVoterChange(change *raftpb.ConfChange, rejected error) {
+	if rejected != nil {
 		r.node.ApplyConfChange(&raftpb.ConfChange{})
 		return
 	}
@@ -148,7 +148,7 @@
 	response := Response{RequestID: entry.RequestID, Err: result.Err}
 	switch {
 	case result.Err != nil:
-		response.Outcome = lease.Refused
+		response.Outcome = lease.Rejected
 	case entry.Command.Kind != lease.Acquire:
 		response.Outcome = lease.NotHeld
 	case result.Grant.Token == 0:
--- a/internal/lease/quorum/requests.go
+++ b/internal/lease/quorum/requests.go
@@ -33,7 +33,7 @@
 		return
 	}
 	if err := r.checkCommand(&e.Command); err != nil {
-		r.do(Response{RequestID: e.RequestID, Outcome: lease.Refused, Err: err})
+		r.do(Response{RequestID: e.RequestID, Outcome: lease.Rejected, Err: err})
 		return
 	}
 	if c := &e.Command; c.Kind == lease.Acquire {
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -35,7 +35,7 @@
 const (
 	Acquiring SessionState = iota // it wants the task, or waits for its turn
 	Holding                       // it may act as long as [Session.Valid] says so
-	Finished                      // it was given back, lost or refused, for good
+	Finished                      // it was given back, lost or rejected, for good
 )
 
 // NewSession returns a session that sends its first request at its first TimerFired.
--- a/internal/lease/session_messages.go
+++ b/internal/lease/session_messages.go
@@ -28,7 +28,7 @@
 	NoAnswer Outcome = iota // no voter that can decide has answered: nothing is known
 	Queued                  // the sender waits for its turn
 	Granted                 // the sender holds, counted from when it sent the request
-	Refused                 // the task is held by others, and the sender does not wait
+	Rejected                // the task is held by others, and the sender does not wait
 	NotHeld                 // the sender holds no more
 )
 
--- a/internal/lease/voters.go
+++ b/internal/lease/voters.go
@@ -29,7 +29,7 @@
 	return id, nil
 }
 
-// changeVoters adds or removes a voter. A command whose ID is not the expected one is refused: another change was
+// changeVoters adds or removes a voter. A command whose ID is not the expected one is rejected: another change was
 // applied since it was proposed.
 func (m *StateMachine) changeVoters(c *Command) error {
 	id, err := m.CheckVoterChange(c)
--- a/internal/takeover/coordinator/doc.go
+++ b/internal/takeover/coordinator/doc.go
@@ -5,7 +5,7 @@
 //
 //  1. A write's outcome is told to each holder until it is heard, or for five seconds.
 //  2. Every claim ends: its client is answered before its time is over, and when the coordinator stops.
-//  3. What waits is bounded; what has no room is refused or dropped, and nothing else waits for it.
+//  3. What waits is bounded; what has no room is rejected or dropped, and nothing else waits for it.
 //
 // It does not send writes itself: [Core] does, and calls [Coordinator.Complete]. All messages between proxies may be
 // lost.
--- a/internal/takeover/doc.go
+++ b/internal/takeover/doc.go
@@ -13,7 +13,7 @@
 //     many proxies send it, cut off from one another or not, it has one effect.
 //  2. Once a write was served, that is the answer to all who ask, for [Parameters.OutcomeRetention].
 //  3. The epoch of a write's owner only rises; a former owner gets no permission any more.
-//  4. A key that comes with another write is refused.
+//  4. A key that comes with another write is rejected.
 //  5. Writes, their bytes and those who wait are bounded; a registry that is full says so, and gives no permission.
 //
 // What it can't promise: safety over a pause between the check of the permission and the first byte that is longer than
