--- a/internal/lease/expiry.go
+++ b/internal/lease/expiry.go
@@ -128,7 +128,8 @@
 		m.setDeadline(now, e.Command.Task, g)
 	}
 	c := &e.Command
-	if waits := c.Kind == Acquire && e.Result.Err == nil && e.Result.Grant.Token == 0; waits {
+	waits := c.Kind == Acquire && e.Result.Err == nil && e.Result.Grant.Token == 0
+	if waits {
 		m.waiterLastSeen[waiterKey{c.Task, c.Holder, c.Nonce}] = now
 	}
 }
