--- /dev/null
+++ b/internal/fake/endpointlist/notifications.go
@@ -0,0 +1,66 @@
+package endpointlist
+
+import "time"
+
+// notifications is what one proxy has been notified of.
+type notifications struct {
+	known            map[string]bool      // nodes that it has been notified of
+	unavailableSince map[string]time.Time // by node, until it is notified that the node is up
+}
+
+func newNotifications() *notifications {
+	return &notifications{known: make(map[string]bool), unavailableSince: make(map[string]time.Time)}
+}
+
+// DrainNotifiedAt returns when a proxy was notified that a node is draining or gone. It returns false if it was not, or
+// has been notified since that the node is up.
+func (s *Service) DrainNotifiedAt(proxy int, node string) (time.Time, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := s.notified[proxy]
+	if n == nil {
+		return time.Time{}, false
+	}
+	at, ok := n.unavailableSince[node]
+	return at, ok
+}
+
+// recordNotification records what a proxy is about to be notified of. It must be called before the message is written,
+// so that a drain never counts from later than the proxy can know of it.
+func (s *Service) recordNotification(proxy int, m *message) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := s.notified[proxy]
+	if n == nil {
+		n = newNotifications()
+		s.notified[proxy] = n
+	}
+	n.record(m, time.Now())
+}
+
+func (n *notifications) record(m *message, now time.Time) {
+	listed := make(map[string]bool, len(m.Endpoints))
+	for _, e := range m.Endpoints {
+		n.known[e.Name] = true
+		listed[e.Name] = true
+		if e.Status == statusUp {
+			delete(n.unavailableSince, e.Name)
+		} else {
+			n.markUnavailable(e.Name, now)
+		}
+	}
+	if !m.Snapshot {
+		return
+	}
+	for name := range n.known {
+		if !listed[name] {
+			n.markUnavailable(name, now)
+		}
+	}
+}
+
+func (n *notifications) markUnavailable(node string, now time.Time) {
+	if _, marked := n.unavailableSince[node]; !marked {
+		n.unavailableSince[node] = now
+	}
+}
