--- a/cmd/mulleinpier/binary_test.go
+++ b/cmd/mulleinpier/binary_test.go
@@ -15,30 +15,21 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// TestClientLibraryOfOthers has a client that was written elsewhere prove who it is, read
-// and write through the daemon, plainly and with the ticket that a read brought.
-func TestClientLibraryOfOthers(t *testing.T) {
-	r := newRig(t, node.Config{MissingKeyPrefix: "none"})
-	cmd := exec.Command(os.Args[0], "secret", "--user", "till")
-	cmd.Stdin = strings.NewReader("rose\n")
-	cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
-	line, err := cmd.Output()
-	if err != nil {
-		t.Fatal(err)
-	}
-	replace(t, filepath.Join(filepath.Dir(r.path), "users"), line)
-	r.configure("[binary]\nusers = \"users\"\n")
-	r.start()
-	r.hear("READY=1")
-	c, err := memcached.Connect("tcp", r.address)
+// TestThirdPartyClient has a third-party client authenticate, read and write through the daemon, without a ticket
+// and with the ticket that came with a read.
+func TestThirdPartyClient(t *testing.T) {
+	d := newTestDaemon(t, node.Config{MissingKeyPrefix: "none"})
+	replaceFile(t, filepath.Join(filepath.Dir(d.path), "users"), secretLine(t, "till", "rose"))
+	d.configure("[binary]\nusers = \"users\"\n")
+	d.start()
+	d.awaitNotified("READY=1")
+	c, err := memcached.Connect("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	var told *gomemcached.MCResponse
-	if _, err := c.Get(0, "order"); !errors.As(err, &told) || told.Status != gomemcached.AUTH_ERROR {
-		t.Errorf("before its proof it was told %v", err)
-	}
+	_, err = c.Get(0, "order")
+	expectStatus(t, "before authentication", err, gomemcached.AUTH_ERROR)
 	if _, err := c.Auth("till", "rose"); err != nil {
 		t.Fatal(err)
 	}
@@ -46,23 +37,48 @@
 	if err != nil || !strings.HasPrefix(string(got.Body), "order n") || got.Cas == 0 {
 		t.Fatalf("read %v, %v", got, err)
 	}
-	if got, err := c.Set(0, "order", 0, 0, []byte("plain")); err != nil || got.Status != gomemcached.SUCCESS {
-		t.Errorf("wrote %v, %v", got, err)
+	written, err := c.Set(0, "order", 0, 0, []byte("plain"))
+	expectSuccess(t, written, err)
+	for range 3 { // its ticket makes it one write, however often it is sent
+		written, err := c.SetCas(0, "order", 0, 0, got.Cas, []byte("with a ticket"))
+		expectSuccess(t, written, err)
 	}
-	for range 3 { // its ticket makes it one handover, however often it is sent
-		if got, err := c.SetCas(0, "order", 0, 0, got.Cas, []byte("with a ticket")); err != nil || got.Status != gomemcached.SUCCESS {
-			t.Errorf("wrote %v, %v", got, err)
-		}
+	_, err = c.SetCas(0, "order", 0, 0, 12345, []byte("x"))
+	expectStatus(t, "with a CAS that is no ticket", err, gomemcached.KEY_EEXISTS)
+	_, err = c.Get(0, "none")
+	expectStatus(t, "of a missing key", err, gomemcached.KEY_ENOENT)
+	if n := d.origin.Stats().Writes; n != 2 {
+		t.Errorf("%d writes took effect, want 2", n)
 	}
-	if _, err := c.SetCas(0, "order", 0, 0, 12345, []byte("x")); !errors.As(err, &told) || told.Status != gomemcached.KEY_EEXISTS {
-		t.Errorf("with a CAS that is no ticket it was told %v", err)
+	d.signal(syscall.SIGTERM)
+	d.awaitExit()
+}
+
+// secretLine returns the line of a user for a file of users, as the program prints it.
+func secretLine(t *testing.T, user, secret string) []byte {
+	t.Helper()
+	cmd := exec.Command(os.Args[0], "secret", "--user", user)
+	cmd.Stdin = strings.NewReader(secret + "\n")
+	cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
+	line, err := cmd.Output()
+	if err != nil {
+		t.Fatal(err)
 	}
-	if _, err := c.Get(0, "none"); !errors.As(err, &told) || told.Status != gomemcached.KEY_ENOENT {
-		t.Errorf("of a key that is not there it was told %v", err)
+	return line
+}
+
+func expectSuccess(t *testing.T, response *gomemcached.MCResponse, err error) {
+	t.Helper()
+	if err != nil || response.Status != gomemcached.SUCCESS {
+		t.Errorf("wrote %v, %v", response, err)
 	}
-	if n := r.center.Stats().Writes; n != 2 {
-		t.Errorf("%d writes took effect, want 2", n)
+}
+
+// expectStatus expects an error to be a response with a status.
+func expectStatus(t *testing.T, when string, err error, status gomemcached.Status) {
+	t.Helper()
+	var response *gomemcached.MCResponse
+	if !errors.As(err, &response) || response.Status != status {
+		t.Errorf("%s: got %v, want status %v", when, err, status)
 	}
-	r.signal(syscall.SIGTERM)
-	r.end()
 }
--- /dev/null
+++ b/cmd/mulleinpier/harness_test.go
@@ -0,0 +1,224 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/fake/origin"
+	"mulleinpier/internal/testutil"
+)
+
+// testDaemon is a daemon in a process of its own between fake nodes and a test's clients.
+type testDaemon struct {
+	t        *testing.T
+	nodes    []*node.Node
+	origin   *origin.Origin
+	path     string // of its configuration
+	address  string // that clients connect to
+	process  *exec.Cmd
+	lines    <-chan string // of its log
+	notified chan string   // lines that the service manager has received
+	exited   chan error
+
+	mu           sync.Mutex
+	requestsSeen map[string]int // how often nodes have received a request, by its id
+}
+
+// newTestDaemon starts two nodes, and writes a configuration with a free address; start starts the daemon.
+func newTestDaemon(t *testing.T, n node.Config) *testDaemon {
+	t.Helper()
+	d := &testDaemon{
+		t:            t,
+		origin:       origin.New(origin.Config{Slots: 64, Queue: 1024}),
+		requestsSeen: make(map[string]int),
+		notified:     make(chan string, 1000),
+		exited:       make(chan error, 1),
+	}
+	t.Cleanup(d.origin.Close)
+	group := node.NewGroup(1500 * time.Millisecond)
+	for i := range 2 {
+		c := n
+		c.Name = fmt.Sprint("n", i)
+		c.Origin, c.Group = d.origin, group
+		c.Slots, c.Queue = 64, 1024
+		c.OnRequest = func(_, id, _ string, _ time.Time) {
+			d.mu.Lock()
+			defer d.mu.Unlock()
+			d.requestsSeen[id]++
+		}
+		started, err := node.Start(c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(started.Close)
+		d.nodes = append(d.nodes, started)
+	}
+	// No connection has this as its source address, so none can take the port.
+	free, err := net.Listen("tcp", "127.0.0.3:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.address = free.Addr().String()
+	free.Close()
+	d.path = filepath.Join(t.TempDir(), "daemon.toml")
+	d.configure("")
+	return d
+}
+
+// configText returns a configuration with address and nodes, and more.
+func (d *testDaemon) configText(more string) string {
+	const format = "listen = %q\nnodes.addresses = [%q, %q]\n%s"
+	return fmt.Sprintf(format, d.address, d.nodes[0].Address(), d.nodes[1].Address(), more)
+}
+
+// configure writes a configuration with address and nodes, and more.
+func (d *testDaemon) configure(more string) { replaceFile(d.t, d.path, []byte(d.configText(more))) }
+
+// start starts the daemon, with a service manager whose messages the test receives.
+func (d *testDaemon) start(env ...string) {
+	d.t.Helper()
+	address := &net.UnixAddr{Name: filepath.Join(d.t.TempDir(), "notify"), Net: "unixgram"}
+	manager, err := net.ListenUnixgram("unixgram", address)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	d.t.Cleanup(func() { manager.Close() })
+	go d.receiveNotifications(manager)
+	d.startWithManager(manager.LocalAddr().String(), env...)
+}
+
+// receiveNotifications takes the messages to the service manager, until that is closed.
+func (d *testDaemon) receiveNotifications(manager *net.UnixConn) {
+	buffer := make([]byte, 4096)
+	for {
+		n, err := manager.Read(buffer)
+		if err != nil {
+			return
+		}
+		for line := range strings.SplitSeq(string(buffer[:n]), "\n") {
+			select {
+			case d.notified <- line:
+			default: // the test does not wait for any more
+			}
+		}
+	}
+}
+
+// startWithManager starts the daemon with the address of a service manager.
+func (d *testDaemon) startWithManager(manager string, env ...string) {
+	d.t.Helper()
+	d.process = exec.Command(os.Args[0], "serve", "--config", d.path)
+	d.process.Env = append(append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=", "NOTIFY_SOCKET="+manager), env...)
+	d.run()
+}
+
+// run starts the process.
+func (d *testDaemon) run() {
+	d.t.Helper()
+	out, err := d.process.StderrPipe()
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	if err := d.process.Start(); err != nil {
+		d.t.Fatal(err)
+	}
+	lines := make(chan string, 10000)
+	d.lines = lines
+	process, exited := d.process, make(chan error, 1)
+	d.exited = exited
+	go func() {
+		defer close(lines)
+		for in := bufio.NewScanner(out); in.Scan(); {
+			lines <- in.Text()
+		}
+		exited <- process.Wait()
+	}()
+	d.t.Cleanup(func() { process.Process.Kill() })
+}
+
+// awaitNotified waits until the service manager has received a line with a prefix.
+func (d *testDaemon) awaitNotified(prefix string) {
+	d.t.Helper()
+	for {
+		line := testutil.Receive(d.t, "a notification "+prefix, d.notified)
+		if strings.HasPrefix(line, prefix) {
+			return
+		}
+	}
+}
+
+func (d *testDaemon) signal(s syscall.Signal) {
+	d.t.Helper()
+	if err := d.process.Process.Signal(s); err != nil {
+		d.t.Fatal(err)
+	}
+}
+
+// awaitExit waits for the process to exit, which must be with success.
+func (d *testDaemon) awaitExit() {
+	d.t.Helper()
+	if err := testutil.Receive(d.t, "the daemon to exit", d.exited); err != nil {
+		d.t.Errorf("the daemon exited with %v", err)
+	}
+}
+
+// timesSeen returns how often nodes have received a request.
+func (d *testDaemon) timesSeen(id string) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.requestsSeen[id]
+}
+
+// client is the connection of a client.
+type client struct {
+	t      *testing.T
+	socket net.Conn
+	in     *bufio.Reader
+}
+
+func (d *testDaemon) connect() *client {
+	d.t.Helper()
+	socket, err := net.Dial("tcp", d.address)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	d.t.Cleanup(func() { socket.Close() })
+	socket.SetDeadline(time.Now().Add(testutil.Timeout))
+	return &client{d.t, socket, bufio.NewReader(socket)}
+}
+
+func (c *client) send(format string, a ...any) { fmt.Fprintf(c.socket, format, a...) }
+
+// line returns the next line, "" for the end of the connection.
+func (c *client) line() string {
+	c.t.Helper()
+	line, err := c.in.ReadString('\n')
+	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
+		c.t.Fatalf("neither a response nor an end: %v", err)
+	}
+	return strings.TrimSuffix(line, "\r\n")
+}
+
+// expect reads a response and expects it to have a prefix. Its value, if it has one, is skipped.
+func (c *client) expect(prefix string) {
+	c.t.Helper()
+	got := c.line()
+	if !strings.HasPrefix(got, prefix) {
+		c.t.Errorf("got %q, want %q", got, prefix)
+	}
+	if strings.HasPrefix(got, "VA ") {
+		c.line()
+	}
+}
--- a/cmd/mulleinpier/main_test.go
+++ b/cmd/mulleinpier/main_test.go
@@ -17,10 +17,10 @@
 	"time"
 )
 
-// patience bounds each wait of these tests; none of them depends on its length.
-const patience = 30 * time.Second
+// waitTimeout bounds each wait of these tests; none depends on its length.
+const waitTimeout = 30 * time.Second
 
-// TestMain lets the test binary stand in for the program.
+// TestMain lets the test binary be the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("MULLEINPIER_RUN") == "1" {
 		main()
@@ -29,8 +29,8 @@
 	os.Exit(m.Run())
 }
 
-// registry is a discovery service that tells when it is watched.
-func registry(t *testing.T) (address string, watched <-chan struct{}) {
+// startDiscovery starts a discovery service, which sends on a channel when it is watched.
+func startDiscovery(t *testing.T) (address string, watched <-chan struct{}) {
 	t.Helper()
 	calls := make(chan struct{}, 16)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -52,17 +52,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(map[string]any{"name": "n1", "listen": listen, "discovery": discovery, "seed": "1f",
-		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-		"known":    map[string]any{"index": 1, "snapshot": true, "endpoints": []any{}},
-		"settings": json.RawMessage(settings)})
+	text, err := json.Marshal(map[string]any{
+		"name":      "n1",
+		"listen":    listen,
+		"discovery": discovery,
+		"seed":      "1f",
+		"limits":    map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
+		"known":     map[string]any{"index": 1, "snapshot": true, "endpoints": []any{}},
+		"settings":  json.RawMessage(settings),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	replace(t, path, text)
+	replaceFile(t, path, text)
 }
 
-func replace(t *testing.T, path string, text []byte) {
+// replaceFile replaces a file by renaming a new one into place.
+func replaceFile(t *testing.T, path string, text []byte) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		t.Fatal(err)
@@ -72,11 +78,11 @@
 	}
 }
 
-// program starts the program and returns it with the lines of its log.
-func program(t *testing.T, config string) (*exec.Cmd, <-chan string) {
+// startPlatformProgram starts the program as the platform does. It returns the lines of its log.
+func startPlatformProgram(t *testing.T, config string) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	// The race detector's runtime sleeps for a second before a process exits: tests time the end.
+	// The runtime of the race detector sleeps for a second before a process exits: tests measure the exit.
 	cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG="+config, "GORACE=atexit_sleep_ms=0")
 	out, err := cmd.StderrPipe()
 	if err != nil {
@@ -99,14 +105,15 @@
 	return cmd, lines
 }
 
+// waitLine waits for a line of the log that contains a part.
 func waitLine(t *testing.T, lines <-chan string, part string) string {
 	t.Helper()
-	late := time.After(patience)
+	late := time.After(waitTimeout)
 	for {
 		select {
 		case line, ok := <-lines:
 			if !ok {
-				t.Fatalf("the program ended before it logged %q", part)
+				t.Fatalf("the program exited before it logged %q", part)
 			}
 			if strings.Contains(line, part) {
 				return line
@@ -117,44 +124,45 @@
 	}
 }
 
-func waitCall(t *testing.T, calls <-chan struct{}, what string) {
+// waitWatched waits until a discovery service is watched.
+func waitWatched(t *testing.T, watched <-chan struct{}, what string) {
 	t.Helper()
 	select {
-	case <-calls:
-	case <-time.After(patience):
+	case <-watched:
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s was not watched", what)
 	}
 }
 
-// TestHangupMovesDiscovery guards against a reload that ends the program, that
-// heeds the old address, or that puts a bad file into force.
-func TestHangupMovesDiscovery(t *testing.T) {
-	first, firstWatched := registry(t)
-	second, secondWatched := registry(t)
+// TestHangupChangesDiscovery guards against a reload that ends the program, that keeps the former address, or that
+// applies an invalid file.
+func TestHangupChangesDiscovery(t *testing.T) {
+	first, firstWatched := startDiscovery(t)
+	second, secondWatched := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, "127.0.0.1:0", first)
-	cmd, lines := program(t, path)
+	cmd, lines := startPlatformProgram(t, path)
 	line := waitLine(t, lines, "listener opened")
 	_, address, _ := strings.Cut(line, "address=")
-	waitCall(t, firstWatched, "the first address")
+	waitWatched(t, firstWatched, "the first address")
 
-	replace(t, path, []byte(`{"name":`))
+	replaceFile(t, path, []byte(`{"name":`))
 	cmd.Process.Signal(syscall.SIGHUP)
 	waitLine(t, lines, "configuration reload failed")
 
 	writeConfig(t, path, "127.0.0.1:0", second)
 	cmd.Process.Signal(syscall.SIGHUP)
-	waitCall(t, secondWatched, "the second address")
+	waitWatched(t, secondWatched, "the second address")
 
 	socket, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	socket.SetDeadline(time.Now().Add(patience))
+	socket.SetDeadline(time.Now().Add(waitTimeout))
 	io.WriteString(socket, "mn\r\n")
-	if answer, err := bufio.NewReader(socket).ReadString('\n'); answer != "MN\r\n" {
-		t.Errorf("after the reloads mn was answered %q, %v", answer, err)
+	if response, err := bufio.NewReader(socket).ReadString('\n'); response != "MN\r\n" {
+		t.Errorf("after the reloads mn got %q, %v", response, err)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	waitLine(t, lines, "drain completed")
@@ -163,47 +171,62 @@
 	}
 }
 
-// TestBadStartSaysWhy guards against a start that fails without a clear word.
-func TestBadStartSaysWhy(t *testing.T) {
+// TestFailedPlatformStartNamesCause guards against a start that fails without a clear cause.
+func TestFailedPlatformStartNamesCause(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	replace(t, path, []byte(`{"name":"n1","listen":"nowhere"}`))
-	cmd, lines := program(t, path)
+	replaceFile(t, path, []byte(`{"name":"n1","listen":"nowhere"}`))
+	cmd, lines := startPlatformProgram(t, path)
 	waitLine(t, lines, "mulleinpier: GW_CONFIG: listen")
 	if err := cmd.Wait(); err == nil {
-		t.Error("a bad start exited with zero")
+		t.Error("a failed start exited with success")
 	}
 }
 
-// TestTerminationDuringTheStart guards against a start that can't be ended: the signal comes at
-// any moment of it, while discovery takes calls and answers none.
-func TestTerminationDuringTheStart(t *testing.T) {
+// TestTerminationDuringPlatformStart guards against a start that cannot be ended: the signal comes at any moment of
+// it, while discovery accepts calls and answers none.
+func TestTerminationDuringPlatformStart(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	for _, after := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 80 * time.Millisecond} {
-		path := filepath.Join(t.TempDir(), "config.json")
-		writeConfig(t, path, "127.0.0.1:0", silent.Addr().String())
-		cmd, lines := program(t, path)
-		time.Sleep(after)
-		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-			t.Fatal(err)
-		}
-		ended := make(chan struct{})
-		go func() {
-			defer close(ended)
-			for range lines { // until the program has closed its end
-			}
-		}()
+	for _, millis := range []time.Duration{0, 1, 5, 20, 80} {
+		after := millis * time.Millisecond
+		t.Run(after.String(), func(t *testing.T) { expectTerminationDuringStart(t, silent.Addr().String(), after) })
+	}
+}
+
+// expectTerminationDuringStart terminates the program a time after its start.
+func expectTerminationDuringStart(t *testing.T, discovery string, after time.Duration) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeConfig(t, path, "127.0.0.1:0", discovery)
+	cmd, lines := startPlatformProgram(t, path)
+	time.Sleep(after)
+	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	waitLogEnd(t, lines)
+	err := cmd.Wait()
+	status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus)
+	endedBySignal := ok && status.Signaled() && status.Signal() == syscall.SIGTERM
+	if err != nil && !endedBySignal {
+		t.Errorf("exited with %v", err)
+	}
+}
+
+// waitLogEnd waits until the program closes its log.
+func waitLogEnd(t *testing.T, lines <-chan string) {
+	t.Helper()
+	timeout := time.After(waitTimeout)
+	for {
 		select {
-		case <-ended:
-		case <-time.After(patience):
-			t.Fatalf("a signal %v after the start did not end it", after)
-		}
-		err := cmd.Wait()
-		if status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); err != nil && !(ok && status.Signaled() && status.Signal() == syscall.SIGTERM) {
-			t.Errorf("a signal %v after the start: %v", after, err)
+		case _, ok := <-lines:
+			if !ok {
+				return
+			}
+		case <-timeout:
+			t.Fatal("the signal did not end the program")
 		}
 	}
 }
--- /dev/null
+++ b/cmd/mulleinpier/pause_test.go
@@ -0,0 +1,263 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"mulleinpier/internal/fake/endpointlist"
+	"mulleinpier/internal/fake/node"
+	faults "mulleinpier/internal/fleettest/faultinject"
+	"mulleinpier/internal/testutil"
+)
+
+// startPaused starts a daemon and a client whose connection is in use, and pauses the daemon.
+func startPaused(t *testing.T, more string) (*testDaemon, *client) {
+	d := newTestDaemon(t, node.Config{})
+	d.configure(more)
+	d.start()
+	d.awaitNotified("READY=1")
+	c := d.connect()
+	c.send("mg warm v Owarm Pc=read\r\n")
+	c.expect("VA ")
+	d.pause()
+	return d, c
+}
+
+// pause pauses the process until SIGCONT.
+func (d *testDaemon) pause() {
+	d.t.Helper()
+	d.signal(syscall.SIGSTOP)
+	d.t.Cleanup(func() { d.signalIfRunning(syscall.SIGCONT) })
+	testutil.WaitUntil(d.t, "the daemon to be paused", func() bool { return faults.IsStopped(d.process.Process.Pid) })
+}
+
+// signalIfRunning is signal for a process that may have exited.
+func (d *testDaemon) signalIfRunning(s syscall.Signal) { d.process.Process.Signal(s) }
+
+// connectBusy returns clients whose connections are in use, and whose keys the nodes have cached.
+func (d *testDaemon) connectBusy(n int) (list []*client) {
+	for i := range n {
+		c := d.connect()
+		c.send("mg k%d v Owarm%d Pc=read\r\n", i, i)
+		c.expect("VA ")
+		list = append(list, c)
+	}
+	return list
+}
+
+// pauseTime is long enough to be detected as a pause, and longer than the deadlines of the clients of these tests.
+const pauseTime = 1500 * time.Millisecond
+
+// TestExpiredRequestsAreRejectedAfterPause guards rule 2: a request that was sent to a paused process and whose
+// client has given up never reaches a node, and is rejected at once. One whose client still waits is carried out.
+func TestExpiredRequestsAreRejectedAfterPause(t *testing.T) {
+	d, c := startPaused(t, "")
+	expired := []*client{c, d.connect(), d.connect()} // one in use, two new
+	expired[0].send("ms a 1 Oold0 Pc=write,k=k0,d=300\r\nx\r\n")
+	expired[1].send("ms a 1 Oold1 Pc=write,k=k1,d=300\r\nx\r\n")
+	expired[2].send("mg a v Oold2 Pc=read,d=300\r\n")
+	time.Sleep(pauseTime)
+	fresh := []*client{d.connect(), d.connect()}
+	fresh[0].send("ms b 1 Onew0 Pc=write,k=k2,d=20000\r\nx\r\n")
+	fresh[1].send("mg b v Onew1 Pc=read,d=20000\r\n")
+	d.signal(syscall.SIGCONT)
+	for i, c := range expired {
+		if got := c.line(); !strings.HasPrefix(got, "SERVER_ERROR busy") {
+			t.Errorf("expired request %d: %q", i, got)
+		}
+	}
+	fresh[0].expect("HD ")
+	fresh[1].expect("VA ")
+	for i := range expired {
+		if n := d.timesSeen(fmt.Sprint("old", i)); n > 0 {
+			t.Errorf("expired request %d reached nodes %d times", i, n)
+		}
+	}
+	waitLine(t, d.lines, "stood still")
+	waitLine(t, d.lines, "at work again")
+	d.signal(syscall.SIGTERM)
+	d.awaitExit()
+}
+
+// TestRequestsOfDisconnectedClientsAreDropped guards rule 2 where ages are not known, and the rule on clients that
+// disconnect: a request whose client has closed the connection is not started, whatever its class.
+func TestRequestsOfDisconnectedClientsAreDropped(t *testing.T) {
+	d, c := startPaused(t, "")
+	c.send("ms a 1 Ogone0 Pc=write,k=k0,d=20000\r\nx\r\n")
+	c.socket.Close()
+	pipelined := d.connect()
+	pipelined.send("ms a 1 Ogone1 Pc=write,k=k1,d=20000\r\nx\r\n" +
+		"ms a 1 Ogone2 Pc=write,k=k2,d=20000\r\nx\r\n")
+	pipelined.socket.Close()
+	for i, beforeClose := range []func(*net.TCPConn){
+		func(*net.TCPConn) {},
+		func(c *net.TCPConn) { c.SetLinger(0) },
+		func(c *net.TCPConn) { c.CloseWrite() },
+	} {
+		reader := d.connect()
+		reader.send("mg a v Ogone%d Pc=read,d=20000\r\n", 3+i)
+		beforeClose(reader.socket.(*net.TCPConn))
+		reader.socket.Close()
+	}
+	time.Sleep(pauseTime)
+	d.signal(syscall.SIGCONT)
+	last := d.connect()
+	last.send("mg a v Olast Pc=read\r\n")
+	last.expect("VA ")
+	d.signal(syscall.SIGTERM)
+	d.awaitExit() // all requests that were read have had their time
+	for i := range 6 {
+		if n := d.timesSeen(fmt.Sprint("gone", i)); n > 0 {
+			t.Errorf("request %d of a disconnected client reached nodes %d times", i, n)
+		}
+	}
+}
+
+// TestHalfWrittenCommandSurvivesPause guards rule 1: the time that a client has for a command does not include a
+// pause, in which it could not be read.
+func TestHalfWrittenCommandSurvivesPause(t *testing.T) {
+	d := newTestDaemon(t, node.Config{})
+	d.start()
+	d.awaitNotified("READY=1")
+	c := d.connect()
+	c.send("mg warm v Owarm Pc=read\r\n")
+	c.expect("VA ")
+	c.send("ms a 5 Ohalf Pc=write,k=k0,d=20000\r\nab")
+	time.Sleep(100 * time.Millisecond) // so that the first half is read; the outcome does not depend on it
+	d.pause()
+	time.Sleep(3 * time.Second) // longer than a client has for a command
+	c.send("cde\r\n")
+	d.signal(syscall.SIGCONT)
+	c.expect("HD ")
+	d.signal(syscall.SIGTERM)
+	d.awaitExit()
+}
+
+// TestDrainNotifiedDuringPauseIsObeyed guards rule 3: what the endpoint list reported during a pause is known to the
+// process, whatever it reads first when it resumes.
+func TestDrainNotifiedDuringPauseIsObeyed(t *testing.T) {
+	d := newTestDaemon(t, node.Config{})
+	entry := func(i int, status string) endpointlist.Entry {
+		return endpointlist.Entry{Name: d.nodes[i].Name(), Address: d.nodes[i].Address(), Status: status, Weight: 1}
+	}
+	service := endpointlist.New([]endpointlist.Entry{entry(0, "up"), entry(1, "up")})
+	t.Cleanup(service.Close)
+	at, err := service.Open(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	replaceFile(t, d.path, fmt.Appendf(nil, "listen = %q\nnodes.discovery = %q\n", d.address, at))
+	d.start()
+	d.awaitNotified("READY=1")
+	waiting := d.connectBusy(40)
+	if d.nodes[0].Stats().Requests == 0 || d.nodes[1].Stats().Requests == 0 {
+		t.Fatal("one node received nothing")
+	}
+	d.pause()
+	change := []endpointlist.Entry{entry(1, "draining")}
+	for i := range 3000 { // they take a while to read
+		change = append(change, endpointlist.Entry{
+			Name: fmt.Sprint("filler", i), Address: "127.0.0.1:1", Status: "draining", Weight: 1,
+		})
+	}
+	service.Set(change...)
+	testutil.WaitUntil(t, "the drain to be notified", func() bool {
+		_, notified := service.DrainNotifiedAt(0, d.nodes[1].Name())
+		return notified
+	})
+	time.Sleep(pauseTime)
+	before := d.nodes[1].Stats().Requests
+	for i, c := range waiting {
+		c.send("mg k%d v Odrain%d Pc=read,d=20000\r\n", i, i)
+	}
+	d.signal(syscall.SIGCONT)
+	for _, c := range waiting {
+		if got := c.line(); strings.HasPrefix(got, "VA ") {
+			c.line()
+		} else if !strings.HasPrefix(got, "SERVER_ERROR busy") { // there are many at once for one node
+			t.Errorf("got %q", got)
+		}
+	}
+	if n := d.nodes[1].Stats().Requests - before; n > 0 {
+		t.Errorf("%d requests reached the draining node", n)
+	}
+	d.signal(syscall.SIGTERM)
+	d.awaitExit()
+}
+
+// TestUnresponsiveListDelaysNoRequest guards rule 1: the wait for a list service that does not respond is bounded.
+func TestUnresponsiveListDelaysNoRequest(t *testing.T) {
+	d := newTestDaemon(t, node.Config{})
+	entry := endpointlist.Entry{Name: d.nodes[0].Name(), Address: d.nodes[0].Address(), Status: "up", Weight: 1}
+	service := endpointlist.New([]endpointlist.Entry{entry})
+	t.Cleanup(service.Close)
+	at, err := service.Open(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	link, err := faults.NewLink("127.0.0.1", at)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(link.Close)
+	replaceFile(t, d.path, fmt.Appendf(nil, "listen = %q\nnodes.discovery = %q\n", d.address, link.Address()))
+	d.start()
+	d.awaitNotified("READY=1")
+	waiting := d.connectBusy(40) // as many as may idle
+	for i, c := range waiting {
+		for j := range 10 { // so that admission learns how much is answered in time
+			c.send("mg k%d v Owarm%d.%d Pc=read\r\n", i, i, j)
+			c.expect("VA ")
+		}
+	}
+	if err := link.SetFault(faults.LinkFaults["back"](0)); err != nil {
+		t.Fatal(err)
+	}
+	d.pause()
+	time.Sleep(pauseTime)
+	for i, c := range waiting { // together more than are released at a time
+		for j := range 3 {
+			c.send("mg k%d v Oa%d.%d Pc=read,d=20000\r\n", i, i, j)
+		}
+	}
+	d.signal(syscall.SIGCONT)
+	for _, c := range waiting {
+		for range 3 {
+			if got := c.line(); strings.HasPrefix(got, "VA ") {
+				c.line()
+			} else if !strings.HasPrefix(got, "SERVER_ERROR busy") {
+				t.Errorf("got %q", got)
+			}
+		}
+	}
+	waitLine(t, d.lines, "at work again")
+	d.signal(syscall.SIGTERM)
+	d.awaitExit()
+}
+
+// TestMachineSleepCounts guards rule 2 where the monotonic clock does not show a pause: a machine that seems to
+// have slept rejects requests that may have expired meanwhile.
+func TestMachineSleepCounts(t *testing.T) {
+	d := newTestDaemon(t, node.Config{})
+	d.configure("[test]\nsleep_at = \"1s\"\nsleep_for = \"30s\"\n")
+	d.start()
+	d.awaitNotified("READY=1")
+	line := waitLine(t, d.lines, "stood still")
+	isAsleepFor30s := func(text string) bool { return strings.Contains(line, "asleep="+text) }
+	if !slices.ContainsFunc([]string{"30.0", "29.9", "30s"}, isAsleepFor30s) {
+		t.Errorf("%s", line)
+	}
+	waitLine(t, d.lines, "at work again")
+	c := d.connect()
+	c.send("ms a 1 Oa Pc=write,k=k0,d=2000\r\nx\r\n")
+	if got := c.line(); !strings.HasPrefix(got, "HD ") && !strings.HasPrefix(got, "SERVER_ERROR busy") {
+		t.Errorf("%q", got)
+	}
+	d.signal(syscall.SIGTERM)
+	d.awaitExit()
+}
--- a/cmd/mulleinpier/peers_test.go
+++ b/cmd/mulleinpier/peers_test.go
@@ -15,8 +15,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// nowhere is an address that nobody listens at, on a host that no connection goes out from.
-func nowhere(t *testing.T) string {
+// freeAddress returns an address without a listener, on a host that is the source of no connection.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.3:0")
 	if err != nil {
@@ -26,7 +26,8 @@
 	return l.Addr().String()
 }
 
-func peersOf(permit, voter string, fleet agent.Fleet, memory string) string {
+// peersConfig returns the table peers of a configuration, with a voter and its stored state; "" for none.
+func peersConfig(permit, voter string, fleet agent.Fleet, memory string) string {
 	text := fmt.Sprintf("[peers]\nfleet = %q\npermit = %q\npermit_wait = \"200ms\"\nvoters = [", fleet.Name, permit)
 	for _, v := range fleet.Voters {
 		text += fmt.Sprintf("%q, ", v.Name+"="+v.Address)
@@ -38,121 +39,126 @@
 	return text
 }
 
-// TestNoPermitToBeHad guards operators against a fleet that has lost its voters: a daemon that may go without drains
-// after its wait, one that may not serves on, and drains when it is told twice.
-func TestNoPermitToBeHad(t *testing.T) {
+// TestNoPermitAvailable guards operators against a fleet that has lost its voters: a daemon that may drain without
+// a permit does so after its wait; one that may not keeps serving, and drains when it is terminated again.
+func TestNoPermitAvailable(t *testing.T) {
 	fleet := agent.Fleet{Name: "test"}
 	for i := range 3 {
-		fleet.Voters = append(fleet.Voters, agent.VoterAddress{Name: fmt.Sprint("v", i), Address: nowhere(t)})
+		fleet.Voters = append(fleet.Voters, agent.VoterAddress{Name: fmt.Sprint("v", i), Address: freeAddress(t)})
 	}
 	for _, permit := range []string{"go", "wait"} {
 		t.Run(permit, func(t *testing.T) {
-			r := newRig(t, node.Config{})
-			r.configure(peersOf(permit, "", fleet, ""))
-			r.start()
-			r.hear("READY=1")
-			c := r.call()
+			d := newTestDaemon(t, node.Config{})
+			d.configure(peersConfig(permit, "", fleet, ""))
+			d.start()
+			d.awaitNotified("READY=1")
+			c := d.connect()
 			c.send("mg a v O0 Pc=read\r\n")
 			c.expect("VA ")
-			r.signal(syscall.SIGTERM)
+			d.signal(syscall.SIGTERM)
 			if permit == "go" {
-				waitLine(t, r.lines, "permit skipped")
-				r.hear("STOPPING=1")
-				r.end()
+				waitLine(t, d.lines, "permit skipped")
+				d.awaitNotified("STOPPING=1")
+				d.awaitExit()
 				return
 			}
 			time.Sleep(time.Second)
-			for i := range 3 { // it serves on, and takes new clients
-				c := r.call()
+			for i := range 3 { // it keeps serving, and accepts new clients
+				c := d.connect()
 				c.send("mg a v Olater%d Pc=read\r\n", i)
 				c.expect("VA ")
 			}
-			r.signal(syscall.SIGTERM)
-			r.hear("STOPPING=1")
-			r.end()
+			d.signal(syscall.SIGTERM)
+			d.awaitNotified("STOPPING=1")
+			d.awaitExit()
 		})
 	}
 }
 
-// TestVotersMoveInMidLease reloads the only voter with another address while a task is held: the grant goes on under
-// its number, and no client notices.
-func TestVotersMoveInMidLease(t *testing.T) {
-	r := newRig(t, node.Config{})
+// TestVoterMovesDuringLease reloads the only voter with another address while a task is held: the grant keeps its
+// token, and no client notices.
+func TestVoterMovesDuringLease(t *testing.T) {
+	d := newTestDaemon(t, node.Config{})
 	memory := filepath.Join(t.TempDir(), "memory")
-	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: nowhere(t)}}}
+	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: freeAddress(t)}}}
 	if err := agent.InitVoter(memory, &fleet); err != nil {
 		t.Fatal(err)
 	}
-	r.configure(peersOf("none", "v", fleet, memory))
-	r.start()
-	r.hear("READY=1")
-	c := r.call()
+	d.configure(peersConfig("none", "v", fleet, memory))
+	d.start()
+	d.awaitNotified("READY=1")
+	c := d.connect()
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
-	client := func() *agent.Client {
-		c, err := agent.NewClient(fleet)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(c.Close)
-		return c
-	}
-	reply, err := client().Execute(ctx, lease.Command{Kind: lease.Acquire, Task: "x", Holder: "h", Nonce: 1, Duration: time.Minute})
+	acquire := lease.Command{Kind: lease.Acquire, Task: "x", Holder: "h", Nonce: 1, Duration: time.Minute}
+	reply, err := leaseClient(t, fleet).Execute(ctx, acquire)
 	if err != nil || reply.Token == 0 {
 		t.Fatalf("%+v, %v", reply, err)
 	}
-	fleet.Voters = []agent.VoterAddress{{Name: "v", Address: nowhere(t)}}
-	r.configure(peersOf("none", "v", fleet, memory))
-	r.signal(syscall.SIGHUP)
-	waitLine(t, r.lines, "configuration reloaded")
+	fleet.Voters = []agent.VoterAddress{{Name: "v", Address: freeAddress(t)}}
+	d.configure(peersConfig("none", "v", fleet, memory))
+	d.signal(syscall.SIGHUP)
+	waitLine(t, d.lines, "configuration reloaded")
 	testutil.WaitUntil(t, "the voter at its new address", func() bool {
-		s, err := client().LeaderState(ctx)
-		return err == nil && s.IsLeader && s.StateMachine.Tasks["x"] != nil && len(s.StateMachine.Tasks["x"].Grants) == 1 && s.StateMachine.Tasks["x"].Grants[0].Token == reply.Token
+		s, err := leaseClient(t, fleet).LeaderState(ctx)
+		if err != nil || !s.IsLeader {
+			return false
+		}
+		task := s.StateMachine.Tasks["x"]
+		return task != nil && len(task.Grants) == 1 && task.Grants[0].Token == reply.Token
 	})
-	next, err := client().Execute(ctx, lease.Command{Kind: lease.Acquire, Task: "y", Holder: "h", Nonce: 2, Duration: time.Minute})
+	acquire.Task, acquire.Nonce = "y", 2
+	next, err := leaseClient(t, fleet).Execute(ctx, acquire)
 	if err != nil || next.Token <= reply.Token {
 		t.Errorf("%+v after %+v, %v", next, reply, err)
 	}
-	c.send("mg a v O0 Pc=read\r\n") // over the connection of before
+	c.send("mg a v O0 Pc=read\r\n") // over the same connection
 	c.expect("VA ")
-	r.signal(syscall.SIGTERM)
-	r.end()
+	d.signal(syscall.SIGTERM)
+	d.awaitExit()
+}
+
+// leaseClient returns a new client of the leases of a fleet.
+func leaseClient(t *testing.T, fleet agent.Fleet) *agent.Client {
+	t.Helper()
+	c, err := agent.NewClient(fleet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(c.Close)
+	return c
 }
 
-// TestSuccessorGivesBack restarts a daemon by leave of a fleet that lets one go at a time: the permit of the first is
-// free again as soon as the second is ready, long before it would run out.
-func TestSuccessorGivesBack(t *testing.T) {
-	r := newRig(t, node.Config{})
-	v := newRig(t, node.Config{})
+// TestSuccessorReleasesPermit restarts a daemon in a fleet that permits one restart at a time: the permit of the
+// first is released as soon as the second is ready, long before it expires.
+func TestSuccessorReleasesPermit(t *testing.T) {
+	d := newTestDaemon(t, node.Config{})
+	v := newTestDaemon(t, node.Config{})
 	memory := filepath.Join(t.TempDir(), "memory")
-	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: nowhere(t)}}}
+	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: freeAddress(t)}}}
 	if err := agent.InitVoter(memory, &fleet); err != nil {
 		t.Fatal(err)
 	}
-	v.configure(peersOf("none", "v", fleet, memory))
+	v.configure(peersConfig("none", "v", fleet, memory))
 	v.start()
-	v.hear("READY=1")
-	r.configure(peersOf("wait", "", fleet, ""))
+	v.awaitNotified("READY=1")
+	d.configure(peersConfig("wait", "", fleet, ""))
 	for range 3 {
-		r.start()
-		r.hear("READY=1")
-		r.signal(syscall.SIGTERM)
-		waitLine(t, r.lines, `msg="permit granted"`)
-		r.end()
-	}
-	r.start()
-	r.hear("READY=1")
-	c, err := agent.NewClient(fleet)
-	if err != nil {
-		t.Fatal(err)
+		d.start()
+		d.awaitNotified("READY=1")
+		d.signal(syscall.SIGTERM)
+		waitLine(t, d.lines, `msg="permit granted"`)
+		d.awaitExit()
 	}
-	defer c.Close()
-	testutil.WaitUntil(t, "the permit to be free", func() bool {
+	d.start()
+	d.awaitNotified("READY=1")
+	c := leaseClient(t, fleet)
+	testutil.WaitUntil(t, "the permit to be released", func() bool {
 		s, err := c.LeaderState(context.Background())
 		return err == nil && s.StateMachine.LastToken == 3 && len(s.StateMachine.Tasks[lease.PermitTask].Grants) == 0
 	})
-	r.signal(syscall.SIGTERM)
-	r.end()
+	d.signal(syscall.SIGTERM)
+	d.awaitExit()
 	v.signal(syscall.SIGTERM)
-	v.end()
+	v.awaitExit()
 }
--- a/cmd/mulleinpier/platform_test.go
+++ b/cmd/mulleinpier/platform_test.go
@@ -13,9 +13,11 @@
 	"mulleinpier/internal/fake/scriptednode"
 )
 
-// platformProgram starts the program as the platform has it, before scripted nodes, with a class of each
-// effect whose clients wait for so many milliseconds at the most.
-func platformProgram(t *testing.T, nodes *scriptednode.Nodes, count, deadline int) (*exec.Cmd, <-chan string) {
+// startPlatformProgramWith starts the program as the platform does, with scripted nodes and a class of each effect
+// that has a deadline in milliseconds. It returns the lines of its log.
+func startPlatformProgramWith(
+	t *testing.T, nodes *scriptednode.Nodes, count, deadline int,
+) (cmd *exec.Cmd, lines <-chan string) {
 	t.Helper()
 	text, err := os.ReadFile("../../internal/proxy/testdata/settings.json")
 	if err != nil {
@@ -27,26 +29,36 @@
 	}
 	var classes []any
 	for _, effect := range []string{"safe", "keyed", "unsafe"} {
-		classes = append(classes, map[string]any{"Name": effect, "Effect": effect, "DedupScope": "all", "Aim": 300, "HardLimit": deadline, "Window": 400,
-			"Importance": 1, "LateShare": 0.3})
+		classes = append(classes, map[string]any{
+			"Name": effect, "Effect": effect, "DedupScope": "all", "Aim": 300, "HardLimit": deadline, "Window": 400,
+			"Importance": 1, "LateShare": 0.3,
+		})
 	}
 	settings["Services"], settings["RegistryMode"] = classes, "pushed"
-	config, err := json.Marshal(map[string]any{"name": "n1", "listen": "127.0.0.1:0", "discovery": listOf(t, nodes, count), "seed": "1f",
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512}, "settings": settings})
+	config, err := json.Marshal(map[string]any{
+		"name":      "n1",
+		"listen":    "127.0.0.1:0",
+		"discovery": startEndpointList(t, nodes, count),
+		"seed":      "1f",
+		"limits":    map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512},
+		"settings":  settings,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	replace(t, path, config)
-	return program(t, path)
+	replaceFile(t, path, config)
+	return startPlatformProgram(t, path)
 }
 
-// listOf starts a list service that tells scripted nodes, and returns its address.
-func listOf(t *testing.T, nodes *scriptednode.Nodes, count int) string {
+// startEndpointList starts a list service with scripted nodes, and returns its address.
+func startEndpointList(t *testing.T, nodes *scriptednode.Nodes, count int) string {
 	t.Helper()
 	var entries []endpointlist.Entry
 	for i := range count {
-		entries = append(entries, endpointlist.Entry{Name: fmt.Sprint("n", i), Address: nodes.Address(i), Status: "up", Weight: 1})
+		entries = append(entries, endpointlist.Entry{
+			Name: fmt.Sprint("n", i), Address: nodes.Address(i), Status: "up", Weight: 1,
+		})
 	}
 	service := endpointlist.New(entries)
 	t.Cleanup(service.Close)
@@ -57,8 +69,8 @@
 	return address
 }
 
-// TestLogLevelFromTheEnvironment covers the variable, its former name and a level that can't be meant.
-func TestLogLevelFromTheEnvironment(t *testing.T) {
+// TestLogLevelFromEnvironment covers the variable, its former name and an invalid level.
+func TestLogLevelFromEnvironment(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		env      map[string]string
