--- a/cmd/mulleinpier/platform.go
+++ b/cmd/mulleinpier/platform.go
@@ -49,7 +49,7 @@
 // over the file at the start only: they cannot have changed since, so a reload reads the file alone.
 func platformLoader(getenv func(string) string) func() (*config.Config, error) {
 	started := false
-	level, warnings := logLevel(getenv)
+	level, deprecated := logLevel(getenv)
 	return func() (*config.Config, error) {
 		c, err := proxy.ReadPlatformConfig(func(name string) string {
 			if started && name != configVariable {
@@ -58,19 +58,19 @@
 			return getenv(name)
 		})
 		started = true
-		return &config.Config{Proxy: c, Log: config.Log{Level: level}, Warnings: warnings}, err
+		return &config.Config{Proxy: c, Log: config.Log{Level: level}, Deprecated: deprecated}, err
 	}
 }
 
 // logLevel reads the log level from the environment; an invalid one means info.
-func logLevel(getenv func(string) string) (level slog.Level, warnings []string) {
+func logLevel(getenv func(string) string) (level slog.Level, deprecated []config.DeprecatedVariable) {
 	text := getenv(levelVariable)
 	if former := getenv(formerLevelVariable); text == "" && former != "" {
 		text = former
-		warnings = append(warnings, formerLevelVariable+" is deprecated, set "+levelVariable)
+		deprecated = []config.DeprecatedVariable{{Name: formerLevelVariable, Replacement: levelVariable}}
 	}
 	if level.UnmarshalText([]byte(text)) != nil {
-		return slog.LevelInfo, warnings
+		return slog.LevelInfo, deprecated
 	}
-	return level, warnings
+	return level, deprecated
 }
--- a/cmd/mulleinpier/platform_test.go
+++ b/cmd/mulleinpier/platform_test.go
@@ -72,10 +72,10 @@
 // TestLogLevelFromEnvironment covers the variable, its former name and an invalid level.
 func TestLogLevelFromEnvironment(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		env      map[string]string
-		want     slog.Level
-		warnings int
+		name       string
+		env        map[string]string
+		want       slog.Level
+		deprecated int
 	}{
 		{"neither", nil, slog.LevelInfo, 0},
 		{"present name", map[string]string{levelVariable: "debug"}, slog.LevelDebug, 0},
@@ -84,9 +84,9 @@
 		{"no level", map[string]string{levelVariable: "loud"}, slog.LevelInfo, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			level, warnings := logLevel(func(name string) string { return c.env[name] })
-			if level != c.want || len(warnings) != c.warnings {
-				t.Errorf("level %v with warnings %q, want %v with %d", level, warnings, c.want, c.warnings)
+			level, deprecated := logLevel(func(name string) string { return c.env[name] })
+			if level != c.want || len(deprecated) != c.deprecated {
+				t.Errorf("level %v with deprecated %v, want %v with %d", level, deprecated, c.want, c.deprecated)
 			}
 		})
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,6 +24,9 @@
 	"mulleinpier/internal/proxy"
 )
 
+// DeprecatedVariable is an environment variable that was read under a former name.
+type DeprecatedVariable struct{ Name, Replacement string }
+
 // Config is the configuration of the daemon.
 type Config struct {
 	Proxy        *proxy.Config
@@ -31,8 +34,8 @@
 	Log          Log
 	Startup      Startup
 	Peers        *Peers // nil where proxies do not know each other
-	// Warnings are logged once the daemon listens.
-	Warnings []string
+	// Deprecated are the environment variables in use whose names will be dropped; logged once the daemon listens.
+	Deprecated []DeprecatedVariable
 }
 
 // defaultName is the daemon's former program name. It stays: it identifies a proxy in Consul's catalogue and the
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -45,8 +45,8 @@
 		return
 	}
 	log.Info("listener opened", "address", server.Address().String())
-	for _, warning := range c.Warnings {
-		log.Warn(warning)
+	for _, v := range c.Deprecated {
+		log.Warn("environment variable deprecated", "variable", v.Name, "replacement", v.Replacement)
 	}
 	d.reports <- taskReport{server: server, log: log}
 	var ready sync.WaitGroup
