--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -1,31 +1,23 @@
 package main
 
 import (
-	"bufio"
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
 	"strconv"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
-	"mulleinpier/internal/fake/rawclient"
-	"mulleinpier/internal/fake/scriptednode"
 	"mulleinpier/internal/fleettest"
 	"mulleinpier/internal/overload"
-	"mulleinpier/internal/testutil"
 )
 
-// bin holds the programs, built as they are shipped.
+// bin is the folder of the programs, built as they are shipped.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -33,7 +25,8 @@
 	if err == nil {
 		bin = folder
 		var out []byte
-		if out, err = exec.Command("go", "build", "-o", bin, "mulleinpier/cmd/mulleinpier", "mulleinpier/cmd/fleettest").CombinedOutput(); err != nil {
+		build := exec.Command("go", "build", "-o", bin, "mulleinpier/cmd/mulleinpier", "mulleinpier/cmd/fleettest")
+		if out, err = build.CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
 		}
 	}
@@ -46,14 +39,14 @@
 	os.Exit(code)
 }
 
-// rehearsal runs the program to its end and returns its output, its exit code and
-// its report.
+// runFleetTest runs the program to its end and returns its output, its exit code and its report.
 func runFleetTest(t *testing.T, args ...string) (string, int, fleettest.Report) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer stop()
 	path := filepath.Join(t.TempDir(), "report.json")
-	cmd := exec.CommandContext(ctx, filepath.Join(bin, "fleettest"), append([]string{args[0], "--quiet", "--json", path}, args[1:]...)...) // a later flag counts
+	args = append([]string{args[0], "--quiet", "--json", path}, args[1:]...) // of two --json flags the later counts
+	cmd := exec.CommandContext(ctx, filepath.Join(bin, "fleettest"), args...)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState == nil {
 		t.Fatal(err)
@@ -67,10 +60,16 @@
 	return string(out), cmd.ProcessState.ExitCode(), report
 }
 
-var verdict = regexp.MustCompile(`(?m)^verdict: (ok|BROKEN) requests=(\d+) lost=(\d+) doubled=(\d+) late_drains=(\d+) crashes=(\d+)( stopped=\d+)?$`)
+// lastLine returns the last line of an output.
+func lastLine(out string) string {
+	lines := strings.Split(strings.TrimSpace(out), "\n")
+	return lines[len(lines)-1]
+}
+
+var verdict = regexp.MustCompile(`^verdict: (ok|BROKEN) requests=(\d+) lost=(\d+) doubled=(\d+) ` +
+	`late_drains=(\d+) crashes=(\d+)( stopped=\d+)?$`)
 
-// TestRulesHold plays real processes through what operators do to them, and what
-// befalls them meanwhile.
+// TestRulesHold plays what operators do to real processes, and what happens to them meanwhile.
 func TestRulesHold(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -79,17 +78,16 @@
 	}{
 		{"wave in short", []string{"wave", "--short"}, 18, 60},
 		{"wave in short, both dialects", []string{"wave", "--short", "--binary"}, 18, 60},
-		{"wave by leave of the fleet, in short", []string{"wave", "--permits", "--short"}, 6, 0},
+		{"wave by permits of the fleet, in short", []string{"wave", "--permits", "--short"}, 6, 0},
 		{"Consul agents that fail", []string{"play", "consul-short"}, 0, 0},
 		{"reloads", []string{"play", "reload"}, 4, 80},
 		{"all twenty at once", []string{"play", "storm"}, 40, 20},
-		{"processes that stand still", []string{"still", "--short"}, 1, 1},
+		{"paused processes", []string{"still", "--short"}, 1, 1},
 		{"nodes that fail in every way", []string{"play", "faults"}, 6, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			out, code, r := runFleetTest(t, c.args...)
-			lines := strings.Split(strings.TrimSpace(out), "\n")
-			got := verdict.FindStringSubmatch(lines[len(lines)-1])
+			got := verdict.FindStringSubmatch(lastLine(out))
 			if code != 0 || got == nil || got[1] != "ok" {
 				t.Fatalf("exit %d:\n%s", code, out)
 			}
@@ -103,27 +101,27 @@
 	}
 }
 
-// TestLease plays one task among eight processes, with faults between them: no two acts overlap at a resource
-// that compares numbers.
+// TestLease plays one task among eight processes, with faults between them: no two actions overlap at a resource that
+// checks fencing tokens.
 func TestLease(t *testing.T) {
 	out, code, _ := runFleetTest(t, "lease", "--short", "--json", filepath.Join(t.TempDir(), "report.json"))
-	lines := strings.Split(strings.TrimSpace(out), "\n")
-	if last := lines[len(lines)-1]; code != 0 || !regexp.MustCompile(`^verdict: ok acts=\d{2,} overlaps=0 backward=0 lost=0 doubled=0 crashes=0$`).MatchString(last) {
+	want := regexp.MustCompile(`^verdict: ok acts=\d{2,} overlaps=0 backward=0 lost=0 doubled=0 crashes=0$`)
+	if code != 0 || !want.MatchString(lastLine(out)) {
 		t.Fatalf("exit %d:\n%s", code, out)
 	}
 }
 
-// TestPeers plays instances that know each other: nobody that lives is taken for dead, and every death is known to all.
+// TestPeers plays the members of a fleet: no live one is reported dead, and every death is detected by all.
 func TestPeers(t *testing.T) {
-	out, code, _ := runFleetTest(t, "peers", "--instances", "5", "--times", "1", "--json", filepath.Join(t.TempDir(), "report.json"))
-	lines := strings.Split(strings.TrimSpace(out), "\n")
-	if last := lines[len(lines)-1]; code != 0 || last != "verdict: ok instances=5 false=0 missed=0" {
+	path := filepath.Join(t.TempDir(), "report.json")
+	out, code, _ := runFleetTest(t, "peers", "--instances", "5", "--times", "1", "--json", path)
+	if code != 0 || lastLine(out) != "verdict: ok instances=5 false=0 missed=0" {
 		t.Fatalf("exit %d:\n%s", code, out)
 	}
 }
 
-// TestDegrade plays two troubles together, without and with levels of service: the rules hold,
-// every proxy reduces its service with a cause where it may, and none does where it may not.
+// TestDegrade plays two overloads together, without and with degradation levels: the rules hold, every proxy reduces
+// its service with a cause where it may, and none does where it may not.
 func TestDegrade(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	out, code, _ := runFleetTest(t, "degrade", "--short", "--json", path)
@@ -155,16 +153,16 @@
 	}
 }
 
-// TestConformance plays the same cases with both dialects on both sides.
+// TestConformance plays the same cases with both dialects of clients and of nodes.
 func TestConformance(t *testing.T) {
 	if out, code, _ := runFleetTest(t, "conform"); code != 0 || !strings.HasSuffix(out, "verdict: ok, 140 played\n") {
 		t.Errorf("exit %d:\n%s", code, out)
 	}
 }
 
-// TestFaultsAreSeen guards against a rehearsal that would call anything good:
-// each double ends broken, with as many breaches as it put in.
-func TestFaultsAreSeen(t *testing.T) {
+// TestPlantedDefectsAreDetected guards against a checker that accepts everything: each defect is detected as often as
+// it was put in.
+func TestPlantedDefectsAreDetected(t *testing.T) {
 	injected := regexp.MustCompile(`injected=(\d+)`)
 	for fault, count := range map[string]func(fleettest.Report) int{
 		"none": func(r fleettest.Report) int {
@@ -195,119 +193,22 @@
 			} else if put == 0 {
 				t.Fatalf("the fault was never put in:\n%s", out)
 			}
-			if all := r.Lost + r.DuplicateWrites + r.LateDrains + r.Crashes + r.WrongAnswers; code != want || count(r) != put || all != put {
-				t.Errorf("exit %d, %d breaches of the kind and %d in all; %d were put in:\n%s", code, count(r), all, put, out)
+			all := r.Lost + r.DuplicateWrites + r.LateDrains + r.Crashes + r.WrongAnswers
+			if code != want || count(r) != put || all != put {
+				t.Errorf("exit %d, %d breaches of the kind and %d in all; %d were put in:\n%s",
+					code, count(r), all, put, out)
 			}
 		})
 	}
 }
 
-// TestUpHoldsAFleet guards the rehearsal that is held for people.
-func TestUpHoldsAFleet(t *testing.T) {
-	cmd := exec.Command(filepath.Join(bin, "fleettest"), "up", "--binary")
-	var problems bytes.Buffer
-	cmd.Stderr = &problems
-	out, err := cmd.StdoutPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	lines := make(chan string, 100)
-	go func() {
-		defer close(lines)
-		for in := bufio.NewScanner(out); in.Scan(); {
-			lines <- in.Text()
-		}
-	}()
-	var proxies, nodes int
-	var address string
-	for line := ""; line != "ready"; {
-		line = testutil.Receive(t, "the fleet to be ready", lines)
-		words := strings.Fields(line)
-		switch {
-		case words[0] == "proxy" && len(words) == 2:
-			proxies++
-			address = words[1]
-		case words[0] == "node" && len(words) == 3:
-			nodes++
-		case line != "ready":
-			t.Errorf("said %q", line)
-		}
-	}
-	if proxies == 0 || nodes == 0 {
-		t.Fatalf("%d proxies and %d nodes", proxies, nodes)
-	}
-	socket, err := net.Dial("tcp", address)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer socket.Close()
-	socket.SetDeadline(time.Now().Add(testutil.Timeout))
-	fmt.Fprint(socket, "mg order v O1 Pc=read\r\nms order 2 O2 Pc=write,k=1\r\nhi\r\n")
-	in := bufio.NewReader(socket)
-	for _, want := range []string{"VA 64 O1", "order ", "HD O2 c"} {
-		if line, err := in.ReadString('\n'); !strings.HasPrefix(line, want) {
-			t.Errorf("answered %q, %v, want %q", line, err, want)
-		}
-	}
-	socket.Close()
-	l, err := rawclient.Dial(scriptednode.Binary, address, testutil.Timeout) // any key, without a proof
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Socket.Close()
-	l.Read("any")
-	l.Write("any", "x", rawclient.Unsafe, "")
-	for _, want := range []string{"value 64 bytes", "stored "} {
-		if got, err := l.Next(); err != nil || !strings.HasPrefix(got.String(), want) {
-			t.Errorf("a binary client was answered %q, %v, want %q", got, err, want)
-		}
-	}
-	cmd.Process.Signal(syscall.SIGINT)
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("interrupted, it ended with %v: %s", err, &problems)
-	}
-}
-
-// TestUpTellsOfAgents guards the fleet that is held with Consul agents.
-func TestUpTellsOfAgents(t *testing.T) {
-	cmd := exec.Command(filepath.Join(bin, "fleettest"), "up", "--consul")
-	out, err := cmd.StdoutPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	agent := ""
-	for in := bufio.NewScanner(out); in.Scan() && in.Text() != "ready"; {
-		if words := strings.Fields(in.Text()); words[0] == "agent" && len(words) == 2 {
-			agent = words[1]
-		}
-	}
-	answer, err := http.Get("http://" + agent + "/v1/health/service/cache")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer answer.Body.Close()
-	var list []any
-	if err := json.NewDecoder(answer.Body).Decode(&list); err != nil || len(list) != 4 {
-		t.Errorf("the agent told of %d nodes, %v", len(list), err)
-	}
-	cmd.Process.Signal(syscall.SIGINT)
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("interrupted, it ended with %v", err)
-	}
-}
-
-// TestTillsOfTheLibrary has a proxy of four restarted, then the only one, under tills of both kinds: those
-// of the library lose nothing, write nothing twice and ask little more often than they have to. How
-// evenly they come back is the balance module's test.
-func TestTillsOfTheLibrary(t *testing.T) {
+// TestLibraryClients restarts a proxy of four, then the only one, under clients of both kinds: those of the library
+// lose nothing, write nothing twice and retry little. How evenly they reconnect is checked by the tests of package
+// balance.
+func TestLibraryClients(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
-	out, _ := exec.Command(filepath.Join(bin, "fleettest"), "clients", "--short", "--quiet", "--tills", "300", "--json", path).CombinedOutput()
+	args := []string{"clients", "--short", "--quiet", "--tills", "300", "--json", path}
+	out, _ := exec.Command(filepath.Join(bin, "fleettest"), args...).CombinedOutput()
 	var report fleettest.ClientsReport
 	text, err := os.ReadFile(path)
 	if err == nil {
@@ -335,7 +236,7 @@
 	}
 }
 
-// TestMeasurementsMeasure guards cost and times, on runs too short to quote.
+// TestMeasurementsMeasure guards cost and times, on runs too short to be quoted.
 func TestMeasurementsMeasure(t *testing.T) {
 	out, code, _ := runFleetTest(t, "cost", "--runs", "1", "--requests", "2000")
 	if code != 0 || strings.Count(out, " connections ") != 3 || !strings.Contains(out, "% ") {
@@ -346,22 +247,25 @@
 	}
 }
 
-func TestBadUsageIsTold(t *testing.T) {
+func TestBadUsageIsReported(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("about = \"x\"\ncolour = 1\n[[phase]]\nfor = \"1s\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, args := range [][]string{{}, {"dance"}, {"play"}, {"play", "none"}, {"play", bad}, {"wave", "more"}, {"sight", "--fault", "odd"},
-		{"cost", "--runs", "0"}, {"wave", "--colour"}, {"wave", "--program", "/none"}, {"up", "--scenario", "none"}, {"still", "--at", "13"}, {"still", "--beside", "0"}} {
+	for _, args := range [][]string{
+		{}, {"dance"}, {"play"}, {"play", "none"}, {"play", bad}, {"wave", "more"}, {"sight", "--fault", "odd"},
+		{"cost", "--runs", "0"}, {"wave", "--colour"}, {"wave", "--program", "/none"}, {"up", "--scenario", "none"},
+		{"still", "--at", "13"}, {"still", "--beside", "0"},
+	} {
 		cmd := exec.Command(filepath.Join(bin, "fleettest"), args...)
 		out, _ := cmd.CombinedOutput()
 		if code := cmd.ProcessState.ExitCode(); code != 2 || !strings.HasPrefix(string(out), "fleettest: bad usage: ") {
 			t.Errorf("%q: exit %d: %s", args, code, out)
 		}
 	}
-	for _, flag := range []string{"--list", "--help"} {
+	for flag, want := range map[string]string{"--list": "wave-short ", "--help": "Paused processes"} {
 		out, err := exec.Command(filepath.Join(bin, "fleettest"), flag).Output()
-		if err != nil || !strings.Contains(string(out), map[string]string{"--list": "wave-short ", "--help": "Processes that stand still"}[flag]) {
+		if err != nil || !strings.Contains(string(out), want) {
 			t.Errorf("%s: %v: %s", flag, err, out)
 		}
 	}
--- a/cmd/fleettest/recorded_test.go
+++ b/cmd/fleettest/recorded_test.go
@@ -10,7 +10,6 @@
 	"regexp"
 	"strconv"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -23,8 +22,10 @@
 
 func TestVerbsAndFlagsAsRecorded(t *testing.T) {
 	var got bytes.Buffer
-	for _, verb := range []string{"wave", "play", "up", "cost", "times", "consul", "degrade", "clients", "still", "lease", "takeover", "peers",
-		"members", "conform", "sight", "double", "relay", "holder"} {
+	for _, verb := range []string{
+		"wave", "play", "up", "cost", "times", "consul", "degrade", "clients", "still", "lease", "takeover", "peers",
+		"members", "conform", "sight", "double", "relay", "holder",
+	} {
 		out, err := exec.Command(filepath.Join(bin, "fleettest"), verb, "--help").Output()
 		if err != nil {
 			t.Errorf("%s --help: %v", verb, err)
@@ -145,22 +146,9 @@
 }
 
 func TestStatsAsRecorded(t *testing.T) {
-	cmd := exec.Command(filepath.Join(bin, "fleettest"), "up")
-	out, err := cmd.StdoutPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	defer cmd.Wait()
-	defer cmd.Process.Signal(syscall.SIGINT)
-	address := ""
-	for in := bufio.NewScanner(out); in.Scan() && in.Text() != "ready"; {
-		if at, ok := strings.CutPrefix(in.Text(), "proxy "); ok {
-			address = at
-		}
-	}
+	fleet := holdFleet(t)
+	defer fleet.interrupt(t)
+	address := fleet.proxies[0]
 	write(t, address)
 	// The figures are there once the proxy has sampled itself and has seen a request.
 	testutil.WaitUntil(t, "all figures", func() bool {
--- /dev/null
+++ b/cmd/fleettest/testrun.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"time"
+
+	"mulleinpier/internal/fleettest"
+)
+
+// commonFlags are the flags of all commands.
+type commonFlags struct {
+	Program string `help:"The proxy; mulleinpier beside this program if left out."`
+	JSON    string `help:"Write the report to this file too."`
+	Keep    string `help:"Keep configurations and logs in this folder."`
+	Quiet   bool   `help:"Print no progress."`
+	Consul  bool   `help:"Proxies follow fake Consul agents, one a zone."`
+	Binary  bool   `help:"One client and one node in four speak the binary protocol."`
+	Library bool   `help:"One client in four uses the client library."`
+}
+
+// report is the report of any command. A report with an OK method says whether the rules held.
+type report interface{ Print(io.Writer) }
+
+// testRun is what a command needs to play a fleet.
+type testRun struct {
+	flags    *commonFlags
+	options  fleettest.Options
+	self     string // path of this program, which plays parts in tests
+	out      io.Writer
+	progress io.Writer
+}
+
+// newTest returns a test as the flags say. done removes its folder, unless that is to be kept.
+func (f *commonFlags) newTest(out, progress io.Writer) (t *testRun, done func(), err error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, nil, err
+	}
+	program := f.Program
+	if program == "" {
+		program = filepath.Join(filepath.Dir(self), "mulleinpier")
+	}
+	if _, err := os.Stat(program); err != nil {
+		return nil, nil, fmt.Errorf("%w: the proxy: %w (build it, or name it with --program)", errUsage, err)
+	}
+	t = &testRun{flags: f, self: self, out: out, progress: progress}
+	t.options.ProxyCommand = []string{program, "serve", "--config"}
+	t.options.Progress = func(format string, a ...any) {
+		if !f.Quiet {
+			fmt.Fprintf(progress, "%s %s\n", time.Now().Format(time.TimeOnly), fmt.Sprintf(format, a...))
+		}
+	}
+	t.options.Folder, done, err = f.openFolder()
+	return t, done, err
+}
+
+// openFolder creates the folder for configurations and logs.
+func (f *commonFlags) openFolder() (path string, done func(), err error) {
+	if f.Keep == "" {
+		return fleettest.TempFolder()
+	}
+	return f.Keep, func() {}, os.MkdirAll(f.Keep, 0o755)
+}
+
+// loadScenario loads a scenario and changes it as the flags say.
+func (t *testRun) loadScenario(name string) (*fleettest.Scenario, error) {
+	scenario, err := fleettest.LoadScenario(name)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
+	}
+	if t.flags.Binary {
+		scenario.WithBinary()
+	}
+	if t.flags.Consul {
+		scenario.Fleet.Consul = true
+	}
+	if t.flags.Library {
+		scenario.WithLibrary()
+	}
+	return scenario, nil
+}
+
+// playScenario plays one scenario.
+func (t *testRun) playScenario(ctx context.Context, name string) (report, error) {
+	scenario, err := t.loadScenario(name)
+	if err != nil {
+		return nil, err
+	}
+	return fleettest.RunScenario(ctx, scenario, t.options)
+}
+
+// finish prints a report, writes it to the file that was asked for, and returns errBroken if a rule broke.
+func (t *testRun) finish(r report) error {
+	r.Print(t.out)
+	if t.flags.JSON != "" {
+		text, err := json.MarshalIndent(r, "", " ")
+		if err != nil {
+			return err
+		}
+		if err := os.WriteFile(t.flags.JSON, append(text, '\n'), 0o644); err != nil {
+			return err
+		}
+	}
+	if checked, ok := r.(interface{ OK() bool }); ok && !checked.OK() {
+		return errBroken
+	}
+	return nil
+}
+
+// checkBounds checks the value of a flag.
+func checkBounds(flag string, value, lowest, highest int) error {
+	if value < lowest || value > highest {
+		return fmt.Errorf("%w: --%s cannot be %d: want %d to %d", errUsage, flag, value, lowest, highest)
+	}
+	return nil
+}
