--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -33,22 +33,22 @@
 	Fetches         int               `json:"fetches"`
 }
 
-// trouble is what befalls a fleet in the middle of three phases.
-type trouble struct {
-	name, about    string
+// clientFault is what befalls a fleet in the middle of three phases.
+type clientFault struct {
+	name, description    string
 	proxies        int
-	calm, bad, end time.Duration
+	before, during, after time.Duration
 	together       bool // both kinds at once, on the same fleet
 	rate           float64
 	slots          int // of a node; each carries 40 requests a second in one
-	do             func(ctx context.Context, f *fleet)
+	inject             func(ctx context.Context, f *fleet)
 }
 
-// startTime is how long all tills have to begin.
-const startTime = 2 * time.Second
+// rampUpTime is how long all tills have to begin.
+const rampUpTime = 2 * time.Second
 
-func (t *trouble) phases() []loadgen.Phase {
-	return []loadgen.Phase{{Name: "start", Duration: startTime}, {Name: "calm", Duration: t.calm}, {Name: "trouble", Duration: t.bad}, {Name: "after", Duration: t.end}}
+func (t *clientFault) phases() []loadgen.Phase {
+	return []loadgen.Phase{{Name: "start", Duration: rampUpTime}, {Name: "calm", Duration: t.before}, {Name: "trouble", Duration: t.during}, {Name: "after", Duration: t.after}}
 }
 
 // ClientsOptions say what to play.
@@ -59,59 +59,59 @@
 	Short     bool
 }
 
-// gone is how long all proxies are gone.
-const gone = 5 * time.Second
+// outageDuration is how long all proxies are gone.
+const outageDuration = 5 * time.Second
 
-func troubles(short bool) []trouble {
-	all := []trouble{
-		{name: "restart", about: "one proxy of four is restarted", proxies: 4, calm: 4 * time.Second, bad: 6 * time.Second, end: 4 * time.Second,
-			together: true, rate: 900, slots: 10, do: func(_ context.Context, f *fleet) { f.proxies[1].restart("gap") }},
-		{name: "only", about: "the only proxy is restarted", proxies: 1, calm: 5 * time.Second, bad: 5 * time.Second, end: 4 * time.Second, rate: 900, slots: 6,
-			do: func(_ context.Context, f *fleet) { f.proxies[0].restart("gap") }},
-		{name: "kill", about: "one proxy of four is killed outright and started again", proxies: 4, calm: 5 * time.Second, bad: 5 * time.Second,
-			end: 4 * time.Second, rate: 900, slots: 6, do: func(_ context.Context, f *fleet) { f.proxies[1].kill() }},
-		{name: "gone", about: "all four proxies are gone for 5 s and come back", proxies: 4, calm: 5 * time.Second, bad: 9 * time.Second,
-			end: 5 * time.Second, rate: 900, slots: 6, do: func(ctx context.Context, f *fleet) { f.away(ctx, gone) }},
-		{name: "outage", about: "half of the nodes are gone for 10 s, the others can't carry the load", proxies: 4, calm: 5 * time.Second, bad: 10 * time.Second,
-			end: 8 * time.Second, rate: 900, slots: 4, do: func(ctx context.Context, f *fleet) { f.halve(ctx, 10*time.Second) }},
+func clientFaults(short bool) []clientFault {
+	all := []clientFault{
+		{name: "restart", description: "one proxy of four is restarted", proxies: 4, before: 4 * time.Second, during: 6 * time.Second, after: 4 * time.Second,
+			together: true, rate: 900, slots: 10, inject: func(_ context.Context, f *fleet) { f.proxies[1].restart("gap") }},
+		{name: "only", description: "the only proxy is restarted", proxies: 1, before: 5 * time.Second, during: 5 * time.Second, after: 4 * time.Second, rate: 900, slots: 6,
+			inject: func(_ context.Context, f *fleet) { f.proxies[0].restart("gap") }},
+		{name: "kill", description: "one proxy of four is killed outright and started again", proxies: 4, before: 5 * time.Second, during: 5 * time.Second,
+			after: 4 * time.Second, rate: 900, slots: 6, inject: func(_ context.Context, f *fleet) { f.proxies[1].kill() }},
+		{name: "gone", description: "all four proxies are gone for 5 s and come back", proxies: 4, before: 5 * time.Second, during: 9 * time.Second,
+			after: 5 * time.Second, rate: 900, slots: 6, inject: func(ctx context.Context, f *fleet) { f.killAllFor(ctx, outageDuration) }},
+		{name: "outage", description: "half of the nodes are gone for 10 s, the others can't carry the load", proxies: 4, before: 5 * time.Second, during: 10 * time.Second,
+			after: 8 * time.Second, rate: 900, slots: 4, inject: func(ctx context.Context, f *fleet) { f.stopHalfTheNodes(ctx, 10*time.Second) }},
 	}
 	if short {
 		all = all[:2]
 		for i := range all {
-			all[i].rate, all[i].calm, all[i].bad, all[i].end = 300, 2*time.Second, 4*time.Second, 2*time.Second
+			all[i].rate, all[i].before, all[i].during, all[i].after = 300, 2*time.Second, 4*time.Second, 2*time.Second
 		}
 	}
 	return all
 }
 
-// away ends all proxies' processes outright, and starts them after a while.
-func (f *fleet) away(ctx context.Context, d time.Duration) {
+// killAllFor ends all proxies' processes outright, and starts them after a while.
+func (f *fleet) killAllFor(ctx context.Context, d time.Duration) {
 	var tasks sync.WaitGroup
 	for _, p := range f.proxies {
 		tasks.Go(func() {
-			p.change.Lock()
-			defer p.change.Unlock()
+			p.changing.Lock()
+			defer p.changing.Unlock()
 			p.mu.Lock()
-			p.killed = time.Now()
+			p.killedAt = time.Now()
 			old := p.process
 			p.mu.Unlock()
 			old.end(syscall.SIGKILL)
 			sleep(ctx, d)
 			if err := p.start(); err != nil {
-				f.crash("%v", err)
+				f.addCrash("%v", err)
 			}
 		})
 	}
 	tasks.Wait()
 }
 
-// halve takes every other node away for a while; nobody tells the list.
-func (f *fleet) halve(ctx context.Context, d time.Duration) {
+// stopHalfTheNodes takes every other node away for a while; nobody tells the list.
+func (f *fleet) stopHalfTheNodes(ctx context.Context, d time.Duration) {
 	each := func(do func(*node.Node) error) {
 		for i, n := range f.nodes {
 			if i%2 == 1 {
 				if err := do(n); err != nil {
-					f.problem("node %d: %v", i, err)
+					f.addProblem("node %d: %v", i, err)
 				}
 			}
 		}
@@ -121,19 +121,19 @@
 	each((*node.Node).Restart)
 }
 
-// clientsFleet is the fleet that tills of a load ask.
-func clientsFleet(t *trouble) *Scenario {
+// clientsScenario is the fleet that tills of a load ask.
+func clientsScenario(t *clientFault) *Scenario {
 	s, err := LoadScenario("up")
 	if err != nil {
 		panic(err) // it is built in, and a test loads it
 	}
-	s.Name, s.Description, s.Seed = "clients-"+t.name, t.about, 11
+	s.Name, s.Description, s.Seed = "clients-"+t.name, t.description, 11
 	s.Fleet.Proxies, s.Fleet.Nodes, s.Fleet.Zones = t.proxies, 8, []string{"a"}
-	s.Fleet.Slots, s.Fleet.Queue, s.Fleet.ServiceTime = t.slots, 32, span(25*time.Millisecond)
-	s.Fleet.OriginSlots, s.Fleet.OriginQueue, s.Fleet.OriginServiceTime = 32, 256, span(40*time.Millisecond)
+	s.Fleet.Slots, s.Fleet.Queue, s.Fleet.ServiceTime = t.slots, 32, tomlDuration(25*time.Millisecond)
+	s.Fleet.OriginSlots, s.Fleet.OriginQueue, s.Fleet.OriginServiceTime = 32, 256, tomlDuration(40*time.Millisecond)
 	s.Fleet.MaxSockets, s.Fleet.MemoryMB, s.Fleet.ConnectionsPerNode, s.Fleet.Connections = 8192, 128, 8, 128
 	for _, p := range t.phases() {
-		s.Phases = append(s.Phases, Phase{Name: p.Name, Duration: span(p.Duration)})
+		s.Phases = append(s.Phases, Phase{Name: p.Name, Duration: tomlDuration(p.Duration)})
 	}
 	return s
 }
@@ -141,7 +141,7 @@
 // RunClients plays all troubles, each by turns with both kinds of tills, or with both at once.
 func RunClients(ctx context.Context, o ClientsOptions) (*ClientsReport, error) {
 	report := &ClientsReport{}
-	for _, t := range troubles(o.Short) {
+	for _, t := range clientFaults(o.Short) {
 		if o.OnlyFault != "" && o.OnlyFault != t.name {
 			continue
 		}
@@ -164,35 +164,35 @@
 	return report, nil
 }
 
-func (o *ClientsOptions) play(ctx context.Context, t *trouble, kinds ...loadgen.Kind) (*ClientsRun, error) {
-	s := clientsFleet(t)
+func (o *ClientsOptions) play(ctx context.Context, t *clientFault, kinds ...loadgen.Kind) (*ClientsRun, error) {
+	s := clientsScenario(t)
 	folder := filepath.Join(o.Folder, fmt.Sprint(t.name, "-", kinds[0]))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	o.Progress("%s: %s; %d tills each of %v", t.name, t.about, o.Clients, kinds)
+	o.Progress("%s: %s; %d tills each of %v", t.name, t.description, o.Clients, kinds)
 	f, err := startFleet(s, o.ProxyCommand, folder, o.Progress)
 	if err != nil {
 		return nil, err
 	}
 	defer f.close()
-	p := &ClientsRun{Name: t.name, Description: t.about, Results: make([]*loadgen.Result, len(kinds)), DuplicateWrites: make(map[string]int)}
+	p := &ClientsRun{Name: t.name, Description: t.description, Results: make([]*loadgen.Result, len(kinds)), DuplicateWrites: make(map[string]int)}
 	var addresses []string
 	for _, d := range f.proxies {
-		addresses = append(addresses, d.front)
+		addresses = append(addresses, d.clientAddress)
 	}
 	var tasks sync.WaitGroup
 	errs := make([]error, len(kinds))
 	for i, kind := range kinds {
 		c := loadgen.Config{Kind: kind, Addresses: addresses, Clients: o.Clients, Rate: t.rate, HandoverShare: 0.06, Keys: 3000, Skew: 1.2, Seed: 3,
-			SeenByNode: f.wasSeen, RecentlyKilled: f.killedLately,
+			SeenByNode: f.seenByNode, RecentlyKilled: f.recentlyKilled,
 			Phases:  t.phases(),
 			Options: client.Options{Window: time.Duration(s.Fleet.DedupWindow), StartSpread: time.Second}}
 		tasks.Go(func() { p.Results[i], errs[i] = loadgen.Run(ctx, c) })
 	}
 	tasks.Go(func() {
-		sleep(ctx, startTime+t.calm)
-		t.do(ctx, f)
+		sleep(ctx, rampUpTime+t.before)
+		t.inject(ctx, f)
 	})
 	tasks.Wait()
 	for _, err := range errs {
@@ -201,7 +201,7 @@
 		}
 	}
 	f.stop()
-	settle(func() int { return f.origin.Stats().Writes })
+	waitUntilSteady(func() int { return f.origin.Stats().Writes })
 	p.Fetches = f.origin.Stats().Fetches
 	for _, e := range f.origin.DuplicateEffects() {
 		name := e.Record + " " + e.Key
@@ -221,13 +221,13 @@
 	return p, nil
 }
 
-// killedLately tells whether a proxy was killed outright within the time that a request may be out at it.
-func (f *fleet) killedLately(address string) bool {
+// recentlyKilled tells whether a proxy was killed outright within the time that a request may be out at it.
+func (f *fleet) recentlyKilled(address string) bool {
 	for _, d := range f.proxies {
-		if d.front == address {
+		if d.clientAddress == address {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			return time.Since(d.killed) < patience
+			return time.Since(d.killedAt) < processTimeout
 		}
 	}
 	return false
@@ -235,10 +235,10 @@
 
 // Bounds that the library's tills must keep in a rehearsal.
 const (
-	// busiestTimes bounds the attempts to connect in the busiest 50 ms of a restart, in times of
+	// maxDialPeak bounds the attempts to connect in the busiest 50 ms of a restart, in times of
 	// their mean over the trouble.
-	busiestTimes = 3
-	mostTriesPer = 1.1
+	maxDialPeak = 3
+	maxTriesPerRequest = 1.1
 )
 
 // broken lists what the library's tills did not keep.
@@ -258,11 +258,11 @@
 			if f.Lost > 0 {
 				say("%s: %d requests lost", f.Phase, f.Lost)
 			}
-			if f.Offered > 0 && f.TriesPerRequest() > mostTriesPer {
+			if f.Offered > 0 && f.TriesPerRequest() > maxTriesPerRequest {
 				say("%s: %.3f tries for each request", f.Phase, f.TriesPerRequest())
 			}
 		}
-		if bad := r.Phases[2]; p.Name == "restart" && float64(bad.DialsBusiest50ms) > busiestTimes*bad.DialsMean50ms {
+		if bad := r.Phases[2]; p.Name == "restart" && float64(bad.DialsBusiest50ms) > maxDialPeak*bad.DialsMean50ms {
 			say("%d attempts to connect in the busiest 50 ms, %.1f in the mean", bad.DialsBusiest50ms, bad.DialsMean50ms)
 		}
 	}
--- a/internal/fleettest/conform.go
+++ b/internal/fleettest/conform.go
@@ -248,7 +248,7 @@
 			return "", err
 		}
 	}
-	c, err := rawclient.Dial(client, address, patience)
+	c, err := rawclient.Dial(client, address, processTimeout)
 	if err != nil {
 		return "", err
 	}
@@ -283,13 +283,13 @@
 func drainFirst(service *endpointlist.Service, e endpointlist.Entry) (time.Time, error) {
 	e.Status = "draining"
 	service.Set(e)
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(processTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if told, ok := service.DrainNotifiedAt(0, e.Name); ok {
 			time.Sleep(time.Until(told.Add(drainGrace)))
 			return told.Add(drainGrace), nil
 		}
 	}
-	return time.Time{}, fmt.Errorf("the drain was not told in %v", patience)
+	return time.Time{}, fmt.Errorf("the drain was not told in %v", processTimeout)
 }
 
 // ask does the steps and tells what was not answered as wanted.
--- a/internal/fleettest/cost.go
+++ b/internal/fleettest/cost.go
@@ -69,7 +69,7 @@
 
 // startVoters starts three processes that vote and serve nobody.
 func startVoters(program []string, folder string) (list []agent.VoterAddress, end func(), err error) {
-	f, err := newVoters(folder, newPorts())
+	f, err := newVoters(folder, newPortReserver())
 	if err != nil {
 		return nil, nil, err
 	}
@@ -81,7 +81,7 @@
 	}
 	for i, v := range f.Voters {
 		config := filepath.Join(folder, v.Name+".toml")
-		text := "name = \"" + v.Name + "\"\nlisten = \"127.0.0.1:0\"\nnodes.addresses = [\"127.0.0.2:1\"]\n" + peersText(f.Voters, folder, i)
+		text := "name = \"" + v.Name + "\"\nlisten = \"127.0.0.1:0\"\nnodes.addresses = [\"127.0.0.2:1\"]\n" + peersConfig(f.Voters, folder, i)
 		if err = os.WriteFile(config, []byte(text), 0o600); err == nil {
 			var p *process
 			if p, err = startProcess(append(slices.Clone(program), config), nil, filepath.Join(folder, v.Name+".log")); err == nil {
@@ -120,7 +120,7 @@
 			return nil, err
 		}
 		defer end()
-		text += peersText(voters, o.Folder, -1)
+		text += peersConfig(voters, o.Folder, -1)
 		text = strings.Replace(text, "permit = \"wait\"\n", "", 1) // nobody follows it
 	}
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -191,7 +191,7 @@
 // drive sends requests over so many connections, one at a time on each, and
 // returns the CPU seconds that a process had for them, and the seconds they took.
 func drive(ctx context.Context, p *process, address string, binary bool, conns, requests int) (cpu, took float64, err error) {
-	var links []*link
+	var links []*clientConn
 	defer func() {
 		for _, l := range links {
 			l.socket.Close()
@@ -237,7 +237,7 @@
 
 // ask sends so many requests over connections, one at a time on each, and counts those
 // that were refused.
-func ask(ctx context.Context, links []*link, serial *atomic.Int64, requests int) (int, error) {
+func ask(ctx context.Context, links []*clientConn, serial *atomic.Int64, requests int) (int, error) {
 	var left, refused atomic.Int64
 	left.Store(int64(requests))
 	var tasks sync.WaitGroup
@@ -255,7 +255,7 @@
 				}
 				var a meta.AnswerLine
 				if err == nil {
-					a, _, err = l.answer()
+					a, _, err = l.readAnswer()
 				}
 				if err == nil && a.Kind == request.Busy { // it costs too, but is no read
 					refused.Add(1)
--- a/internal/fleettest/degrade.go
+++ b/internal/fleettest/degrade.go
@@ -25,12 +25,12 @@
 	overload.Transition
 }
 
-// levels asks all proxies for the changes of their levels.
-func (f *fleet) levels(began time.Time) (all [][]LevelChange) {
+// levelChanges asks all proxies for the changes of their levels.
+func (f *fleet) levelChanges(began time.Time) (all [][]LevelChange) {
 	for _, d := range f.proxies {
 		records, err := askLevels(d.address)
 		if err != nil {
-			f.say("proxy %d tells no levels: %v", d.index, err)
+			f.progress("proxy %d tells no levels: %v", d.index, err)
 		}
 		var list []LevelChange
 		for _, r := range records {
@@ -142,8 +142,8 @@
 	return len(r.Pairs) > 0
 }
 
-// whole sums up all phases.
-func (r *Report) whole() (sum PhaseReport) {
+// total sums up all phases.
+func (r *Report) total() (sum PhaseReport) {
 	for _, p := range r.Phases {
 		sum.Handovers += p.Handovers
 		sum.HandoversInTime += p.HandoversInTime
@@ -193,7 +193,7 @@
 			reduced string
 			r       *Report
 		}{{"no", p.WithoutLevels}, {"yes", p.WithLevels}} {
-			s := x.r.whole()
+			s := x.r.total()
 			n, worst, full := x.r.changes()
 			fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%.0f\t%.4f\t%.4f\t%d\t%d\t%d\t%s\t%.1f\t\n", x.r.Scenario, x.reduced, s.Handovers,
 				part(float64(s.HandoversInTime), float64(s.Handovers)), s.OfferedWeight, part(s.ServedWeight, s.OfferedWeight),
--- a/internal/fleettest/directory.go
+++ b/internal/fleettest/directory.go
@@ -15,33 +15,33 @@
 type directory interface {
 	// config opens a place for a proxy, and returns what its configuration says of it.
 	config(proxy int) (string, error)
-	// told returns when a proxy was first told that a node drains or is gone, and false
+	// notifiedAt returns when a proxy was first told that a node drains or is gone, and false
 	// while it is not told so.
-	told(proxy int, node string) (time.Time, bool)
-	set(e endpointlist.Entry)
-	// fail makes all of it fail in a way, "" for none.
-	fail(kind string)
+	notifiedAt(proxy int, node string) (time.Time, bool)
+	update(e endpointlist.Entry)
+	// setFault makes all of it fail in a way, "" for none.
+	setFault(kind string)
 	// move changes the place of a proxy.
 	move(proxy int) error
-	places() []string // to talk to by hand
+	addresses() []string // to talk to by hand
 	close()
 }
 
-// platformList is a directory of the platform's form.
-type platformList struct {
+// platformDirectory is a directory of the platform's form.
+type platformDirectory struct {
 	service *endpointlist.Service
 	mu      sync.Mutex
 	at      map[int]string
 }
 
-// newPlatformList has each proxy find a node where placed says.
-func newPlatformList(entries []endpointlist.Entry, placed func(proxy int, e *endpointlist.Entry) string) *platformList {
+// newPlatformDirectory has each proxy find a node where placed says.
+func newPlatformDirectory(entries []endpointlist.Entry, placed func(proxy int, e *endpointlist.Entry) string) *platformDirectory {
 	service := endpointlist.New(entries)
 	service.AddressFor = placed
-	return &platformList{service: service, at: make(map[int]string)}
+	return &platformDirectory{service: service, at: make(map[int]string)}
 }
 
-func (d *platformList) config(proxy int) (string, error) {
+func (d *platformDirectory) config(proxy int) (string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.at[proxy] == "" {
@@ -54,15 +54,15 @@
 	return fmt.Sprintf("[nodes]\ndiscovery = %q\n", d.at[proxy]), nil
 }
 
-func (d *platformList) told(proxy int, node string) (time.Time, bool) {
+func (d *platformDirectory) notifiedAt(proxy int, node string) (time.Time, bool) {
 	return d.service.DrainNotifiedAt(proxy, node)
 }
-func (d *platformList) set(e endpointlist.Entry) { d.service.Set(e) }
-func (d *platformList) fail(kind string)         { d.service.SetDown(kind != "") }
-func (d *platformList) places() []string         { return nil }
-func (d *platformList) close()                   { d.service.Close() }
+func (d *platformDirectory) update(e endpointlist.Entry) { d.service.Set(e) }
+func (d *platformDirectory) setFault(kind string)         { d.service.SetDown(kind != "") }
+func (d *platformDirectory) addresses() []string         { return nil }
+func (d *platformDirectory) close()                   { d.service.Close() }
 
-func (d *platformList) move(proxy int) error {
+func (d *platformDirectory) move(proxy int) error {
 	at, err := d.service.Move(proxy)
 	if err == nil {
 		d.mu.Lock()
@@ -72,9 +72,9 @@
 	return err
 }
 
-// catalogue is a directory of Consul's: one agent for each zone, at which the proxies of
+// consulDirectory is a directory of Consul's: one agent for each zone, at which the proxies of
 // the zone register too.
-type catalogue struct {
+type consulDirectory struct {
 	catalogue *consul.Catalogue
 	zones     []string
 
@@ -84,8 +84,8 @@
 
 const consulService = "cache"
 
-func newCatalogue(entries []endpointlist.Entry, zones []string) (*catalogue, error) {
-	d := &catalogue{catalogue: consul.New(), zones: zones, agents: make(map[string]*consul.Agent)}
+func newConsulDirectory(entries []endpointlist.Entry, zones []string) (*consulDirectory, error) {
+	d := &consulDirectory{catalogue: consul.New(), zones: zones, agents: make(map[string]*consul.Agent)}
 	for _, zone := range zones {
 		a, err := d.catalogue.Start("agent-"+zone, "")
 		if err != nil {
@@ -95,30 +95,30 @@
 		d.agents[zone] = a
 	}
 	for _, e := range entries {
-		d.set(e)
+		d.update(e)
 	}
 	return d, nil
 }
 
-func (d *catalogue) zoneOf(proxy int) string { return d.zones[proxy%len(d.zones)] }
+func (d *consulDirectory) zoneOf(proxy int) string { return d.zones[proxy%len(d.zones)] }
 
-func (d *catalogue) agent(proxy int) *consul.Agent {
+func (d *consulDirectory) agent(proxy int) *consul.Agent {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.agents[d.zoneOf(proxy)]
 }
 
-func (d *catalogue) config(proxy int) (string, error) {
+func (d *consulDirectory) config(proxy int) (string, error) {
 	return fmt.Sprintf("[nodes]\nconsul = %q\n[consul]\nservice = %q\n[consul.register]\nservice = \"proxy\"\nttl = \"3s\"\n",
 		d.agent(proxy).Address(), consulService), nil
 }
 
-func (d *catalogue) told(proxy int, node string) (time.Time, bool) {
+func (d *consulDirectory) notifiedAt(proxy int, node string) (time.Time, bool) {
 	return d.agent(proxy).LeavingWrittenAt("host-"+node, node)
 }
 
-// set enters a node as an agent beside it would: a drain is its maintenance.
-func (d *catalogue) set(e endpointlist.Entry) {
+// update enters a node as an agent beside it would: a drain is its maintenance.
+func (d *consulDirectory) update(e endpointlist.Entry) {
 	host := "host-" + e.Name
 	address, port := splitPort(e.Address)
 	if e.Status == "removed" {
@@ -143,7 +143,7 @@
 	return address[:at], port
 }
 
-func (d *catalogue) fail(kind string) {
+func (d *consulDirectory) setFault(kind string) {
 	if kind == "rewind" {
 		d.catalogue.ResetIndex()
 		return
@@ -156,7 +156,7 @@
 }
 
 // move has another agent take the place of a proxy's, for all proxies of its zone.
-func (d *catalogue) move(proxy int) error {
+func (d *consulDirectory) move(proxy int) error {
 	a, err := d.catalogue.Start("agent-"+d.zoneOf(proxy), "")
 	if err != nil {
 		return err
@@ -169,14 +169,14 @@
 	return nil
 }
 
-func (d *catalogue) places() (list []string) {
+func (d *consulDirectory) addresses() (list []string) {
 	for _, zone := range d.zones {
 		list = append(list, "agent "+d.agents[zone].Address())
 	}
 	return list
 }
 
-func (d *catalogue) close() {
+func (d *consulDirectory) close() {
 	for _, a := range d.agents {
 		a.Close()
 	}
@@ -187,7 +187,7 @@
 func (f *fleet) flap(i, times int, every time.Duration, ended <-chan struct{}) {
 	for range times {
 		for _, status := range []string{"removed", "up"} {
-			f.tellNode(i, func(x *endpointlist.Entry) { x.Status = status })
+			f.updateNode(i, func(x *endpointlist.Entry) { x.Status = status })
 			select {
 			case <-ended:
 			case <-time.After(every):
--- a/internal/fleettest/disturb.go
+++ b/internal/fleettest/disturb.go
@@ -16,8 +16,8 @@
 // This file has a scenario's events put the rig's faults into the fleet, and knows whom they
 // excuse.
 
-// stand is a time in which a process was stopped.
-type stand struct{ from, to time.Time }
+// interval is a time in which a process was stopped.
+type interval struct{ from, to time.Time }
 
 // linkHost is where links begin: at an address whose ports nobody takes who is down for a while.
 const linkHost = "127.0.0.4"
@@ -26,18 +26,18 @@
 // the test itself was late lately, as for any answer.
 const wakeTime = 50 * time.Millisecond
 
-// links are the ways between parts of the fleet that a scenario has fail, one for each pair.
+// linkSet are the ways between parts of the fleet that a scenario has fail, one for each pair.
 // Pairs that none has fail talk without one.
-type links struct {
+type linkSet struct {
 	clients map[int]*faultinject.Link // by proxy; nil for no links of the kind
 	list    map[int]*faultinject.Link // by proxy
 
 	mu   sync.Mutex
-	held map[int]map[string]*faultinject.Link // proxy, node
+	nodes map[int]map[string]*faultinject.Link // proxy, node
 }
 
-// plan tells which links there are to be.
-func (l *links) plan(s *Scenario) {
+// prepare tells which links there are to be.
+func (l *linkSet) prepare(s *Scenario) {
 	for i := range s.Events {
 		e := &s.Events[i]
 		if e.Action != "link" {
@@ -47,15 +47,15 @@
 		case "clients":
 			l.clients = make(map[int]*faultinject.Link)
 		case "nodes":
-			l.held = make(map[int]map[string]*faultinject.Link)
+			l.nodes = make(map[int]map[string]*faultinject.Link)
 		case "list":
 			l.list = make(map[int]*faultinject.Link)
 		}
 	}
 }
 
-// toProxy is where clients connect to a proxy.
-func (l *links) toProxy(d *proxyDoor) (string, error) {
+// linkToProxy is where clients connect to a proxy.
+func (l *linkSet) linkToProxy(d *proxyInstance) (string, error) {
 	if l.clients == nil {
 		return d.address, nil
 	}
@@ -67,31 +67,31 @@
 	return link.Address(), nil
 }
 
-// linkedNode is where a proxy finds a node.
-func (f *fleet) linkedNode(proxy int, e *endpointlist.Entry) string {
+// nodeAddress is where a proxy finds a node.
+func (f *fleet) nodeAddress(proxy int, e *endpointlist.Entry) string {
 	l := &f.links
-	if l.held == nil {
+	if l.nodes == nil {
 		return e.Address
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held[proxy] == nil {
-		l.held[proxy] = make(map[string]*faultinject.Link)
+	if l.nodes[proxy] == nil {
+		l.nodes[proxy] = make(map[string]*faultinject.Link)
 	}
-	link := l.held[proxy][e.Name]
+	link := l.nodes[proxy][e.Name]
 	if link == nil {
 		var err error
 		if link, err = faultinject.NewLink(linkHost, e.Address); err != nil {
-			f.problem("%v", err)
+			f.addProblem("%v", err)
 			return e.Address
 		}
-		l.held[proxy][e.Name] = link
+		l.nodes[proxy][e.Name] = link
 	}
 	return link.Address()
 }
 
-// linkedList puts a link before the place of a proxy's list.
-func (f *fleet) linkedList(proxy int, place string) (string, error) {
+// linkToList puts a link before the place of a proxy's list.
+func (f *fleet) linkToList(proxy int, place string) (string, error) {
 	before, rest, ok := strings.Cut(place, "discovery = \"")
 	target, after, _ := strings.Cut(rest, "\"")
 	if !ok {
@@ -107,37 +107,37 @@
 	return before + "discovery = \"" + f.links.list[proxy].Address() + "\"" + after, nil
 }
 
-// heldBetween tells whether what came from a proxy to a node may have waited on its link since
+// nodeLinkFaulty tells whether what came from a proxy to a node may have waited on its link since
 // a time.
-func (l *links) heldBetween(proxy int, node string, since time.Time) bool {
+func (l *linkSet) nodeLinkFaulty(proxy int, node string, since time.Time) bool {
 	l.mu.Lock()
-	link := l.held[proxy][node]
+	link := l.nodes[proxy][node]
 	l.mu.Unlock()
 	return link != nil && link.FaultySince(since.Add(-drainGrace))
 }
 
-// listHeldSince tells whether what a proxy was told may have waited on its list's link since a time.
-func (l *links) listHeldSince(proxy int, since time.Time) bool {
+// listLinkFaulty tells whether what a proxy was told may have waited on its list's link since a time.
+func (l *linkSet) listLinkFaulty(proxy int, since time.Time) bool {
 	link := l.list[proxy]
 	return link != nil && link.FaultySince(since.Add(-drainGrace))
 }
 
-func (l *links) close() {
+func (l *linkSet) close() {
 	for _, link := range l.clients {
 		link.Close()
 	}
 	for _, link := range l.list {
 		link.Close()
 	}
-	for _, byNode := range l.held {
+	for _, byNode := range l.nodes {
 		for _, link := range byNode {
 			link.Close()
 		}
 	}
 }
 
-// chosen are the links that an event is about.
-func (l *links) chosen(e *Event, names []string) (list []*faultinject.Link) {
+// matching are the links that an event is about.
+func (l *linkSet) matching(e *Event, names []string) (list []*faultinject.Link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, proxy := range e.proxies() {
@@ -147,7 +147,7 @@
 		case "list":
 			list = append(list, l.list[proxy])
 		default:
-			for name, link := range l.held[proxy] {
+			for name, link := range l.nodes[proxy] {
 				if len(e.Nodes) == 0 || slices.ContainsFunc(e.Nodes, func(i int) bool { return names[i] == name }) {
 					list = append(list, link)
 				}
@@ -190,24 +190,24 @@
 	return nil
 }
 
-// disturb puts in a fault of the rig's kinds, until its end, and tells whether the event is one.
-func (f *fleet) disturb(ctx context.Context, e *Event) bool {
-	var each func(ctx context.Context, d *proxyDoor) error
+// injectFault puts in a fault of the rig's kinds, until its end, and tells whether the event is one.
+func (f *fleet) injectFault(ctx context.Context, e *Event) bool {
+	var each func(ctx context.Context, d *proxyInstance) error
 	switch e.Action {
 	case "stop":
 		schedule := faultinject.StopSchedule{Duration: time.Duration(e.Duration), Interval: time.Duration(e.Interval), Count: e.Count}
-		each = func(ctx context.Context, d *proxyDoor) error { return d.stop(ctx, schedule) }
+		each = func(ctx context.Context, d *proxyInstance) error { return d.stopBySchedule(ctx, schedule) }
 	case "starve":
-		each = func(ctx context.Context, d *proxyDoor) error {
+		each = func(ctx context.Context, d *proxyInstance) error {
 			ctx, end := context.WithTimeout(ctx, time.Duration(e.Duration))
 			defer end()
-			return faultinject.StarveCPU(ctx, d.current().cmd.Process.Pid, max(e.Count, 1))
+			return faultinject.StarveCPU(ctx, d.currentProcess().cmd.Process.Pid, max(e.Count, 1))
 		}
 	case "crowd":
-		each = func(ctx context.Context, d *proxyDoor) error {
+		each = func(ctx context.Context, d *proxyInstance) error {
 			ctx, end := context.WithTimeout(ctx, time.Duration(e.Duration))
 			defer end()
-			faultinject.FillBacklog(ctx, d.front, max(e.Count, 1))
+			faultinject.FillBacklog(ctx, d.clientAddress, max(e.Count, 1))
 			return nil
 		}
 	case "link":
@@ -220,7 +220,7 @@
 	for _, i := range e.proxies() {
 		tasks.Go(func() {
 			if err := each(ctx, f.proxies[i]); err != nil {
-				f.problem("%s of proxy %d: %v", e.Action, i, err)
+				f.addProblem("%s of proxy %d: %v", e.Action, i, err)
 			}
 		})
 	}
@@ -234,7 +234,7 @@
 	for i, n := range f.nodes {
 		names[i] = n.Name()
 	}
-	chosen := f.links.chosen(e, names)
+	chosen := f.links.matching(e, names)
 	if e.FaultKind == "reset" {
 		for _, l := range chosen {
 			l.Reset()
@@ -246,7 +246,7 @@
 		for _, l := range chosen {
 			tasks.Go(func() {
 				if err := l.SetFault(fault); err != nil {
-					f.problem("link: %v", err)
+					f.addProblem("link: %v", err)
 				}
 			})
 		}
@@ -257,44 +257,44 @@
 	set(faultinject.Fault{})
 }
 
-// stop stops the proxy's process by a schedule.
-func (d *proxyDoor) stop(ctx context.Context, schedule faultinject.StopSchedule) error {
+// stopBySchedule stops the proxy's process by a schedule.
+func (d *proxyInstance) stopBySchedule(ctx context.Context, schedule faultinject.StopSchedule) error {
 	at := -1
 	note := func(from, to time.Time) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if at >= 0 {
-			d.stood[at].to = to
+			d.stops[at].to = to
 		} else {
-			d.stood = append(d.stood, stand{from, to})
+			d.stops = append(d.stops, interval{from, to})
 		}
 		at = -1
 	}
 	if schedule.Count <= 1 { // its end is not known to those who ask meanwhile
 		d.mu.Lock()
-		at = len(d.stood)
-		d.stood = append(d.stood, stand{from: time.Now(), to: time.Now().Add(time.Hour)})
+		at = len(d.stops)
+		d.stops = append(d.stops, interval{from: time.Now(), to: time.Now().Add(time.Hour)})
 		d.mu.Unlock()
 	}
-	return schedule.Run(ctx, d.current().cmd.Process.Pid, note)
+	return schedule.Run(ctx, d.currentProcess().cmd.Process.Pid, note)
 }
 
-// stoodAt tells whether the process stood still at a deadline, or until so shortly before it.
-func (d *proxyDoor) stoodAt(deadline time.Time, wake time.Duration) bool {
+// wasStopped tells whether the process stood still at a deadline, or until so shortly before it.
+func (d *proxyInstance) wasStopped(deadline time.Time, wake time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.ContainsFunc(d.stood, func(s stand) bool { return s.from.Before(deadline) && s.to.After(deadline.Add(-wake)) })
+	return slices.ContainsFunc(d.stops, func(s interval) bool { return s.from.Before(deadline) && s.to.After(deadline.Add(-wake)) })
 }
 
-// excused tells whether a try's answer could not come in its time, as the process stood still
+// isExcused tells whether a try's answer could not come in its time, as the process stood still
 // or the link to it was cut, and counts it.
-func (c *clients) excused(d *proxyDoor, sent, deadline time.Time) bool {
-	if d.stoodAt(deadline, wakeTime+c.tally.slackNow()-slack) {
-		c.tally.stood()
+func (c *workload) isExcused(d *proxyInstance, sent, deadline time.Time) bool {
+	if d.wasStopped(deadline, wakeTime+c.recorder.tolerance()-baseTolerance) {
+		c.recorder.atStoppedProxy()
 		return true
 	}
 	if link := c.fleet.links.clients[d.index]; link != nil && link.FaultySince(sent) {
-		c.tally.severed()
+		c.recorder.atCutLink()
 		return true
 	}
 	return false
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -24,30 +24,30 @@
 // newHost is a loopback address that no connection goes out from, and no other fleet listens at: while a proxy is down,
 // none can take its port by chance.
 func newHost() string {
-	pid, n := os.Getpid(), int(hosts.Add(1))
+	pid, n := os.Getpid(), int(hostCount.Add(1))
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid%250, 1+pid/250%250, 1+n%250)
 }
 
-var hosts atomic.Int64
+var hostCount atomic.Int64
 
-// ports are what has been reserved at a host, so that none is reserved twice: the system may deal one again as soon as it
+// portReserver are what has been reserved at a host, so that none is reserved twice: the system may deal one again as soon as it
 // is let go.
-type ports struct {
+type portReserver struct {
 	host  string
-	taken map[string]bool
+	reserved map[string]bool
 }
 
-func newPorts() *ports { return &ports{host: newHost(), taken: make(map[string]bool)} }
+func newPortReserver() *portReserver { return &portReserver{host: newHost(), reserved: make(map[string]bool)} }
 
 // reserve opens an address that was not reserved before. Whoever closes it keeps it for what is to listen there.
-func (p *ports) reserve() (net.Listener, error) {
+func (p *portReserver) reserve() (net.Listener, error) {
 	for {
 		l, err := net.Listen("tcp", p.host+":0")
 		if err != nil {
 			return nil, err
 		}
-		if at := l.Addr().String(); !p.taken[at] {
-			p.taken[at] = true
+		if at := l.Addr().String(); !p.reserved[at] {
+			p.reserved[at] = true
 			return l, nil
 		}
 		defer l.Close() // held until another has come
@@ -62,55 +62,55 @@
 	scenario *Scenario
 	program  []string // how a proxy is started; its configuration's path follows
 	folder   string
-	say      func(format string, a ...any)
+	progress      func(format string, a ...any)
 
 	origin    *origin.Origin
 	group     *node.Group
 	nodes     []*node.Node
-	list      directory
-	proxies   []*proxyDoor
-	links     links
-	ports     *ports                               // of the proxies
-	workLinks map[int]*faultinject.Link            // before where proxies take works in hand
+	directory      directory
+	proxies   []*proxyInstance
+	links     linkSet
+	ports     *portReserver                               // of the proxies
+	peerLinks map[int]*faultinject.Link            // before where proxies take works in hand
 	voters    agent.Fleet                          // of permits, if there are any
-	found     func(proxy int) []agent.VoterAddress // them, by each proxy; nil for as they are
+	voterView     func(proxy int) []agent.VoterAddress // them, by each proxy; nil for as they are
 
 	mu       sync.Mutex
 	entries  []endpointlist.Entry // of nodes, as last told
-	late     int                  // drains
-	lateBy   time.Duration
-	lastBy   time.Duration // of all that came to a node after its drain was told
+	lateDrains     int                  // drains
+	maxLateDrain   time.Duration
+	lastAfterDrain   time.Duration // of all that came to a node after its drain was told
 	crashes  int
 	problems []string
-	seen     [2]map[string]struct{} // ids that a node has seen, in two generations
-	turned   time.Time
+	seenIDs     [2]map[string]struct{} // ids that a node has seen, in two generations
+	seenRotatedAt   time.Time
 }
 
 // A node's request is remembered for one to two of these.
-const seenTime = 5 * time.Second
+const seenMemory = 5 * time.Second
 
-// proxyDoor is one proxy of the fleet, through all its processes.
-type proxyDoor struct {
+// proxyInstance is one proxy of the fleet, through all its processes.
+type proxyInstance struct {
 	fleet     *fleet
 	index     int
 	address   string
-	front     string // where clients connect: the same, or a link to it
-	works     string // where it takes works in hand, and where others find that
-	worksTold string
-	config    string
-	listener  *os.File // passed to each process, or nil
+	clientAddress     string // where clients connect: the same, or a link to it
+	peerAddress     string // where it takes works in hand, and where others find that
+	advertisedPeerAddress string
+	configPath    string
+	passedListener  *os.File // passed to each process, or nil
 
-	change sync.Mutex // held while it is being restarted or reloaded
+	changing sync.Mutex // held while it is being restarted or reloaded
 
 	mu       sync.Mutex
 	process  *process
-	taking   bool    // the front deals it connections
-	stood    []stand // when its process was stopped, the latest last
-	killed   time.Time
-	quota    int
+	acceptsClients   bool    // the front deals it connections
+	stops    []interval // when its process was stopped, the latest last
+	killedAt   time.Time
+	tenantQuota    int
 	restarts int
 	reloads  int
-	down     []stand // from a drain's beginning until the next process was ready
+	downtimes     []interval // from a drain's beginning until the next process was ready
 }
 
 // startFleet starts the stand-ins, and processes if a program is named.
@@ -120,44 +120,44 @@
 
 // startFleetBy is startFleet with the voters found by each proxy where seen says, once their addresses are known.
 func startFleetBy(s *Scenario, program []string, folder string, say func(string, ...any), seen func(real []agent.VoterAddress) (func(proxy int) []agent.VoterAddress, error)) (*fleet, error) {
-	f := &fleet{ports: newPorts(), scenario: s, program: program, folder: folder, say: say, turned: time.Now(),
-		seen: [2]map[string]struct{}{{}, {}}}
+	f := &fleet{ports: newPortReserver(), scenario: s, program: program, folder: folder, progress: say, seenRotatedAt: time.Now(),
+		seenIDs: [2]map[string]struct{}{{}, {}}}
 	p := s.Fleet
 	f.origin = origin.New(origin.Config{Slots: p.OriginSlots, Queue: p.OriginQueue, ServiceTime: time.Duration(p.OriginServiceTime), Seed: s.Seed})
 	f.group = node.NewGroup(time.Duration(p.DedupWindow))
-	f.links.plan(s)
+	f.links.prepare(s)
 	for i := range p.Nodes {
 		n, err := node.Start(node.Config{Name: fmt.Sprintf("n%d", i), Slots: p.Slots, Queue: p.Queue, ServiceTime: time.Duration(p.ServiceTime),
 			Capacity: p.Capacity, MaxConns: p.Connections, ReportLoad: true, Seed: s.Seed + uint64(i), Origin: f.origin, Group: f.group,
-			OnRequest: f.arrived, LedgerByValue: true, MissingKeyPrefix: p.MissingKeyPrefix, Binary: f.speaksBinary(i)})
+			OnRequest: f.requestArrived, LedgerByValue: true, MissingKeyPrefix: p.MissingKeyPrefix, Binary: f.speaksBinary(i)})
 		if err != nil {
 			f.close()
 			return nil, err
 		}
 		f.nodes = append(f.nodes, n)
-		f.entries = append(f.entries, endpointlist.Entry{Name: n.Name(), Address: n.Address(), Zone: p.Zones[i%len(p.Zones)], Type: f.kind(i),
+		f.entries = append(f.entries, endpointlist.Entry{Name: n.Name(), Address: n.Address(), Zone: p.Zones[i%len(p.Zones)], Type: f.nodeType(i),
 			Group: i % 3, Status: "up", Weight: 1})
 	}
 	if p.Consul {
-		agents, err := newCatalogue(f.entries, p.Zones)
+		agents, err := newConsulDirectory(f.entries, p.Zones)
 		if err != nil {
 			f.close()
 			return nil, err
 		}
-		f.list = agents
+		f.directory = agents
 	} else {
-		f.list = newPlatformList(f.entries, f.linkedNode)
+		f.directory = newPlatformDirectory(f.entries, f.nodeAddress)
 	}
-	err := f.seatVoters()
+	err := f.createVoters()
 	if err == nil && seen != nil {
-		f.found, err = seen(f.voters.Voters)
+		f.voterView, err = seen(f.voters.Voters)
 	}
 	if err != nil {
 		f.close()
 		return nil, err
 	}
 	for i := range p.Proxies {
-		d, err := f.newDoor(i)
+		d, err := f.newProxy(i)
 		if err != nil {
 			f.close()
 			return nil, err
@@ -174,7 +174,7 @@
 		f.close()
 		return nil, err
 	}
-	if err := f.allowRestarts(); err != nil {
+	if err := f.setPermits(); err != nil {
 		f.close()
 		return nil, err
 	}
@@ -187,28 +187,28 @@
 	return every > 0 && i%every == every-1
 }
 
-// kind is a node's type, from which proxies know its dialect.
-func (f *fleet) kind(i int) string {
+// nodeType is a node's type, from which proxies know its dialect.
+func (f *fleet) nodeType(i int) string {
 	if f.speaksBinary(i) {
 		return "b1"
 	}
 	return "m1"
 }
 
-func (f *fleet) newDoor(i int) (*proxyDoor, error) {
-	d := &proxyDoor{fleet: f, index: i, config: filepath.Join(f.folder, fmt.Sprintf("p%d.toml", i)), quota: f.scenario.Load.TenantQuota}
+func (f *fleet) newProxy(i int) (*proxyInstance, error) {
+	d := &proxyInstance{fleet: f, index: i, configPath: filepath.Join(f.folder, fmt.Sprintf("p%d.toml", i)), tenantQuota: f.scenario.Load.TenantQuota}
 	listener, err := f.ports.reserve()
 	if err != nil {
 		return nil, err
 	}
 	d.address = listener.Addr().String()
 	if every := f.scenario.Fleet.PassedListenerEvery; every > 0 && i%every == 0 {
-		if d.listener, err = listener.(*net.TCPListener).File(); err != nil {
+		if d.passedListener, err = listener.(*net.TCPListener).File(); err != nil {
 			return nil, err
 		}
 	}
 	listener.Close()
-	if d.front, err = f.links.toProxy(d); err != nil {
+	if d.clientAddress, err = f.links.linkToProxy(d); err != nil {
 		return nil, err
 	}
 	if f.scenario.Fleet.TakeoverMode != "" {
@@ -216,15 +216,15 @@
 			return nil, err
 		}
 	}
-	text, err := d.text("same")
+	text, err := d.configText("same")
 	if err != nil {
 		return nil, err
 	}
-	return d, os.WriteFile(d.config, text, 0o600)
+	return d, os.WriteFile(d.configPath, text, 0o600)
 }
 
-// text is the proxy's configuration. With tells what is wrong or new in it.
-func (d *proxyDoor) text(with string) ([]byte, error) {
+// configText is the proxy's configuration. With tells what is wrong or new in it.
+func (d *proxyInstance) configText(with string) ([]byte, error) {
 	var b bytes.Buffer
 	s, p := d.fleet.scenario, d.fleet.scenario.Fleet
 	sockets := p.MaxSockets
@@ -236,12 +236,12 @@
 	if with == "broken" {
 		fmt.Fprintln(&b, "zone = \"nowhere")
 	}
-	place, err := d.fleet.list.config(d.index)
+	place, err := d.fleet.directory.config(d.index)
 	if err != nil {
 		return nil, err
 	}
 	if d.fleet.links.list != nil {
-		if place, err = d.fleet.linkedList(d.index, place); err != nil {
+		if place, err = d.fleet.linkToList(d.index, place); err != nil {
 			return nil, err
 		}
 	}
@@ -257,9 +257,9 @@
 		}
 		fmt.Fprintf(&b, "[test]\nsleep_at = %q\nsleep_for = %q\ndrift = %v\n", time.Duration(p.SuspendAt), time.Duration(p.SuspendDuration), drift)
 	}
-	d.peers(&b)
+	d.writePeers(&b)
 	for _, t := range s.Load.Tenants {
-		fmt.Fprintf(&b, "[[tenant]]\nname = %q\nquota = %d\n", t, d.quota)
+		fmt.Fprintf(&b, "[[tenant]]\nname = %q\nquota = %d\n", t, d.tenantQuota)
 	}
 	if p.Binary || p.BinaryNodeEvery > 0 {
 		fmt.Fprintf(&b, "[binary]\nclients = %v\ntypes = [\"b1\"]\n", p.Binary)
@@ -286,40 +286,40 @@
 	return "[" + strings.Join(texts, ", ") + "]"
 }
 
-// arrived is told each request that comes to a node. Of one that a binary client
+// requestArrived is told each request that comes to a node. Of one that a binary client
 // sent, or that came to a binary node, neither id nor proxy is known: a write is known by
 // its value then, and a drain counts as told when the last proxy was.
-func (f *fleet) arrived(name, id, value string, at time.Time) {
+func (f *fleet) requestArrived(name, id, value string, at time.Time) {
 	proxy := proxyOf(id)
-	told, draining := f.drainTold(proxy, name)
-	draining = draining && !f.links.heldBetween(proxy, name, told) && !f.links.listHeldSince(proxy, told) // what a link held back was sent before
+	told, draining := f.drainNotifiedAt(proxy, name)
+	draining = draining && !f.links.nodeLinkFaulty(proxy, name, told) && !f.links.listLinkFaulty(proxy, told) // what a link held back was sent before
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at.Sub(f.turned) > seenTime {
-		f.seen[0], f.seen[1], f.turned = f.seen[1], make(map[string]struct{}), at
+	if at.Sub(f.seenRotatedAt) > seenMemory {
+		f.seenIDs[0], f.seenIDs[1], f.seenRotatedAt = f.seenIDs[1], make(map[string]struct{}), at
 	}
 	for _, name := range []string{id, value} {
 		if name != "" && (proxy < 0 || name == id) {
-			f.seen[1][name] = struct{}{}
+			f.seenIDs[1][name] = struct{}{}
 		}
 	}
 	if draining {
-		f.lastBy = max(f.lastBy, at.Sub(told))
+		f.lastAfterDrain = max(f.lastAfterDrain, at.Sub(told))
 	}
 	if by := at.Sub(told); draining && by > drainGrace {
-		f.late++
-		f.lateBy = max(f.lateBy, by)
+		f.lateDrains++
+		f.maxLateDrain = max(f.maxLateDrain, by)
 	}
 }
 
-// drainTold returns when a proxy was told that a node drains; with a negative number,
+// drainNotifiedAt returns when a proxy was told that a node drains; with a negative number,
 // when the last of all was.
-func (f *fleet) drainTold(proxy int, node string) (last time.Time, draining bool) {
+func (f *fleet) drainNotifiedAt(proxy int, node string) (last time.Time, draining bool) {
 	if proxy >= 0 {
-		return f.list.told(proxy, node)
+		return f.directory.notifiedAt(proxy, node)
 	}
 	for i := range f.scenario.Fleet.Proxies {
-		told, draining := f.list.told(i, node)
+		told, draining := f.directory.notifiedAt(i, node)
 		if !draining {
 			return last, false
 		}
@@ -330,12 +330,12 @@
 	return last, true
 }
 
-// wasSeen tells whether a node has seen a request lately.
-func (f *fleet) wasSeen(id string) bool {
+// seenByNode tells whether a node has seen a request lately.
+func (f *fleet) seenByNode(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, a := f.seen[0][id]
-	_, b := f.seen[1][id]
+	_, a := f.seenIDs[0][id]
+	_, b := f.seenIDs[1][id]
 	return a || b
 }
 
@@ -350,7 +350,7 @@
 	return n
 }
 
-func (f *fleet) problem(format string, a ...any) {
+func (f *fleet) addProblem(format string, a ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.problems) < 50 {
@@ -358,21 +358,21 @@
 	}
 }
 
-func (f *fleet) crash(format string, a ...any) {
-	f.problem(format, a...)
+func (f *fleet) addCrash(format string, a ...any) {
+	f.addProblem(format, a...)
 	f.mu.Lock()
 	f.crashes++
 	f.mu.Unlock()
 }
 
 // launch starts a process for the proxy.
-func (d *proxyDoor) launch() (*process, error) {
-	argv := append(append([]string(nil), d.fleet.program...), d.config)
-	return startProcess(argv, d.listener, filepath.Join(d.fleet.folder, fmt.Sprintf("p%d.log", d.index)))
+func (d *proxyInstance) launch() (*process, error) {
+	argv := append(append([]string(nil), d.fleet.program...), d.configPath)
+	return startProcess(argv, d.passedListener, filepath.Join(d.fleet.folder, fmt.Sprintf("p%d.log", d.index)))
 }
 
 // start brings the proxy up where there is none.
-func (d *proxyDoor) start() error {
+func (d *proxyInstance) start() error {
 	p, err := d.launch()
 	if err != nil {
 		return fmt.Errorf("proxy %d: %w", d.index, err)
@@ -383,32 +383,32 @@
 	if err := p.awaitReady(); err != nil {
 		return fmt.Errorf("proxy %d: %w", d.index, err)
 	}
-	d.deal(true)
+	d.setAcceptsClients(true)
 	return nil
 }
 
-func (d *proxyDoor) deal(taking bool) {
+func (d *proxyInstance) setAcceptsClients(taking bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.taking = taking
+	d.acceptsClients = taking
 }
 
-func (d *proxyDoor) current() *process {
+func (d *proxyInstance) currentProcess() *process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.process
 }
 
-// frontNotice is how long after a drain began a front still deals connections.
-const frontNotice = 300 * time.Millisecond
+// drainNoticeTime is how long after a drain began a front still deals connections.
+const drainNoticeTime = 300 * time.Millisecond
 
 // restart replaces the proxy's process as its operators would.
-func (d *proxyDoor) restart(mode string) {
-	d.change.Lock()
-	defer d.change.Unlock()
-	f, old := d.fleet, d.current()
-	if old.crashed() {
-		f.crash("proxy %d had ended unasked: %v: %s", d.index, old.err, tail(old.log))
+func (d *proxyInstance) restart(mode string) {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	f, old := d.fleet, d.currentProcess()
+	if old.hasCrashed() {
+		f.addCrash("proxy %d had ended unasked: %v: %s", d.index, old.err, logTail(old.logPath))
 	}
 	d.mu.Lock()
 	d.restarts++
@@ -417,7 +417,7 @@
 	drain := func() {
 		defer close(ended)
 		if err := old.end(syscall.SIGTERM); err != nil {
-			f.crash("proxy %d: old process: %v: %s", d.index, err, tail(old.log))
+			f.addCrash("proxy %d: old process: %v: %s", d.index, err, logTail(old.logPath))
 		}
 	}
 	begin := func() bool {
@@ -428,7 +428,7 @@
 			}
 		}
 		if err != nil {
-			f.crash("proxy %d: new process: %v", d.index, err)
+			f.addCrash("proxy %d: new process: %v", d.index, err)
 			return false
 		}
 		d.mu.Lock()
@@ -437,56 +437,56 @@
 		return true
 	}
 	if f.scenario.Fleet.RestartPermits > 0 {
-		d.restartByLeave(old, begin)
+		d.restartByPermit(old, begin)
 		return
 	}
 	switch {
-	case d.listener != nil: // both hold it, and the front sees no gap
+	case d.passedListener != nil: // both hold it, and the front sees no gap
 		if begin() {
 			drain()
 		}
 		return
 	case mode == "overlap": // the new one waits for the address
 		go drain()
-		notice := time.AfterFunc(frontNotice, func() { d.deal(false) })
+		notice := time.AfterFunc(drainNoticeTime, func() { d.setAcceptsClients(false) })
 		if begin() {
 			notice.Stop()
-			d.deal(true)
+			d.setAcceptsClients(true)
 		}
 		<-ended
 	default:
-		notice := time.AfterFunc(frontNotice, func() { d.deal(false) })
+		notice := time.AfterFunc(drainNoticeTime, func() { d.setAcceptsClients(false) })
 		drain()
 		notice.Stop()
-		d.deal(false)
+		d.setAcceptsClients(false)
 		if begin() {
-			d.deal(true)
+			d.setAcceptsClients(true)
 		}
 	}
 }
 
 // kill ends the proxy outright, and starts it again.
-func (d *proxyDoor) kill() {
-	d.change.Lock()
-	defer d.change.Unlock()
+func (d *proxyInstance) kill() {
+	d.changing.Lock()
+	defer d.changing.Unlock()
 	d.mu.Lock()
-	d.killed = time.Now()
+	d.killedAt = time.Now()
 	old := d.process
 	d.mu.Unlock()
 	old.end(syscall.SIGKILL)
-	notice := time.AfterFunc(time.Second, func() { d.deal(false) }) // the front sees it late
+	notice := time.AfterFunc(time.Second, func() { d.setAcceptsClients(false) }) // the front sees it late
 	err := d.start()
 	if notice.Stop(); err != nil {
-		d.fleet.crash("%v", err)
+		d.fleet.addCrash("%v", err)
 	}
 }
 
-// hangup writes the configuration anew and has the proxy read it.
-func (d *proxyDoor) hangup(with string, times int, every time.Duration) {
-	d.change.Lock()
-	defer d.change.Unlock()
-	f, p := d.fleet, d.current()
-	before := p.reloaded()
+// reload writes the configuration anew and has the proxy read it.
+func (d *proxyInstance) reload(with string, times int, every time.Duration) {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	f, p := d.fleet, d.currentProcess()
+	before := p.reloadCount()
 	for i := range max(times, 1) {
 		if i > 0 {
 			time.Sleep(every)
@@ -494,57 +494,57 @@
 		d.mu.Lock()
 		d.reloads++
 		if with == "quota" {
-			d.quota++
+			d.tenantQuota++
 		}
 		d.mu.Unlock()
 		if with == "moved" {
-			if err := f.list.move(d.index); err != nil {
-				f.problem("list: %v", err)
+			if err := f.directory.move(d.index); err != nil {
+				f.addProblem("list: %v", err)
 				return
 			}
 		}
-		if err := d.rewrite(with); err != nil {
-			f.problem("proxy %d: %v", d.index, err)
+		if err := d.writeConfig(with); err != nil {
+			f.addProblem("proxy %d: %v", d.index, err)
 		}
 		p.cmd.Process.Signal(syscall.SIGHUP)
 	}
-	for until := time.Now().Add(patience); p.reloaded() == before; time.Sleep(5 * time.Millisecond) {
-		if p.crashed() || time.Now().After(until) {
-			f.crash("proxy %d: no reload was told after SIGHUP: %s", d.index, tail(p.log))
+	for until := time.Now().Add(processTimeout); p.reloadCount() == before; time.Sleep(5 * time.Millisecond) {
+		if p.hasCrashed() || time.Now().After(until) {
+			f.addCrash("proxy %d: no reload was told after SIGHUP: %s", d.index, logTail(p.logPath))
 			return
 		}
 	}
 	if with != "same" && with != "quota" && with != "moved" { // a next start must find a good one
-		if err := d.rewrite("same"); err != nil {
-			f.problem("proxy %d: %v", d.index, err)
+		if err := d.writeConfig("same"); err != nil {
+			f.addProblem("proxy %d: %v", d.index, err)
 		}
 	}
 }
 
-func (d *proxyDoor) rewrite(with string) error {
+func (d *proxyInstance) writeConfig(with string) error {
 	if with == "gone" {
-		return os.Remove(d.config)
+		return os.Remove(d.configPath)
 	}
-	text, err := d.text(with)
+	text, err := d.configText(with)
 	if err != nil {
 		return err
 	}
 	if with == "half" { // as it is being written
-		return os.WriteFile(d.config, text, 0o600)
+		return os.WriteFile(d.configPath, text, 0o600)
 	}
-	if err := os.WriteFile(d.config+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(d.configPath+".new", text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(d.config+".new", d.config)
+	return os.Rename(d.configPath+".new", d.configPath)
 }
 
-// tellNode changes a node's entry in the list.
-func (f *fleet) tellNode(i int, change func(*endpointlist.Entry)) {
+// updateNode changes a node's entry in the list.
+func (f *fleet) updateNode(i int, change func(*endpointlist.Entry)) {
 	f.mu.Lock()
 	change(&f.entries[i])
 	e := f.entries[i]
 	f.mu.Unlock()
-	f.list.set(e)
+	f.directory.update(e)
 }
 
 // stop ends all processes as a drain does, and counts what went wrong.
@@ -552,16 +552,16 @@
 	var ending sync.WaitGroup
 	for _, d := range f.proxies {
 		ending.Go(func() {
-			d.change.Lock()
-			defer d.change.Unlock()
-			p := d.current()
+			d.changing.Lock()
+			defer d.changing.Unlock()
+			p := d.currentProcess()
 			if p == nil {
 				return
 			}
-			if p.crashed() {
-				f.crash("proxy %d had ended unasked: %v: %s", d.index, p.err, tail(p.log))
-			} else if err := d.endForGood(p); err != nil {
-				f.crash("proxy %d: at the end: %v: %s", d.index, err, tail(p.log))
+			if p.hasCrashed() {
+				f.addCrash("proxy %d had ended unasked: %v: %s", d.index, p.err, logTail(p.logPath))
+			} else if err := d.endWithoutPermit(p); err != nil {
+				f.addCrash("proxy %d: at the end: %v: %s", d.index, err, logTail(p.logPath))
 			}
 		})
 	}
@@ -571,18 +571,18 @@
 // close ends the stand-ins, and whatever process is left.
 func (f *fleet) close() {
 	for _, d := range f.proxies {
-		if p := d.current(); p != nil && !isClosed(p.exited) {
+		if p := d.currentProcess(); p != nil && !isClosed(p.exited) {
 			p.end(syscall.SIGKILL)
 		}
-		if d.listener != nil {
-			d.listener.Close()
+		if d.passedListener != nil {
+			d.passedListener.Close()
 		}
 	}
-	if f.list != nil {
-		f.list.close()
+	if f.directory != nil {
+		f.directory.close()
 	}
 	f.links.close()
-	for _, l := range f.workLinks {
+	for _, l := range f.peerLinks {
 		l.Close()
 	}
 	f.origin.Close()
--- a/internal/fleettest/lease.go
+++ b/internal/fleettest/lease.go
@@ -282,7 +282,7 @@
 	s.Fleet.Proxies, s.Fleet.Nodes, s.Fleet.RestartPermits = leaseVoters, 6, 1
 	s.Fleet.ClockDrift = lease.DefaultParameters.MaxClockDrift
 	s.Load.Rate = 150
-	s.Phases, s.Events = []Phase{{Name: "all", Duration: span(length)}}, nil
+	s.Phases, s.Events = []Phase{{Name: "all", Duration: tomlDuration(length)}}, nil
 	return s, s.check()
 }
 
@@ -314,8 +314,8 @@
 		}
 	}
 	began := time.Now()
-	t := newTally(s.Phases, began)
-	c := newClients(p.fleet, t)
+	t := newRecorder(s.Phases, began)
+	c := newWorkload(p.fleet, t)
 	ctx, stop := context.WithTimeout(ctx, o.Duration)
 	defer stop()
 	var tasks sync.WaitGroup
@@ -325,7 +325,7 @@
 	sleep(ctx, time.Until(began.Add(o.Duration)))
 	tasks.Wait()
 	p.end()
-	settle(func() int { return p.fleet.origin.Stats().Writes })
+	waitUntilSteady(func() int { return p.fleet.origin.Stats().Writes })
 	served := &Report{}
 	served.fill(p.fleet, t, make([]int, len(s.Phases)+1))
 	return p.fill(served), nil
@@ -450,7 +450,7 @@
 
 func (p *leasePlay) stop(ctx context.Context, i int, span time.Duration) {
 	if i < leaseVoters {
-		if err := p.fleet.proxies[i].stop(ctx, faultinject.StopSchedule{Duration: span}); err != nil && ctx.Err() == nil {
+		if err := p.fleet.proxies[i].stopBySchedule(ctx, faultinject.StopSchedule{Duration: span}); err != nil && ctx.Err() == nil {
 			p.problem("stop of voter %d: %v", i, err)
 		}
 		return
@@ -465,7 +465,7 @@
 // fillDisk has a voter's disk be full for a while. It stands down, serves on, and votes again once started anew.
 func (p *leasePlay) fillDisk(ctx context.Context, i int, span time.Duration) {
 	d := p.fleet.proxies[i]
-	if err := faultinject.FullDisk(ctx, d.current().cmd.Process.Pid, span); err != nil {
+	if err := faultinject.FullDisk(ctx, d.currentProcess().cmd.Process.Pid, span); err != nil {
 		p.problem("voter %d: %v", i, err)
 	}
 	if ctx.Err() == nil {
@@ -496,10 +496,10 @@
 	var tasks sync.WaitGroup
 	for i, x := range p.holders {
 		tasks.Go(func() {
-			if x.crashed() {
-				p.problem("holder %d had ended unasked: %v: %s", i, x.err, tail(x.log))
+			if x.hasCrashed() {
+				p.problem("holder %d had ended unasked: %v: %s", i, x.err, logTail(x.logPath))
 			} else if err := x.end(syscall.SIGTERM); err != nil {
-				p.problem("holder %d: %v: %s", i, err, tail(x.log))
+				p.problem("holder %d: %v: %s", i, err, logTail(x.logPath))
 			}
 		})
 	}
--- a/internal/fleettest/library.go
+++ b/internal/fleettest/library.go
@@ -11,16 +11,16 @@
 
 // openLibrary makes the library's clients, one for each tenant, if any request goes through them. Their
 // tries are judged by the same tally as those of the rehearsal's own clients.
-func (c *clients) openLibrary() error {
+func (c *workload) openLibrary() error {
 	if c.load.LibraryShare == 0 {
 		return nil
 	}
-	t := c.tally
-	c.audit = &loadgen.TraceAuditor{SeenByNode: c.fleet.wasSeen, RecentlyKilled: c.fleet.killedLately, OnTry: t.sent, OnCrossedClose: t.crossed, OnKilledInFlight: t.excused,
-		OnOverdue: t.overdue, OnLost: t.lose}
+	t := c.recorder
+	c.auditor = &loadgen.TraceAuditor{SeenByNode: c.fleet.seenByNode, RecentlyKilled: c.fleet.recentlyKilled, OnTry: t.attemptSent, OnCrossedClose: t.crossedClose, OnKilledInFlight: t.atKilledProxy,
+		OnOverdue: t.overdue, OnLost: t.lost}
 	var addresses []string
 	for _, d := range c.fleet.proxies {
-		addresses = append(addresses, d.front)
+		addresses = append(addresses, d.clientAddress)
 	}
 	tenants := c.load.Tenants
 	if len(tenants) == 0 {
@@ -28,7 +28,7 @@
 	}
 	for _, tenant := range tenants {
 		l, err := client.New(client.Options{Proxies: client.Static(addresses...), Tenant: tenant, Window: time.Duration(c.fleet.scenario.Fleet.DedupWindow),
-			Subset: 8, Trace: client.Trace{TryDone: c.audit.TryDone, LateAnswer: c.audit.LateAnswer}})
+			Subset: 8, Trace: client.Trace{TryDone: c.auditor.TryDone, LateAnswer: c.auditor.LateAnswer}})
 		if err != nil {
 			return err
 		}
@@ -38,17 +38,17 @@
 }
 
 // closeLibrary is called once all requests are over.
-func (c *clients) closeLibrary() {
-	if c.audit != nil {
-		c.audit.Finish()
+func (c *workload) closeLibrary() {
+	if c.auditor != nil {
+		c.auditor.Finish()
 	}
 	for _, l := range c.library {
 		l.Close()
 	}
 }
 
-// askLibrary has the library carry a request through its tries.
-func (c *clients) askLibrary(e *errand, n note) ending {
+// playByLibrary has the library carry a request through its tries.
+func (c *workload) playByLibrary(e *clientRequest, n recordedRequest) outcome {
 	l := c.library[0]
 	for i, tenant := range c.load.Tenants {
 		if tenant == e.tenant {
@@ -56,12 +56,12 @@
 		}
 	}
 	r := client.Request{Key: e.key}
-	if e.kind.write {
+	if e.class.isWrite {
 		r.Set, r.Value, r.Idempotency = true, []byte(e.value), e.idempotency
 	}
 	a, err := l.Do(context.Background(), r)
 	for range a.Tries - 1 {
-		c.tally.retry(n)
+		c.recorder.retried(n)
 	}
 	switch {
 	case err == nil, errors.Is(err, client.ErrMiss):
@@ -69,9 +69,9 @@
 	case errors.Is(err, client.ErrRefused):
 		return refused
 	case errors.Is(err, client.ErrUnavailable):
-		return unopened
+		return notConnected
 	case errors.Is(err, client.ErrDeadline):
-		return silent
+		return timedOut
 	}
 	return failed
 }
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -165,7 +165,7 @@
 	}
 	cpu := make([]time.Duration, p.o.Instances)
 	for i, d := range p.fleet.proxies {
-		if cpu[i], err = cpuTime(d.current().cmd.Process.Pid); err != nil {
+		if cpu[i], err = cpuTime(d.currentProcess().cmd.Process.Pid); err != nil {
 			return err
 		}
 	}
@@ -179,7 +179,7 @@
 		if i >= permitVoters {
 			into, of = &others, float64(p.o.Instances-permitVoters)
 		}
-		pid := d.current().cmd.Process.Pid
+		pid := d.currentProcess().cmd.Process.Pid
 		mb, _ := footprintOf(pid)
 		now, err := cpuTime(pid)
 		if err != nil {
@@ -203,20 +203,20 @@
 	for _, trouble := range []struct {
 		name  string
 		death bool
-		do    func(d *proxyDoor) error
+		do    func(d *proxyInstance) error
 	}{
-		{"kill -9", true, func(d *proxyDoor) error {
-			d.current().end(syscall.SIGKILL)
+		{"kill -9", true, func(d *proxyInstance) error {
+			d.currentProcess().end(syscall.SIGKILL)
 			sleep(ctx, time.Second)
 			return d.start()
 		}},
-		{"stop of 300 ms", false, func(d *proxyDoor) error {
-			return d.stop(ctx, faultinject.StopSchedule{Duration: 300 * time.Millisecond})
+		{"stop of 300 ms", false, func(d *proxyInstance) error {
+			return d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 300 * time.Millisecond})
 		}},
-		{"stop of 2 s", true, func(d *proxyDoor) error { return d.stop(ctx, faultinject.StopSchedule{Duration: 2 * time.Second}) }},
-		{"cut off for 2 s", true, func(d *proxyDoor) error { return p.cut(ctx, d.index, "cut") }},
-		{"answers held for 2 s", true, func(d *proxyDoor) error { return p.cut(ctx, d.index, "back") }},
-		{"connections reset", false, func(d *proxyDoor) error {
+		{"stop of 2 s", true, func(d *proxyInstance) error { return d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 2 * time.Second}) }},
+		{"cut off for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "cut") }},
+		{"answers held for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "back") }},
+		{"connections reset", false, func(d *proxyInstance) error {
 			for _, l := range p.ways[d.index] {
 				l.Reset()
 			}
@@ -274,7 +274,7 @@
 
 // gone is when an instance logged that another was gone, after a time; zero for never.
 func (p *peersPlay) gone(at int, name string, from time.Time) time.Time {
-	text, err := os.ReadFile(p.fleet.proxies[at].current().log)
+	text, err := os.ReadFile(p.fleet.proxies[at].currentProcess().logPath)
 	if err != nil {
 		return time.Time{}
 	}
--- a/internal/fleettest/permits.go
+++ b/internal/fleettest/permits.go
@@ -18,12 +18,12 @@
 const (
 	permitVoters = 3
 	permitFleet  = "fleettest"
-	// permitPatience bounds the wait for leave and drain together.
-	permitPatience = 3 * time.Minute
+	// permitTimeout bounds the wait for leave and drain together.
+	permitTimeout = 3 * time.Minute
 )
 
 // newVoters reserves voters' addresses, and makes their memories in a folder.
-func newVoters(folder string, free *ports) (f agent.Fleet, err error) {
+func newVoters(folder string, free *portReserver) (f agent.Fleet, err error) {
 	f.Name = permitFleet
 	for i := range permitVoters {
 		l, err := free.reserve()
@@ -34,58 +34,58 @@
 		l.Close()
 	}
 	for i := range permitVoters {
-		if err := agent.InitVoter(memoryOf(folder, i), &f); err != nil {
+		if err := agent.InitVoter(voterStoragePath(folder, i), &f); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-func memoryOf(folder string, i int) string {
+func voterStoragePath(folder string, i int) string {
 	return filepath.Join(folder, fmt.Sprintf("p%d.memory", i))
 }
 
-// seatVoters has the first proxies be voters.
-func (f *fleet) seatVoters() (err error) {
+// createVoters has the first proxies be voters.
+func (f *fleet) createVoters() (err error) {
 	if f.scenario.Fleet.RestartPermits > 0 {
 		f.voters, err = newVoters(f.folder, f.ports)
 	}
 	return err
 }
 
-// peersText is a process's part in a fleet, as a configuration has it; voter is its number among the voters, -1 for none.
-func peersText(list []agent.VoterAddress, folder string, voter int) string {
+// peersConfig is a process's part in a fleet, as a configuration has it; voter is its number among the voters, -1 for none.
+func peersConfig(list []agent.VoterAddress, folder string, voter int) string {
 	var voters []string
 	for _, v := range list {
 		voters = append(voters, v.Name+"="+v.Address)
 	}
 	text := fmt.Sprintf("[peers]\nfleet = %q\nvoters = %s\npermit = \"wait\"\n", permitFleet, quoted(voters))
 	if voter >= 0 {
-		text += fmt.Sprintf("voter = %q\nmemory = %q\n", list[voter].Name, memoryOf(folder, voter))
+		text += fmt.Sprintf("voter = %q\nmemory = %q\n", list[voter].Name, voterStoragePath(folder, voter))
 	}
 	return text
 }
 
-// peers writes a proxy's part in the fleet.
-func (d *proxyDoor) peers(b io.Writer) {
+// writePeers writes a proxy's part in the fleet.
+func (d *proxyInstance) writePeers(b io.Writer) {
 	if d.fleet.scenario.Fleet.RestartPermits == 0 {
 		return
 	}
 	list, voter := d.fleet.voters.Voters, d.index
-	if d.fleet.found != nil {
-		list = d.fleet.found(d.index)
+	if d.fleet.voterView != nil {
+		list = d.fleet.voterView(d.index)
 	}
 	if voter >= permitVoters || d.fleet.scenario.Fleet.Leaderless {
 		voter = -1
 	}
-	io.WriteString(b, peersText(list, d.fleet.folder, voter))
+	io.WriteString(b, peersConfig(list, d.fleet.folder, voter))
 	if f := &d.fleet.scenario.Fleet; f.TakeoverMode != "" {
-		fmt.Fprintf(b, "listen = %q\nadvertise = %q\ntakeover = %q\nholders = %d\n", d.works, d.worksTold, f.TakeoverMode, f.TakeoverHolders)
+		fmt.Fprintf(b, "listen = %q\nadvertise = %q\ntakeover = %q\nholders = %d\n", d.peerAddress, d.advertisedPeerAddress, f.TakeoverMode, f.TakeoverHolders)
 	}
 }
 
-// allowRestarts has the voters give so many permits at a time.
-func (f *fleet) allowRestarts() error {
+// setPermits has the voters give so many permits at a time.
+func (f *fleet) setPermits() error {
 	if f.scenario.Fleet.RestartPermits == 0 || f.scenario.Fleet.Leaderless {
 		return nil
 	}
@@ -94,76 +94,76 @@
 		return err
 	}
 	defer c.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), processTimeout)
 	defer cancel()
 	_, err = c.Execute(ctx, lease.Command{Kind: lease.SetLimit, Task: lease.PermitTask, MaxHolders: f.scenario.Fleet.RestartPermits})
 	return err
 }
 
-// restartByLeave replaces the proxy's process: told to end it serves on until it has leave.
-func (d *proxyDoor) restartByLeave(old *process, begin func() bool) {
+// restartByPermit replaces the proxy's process: told to end it serves on until it has leave.
+func (d *proxyInstance) restartByPermit(old *process, begin func() bool) {
 	f := d.fleet
 	ended := make(chan struct{})
 	go func() { // the front sees it some time after it has begun
 		select {
-		case <-old.drains:
+		case <-old.draining:
 		case <-old.exited:
 		}
-		notice := time.NewTimer(frontNotice)
+		notice := time.NewTimer(drainNoticeTime)
 		defer notice.Stop()
 		select {
 		case <-notice.C:
 		case <-old.exited:
 		}
-		d.deal(false)
+		d.setAcceptsClients(false)
 		close(ended)
 	}()
-	err := old.endWithin(syscall.SIGTERM, permitPatience)
+	err := old.endWithin(syscall.SIGTERM, permitTimeout)
 	<-ended
 	if err != nil {
-		f.crash("proxy %d: %v: %s", d.index, err, tail(old.log))
+		f.addCrash("proxy %d: %v: %s", d.index, err, logTail(old.logPath))
 	}
 	from := old.exitedAt
-	if isClosed(old.drains) {
-		from = old.drainsAt
+	if isClosed(old.draining) {
+		from = old.drainingAt
 	}
 	if !begin() {
 		return
 	}
 	d.mu.Lock()
-	d.down = append(d.down, stand{from, d.process.readyAt})
+	d.downtimes = append(d.downtimes, interval{from, d.process.readyAt})
 	d.mu.Unlock()
-	d.deal(true)
+	d.setAcceptsClients(true)
 }
 
-// endForGood has a process end that nobody follows: told twice, it waits for no leave.
-func (d *proxyDoor) endForGood(p *process) error {
+// endWithoutPermit has a process end that nobody follows: told twice, it waits for no leave.
+func (d *proxyInstance) endWithoutPermit(p *process) error {
 	if d.fleet.scenario.Fleet.RestartPermits > 0 {
 		p.mu.Lock()
-		p.planned = true
+		p.endExpected = true
 		p.mu.Unlock()
 		p.cmd.Process.Signal(syscall.SIGTERM)
 		select {
-		case <-p.drains:
+		case <-p.draining:
 		case <-p.exited:
-		case <-time.After(frontNotice):
+		case <-time.After(drainNoticeTime):
 		}
-		if isClosed(p.drains) { // else it is told below
-			return p.endWithin(syscall.Signal(0), patience)
+		if isClosed(p.draining) { // else it is told below
+			return p.endWithin(syscall.Signal(0), processTimeout)
 		}
 	}
 	return p.end(syscall.SIGTERM)
 }
 
-// mostDown is how many proxies were down by leave at a time.
-func (f *fleet) mostDown() (most int) {
+// maxDown is how many proxies were down by leave at a time.
+func (f *fleet) maxDown() (most int) {
 	type edge struct {
 		at time.Time
 		by int
 	}
 	var edges []edge
 	for _, d := range f.proxies {
-		for _, s := range d.down {
+		for _, s := range d.downtimes {
 			edges = append(edges, edge{s.from, 1}, edge{s.to, -1})
 		}
 	}
--- a/internal/fleettest/play.go
+++ b/internal/fleettest/play.go
@@ -35,8 +35,8 @@
 	}
 	defer f.close()
 	began := time.Now()
-	t := newTally(s.Phases, began)
-	c := newClients(f, t)
+	t := newRecorder(s.Phases, began)
+	c := newWorkload(f, t)
 	if err := c.openLibrary(); err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 	var tasks sync.WaitGroup
 	tasks.Go(func() { c.run(ctx) })
 	tasks.Go(func() { t.watchLag(ctx) })
-	tasks.Go(func() { f.script(ctx, began) })
+	tasks.Go(func() { f.runEvents(ctx, began) })
 	at := time.Duration(0)
 	for i, p := range s.Phases {
 		o.Progress("%s: %d proxies, %v", p.Name, len(f.proxies), time.Duration(p.Duration))
@@ -58,20 +58,20 @@
 		if i == 0 {
 			f.footprints(&report.FirstFootprints)
 		}
-		o.Progress("%s", t.line(i))
+		o.Progress("%s", t.summary(i))
 	}
 	tasks.Wait()
 	f.footprints(&report.LastFootprints)
-	report.LevelChanges = f.levels(began)
+	report.LevelChanges = f.levelChanges(began)
 	f.stop()
 	// What a proxy still had out at a node may take effect yet.
-	settle(func() int { return f.origin.Stats().Writes })
+	waitUntilSteady(func() int { return f.origin.Stats().Writes })
 	report.fill(f, t, fetches)
 	return report, nil
 }
 
-// settle waits until a count has stood still for a while.
-func settle(count func() int) {
+// waitUntilSteady waits until a count has stood still for a while.
+func waitUntilSteady(count func() int) {
 	last, since := count(), time.Now()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until) && time.Since(since) < time.Second; {
 		time.Sleep(50 * time.Millisecond)
@@ -85,12 +85,12 @@
 
 func (f *fleet) footprints(into *[]Footprint) {
 	for _, d := range f.proxies {
-		*into = append(*into, d.current().footprint())
+		*into = append(*into, d.currentProcess().footprint())
 	}
 }
 
-// script has the events happen in their time, and returns when all are over.
-func (f *fleet) script(ctx context.Context, began time.Time) {
+// runEvents has the events happen in their time, and returns when all are over.
+func (f *fleet) runEvents(ctx context.Context, began time.Time) {
 	events := slices.Clone(f.scenario.Events)
 	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
 	var tasks sync.WaitGroup
@@ -100,8 +100,8 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.say("%.1f s: %s", time.Since(began).Seconds(), e)
-		tasks.Go(func() { f.do(ctx, e) })
+		f.progress("%.1f s: %s", time.Since(began).Seconds(), e)
+		tasks.Go(func() { f.runEvent(ctx, e) })
 	}
 }
 
@@ -130,13 +130,13 @@
 	return text
 }
 
-// chosen returns the proxies that an event is about.
-func (f *fleet) chosen(e Event) []*proxyDoor {
+// chosenProxies returns the proxies that an event is about.
+func (f *fleet) chosenProxies(e Event) []*proxyInstance {
 	if e.Proxy < 0 {
 		return f.proxies
 	}
 	if len(e.Proxies) > 0 {
-		var list []*proxyDoor
+		var list []*proxyInstance
 		for _, i := range e.Proxies {
 			list = append(list, f.proxies[i])
 		}
@@ -145,16 +145,16 @@
 	return f.proxies[e.Proxy : e.Proxy+1]
 }
 
-func (f *fleet) do(ctx context.Context, e Event) {
-	each := func(do func(*proxyDoor)) {
+func (f *fleet) runEvent(ctx context.Context, e Event) {
+	each := func(do func(*proxyInstance)) {
 		var tasks sync.WaitGroup
-		for _, d := range f.chosen(e) {
+		for _, d := range f.chosenProxies(e) {
 			tasks.Go(func() { do(d) })
 		}
 		tasks.Wait()
 	}
 	n := f.nodes[e.Node]
-	if f.disturb(ctx, &e) {
+	if f.injectFault(ctx, &e) {
 		return
 	}
 	switch e.Action {
@@ -163,62 +163,62 @@
 			begun := time.Now()
 			mode := e.Mode
 			if mode == "" { // by turns
-				mode = modes[1+i%2]
+				mode = restartModes[1+i%2]
 			}
 			d.restart(mode)
 			sleep(ctx, time.Duration(e.Interval)-time.Since(begun))
 			if ctx.Err() != nil {
-				f.problem("the wave was cut short at proxy %d", i)
+				f.addProblem("the wave was cut short at proxy %d", i)
 				return
 			}
 		}
 	case "restart":
-		each(func(d *proxyDoor) { d.restart(e.Mode) })
+		each(func(d *proxyInstance) { d.restart(e.Mode) })
 	case "kill":
-		each((*proxyDoor).kill)
+		each((*proxyInstance).kill)
 	case "hangup":
-		each(func(d *proxyDoor) { d.hangup(e.ConfigVariant, e.Count, time.Duration(e.Interval)) })
+		each(func(d *proxyInstance) { d.reload(e.ConfigVariant, e.Count, time.Duration(e.Interval)) })
 	case "drain":
-		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "draining" })
+		f.updateNode(e.Node, func(x *endpointlist.Entry) { x.Status = "draining" })
 	case "undrain":
-		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "up" })
+		f.updateNode(e.Node, func(x *endpointlist.Entry) { x.Status = "up" })
 	case "remove":
-		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "removed" })
+		f.updateNode(e.Node, func(x *endpointlist.Entry) { x.Status = "removed" })
 	case "cold":
 		if err := n.Restart(); err != nil {
-			f.problem("node %d: %v", e.Node, err)
+			f.addProblem("node %d: %v", e.Node, err)
 		}
-		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status, x.StartedMillis = "up", n.Started().UnixMilli() })
+		f.updateNode(e.Node, func(x *endpointlist.Entry) { x.Status, x.StartedMillis = "up", n.Started().UnixMilli() })
 	case "fault":
 		if err := n.SetFault(node.Fault{Kind: node.FaultKind(e.FaultKind), OneIn: e.OneIn, Delay: time.Duration(e.Delay)}); err != nil {
-			f.problem("node %d: %v", e.Node, err)
+			f.addProblem("node %d: %v", e.Node, err)
 		}
 	case "list-down":
 		kind := e.FaultKind
 		if kind == "" {
 			kind = "quiet"
 		}
-		f.list.fail(kind)
+		f.directory.setFault(kind)
 	case "list-up":
-		f.list.fail("")
+		f.directory.setFault("")
 	case "flap":
 		f.flap(e.Node, e.Count, time.Duration(e.Interval), ctx.Done())
 	case "die":
 		if err := n.SetFault(node.Fault{Kind: node.ProcessDown}); err != nil {
-			f.problem("node %d: %v", e.Node, err)
+			f.addProblem("node %d: %v", e.Node, err)
 		}
 	case "rename":
 		old := f.nodes[e.Node].Name()
 		if err := n.RestartAs(old + "x"); err != nil {
-			f.problem("node %d: %v", e.Node, err)
+			f.addProblem("node %d: %v", e.Node, err)
 		}
-		f.tellNode(e.Node, func(x *endpointlist.Entry) { x.Status = "removed" })
-		f.tellNode(e.Node, func(x *endpointlist.Entry) {
+		f.updateNode(e.Node, func(x *endpointlist.Entry) { x.Status = "removed" })
+		f.updateNode(e.Node, func(x *endpointlist.Entry) {
 			x.Name, x.Status, x.StartedMillis = old+"x", "up", n.Started().UnixMilli()
 		})
 	case "reborn":
 		if err := n.Restart(); err != nil {
-			f.problem("node %d: %v", e.Node, err)
+			f.addProblem("node %d: %v", e.Node, err)
 		}
 	case "brown":
 		f.origin.SetServiceTime(time.Duration(e.Delay))
@@ -231,15 +231,15 @@
 			if e.Action == "dark" {
 				err = n.SetFault(node.Fault{Kind: node.ProcessDown})
 			} else if err = n.Restart(); err == nil {
-				f.tellNode(i, func(x *endpointlist.Entry) { x.Status, x.StartedMillis = "up", n.Started().UnixMilli() })
+				f.updateNode(i, func(x *endpointlist.Entry) { x.Status, x.StartedMillis = "up", n.Started().UnixMilli() })
 			}
 			if err != nil {
-				f.problem("node %d: %v", i, err)
+				f.addProblem("node %d: %v", i, err)
 			}
 		}
 	case "leave", "return":
 		for i := range e.Count {
-			f.tellNode(i, func(x *endpointlist.Entry) {
+			f.updateNode(i, func(x *endpointlist.Entry) {
 				x.Status = map[string]string{"leave": "removed", "return": "up"}[e.Action]
 			})
 		}
@@ -256,7 +256,7 @@
 	for _, d := range f.proxies {
 		tell("proxy " + d.address)
 	}
-	for _, place := range f.list.places() {
+	for _, place := range f.directory.addresses() {
 		tell(place)
 	}
 	for _, n := range f.nodes {
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// patience bounds the waits for a process: a start, a reload, an end.
-const patience = 20 * time.Second
+// processTimeout bounds the waits for a process: a start, a reload, an end.
+const processTimeout = 20 * time.Second
 
 // process is one run of a proxy's program, whose service manager the rehearsal is.
 type process struct {
 	cmd    *exec.Cmd
-	notify *net.UnixConn
-	log    string // path of what it writes
+	notifySocket *net.UnixConn
+	logPath    string // path of what it writes
 	ready  chan struct{}
-	drains chan struct{}
+	draining chan struct{}
 	exited chan struct{}
 	tasks  sync.WaitGroup
 
-	begun    time.Time
+	startedAt    time.Time
 	readyAt  time.Time // after ready is closed
-	drainsAt time.Time // after drains is closed
+	drainingAt time.Time // after drains is closed
 	exitedAt time.Time // after exited is closed
 	err      error     // after exited is closed
 
@@ -38,15 +38,15 @@
 	status    string
 	reloads   int // ended
 	reloading bool
-	planned   bool // its end is
+	endExpected   bool // its end is
 }
 
-var serials atomic.Int64
+var processSerial atomic.Int64
 
 // startProcess starts a program under a service manager's protocol; with a
 // listener it is passed that. What it writes goes behind the log at a path.
 func startProcess(argv []string, listener *os.File, log string) (*process, error) {
-	name := fmt.Sprintf("@fleettest-%d-%d", os.Getpid(), serials.Add(1))
+	name := fmt.Sprintf("@fleettest-%d-%d", os.Getpid(), processSerial.Add(1))
 	notify, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: name, Net: "unixgram"})
 	if err != nil {
 		return nil, fmt.Errorf("notify socket: %w", err)
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	defer out.Close()
-	p := &process{notify: notify, log: log, ready: make(chan struct{}), drains: make(chan struct{}), exited: make(chan struct{}), begun: time.Now()}
+	p := &process{notifySocket: notify, logPath: log, ready: make(chan struct{}), draining: make(chan struct{}), exited: make(chan struct{}), startedAt: time.Now()}
 	p.cmd = exec.Command(argv[0], argv[1:]...)
 	p.cmd.Env = append(os.Environ(), "NOTIFY_SOCKET="+name, "WATCHDOG_USEC=2000000", "GW_CONFIG=")
 	if listener != nil {
@@ -72,7 +72,7 @@
 		notify.Close()
 		return nil, err
 	}
-	p.tasks.Go(p.listen)
+	p.tasks.Go(p.readNotifications)
 	p.tasks.Go(func() {
 		p.err = p.cmd.Wait()
 		p.exitedAt = time.Now()
@@ -82,11 +82,11 @@
 	return p, nil
 }
 
-// listen takes what the process tells its service manager.
-func (p *process) listen() {
+// readNotifications takes what the process tells its service manager.
+func (p *process) readNotifications() {
 	buf := make([]byte, 4<<10)
 	for ready, drains := false, false; ; {
-		n, _, err := p.notify.ReadFromUnix(buf)
+		n, _, err := p.notifySocket.ReadFromUnix(buf)
 		if err != nil {
 			return
 		}
@@ -105,8 +105,8 @@
 				p.reloading = true
 			case "STOPPING":
 				if !drains {
-					drains, p.drainsAt = true, time.Now()
-					close(p.drains)
+					drains, p.drainingAt = true, time.Now()
+					close(p.draining)
 				}
 			case "STATUS":
 				p.status = value
@@ -122,20 +122,20 @@
 	case <-p.ready:
 		return nil
 	case <-p.exited:
-		return fmt.Errorf("ended before it was ready: %w: %s", errors.Join(p.err, errEnded), tail(p.log))
-	case <-time.After(patience):
-		return fmt.Errorf("not ready in %v: %s", patience, tail(p.log))
+		return fmt.Errorf("ended before it was ready: %w: %s", errors.Join(p.err, errEnded), logTail(p.logPath))
+	case <-time.After(processTimeout):
+		return fmt.Errorf("not ready in %v: %s", processTimeout, logTail(p.logPath))
 	}
 }
 
 var errEnded = errors.New("the program ended")
 
 // end has the process end by a signal, and waits for it.
-func (p *process) end(signal syscall.Signal) error { return p.endWithin(signal, patience) }
+func (p *process) end(signal syscall.Signal) error { return p.endWithin(signal, processTimeout) }
 
 func (p *process) endWithin(signal syscall.Signal, most time.Duration) error {
 	p.mu.Lock()
-	p.planned = true
+	p.endExpected = true
 	p.mu.Unlock()
 	p.cmd.Process.Signal(signal)
 	select {
@@ -152,8 +152,8 @@
 	return p.err
 }
 
-// crashed tells whether the process has ended unasked.
-func (p *process) crashed() bool {
+// hasCrashed tells whether the process has ended unasked.
+func (p *process) hasCrashed() bool {
 	select {
 	case <-p.exited:
 	default:
@@ -161,11 +161,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.planned
+	return !p.endExpected
 }
 
-// reloaded counts the reloads that have ended.
-func (p *process) reloaded() int {
+// reloadCount counts the reloads that have ended.
+func (p *process) reloadCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reloads
@@ -202,8 +202,8 @@
 	return residentMB, descriptors
 }
 
-// tail returns the last of what a process wrote.
-func tail(path string) string {
+// logTail returns the last of what a process wrote.
+func logTail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err.Error()
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -79,42 +79,42 @@
 	return 100 * float64(p.InTime) / float64(max(p.Offered, 1))
 }
 
-func (t *tally) line(phase int) string {
+func (t *recorder) summary(phase int) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := &t.counts[phase]
-	return fmt.Sprintf("%s: %d offered, %d in time; %d lost", t.phases[phase].Name, c.offered, c.inTime, t.rules.lost)
+	return fmt.Sprintf("%s: %d offered, %d in time; %d lost", t.phases[phase].Name, c.offered, c.inTime, t.events.lost)
 }
 
-func (r *Report) fill(f *fleet, t *tally, fetches []int) {
-	var rules broken
-	r.Phases, rules = t.figures()
-	r.Timeline = t.course
+func (r *Report) fill(f *fleet, t *recorder, fetches []int) {
+	var rules eventCounts
+	r.Phases, rules = t.phaseReports()
+	r.Timeline = t.timeline
 	for i := range r.Phases {
 		r.Phases[i].Fetches = fetches[i+1] - fetches[i]
 	}
 	o := f.origin.Stats()
-	r.Requests, r.Lost, r.WrongAnswers, r.CrossedClose, r.KilledInFlight = rules.requests, rules.lost, rules.wrong, rules.crossed, rules.excused
-	r.InFlightAtStopped, r.InFlightAtCutLink, r.UnknownOutcomes = rules.stood, rules.severed, rules.unsure
-	r.Overdue, r.MaxOverdueMillis = rules.overdue, millis(rules.overBy)
-	r.MaxLagMillis = millis(t.most)
-	r.FailedDials, r.NotOffered = t.refuse, t.unsent
+	r.Requests, r.Lost, r.WrongAnswers, r.CrossedClose, r.KilledInFlight = rules.requests, rules.lost, rules.wrongAnswers, rules.crossedClose, rules.atKilledProxy
+	r.InFlightAtStopped, r.InFlightAtCutLink, r.UnknownOutcomes = rules.atStoppedProxy, rules.atCutLink, rules.unknownOutcomes
+	r.Overdue, r.MaxOverdueMillis = rules.overdue, millis(rules.maxOverdue)
+	r.MaxLagMillis = millis(t.maxLag)
+	r.FailedDials, r.NotOffered = t.failedDials, t.notOfferedCount
 	r.DuplicateWrites, r.Effects, r.OriginFull = o.Duplicates, o.Effects, o.QueueFull
 	for _, n := range f.nodes {
 		s := n.Stats()
 		r.MaxConnsPerNode = max(r.MaxConnsPerNode, s.MaxConns)
 		if s.Collapsed {
 			r.CollapsedNodes++
-			f.problem("node %s was pushed over while cold", n.Name())
+			f.addProblem("node %s was pushed over while cold", n.Name())
 		}
 	}
 	for _, d := range f.proxies {
 		r.Restarts, r.Reloads = r.Restarts+d.restarts, r.Reloads+d.reloads
 	}
-	r.RestartPermits, r.MaxDown = f.scenario.Fleet.RestartPermits, f.mostDown()
+	r.RestartPermits, r.MaxDown = f.scenario.Fleet.RestartPermits, f.maxDown()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r.LateDrains, r.LateDrainMillis, r.LastAfterDrainMillis, r.Crashes = f.late, millis(f.lateBy), millis(f.lastBy), f.crashes
+	r.LateDrains, r.LateDrainMillis, r.LastAfterDrainMillis, r.Crashes = f.lateDrains, millis(f.maxLateDrain), millis(f.lastAfterDrain), f.crashes
 	r.Problems = append(append(r.Problems, rules.samples...), f.problems...)
 	for i, e := range f.origin.DuplicateEffects() {
 		if i < 20 {
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -20,15 +20,15 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// span is a duration as a scenario writes it.
-type span time.Duration
+// tomlDuration is a duration as a scenario writes it.
+type tomlDuration time.Duration
 
-func (s *span) UnmarshalText(text []byte) error {
+func (s *tomlDuration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err == nil && d < 0 {
 		err = fmt.Errorf("duration %s is negative", text)
 	}
-	*s = span(d)
+	*s = tomlDuration(d)
 	return err
 }
 
@@ -50,13 +50,13 @@
 	Zones               []string `toml:"zones"`
 	Slots               int      `toml:"slots"`       // of a node
 	Queue               int      `toml:"queue"`       // of a node
-	ServiceTime         span     `toml:"work"`        // of a node for a request
+	ServiceTime         tomlDuration     `toml:"work"`        // of a node for a request
 	Capacity            int      `toml:"capacity"`    // keys that a node keeps
 	Connections         int      `toml:"connections"` // that a node holds
-	DedupWindow         span     `toml:"window"`      // in which nodes drop repeats
+	DedupWindow         tomlDuration     `toml:"window"`      // in which nodes drop repeats
 	OriginSlots         int      `toml:"origin_slots"`
 	OriginQueue         int      `toml:"origin_queue"`
-	OriginServiceTime   span     `toml:"origin_work"`
+	OriginServiceTime   tomlDuration     `toml:"origin_work"`
 	MemoryMB            int      `toml:"memory_mb"`            // of a proxy
 	MaxSockets          int      `toml:"sockets"`              // of a proxy
 	ConnectionsPerNode  int      `toml:"connections_per_node"` // of a proxy
@@ -65,8 +65,8 @@
 	BinaryNodeEvery     int      `toml:"binary_nodes"`         // every so many-th node speaks binary; 0 for none
 	Consul              bool     `toml:"consul"`               // proxies follow Consul agents, one a zone
 	DegradationOff      bool     `toml:"unreduced"`            // proxies don't reduce service
-	SuspendAt           span     `toml:"sleep_at"`             // the proxies' machine seems to sleep, so long after a proxy's start
-	SuspendDuration     span     `toml:"sleep_for"`            // and for so long; 0 for no sleep
+	SuspendAt           tomlDuration     `toml:"sleep_at"`             // the proxies' machine seems to sleep, so long after a proxy's start
+	SuspendDuration     tomlDuration     `toml:"sleep_for"`            // and for so long; 0 for no sleep
 	// ClockDrift is by how much of itself the clock that counts sleep runs off the other; every other proxy's lags.
 	ClockDrift float64 `toml:"drift"`
 	// RestartPermits is how many proxies may restart at once, by leave of the fleet, of which the first three are voters; 0 for
@@ -111,10 +111,10 @@
 // Phase is a stretch of time whose figures stand together.
 type Phase struct {
 	Name              string  `toml:"name"`
-	Duration          span    `toml:"for"`
+	Duration          tomlDuration    `toml:"for"`
 	RateFactor        float64 `toml:"rate"`   // times the load's; 1
 	RateSwing         float64 `toml:"swing"`  // share by which the rate swings round that
-	SwingPeriod       span    `toml:"period"` // of the swing
+	SwingPeriod       tomlDuration    `toml:"period"` // of the swing
 	FirstTenantFactor float64 `toml:"flood"`  // times its part that the first tenant asks for; 1
 }
 
@@ -135,19 +135,19 @@
 
 // Event is something done to the fleet at a time.
 type Event struct {
-	At            span   `toml:"at"`
+	At            tomlDuration   `toml:"at"`
 	Action        string `toml:"do"`
 	Proxy         int    `toml:"proxy"` // its number; -1 for all
 	Node          int    `toml:"node"`  // its number
 	Mode          string `toml:"mode"`  // of restart and wave: old first (gap), or new first (overlap)
-	Interval      span   `toml:"every"` // between the proxies of a wave, or the times of a hangup
+	Interval      tomlDuration   `toml:"every"` // between the proxies of a wave, or the times of a hangup
 	Count         int    `toml:"times"` // how often
 	ConfigVariant string `toml:"with"`  // of hangup: what the configuration is like
 	FaultKind     string `toml:"kind"`  // of fault
-	Delay         span   `toml:"by"`    // of fault
+	Delay         tomlDuration   `toml:"by"`    // of fault
 	OneIn         int    `toml:"part"`  // of fault: one request in so many
 	Zone          string `toml:"zone"`  // of dark and light
-	Duration      span   `toml:"for"`   // of stop, link, starve and crowd: how long
+	Duration      tomlDuration   `toml:"for"`   // of stop, link, starve and crowd: how long
 	// Of stop, link, starve and crowd: which proxies (none for that of Proxy), and of a link to
 	// nodes which of them (none for all).
 	Proxies []int  `toml:"proxies"`
@@ -156,7 +156,7 @@
 }
 
 // what events there are, and what they do.
-var doings = map[string]string{
+var eventActions = map[string]string{
 	"wave":      "restarts all proxies one after another, Every apart, by Mode",
 	"restart":   "restarts a proxy, or Proxies, or all at once, by Mode",
 	"kill":      "kills a proxy outright and starts it again",
@@ -183,8 +183,8 @@
 	"crowd":     "opens Times connections to proxies and holds them For a time, without a word",
 }
 
-var modes = []string{"", "gap", "overlap"}
-var withs = []string{"", "same", "quota", "broken", "gone", "half", "moved", "fixed"}
+var restartModes = []string{"", "gap", "overlap"}
+var configVariants = []string{"", "same", "quota", "broken", "gone", "half", "moved", "fixed"}
 
 //go:embed scenarios/*.toml
 var builtIn embed.FS
@@ -213,9 +213,9 @@
 		}
 	}
 	s := &Scenario{Name: strings.TrimSuffix(path.Base(name), ".toml"), Seed: 1,
-		Fleet: FleetSettings{Proxies: 3, Nodes: 6, Zones: []string{"a"}, Slots: 8, Queue: 64, ServiceTime: span(20 * time.Millisecond),
-			Capacity: 4096, Connections: 64, DedupWindow: span(1500 * time.Millisecond), OriginSlots: 64, OriginQueue: 256,
-			OriginServiceTime: span(30 * time.Millisecond), MemoryMB: 64, MaxSockets: 512, ConnectionsPerNode: 2},
+		Fleet: FleetSettings{Proxies: 3, Nodes: 6, Zones: []string{"a"}, Slots: 8, Queue: 64, ServiceTime: tomlDuration(20 * time.Millisecond),
+			Capacity: 4096, Connections: 64, DedupWindow: tomlDuration(1500 * time.Millisecond), OriginSlots: 64, OriginQueue: 256,
+			OriginServiceTime: tomlDuration(30 * time.Millisecond), MemoryMB: 64, MaxSockets: 512, ConnectionsPerNode: 2},
 		Load: LoadSettings{Rate: 100, HandoverShare: 0.05, Keys: 5000, Skew: 1.1, Retries: 3, MarkedRetryShare: 0.5, HonourRetryAfterShare: 0.5, PipelineDepth: 8, TenantQuota: 1000}}
 	meta, err := toml.Decode(string(text), s)
 	if err != nil {
@@ -275,9 +275,9 @@
 		switch {
 		case (e.Action == "dark" || e.Action == "light") && !slices.Contains(f.Zones, e.Zone):
 			return fmt.Errorf("event %d: there is no zone %q", i, e.Zone)
-		case doings[e.Action] == "":
+		case eventActions[e.Action] == "":
 			return fmt.Errorf("event %d: nothing is done by %q", i, e.Action)
-		case !slices.Contains(modes, e.Mode) || !slices.Contains(withs, e.ConfigVariant):
+		case !slices.Contains(restartModes, e.Mode) || !slices.Contains(configVariants, e.ConfigVariant):
 			return fmt.Errorf("event %d: mode cannot be %q, or with cannot be %q", i, e.Mode, e.ConfigVariant)
 		case e.Proxy < -1 || e.Proxy >= f.Proxies || e.Node < 0 || e.Node >= f.Nodes:
 			return fmt.Errorf("event %d: there is no proxy %d, or no node %d", i, e.Proxy, e.Node)
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -55,15 +55,15 @@
 // TestTallyBooksByPhase guards the table's figures.
 func TestTallyBooksByPhase(t *testing.T) {
 	began := time.Now()
-	y := newTally([]Phase{{Name: "a", Duration: span(time.Second)}, {Name: "b", Duration: span(time.Second)}}, began)
-	a, b, c := y.begin(began, true, false), y.begin(began.Add(1500*time.Millisecond), false, true), y.begin(began.Add(time.Hour), false, false)
-	y.end(a, 10*ms, served, 500*ms)
-	y.end(b, 600*ms, served, 500*ms)
-	y.end(c, time.Second, refused, 500*ms)
-	y.end(y.begin(began, false, false), time.Second, silent, 500*ms)
-	y.retry(b)
-	y.lose("x %d", 7)
-	phases, rules := y.figures()
+	y := newRecorder([]Phase{{Name: "a", Duration: tomlDuration(time.Second)}, {Name: "b", Duration: tomlDuration(time.Second)}}, began)
+	a, b, c := y.requestStarted(began, true, false), y.requestStarted(began.Add(1500*time.Millisecond), false, true), y.requestStarted(began.Add(time.Hour), false, false)
+	y.requestEnded(a, 10*ms, served, 500*ms)
+	y.requestEnded(b, 600*ms, served, 500*ms)
+	y.requestEnded(c, time.Second, refused, 500*ms)
+	y.requestEnded(y.requestStarted(began, false, false), time.Second, timedOut, 500*ms)
+	y.retried(b)
+	y.lost("x %d", 7)
+	phases, rules := y.phaseReports()
 	if p := phases[0]; p.Offered != 2 || p.InTime != 1 || p.Failed != 1 || p.P50 < 9.9 || p.P50 > 10.1 || p.InTimePercent() != 50 || p.Handovers != 1 || p.HandoversInTime != 1 || p.OfferedWeight != 3 || p.ServedWeight != 2 {
 		t.Errorf("first phase %+v", p)
 	}
--- a/internal/fleettest/still.go
+++ b/internal/fleettest/still.go
@@ -16,41 +16,41 @@
 // This file plays processes that stand still and links that fail, one trouble at a time, and
 // lays out what each cost.
 
-// stillTrouble is one fault, or several together, at some of the proxies.
-type stillTrouble struct {
+// pauseFault is one fault, or several together, at some of the proxies.
+type pauseFault struct {
 	name  string
-	lasts time.Duration
+	duration time.Duration
 	// events are what happens, with times that count from the trouble's beginning.
 	events func(proxies []int) []Event
 	drift  float64 // of the proxies' clocks
 }
 
-// second is a scenario's span.
-func second(s float64) span { return span(s * float64(time.Second)) }
+// seconds is a scenario's span.
+func seconds(s float64) tomlDuration { return tomlDuration(s * float64(time.Second)) }
 
 // stopped is a trouble of proxies that stand still, and of what else happens meanwhile.
-func stopped(name string, seconds float64, more ...Event) stillTrouble {
-	return stillTrouble{name: name, lasts: time.Duration(second(seconds)), events: func(proxies []int) []Event {
-		return append([]Event{{Action: "stop", Proxies: proxies, Duration: second(seconds)}}, more...)
+func stopped(name string, length float64, more ...Event) pauseFault {
+	return pauseFault{name: name, duration: time.Duration(seconds(length)), events: func(proxies []int) []Event {
+		return append([]Event{{Action: "stop", Proxies: proxies, Duration: seconds(length)}}, more...)
 	}}
 }
 
 // linked is a trouble of the proxies' links.
-func linked(name, between, kind string, seconds float64, by time.Duration) stillTrouble {
-	return stillTrouble{name: name, lasts: time.Duration(second(seconds)), events: func(proxies []int) []Event {
-		return []Event{{Action: "link", Proxies: proxies, LinkTo: between, FaultKind: kind, Duration: second(seconds), Delay: span(by)}}
+func linked(name, between, kind string, length float64, by time.Duration) pauseFault {
+	return pauseFault{name: name, duration: time.Duration(seconds(length)), events: func(proxies []int) []Event {
+		return []Event{{Action: "link", Proxies: proxies, LinkTo: between, FaultKind: kind, Duration: seconds(length), Delay: tomlDuration(by)}}
 	}}
 }
 
 // and is two troubles together.
-func (t stillTrouble) and(u stillTrouble) stillTrouble {
-	return stillTrouble{name: t.name + " + " + u.name, lasts: max(t.lasts, u.lasts), drift: max(t.drift, u.drift), events: func(proxies []int) []Event {
+func (t pauseFault) and(u pauseFault) pauseFault {
+	return pauseFault{name: t.name + " + " + u.name, duration: max(t.duration, u.duration), drift: max(t.drift, u.drift), events: func(proxies []int) []Event {
 		return append(t.events(proxies), u.events(proxies)...)
 	}}
 }
 
 // eachProxy has an event befall every one of the proxies.
-func eachProxy(t stillTrouble, e Event) stillTrouble {
+func eachProxy(t pauseFault, e Event) pauseFault {
 	events := t.events
 	t.events = func(proxies []int) (list []Event) {
 		list = events(proxies)
@@ -65,19 +65,19 @@
 
 // The faults that are neither a stop nor a link's.
 var (
-	bursts = stillTrouble{name: "bursts of 50 ms in 60", lasts: 10 * time.Second, events: func(proxies []int) []Event {
-		return []Event{{Action: "stop", Proxies: proxies, Duration: second(0.05), Interval: second(0.06), Count: 166}}
+	bursts = pauseFault{name: "bursts of 50 ms in 60", duration: 10 * time.Second, events: func(proxies []int) []Event {
+		return []Event{{Action: "stop", Proxies: proxies, Duration: seconds(0.05), Interval: seconds(0.06), Count: 166}}
 	}}
-	starved = stillTrouble{name: "core withheld", lasts: 4 * time.Second, events: func(proxies []int) []Event {
-		return []Event{{Action: "starve", Proxies: proxies, Duration: second(4), Count: 3}}
+	starved = pauseFault{name: "core withheld", duration: 4 * time.Second, events: func(proxies []int) []Event {
+		return []Event{{Action: "starve", Proxies: proxies, Duration: seconds(4), Count: 3}}
 	}}
-	crowded = stillTrouble{name: "backlog full", lasts: 3 * time.Second, events: func(proxies []int) []Event {
-		return []Event{{Action: "crowd", Proxies: proxies, Duration: second(3), Count: 600}}
+	crowded = pauseFault{name: "backlog full", duration: 3 * time.Second, events: func(proxies []int) []Event {
+		return []Event{{Action: "crowd", Proxies: proxies, Duration: seconds(3), Count: 600}}
 	}}
-	stalled = stillTrouble{name: "nodes stopped 3 s", lasts: 3 * time.Second, events: func([]int) []Event {
-		return []Event{{Action: "fault", Node: 1, FaultKind: "stall"}, {Action: "fault", Node: 2, FaultKind: "stall"}, {At: second(3), Action: "fault", Node: 1}, {At: second(3), Action: "fault", Node: 2}}
+	stalled = pauseFault{name: "nodes stopped 3 s", duration: 3 * time.Second, events: func([]int) []Event {
+		return []Event{{Action: "fault", Node: 1, FaultKind: "stall"}, {Action: "fault", Node: 2, FaultKind: "stall"}, {At: seconds(3), Action: "fault", Node: 1}, {At: seconds(3), Action: "fault", Node: 2}}
 	}}
-	killed = stillTrouble{name: "killed", lasts: time.Second, events: func(proxies []int) (list []Event) {
+	killed = pauseFault{name: "killed", duration: time.Second, events: func(proxies []int) (list []Event) {
 		for _, p := range proxies {
 			list = append(list, Event{Action: "kill", Proxy: p})
 		}
@@ -85,39 +85,39 @@
 	}}
 )
 
-// linkTroubles are the faults of links, one a kind.
-func linkTroubles() []stillTrouble {
-	return []stillTrouble{linked("clients cut 3 s", "clients", "cut", 3, 0), linked("clients' requests held 3 s", "clients", "forth", 3, 0),
+// linkPauseFaults are the faults of links, one a kind.
+func linkPauseFaults() []pauseFault {
+	return []pauseFault{linked("clients cut 3 s", "clients", "cut", 3, 0), linked("clients' requests held 3 s", "clients", "forth", 3, 0),
 		linked("answers to clients held 3 s", "clients", "back", 3, 0), linked("clients reset", "clients", "reset", 1, 0),
 		linked("nodes cut 3 s", "nodes", "cut", 3, 0), linked("nodes' answers held 3 s", "nodes", "back", 3, 0),
 		linked("nodes 100 ms away", "nodes", "delay", 4, 100*time.Millisecond)}
 }
 
-// stillTroubles are what `rehearse still` plays.
-func stillTroubles() []stillTrouble {
+// pauseFaults are what `rehearse still` plays.
+func pauseFaults() []pauseFault {
 	drifting := stopped("stop 1.6 s, clocks 5% off", 1.6)
 	drifting.drift = 0.05
-	list := []stillTrouble{
+	list := []pauseFault{
 		stopped("stop 0.2 s", 0.2), stopped("stop 1 s", 1), stopped("stop 1.6 s", 1.6), stopped("stop 3 s", 3), stopped("stop 6 s", 6),
 		stopped("stop 30 s", 30), bursts, starved, crowded, stalled, killed, drifting,
-		stopped("stop 3 s, drain meanwhile", 3, Event{At: second(1), Action: "drain", Node: 3}),
-		stopped("stop 3 s, node replaced", 3, Event{At: second(1), Action: "cold", Node: 4}),
-		stopped("stop 3 s, node gone", 3, Event{At: second(1), Action: "remove", Node: 5}),
-		stopped("stop 3 s, another at a node's address", 3, Event{At: second(1), Action: "rename", Node: 6}),
-		eachProxy(stopped("stop 3 s, SIGTERM waiting", 3), Event{At: second(1), Action: "restart", Mode: "gap"}),
-		eachProxy(stopped("stop 3 s, SIGHUP waiting", 3), Event{At: second(1), Action: "hangup", ConfigVariant: "same", Count: 3, Interval: second(0.2)}),
-		eachProxy(linked("clients stopped 3 s, SIGTERM meanwhile", "clients", "cut", 3, 0), Event{At: second(1), Action: "restart", Mode: "gap"}),
+		stopped("stop 3 s, drain meanwhile", 3, Event{At: seconds(1), Action: "drain", Node: 3}),
+		stopped("stop 3 s, node replaced", 3, Event{At: seconds(1), Action: "cold", Node: 4}),
+		stopped("stop 3 s, node gone", 3, Event{At: seconds(1), Action: "remove", Node: 5}),
+		stopped("stop 3 s, another at a node's address", 3, Event{At: seconds(1), Action: "rename", Node: 6}),
+		eachProxy(stopped("stop 3 s, SIGTERM waiting", 3), Event{At: seconds(1), Action: "restart", Mode: "gap"}),
+		eachProxy(stopped("stop 3 s, SIGHUP waiting", 3), Event{At: seconds(1), Action: "hangup", ConfigVariant: "same", Count: 3, Interval: seconds(0.2)}),
+		eachProxy(linked("clients stopped 3 s, SIGTERM meanwhile", "clients", "cut", 3, 0), Event{At: seconds(1), Action: "restart", Mode: "gap"}),
 	}
-	list = append(list, linkTroubles()...)
+	list = append(list, linkPauseFaults()...)
 	return append(list,
-		linked("list answers held 6 s", "list", "back", 6, 0).and(stopped("stop 1 s, drain meanwhile", 1, Event{At: second(0.5), Action: "drain", Node: 3})),
+		linked("list answers held 6 s", "list", "back", 6, 0).and(stopped("stop 1 s, drain meanwhile", 1, Event{At: seconds(0.5), Action: "drain", Node: 3})),
 		stopped("stop 3 s", 3).and(crowded), stopped("stop 3 s", 3).and(stalled), stopped("stop 1.6 s", 1.6).and(linked("nodes cut 3 s", "nodes", "cut", 3, 0)),
 		stopped("stop 3 s", 3).and(linked("list answers held 6 s", "list", "back", 6, 0)))
 }
 
-// stillPairs are all pairs of faults, each at the same proxies at the same time.
-func stillPairs() (list []stillTrouble) {
-	alone := append([]stillTrouble{stopped("stop 1.6 s", 1.6), starved, crowded, stalled, killed}, linkTroubles()...)
+// pauseFaultPairs are all pairs of faults, each at the same proxies at the same time.
+func pauseFaultPairs() (list []pauseFault) {
+	alone := append([]pauseFault{stopped("stop 1.6 s", 1.6), starved, crowded, stalled, killed}, linkPauseFaults()...)
 	alone = append(alone, linked("list answers held 3 s", "list", "back", 3, 0))
 	for i, t := range alone {
 		for _, u := range alone[i+1:] {
@@ -134,7 +134,7 @@
 }
 
 // linkOf tells which links a trouble is about, "" for none.
-func linkOf(t stillTrouble) string {
+func linkOf(t pauseFault) string {
 	e := t.events([]int{0})
 	return e[0].LinkTo
 }
@@ -150,8 +150,8 @@
 	Parallel int
 }
 
-// stillProxies is how many proxies there are.
-const stillProxies = 12
+// pauseProxies is how many proxies there are.
+const pauseProxies = 12
 
 // calmBefore and calmAfter are what a trouble has round it.
 const (
@@ -160,22 +160,22 @@
 )
 
 // scenario is a trouble at so many proxies.
-func (t stillTrouble) scenario(at int, seed uint64) (*Scenario, error) {
+func (t pauseFault) scenario(at int, seed uint64) (*Scenario, error) {
 	s, err := LoadScenario("still")
 	if err != nil {
 		return nil, err
 	}
-	s.Name, s.Description, s.Seed = t.name, fmt.Sprintf("%s at %d of %d proxies", t.name, at, stillProxies), seed
+	s.Name, s.Description, s.Seed = t.name, fmt.Sprintf("%s at %d of %d proxies", t.name, at, pauseProxies), seed
 	s.Load.Rate, s.Load.HandoverShare = 600, 0.3
-	s.Fleet.Proxies, s.Fleet.ClockDrift = stillProxies, t.drift
-	s.Phases = []Phase{{Name: "calm", Duration: span(calmBefore)}, {Name: "trouble", Duration: span(t.lasts)}, {Name: "after", Duration: span(calmAfter)}}
+	s.Fleet.Proxies, s.Fleet.ClockDrift = pauseProxies, t.drift
+	s.Phases = []Phase{{Name: "calm", Duration: tomlDuration(calmBefore)}, {Name: "trouble", Duration: tomlDuration(t.duration)}, {Name: "after", Duration: tomlDuration(calmAfter)}}
 	proxies := make([]int, at)
 	for i := range proxies {
-		proxies[i] = i * stillProxies / at
+		proxies[i] = i * pauseProxies / at
 	}
 	s.Events = nil
 	for _, e := range t.events(proxies) {
-		e.At += span(calmBefore)
+		e.At += tomlDuration(calmBefore)
 		s.Events = append(s.Events, e)
 	}
 	return s, s.check()
@@ -201,9 +201,9 @@
 	if len(o.ProxyCounts) == 0 {
 		o.ProxyCounts = []int{3}
 	}
-	troubles := stillTroubles()
+	troubles := pauseFaults()
 	if o.AllPairs {
-		troubles = stillPairs()
+		troubles = pauseFaultPairs()
 	}
 	r := &PauseReport{}
 	type play struct {
@@ -220,7 +220,7 @@
 			if err != nil {
 				return nil, err
 			}
-			todo, r.Rows = append(todo, play{s, calmBefore + t.lasts}), append(r.Rows, PauseRow{Fault: t.name, Proxies: at})
+			todo, r.Rows = append(todo, play{s, calmBefore + t.duration}), append(r.Rows, PauseRow{Fault: t.name, Proxies: at})
 		}
 	}
 	errs := make([]error, len(todo))
@@ -259,11 +259,11 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", row.Fault, err)
 	}
-	row.InTimePercent, row.RecoverySeconds, row.Report = shareFrom(report.Phases[1:]), report.backAfter(end), report
+	row.InTimePercent, row.RecoverySeconds, row.Report = inTimeShare(report.Phases[1:]), report.backAfter(end), report
 	return nil
 }
 
-func shareFrom(phases []PhaseReport) float64 {
+func inTimeShare(phases []PhaseReport) float64 {
 	all := PhaseReport{}
 	for _, p := range phases {
 		all.Offered, all.InTime = all.Offered+p.Offered, all.InTime+p.InTime
@@ -275,9 +275,9 @@
 // stretch of the course.
 func (r *Report) backAfter(end time.Duration) (back float64) {
 	for i, c := range r.Timeline {
-		from := time.Duration(i) * courseTick
+		from := time.Duration(i) * timelineTick
 		if c.Offered > 0 && from >= end && float64(c.InTime) < 0.98*float64(c.Offered) {
-			back = (from + courseTick - end).Seconds()
+			back = (from + timelineTick - end).Seconds()
 		}
 	}
 	return back
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -69,22 +69,22 @@
 }
 
 // openWorks reserves where a proxy takes works in hand, behind a link.
-func (d *proxyDoor) openWorks() error {
+func (d *proxyInstance) openWorks() error {
 	l, err := d.fleet.ports.reserve()
 	if err != nil {
 		return err
 	}
-	d.works = l.Addr().String()
+	d.peerAddress = l.Addr().String()
 	l.Close()
-	if d.fleet.workLinks == nil {
-		d.fleet.workLinks = make(map[int]*faultinject.Link)
+	if d.fleet.peerLinks == nil {
+		d.fleet.peerLinks = make(map[int]*faultinject.Link)
 	}
-	link, err := faultinject.NewLink(linkHost, d.works)
+	link, err := faultinject.NewLink(linkHost, d.peerAddress)
 	if err != nil {
 		return err
 	}
-	d.fleet.workLinks[d.index] = link
-	d.worksTold = link.Address()
+	d.fleet.peerLinks[d.index] = link
+	d.advertisedPeerAddress = link.Address()
 	return nil
 }
 
@@ -105,9 +105,9 @@
 	s.Fleet.Slots, s.Fleet.Queue, s.Fleet.OriginSlots, s.Fleet.OriginQueue, s.Fleet.Zones = 64, 512, 4096, 8192, []string{"a", "b", "c"}
 	s.Load.Rate, s.Load.HandoverShare, s.Load.LateRetries, s.Load.LateRetryShare = o.Rate, 0.2, 4, 1.0/3
 	const calm, after = 4 * time.Second, 4 * time.Second
-	s.Phases = []Phase{{Name: "calm", Duration: span(calm)}, {Name: "faults", Duration: span(o.Duration)}, {Name: "after", Duration: span(after)}}
+	s.Phases = []Phase{{Name: "calm", Duration: tomlDuration(calm)}, {Name: "faults", Duration: tomlDuration(o.Duration)}, {Name: "after", Duration: tomlDuration(after)}}
 	// So that there are links between clients and proxies.
-	s.Events = []Event{{At: span(calm), Action: "link", LinkTo: "clients", FaultKind: "reset", Proxies: []int{0}}}
+	s.Events = []Event{{At: tomlDuration(calm), Action: "link", LinkTo: "clients", FaultKind: "reset", Proxies: []int{0}}}
 	if err := s.check(); err != nil {
 		return nil, err
 	}
@@ -119,8 +119,8 @@
 	sleep(ctx, time.Second)
 	r := &TakeoverReport{Faults: make(map[string]int)}
 	began := time.Now()
-	t := newTally(s.Phases, began)
-	c := newClients(f, t)
+	t := newRecorder(s.Phases, began)
+	c := newWorkload(f, t)
 	span, stop := context.WithTimeout(ctx, s.length())
 	defer stop()
 	var tasks sync.WaitGroup
@@ -131,7 +131,7 @@
 	f.origin.SetServiceTime(time.Duration(s.Fleet.OriginServiceTime))
 	tasks.Wait() // tills that ask late among them
 	f.stop()
-	settle(func() int { return f.origin.Stats().Writes })
+	waitUntilSteady(func() int { return f.origin.Stats().Writes })
 	r.Run = &Report{Scenario: s.Name, Description: s.Description, Proxies: s.Fleet.Proxies, Nodes: s.Fleet.Nodes}
 	r.Run.fill(f, t, make([]int, len(s.Phases)+1))
 	for _, p := range r.Run.Phases {
@@ -168,7 +168,7 @@
 		busy[i] = time.Now().Add(4 * time.Second)
 		d := f.proxies[i]
 		kinds := []string{"kill", "stop", "clients cut", "others cut"}
-		if f.workLinks == nil {
+		if f.peerLinks == nil {
 			kinds = kinds[:3]
 		}
 		kind := kinds[rng.IntN(len(kinds))]
@@ -178,13 +178,13 @@
 			case "kill":
 				d.kill()
 			case "stop":
-				if err := d.stop(ctx, faultinject.StopSchedule{Duration: 3 * time.Second}); err != nil && ctx.Err() == nil {
-					f.problem("stop of proxy %d: %v", i, err)
+				if err := d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 3 * time.Second}); err != nil && ctx.Err() == nil {
+					f.addProblem("stop of proxy %d: %v", i, err)
 				}
 			case "clients cut":
 				f.cutFor(ctx, f.links.clients[i])
 			case "others cut":
-				f.cutFor(ctx, f.workLinks[i])
+				f.cutFor(ctx, f.peerLinks[i])
 			}
 		})
 		sleep(ctx, 2*time.Second)
@@ -194,10 +194,10 @@
 // cutFor cuts a link for three seconds.
 func (f *fleet) cutFor(ctx context.Context, l *faultinject.Link) {
 	if err := l.SetFault(faultinject.LinkFaults["cut"](0)); err != nil {
-		f.problem("link: %v", err)
+		f.addProblem("link: %v", err)
 	}
 	sleep(ctx, 3*time.Second)
 	if err := l.SetFault(faultinject.Fault{}); err != nil {
-		f.problem("link: %v", err)
+		f.addProblem("link: %v", err)
 	}
 }
--- a/internal/fleettest/tally.go
+++ b/internal/fleettest/tally.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// tally counts what became of requests, by the phase in which they began.
-type tally struct {
+// recorder counts what became of requests, by the phase in which they began.
+type recorder struct {
 	phases []Phase
-	began  time.Time // of the first phase
+	startedAt  time.Time // of the first phase
 
 	mu     sync.Mutex
-	counts []count
-	course []TimelineInterval // of courseTick each
-	rules  broken
-	unsent int
-	refuse int // connections that did not come up
+	counts []phaseCounts
+	timeline []TimelineInterval // of courseTick each
+	events  eventCounts
+	notOfferedCount int
+	failedDials int // connections that did not come up
 	lag    time.Duration
 	lagAt  time.Time
-	most   time.Duration // of it
+	maxLag   time.Duration // of it
 }
 
 // TimelineInterval is what began in a short stretch of time, and what of it was in time.
@@ -31,94 +31,94 @@
 }
 
 const (
-	courseTick = 250 * time.Millisecond
+	timelineTick = 250 * time.Millisecond
 	lagTick    = 10 * time.Millisecond
-	lagKept    = 5 * time.Second
+	lagMemory    = 5 * time.Second
 )
 
 // watchLag keeps how late the test itself was woken lately, until ctx ends. What
 // a machine without a free core does to it, it does to the proxies as well.
-func (t *tally) watchLag(ctx context.Context) {
+func (t *recorder) watchLag(ctx context.Context) {
 	for ctx.Err() == nil {
 		before := time.Now()
 		sleep(ctx, lagTick)
 		now := time.Now()
 		by := now.Sub(before) - lagTick
 		t.mu.Lock()
-		if by > t.lag || now.Sub(t.lagAt) > lagKept {
+		if by > t.lag || now.Sub(t.lagAt) > lagMemory {
 			t.lag, t.lagAt = by, now
 		}
-		t.most = max(t.most, by)
+		t.maxLag = max(t.maxLag, by)
 		t.mu.Unlock()
 	}
 }
 
-// slackNow is how late an answer may be: slack, and more where the test itself
+// tolerance is how late an answer may be: slack, and more where the test itself
 // was late.
-func (t *tally) slackNow() time.Duration {
+func (t *recorder) tolerance() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slack + 2*t.lag
+	return baseTolerance + 2*t.lag
 }
 
-// count is of one phase.
-type count struct {
+// phaseCounts is of one phase.
+type phaseCounts struct {
 	offered, inTime, late, refused, failed, retries int
 	latencies                                       []float32 // of served ones, seconds
 	handovers, handoversInTime                      int
-	worth, earned                                   float64
+	offeredWeight, servedWeight                                   float64
 }
 
 // What requests are worth: handovers twice as much, late ones and those over their tenant's
 // share little.
 const (
-	handoverWorth = 2
-	lateWorth     = 0.3
-	overWorth     = 0.2
+	handoverWeight = 2
+	lateFactor     = 0.3
+	overQuotaFactor     = 0.2
 )
 
-// worthOf is what answering a request in time is worth.
-func worthOf(handover, over bool) float64 {
+// weightOf is what answering a request in time is worth.
+func weightOf(handover, over bool) float64 {
 	worth := 1.0
 	if handover {
-		worth = handoverWorth
+		worth = handoverWeight
 	}
 	if over {
-		worth *= overWorth
+		worth *= overQuotaFactor
 	}
 	return worth
 }
 
-// broken counts what the rules forbid, and what looks like it but is not.
-type broken struct {
+// eventCounts counts what the rules forbid, and what looks like it but is not.
+type eventCounts struct {
 	requests int // tries that were sent
 	lost     int
-	wrong    int // answers that are not the request's
-	crossed  int // closed between requests as they went out
-	excused  int // out when their proxy was killed outright
-	stood    int // out at a process that stood still to beyond their deadline
-	unsure   int // handovers whose tills never learnt what came of them
-	severed  int // out over a link that was cut
+	wrongAnswers    int // answers that are not the request's
+	crossedClose  int // closed between requests as they went out
+	atKilledProxy  int // out when their proxy was killed outright
+	atStoppedProxy    int // out at a process that stood still to beyond their deadline
+	unknownOutcomes   int // handovers whose tills never learnt what came of them
+	atCutLink  int // out over a link that was cut
 	overdue  int // answered just after the deadline
-	overBy   time.Duration
+	maxOverdue   time.Duration
 	samples  []string
 }
 
-// note is a request's place in the tally.
-type note struct {
+// recordedRequest is a request's place in the tally.
+type recordedRequest struct {
 	phase    int
-	stretch  int
-	handover bool
-	worth    float64
+	interval  int
+	isHandover bool
+	weight    float64
 }
 
-func newTally(phases []Phase, began time.Time) *tally {
-	return &tally{phases: phases, began: began, counts: make([]count, len(phases))}
+func newRecorder(phases []Phase, began time.Time) *recorder {
+	return &recorder{phases: phases, startedAt: began, counts: make([]phaseCounts, len(phases))}
 }
 
-// place returns the phase that a time lies in, and the time since it began.
-func (t *tally) place(at time.Time) (*Phase, time.Duration) {
-	i, since := t.phaseAt(at), at.Sub(t.began)
+// phaseAndTime returns the phase that a time lies in, and the time since it began.
+func (t *recorder) phaseAndTime(at time.Time) (*Phase, time.Duration) {
+	i, since := t.phaseAt(at), at.Sub(t.startedAt)
 	for _, p := range t.phases[:i] {
 		since -= time.Duration(p.Duration)
 	}
@@ -126,8 +126,8 @@
 }
 
 // phaseAt returns the phase that a time lies in, the last for any after it.
-func (t *tally) phaseAt(at time.Time) int {
-	since := at.Sub(t.began)
+func (t *recorder) phaseAt(at time.Time) int {
+	since := at.Sub(t.startedAt)
 	for i, p := range t.phases {
 		if since -= time.Duration(p.Duration); since < 0 {
 			return i
@@ -136,30 +136,30 @@
 	return len(t.phases) - 1
 }
 
-func (t *tally) begin(at time.Time, handover, over bool) note {
-	n := note{phase: t.phaseAt(at), stretch: max(int(at.Sub(t.began)/courseTick), 0), handover: handover, worth: worthOf(handover, over)}
+func (t *recorder) requestStarted(at time.Time, handover, over bool) recordedRequest {
+	n := recordedRequest{phase: t.phaseAt(at), interval: max(int(at.Sub(t.startedAt)/timelineTick), 0), isHandover: handover, weight: weightOf(handover, over)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := &t.counts[n.phase]
 	c.offered++
-	for len(t.course) <= n.stretch {
-		t.course = append(t.course, TimelineInterval{})
+	for len(t.timeline) <= n.interval {
+		t.timeline = append(t.timeline, TimelineInterval{})
 	}
-	t.course[n.stretch].Offered++
-	c.worth += n.worth
+	t.timeline[n.interval].Offered++
+	c.offeredWeight += n.weight
 	if handover {
 		c.handovers++
 	}
 	return n
 }
 
-func (t *tally) retry(n note) {
+func (t *recorder) retried(n recordedRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts[n.phase].retries++
 }
 
-func (t *tally) end(n note, took time.Duration, as ending, aim time.Duration) {
+func (t *recorder) requestEnded(n recordedRequest, took time.Duration, as outcome, aim time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := &t.counts[n.phase]
@@ -168,14 +168,14 @@
 		c.latencies = append(c.latencies, float32(took.Seconds()))
 		if took <= aim {
 			c.inTime++
-			t.course[n.stretch].InTime++
-			c.earned += n.worth
-			if n.handover {
+			t.timeline[n.interval].InTime++
+			c.servedWeight += n.weight
+			if n.isHandover {
 				c.handoversInTime++
 			}
 		} else {
 			c.late++
-			c.earned += lateWorth * n.worth
+			c.servedWeight += lateFactor * n.weight
 		}
 	case as == refused:
 		c.refused++
@@ -184,38 +184,38 @@
 	}
 }
 
-func (t *tally) sent()       { t.add(func(b *broken) { b.requests++ }) }
-func (t *tally) crossed()    { t.add(func(b *broken) { b.crossed++ }) }
-func (t *tally) stood()      { t.add(func(b *broken) { b.stood++ }) }
-func (t *tally) unsure()     { t.add(func(b *broken) { b.unsure++ }) }
-func (t *tally) severed()    { t.add(func(b *broken) { b.severed++ }) }
-func (t *tally) excused()    { t.add(func(b *broken) { b.excused++ }) }
-func (t *tally) notOffered() { t.add(func(*broken) { t.unsent++ }) }
-func (t *tally) unopened()   { t.add(func(*broken) { t.refuse++ }) }
+func (t *recorder) attemptSent()       { t.add(func(b *eventCounts) { b.requests++ }) }
+func (t *recorder) crossedClose()    { t.add(func(b *eventCounts) { b.crossedClose++ }) }
+func (t *recorder) atStoppedProxy()      { t.add(func(b *eventCounts) { b.atStoppedProxy++ }) }
+func (t *recorder) unknownOutcome()     { t.add(func(b *eventCounts) { b.unknownOutcomes++ }) }
+func (t *recorder) atCutLink()    { t.add(func(b *eventCounts) { b.atCutLink++ }) }
+func (t *recorder) atKilledProxy()    { t.add(func(b *eventCounts) { b.atKilledProxy++ }) }
+func (t *recorder) notOffered() { t.add(func(*eventCounts) { t.notOfferedCount++ }) }
+func (t *recorder) dialFailed()   { t.add(func(*eventCounts) { t.failedDials++ }) }
 
-func (t *tally) overdue(by time.Duration) {
-	t.add(func(b *broken) {
+func (t *recorder) overdue(by time.Duration) {
+	t.add(func(b *eventCounts) {
 		b.overdue++
-		b.overBy = max(b.overBy, by)
+		b.maxOverdue = max(b.maxOverdue, by)
 	})
 }
 
-func (t *tally) lose(format string, a ...any) {
-	t.add(func(b *broken) { b.lost++ }, fmt.Sprintf(format, a...))
+func (t *recorder) lost(format string, a ...any) {
+	t.add(func(b *eventCounts) { b.lost++ }, fmt.Sprintf(format, a...))
 }
 
-func (t *tally) wrong(format string, a ...any) {
-	t.add(func(b *broken) { b.wrong++ }, fmt.Sprintf(format, a...))
+func (t *recorder) wrongAnswer(format string, a ...any) {
+	t.add(func(b *eventCounts) { b.wrongAnswers++ }, fmt.Sprintf(format, a...))
 }
 
 // add changes the counts, and keeps some samples of what was wrong.
-func (t *tally) add(change func(*broken), samples ...string) {
+func (t *recorder) add(change func(*eventCounts), samples ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	change(&t.rules)
+	change(&t.events)
 	for _, sample := range samples {
-		if len(t.rules.samples) < 20 {
-			t.rules.samples = append(t.rules.samples, fmt.Sprintf("%.2f s: %s", time.Since(t.began).Seconds(), sample))
+		if len(t.events.samples) < 20 {
+			t.events.samples = append(t.events.samples, fmt.Sprintf("%.2f s: %s", time.Since(t.startedAt).Seconds(), sample))
 		}
 	}
 }
@@ -228,8 +228,8 @@
 	return float64(sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]) * 1000
 }
 
-// figures returns the counts of the phases as a report has them.
-func (t *tally) figures() (list []PhaseReport, rules broken) {
+// phaseReports returns the counts of the phases as a report has them.
+func (t *recorder) phaseReports() (list []PhaseReport, rules eventCounts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, c := range t.counts {
@@ -237,10 +237,10 @@
 		p := PhaseReport{Name: t.phases[i].Name, Seconds: time.Duration(t.phases[i].Duration).Seconds(), Offered: c.offered,
 			InTime: c.inTime, Late: c.late, Refused: c.refused, Failed: c.failed, Retries: c.retries,
 			P50: quantile(c.latencies, 0.5), P99: quantile(c.latencies, 0.99),
-			Handovers: c.handovers, HandoversInTime: c.handoversInTime, OfferedWeight: c.worth, ServedWeight: c.earned}
+			Handovers: c.handovers, HandoversInTime: c.handoversInTime, OfferedWeight: c.offeredWeight, ServedWeight: c.servedWeight}
 		list = append(list, p)
 	}
-	rules = t.rules
-	rules.samples = slices.Clone(t.rules.samples)
+	rules = t.events
+	rules.samples = slices.Clone(t.events.samples)
 	return list, rules
 }
--- a/internal/fleettest/times.go
+++ b/internal/fleettest/times.go
@@ -75,7 +75,7 @@
 			return 0, 0, err
 		}
 		defer k.socket.Close()
-		k.socket.SetDeadline(time.Now().Add(patience))
+		k.socket.SetDeadline(time.Now().Add(processTimeout))
 		if open {
 			before := n.Stats().Requests
 			fmt.Fprint(k.socket, "mg k v O1 Pc=read,d=2000\r\n")
@@ -88,9 +88,9 @@
 			defer k.socket.Close()
 			var err error
 			if open {
-				_, _, err = k.answer()
+				_, _, err = k.readAnswer()
 			}
-			io.Copy(io.Discard, k.in)
+			io.Copy(io.Discard, k.reader)
 			answered <- err
 		}()
 		begun := time.Now()
@@ -100,7 +100,7 @@
 		if err := <-answered; err != nil {
 			return 0, 0, fmt.Errorf("the open request was not answered: %w", err)
 		}
-		return millis(p.readyAt.Sub(p.begun)), millis(p.exitedAt.Sub(begun)), nil
+		return millis(p.readyAt.Sub(p.startedAt)), millis(p.exitedAt.Sub(begun)), nil
 	}
 	for range runs {
 		ready, idle, err := one(false, false)
