--- a/internal/fake/origin/origin.go
+++ b/internal/fake/origin/origin.go
@@ -1,6 +1,11 @@
-// Package origin is a stand-in for the one slow origin behind all cache nodes: it
-// has so many places, a queue, and a time for each piece of work, and it keeps a
-// ledger of every effect. It has no sockets: nodes of the same process call it.
+// Package origin is a fake of the one slow origin behind all cache nodes. It has no sockets: fake nodes of the same
+// process call it. It guarantees:
+//
+//  1. It executes a bounded number of operations at the same time, and queues a bounded number.
+//  2. Its ledger counts every execution of every write. The origin drops no repeated writes; nodes do.
+//  3. An operation that fails was not started and has no effect.
+//
+// Operations complete on goroutines of their own; [Origin.Close] stops those that have not completed.
 package origin
 
 import (
@@ -11,195 +16,176 @@
 	"time"
 )
 
-// Errors of work that was not begun, and so had no effect.
+// Errors of operations that were not started.
 var (
 	ErrFull = errors.New("origin: queue full")
 	ErrDown = errors.New("origin: down")
 )
 
-// Config says what an origin can do.
+// Config says what the limits of an origin are.
 type Config struct {
-	Slots       int           // pieces of work at a time; at least 1
-	Queue       int           // pieces that may wait
-	ServiceTime time.Duration // for one piece, give or take a quarter
+	Slots       int           // operations executed at the same time; at least 1
+	Queue       int           // operations that may wait for a slot
+	ServiceTime time.Duration // mean execution time of an operation, varied by a quarter
 	Seed        uint64
 }
 
-// Effect is one line of the ledger: a write by its record and idempotency key.
-type Effect struct {
-	Record, Key string
-	Count       int // carried out so often
-	First, Last time.Time
+// Stats count what an origin did.
+type Stats struct {
+	Fetches    int
+	Writes     int // executions
+	QueueFull  int // operations rejected with ErrFull
+	Effects    int // distinct writes
+	Duplicates int // distinct writes that were executed more than once
 }
 
-const (
-	mostEffects = 1 << 20 // lines of the ledger: past it the oldest make room
-	mostDoubled = 1000    // that are kept for the record; all are counted
-)
-
-// Origin is a stand-in origin. It is safe for concurrent use.
+// Origin is a fake origin. It is safe for concurrent use.
 type Origin struct {
 	config Config
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	running int
-	waiting []*job
-	down    bool
-	slow    time.Duration // work in place of the usual; 0 for none
-	stats   Stats
-	ledger  map[string]*Effect
-	order   []string // keys of the ledger, oldest first
-	doubled []Effect // as they were found, for the record
-	timers  map[*time.Timer]struct{}
-	closed  bool
+	mu                  sync.Mutex
+	rng                 *rand.Rand
+	running             int
+	queue               []*operation
+	down                bool
+	serviceTimeOverride time.Duration // 0 for none
+	stats               Stats
+	ledger              ledger
+	timers              map[*time.Timer]struct{} // of running operations
+	closed              bool
 }
 
-// Stats count what an origin did.
-type Stats struct {
-	Fetches, Writes, QueueFull int
-	Effects, Duplicates        int // distinct writes, and those carried out more than once
-}
-
-type job struct{ done func() }
+type operation struct{ complete func() }
 
 // New returns an origin.
 func New(c Config) *Origin {
 	c.Slots = max(c.Slots, 1)
-	return &Origin{config: c, rng: rand.New(rand.NewPCG(c.Seed, 3)), ledger: make(map[string]*Effect),
-		timers: make(map[*time.Timer]struct{})}
+	return &Origin{
+		config: c,
+		rng:    rand.New(rand.NewPCG(c.Seed, 3)),
+		ledger: ledger{effects: make(map[effectKey]*Effect)},
+		timers: make(map[*time.Timer]struct{}),
+	}
 }
 
-// Fetch reads a key; done is called once, on a goroutine of the origin's or, with
-// an error, at once.
+// Fetch reads a key. done is called at most once: with an error before Fetch returns, otherwise on another goroutine.
 func (o *Origin) Fetch(done func(error)) {
 	o.submit(done, func() { o.stats.Fetches++ })
 }
 
-// Write carries out a write of a record under an idempotency key. The effect
-// is had as it ends; the origin itself drops no repeats, the nodes do.
+// Write writes a record under an idempotency key. It calls done as Fetch does, after the write has taken effect.
 func (o *Origin) Write(record, key string, done func(error)) {
-	o.submit(done, func() { o.enter(record, key, time.Now()) })
+	o.submit(done, func() { o.recordWrite(effectKey{record, key}) })
 }
 
+// submit starts or queues an operation. effect is called with o.mu held when it completes.
 func (o *Origin) submit(done func(error), effect func()) {
+	if err := o.trySubmit(done, effect); err != nil {
+		done(err)
+	}
+}
+
+func (o *Origin) trySubmit(done func(error), effect func()) error {
 	o.mu.Lock()
-	var err error
-	switch {
-	case o.down || o.closed:
-		err = ErrDown
-	case o.running >= o.config.Slots && len(o.waiting) >= o.config.Queue:
-		o.stats.QueueFull++
-		err = ErrFull
+	defer o.mu.Unlock()
+	if o.down || o.closed {
+		return ErrDown
 	}
-	if err != nil {
-		o.mu.Unlock()
-		done(err)
-		return
+	busy := o.running >= o.config.Slots
+	if busy && len(o.queue) >= o.config.Queue {
+		o.stats.QueueFull++
+		return ErrFull
 	}
-	j := &job{done: func() {
+	op := &operation{complete: func() {
 		o.mu.Lock()
 		effect()
 		o.mu.Unlock()
 		done(nil)
 	}}
-	if o.running >= o.config.Slots {
-		o.waiting = append(o.waiting, j)
+	if busy {
+		o.queue = append(o.queue, op)
 	} else {
-		o.begin(j)
+		o.start(op)
 	}
-	o.mu.Unlock()
+	return nil
 }
 
-// begin starts a piece of work. o.mu is held.
-func (o *Origin) begin(j *job) {
+// start executes an operation, and then the next in the queue. o.mu is held.
+func (o *Origin) start(op *operation) {
 	o.running++
-	work := o.config.ServiceTime
-	if o.slow > 0 {
-		work = o.slow
+	mean := o.config.ServiceTime
+	if o.serviceTimeOverride > 0 {
+		mean = o.serviceTimeOverride
 	}
-	took := time.Duration(float64(work) * (0.75 + o.rng.Float64()/2))
+	// Between 3/4 and 5/4 of the mean.
+	serviceTime := time.Duration(float64(mean) * (0.75 + o.rng.Float64()/2))
 	var timer *time.Timer
-	timer = time.AfterFunc(took, func() {
+	timer = time.AfterFunc(serviceTime, func() {
 		o.mu.Lock()
 		delete(o.timers, timer)
 		o.running--
-		if len(o.waiting) > 0 && !o.closed {
-			next := o.waiting[0]
-			o.waiting = o.waiting[1:]
-			o.begin(next)
+		if len(o.queue) > 0 && !o.closed {
+			next := o.queue[0]
+			o.queue = o.queue[1:]
+			o.start(next)
 		}
 		o.mu.Unlock()
-		j.done()
+		op.complete()
 	})
 	o.timers[timer] = struct{}{}
 }
 
-// enter writes an effect into the ledger. o.mu is held.
-func (o *Origin) enter(record, key string, now time.Time) {
+// recordWrite enters an executed write into the ledger. o.mu is held.
+func (o *Origin) recordWrite(key effectKey) {
 	o.stats.Writes++
-	name := record + " " + key
-	e := o.ledger[name]
-	if e == nil {
-		if len(o.order) >= mostEffects {
-			delete(o.ledger, o.order[0])
-			o.order = o.order[1:]
-		}
-		e = &Effect{Record: record, Key: key, First: now}
-		o.ledger[name] = e
-		o.order = append(o.order, name)
+	switch o.ledger.record(key, time.Now()) {
+	case 1:
 		o.stats.Effects++
-	}
-	e.Count++
-	e.Last = now
-	if e.Count == 2 {
+	case 2:
 		o.stats.Duplicates++
-		if len(o.doubled) < mostDoubled {
-			o.doubled = append(o.doubled, *e)
-		}
 	}
 }
 
-// SetDown stops the origin from taking work, or lets it again.
+// SetDown makes the origin reject operations, or accept them again. Operations in flight complete.
 func (o *Origin) SetDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.down = down
 }
 
-// SetServiceTime changes the time for one piece of work that begins from now on, 0 for the usual.
+// SetServiceTime changes the mean execution time of operations that start from now on; 0 restores the configured one.
 func (o *Origin) SetServiceTime(d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.slow = d
+	o.serviceTimeOverride = d
 }
 
-// Stats returns what was done so far.
+// Stats returns the counts so far.
 func (o *Origin) Stats() Stats {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.stats
 }
 
-// DuplicateEffects returns effects that were had more than once, as they were when that
-// was found.
+// DuplicateEffects returns the first writes that were executed more than once, each as it was at its second execution.
 func (o *Origin) DuplicateEffects() []Effect {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return slices.Clone(o.doubled)
+	return slices.Clone(o.ledger.duplicates)
 }
 
-// EffectCount tells how often a write was carried out.
+// EffectCount returns how often a write was executed.
 func (o *Origin) EffectCount(record, key string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if e := o.ledger[record+" "+key]; e != nil {
+	if e := o.ledger.effects[effectKey{record, key}]; e != nil {
 		return e.Count
 	}
 	return 0
 }
 
-// Close ends all work under way; what it would have brought never comes.
+// Close stops all operations in flight: they have no effect, and their callbacks are not called. It does not wait for
+// one that is just completing.
 func (o *Origin) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -208,5 +194,5 @@
 		t.Stop()
 	}
 	clear(o.timers)
-	o.waiting = nil
+	o.queue = nil
 }
--- a/internal/fake/origin/origin_test.go
+++ b/internal/fake/origin/origin_test.go
@@ -8,8 +8,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestLedgerCountsEveryEffect guards what all doubles are seen by.
-func TestLedgerCountsEveryEffect(t *testing.T) {
+// TestLedgerCountsEveryExecution guards guarantee 2, by which fault tests see duplicate writes.
+func TestLedgerCountsEveryExecution(t *testing.T) {
 	o := New(Config{Slots: 4, Queue: 10, ServiceTime: time.Millisecond})
 	defer o.Close()
 	done := make(chan error, 10)
@@ -25,27 +25,28 @@
 		t.Errorf("counted %+v", s)
 	}
 	if o.EffectCount("record", "a") != 3 || o.EffectCount("record", "b") != 1 || o.EffectCount("other", "a") != 0 {
-		t.Error("the ledger has other times")
+		t.Error("the ledger has other counts")
 	}
 	if d := o.DuplicateEffects(); len(d) != 1 || d[0].Key != "a" {
-		t.Errorf("doubled %v", d)
+		t.Errorf("duplicates %v", d)
 	}
 }
 
-func TestFullAndDownHaveNoEffect(t *testing.T) {
+// TestFailedOperationHasNoEffect guards guarantees 1 and 3.
+func TestFailedOperationHasNoEffect(t *testing.T) {
 	o := New(Config{Slots: 1, Queue: 1, ServiceTime: time.Hour})
 	defer o.Close()
 	for range 2 {
-		o.Write("r", "k", func(error) { t.Error("an endless write ended") })
+		o.Write("r", "k", func(error) { t.Error("a write that takes an hour completed") })
 	}
 	var got error
 	o.Write("r", "k", func(err error) { got = err })
 	if !errors.Is(got, ErrFull) {
-		t.Errorf("a full origin said %v", got)
+		t.Errorf("a full origin returned %v", got)
 	}
 	o.SetDown(true)
 	o.Fetch(func(err error) { got = err })
 	if s := o.Stats(); !errors.Is(got, ErrDown) || s.QueueFull != 1 || s.Writes != 0 || s.Fetches != 0 {
-		t.Errorf("a down origin said %v and counted %+v", got, s)
+		t.Errorf("an origin that is down returned %v and counted %+v", got, s)
 	}
 }
