--- a/internal/fake/node/fault.go
+++ b/internal/fake/node/fault.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-	"net"
 	"slices"
-	"syscall"
 	"time"
+
+	"mulleinpier/internal/fake/backlog"
 )
 
 // FaultKind is a way in which a node fails.
@@ -87,36 +87,21 @@
 	return n.fault.Kind
 }
 
-const (
-	// With a backlog of 0 the kernel still queues a connection or two; this is far more.
-	maxBacklogFill = 8
-	// A connection attempt on loopback that takes longer is being dropped.
-	backlogDialTimeout = 50 * time.Millisecond
-)
-
 // fillBacklog stops accepting and fills the listen backlog, so that the kernel drops further connection attempts.
 // n.mu is held.
-func (n *Node) fillBacklog() error {
-	raw, err := n.listener.SyscallConn()
-	if err != nil {
-		return fmt.Errorf("fake node %q: fill listen backlog: %w", n.config.Name, err)
-	}
+func (n *Node) fillBacklog() (err error) {
 	listener := n.listener
-	n.listener = nil // so that accept registers none of the connections that fill the backlog
-	raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })
-	if err != nil {
-		return fmt.Errorf("fake node %q: shrink listen backlog: %w", n.config.Name, err)
+	if listener == nil {
+		return fmt.Errorf("fake node %q: its process is down and has no listen backlog", n.config.Name)
 	}
+	n.listener = nil                      // so that accept registers none of the connections that fill the backlog
 	listener.SetDeadline(time.Unix(1, 0)) // ends accept; the socket stays open
+	n.backlogFill, err = backlog.Fill(listener)
 	n.listener = listener
-	for range maxBacklogFill {
-		c, err := net.DialTimeout("tcp", n.address, backlogDialTimeout)
-		if err != nil {
-			return nil // the backlog is full
-		}
-		n.backlogFill = append(n.backlogFill, c)
+	if err != nil {
+		return fmt.Errorf("fake node %q: %w", n.config.Name, err)
 	}
-	return fmt.Errorf("fake node %q: listen backlog not full after %d connections", n.config.Name, maxBacklogFill)
+	return nil
 }
 
 // emptyBacklog closes the connections that fillBacklog opened. n.mu is held.
