--- a/internal/fake/relay/relay.go
+++ b/internal/fake/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a bare byte relay that understands nothing: what a proxy would
-// cost that had nothing to decide. Measurements stand beside it.
+// Package relay is a plain byte relay, for measurements: what a proxy costs beyond the relay is the cost of its
+// decisions. It does not parse what it forwards.
 package relay
 
 import (
@@ -8,34 +8,40 @@
 	"sync"
 )
 
-// Serve passes each connection of a listener on to one of its own at an address,
-// until the listener is closed.
-func Serve(listener net.Listener, to string) {
-	var tasks sync.WaitGroup
-	defer tasks.Wait()
+const bufferSize = 16 << 10 // bytes, for each direction of a connection
+
+// Serve forwards each connection of a listener over a connection of its own to the target address. It returns once the
+// listener is closed and all connections have ended.
+func Serve(listener net.Listener, target string) {
+	var connections sync.WaitGroup
+	defer connections.Wait()
 	for {
-		in, err := listener.Accept()
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		tasks.Go(func() {
-			defer in.Close()
-			out, err := net.Dial("tcp", to)
-			if err != nil {
-				return
-			}
-			defer out.Close()
-			var back sync.WaitGroup
-			back.Go(func() { pass(in, out) })
-			pass(out, in)
-			back.Wait()
-		})
+		connections.Go(func() { forward(client, target) })
+	}
+}
+
+// forward copies in both directions until both have ended.
+func forward(client net.Conn, target string) {
+	defer client.Close()
+	server, err := net.Dial("tcp", target)
+	if err != nil {
+		return
 	}
+	defer server.Close()
+	var answers sync.WaitGroup
+	answers.Go(func() { copyAll(client, server) })
+	copyAll(server, client)
+	answers.Wait()
 }
 
-// pass copies what comes and ends the other way with it. It copies in user
-// space, as a proxy must that looks at what passes.
-func pass(to, from net.Conn) {
-	io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, 16<<10))
-	to.(*net.TCPConn).CloseWrite()
+// copyAll copies until the source ends its sending side, and then does the same at the destination. It copies in user
+// space, as a proxy must that parses what it forwards: the wrappers hide the methods by which io.CopyBuffer would leave
+// the copying to the kernel.
+func copyAll(destination, source net.Conn) {
+	io.CopyBuffer(struct{ io.Writer }{destination}, struct{ io.Reader }{source}, make([]byte, bufferSize))
+	destination.(*net.TCPConn).CloseWrite()
 }
