--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -35,13 +35,13 @@
 
 // clientFault is what befalls a fleet in the middle of three phases.
 type clientFault struct {
-	name, description    string
-	proxies        int
+	name, description     string
+	proxies               int
 	before, during, after time.Duration
-	together       bool // both kinds at once, on the same fleet
-	rate           float64
-	slots          int // of a node; each carries 40 requests a second in one
-	inject             func(ctx context.Context, f *fleet)
+	together              bool // both kinds at once, on the same fleet
+	rate                  float64
+	slots                 int // of a node; each carries 40 requests a second in one
+	inject                func(ctx context.Context, f *fleet)
 }
 
 // rampUpTime is how long all tills have to begin.
@@ -237,7 +237,7 @@
 const (
 	// maxDialPeak bounds the attempts to connect in the busiest 50 ms of a restart, in times of
 	// their mean over the trouble.
-	maxDialPeak = 3
+	maxDialPeak        = 3
 	maxTriesPerRequest = 1.1
 )
 
--- a/internal/fleettest/directory.go
+++ b/internal/fleettest/directory.go
@@ -58,9 +58,9 @@
 	return d.service.DrainNotifiedAt(proxy, node)
 }
 func (d *platformDirectory) update(e endpointlist.Entry) { d.service.Set(e) }
-func (d *platformDirectory) setFault(kind string)         { d.service.SetDown(kind != "") }
+func (d *platformDirectory) setFault(kind string)        { d.service.SetDown(kind != "") }
 func (d *platformDirectory) addresses() []string         { return nil }
-func (d *platformDirectory) close()                   { d.service.Close() }
+func (d *platformDirectory) close()                      { d.service.Close() }
 
 func (d *platformDirectory) move(proxy int) error {
 	at, err := d.service.Move(proxy)
--- a/internal/fleettest/disturb.go
+++ b/internal/fleettest/disturb.go
@@ -22,9 +22,8 @@
 // linkHost is where links begin: at an address whose ports nobody takes who is down for a while.
 const linkHost = "127.0.0.4"
 
-// wakeTime is what a process has to answer in that was stopped to just before a deadline; it is more where
-// the test itself was late lately, as for any answer.
-const wakeTime = 50 * time.Millisecond
+// resumeTime is how long before a deadline a stopped process has to continue at least to answer in time.
+const resumeTime = 50 * time.Millisecond
 
 // linkSet are the ways between parts of the fleet that a scenario has fail, one for each pair.
 // Pairs that none has fail talk without one.
@@ -32,7 +31,7 @@
 	clients map[int]*faultinject.Link // by proxy; nil for no links of the kind
 	list    map[int]*faultinject.Link // by proxy
 
-	mu   sync.Mutex
+	mu    sync.Mutex
 	nodes map[int]map[string]*faultinject.Link // proxy, node
 }
 
@@ -285,17 +284,3 @@
 	defer d.mu.Unlock()
 	return slices.ContainsFunc(d.stops, func(s interval) bool { return s.from.Before(deadline) && s.to.After(deadline.Add(-wake)) })
 }
-
-// isExcused tells whether a try's answer could not come in its time, as the process stood still
-// or the link to it was cut, and counts it.
-func (c *workload) isExcused(d *proxyInstance, sent, deadline time.Time) bool {
-	if d.wasStopped(deadline, wakeTime+c.recorder.tolerance()-baseTolerance) {
-		c.recorder.atStoppedProxy()
-		return true
-	}
-	if link := c.fleet.links.clients[d.index]; link != nil && link.FaultySince(sent) {
-		c.recorder.atCutLink()
-		return true
-	}
-	return false
-}
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -33,11 +33,13 @@
 // portReserver are what has been reserved at a host, so that none is reserved twice: the system may deal one again as soon as it
 // is let go.
 type portReserver struct {
-	host  string
+	host     string
 	reserved map[string]bool
 }
 
-func newPortReserver() *portReserver { return &portReserver{host: newHost(), reserved: make(map[string]bool)} }
+func newPortReserver() *portReserver {
+	return &portReserver{host: newHost(), reserved: make(map[string]bool)}
+}
 
 // reserve opens an address that was not reserved before. Whoever closes it keeps it for what is to listen there.
 func (p *portReserver) reserve() (net.Listener, error) {
@@ -62,28 +64,28 @@
 	scenario *Scenario
 	program  []string // how a proxy is started; its configuration's path follows
 	folder   string
-	progress      func(format string, a ...any)
+	progress func(format string, a ...any)
 
 	origin    *origin.Origin
 	group     *node.Group
 	nodes     []*node.Node
-	directory      directory
+	directory directory
 	proxies   []*proxyInstance
 	links     linkSet
-	ports     *portReserver                               // of the proxies
+	ports     *portReserver                        // of the proxies
 	peerLinks map[int]*faultinject.Link            // before where proxies take works in hand
 	voters    agent.Fleet                          // of permits, if there are any
-	voterView     func(proxy int) []agent.VoterAddress // them, by each proxy; nil for as they are
+	voterView func(proxy int) []agent.VoterAddress // them, by each proxy; nil for as they are
 
-	mu       sync.Mutex
-	entries  []endpointlist.Entry // of nodes, as last told
+	mu             sync.Mutex
+	entries        []endpointlist.Entry // of nodes, as last told
 	lateDrains     int                  // drains
 	maxLateDrain   time.Duration
-	lastAfterDrain   time.Duration // of all that came to a node after its drain was told
-	crashes  int
-	problems []string
-	seenIDs     [2]map[string]struct{} // ids that a node has seen, in two generations
-	seenRotatedAt   time.Time
+	lastAfterDrain time.Duration // of all that came to a node after its drain was told
+	crashes        int
+	problems       []string
+	seenIDs        [2]map[string]struct{} // ids that a node has seen, in two generations
+	seenRotatedAt  time.Time
 }
 
 // A node's request is remembered for one to two of these.
@@ -91,26 +93,26 @@
 
 // proxyInstance is one proxy of the fleet, through all its processes.
 type proxyInstance struct {
-	fleet     *fleet
-	index     int
-	address   string
-	clientAddress     string // where clients connect: the same, or a link to it
-	peerAddress     string // where it takes works in hand, and where others find that
+	fleet                 *fleet
+	index                 int
+	address               string
+	clientAddress         string // where clients connect: the same, or a link to it
+	peerAddress           string // where it takes works in hand, and where others find that
 	advertisedPeerAddress string
-	configPath    string
-	passedListener  *os.File // passed to each process, or nil
+	configPath            string
+	passedListener        *os.File // passed to each process, or nil
 
 	changing sync.Mutex // held while it is being restarted or reloaded
 
-	mu       sync.Mutex
-	process  *process
-	acceptsClients   bool    // the front deals it connections
-	stops    []interval // when its process was stopped, the latest last
-	killedAt   time.Time
+	mu             sync.Mutex
+	process        *process
+	acceptsClients bool       // the front deals it connections
+	stops          []interval // when its process was stopped, the latest last
+	killedAt       time.Time
 	tenantQuota    int
-	restarts int
-	reloads  int
-	downtimes     []interval // from a drain's beginning until the next process was ready
+	restarts       int
+	reloads        int
+	downtimes      []interval // from a drain's beginning until the next process was ready
 }
 
 // startFleet starts the stand-ins, and processes if a program is named.
--- /dev/null
+++ b/internal/fleettest/judge.go
@@ -0,0 +1,170 @@
+package fleettest
+
+import (
+	"bytes"
+	"errors"
+	"net"
+	"time"
+
+	"mulleinpier/internal/fake/rawclient"
+	"mulleinpier/internal/meta"
+	"mulleinpier/internal/request"
+)
+
+// This file judges how attempts ended: what of it the rules forbid, and what a fault of the test excuses.
+
+// extraTolerance is the part of the tolerance for a delay of this process itself.
+func (w *workload) extraTolerance() time.Duration { return w.recorder.tolerance() - baseTolerance }
+
+func isTimeout(err error) bool {
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
+
+// judgeNoAnswer judges an attempt whose answer did not come completely.
+func (w *workload) judgeNoAnswer(
+	p *proxyInstance, conn *clientConn, id string, sent time.Time, wait time.Duration, err error,
+) outcome {
+	link := w.fleet.links.clients[p.index]
+	if isTimeout(err) && link != nil && link.FaultySince(sent) {
+		// What waits on the link is delivered together with the end of the connection, as for clients that give up:
+		// whatever comes yet could not be held against the proxy.
+		conn.socket.Close()
+		w.recorder.atCutLink()
+		return timedOut
+	}
+	if isTimeout(err) {
+		w.tasks.Go(func() { w.watchLateAnswer(p, conn, id, sent, sent.Add(wait)) })
+		return timedOut
+	}
+	conn.socket.Close()
+	if errors.Is(err, meta.ErrMalformedAnswer) || errors.Is(err, rawclient.ErrMalformedAnswer) {
+		w.recorder.wrongAnswer("proxy %d answered %s with what can't be read", p.index, id)
+		return failed
+	}
+	return w.judgeConnectionLost(p, conn, id, sent, err)
+}
+
+// judgeConnectionLost judges a connection that ended with a request on it.
+func (w *workload) judgeConnectionLost(
+	p *proxyInstance, conn *clientConn, id string, sent time.Time, err error,
+) outcome {
+	took := time.Since(sent)
+	if w.isExcused(p, sent, sent.Add(took)) {
+		return timedOut
+	}
+	if p.wasKilledSince(conn.openedAt, sent) {
+		w.recorder.atKilledProxy()
+		return timedOut // the client has to decide: it may have run
+	}
+	if !conn.used || took >= closeRaceTime+w.extraTolerance() {
+		w.recorder.lost("proxy %d ended the connection of %s after %v, used before: %v: %v",
+			p.index, id, took.Round(time.Millisecond), conn.used, err)
+		return timedOut
+	}
+	if conn.binary {
+		// A node knows a binary write by its value, which the next attempt has too. So that one waits until this one
+		// would have been seen.
+		time.Sleep(nodeArrivalTime)
+		w.judgeCloseRace(p, id)
+		return crossedClose
+	}
+	// The request is lost all the same if the proxy had read it, which a node may see late.
+	w.tasks.Go(func() {
+		time.Sleep(lateWatchTime)
+		w.judgeCloseRace(p, id)
+	})
+	return crossedClose
+}
+
+// wasKilledSince reports whether the proxy was killed after a connection came up, and about when a request was sent.
+func (p *proxyInstance) wasKilledSince(opened, sent time.Time) bool {
+	p.mu.Lock()
+	killed := p.killedAt
+	p.mu.Unlock()
+	return killed.After(opened) && killed.After(sent.Add(-processTimeout)) && time.Since(killed) < processTimeout
+}
+
+// judgeCloseRace counts a request whose idle connection was closed as it was sent, by whether a node has seen it.
+func (w *workload) judgeCloseRace(p *proxyInstance, id string) {
+	if w.fleet.seenByNode(id) {
+		w.recorder.lost("proxy %d took %s and closed its connection", p.index, id)
+		return
+	}
+	w.recorder.crossedClose()
+}
+
+// longAgo is far more than closeRaceTime.
+const longAgo = time.Minute
+
+// watchLateAnswer watches a connection whose client has given up.
+func (w *workload) watchLateAnswer(p *proxyInstance, conn *clientConn, id string, sent, deadline time.Time) {
+	defer conn.socket.Close()
+	conn.socket.SetDeadline(deadline.Add(lateWatchTime + w.recorder.tolerance()))
+	_, _, err := conn.readAnswer()
+	by := time.Since(deadline)
+	switch {
+	case err == nil && by <= w.recorder.tolerance():
+		w.recorder.overdue(by)
+	case w.isExcused(p, sent, deadline):
+	case err == nil:
+		w.recorder.lost("proxy %d answered %s %v after its deadline", p.index, id, by.Round(time.Millisecond))
+	case isTimeout(err):
+		w.recorder.lost("proxy %d never answered %s", p.index, id)
+	default:
+		w.judgeConnectionLost(p, conn, id, deadline.Add(-longAgo), err) // too late for a race with a close
+	}
+}
+
+// judgeAnswer judges an answer, and releases its connection.
+func (w *workload) judgeAnswer(
+	p *proxyInstance, conn *clientConn, q *clientRequest, id string, a *meta.AnswerLine, value []byte,
+) (as outcome, retryAfter time.Duration) {
+	if conn.reader.Buffered() > 0 {
+		conn.socket.Close()
+		w.recorder.wrongAnswer("proxy %d sent more than one answer to %s", p.index, id)
+		return failed, 0
+	}
+	if conn.binary {
+		a.ID = []byte(id) // its opaque was the command's
+	}
+	if a.Kind == request.Value || a.Kind == request.Stored {
+		if !q.isAnsweredBy(a, id, value) {
+			conn.socket.Close()
+			w.recorder.wrongAnswer("proxy %d answered %s of %s with %q for %q", p.index, id, q.key, value, a.ID)
+			return failed, 0
+		}
+		w.release(p, conn)
+		return served, 0
+	}
+	w.release(p, conn)
+	if a.Kind == request.Busy {
+		return refused, time.Duration(a.ValueLen) * time.Millisecond
+	}
+	return failed, 0
+}
+
+// isAnsweredBy reports whether a positive answer is the one to the request with this id.
+func (q *clientRequest) isAnsweredBy(a *meta.AnswerLine, id string, value []byte) bool {
+	if string(a.ID) != id {
+		return false
+	}
+	if q.class.isWrite {
+		return a.Kind == request.Stored && len(a.Receipt) > 0
+	}
+	return a.Kind == request.Value && bytes.HasPrefix(value, append([]byte(q.key), ' '))
+}
+
+// isExcused reports whether an attempt's answer could not come in time because the process was stopped or the link to
+// it cut, and counts it.
+func (w *workload) isExcused(p *proxyInstance, sent, deadline time.Time) bool {
+	if p.wasStopped(deadline, resumeTime+w.extraTolerance()) {
+		w.recorder.atStoppedProxy()
+		return true
+	}
+	if link := w.fleet.links.clients[p.index]; link != nil && link.FaultySince(sent) {
+		w.recorder.atCutLink()
+		return true
+	}
+	return false
+}
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -213,7 +213,9 @@
 		{"stop of 300 ms", false, func(d *proxyInstance) error {
 			return d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 300 * time.Millisecond})
 		}},
-		{"stop of 2 s", true, func(d *proxyInstance) error { return d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 2 * time.Second}) }},
+		{"stop of 2 s", true, func(d *proxyInstance) error {
+			return d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 2 * time.Second})
+		}},
 		{"cut off for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "cut") }},
 		{"answers held for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "back") }},
 		{"connections reset", false, func(d *proxyInstance) error {
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -20,25 +20,25 @@
 
 // process is one run of a proxy's program, whose service manager the rehearsal is.
 type process struct {
-	cmd    *exec.Cmd
+	cmd          *exec.Cmd
 	notifySocket *net.UnixConn
-	logPath    string // path of what it writes
-	ready  chan struct{}
-	draining chan struct{}
-	exited chan struct{}
-	tasks  sync.WaitGroup
-
-	startedAt    time.Time
-	readyAt  time.Time // after ready is closed
+	logPath      string // path of what it writes
+	ready        chan struct{}
+	draining     chan struct{}
+	exited       chan struct{}
+	tasks        sync.WaitGroup
+
+	startedAt  time.Time
+	readyAt    time.Time // after ready is closed
 	drainingAt time.Time // after drains is closed
-	exitedAt time.Time // after exited is closed
-	err      error     // after exited is closed
-
-	mu        sync.Mutex
-	status    string
-	reloads   int // ended
-	reloading bool
-	endExpected   bool // its end is
+	exitedAt   time.Time // after exited is closed
+	err        error     // after exited is closed
+
+	mu          sync.Mutex
+	status      string
+	reloads     int // ended
+	reloading   bool
+	endExpected bool // its end is
 }
 
 var processSerial atomic.Int64
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -79,13 +79,6 @@
 	return 100 * float64(p.InTime) / float64(max(p.Offered, 1))
 }
 
-func (t *recorder) summary(phase int) string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	c := &t.counts[phase]
-	return fmt.Sprintf("%s: %d offered, %d in time; %d lost", t.phases[phase].Name, c.offered, c.inTime, t.events.lost)
-}
-
 func (r *Report) fill(f *fleet, t *recorder, fetches []int) {
 	var rules eventCounts
 	r.Phases, rules = t.phaseReports()
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -45,28 +45,28 @@
 
 // FleetSettings says what there is.
 type FleetSettings struct {
-	Proxies             int      `toml:"proxies"`
-	Nodes               int      `toml:"nodes"`
-	Zones               []string `toml:"zones"`
-	Slots               int      `toml:"slots"`       // of a node
-	Queue               int      `toml:"queue"`       // of a node
-	ServiceTime         tomlDuration     `toml:"work"`        // of a node for a request
-	Capacity            int      `toml:"capacity"`    // keys that a node keeps
-	Connections         int      `toml:"connections"` // that a node holds
-	DedupWindow         tomlDuration     `toml:"window"`      // in which nodes drop repeats
-	OriginSlots         int      `toml:"origin_slots"`
-	OriginQueue         int      `toml:"origin_queue"`
-	OriginServiceTime   tomlDuration     `toml:"origin_work"`
-	MemoryMB            int      `toml:"memory_mb"`            // of a proxy
-	MaxSockets          int      `toml:"sockets"`              // of a proxy
-	ConnectionsPerNode  int      `toml:"connections_per_node"` // of a proxy
-	PassedListenerEvery int      `toml:"passed_socket"`        // every so many-th proxy is passed its listener; 0 for none
-	Binary              bool     `toml:"binary"`               // proxies take binary clients too
-	BinaryNodeEvery     int      `toml:"binary_nodes"`         // every so many-th node speaks binary; 0 for none
-	Consul              bool     `toml:"consul"`               // proxies follow Consul agents, one a zone
-	DegradationOff      bool     `toml:"unreduced"`            // proxies don't reduce service
-	SuspendAt           tomlDuration     `toml:"sleep_at"`             // the proxies' machine seems to sleep, so long after a proxy's start
-	SuspendDuration     tomlDuration     `toml:"sleep_for"`            // and for so long; 0 for no sleep
+	Proxies             int          `toml:"proxies"`
+	Nodes               int          `toml:"nodes"`
+	Zones               []string     `toml:"zones"`
+	Slots               int          `toml:"slots"`       // of a node
+	Queue               int          `toml:"queue"`       // of a node
+	ServiceTime         tomlDuration `toml:"work"`        // of a node for a request
+	Capacity            int          `toml:"capacity"`    // keys that a node keeps
+	Connections         int          `toml:"connections"` // that a node holds
+	DedupWindow         tomlDuration `toml:"window"`      // in which nodes drop repeats
+	OriginSlots         int          `toml:"origin_slots"`
+	OriginQueue         int          `toml:"origin_queue"`
+	OriginServiceTime   tomlDuration `toml:"origin_work"`
+	MemoryMB            int          `toml:"memory_mb"`            // of a proxy
+	MaxSockets          int          `toml:"sockets"`              // of a proxy
+	ConnectionsPerNode  int          `toml:"connections_per_node"` // of a proxy
+	PassedListenerEvery int          `toml:"passed_socket"`        // every so many-th proxy is passed its listener; 0 for none
+	Binary              bool         `toml:"binary"`               // proxies take binary clients too
+	BinaryNodeEvery     int          `toml:"binary_nodes"`         // every so many-th node speaks binary; 0 for none
+	Consul              bool         `toml:"consul"`               // proxies follow Consul agents, one a zone
+	DegradationOff      bool         `toml:"unreduced"`            // proxies don't reduce service
+	SuspendAt           tomlDuration `toml:"sleep_at"`             // the proxies' machine seems to sleep, so long after a proxy's start
+	SuspendDuration     tomlDuration `toml:"sleep_for"`            // and for so long; 0 for no sleep
 	// ClockDrift is by how much of itself the clock that counts sleep runs off the other; every other proxy's lags.
 	ClockDrift float64 `toml:"drift"`
 	// RestartPermits is how many proxies may restart at once, by leave of the fleet, of which the first three are voters; 0 for
@@ -110,12 +110,12 @@
 
 // Phase is a stretch of time whose figures stand together.
 type Phase struct {
-	Name              string  `toml:"name"`
-	Duration          tomlDuration    `toml:"for"`
-	RateFactor        float64 `toml:"rate"`   // times the load's; 1
-	RateSwing         float64 `toml:"swing"`  // share by which the rate swings round that
-	SwingPeriod       tomlDuration    `toml:"period"` // of the swing
-	FirstTenantFactor float64 `toml:"flood"`  // times its part that the first tenant asks for; 1
+	Name              string       `toml:"name"`
+	Duration          tomlDuration `toml:"for"`
+	RateFactor        float64      `toml:"rate"`   // times the load's; 1
+	RateSwing         float64      `toml:"swing"`  // share by which the rate swings round that
+	SwingPeriod       tomlDuration `toml:"period"` // of the swing
+	FirstTenantFactor float64      `toml:"flood"`  // times its part that the first tenant asks for; 1
 }
 
 // rate is the rate at a time since the phase began, in times of the load's.
@@ -135,19 +135,19 @@
 
 // Event is something done to the fleet at a time.
 type Event struct {
-	At            tomlDuration   `toml:"at"`
-	Action        string `toml:"do"`
-	Proxy         int    `toml:"proxy"` // its number; -1 for all
-	Node          int    `toml:"node"`  // its number
-	Mode          string `toml:"mode"`  // of restart and wave: old first (gap), or new first (overlap)
-	Interval      tomlDuration   `toml:"every"` // between the proxies of a wave, or the times of a hangup
-	Count         int    `toml:"times"` // how often
-	ConfigVariant string `toml:"with"`  // of hangup: what the configuration is like
-	FaultKind     string `toml:"kind"`  // of fault
-	Delay         tomlDuration   `toml:"by"`    // of fault
-	OneIn         int    `toml:"part"`  // of fault: one request in so many
-	Zone          string `toml:"zone"`  // of dark and light
-	Duration      tomlDuration   `toml:"for"`   // of stop, link, starve and crowd: how long
+	At            tomlDuration `toml:"at"`
+	Action        string       `toml:"do"`
+	Proxy         int          `toml:"proxy"` // its number; -1 for all
+	Node          int          `toml:"node"`  // its number
+	Mode          string       `toml:"mode"`  // of restart and wave: old first (gap), or new first (overlap)
+	Interval      tomlDuration `toml:"every"` // between the proxies of a wave, or the times of a hangup
+	Count         int          `toml:"times"` // how often
+	ConfigVariant string       `toml:"with"`  // of hangup: what the configuration is like
+	FaultKind     string       `toml:"kind"`  // of fault
+	Delay         tomlDuration `toml:"by"`    // of fault
+	OneIn         int          `toml:"part"`  // of fault: one request in so many
+	Zone          string       `toml:"zone"`  // of dark and light
+	Duration      tomlDuration `toml:"for"`   // of stop, link, starve and crowd: how long
 	// Of stop, link, starve and crowd: which proxies (none for that of Proxy), and of a link to
 	// nodes which of them (none for all).
 	Proxies []int  `toml:"proxies"`
--- a/internal/fleettest/still.go
+++ b/internal/fleettest/still.go
@@ -18,7 +18,7 @@
 
 // pauseFault is one fault, or several together, at some of the proxies.
 type pauseFault struct {
-	name  string
+	name     string
 	duration time.Duration
 	// events are what happens, with times that count from the trouble's beginning.
 	events func(proxies []int) []Event
