--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -8,7 +8,6 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
@@ -65,9 +64,9 @@
 func clientFaults(short bool) []clientFault {
 	all := []clientFault{
 		{name: "restart", description: "one proxy of four is restarted", proxies: 4, before: 4 * time.Second, during: 6 * time.Second, after: 4 * time.Second,
-			together: true, rate: 900, slots: 10, inject: func(_ context.Context, f *fleet) { f.proxies[1].restart("gap") }},
+			together: true, rate: 900, slots: 10, inject: func(_ context.Context, f *fleet) { f.proxies[1].restart(modeGap) }},
 		{name: "only", description: "the only proxy is restarted", proxies: 1, before: 5 * time.Second, during: 5 * time.Second, after: 4 * time.Second, rate: 900, slots: 6,
-			inject: func(_ context.Context, f *fleet) { f.proxies[0].restart("gap") }},
+			inject: func(_ context.Context, f *fleet) { f.proxies[0].restart(modeGap) }},
 		{name: "kill", description: "one proxy of four is killed outright and started again", proxies: 4, before: 5 * time.Second, during: 5 * time.Second,
 			after: 4 * time.Second, rate: 900, slots: 6, inject: func(_ context.Context, f *fleet) { f.proxies[1].kill() }},
 		{name: "gone", description: "all four proxies are gone for 5 s and come back", proxies: 4, before: 5 * time.Second, during: 9 * time.Second,
@@ -91,11 +90,7 @@
 		tasks.Go(func() {
 			p.changing.Lock()
 			defer p.changing.Unlock()
-			p.mu.Lock()
-			p.killedAt = time.Now()
-			old := p.process
-			p.mu.Unlock()
-			old.end(syscall.SIGKILL)
+			p.killProcess()
 			sleep(ctx, d)
 			if err := p.start(); err != nil {
 				f.addCrash("%v", err)
--- a/internal/fleettest/disturb.go
+++ b/internal/fleettest/disturb.go
@@ -16,9 +16,6 @@
 // This file has a scenario's events put the rig's faults into the fleet, and knows whom they
 // excuse.
 
-// interval is a time in which a process was stopped.
-type interval struct{ from, to time.Time }
-
 // linkHost is where links begin: at an address whose ports nobody takes who is down for a while.
 const linkHost = "127.0.0.4"
 
--- a/internal/fleettest/lease.go
+++ b/internal/fleettest/lease.go
@@ -304,7 +304,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.fleet, err = startFleetBy(s, o.ProxyCommand, o.Folder, o.Progress, p.open); err != nil {
+	if p.fleet, err = startFleetWithVoterView(s, o.ProxyCommand, o.Folder, o.Progress, p.open); err != nil {
 		return nil, err
 	}
 	defer p.fleet.close()
@@ -332,7 +332,7 @@
 }
 
 // open puts a link on every way to the voters.
-func (p *leasePlay) open(real []agent.VoterAddress) (func(int) []agent.VoterAddress, error) {
+func (p *leasePlay) open(real []agent.VoterAddress) (voterView, error) {
 	p.real = real
 	for from := range leaseVoters + leaseHolders {
 		for to, v := range real {
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -107,7 +107,7 @@
 	}
 	p := &peersPlay{o: o, ways: make([][]*faultinject.Link, o.Instances), report: &PeersReport{Instances: o.Instances}}
 	defer p.close()
-	if p.fleet, err = startFleetBy(s, o.ProxyCommand, o.Folder, func(string, ...any) {}, p.open); err != nil {
+	if p.fleet, err = startFleetWithVoterView(s, o.ProxyCommand, o.Folder, func(string, ...any) {}, p.open); err != nil {
 		return nil, err
 	}
 	defer p.fleet.close()
@@ -124,7 +124,7 @@
 }
 
 // open puts links between instances and voters, where troubles are to be played.
-func (p *peersPlay) open(real []agent.VoterAddress) (func(int) []agent.VoterAddress, error) {
+func (p *peersPlay) open(real []agent.VoterAddress) (voterView, error) {
 	found := make([][]agent.VoterAddress, p.o.Instances)
 	for i := range found {
 		for at, v := range real {
--- a/internal/fleettest/permits.go
+++ b/internal/fleettest/permits.go
@@ -13,16 +13,16 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file has a fleet's proxies restart by its leave, and counts how many are down at a time.
+// This file has proxies restart by permits of their fleet, and counts how many are down at a time.
 
 const (
 	permitVoters = 3
 	permitFleet  = "fleettest"
-	// permitTimeout bounds the wait for leave and drain together.
+	// permitTimeout bounds the wait for a permit and the drain together.
 	permitTimeout = 3 * time.Minute
 )
 
-// newVoters reserves voters' addresses, and makes their memories in a folder.
+// newVoters reserves the voters' addresses, and creates their storage in a folder.
 func newVoters(folder string, free *portReserver) (f agent.Fleet, err error) {
 	f.Name = permitFleet
 	for i := range permitVoters {
@@ -45,7 +45,7 @@
 	return filepath.Join(folder, fmt.Sprintf("p%d.memory", i))
 }
 
-// createVoters has the first proxies be voters.
+// createVoters makes the first proxies voters, if the scenario has permits.
 func (f *fleet) createVoters() (err error) {
 	if f.scenario.Fleet.RestartPermits > 0 {
 		f.voters, err = newVoters(f.folder, f.ports)
@@ -53,7 +53,8 @@
 	return err
 }
 
-// peersConfig is a process's part in a fleet, as a configuration has it; voter is its number among the voters, -1 for none.
+// peersConfig is the part of a configuration that makes a process a member of the fleet; voter is its number among the
+// voters, -1 for none.
 func peersConfig(list []agent.VoterAddress, folder string, voter int) string {
 	var voters []string
 	for _, v := range list {
@@ -66,7 +67,7 @@
 	return text
 }
 
-// writePeers writes a proxy's part in the fleet.
+// writePeers writes the part of the configuration that makes the proxy a member of the fleet.
 func (d *proxyInstance) writePeers(b io.Writer) {
 	if d.fleet.scenario.Fleet.RestartPermits == 0 {
 		return
@@ -84,7 +85,7 @@
 	}
 }
 
-// setPermits has the voters give so many permits at a time.
+// setPermits sets how many permits the voters give at a time.
 func (f *fleet) setPermits() error {
 	if f.scenario.Fleet.RestartPermits == 0 || f.scenario.Fleet.Leaderless {
 		return nil
@@ -100,43 +101,47 @@
 	return err
 }
 
-// restartByPermit replaces the proxy's process: told to end it serves on until it has leave.
-func (d *proxyInstance) restartByPermit(old *process, begin func() bool) {
-	f := d.fleet
-	ended := make(chan struct{})
-	go func() { // the front sees it some time after it has begun
-		select {
-		case <-old.draining:
-		case <-old.exited:
-		}
-		notice := time.NewTimer(drainNoticeTime)
-		defer notice.Stop()
-		select {
-		case <-notice.C:
-		case <-old.exited:
-		}
-		d.setAcceptsClients(false)
-		close(ended)
+// restartByPermit replaces the proxy's process. An old process that is told to end serves until it has a permit.
+func (p *proxyInstance) restartByPermit(old *process) {
+	noticed := make(chan struct{})
+	go func() {
+		defer close(noticed)
+		p.noticeDrain(old)
 	}()
 	err := old.endWithin(syscall.SIGTERM, permitTimeout)
-	<-ended
+	<-noticed
 	if err != nil {
-		f.addCrash("proxy %d: %v: %s", d.index, err, logTail(old.logPath))
+		p.fleet.addCrash("proxy %d: %v: %s", p.index, err, logTail(old.logPath))
 	}
 	from := old.exitedAt
 	if isClosed(old.draining) {
 		from = old.drainingAt
 	}
-	if !begin() {
+	if !p.startNext() {
 		return
 	}
-	d.mu.Lock()
-	d.downtimes = append(d.downtimes, interval{from, d.process.readyAt})
-	d.mu.Unlock()
-	d.setAcceptsClients(true)
+	p.mu.Lock()
+	p.downtimes = append(p.downtimes, interval{from, p.process.readyAt})
+	p.mu.Unlock()
+	p.setAcceptsClients(true)
+}
+
+// noticeDrain has clients open no more connections some time after a drain has started.
+func (p *proxyInstance) noticeDrain(old *process) {
+	select {
+	case <-old.draining:
+	case <-old.exited:
+	}
+	notice := time.NewTimer(drainNoticeTime)
+	defer notice.Stop()
+	select {
+	case <-notice.C:
+	case <-old.exited:
+	}
+	p.setAcceptsClients(false)
 }
 
-// endWithoutPermit has a process end that nobody follows: told twice, it waits for no leave.
+// endWithoutPermit ends a process that is not replaced: told to end twice, it waits for no permit.
 func (d *proxyInstance) endWithoutPermit(p *process) error {
 	if d.fleet.scenario.Fleet.RestartPermits > 0 {
 		p.mu.Lock()
@@ -148,15 +153,15 @@
 		case <-p.exited:
 		case <-time.After(drainNoticeTime):
 		}
-		if isClosed(p.draining) { // else it is told below
+		if isClosed(p.draining) { // otherwise it is told again below
 			return p.endWithin(syscall.Signal(0), processTimeout)
 		}
 	}
 	return p.end(syscall.SIGTERM)
 }
 
-// maxDown is how many proxies were down by leave at a time.
-func (f *fleet) maxDown() (most int) {
+// maxDown is how many proxies were down by permits at a time.
+func (f *fleet) maxDown() (highest int) {
 	type edge struct {
 		at time.Time
 		by int
@@ -176,7 +181,7 @@
 	down := 0
 	for _, e := range edges {
 		down += e.by
-		most = max(most, down)
+		highest = max(highest, down)
 	}
-	return most
+	return highest
 }
--- /dev/null
+++ b/internal/fleettest/proxy.go
@@ -0,0 +1,236 @@
+package fleettest
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// proxyInstance is one proxy of the fleet, through all its processes.
+type proxyInstance struct {
+	fleet                 *fleet
+	index                 int
+	address               string
+	clientAddress         string // where clients connect: address, or a link to it
+	peerAddress           string // where it listens for its peers
+	advertisedPeerAddress string // where its peers find it
+	configPath            string
+	passedListener        *os.File // that each process inherits; nil for none
+
+	changing sync.Mutex // held while it is being restarted or reloaded
+
+	mu             sync.Mutex
+	process        *process
+	acceptsClients bool       // clients open connections to it
+	stops          []interval // of its process, the latest last
+	killedAt       time.Time
+	tenantQuota    int
+	restarts       int
+	reloads        int
+	downtimes      []interval // by permits: from a drain's start until the next process was ready
+}
+
+// interval is a span of time.
+type interval struct{ from, to time.Time }
+
+const (
+	// drainNoticeTime is how long after a drain has started clients still open connections.
+	drainNoticeTime = 300 * time.Millisecond
+	// killNoticeTime is the same after a process was killed.
+	killNoticeTime = time.Second
+)
+
+// newProxy reserves a proxy's addresses and writes its configuration.
+func (f *fleet) newProxy(i int) (*proxyInstance, error) {
+	p := &proxyInstance{
+		fleet:       f,
+		index:       i,
+		configPath:  filepath.Join(f.folder, fmt.Sprintf("p%d.toml", i)),
+		tenantQuota: f.scenario.Load.TenantQuota,
+	}
+	listener, err := f.ports.reserve()
+	if err != nil {
+		return nil, err
+	}
+	p.address = listener.Addr().String()
+	if every := f.scenario.Fleet.PassedListenerEvery; every > 0 && i%every == 0 {
+		if p.passedListener, err = listener.(*net.TCPListener).File(); err != nil {
+			return nil, err
+		}
+	}
+	listener.Close()
+	if p.clientAddress, err = f.links.linkToProxy(p); err != nil {
+		return nil, err
+	}
+	if f.scenario.Fleet.TakeoverMode != "" {
+		if err := p.openPeerAddress(); err != nil {
+			return nil, err
+		}
+	}
+	text, err := p.configText(configSame)
+	if err != nil {
+		return nil, err
+	}
+	return p, os.WriteFile(p.configPath, text, 0o600)
+}
+
+// launch starts a process for the proxy.
+func (p *proxyInstance) launch() (*process, error) {
+	argv := append(append([]string(nil), p.fleet.program...), p.configPath)
+	log := filepath.Join(p.fleet.folder, fmt.Sprintf("p%d.log", p.index))
+	return startProcess(argv, p.passedListener, log)
+}
+
+// start starts the proxy where there is no process.
+func (p *proxyInstance) start() error {
+	process, err := p.launch()
+	if err != nil {
+		return fmt.Errorf("proxy %d: %w", p.index, err)
+	}
+	p.setProcess(process)
+	if err := process.awaitReady(); err != nil {
+		return fmt.Errorf("proxy %d: %w", p.index, err)
+	}
+	p.setAcceptsClients(true)
+	return nil
+}
+
+func (p *proxyInstance) setProcess(process *process) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.process = process
+}
+
+func (p *proxyInstance) setAcceptsClients(accepts bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.acceptsClients = accepts
+}
+
+func (p *proxyInstance) currentProcess() *process {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.process
+}
+
+// reportCrash notes a process that has ended by itself.
+func (p *proxyInstance) reportCrash(process *process) {
+	if process.hasCrashed() {
+		p.fleet.addCrash("proxy %d had ended unasked: %v: %s", p.index, process.err, logTail(process.logPath))
+	}
+}
+
+// drain ends an old process gracefully.
+func (p *proxyInstance) drain(old *process) {
+	if err := old.end(syscall.SIGTERM); err != nil {
+		p.fleet.addCrash("proxy %d: old process: %v: %s", p.index, err, logTail(old.logPath))
+	}
+}
+
+// startNext starts a process in place of an old one, and reports whether it became ready.
+func (p *proxyInstance) startNext() bool {
+	process, err := p.launch()
+	if err == nil {
+		if err = process.awaitReady(); err != nil {
+			process.end(syscall.SIGKILL)
+		}
+	}
+	if err != nil {
+		p.fleet.addCrash("proxy %d: new process: %v", p.index, err)
+		return false
+	}
+	p.setProcess(process)
+	return true
+}
+
+// restart replaces the proxy's process as operators do.
+func (p *proxyInstance) restart(mode string) {
+	p.changing.Lock()
+	defer p.changing.Unlock()
+	old := p.currentProcess()
+	p.reportCrash(old)
+	p.mu.Lock()
+	p.restarts++
+	p.mu.Unlock()
+	switch {
+	case p.fleet.scenario.Fleet.RestartPermits > 0:
+		p.restartByPermit(old)
+	case p.passedListener != nil: // both processes hold it, and clients notice no gap
+		if p.startNext() {
+			p.drain(old)
+		}
+	case mode == modeOverlap:
+		p.restartOverlapping(old)
+	default:
+		p.restartWithGap(old)
+	}
+}
+
+// restartOverlapping starts the new process at once; it waits until the old one has left the address.
+func (p *proxyInstance) restartOverlapping(old *process) {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		p.drain(old)
+	}()
+	notice := time.AfterFunc(drainNoticeTime, func() { p.setAcceptsClients(false) })
+	if p.startNext() {
+		notice.Stop()
+		p.setAcceptsClients(true)
+	}
+	<-ended
+}
+
+// restartWithGap starts the new process when the old one has ended.
+func (p *proxyInstance) restartWithGap(old *process) {
+	notice := time.AfterFunc(drainNoticeTime, func() { p.setAcceptsClients(false) })
+	p.drain(old)
+	notice.Stop()
+	p.setAcceptsClients(false)
+	if p.startNext() {
+		p.setAcceptsClients(true)
+	}
+}
+
+// killProcess kills the proxy's process, and returns it.
+func (p *proxyInstance) killProcess() {
+	p.mu.Lock()
+	p.killedAt = time.Now()
+	old := p.process
+	p.mu.Unlock()
+	old.end(syscall.SIGKILL)
+}
+
+// kill kills the proxy, and starts it again.
+func (p *proxyInstance) kill() {
+	p.changing.Lock()
+	defer p.changing.Unlock()
+	p.killProcess()
+	notice := time.AfterFunc(killNoticeTime, func() { p.setAcceptsClients(false) })
+	err := p.start()
+	notice.Stop()
+	if err != nil {
+		p.fleet.addCrash("%v", err)
+	}
+}
+
+// stopGracefully ends the proxy for good.
+func (p *proxyInstance) stopGracefully() {
+	p.changing.Lock()
+	defer p.changing.Unlock()
+	process := p.currentProcess()
+	if process == nil {
+		return
+	}
+	if process.hasCrashed() {
+		p.reportCrash(process)
+		return
+	}
+	if err := p.endWithoutPermit(process); err != nil {
+		p.fleet.addCrash("proxy %d: at the end: %v: %s", p.index, err, logTail(process.logPath))
+	}
+}
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -183,8 +183,16 @@
 	"crowd":     "opens Times connections to proxies and holds them For a time, without a word",
 }
 
-var restartModes = []string{"", "gap", "overlap"}
-var configVariants = []string{"", "same", "quota", "broken", "gone", "half", "moved", "fixed"}
+// The modes of restarts.
+const (
+	modeGap     = "gap"     // the old process ends before the new one starts
+	modeOverlap = "overlap" // the new process starts first
+)
+
+var restartModes = []string{"", modeGap, modeOverlap}
+var configVariants = []string{
+	"", configSame, configQuota, configBroken, configGone, configHalf, configMoved, configFixed,
+}
 
 //go:embed scenarios/*.toml
 var builtIn embed.FS
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -68,8 +68,8 @@
 	fmt.Fprintln(out, r.Verdict())
 }
 
-// openWorks reserves where a proxy takes works in hand, behind a link.
-func (d *proxyInstance) openWorks() error {
+// openPeerAddress reserves where a proxy takes works in hand, behind a link.
+func (d *proxyInstance) openPeerAddress() error {
 	l, err := d.fleet.ports.reserve()
 	if err != nil {
 		return err
