--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -8,7 +8,6 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
@@ -35,13 +34,13 @@
 
 // clientFault is what befalls a fleet in the middle of three phases.
 type clientFault struct {
-	name, description    string
-	proxies        int
+	name, description     string
+	proxies               int
 	before, during, after time.Duration
-	together       bool // both kinds at once, on the same fleet
-	rate           float64
-	slots          int // of a node; each carries 40 requests a second in one
-	inject             func(ctx context.Context, f *fleet)
+	together              bool // both kinds at once, on the same fleet
+	rate                  float64
+	slots                 int // of a node; each carries 40 requests a second in one
+	inject                func(ctx context.Context, f *fleet)
 }
 
 // rampUpTime is how long all tills have to begin.
@@ -65,9 +64,9 @@
 func clientFaults(short bool) []clientFault {
 	all := []clientFault{
 		{name: "restart", description: "one proxy of four is restarted", proxies: 4, before: 4 * time.Second, during: 6 * time.Second, after: 4 * time.Second,
-			together: true, rate: 900, slots: 10, inject: func(_ context.Context, f *fleet) { f.proxies[1].restart("gap") }},
+			together: true, rate: 900, slots: 10, inject: func(_ context.Context, f *fleet) { f.proxies[1].restart(modeGap) }},
 		{name: "only", description: "the only proxy is restarted", proxies: 1, before: 5 * time.Second, during: 5 * time.Second, after: 4 * time.Second, rate: 900, slots: 6,
-			inject: func(_ context.Context, f *fleet) { f.proxies[0].restart("gap") }},
+			inject: func(_ context.Context, f *fleet) { f.proxies[0].restart(modeGap) }},
 		{name: "kill", description: "one proxy of four is killed outright and started again", proxies: 4, before: 5 * time.Second, during: 5 * time.Second,
 			after: 4 * time.Second, rate: 900, slots: 6, inject: func(_ context.Context, f *fleet) { f.proxies[1].kill() }},
 		{name: "gone", description: "all four proxies are gone for 5 s and come back", proxies: 4, before: 5 * time.Second, during: 9 * time.Second,
@@ -91,11 +90,7 @@
 		tasks.Go(func() {
 			p.changing.Lock()
 			defer p.changing.Unlock()
-			p.mu.Lock()
-			p.killedAt = time.Now()
-			old := p.process
-			p.mu.Unlock()
-			old.end(syscall.SIGKILL)
+			p.killProcess()
 			sleep(ctx, d)
 			if err := p.start(); err != nil {
 				f.addCrash("%v", err)
@@ -237,7 +232,7 @@
 const (
 	// maxDialPeak bounds the attempts to connect in the busiest 50 ms of a restart, in times of
 	// their mean over the trouble.
-	maxDialPeak = 3
+	maxDialPeak        = 3
 	maxTriesPerRequest = 1.1
 )
 
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -107,7 +107,7 @@
 	}
 	p := &peersPlay{o: o, ways: make([][]*faultinject.Link, o.Instances), report: &PeersReport{Instances: o.Instances}}
 	defer p.close()
-	if p.fleet, err = startFleetBy(s, o.ProxyCommand, o.Folder, func(string, ...any) {}, p.open); err != nil {
+	if p.fleet, err = startFleetWithVoterView(s, o.ProxyCommand, o.Folder, func(string, ...any) {}, p.open); err != nil {
 		return nil, err
 	}
 	defer p.fleet.close()
@@ -124,7 +124,7 @@
 }
 
 // open puts links between instances and voters, where troubles are to be played.
-func (p *peersPlay) open(real []agent.VoterAddress) (func(int) []agent.VoterAddress, error) {
+func (p *peersPlay) open(real []agent.VoterAddress) (voterView, error) {
 	found := make([][]agent.VoterAddress, p.o.Instances)
 	for i := range found {
 		for at, v := range real {
@@ -213,7 +213,9 @@
 		{"stop of 300 ms", false, func(d *proxyInstance) error {
 			return d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 300 * time.Millisecond})
 		}},
-		{"stop of 2 s", true, func(d *proxyInstance) error { return d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 2 * time.Second}) }},
+		{"stop of 2 s", true, func(d *proxyInstance) error {
+			return d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 2 * time.Second})
+		}},
 		{"cut off for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "cut") }},
 		{"answers held for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "back") }},
 		{"connections reset", false, func(d *proxyInstance) error {
