--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -207,7 +207,7 @@
 		}
 		p.DuplicateWrites[name]++
 		if name == string(loadgen.Library) && len(p.Problems) < 20 {
-			p.Problems = append(p.Problems, fmt.Sprintf("handover %s of %s was carried out again %v after the first time", e.Key, e.Record, e.Last.Sub(e.First).Round(time.Millisecond)))
+			p.Problems = append(p.Problems, describeDuplicate(&e))
 		}
 	}
 	f.mu.Lock()
--- a/internal/fleettest/directory.go
+++ b/internal/fleettest/directory.go
@@ -181,17 +181,3 @@
 		a.Close()
 	}
 }
-
-// flap takes a node out of the directory and enters it again, over and over, until ended
-// tells.
-func (f *fleet) flap(i, times int, every time.Duration, ended <-chan struct{}) {
-	for range times {
-		for _, status := range []string{"removed", "up"} {
-			f.updateNode(i, func(x *endpointlist.Entry) { x.Status = status })
-			select {
-			case <-ended:
-			case <-time.After(every):
-			}
-		}
-	}
-}
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -18,6 +18,12 @@
 // This file plays proxies that are killed, stopped and cut off with handovers in hand, and counts how many of those were
 // carried out twice, and of how many nobody ever learnt what came.
 
+// The modes of takeover, as configurations name them.
+const (
+	takeoverPlain  = "plain"
+	takeoverStrict = "strict"
+)
+
 // TakeoverOptions say what to play.
 type TakeoverOptions struct {
 	Options
