--- a/policy/admission.go
+++ b/policy/admission.go
@@ -185,9 +185,10 @@
 	return s.samples >= minSamples && s.inFlight > 0 && b.expectedHitTime(s) > limit
 }
 
-// RetryAfter returns when a rejected request of a class is to be retried: later the higher the degradation level is,
-// and spread at random, since clients that are rejected together must not come back together. A queue that can be
-// answered in time is gone within a latency objective.
+// RetryAfter returns when a rejected request of a class is to be retried, at random since clients that are rejected
+// together must not come back together. The mean is half a latency objective, and a quarter more with each degradation
+// level: a queue that can be answered in time is gone within a latency objective. Two thirds of the limit are the
+// largest mean that jitter does not carry over the limit.
 func (b *Balancer) RetryAfter(class int) time.Duration {
 	limit := b.settings.Limits.MaxRetryAfter
 	if class < 0 || class >= len(b.settings.Classes) {
--- a/policy/api.go
+++ b/policy/api.go
@@ -114,7 +114,7 @@
 	CacheMissCoalesced // a miss that waited for a fetch of the same key already in flight
 )
 
-// LoadReport is a server's load report; a negative value was not reported.
+// LoadReport is a server's load report; a negative value was not reported. No decision uses it.
 type LoadReport struct {
 	InFlight    float64 // requests
 	Queue       float64 // requests that wait
@@ -151,7 +151,7 @@
 	LoadReport *LoadReport
 }
 
-// PeerMessage is a message of another proxy; it is ignored.
+// PeerMessage is a message of another proxy. It is ignored: the simulator's wire has such messages.
 type PeerMessage struct {
 	From int
 	Data []byte
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -114,7 +114,8 @@
 // that forgets within two periods names about what is still there.
 const maintenancePeriod = 6 * time.Second
 
-// maintain does the periodic upkeep that is due.
+// maintain does the periodic upkeep that is due: two rounds at most, however much time has passed, as these empty both
+// generations of the filters.
 func (b *Balancer) maintain() {
 	for b.now-b.lastMaintenance >= maintenancePeriod {
 		b.lastMaintenance = max(b.lastMaintenance+maintenancePeriod, b.now-maintenancePeriod)
--- a/policy/degradation_test.go
+++ b/policy/degradation_test.go
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestHandoversFirst guards the levels from handovers on: a gate that is nearly shut admits all keyed requests, and a
-// part of the retry budget is reserved for them.
-func TestHandoversFirst(t *testing.T) {
+// TestHandoversPassGatesAndKeepARetryReserve guards the levels from handovers on: a gate that is nearly shut admits all
+// keyed requests, and a part of the retry budget is reserved for them.
+func TestHandoversPassGatesAndKeepARetryReserve(t *testing.T) {
 	const nearlyShut = 0.01
 	b, now := newSheddingBalancer(t, nearlyShut)
 	handover := func(i int) Arrival {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -16,9 +16,9 @@
 //  5. No attempt goes to a server that is draining, removed or not listed.
 //  6. A request ends under the settings that it arrived under, whatever [Balancer.Reconfigure] changes meanwhile.
 //
-// The package does not decide which [DegradationLevel] is in force (see package overload), how many connections a
-// proxy keeps (package connlimit), or whether an outlier's evidence suffices (package outlier holds the statistics,
-// outlier.go what follows from them).
+// The package does not decide which [DegradationLevel] is in force (package overload) or how many connections a proxy
+// keeps (package connlimit). The statistics behind outlier detection are in package outlier; outlier.go decides what
+// follows from them.
 //
 // What each file decides:
 //
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -50,7 +50,7 @@
 
 // missCost is what a miss costs in seconds. Where keys have several homes, a miss penalty above its baseline means a
 // queue at the origin, which each further fetch makes longer for all behind it. So requests go to the one home that
-// all proxies ask before the origin is full.
+// all proxies share before the origin is full.
 func (b *Balancer) missCost() float64 {
 	if !b.zonalHomes {
 		return b.missPenalty
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -31,29 +31,40 @@
 }
 
 // handleHedgeTimer sends a hedged request for a read that has long had no answer: the answer may be lost, or the server
-// stalled or gone. Under overload, when all is slow, hedging would do harm: so it is paid from the retry budget, and
-// left where the gates shed.
+// stalled or gone. It only hedges what another cache is expected to hold.
 func (b *Balancer) handleHedgeTimer(r *request) {
 	a := &r.attempts[len(r.attempts)-1]
-	isOnlyAttempt := r.openAttempts == 1
+	b.recordOverdue(r, a)
+	if !b.mayHedge(r, a) {
+		return
+	}
+	if s, path := b.chooseServer(r); path == hitPath && !wasTried(r, s) {
+		b.retryTokens--
+		b.send(r, s, path, ReasonHedge)
+	}
+}
+
+// recordOverdue counts the only attempt of a request that has no answer against its server if it is slow, now rather
+// than when its client has left. If it may still become slow the timer is set again for that.
+func (b *Balancer) recordOverdue(r *request, a *attempt) {
 	switch {
-	case !isOnlyAttempt || a.done:
-	case b.isSlow(a): // what is seen of a server counts now, not when its client has left
+	case r.openAttempts != 1 || a.done:
+	case b.isSlow(a):
 		b.recordHealth(a.server, a, r.Class, healthSample{failed: 1, unreached: 1})
 	case a.slowAt < r.Deadline:
 		b.setTimer(timerHedge, r.ID, a.slowAt-b.now)
 	}
+}
+
+// mayHedge reports whether a request whose latest attempt is overdue may have a second one beside it. A server that
+// answers others and is not taken for faulty is waited for. Under overload, when all is slow, hedging would do harm: so
+// it is paid from the retry budget, and not done while the gates shed.
+func (b *Balancer) mayHedge(r *request, a *attempt) bool {
 	answersOthers := a.server.lastResponse > a.sentAt
 	if answersOthers && b.faultProbability(a.server, r.Class) < ejectionProbability {
-		return
-	}
-	if !isOnlyAttempt || b.level >= LevelEconomy || b.retryTokens < 1 || b.isShedding() {
-		return
-	}
-	if s, path := b.chooseServer(r); path == hitPath && !wasTried(r, s) {
-		b.retryTokens--
-		b.send(r, s, path, ReasonHedge)
+		return false
 	}
+	return r.openAttempts == 1 && b.level < LevelEconomy && b.retryTokens >= 1 && !b.isShedding()
 }
 
 // isSlow reports whether an attempt without an answer counts against its server: a server that has not responded to
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -35,8 +35,8 @@
 	// maxFaultyShare of all servers may be faulty; beyond it the failures affect all.
 	maxFaultyShare = 0.2
 
-	// recentResponse is how long after its last response a server counts as one that can be reached.
-	recentResponse = outlier.DecayTime / 8
+	// recentResponseTime is how long after its last response a server counts as one that can be reached.
+	recentResponseTime = outlier.DecayTime / 8
 
 	// chanceProbability is the probability under which something is not taken for chance.
 	chanceProbability = 0.01
@@ -91,13 +91,13 @@
 		return nil
 	}
 	zone := &b.zoneSuspicions[s.Zone]
-	if zone.LogOdds <= 0 || b.now-s.lastResponse <= recentResponse {
+	if zone.LogOdds <= 0 || b.now-s.lastResponse <= recentResponseTime {
 		return nil
 	}
 	return zone
 }
 
-// avoidanceCost is what it is worth, in latency objectives, to keep a request from a server that may be faulty. A
+// avoidanceCost is what is added to the cost of a server that may be faulty, in latency objectives. A
 // single failure moves no key, as that would cost a fetch at another server. Where servers are met often, some more
 // requests tell the faulty from those that pause, and only servers at ejectionProbability are avoided: moving the keys
 // of servers that pause in turn could overload the origin with fetches.
--- a/policy/outlier_baseline_test.go
+++ b/policy/outlier_baseline_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestConsecutiveFailures guards what counts as chance: all failures in a row that a success follows, but not of a long
-// row; and none of a row that goes on.
-func TestConsecutiveFailures(t *testing.T) {
+// TestFailuresBeforeASuccessCountAsChance guards what counts as chance: all failures in a row that a success follows,
+// but not of a long row; and none of a row that goes on.
+func TestFailuresBeforeASuccessCountAsChance(t *testing.T) {
 	b := newFleetBalancer(t, 6)
 	s, now := b.serving[0], time.Hour
 	record := func(failed float64) {
--- a/policy/pause_test.go
+++ b/policy/pause_test.go
@@ -13,17 +13,17 @@
 		p.pause()
 		p.balancer.Handle(p.now, ProcessPaused{Duration: pauseLength}, nil)
 		p.completeAll()
-		if hurt, decayed := p.isHurt(), p.offered() < p.offeredBefore; hurt || decayed {
-			t.Errorf("hurt %v, gate decayed %v: processing time %v to %v, %v of %v offered",
-				hurt, decayed, p.processingTimeBefore, p.balancer.processingTime, p.offered(), p.offeredBefore)
+		if changed, decayed := p.hasChangedEstimates(), p.offered() < p.offeredBefore; changed || decayed {
+			t.Errorf("changed %v, gate decayed %v: processing time %v to %v, %v of %v offered",
+				changed, decayed, p.processingTimeBefore, p.balancer.processingTime, p.offered(), p.offeredBefore)
 		}
 	})
 	t.Run("not notified", func(t *testing.T) {
 		p := newPausedProxy(t)
 		p.pause()
 		p.completeAll()
-		if !p.isHurt() {
-			t.Error("nothing was hurt without the notification: the test shows nothing")
+		if !p.hasChangedEstimates() {
+			t.Error("nothing was changed without the notification: the test shows nothing")
 		}
 	})
 }
@@ -112,13 +112,13 @@
 	p.balancer.now = p.now
 }
 
-// isHurt reports whether the pause has changed what is thought of servers or of load.
-func (p *pausedProxy) isHurt() bool {
+// hasChangedEstimates reports whether the pause has changed the estimates of servers or of load.
+func (p *pausedProxy) hasChangedEstimates() bool {
 	b := p.balancer
-	hurt := b.processingTime > 1.05*p.processingTimeBefore || b.paths[hitPath].gate.admitShare(admissionPrior) < 1
+	changed := b.processingTime > 1.05*p.processingTimeBefore || b.paths[hitPath].gate.admitShare(admissionPrior) < 1
 	for _, s := range b.serving {
-		hurt = hurt || s.consecutiveFailures > 0 || b.faultProbability(s, 0) > singleFailureProbability ||
+		changed = changed || s.consecutiveFailures > 0 || b.faultProbability(s, 0) > singleFailureProbability ||
 			s.backoffUntil > p.now
 	}
-	return hurt
+	return changed
 }
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -44,8 +44,8 @@
 // firstMissProbability is the probability that the first server of a group does not hold a key that no filter names.
 func (h *homeServers) firstMissProbability(group int) float64 {
 	miss := h.servers[group][0].filter.FalsePositiveRate()
-	askedByOwnZoneOnly := h.scores[group][0] < h.scores[1-group][0]
-	if askedByOwnZoneOnly {
+	isHomeOfOneZone := h.scores[group][0] < h.scores[1-group][0] // the key's first home of all is in the other group
+	if isHomeOfOneZone {
 		miss += (1 - miss) * zonalHomeMissShare
 	}
 	return miss
--- a/policy/rendezvous_test.go
+++ b/policy/rendezvous_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestFullOriginGathersHomes guards the origin: while a fetch takes much longer than the baseline, keys go to the home
-// that all proxies ask.
-func TestFullOriginGathersHomes(t *testing.T) {
+// TestQueueAtOriginMovesKeysToOneHome guards the origin: while a fetch takes much longer than the baseline, keys go to
+// the home that all proxies share.
+func TestQueueAtOriginMovesKeysToOneHome(t *testing.T) {
 	b := newZonalBalancer(t, 0.2)
 	b.missPenalty, b.baselineMissPenalty = 0.4, 0.1
 	if got := requestsByZone(b, 200); got[0] > 100 {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -64,7 +64,8 @@
 	MaxRetryAfter     time.Duration // 0: rejected clients get no Retry-After
 }
 
-// Rules are the bounds that no decision may cross.
+// Rules are the bounds that no decision may cross. ResponseGrace, DrainGrace and OverloadWindow enter no decision, as
+// requests end by their deadline and draining servers get none; tests and simulations check them.
 type Rules struct {
 	ResponseGrace    time.Duration // how long after its deadline a final answer may still be given
 	MaxPollInterval  time.Duration // changes of a list that was not requested for this long count as known
@@ -83,7 +84,8 @@
 	HealthCheck float64
 }
 
-// Settings configure a Balancer for one proxy of a deployment.
+// Settings configure a Balancer for one proxy of a deployment. LoadReports, OriginKind, CacheAside, Class.Streamed,
+// Limits.AllowHealthChecks and Costs.HealthCheck describe the deployment and enter no decision.
 type Settings struct {
 	ProxyCount           int // proxies in this tier
 	ProxyIndex           int // index of this one
