--- a/internal/bloom/filter.go
+++ b/internal/bloom/filter.go
@@ -21,9 +21,9 @@
 
 // Filter is a Bloom filter of keys in two generations, so that it can forget.
 type Filter struct {
-	words [2][filterBits / wordBits]uint64
-	live  [2]float64 // keys added to each generation
-	now   int        // generation that takes new keys
+	words     [2][filterBits / wordBits]uint64
+	keyCounts [2]float64 // keys added to each generation
+	current   int        // generation that takes new keys
 }
 
 // Positions are a key's bits in every filter.
@@ -47,24 +47,24 @@
 func (f *Filter) Add(p *Positions) {
 	isNew := false
 	for _, x := range p {
-		word, bit := &f.words[f.now][x/wordBits], uint64(1)<<(x%wordBits)
+		word, bit := &f.words[f.current][x/wordBits], uint64(1)<<(x%wordBits)
 		isNew = isNew || *word&bit == 0
 		*word |= bit
 	}
 	if isNew {
-		f.live[f.now]++
+		f.keyCounts[f.current]++
 	}
 }
 
 // Rotate empties the older generation, which takes the new keys from now on.
 func (f *Filter) Rotate() {
-	f.now = 1 - f.now
-	f.words[f.now] = [filterBits / wordBits]uint64{}
-	f.live[f.now] = 0
+	f.current = 1 - f.current
+	f.words[f.current] = [filterBits / wordBits]uint64{}
+	f.keyCounts[f.current] = 0
 }
 
 // FalsePositiveRate is (1 - e^(-k*n/m))^k for k hashes, n live keys and m bits.
 func (f *Filter) FalsePositiveRate() float64 {
-	keys := max(f.live[0], f.live[1])
+	keys := max(f.keyCounts[0], f.keyCounts[1])
 	return math.Pow(1-math.Exp(-hashCount*keys/filterBits), hashCount)
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -109,12 +109,12 @@
 	t := r.top.table("service")
 	c := &r.config.Proxy.Overload
 	c.Enabled = t.boolean("reduce", true)
-	c.Limits = overload.DefaultTimings
-	c.Limits.ConfirmFor = t.duration("confirm", c.Limits.ConfirmFor, 0, time.Minute)
-	c.Limits.MinStay = t.duration("stay", c.Limits.MinStay, time.Second, maxDuration)
-	c.Limits.MaxStay = t.duration("most_stay", c.Limits.MaxStay, time.Second, maxDuration)
-	if c.Limits.MaxStay < c.Limits.MinStay {
-		t.add("most_stay", "cannot be %v: want no less than stay, %v", c.Limits.MaxStay, c.Limits.MinStay)
+	c.Timings = overload.DefaultTimings
+	c.Timings.ConfirmFor = t.duration("confirm", c.Timings.ConfirmFor, 0, time.Minute)
+	c.Timings.MinStay = t.duration("stay", c.Timings.MinStay, time.Second, maxDuration)
+	c.Timings.MaxStay = t.duration("most_stay", c.Timings.MaxStay, time.Second, maxDuration)
+	if c.Timings.MaxStay < c.Timings.MinStay {
+		t.add("most_stay", "cannot be %v: want no less than stay, %v", c.Timings.MaxStay, c.Timings.MinStay)
 	}
 	level := t.text("pin", "", oneOf(overload.LevelNames()...))
 	until := t.text("pin_until", "", anything)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -194,7 +194,7 @@
 		c.endAttempt(req, attempt, policy.NotSent, nil)
 		return false
 	}
-	if c.pause.detector.HoldsWrites() && c.deferAttempt(req, attempt) {
+	if c.pause.detector.DefersWrites() && c.deferAttempt(req, attempt) {
 		return false
 	}
 	if req.expiresAt.Before(sent.Deadline) { // the machine has slept since the dispatch
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,7 +34,7 @@
 	Membership     membership.Limits
 	BinaryNodes    NodeSelector // nodes that speak the binary protocol
 	Overload       OverloadConfig
-	// TotalSleep returns how long the machine has slept since boot; nil where it is not to be asked.
+	// TotalSleep returns how long the machine has slept since boot; nil where sleep is not counted.
 	TotalSleep func() time.Duration
 	LogCounts  bool // log a line of counts each second; excludes Overload, which reads the same counters
 }
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -6,7 +6,9 @@
 //
 //  1. Every accepted request gets exactly one answer, and its [Reply] is released exactly once, after the
 //     last of its attempts has ended.
-//  2. All events reach the decision module one at a time, under one lock. That lock is never held during I/O.
+//  2. All events reach the decision module one at a time, under one lock. That lock is never held during I/O
+//     of the network. Rare log lines are written under it: of pauses, changes of nodes, collapsed lists,
+//     outdated lists and aborted requests.
 //  3. A request is checked against one configuration: rules are replaced as a whole.
 //  4. An endpoint list that was requested before a change never undoes what a watch has reported since.
 //  5. Nothing that was decided before a pause of the process is sent after it without being checked again.
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -195,7 +195,7 @@
 	c.pool.RemoveNodes(gone)
 }
 
-// reportNodeChange logs a change of a node. The initial list is not logged: it is in the configuration.
+// reportNodeChange logs a change of a node, from the first list that a source has reported on.
 // c.mu is held.
 func (c *Core) reportNodeChange(change *membership.Change) {
 	if c.reconcileLists && c.endpoints.received {
--- a/internal/core/overload.go
+++ b/internal/core/overload.go
@@ -30,7 +30,7 @@
 // OverloadConfig configures the degradation under overload.
 type OverloadConfig struct {
 	Enabled     bool
-	Limits      overload.Timings
+	Timings     overload.Timings
 	PinnedLevel overload.Level
 	PinnedUntil time.Time // zero for no pin
 }
@@ -54,7 +54,7 @@
 func newOverloadState(config *Config) overloadState {
 	return overloadState{
 		enabled:       config.Overload.Enabled,
-		controller:    overload.New(config.Overload.Limits),
+		controller:    overload.New(config.Overload.Timings),
 		listsPeriodic: listsArePeriodic(config),
 	}
 }
@@ -74,7 +74,7 @@
 		state.meter, state.timerLag = overload.Meter{}, 0
 	}
 	state.enabled = next.Enabled
-	state.controller.SetTimings(next.Limits)
+	state.controller.SetTimings(next.Timings)
 	if !state.enabled {
 		return c.disableOverload(next, now)
 	}
@@ -101,7 +101,7 @@
 			{At: now, From: state.level.String(), To: overload.Full.String(), Cause: "off"},
 		}
 	}
-	state.controller = overload.New(next.Limits)
+	state.controller = overload.New(next.Timings)
 	state.pinnedUntil = time.Time{}
 	c.rememberTransitions(transitions)
 	c.applyLevel(overload.Full)
--- a/internal/core/pause.go
+++ b/internal/core/pause.go
@@ -15,7 +15,7 @@
 // This file has package pause check the clocks wherever something is decided, and carries out what follows
 // from a pause of the process (long enough for decisions to be void after it) or a stall (shorter).
 
-// stallLogInterval is the least time between two log lines about stalls.
+// stallLogInterval is the shortest time between two log lines about stalls.
 const stallLogInterval = time.Second
 
 // pauseState is what the core knows of pauses and stalls. It is guarded by Core.mu, except for the atomics.
@@ -23,7 +23,7 @@
 type pauseState struct {
 	detector       *pause.Detector
 	actions        []pause.Action       // reused between events
-	readTotalSleep func() time.Duration // nil where it is not to be asked
+	readTotalSleep func() time.Duration // nil where sleep is not counted
 	totalSleep     time.Duration        // of the machine, as readTotalSleep said last
 	sleepOffset    atomic.Int64         // nanoseconds of sleep that the monotonic clock has not counted
 	lastCheck      atomic.Int64         // nanoseconds; when the clocks were last observed
@@ -32,7 +32,7 @@
 	pauses      int
 	pausedTotal time.Duration
 	deferred    []deferredSend // in the order of their dispatch
-	resumed     chan struct{}  // closed while nothing is held for a pause
+	resumed     chan struct{}  // closed while no recovery from a pause is under way
 	refresh     chan struct{}  // signals that the endpoint lists are to be fetched
 
 	lastStall      atomic.Pointer[pause.Interval] // nil for none
@@ -153,7 +153,7 @@
 // resumedAt returns when the latest pause ended, by Core.policyTime.
 func (c *Core) resumedAt() time.Duration { return c.LastPause().End + c.policyTime() - c.monotonic() }
 
-// Resumed returns a channel that is closed while nothing is held for a pause.
+// Resumed returns a channel that is closed while no recovery from a pause is under way.
 func (c *Core) Resumed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,7 +164,7 @@
 // handlePauseEvent gives package pause an event and carries out the actions that follow. c.mu is held.
 func (c *Core) handlePauseEvent(now time.Duration, event pause.Event) {
 	s := &c.pause
-	s.detector.SetHeldSends(len(s.deferred))
+	s.detector.SetDeferredSends(len(s.deferred))
 	s.actions = s.detector.Handle(now, event, s.actions[:0])
 	for _, action := range s.actions {
 		switch action := action.(type) {
@@ -256,10 +256,10 @@
 	}
 }
 
-// deferAttempt holds an attempt until the recovery from a pause has ended, and reports whether it does.
+// deferAttempt defers an attempt until the recovery from a pause has ended, and reports whether it does.
 // c.mu is held.
 func (c *Core) deferAttempt(req *InFlightRequest, attempt *nodeAttempt) bool {
-	if !c.pause.detector.HoldsSends() {
+	if !c.pause.detector.DefersSends() {
 		return false
 	}
 	c.pause.deferred = append(c.pause.deferred, deferredSend{req, attempt})
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -38,7 +38,7 @@
 	limits := pause.Limits{
 		CheckInterval:   pause.DefaultLimits.CheckInterval,
 		MinPause:        time.Minute,
-		MaxHold:         time.Hour,
+		MaxDeferral:     time.Hour,
 		ReleaseBatch:    4,
 		ReleaseInterval: time.Minute,
 	}
--- a/internal/core/refresh.go
+++ b/internal/core/refresh.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// refreshLists fetches from all sources of the list at once, and waits no longer than sends are held.
+// refreshLists fetches from all sources of the list at once, and waits no longer than sends are deferred.
 func (c *Core) refreshLists(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, pause.DefaultLimits.MaxHold)
+	ctx, cancel := context.WithTimeout(ctx, pause.DefaultLimits.MaxDeferral)
 	defer cancel()
 	configs := c.listSources()
 	call := c.newListCall()
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -18,7 +18,7 @@
 }
 
 // DisconnectChecker is a [Reply] that can report, without waiting, whether its client has disconnected. It
-// is asked without the core's lock.
+// is called without the core's lock.
 type DisconnectChecker interface{ Disconnected() bool }
 
 // InFlightRequest is a client's request from its acceptance until it is answered and all its attempts have
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -123,17 +123,17 @@
 	heap[0] = heap[last]
 	heap = heap[:last]
 	for i := 0; ; {
-		least := i
+		smallest := i
 		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
-			if heap[child].at < heap[least].at {
-				least = child
+			if heap[child].at < heap[smallest].at {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			break
 		}
-		heap[i], heap[least] = heap[least], heap[i]
-		i = least
+		heap[i], heap[smallest] = heap[smallest], heap[i]
+		i = smallest
 	}
 	*h = heap
 	return earliest
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -16,8 +16,8 @@
 // that all proxies request them from.
 
 const (
-	// agentAnswerTimeout is how long a local agent may take to answer a new watch before it is asked
-	// again beside it. It answers at once when it works, and what it knows counts as known to the proxy.
+	// agentAnswerTimeout is how long a local agent may take to answer a new watch before another
+	// is opened beside it. It answers at once when it works, and what it knows counts as known to the proxy.
 	agentAnswerTimeout = 400 * time.Millisecond
 	// movedAnswerTimeout is the same after a change of address, where a call may wait its turn but its
 	// list must be heeded 4 s later. More calls would be a storm: all proxies move at once.
@@ -225,7 +225,7 @@
 }
 
 // handleLoss handles the end of a watch. One of a local agent that had answered is opened again at once,
-// unless it was opened just now. Where all proxies ask one service the decision module spreads that.
+// unless it was opened just now. Where all proxies request lists from one service the decision module spreads that.
 func (s *subscriptions) handleLoss(sub *subscription) {
 	s.open = slices.DeleteFunc(s.open, func(other *subscription) bool { return other == sub })
 	switch {
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -214,7 +214,7 @@
 	c := startCore(t, false, source.addr)
 	first := source.firstWatch(t, c, 1)
 	first.Close()
-	begun := time.Now()
+	started := time.Now()
 	var calls []*sourceCall
 	for i := range 2 * maxSubscriptions {
 		calls = append(calls, source.next(t, "one more watch"))
@@ -222,7 +222,7 @@
 			t.Error("called again only after the previous call was given up")
 		}
 	}
-	if took := time.Since(begun); took < time.Duration(len(calls)-2)*agentAnswerTimeout {
+	if took := time.Since(started); took < time.Duration(len(calls)-2)*agentAnswerTimeout {
 		t.Errorf("%d calls in %v", len(calls), took)
 	}
 	for _, old := range calls[:maxSubscriptions] {
@@ -339,14 +339,14 @@
 	source := startSource(t)
 	startCore(t, false, source.addr)
 	const calls = 20
-	begun := time.Now()
+	started := time.Now()
 	for i := range calls {
 		w := source.next(t, "a watch")
 		w.sendHeader()
 		w.sendList(i+1, true, "up")
 		w.Close()
 	}
-	if took := time.Since(begun); took < (calls-2)*agentRetryDelay/2 {
+	if took := time.Since(started); took < (calls-2)*agentRetryDelay/2 {
 		t.Errorf("%d calls in %v", calls, took)
 	}
 }
--- a/internal/frontend/binary/requests.go
+++ b/internal/frontend/binary/requests.go
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// handleSet reads a set and gives it to the core.
+// handleSet reads a set and gives it to the core. It has no class before its key is read, so it may use the part of the
+// body budget that is reserved for keyed writes, keyed or not.
 func (s *session) handleSet(h *codec.Header, rules *Rules) error {
 	if !s.host.BodyBudget.TryAcquire(h.BodyLen) {
 		return s.skipAndAnswer(h, codec.Busy)
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -13,5 +13,5 @@
 //
 // Goroutines and state: [Conn.Serve] runs the reader and starts the writer, and returns when both have ended.
 // Conn.mu guards what they share. The core may answer a command with its own lock held, and then takes Conn.mu:
-// so nothing here calls the core with Conn.mu held.
+// so nothing here may call the core with Conn.mu held. One place still does, in reader.go: see KNOWN-RED.txt.
 package frontend
--- a/internal/frontend/meta/meta.go
+++ b/internal/frontend/meta/meta.go
@@ -54,10 +54,12 @@
 func (r *reply) Release() { r.host.BodyBudget.Release(r.bodyLen) }
 
 // outOfMemory returns the answer in place of one for which there is no budget.
-func outOfMemory() []byte { return []byte("SERVER_ERROR out of memory\r\n") }
+func outOfMemory() []byte { return []byte("SERVER_ERROR out of memory" + lineEnd) }
 
 // TimeoutAnswer implements frontend.Session.
-func (s *session) TimeoutAnswer() []byte { return []byte("CLIENT_ERROR command took too long\r\n") }
+func (s *session) TimeoutAnswer() []byte {
+	return []byte("CLIENT_ERROR command took too long" + lineEnd)
+}
 
 // answer answers a command that is no request.
 func (s *session) answer(text string) { s.conn.AddSlot(new(frontend.Slot)).Finish([]byte(text)) }
@@ -86,21 +88,21 @@
 	if lost || err != nil || s.badCommands < maxBadCommands {
 		return lost, err
 	}
-	return s.answerAndStop("CLIENT_ERROR too many bad commands\r\n"), nil
+	return s.answerAndStop("CLIENT_ERROR too many bad commands" + lineEnd), nil
 }
 
 // handleCommand carries out one command.
 func (s *session) handleCommand() (lost bool, err error) {
 	text, err := s.conn.In.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || err == nil && len(text) > meta.MaxLine {
-		return s.answerAndStop("CLIENT_ERROR line too long\r\n"), nil
+		return s.answerAndStop("CLIENT_ERROR line too long" + lineEnd), nil
 	}
 	if err != nil {
 		return false, err
 	}
 	line, ok := strings.CutSuffix(string(text), lineEnd)
 	if !ok {
-		return s.answerAndStop("CLIENT_ERROR line does not end in CRLF\r\n"), nil
+		return s.answerAndStop("CLIENT_ERROR line does not end in CRLF" + lineEnd), nil
 	}
 	command, err := meta.ParseCommand(line)
 	var invalid *meta.ClientError
@@ -108,10 +110,10 @@
 	case errors.As(err, &invalid):
 		return s.handleInvalid(invalid)
 	case err != nil:
-		s.answerBad("ERROR\r\n")
+		s.answerBad("ERROR" + lineEnd)
 		return false, nil
 	case command.Noop:
-		s.answerGood("MN\r\n")
+		s.answerGood("MN" + lineEnd)
 		return false, nil
 	case command.Stats:
 		s.answerStats(command.Key)
@@ -136,14 +138,14 @@
 func (s *session) answerStats(kind string) {
 	stats := s.host.Stats(kind)
 	if stats == nil {
-		s.answerBad("ERROR\r\n")
+		s.answerBad("ERROR" + lineEnd)
 		return
 	}
 	var text strings.Builder
 	for _, stat := range stats {
 		text.WriteString("STAT " + stat.Name + " " + stat.Value + lineEnd)
 	}
-	s.answerGood(text.String() + "END\r\n")
+	s.answerGood(text.String() + "END" + lineEnd)
 }
 
 // handleRequest reads a request's value, if it has one, and gives the request to the core.
@@ -161,7 +163,7 @@
 		}
 		if !bytes.HasSuffix(body, []byte(lineEnd)) {
 			s.host.BodyBudget.Release(bodyLen)
-			return s.answerAndStop("CLIENT_ERROR bad data chunk\r\n"), nil
+			return s.answerAndStop("CLIENT_ERROR bad data chunk" + lineEnd), nil
 		}
 		command.Value = body[:command.ValueLen]
 	}
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -206,8 +206,8 @@
 	c.readerBlocked = false
 }
 
-// ReaderBlocked reports whether the reader would not notice that the client disconnects: then it is to be asked
-// by [Conn.Disconnected].
+// ReaderBlocked reports whether the reader would not notice that the client disconnects: then
+// [Conn.Disconnected] finds out.
 func (c *Conn) ReaderBlocked() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -172,8 +172,8 @@
 	case worst < c.level && c.now >= c.noDescentBefore:
 		c.descend(worst)
 		if transition.Cause == "" {
-			transition.Cause = causeCalm
-			transition.Value, transition.Threshold = c.nearestToExit(), 1
+			transition.Cause = causeNoSignal
+			transition.Value, transition.Threshold = c.largestExitShare(), 1
 		}
 	}
 }
@@ -211,8 +211,8 @@
 	c.noDescentBefore = c.now + c.minStays[from]/4
 }
 
-// nearestToExit returns how near the worst signal is to keeping the next better level from being left: 1 at an exit.
-func (c *Controller) nearestToExit() (part float64) {
+// largestExitShare returns how near the worst signal is to keeping the next better level from being left: 1 at an exit.
+func (c *Controller) largestExitShare() (part float64) {
 	for i := range c.signals {
 		s, threshold := &c.signals[i], &Thresholds[i]
 		enter := threshold.Enter[min(c.level, levelCount-2)]
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -166,7 +166,7 @@
 			t.Errorf("%v: still at %v a minute after its end", signal, c.Level())
 		}
 		for _, x := range left {
-			if x.PreviousLevel-x.Level > 2 || x.Cause != causeCalm {
+			if x.PreviousLevel-x.Level > 2 || x.Cause != causeNoSignal {
 				t.Errorf("%v: left by %+v", signal, x)
 			}
 		}
--- a/internal/overload/transition.go
+++ b/internal/overload/transition.go
@@ -22,7 +22,7 @@
 const (
 	causePin      = "pin"
 	causePinEnded = "pin ended"
-	causeCalm     = "calm" // no signal calls for the level any more
+	causeNoSignal = "calm" // no signal calls for the level any more
 
 	// causeUnknown would be a defect of this package.
 	causeUnknown = "unknown"
--- a/internal/pause/detector.go
+++ b/internal/pause/detector.go
@@ -3,7 +3,7 @@
 // no I/O and reads no clock: the same events always give the same actions.
 //
 // A pause lasts [Limits.MinPause] or longer. After it, nothing that was decided before may be acted on
-// without a check. A stall is shorter, from [MinStall] on. What was decided before it holds, but what arrived
+// without a check. A stall is shorter, from [MinStall] on. What was decided before it is valid, but what arrived
 // meanwhile was left unread, and what was due meanwhile is late.
 //
 // Guarantees:
@@ -14,8 +14,8 @@
 //     in time: checks are at most one interval apart.
 //  3. A reported pause reaches from the last check before it to the first after it: it is never shorter than
 //     the real pause, and longer by one check interval at most.
-//  4. After a pause sends are held until the endpoint list has been fetched anew, for [Limits.MaxHold] at
-//     most; then they are released in batches.
+//  4. After a pause sends are deferred until the endpoint list has been fetched anew, for
+//     [Limits.MaxDeferral] at most; then they are released in batches.
 //  5. A request with side effects that may be older than its client's timeout, or than the window in which
 //     nodes drop its repeats, is rejected: it is never sent ([DecideByAge]).
 //
@@ -40,7 +40,7 @@
 type Limits struct {
 	CheckInterval   time.Duration // the clocks are checked at least this often
 	MinPause        time.Duration // the shortest pause that is reported
-	MaxHold         time.Duration // sends are held for this long at most
+	MaxDeferral     time.Duration // sends are deferred for this long at most
 	ReleaseBatch    int           // sends that are released at a time
 	ReleaseInterval time.Duration // between two batches
 }
@@ -52,7 +52,7 @@
 var DefaultLimits = Limits{
 	CheckInterval:   50 * time.Millisecond,
 	MinPause:        300 * time.Millisecond,
-	MaxHold:         250 * time.Millisecond,
+	MaxDeferral:     250 * time.Millisecond,
 	ReleaseBatch:    32,
 	ReleaseInterval: 5 * time.Millisecond,
 }
@@ -84,14 +84,14 @@
 type Action interface{ action() }
 
 type (
-	// Paused reports a pause. Sends are held from now on, and the endpoint lists are to be fetched.
+	// Paused reports a pause. Sends are deferred from now on, and the endpoint lists are to be fetched.
 	Paused struct{ Interval Interval }
-	// ReleaseSends releases the oldest of the held sends, Max at most.
+	// ReleaseSends releases the oldest of the deferred sends, Max at most.
 	ReleaseSends struct{ Max int }
 	// CheckAgain requests a ClockChecked after a time.
 	CheckAgain struct{ After time.Duration }
-	// Resumed ends the recovery that Paused began: nothing is held any more. After is the time since the
-	// end of the pause.
+	// Resumed ends the recovery that Paused began: nothing is deferred any more. After is the time since
+	// the end of the pause.
 	Resumed struct{ After time.Duration }
 )
 
@@ -105,18 +105,18 @@
 
 const (
 	running    state = iota
-	recovering       // sends are held until the lists have been fetched
-	releasing        // held sends are released in batches
+	recovering       // sends are deferred until the lists have been fetched
+	releasing        // deferred sends are released in batches
 )
 
 // Detector detects pauses and controls the recovery from them. Its zero value is not usable; see [New].
 type Detector struct {
-	limits      Limits
-	state       state
-	lastReading ClockReading
-	lastPause   Interval
-	deadline    time.Duration // when recovering, the end of the hold; when releasing, the next batch
-	heldSends   int           // see SetHeldSends
+	limits        Limits
+	state         state
+	lastReading   ClockReading
+	lastPause     Interval
+	deadline      time.Duration // when recovering, the end of the deferral; when releasing, the next batch
+	deferredSends int           // see SetDeferredSends
 }
 
 // New returns a Detector of a process that runs at the time of a reading.
@@ -127,21 +127,21 @@
 // LastPause returns the latest pause.
 func (d *Detector) LastPause() Interval { return d.lastPause }
 
-// HoldsSends reports whether new sends are to be held.
-func (d *Detector) HoldsSends() bool { return d.state != running }
+// DefersSends reports whether new sends are to be deferred.
+func (d *Detector) DefersSends() bool { return d.state != running }
 
-// HoldsWrites reports whether nothing may be written at all. Sends that were released may.
-func (d *Detector) HoldsWrites() bool { return d.state == recovering }
+// DefersWrites reports whether nothing may be written at all. Sends that were released may.
+func (d *Detector) DefersWrites() bool { return d.state == recovering }
 
-// SetHeldSends sets the number of sends that are held now. It is called before each event.
-func (d *Detector) SetHeldSends(n int) { d.heldSends = n }
+// SetDeferredSends sets the number of sends that are deferred now. It is called before each event.
+func (d *Detector) SetDeferredSends(n int) { d.deferredSends = n }
 
 // Handle handles an event at a time, and appends the actions that follow to out. A check of the clocks at a
 // time before the last check's was overtaken by that, and detects nothing.
 func (d *Detector) Handle(now time.Duration, event Event, out []Action) []Action {
 	if check, ok := event.(ClockChecked); ok && now >= d.lastReading.Now {
 		if d.checkClocks(now, check.TotalSleep) {
-			return append(out, Paused{d.lastPause}, CheckAgain{d.limits.MaxHold})
+			return append(out, Paused{d.lastPause}, CheckAgain{d.limits.MaxDeferral})
 		}
 	}
 	_, refreshed := event.(ListsRefreshed)
@@ -168,7 +168,7 @@
 		interval.Slept += d.lastPause.Slept
 	}
 	d.lastPause = interval
-	d.state, d.deadline = recovering, now+d.limits.MaxHold
+	d.state, d.deadline = recovering, now+d.limits.MaxDeferral
 	return true
 }
 
@@ -178,13 +178,13 @@
 	return d.lastPause.End > 0 && (d.state != running || start-d.lastPause.End < 2*d.limits.CheckInterval)
 }
 
-// release releases the next batch of held sends, and ends the recovery with the last: sends that are decided
+// release releases the next batch of deferred sends, and ends the recovery with the last: sends that are decided
 // on from then on need not wait for it.
 func (d *Detector) release(now time.Duration, out []Action) []Action {
-	if d.heldSends > 0 {
+	if d.deferredSends > 0 {
 		out = append(out, ReleaseSends{d.limits.ReleaseBatch})
 	}
-	if d.heldSends <= d.limits.ReleaseBatch {
+	if d.deferredSends <= d.limits.ReleaseBatch {
 		d.state = running
 		return append(out, Resumed{now - d.lastPause.End})
 	}
--- a/internal/pause/detector_test.go
+++ b/internal/pause/detector_test.go
@@ -12,10 +12,10 @@
 
 // step is one event and the actions that it must cause.
 type step struct {
-	at    time.Duration
-	event Event
-	held  int // sends that are held then
-	want  []Action
+	at       time.Duration
+	event    Event
+	deferred int // sends that are deferred then
+	want     []Action
 }
 
 // checked is a check of the clocks of a machine that has not slept.
@@ -28,7 +28,7 @@
 func paused(start, end, slept time.Duration) []Action {
 	return []Action{
 		Paused{Interval{Start: start, End: end, Slept: slept}},
-		CheckAgain{DefaultLimits.MaxHold},
+		CheckAgain{DefaultLimits.MaxDeferral},
 	}
 }
 
@@ -39,13 +39,13 @@
 		{100 * ms, checked, 0, nil},
 		{399 * ms, checked, 0, nil},
 	},
-	"a pause, lists fetched, nothing held": {
+	"a pause, lists fetched, nothing deferred": {
 		{50 * ms, checked, 0, nil},
 		{350 * ms, checked, 0, paused(50*ms, 350*ms, 0)},
 		{355 * ms, refreshed, 0, []Action{Resumed{5 * ms}}},
 		{400 * ms, checked, 0, nil},
 	},
-	"held sends are released in batches": {
+	"deferred sends are released in batches": {
 		{time.Second, checked, 0, paused(0, time.Second, 0)},
 		{1010 * ms, checked, 40, nil},
 		{1020 * ms, refreshed, 40, []Action{ReleaseSends{32}, CheckAgain{5 * ms}}},
@@ -91,7 +91,7 @@
 		t.Run(name, func(t *testing.T) {
 			detector := New(DefaultLimits, ClockReading{})
 			for i, step := range steps {
-				detector.SetHeldSends(step.held)
+				detector.SetDeferredSends(step.deferred)
 				if got := detector.Handle(step.at, step.event, nil); !reflect.DeepEqual(got, step.want) {
 					t.Fatalf("step %d at %v: %+v, want %+v", i, step.at, got, step.want)
 				}
@@ -157,11 +157,11 @@
 				start := now
 				now += gap.jitter + gap.stop
 				totalSleep += gap.sleep
-				detector.SetHeldSends(random.IntN(3))
+				detector.SetDeferredSends(random.IntN(3))
 				reported := reportedPause(detector.Handle(now, ClockChecked{totalSleep}, nil))
 				gap.check(t, start, now, reported)
 				if reported != nil {
-					recoveredBy = now + DefaultLimits.MaxHold
+					recoveredBy = now + DefaultLimits.MaxDeferral
 				}
 				if detector.state == recovering && now > recoveredBy {
 					t.Fatalf("still recovering at %v, want not after %v", now, recoveredBy)
--- a/internal/pause/exhaustive_test.go
+++ b/internal/pause/exhaustive_test.go
@@ -14,7 +14,7 @@
 	modelWindow = 1500 * ms
 )
 
-// modelRules is what A heeds. Each rule is left out to see that it is missed.
+// modelRules are the rules that A follows. Each is left out once, to see that the model then finds a repeat.
 type modelRules struct {
 	age       bool // it decides by age
 	lastCheck bool // it checks once more right before the write
--- a/internal/proxy/platform.go
+++ b/internal/proxy/platform.go
@@ -104,7 +104,7 @@
 	if c.Policy, err = simwire.ParseSettings(string(f.Settings)); err != nil {
 		return nil, err
 	}
-	c.Overload.Limits = overload.DefaultTimings
+	c.Overload.Timings = overload.DefaultTimings
 	limits, err := platformResourceLimits(f.Settings, c.Policy.ProxyCount)
 	if err != nil {
 		return nil, err
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -128,7 +128,7 @@
 
 // endRequest ends a request whose client's time is up.
 func (f *Fleet) endRequest(r *clientRequest) {
-	f.scheduleAfter(forgetAfter, func() { delete(f.firstRuns, r.id) })
+	f.scheduleAfter(forgetAfter, func() { delete(f.firstRunAt, r.id) })
 	if !r.over {
 		r.over = true
 		f.countersAt(r.started).Unanswered++
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -37,17 +37,17 @@
 	originBusyUntil time.Duration
 	listVersion     uint64
 	listCalls       []time.Duration          // of the last second
-	firstRuns       map[uint64]time.Duration // of requests that must not run twice, by ID
+	firstRunAt      map[uint64]time.Duration // of requests that must not run twice, by ID
 }
 
 // New sets a fleet up: all nodes are warm and listed, all proxies have the list but empty filters.
 func New(p Plan) (*Fleet, error) {
 	f := &Fleet{
-		Plan:      p,
-		now:       startTime,
-		rng:       rand.New(rand.NewPCG(p.Seed, 7)),
-		nodes:     make(map[string]*node),
-		firstRuns: make(map[uint64]time.Duration),
+		Plan:       p,
+		now:        startTime,
+		rng:        rand.New(rand.NewPCG(p.Seed, 7)),
+		nodes:      make(map[string]*node),
+		firstRunAt: make(map[uint64]time.Duration),
 	}
 	f.keys = rand.NewZipf(f.rng, keyExponent, keyOffset, uint64(max(p.Clients.Keys, 1)-1))
 	for i := range p.Nodes {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -122,12 +122,12 @@
 	case Unreachable:
 		f.complete(a, policy.Reset, policy.CacheUnknown)
 	default:
-		f.work(n, a, share)
+		f.serve(n, a, share)
 	}
 }
 
-// work has the next free worker serve an attempt, unless the queue is full.
-func (f *Fleet) work(n *node, a *attempt, capacityShare float64) {
+// serve has the next free worker serve an attempt, unless the queue is full.
+func (f *Fleet) serve(n *node, a *attempt, capacityShare float64) {
 	worker := 0
 	for i := range n.workersFree {
 		if n.workersFree[i] < n.workersFree[worker] {
@@ -207,9 +207,9 @@
 	if class.Idempotency == policy.Idempotent {
 		return
 	}
-	first, hasRun := f.firstRuns[r.id]
+	first, hasRun := f.firstRunAt[r.id]
 	if !hasRun {
-		f.firstRuns[r.id] = f.now
+		f.firstRunAt[r.id] = f.now
 		return
 	}
 	isDropped := class.Idempotency == policy.IdempotentWithKey &&
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -17,7 +17,7 @@
 	NotWritten                           // its last byte was never written
 	ConnectionLost                       // the connection ended after that
 	Malformed                            // what came instead of its answer can't be read
-	ConnectionLimitReached               // the node took no further connection, and has not executed it
+	ConnectionLimitReached               // the node accepts no further connection, and has not executed it
 )
 
 // Attempt is one sending of a request. It is written at most once and has exactly one end, reported to the
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -25,7 +25,7 @@
 	writing      bool       // the writer has a batch
 	writerWake   sync.Cond
 
-	retired     bool // it gets no new attempts
+	retired     bool // it gets no new attempts, and is closed once nobody waits for it
 	writeFailed bool // answers that came before the failure are still read
 	malformed   bool // what came for the first of inFlight can't be read
 	closed      bool
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -16,7 +16,7 @@
 	sweepsPerTimeout = 8
 	// minSweepInterval bounds the rate of these checks.
 	minSweepInterval = time.Millisecond
-	// warningInterval is the least time between two warnings about malformed answers: a node that sends
+	// warningInterval is the shortest time between two warnings about malformed answers: a node that sends
 	// noise must not flood the log.
 	warningInterval = time.Second
 )
@@ -80,8 +80,8 @@
 }
 
 // CloseStale closes the idle connections that their nodes have closed, or may close because they were idle
-// for long: after a pause of the process neither has been noticed. No lock is held while the sockets are
-// asked.
+// for long: after a pause of the process neither has been noticed. No lock is held while the state
+// of the sockets is read.
 func (p *Pool) CloseStale() {
 	p.mu.Lock()
 	idle := p.idleConnections()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -4,12 +4,13 @@
 // Guarantees:
 //
 //  1. An attempt is written at most once, and its end is reported exactly once unless it was withdrawn.
-//  2. The handler is asked right before the first byte of an attempt is written, and again if the node did
-//     not accept data in the meantime.
+//  2. The handler checks an attempt right before its first byte is written, and again if the node did not
+//     accept data in the meantime.
 //  3. An answer is that of its attempt, or the connection ends: from the first unexpected byte on, nothing
 //     that comes over a connection is believed.
 //  4. No attempt waits behind one that was abandoned: its connection gets no new ones.
-//  5. No lock is held during I/O or calls of the handler.
+//  5. No lock is held during I/O of the network or calls of the handler. Warnings about malformed answers are
+//     logged under it, one a second at most.
 //
 // Goroutines and state: each dial has a goroutine, each connection a reader and a writer; [Pool.Run] waits
 // for all of them. Pool.mu guards the state of all connections.
@@ -62,11 +63,11 @@
 	budget             connlimit.Budget
 	nodes              map[string]*node
 	connections        int  // open or being established, to all nodes
-	closed             bool // Run has ended
+	closed             bool // Run is ending: nothing is sent or dialed any more
 	counts             Counts
 	lastWarning        time.Time
 	suppressedWarnings int           // since then
-	closeCheckTimeout  time.Duration // closeCheckTimeout; longer in tests
+	closeCheckTimeout  time.Duration // the constant of this name; longer in tests
 }
 
 // Counts are what became of connections since they were last taken.
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		busyMeans := Busy
+		busyMeans := Busy // what a busy answer says of the node
 		switch {
 		case answer.Kind != request.Busy:
 			c.hasServed = true
@@ -134,7 +134,5 @@
 func (c *conn) endsNow(in *bufio.Reader) bool {
 	c.socket.SetReadDeadline(time.Now().Add(c.pool.closeCheckTimeout))
 	_, err := in.Peek(1)
-	var networkError *net.OpError
-	isTimeout := errors.As(err, &networkError) && networkError.Timeout()
-	return err != nil && !isTimeout
+	return err != nil && !isTimeout(err)
 }
