--- a/cmd/simadapter/fleet_test.go
+++ b/cmd/simadapter/fleet_test.go
@@ -25,7 +25,7 @@
 )
 
 // fleet is a small simulated fleet on the other side of the simulator's wire: it answers what the
-// balancers send, draws faults, drains and restarts from a seed, and stands for clients and discovery.
+// balancers send, draws faults, drains and restarts from a seed, and takes the part of clients and discovery.
 type fleet struct {
 	rng     *rand.Rand
 	tick    int
@@ -59,7 +59,7 @@
 	done bool
 }
 
-// playSession runs the adapter against a fleet and returns both sides of what was said.
+// playSession runs the adapter against a fleet and returns what it read and what it wrote.
 func playSession(t *testing.T, seed uint64) (input, output []byte) {
 	t.Helper()
 	f := newFleet(seed)
@@ -68,7 +68,7 @@
 	done := make(chan error, 1)
 	go func() { done <- run(adapterInput, adapterOutput) }()
 	replies := bufio.NewReader(fromAdapter)
-	var said bytes.Buffer
+	var written bytes.Buffer
 	for f.tick = 1; f.tick <= ticksPerSession; f.tick++ {
 		batch := f.batch(seed)
 		f.input.WriteString(batch)
@@ -80,7 +80,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			said.WriteString(line)
+			written.WriteString(line)
 			parts := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
 			if parts[0] == "next" {
 				break
@@ -96,7 +96,7 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	return f.input.Bytes(), said.Bytes()
+	return f.input.Bytes(), written.Bytes()
 }
 
 func number(t *testing.T, text string) int {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -55,6 +55,7 @@
 	return a.reply.Finish(batch.Sequence)
 }
 
+// handle starts or stops an instance, or gives it an event. Events of an instance that does not run are ignored.
 func (a *adapter) handle(now time.Duration, item *simwire.Item) {
 	switch {
 	case item.Stop:
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestBadInput guards that a defect is named and its batch is not answered.
-func TestBadInput(t *testing.T) {
+// TestInvalidInputIsNamedAndNotAnswered guards that a defect is named and its batch is not answered.
+func TestInvalidInputIsNamedAndNotAnswered(t *testing.T) {
 	var out bytes.Buffer
 	err := run(strings.NewReader(opening+"batch\t1020\t2\nabout\tproxy/0\ndemand\t8\nend\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "line 11: demand Class") {
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestBadSettings guards that invalid settings are reported for their instance alone.
-func TestBadSettings(t *testing.T) {
+// TestInvalidSettingsAreReportedForTheirInstance guards that invalid settings are reported for their instance alone.
+func TestInvalidSettingsAreReportedForTheirInstance(t *testing.T) {
 	for _, settings := range []string{
 		`{}`,
 		`{"Services":[{"Effect":"odd"}]}`,
--- a/internal/binary/header.go
+++ b/internal/binary/header.go
@@ -4,8 +4,8 @@
 //
 // Invariants:
 //
-//  1. No length of a header is used before [Header.Validate] has checked it: it tells how much may be read, and
-//     how much has to be skipped to keep the framing.
+//  1. No length of a header is used unchecked: [ParseHeader] bounds what may have to be skipped to keep the
+//     framing, [Header.Validate] what of a request may be read.
 //  2. Every opcode has a [Handling]; an unknown one is skipped with its body.
 //  3. What Append writes, ParseHeader reads as the same.
 //
@@ -85,10 +85,10 @@
 	CAS       uint64
 }
 
-// Errors of what is no header at all. The connection can't be read any further.
+// Errors of an invalid header. The connection can't be read any further.
 var (
-	ErrBadMagic  = errors.New("binary: not the first byte of a header")
-	ErrBadLength = errors.New("binary: a length that cannot be")
+	ErrBadMagic  = errors.New("binary: wrong first byte of a header")
+	ErrBadLength = errors.New("binary: impossible length")
 )
 
 // ParseHeader reads the HeaderLen bytes of a header that begins with magic. With ErrBadLength the header is
--- a/internal/bloom/filter.go
+++ b/internal/bloom/filter.go
@@ -23,7 +23,7 @@
 type Filter struct {
 	words     [2][filterBits / wordBits]uint64
 	keyCounts [2]float64 // keys added to each generation
-	current   int        // generation that takes new keys
+	current   int        // the generation that takes new keys, 0 or 1
 }
 
 // Positions are a key's bits in every filter.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads how long the machine has slept, which the standard library does not tell: Go's times are
-// by the monotonic clock, which stands still meanwhile.
+// Package clock reads how long the machine has slept, which the standard library does not report: Go measures
+// durations by the monotonic clock, which stops meanwhile.
 //
 // The package has no state and starts no goroutine.
 package clock
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -3,7 +3,8 @@
 //
 // Guarantees:
 //
-//  1. The budget is at least [MinConnections] and never above what one node's connections give at all nodes.
+//  1. Where nodes bound their connections the budget is at least [MinConnections], and otherwise never above
+//     [Capacity.PerProxy] connections to each node.
 //  2. Proxies that follow it, and are as many as configured, use [TargetFill] of each node's connections.
 //  3. Where more proxies or fewer connections than configured make nodes reject, the budget falls by half within some
 //     rejections, from what is really open, however much was configured; it rises by a connection to each node within
@@ -37,7 +38,7 @@
 	// rejections leaves: a node that rejects for another reason must not take the other nodes' connections as well.
 	minPart = 0.25
 
-	// unboundedPerNode stands for no bound.
+	// unboundedPerNode is the limit for each node where nodes have no bound: more than is ever opened.
 	unboundedPerNode = 1 << 10
 )
 
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestRejectionsSettle guards invariant 3: proxies that are configured with a wrong number of themselves, or meet nodes
-// that accept fewer connections, come down to what there is.
-func TestRejectionsSettle(t *testing.T) {
+// TestBudgetFallsToWhatNodesAccept guards invariant 3: proxies that are configured with a wrong number of themselves,
+// or meet nodes that accept fewer connections, come down to what there is.
+func TestBudgetFallsToWhatNodesAccept(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		configuredProxies int
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -10,7 +10,7 @@
 	ID        string
 	Class     string
 	Client    string        // address of its connection
-	Timeout   time.Duration // that the client asked for; negative if it did not say
+	Timeout   time.Duration // that the client requested; negative for none
 	Age       time.Duration // since its last byte arrived, as far as the proxy knows
 	Remaining time.Duration // until the deadline that the proxy works to
 }
@@ -97,7 +97,7 @@
 	RequestID string
 	Attempt   int
 	Node      string
-	Remaining time.Duration // until the deadline that the node is told
+	Remaining time.Duration // until the deadline that is sent to the node
 }
 
 func (e AttemptStarted) describe() (string, []slog.Attr) {
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -222,7 +222,7 @@
 	return flag[0], flag[1:]
 }
 
-// nextWord returns the text up to the next space, and what follows that.
+// nextWord returns the text up to the next space, and what follows it.
 func nextWord(s string) (word, rest string) {
 	word, rest, _ = strings.Cut(s, " ")
 	return word, rest
--- a/internal/meta/node.go
+++ b/internal/meta/node.go
@@ -154,11 +154,11 @@
 // ParseAnswer reads the first line of an answer, without its end.
 func ParseAnswer(line []byte) (AnswerLine, error) {
 	var a AnswerLine
-	verb, rest := cutWord(line)
+	verb, rest := nextWordBytes(line)
 	switch string(verb) {
 	case "VA":
 		var text []byte
-		text, rest = cutWord(rest)
+		text, rest = nextWordBytes(rest)
 		length, ok := parseLength(string(text))
 		if !ok {
 			return a, ErrMalformedAnswer
@@ -174,7 +174,7 @@
 		return a, nil
 	case "SERVER_ERROR":
 		var what []byte
-		what, rest = cutWord(rest)
+		what, rest = nextWordBytes(rest)
 		a.Kind = request.Failed
 		if string(what) == "busy" {
 			a.Kind = request.Busy
@@ -193,7 +193,7 @@
 func (a *AnswerLine) parseFlags(rest []byte) error {
 	for len(rest) > 0 {
 		var flag []byte
-		flag, rest = cutWord(rest)
+		flag, rest = nextWordBytes(rest)
 		if len(flag) == 0 {
 			return ErrMalformedAnswer
 		}
@@ -232,8 +232,8 @@
 	return nil
 }
 
-// cutWord returns the text up to the next space, and what follows that.
-func cutWord(text []byte) (word, rest []byte) {
+// nextWordBytes returns the text up to the next space, and what follows it.
+func nextWordBytes(text []byte) (word, rest []byte) {
 	for i, c := range text {
 		if c == ' ' {
 			return text[:i], text[i+1:]
--- a/internal/outlier/failure_rate.go
+++ b/internal/outlier/failure_rate.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// DecayTime is that of failures: a server that has recovered gets its share of requests back within some DecayTimes.
+// DecayTime is the time in which counts of failures fall to 1/e: a server that has recovered gets its share of requests
+// back within some of it.
 const DecayTime = 3 * time.Second
 
 // FailureRate counts attempts that ended, and of them those that failed. Both decay.
--- a/internal/outlier/suspicion_test.go
+++ b/internal/outlier/suspicion_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSuspicion guards the formula: never under the prior, bounded, decaying, and one failure is not enough to move a
-// key.
-func TestSuspicion(t *testing.T) {
+// TestSuspicionIsBoundedAndDecays guards the formula: never under the prior, bounded, decaying, and one failure is not
+// enough to move a key.
+func TestSuspicionIsBoundedAndDecays(t *testing.T) {
 	observe := func(s *Suspicion, n int, failed, baseline float64) {
 		for range n {
 			s.Observe(0, time.Second, failed, baseline)
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -12,7 +12,7 @@
 	ReentryWindow time.Duration // a level entered again within it stays for longer
 	MaxStay       time.Duration // the longest minimum stay
 	SignalTimeout time.Duration // for which a signal that is missing counts as its last value
-	MaxStep       time.Duration // the most time that passes between two events; two samples must confirm nothing
+	MaxStep       time.Duration // time that counts between two events at most; two samples must confirm nothing
 }
 
 // DefaultTimings are the timings of a proxy that has none configured.
@@ -97,8 +97,8 @@
 	return c.level
 }
 
-// Pinned reports whether an operator's level is in force, and for how long yet.
-func (c *Controller) Pinned() (left time.Duration, pinned bool) {
+// Pinned reports whether an operator's level is in force, and for how much longer.
+func (c *Controller) Pinned() (remaining time.Duration, pinned bool) {
 	return max(c.pinEnds-c.now, 0), c.pinned
 }
 
@@ -208,17 +208,17 @@
 	for level := c.level + 1; level <= from; level++ {
 		c.leftAt[level] = c.now
 	}
-	c.noDescentBefore = c.now + c.minStays[from]/4
+	c.noDescentBefore = c.now + c.minStays[from]/descentStayDivisor
 }
 
-// largestExitShare returns how near the worst signal is to keeping the next better level from being left: 1 at an exit.
-func (c *Controller) largestExitShare() (part float64) {
+// largestExitShare returns the largest signal as a share of its exit threshold from the next worse level.
+func (c *Controller) largestExitShare() (share float64) {
 	for i := range c.signals {
 		s, threshold := &c.signals[i], &Thresholds[i]
 		enter := threshold.Enter[min(c.level, levelCount-2)]
 		if s.known && enter > 0 {
-			part = max(part, s.value/(threshold.Exit*enter))
+			share = max(share, s.value/(threshold.Exit*enter))
 		}
 	}
-	return part
+	return share
 }
--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -15,7 +15,8 @@
 //     the level called for, and never while no signal is.
 //  2. It is left no sooner than its minimum stay after it was entered, two levels at a time at most, and only once no
 //     signal is over the exit threshold, which lies under the entry. A level that is entered again within
-//     [Timings].ReentryWindow of being left stays for twice as long, up to [Timings].MaxStay.
+//     [Timings].ReentryWindow of being left stays for twice as long, up to [Timings].MaxStay. A better level that is
+//     reached on the way down is left after a part of the stay of the one before.
 //  3. Load that swings by 5% around any threshold, at any period, changes the level at most twice a minute; load that
 //     swings between nothing and everything does so on average.
 //  4. A signal that is missing or not a valid number raises no level, and holds one for [Timings].SignalTimeout at
--- a/internal/overload/level.go
+++ b/internal/overload/level.go
@@ -18,8 +18,14 @@
 	levelCount
 )
 
-// maxDescent is how many levels service improves at once at most.
-const maxDescent = 2
+const (
+	// maxDescent is how many levels service improves at once at most.
+	maxDescent = 2
+
+	// descentStayDivisor is the part, one in so many, of the minimum stay of a level that was left for which service
+	// stays at the level that it improved to.
+	descentStayDivisor = 4
+)
 
 var levelNames = [levelCount]string{"full", "economy", "late", "handovers", "shelter"}
 
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Add counts what has happened until now. A clock that goes back counts as one that stands still.
+// Add counts what has happened until now. A clock that goes back counts as stopped.
 func (m *Meter) Add(now time.Duration, c Counts) {
 	retention := 1.0
 	if m.started {
--- a/internal/overload/signal.go
+++ b/internal/overload/signal.go
@@ -26,9 +26,9 @@
 // Threshold says at which values of a signal levels are entered, by level from Economy on; 0 where it never calls for
 // one. A level is left under Exit times its entry.
 type Threshold struct {
-	Name  string
+	Name  string // of the signal, in transitions and statistics
 	Enter [levelCount - 1]float64
-	Exit  float64
+	Exit  float64 // share of an entry
 }
 
 // Thresholds are the conditions of entry and exit. The origin's latency is among the signals since it shows a brown-out
--- a/internal/overload/transition.go
+++ b/internal/overload/transition.go
@@ -9,7 +9,7 @@
 	From           string        `json:"from"`
 	To             string        `json:"to"`
 	Cause          string        `json:"cause"`          // a signal's name, "pin", "pin ended" or "calm"
-	Value          float64       `json:"figure"`         // the signal's; of "calm" the largest part of an exit
+	Value          float64       `json:"figure"`         // the signal's; of "calm" the largest share of an exit
 	Threshold      float64       `json:"bound"`          // that Value was compared with
 	MinStaySeconds float64       `json:"stay_s"`         // no improvement before
 	OtherCauses    []string      `json:"also,omitempty"` // further signals that call for a level
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -32,7 +32,7 @@
 type Request struct {
 	Verb           Verb
 	Key            string
-	ID             string // unique to this try; tells its answer from others
+	ID             string // unique to this attempt of the client; identifies its answer
 	Value          []byte // of a Set
 	Class          string
 	Tenant         string
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -3,8 +3,8 @@
 // Invariants:
 //
 //  1. The first rule that matches decides; a request that none matches is not served.
-//  2. A table is complete: each rule names an existing class that can carry the rule's verb, and every rule can be
-//     reached.
+//  2. Each rule names an existing class that can carry the rule's verb, and none is covered by a single rule before it.
+//     One that several rules cover together is accepted, and never reached.
 //  3. A route never waits longer than the deadline of its class.
 //
 // The package does no I/O and reads no clock.
@@ -28,7 +28,7 @@
 const (
 	Reads      Verb = iota
 	Writes          // of both kinds
-	Ticketed        // writes with a ticket, whose repeats can be told from them
+	Ticketed        // writes with a ticket, whose repeats can be recognized
 	Unticketed      // writes without one
 )
 
@@ -97,10 +97,10 @@
 	case isKeyed && rule.Verb == Unticketed:
 		return cannotBe("plain writes have no key, and want a class that is not keyed")
 	case class.PartialDedup && rule.Verb != Reads:
-		// A client repeats at any proxy, which does not know where the first try was sent.
+		// A client repeats at any proxy, which does not know where the first attempt was sent.
 		return cannotBe("its nodes drop repeats in parts only, and a client's repeat may come to any")
 	case isKeyed && class.DedupWindow <= 2*ticket.Margin:
-		return cannotBe(fmt.Sprintf("its window of %v leaves a ticket no life; want more than %v",
+		return cannotBe(fmt.Sprintf("its window of %v leaves no time in which a ticket is valid; want more than %v",
 			class.DedupWindow, 2*ticket.Margin))
 	case rule.Timeout < 0 || rule.Timeout > class.Deadline:
 		return fmt.Errorf("wait cannot be %v: want no more than the deadline of class %s, %v",
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// checkReached returns why a rule is never reached, because of the rules before it.
+// checkReached returns why a rule is never reached, because of a rule before it.
 func checkReached(rule *Rule, before []Rule) error {
 	for i := range before {
 		if before[i].covers(rule) {
--- a/internal/sasl/users.go
+++ b/internal/sasl/users.go
@@ -4,8 +4,8 @@
 // Invariants:
 //
 //  1. Neither words nor time reveal whether a user exists: an unknown one costs the same derivation as a known one.
-//  2. From one source no more than [GuessBurst] guesses at once and one in each [GuessRefillInterval] after that are
-//     checked, whether they are right or not; the limiter's memory is bounded.
+//  2. From one source no more than [GuessBurst] wrong guesses at once and one in each [GuessRefillInterval] after that
+//     are checked; beyond that no guess is, not even a right one. The limiter's memory is bounded.
 //  3. No secret is kept in memory except as a hash.
 //
 // The package starts no goroutine. [Users] are safe for concurrent use; a [GuessLimiter] is guarded by its caller.
@@ -135,7 +135,7 @@
 }
 
 // ParsePlain reads a response of mechanism PLAIN (RFC 4616). It returns false for a malformed one, and for one that
-// asks to act for another user.
+// requests to act for another user.
 func ParsePlain(response []byte) (name, secret string, ok bool) {
 	parts := strings.SplitN(string(response), "\x00", 4)
 	if len(parts) != 3 {
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -75,7 +75,7 @@
 		f.counters().ClientAttempts++
 		f.scheduleAfter(f.MessageDelay, func() {
 			if p.dead {
-				f.failed(r)
+				f.handleFailure(r)
 				return
 			}
 			p.accept(r, r.until)
@@ -98,23 +98,24 @@
 	f.scheduleAfter(pause, func() { f.attempt(r) })
 }
 
-// rejected is an answer that promises that another attempt is harmless.
-func (f *Fleet) rejected(r *clientRequest, retryAfter time.Duration) {
+// handleRejection handles an answer that promises that another attempt is harmless.
+func (f *Fleet) handleRejection(r *clientRequest, retryAfter time.Duration) {
 	if f.Clients.IgnoreRetryAfter {
 		retryAfter = 0
 	}
 	f.retryAfter(r, max(retryAfter, f.Clients.RetryPause))
 }
 
-// failed is an answer, or the end of a connection before one, that promises nothing: only idempotent requests are
-// retried.
-func (f *Fleet) failed(r *clientRequest) {
+// handleFailure handles an answer, or the end of a connection before one, that promises nothing: only idempotent
+// requests are retried.
+func (f *Fleet) handleFailure(r *clientRequest) {
 	if f.Settings.Classes[r.class].Idempotency == policy.Idempotent {
 		f.retryAfter(r, f.Clients.RetryPause)
 	}
 }
 
-func (f *Fleet) served(r *clientRequest) {
+// handleServed handles an answer that serves a request, in time or late.
+func (f *Fleet) handleServed(r *clientRequest) {
 	if r.over {
 		return
 	}
--- a/internal/simulation/endpointlist.go
+++ b/internal/simulation/endpointlist.go
@@ -6,7 +6,7 @@
 	"mulleinpier/policy"
 )
 
-// endpoints returns the endpoint list as it stands.
+// endpoints returns the endpoint list as it is now.
 func (f *Fleet) endpoints() (list []policy.Endpoint) {
 	for _, name := range f.names {
 		if endpoint := f.nodes[name].Endpoint; endpoint.State != policy.Removed {
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -21,8 +21,8 @@
 type Fleet struct {
 	Plan
 	PerSecond  []Counters
-	Violations []string // of rules, the first ones
-	Peak       struct{ Connections int }
+	Violations []string                  // of rules, the first ones
+	Peak       struct{ Connections int } // the most connections that one node had
 
 	now       time.Duration
 	rng       *rand.Rand
@@ -63,10 +63,10 @@
 	return f, nil
 }
 
-// At runs do so long after the beginning.
+// At schedules a function for a time after the beginning.
 func (f *Fleet) At(after time.Duration, do func()) { f.schedule(startTime+after, do) }
 
-// RunUntil runs the fleet until so long after the beginning.
+// RunUntil runs the fleet until end, a time after the beginning.
 func (f *Fleet) RunUntil(end time.Duration) {
 	for f.events.isDue(startTime + end) {
 		e := f.events.take()
--- a/internal/simulation/fleet_size_test.go
+++ b/internal/simulation/fleet_size_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestSizesOfFleets runs few proxies over many nodes and many over few, at the same share of capacity, with costs and
-// connections known: each fleet is served, and connections stay within their bounds.
-func TestSizesOfFleets(t *testing.T) {
+// TestFleetsOfAllSizesAreServed runs few proxies over many nodes and many over few, at the same share of capacity, with
+// costs and connections known: each fleet is served, and connections stay within their bounds.
+func TestFleetsOfAllSizesAreServed(t *testing.T) {
 	for _, c := range []struct {
 		proxies, nodes int
 		maxHandshakes  float64 // for a request
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -89,8 +89,8 @@
 	return p
 }
 
-// plan300 is a fleet at the full size of the benchmark's standing test: 300 proxies that each see little, over 160
-// nodes in five zones, of which proxy 0 sees eight times the mean.
+// plan300 is a large fleet: 300 proxies that each see few requests, over 160 nodes in five zones; proxy 0 sees eight
+// times the mean.
 func plan300(seed uint64) Plan {
 	p := plan80(seed)
 	p.Proxies, p.Nodes = 300, 160
@@ -102,7 +102,7 @@
 	return p
 }
 
-// run runs a plan for so long, with a script that schedules faults, and reports all violations of rules.
+// run runs a plan for a time, with a script that schedules faults, and reports all violations of rules.
 func run(t *testing.T, p Plan, length time.Duration, script func(*Fleet)) *Fleet {
 	t.Helper()
 	f, err := New(p)
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -96,7 +96,7 @@
 	for _, id := range p.sortedIDs() {
 		r := p.inFlight[id]
 		r.over = true
-		f.scheduleAfter(f.MessageDelay, func() { f.failed(r.clientRequest) })
+		f.scheduleAfter(f.MessageDelay, func() { f.handleFailure(r.clientRequest) })
 	}
 }
 
@@ -201,10 +201,10 @@
 	r.over = true
 	if a.Kind == policy.Reject {
 		f.counters().Rejected++
-		f.scheduleAfter(f.MessageDelay, func() { f.rejected(r.clientRequest, a.After) })
+		f.scheduleAfter(f.MessageDelay, func() { f.handleRejection(r.clientRequest, a.After) })
 	} else {
 		f.counters().Failed++
-		f.scheduleAfter(f.MessageDelay, func() { f.failed(r.clientRequest) })
+		f.scheduleAfter(f.MessageDelay, func() { f.handleFailure(r.clientRequest) })
 	}
 	p.forget(r)
 }
@@ -244,7 +244,7 @@
 	}
 	if result == policy.Served && !r.over {
 		r.over = true
-		f.scheduleAfter(f.MessageDelay, func() { f.served(r.clientRequest) })
+		f.scheduleAfter(f.MessageDelay, func() { f.handleServed(r.clientRequest) })
 	}
 	p.handle(policy.Outcome{
 		ID:          r.id,
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestNoFault is the baseline of all other tests.
-func TestNoFault(t *testing.T) {
+// TestFleetWithoutFault is the baseline of all other tests.
+func TestFleetWithoutFault(t *testing.T) {
 	f := run(t, plan80(1), 10*time.Second, nil)
 	checkInTime(t, f.Sum(1, 8), 0.99, "without a fault")
 }
--- a/internal/simulation/zonal_homes_test.go
+++ b/internal/simulation/zonal_homes_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestFullOriginGathersHomes guards the origin: homes in each zone fetch more, and where it can take little more than
-// one home's fetches they are given up before it is full.
-func TestFullOriginGathersHomes(t *testing.T) {
+// TestNearlyFullOriginGivesUpZonalHomes guards the origin: homes in each zone fetch more, and where it can take little
+// more than one home's fetches they are given up before it is full.
+func TestNearlyFullOriginGivesUpZonalHomes(t *testing.T) {
 	idle := run(t, plan80WithZonalHomes(1), 18*time.Second, nil).Sum(10, 16)
 	f := run(t, plan80WithZonalHomes(1), 18*time.Second, func(f *Fleet) {
 		f.At(8*time.Second, func() { f.Origin.FetchesPerSecond = 0.9 * float64(idle.Fetches) / 6 })
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -105,7 +105,7 @@
 			f.invalid(field, text)
 			return nil
 		}
-		setMetric(report, name, x)
+		setLoadFigure(report, name, x)
 	}
 	return report
 }
@@ -113,7 +113,7 @@
 // notReported stands for a number that a load report does not have.
 const notReported = -1
 
-func setMetric(report *policy.LoadReport, name string, value float64) {
+func setLoadFigure(report *policy.LoadReport, name string, value float64) {
 	switch name {
 	case "active":
 		report.InFlight = value
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -19,7 +19,8 @@
 	indexBits     = 31
 )
 
-// fields takes the tab-separated values of one line in order; the first defect stays in err.
+// fields takes the tab-separated values of one line in order. The first defect stays in err; from then on values
+// that are taken one by one read as absent.
 type fields struct {
 	line int
 	name string // of the message
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket asks the kernel about the state of a TCP connection.
+// Package socket reads the state of a TCP connection from the kernel.
 //
 // Nothing here waits or consumes data: each function may be called while other goroutines read or write the
 // connection. The package has no state and starts no goroutine.
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -8,10 +8,11 @@
 // Invariants:
 //
 //  1. Two writes that differ in ticket, record or value have different keys; a repeat has the key of the first.
-//  2. The first execution of a write comes no earlier than the issue of its ticket, and no try of it is sent later
+//  2. The first execution of a write comes no earlier than the issue of its ticket, and no attempt of it is sent later
 //     than the window's length after that, so whatever repeat is sent reaches nodes that still drop it.
-//  3. A ticket that no proxy issued recently is rejected, be it old, invented or another server's: what can't be
-//     told from a late repeat is not carried out.
+//  3. A ticket whose time of issue is not recent is rejected, be it old, from the future or another server's number:
+//     what can't be distinguished from a late repeat is not carried out. Tickets are not signed: an invented one with
+//     a recent time is accepted.
 //
 // The package reads no clock, has no state, and shares nothing between proxies but the time of day.
 package ticket
@@ -31,7 +32,7 @@
 )
 
 // Margin is by how much a ticket is valid for less than the window. It covers the clocks of two proxies, each up to a
-// quarter of it off the true time, and the time in which a try is on its way.
+// quarter of it off the true time, and the time in which an attempt is on its way.
 const Margin = 200 * time.Millisecond
 
 // New returns a ticket that is issued at a time. It is never 0.
