--- a/cmd/simadapter/fleet_test.go
+++ b/cmd/simadapter/fleet_test.go
@@ -22,6 +22,7 @@
 	faultTicks      = 100                     // length of a fault at a node
 	restartTick     = ticksPerSession * 3 / 4 // one proxy restarts, with other settings
 	relistTicks     = 40                      // a change of the list is announced within so long
+	writeAttribute  = 1 << 2                  // marks a request as a write
 )
 
 // fleet is a small simulated fleet on the other side of the simulator's wire: it answers what the
@@ -245,7 +246,7 @@
 		f.nextID++
 		class, attributes, wait := 0, 0, 1500
 		if f.rng.IntN(5) == 0 {
-			class, attributes, wait = 1, 4, 2000
+			class, attributes, wait = 1, writeAttribute, 2000
 		}
 		key := fmt.Sprintf("u:%d", int(120*f.rng.Float64()*f.rng.Float64()))
 		f.open[f.nextID] = &simRequest{proxy: proxy, key: key}
--- a/internal/core/pause.go
+++ b/internal/core/pause.go
@@ -65,7 +65,8 @@
 }
 
 // Now returns the time by the core's monotonic clock, as [Core.EstimateArrival] takes it, and checks for a
-// stall or a pause. Without one it costs a reading of the clock and takes no lock.
+// stall or a pause. Without one it costs a reading of the clock and takes no lock. A Core that New did not
+// create, as in tests of connections, has no detector and checks for nothing.
 func (c *Core) Now() time.Duration {
 	now := c.monotonic()
 	lastCheck := time.Duration(c.pause.lastCheck.Load())
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestTwoFaultsTogether guards against a level that is left with the first of two faults.
-func TestTwoFaultsTogether(t *testing.T) {
+// TestLevelStaysForTheFaultThatLasts guards against a level that is left with the first of two faults.
+func TestLevelStaysForTheFaultThatLasts(t *testing.T) {
 	for _, test := range []struct {
 		name              string
 		originEnds        time.Duration // calls for shelter until then
@@ -229,9 +229,9 @@
 	}
 }
 
-// TestClientsThatReturnTogether guards recovery: clients that all return as a level is left must make it stay for
-// longer, not swing.
-func TestClientsThatReturnTogether(t *testing.T) {
+// TestReturningClientsDoNotMakeTheLevelSwing guards recovery: clients that all return as a level is left must make it
+// stay for longer, not swing.
+func TestReturningClientsDoNotMakeTheLevelSwing(t *testing.T) {
 	c := New(DefaultTimings)
 	backlog := 30.0 // of clients that wait to be admitted
 	signals, transitions := UnknownSignals(), []Transition(nil)
@@ -278,9 +278,9 @@
 	}
 }
 
-// TestClockThatJumps guards invariant 5: an hour forward ends no stay and confirms nothing, an hour back holds nothing
-// for an hour.
-func TestClockThatJumps(t *testing.T) {
+// TestClockJumpsEndNoStay guards invariant 5: an hour forward ends no stay and confirms nothing, an hour back holds
+// nothing for an hour.
+func TestClockJumpsEndNoStay(t *testing.T) {
 	for _, jump := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(jump.String(), func(t *testing.T) {
 			c := New(DefaultTimings)
--- a/internal/upstream/blocked_test.go
+++ b/internal/upstream/blocked_test.go
@@ -21,10 +21,10 @@
 // blockedPool is a gated pool whose node has stopped reading in the middle of a batch.
 type blockedPool struct {
 	*gatedPool
-	node  *net.TCPConn
-	first *Attempt   // a read that has been written
-	big   []*Attempt // writes, some of which have been written
-	reads []*Attempt // after them
+	node        *net.TCPConn
+	first       *Attempt   // a read that has been written
+	bigAttempts []*Attempt // writes, some of which have been written
+	reads       []*Attempt // after them
 }
 
 // startBlocked has the writes and the reads with these ids in one batch, and waits until the part of it that was
@@ -39,18 +39,18 @@
 	b.connection().socket.SetWriteBuffer(128 << 10)
 	b.mu.Unlock()
 	for i := range bigWrites {
-		b.big = append(b.big, sendWrite(t, b.Pool, fmt.Sprint("big", i), bigSize))
+		b.bigAttempts = append(b.bigAttempts, sendWrite(t, b.Pool, fmt.Sprint("big", i), bigSize))
 	}
 	for _, id := range readIDs {
 		b.reads = append(b.reads, sendRead(t, b.Pool, id))
 	}
 	want := bigWrites + len(readIDs)
-	b.goOn <- struct{}{}
+	b.proceed <- struct{}{}
 	if batch := b.nextCheck(t, "the check of the others"); len(batch) != want {
 		t.Fatalf("%d in the batch, want %d", len(batch), want)
 	}
 	// This check lets all start, as if the reason against one came a moment later.
-	b.goOn <- struct{}{}
+	b.proceed <- struct{}{}
 	b.waitLocked(t, "what was not started to wait again", func() bool {
 		return len(b.connection().queued) > 0 || len(b.checks) > 0
 	})
@@ -101,7 +101,7 @@
 			late := b.reads[0]
 			received := serveAll(b.node)
 			again := b.nextCheck(t, "a second check of what was not started")
-			if again[len(again)-1] != late || again[0] == b.big[0] {
+			if again[len(again)-1] != late || again[0] == b.bigAttempts[0] {
 				t.Fatalf("checked %d again, from %s on", len(again), again[0].Request.ID)
 			}
 			b.keep = func(a *Attempt) bool { return a != late || mayStart }
@@ -129,7 +129,7 @@
 func (b *blockedPool) served(t *testing.T) map[*Attempt]bool {
 	t.Helper()
 	served := map[*Attempt]bool{}
-	for range 1 + len(b.big) + len(b.reads) {
+	for range 1 + len(b.bigAttempts) + len(b.reads) {
 		got := b.next(t)
 		if got.result == NotWritten && !b.keep(got.attempt) {
 			continue
@@ -188,11 +188,11 @@
 	g.waitLocked(t, "the end of the connection to be noticed", func() bool {
 		return len(g.nodes["n"].connections) == 0
 	})
-	g.goOn <- struct{}{}
+	g.proceed <- struct{}{}
 	if again := g.nextCheck(t, "another check"); len(again) != 1 || again[0] != a {
 		t.Fatalf("checked %d attempts, want the one", len(again))
 	}
-	g.goOn <- struct{}{}
+	g.proceed <- struct{}{}
 	second := g.nextConnection(t)
 	second.SetReadDeadline(time.Now().Add(patience))
 	line, err := bufio.NewReader(second).ReadString('\n')
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -36,7 +36,7 @@
 		t.Error("a connection to another node was allowed")
 	}
 	g.CloseIdle("n")
-	g.goOn <- struct{}{}
+	g.proceed <- struct{}{}
 	in := bufio.NewReader(node)
 	node.SetReadDeadline(time.Now().Add(patience))
 	if line, err := in.ReadString('\n'); err != nil || !strings.Contains(line, "Oa") {
@@ -54,7 +54,7 @@
 func TestAnswerBeforeAResetCounts(t *testing.T) {
 	g := startGated(t, testLimits)
 	g.answered = make(chan struct{}, 100)
-	g.goOn <- struct{}{}
+	g.proceed <- struct{}{}
 	first := sendRead(t, g.Pool, "first")
 	g.nextCheck(t, "its check")
 	node := g.nextConnection(t)
@@ -62,7 +62,7 @@
 	in.ReadString('\n')
 	second := sendWrite(t, g.Pool, "second", 2)
 	g.nextCheck(t, "its check")
-	g.goOn <- struct{}{}
+	g.proceed <- struct{}{}
 	in.ReadString('\n')
 	in.ReadString('\n')
 	serve("first", node) // its handler waits for the test, so that the next answer is not read
@@ -76,10 +76,10 @@
 	c := g.connection()
 	g.mu.Unlock()
 	testutil.WaitUntil(t, "the reset to arrive", func() bool { return socket.PeerClosed(c.socket) })
-	g.goOn <- struct{}{} // the write of the third fails
+	g.proceed <- struct{}{} // the write of the third fails
 	g.waitLocked(t, "the write to fail", func() bool { return c.writeFailed || c.closed })
 	close(g.answered)
-	ended := map[*Attempt]end{}
+	ended := map[*Attempt]attemptEnd{}
 	for range 2 {
 		e := g.next(t)
 		ended[e.attempt] = e
@@ -125,7 +125,7 @@
 				a := send(t, g.Pool)
 				g.nextCheck(t, "its check")
 				a.Request.SideEffects = sideEffects
-				g.goOn <- struct{}{}
+				g.proceed <- struct{}{}
 				node := g.nextConnection(t)
 				node.SetReadDeadline(time.Now().Add(patience))
 				in := bufio.NewReader(node)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -29,37 +29,37 @@
 	SilenceTimeout: time.Hour,
 }
 
-// end is how an attempt ended, with the value that came for it if it was served.
-type end struct {
+// attemptEnd is how an attempt ended, with the value that came for it if it was served.
+type attemptEnd struct {
 	attempt *Attempt
 	text    string
 	result  Result // the zero value, Busy, for a served attempt
 }
 
 // ends is a Handler that lets all attempts start, and passes on how they ended.
-type ends chan end
+type ends chan attemptEnd
 
 func (e ends) BeforeWrite(batch []*Attempt) []*Attempt { return batch }
 
 func (e ends) WrittenLate([]*Attempt, time.Duration) {}
 
 func (e ends) Answered(a *Attempt, answer *request.Answer) {
-	e <- end{attempt: a, text: string(answer.Value())}
+	e <- attemptEnd{attempt: a, text: string(answer.Value())}
 }
 
 func (e ends) Ended(a *Attempt, _ *request.Answer, result Result) {
-	e <- end{attempt: a, result: result}
+	e <- attemptEnd{attempt: a, result: result}
 }
 
 // next returns the next end.
-func (e ends) next(t *testing.T) end {
+func (e ends) next(t *testing.T) attemptEnd {
 	t.Helper()
 	select {
 	case got := <-e:
 		return got
 	case <-time.After(patience):
 		t.Fatal("no attempt ended")
-		return end{}
+		return attemptEnd{}
 	}
 }
 
@@ -162,24 +162,24 @@
 type gated struct {
 	ends
 	checks   chan []*Attempt       // each batch, as its check starts
-	goOn     chan struct{}         // one for each check, closed for all
+	proceed  chan struct{}         // one for each check, closed for all
 	answered chan struct{}         // nil, or one for each answer
 	keep     func(a *Attempt) bool // what may start, nil for all; set between checks
 	opened   sync.Once
 }
 
 // open lets all checks go on.
-func (g *gated) open() { g.opened.Do(func() { close(g.goOn) }) }
+func (g *gated) open() { g.opened.Do(func() { close(g.proceed) }) }
 
 func (g *gated) BeforeWrite(batch []*Attempt) []*Attempt {
 	g.checks <- append([]*Attempt(nil), batch...)
-	<-g.goOn
+	<-g.proceed
 	kept := batch[:0]
 	for _, a := range batch {
 		if g.keep == nil || g.keep(a) {
 			kept = append(kept, a)
 		} else {
-			g.ends <- end{attempt: a, result: NotWritten}
+			g.ends <- attemptEnd{attempt: a, result: NotWritten}
 		}
 	}
 	return kept
@@ -209,9 +209,9 @@
 	t.Cleanup(func() { listener.Close() })
 	g := &gatedPool{
 		gated: &gated{
-			ends:   make(ends, 100),
-			checks: make(chan []*Attempt, 100),
-			goOn:   make(chan struct{}, 100),
+			ends:    make(ends, 100),
+			checks:  make(chan []*Attempt, 100),
+			proceed: make(chan struct{}, 100),
 		},
 		accepted: make(chan *net.TCPConn, 100),
 		address:  listener.Addr().String(),
--- a/policy/api.go
+++ b/policy/api.go
@@ -31,7 +31,7 @@
 	Server          string
 	Zone            int // index into Settings.Zones
 	MachineKind     int // index into Settings.MachineKinds
-	Cell            int
+	Cell            int // the servers of one cell drop each other's repeats with DedupScopeCell
 	State           EndpointState
 	Weight          float64       // registered size, used with Settings.RegisteredWeights
 	StartedAt       time.Duration // time of its last start, 0 for long ago
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,6 +1,8 @@
 // Package policy decides where a proxy in front of a fleet of cache servers sends its requests: which server gets
 // an attempt, whether a request is admitted or rejected, and when it is retried or hedged.
 //
+// What is called a server here is a cache node in the other packages, and a node's type there a machine kind here.
+//
 // A [Balancer] takes one [Event] at a time and answers with [Action] values. The caller owns the clock, the timers
 // and all I/O; it calls [Balancer.Handle] under its own lock and carries the actions out in order. A Balancer starts
 // no goroutine, reads no clock and draws random numbers only from its seed.
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -10,7 +10,7 @@
 	maxBackoffDoublings = 8 // more would exceed maxServerBackoff in any case
 )
 
-// outcomeEffect is what an outcome says about its server and about load; the numbers are 0 or 1.
+// outcomeEffect is what an outcome says about its server and about load. The numbers are 0 or 1, to be added to counts.
 type outcomeEffect struct {
 	inTime           float64
 	failed           float64
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -14,7 +14,7 @@
 	ReasonDegraded            // the degradation level does not serve it
 	ReasonNoServer            // no server may get it
 	ReasonNoRetry             // an attempt has failed, and no further one is made
-	ReasonDeadline            // its time is up
+	ReasonDeadline            // its deadline has come
 )
 
 var reasonNames = [...]string{
@@ -22,9 +22,9 @@
 	ReasonFirst:        "first",
 	ReasonRetry:        "retry",
 	ReasonHedge:        "hedge",
-	ReasonUnattainable: "hopeless",
-	ReasonAdmission:    "gate",
-	ReasonDegraded:     "level",
+	ReasonUnattainable: "unattainable",
+	ReasonAdmission:    "admission",
+	ReasonDegraded:     "degradation level",
 	ReasonNoServer:     "no server",
 	ReasonNoRetry:      "no retry",
 	ReasonDeadline:     "deadline",
@@ -36,15 +36,15 @@
 var resultNames = [...]string{
 	Served:                 "served",
 	Errored:                "error",
-	Rejected:               "full",
+	Rejected:               "rejected",
 	TimedOut:               "timed out",
-	ConnectFailed:          "could not connect",
+	ConnectFailed:          "connect failed",
 	Reset:                  "reset",
 	Cancelled:              "cancelled",
 	NotSent:                "not sent",
-	NotFound:               "missed",
-	Malformed:              "spoilt",
-	ConnectionLimitReached: "no room",
+	NotFound:               "not found",
+	Malformed:              "malformed",
+	ConnectionLimitReached: "connection limit",
 }
 
 // String returns the result as logs have it.
