--- a/internal/core/overload.go
+++ b/internal/core/overload.go
@@ -23,8 +23,8 @@
 	ReservedDivisor = 4
 	// historyLength is how many transitions are remembered.
 	historyLength = 64
-	// statDigits is the scale of signals in statistics: four decimal places.
-	statDigits = 1e4
+	// statScale is the scale of signals in statistics: four decimal places.
+	statScale = 1e4
 )
 
 // OverloadConfig configures the degradation under overload.
@@ -219,7 +219,7 @@
 	}
 	for i, value := range state.controller.Signals() {
 		if !math.IsNaN(value) {
-			rounded := math.Round(value*statDigits) / statDigits
+			rounded := math.Round(value*statScale) / statScale
 			stats = append(stats, jsonStat("service_"+overload.Signal(i).String(), rounded))
 		}
 	}
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestNothingIsSentWithoutClaim gives a keyed write each verdict: only with a claim does the node receive
-// anything, and each write is answered once.
+// TestNothingIsSentWithoutClaim gives a keyed write each verdict that grants no claim: the node receives nothing,
+// and each write is answered once.
 func TestNothingIsSentWithoutClaim(t *testing.T) {
 	coordinator := &fakeCoordinator{}
 	c, received := coreWithCoordinator(t, coordinator)
@@ -148,9 +148,16 @@
 	if lines := received(); len(lines) != 0 {
 		t.Errorf("the node received %q", lines)
 	}
+}
+
+// TestClaimedWriteIsSentUntilItsClaimExpires guards that a write with a claim is sent and completed, and that one
+// whose claim has expired is completed without having been sent.
+func TestClaimedWriteIsSentUntilItsClaimExpires(t *testing.T) {
+	coordinator := &fakeCoordinator{}
+	c, received := coreWithCoordinator(t, coordinator)
 	reply := newRecordedReply()
 	c.Submit(keyedWrite("sent"), reply)
-	id := coordinator.claims[4]
+	id := coordinator.claims[0]
 	c.ClaimDecided(id, takeover.Proceed, time.Minute, "")
 	answer := testutil.Receive(t, "an answer", reply.answers)
 	if answer.Kind != request.Stored || coordinator.outcome(id) != takeover.Served {
@@ -158,7 +165,7 @@
 	}
 	reply = newRecordedReply()
 	c.Submit(keyedWrite("late"), reply)
-	id = coordinator.claims[5]
+	id = coordinator.claims[1]
 	c.ClaimDecided(id, takeover.Proceed, 0, "") // its claim expires before anything can be sent
 	if answer := testutil.Receive(t, "an answer", reply.answers); answer.Kind == request.Stored {
 		t.Errorf("sent after its claim expired: %+v", answer)
@@ -167,8 +174,14 @@
 	if lines := received(); len(lines) != 1 {
 		t.Errorf("the node received %q, want one write", lines)
 	}
-	coordinator.full, coordinator.required = true, true
-	reply = newRecordedReply()
+}
+
+// TestWriteWithoutCapacityForItsClaim guards that such a write is rejected where a replica is required, and sent
+// without a claim where not.
+func TestWriteWithoutCapacityForItsClaim(t *testing.T) {
+	coordinator := &fakeCoordinator{full: true, required: true}
+	c, _ := coreWithCoordinator(t, coordinator)
+	reply := newRecordedReply()
 	c.Submit(keyedWrite("full"), reply)
 	if answer := testutil.Receive(t, "an answer", reply.answers); answer.Kind != request.Busy {
 		t.Errorf("no capacity, replica required: %+v", answer)
--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -43,7 +43,7 @@
 		started := r.core.Now()
 		n, err := r.conn.socket.Read(p)
 		ended := r.core.Now()
-		if n == 0 && isTimeout(err) && r.conn.extendAfterPause() {
+		if n == 0 && socket.IsTimeout(err) && r.conn.extendAfterPause() {
 			continue
 		}
 		if n > 0 {
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -1,8 +1,6 @@
 package frontend
 
 import (
-	"errors"
-	"net"
 	"time"
 
 	"mulleinpier/internal/core"
@@ -45,7 +43,7 @@
 		}
 		lost, err := c.session.ServeCommand()
 		switch {
-		case isTimeout(err):
+		case socket.IsTimeout(err):
 			if text := c.session.TimeoutAnswer(); text != nil {
 				c.AddSlot(new(Slot)).Finish(text)
 			}
@@ -79,7 +77,7 @@
 			c.mu.Unlock()
 			return true
 		}
-		if !isTimeout(err) {
+		if !socket.IsTimeout(err) {
 			return false
 		}
 	}
@@ -245,9 +243,3 @@
 		c.socket.SetReadDeadline(time.Unix(1, 0)) // long over
 	}
 }
-
-// isTimeout reports whether an error is that of a deadline of a socket.
-func isTimeout(err error) bool {
-	var netError net.Error
-	return errors.As(err, &netError) && netError.Timeout()
-}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -9,13 +9,13 @@
 
 // clientRequest is what a client wants, through all its attempts.
 type clientRequest struct {
-	id      uint64
-	class   int
-	key     string
-	write   bool
-	started time.Duration
-	until   time.Duration // the client waits
-	over    bool
+	id             uint64
+	class          int
+	key            string
+	write          bool
+	startedAt      time.Duration
+	clientDeadline time.Duration // when the client gives up
+	ended          bool
 }
 
 const (
@@ -34,7 +34,7 @@
 	f.scheduleAfter(wait, func() {
 		r := f.newRequest()
 		f.counters().Requests++
-		f.schedule(r.until+f.Settings.Rules.ResponseGrace, func() { f.endRequest(r) })
+		f.schedule(r.clientDeadline+f.Settings.Rules.ResponseGrace, func() { f.endRequest(r) })
 		f.attempt(r)
 		f.scheduleArrival()
 	})
@@ -42,11 +42,11 @@
 
 func (f *Fleet) newRequest() *clientRequest {
 	f.lastID++
-	r := &clientRequest{id: f.lastID, key: fmt.Sprint("k", f.keys.Uint64()), started: f.now}
+	r := &clientRequest{id: f.lastID, key: fmt.Sprint("k", f.keys.Uint64()), startedAt: f.now}
 	r.class = f.drawClass()
 	class := &f.Settings.Classes[r.class]
 	r.write = class.Idempotency != policy.Idempotent
-	r.until = f.now + class.Deadline
+	r.clientDeadline = f.now + class.Deadline
 	return r
 }
 
@@ -64,7 +64,7 @@
 
 // attempt sends a client's request to any proxy that is up.
 func (f *Fleet) attempt(r *clientRequest) {
-	if r.over || r.until-f.now < minAttemptTime {
+	if r.ended || r.clientDeadline-f.now < minAttemptTime {
 		return
 	}
 	for range maxConnectAttempts {
@@ -78,7 +78,7 @@
 				f.handleFailure(r)
 				return
 			}
-			p.accept(r, r.until)
+			p.accept(r, r.clientDeadline)
 		})
 		return
 	}
@@ -116,22 +116,22 @@
 
 // handleServed handles an answer that serves a request, in time or late.
 func (f *Fleet) handleServed(r *clientRequest) {
-	if r.over {
+	if r.ended {
 		return
 	}
-	r.over = true
-	if f.now-r.started <= f.Settings.Classes[r.class].LatencyObjective {
-		f.countersAt(r.started).InTime++
+	r.ended = true
+	if f.now-r.startedAt <= f.Settings.Classes[r.class].LatencyObjective {
+		f.countersAt(r.startedAt).InTime++
 	} else {
-		f.countersAt(r.started).Late++
+		f.countersAt(r.startedAt).Late++
 	}
 }
 
 // endRequest ends a request whose client's time is up.
 func (f *Fleet) endRequest(r *clientRequest) {
 	f.scheduleAfter(forgetAfter, func() { delete(f.firstRunAt, r.id) })
-	if !r.over {
-		r.over = true
-		f.countersAt(r.started).Unanswered++
+	if !r.ended {
+		r.ended = true
+		f.countersAt(r.startedAt).Unanswered++
 	}
 }
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -29,7 +29,7 @@
 	id       uint64
 	proxy    *proxy
 	deadline time.Duration
-	over     bool
+	ended    bool
 	attempts []*attempt
 }
 
@@ -95,7 +95,7 @@
 	}
 	for _, id := range p.sortedIDs() {
 		r := p.inFlight[id]
-		r.over = true
+		r.ended = true
 		f.scheduleAfter(f.MessageDelay, func() { f.handleFailure(r.clientRequest) })
 	}
 }
@@ -145,7 +145,7 @@
 	r := &proxyRequest{clientRequest: c, id: f.lastID, proxy: p, deadline: deadline}
 	p.inFlight[r.id] = r
 	f.schedule(deadline+f.Settings.Rules.ResponseGrace, func() {
-		if !r.over {
+		if !r.ended {
 			f.violation("proxy %d owes %d an answer", p.index, c.id)
 		}
 	})
@@ -194,11 +194,11 @@
 // answer gives a client the final answer of a Reject or a Fail, once.
 func (p *proxy) answer(r *proxyRequest, a policy.Action) {
 	f := p.fleet
-	if r.over {
+	if r.ended {
 		f.violation("proxy %d answers %d twice", p.index, r.clientRequest.id)
 		return
 	}
-	r.over = true
+	r.ended = true
 	if a.Kind == policy.Reject {
 		f.counters().Rejected++
 		f.scheduleAfter(f.MessageDelay, func() { f.handleRejection(r.clientRequest, a.After) })
@@ -216,7 +216,7 @@
 			return
 		}
 	}
-	if r.over {
+	if r.ended {
 		delete(p.inFlight, r.id)
 	}
 }
@@ -242,8 +242,8 @@
 		c.inUse--
 		p.closeExcess()
 	}
-	if result == policy.Served && !r.over {
-		r.over = true
+	if result == policy.Served && !r.ended {
+		r.ended = true
 		f.scheduleAfter(f.MessageDelay, func() { f.handleServed(r.clientRequest) })
 	}
 	p.handle(policy.Outcome{
@@ -253,7 +253,7 @@
 		Result:      result,
 		CacheStatus: status,
 		Took:        f.now - a.sentAt,
-		Final:       r.over,
+		Final:       r.ended,
 	})
 	p.forget(r)
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -12,6 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
+// IsTimeout reports whether an error is that of a deadline of a socket.
+func IsTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
+}
+
 // Readable reports whether unread bytes, or the end of the connection, wait in the kernel.
 func Readable(c *net.TCPConn) bool {
 	_, err := peek(c)
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -134,5 +134,5 @@
 func (c *conn) endsNow(in *bufio.Reader) bool {
 	c.socket.SetReadDeadline(time.Now().Add(c.pool.closeCheckTimeout))
 	_, err := in.Peek(1)
-	return err != nil && !isTimeout(err)
+	return err != nil && !socket.IsTimeout(err)
 }
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -1,10 +1,11 @@
 package upstream
 
 import (
-	"errors"
 	"net"
 	"slices"
 	"time"
+
+	"mulleinpier/internal/socket"
 )
 
 const (
@@ -75,7 +76,7 @@
 		}
 		c.pool.mu.Lock()
 		written += n
-		timedOut := isTimeout(err)
+		timedOut := socket.IsTimeout(err)
 		if timedOut && !c.closed {
 			batch = c.requeueNotStarted(batch, written)
 			parts = firstBytes(parts, batchSize(batch)-written)
@@ -174,9 +175,3 @@
 	}
 	return parts
 }
-
-// isTimeout reports whether an error is that of a deadline of a socket.
-func isTimeout(err error) bool {
-	var netError net.Error
-	return errors.As(err, &netError) && netError.Timeout()
-}
