--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,6 +1,8 @@
 // Package policy decides where a proxy in front of a fleet of cache servers sends its requests: which server gets
 // an attempt, whether a request is admitted or rejected, and when it is retried or hedged.
 //
+// What is called a server here is a cache node in the other packages, and a node's type there a machine kind here.
+//
 // A [Balancer] takes one [Event] at a time and answers with [Action] values. The caller owns the clock, the timers
 // and all I/O; it calls [Balancer.Handle] under its own lock and carries the actions out in order. A Balancer starts
 // no goroutine, reads no clock and draws random numbers only from its seed.
@@ -16,9 +18,9 @@
 //  5. No attempt goes to a server that is draining, removed or not listed.
 //  6. A request ends under the settings that it arrived under, whatever [Balancer.Reconfigure] changes meanwhile.
 //
-// The package does not decide which [DegradationLevel] is in force (see package overload), how many connections a
-// proxy keeps (package connlimit), or whether an outlier's evidence suffices (package outlier holds the statistics,
-// outlier.go what follows from them).
+// The package does not decide which [DegradationLevel] is in force (package overload) or how many connections a proxy
+// keeps (package connlimit). The statistics behind outlier detection are in package outlier; outlier.go decides what
+// follows from them.
 //
 // What each file decides:
 //
