--- a/internal/membership/confirm.go
+++ b/internal/membership/confirm.go
@@ -34,19 +34,21 @@
 		return
 	}
 	remaining := countPresent(e.Nodes)
+	removeAll := func() {
+		for _, name := range missing {
+			s.remove(name, r.now, "not in the list")
+		}
+	}
 	switch p := s.pending; {
 	case !s.NeedsConfirmation, p == nil && !r.hasCollapsed(s, remaining, len(missing)):
+		removeAll()
 	case p == nil:
 		r.startConfirmation(s, remaining, missing)
-		return
-	case e.Refetched && remaining > 0: // confirmed
+	case e.Refetched && remaining > 0: // the refetched list confirms the loss
 		s.pending = nil
+		removeAll()
 	default:
 		r.extendConfirmation(s, remaining, missing)
-		return
-	}
-	for _, name := range missing {
-		s.remove(name, r.now, "not in the list")
 	}
 }
 
@@ -138,8 +140,8 @@
 	if missing == 1 && len(s.losses) == 0 {
 		return false
 	}
-	before := remaining + missing + len(s.losses)
-	return float64(remaining) < r.settings.Limits.MinRemainingShare*float64(before)
+	sizeBefore := remaining + missing + len(s.losses)
+	return float64(remaining) < r.settings.Limits.MinRemainingShare*float64(sizeBefore)
 }
 
 // expirePending removes the nodes whose time for confirmation is over.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -152,7 +152,7 @@
 	switch e := event.(type) {
 	case ListReceived:
 		if s := r.source(e.Source); s != nil {
-			r.takeList(s, e)
+			r.listReceived(s, e)
 		}
 	case RefetchFailed:
 		r.refetchFailed(r.source(e.Source))
@@ -167,7 +167,7 @@
 	return r.actions
 }
 
-// timerFired does what is due.
+// timerFired ends confirmations that are over, requests refetches that are due, and forgets nodes that left long ago.
 func (r *Reconciler) timerFired() {
 	r.expirePending()
 	r.retryRefetches()
@@ -184,7 +184,7 @@
 // Serving returns the number of nodes that serve.
 func (r *Reconciler) Serving() (count int) {
 	for _, n := range r.nodes {
-		if n.known && n.published.Status == Up {
+		if n.everPublished && n.published.Status == Up {
 			count++
 		}
 	}
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -9,8 +9,8 @@
 const forgetTimerSlack = time.Millisecond
 
 // merge returns what all sources together report of a node, and the source that decided it.
-func (r *Reconciler) merge(name string) (is Node, from string) {
-	is = Node{Name: name, Status: Gone}
+func (r *Reconciler) merge(name string) (merged Node, from string) {
+	merged = Node{Name: name, Status: Gone}
 	listed := false
 	worst, worstReason, worstSource := Up, "", ""
 	for _, s := range r.sources {
@@ -20,7 +20,7 @@
 		}
 		if n.Status != Gone && !listed {
 			listed = true
-			is, from = *n, s.Name
+			merged, from = *n, s.Name
 		}
 		// The last report of a retired source that a node leaves counts as long as its list does.
 		if n.Status > worst {
@@ -31,13 +31,13 @@
 		return Node{Name: name, Status: Gone, Reason: worstReason}, worstSource
 	}
 	if worst == Up {
-		return is, from
+		return merged, from
 	}
 	if from != worstSource {
 		worstReason = worst.String() + " in " + worstSource + " " + worstReason
 	}
-	is.Status, is.Reason = Draining, worstReason
-	return is, worstSource
+	merged.Status, merged.Reason = Draining, worstReason
+	return merged, worstSource
 }
 
 // publishAll publishes what has changed of all nodes.
@@ -71,60 +71,60 @@
 
 // publishNode publishes a node if it has changed, with a reason where its sources report none.
 func (r *Reconciler) publishNode(name, reason string) {
-	is, from := r.merge(name)
+	merged, from := r.merge(name)
 	n := r.nodes[name]
 	if n == nil {
-		if is.Status == Gone {
+		if merged.Status == Gone {
 			return
 		}
 		n = &node{published: Node{Name: name, Status: Gone}}
 		r.nodes[name] = n
 	}
 	if r.settings.InferRestarts {
-		if inferred := r.infer(n, &is); inferred != "" {
+		if inferred := r.infer(n, &merged); inferred != "" {
 			reason = inferred
 		}
 	}
-	if reason != "" && is.Reason == "" {
-		is.Reason = reason
+	if reason != "" && merged.Reason == "" {
+		merged.Reason = reason
 	}
-	r.publish(n, is, from)
+	r.publish(n, merged, from)
 }
 
-// publish makes a node what it is from now on, and appends a Change if that is different from before.
-func (r *Reconciler) publish(n *node, is Node, from string) {
+// publish publishes a node as its sources have it, if that differs from what is published.
+func (r *Reconciler) publish(n *node, merged Node, from string) {
 	previous := n.published.Status
-	if !n.differs(&is) {
+	if !n.differs(&merged) {
 		return
 	}
-	if previous == Up && is.Status != Up {
+	if previous == Up && merged.Status != Up {
 		n.leftAt = r.now
-		n.leftByFailure = is.Status == Gone
+		n.wasGone = merged.Status == Gone
 	}
-	if is.Status == Gone {
-		n.leftByFailure = true
+	if merged.Status == Gone { // also after a drain: the absence counts from here
+		n.wasGone = true
 		if previous == Draining {
 			n.leftAt = r.now
 		}
 	}
-	n.known = true
-	n.published = is
-	if is.Status == Gone && r.settings.InferRestarts {
+	n.everPublished = true
+	n.published = merged
+	if merged.Status == Gone && r.settings.InferRestarts {
 		r.setTimer(r.settings.Limits.ForgetAfter + forgetTimerSlack)
 	}
-	r.actions = append(r.actions, Change{Node: is, Source: from, Previous: previous})
+	r.actions = append(r.actions, Change{Node: merged, Source: from, Previous: previous})
 }
 
 // differs reports whether a node differs from what is published. Another reason for serving is no difference.
-func (n *node) differs(is *Node) bool {
-	if !n.known {
-		return is.Status != Gone
+func (n *node) differs(merged *Node) bool {
+	if !n.everPublished {
+		return merged.Status != Gone
 	}
 	same := n.published
-	if is.Status == Up {
-		same.Reason = is.Reason
+	if merged.Status == Up {
+		same.Reason = merged.Reason
 	}
-	return same != *is
+	return same != *merged
 }
 
 // sweep forgets reports of nodes that left, once no source lists them.
--- a/internal/membership/restarts.go
+++ b/internal/membership/restarts.go
@@ -8,22 +8,22 @@
 
 // This file derives restarts of nodes, and holds flapping nodes down (rule 4).
 
-// minFailureInterval is the least time between two failures that count: the requests that wait on one connection fail
-// together with it.
+// minFailureInterval is the shortest time between two failures that count separately: the requests that wait on one
+// connection fail together with it.
 const minFailureInterval = 50 * time.Millisecond
 
-// firstHeldReturn is the decayed count of returns from which a return is held down: the second one shortly after the
+// holdDownThreshold is the decayed count of returns from which a return is held down: the second one shortly after the
 // first, which counts a little under two.
-const firstHeldReturn = 1.5
+const holdDownThreshold = 1.5
 
 // node is what is known and published of a node.
 type node struct {
-	known         bool // published now, or within ForgetAfter
+	everPublished bool // as other than Gone; the node is forgotten ForgetAfter after it left
 	published     Node
-	leftAt        time.Duration // when it last stopped serving
-	leftByFailure bool          // and not by a drain
+	leftAt        time.Duration // when it last stopped serving, or was gone after a drain
+	wasGone       bool          // since it last served: it did not merely drain
 	returns       float64       // decaying count
-	returnsAt     time.Duration // time of that count
+	returnsAt     time.Duration // of the last return
 	heldUntil     time.Duration // end of the hold-down, 0 for none
 	failures      int           // consecutive failures of connections
 	lastFailure   time.Duration
@@ -32,22 +32,32 @@
 	inferredStart time.Duration // 0 for none
 }
 
-// connectionObserved takes an observation. An unconfirmed node whose connections fail is gone: two witnesses agree.
-// A node whose connections failed repeatedly and that then answers has been restarted.
 func (r *Reconciler) connectionObserved(e ConnectionObserved) {
 	n := r.nodes[e.Node]
 	if n == nil || !r.settings.InferRestarts {
 		return
 	}
-	if e.Observation == Answered {
-		n.failures = 0
-		if n.processEnded {
-			n.processEnded = false
-			n.inferredStart = r.now
-			r.publishNode(e.Node, "restarted, as connections show")
-		}
-		return
+	switch e.Observation {
+	case Answered:
+		r.nodeAnswered(e.Node, n)
+	case Failed:
+		r.connectionFailed(e.Node, n)
+	}
+}
+
+// nodeAnswered takes a node whose connections failed repeatedly, and that now answers, for restarted.
+func (r *Reconciler) nodeAnswered(name string, n *node) {
+	n.failures = 0
+	if n.processEnded {
+		n.processEnded = false
+		n.inferredStart = r.now
+		r.publishNode(name, "restarted, as connections show")
 	}
+}
+
+// connectionFailed counts a failure. After FailureThreshold of them an unconfirmed node is gone: its absence from the
+// list is now confirmed by its connections.
+func (r *Reconciler) connectionFailed(name string, n *node) {
 	if n.lastFailure > 0 && r.now-n.lastFailure < minFailureInterval {
 		return
 	}
@@ -57,49 +67,49 @@
 		n.processEnded = true
 	}
 	for _, s := range r.sources {
-		if s.pending != nil && s.pending.names[e.Node] && n.processEnded {
-			delete(s.pending.names, e.Node)
-			s.remove(e.Node, r.now, "not in the list, and its connections fail")
+		if s.pending != nil && s.pending.names[name] && n.processEnded {
+			delete(s.pending.names, name)
+			s.remove(name, r.now, "not in the list, and its connections fail")
 			r.publishAll()
 		}
 	}
 }
 
-// infer derives the start time of a node that is about to be published as is, and whether it is held down. It returns
+// infer sets the start time, and a hold-down if there is one, in what is about to be published of a node. It returns
 // the reason for a change, "" for none.
-func (r *Reconciler) infer(n *node, is *Node) (reason string) {
-	if is.Status != Up {
+func (r *Reconciler) infer(n *node, merged *Node) (reason string) {
+	if merged.Status != Up {
 		n.heldUntil = 0 // it left again: the next return counts anew
 	}
-	if is.Status == Gone {
+	if merged.Status == Gone {
 		return ""
 	}
-	reason = r.inferStart(n, is)
+	reason = r.inferStart(n, merged)
 	if n.heldUntil > 0 && r.now >= n.heldUntil {
 		n.heldUntil = 0
 	}
 	if n.heldUntil > 0 {
-		is.Status = Draining
-		is.Reason = "held down: it left and returned too often"
+		merged.Status = Draining
+		merged.Reason = "held down: it left and returned too often"
 	}
-	if is.Started == 0 {
-		is.Started = n.inferredStart
+	if merged.Started == 0 {
+		merged.Started = n.inferredStart
 	}
 	return reason
 }
 
 // inferStart derives the start time of a node that is listed. It returns the reason for a change, "" for none.
-func (r *Reconciler) inferStart(n *node, is *Node) (reason string) {
-	if !n.known && !r.firstList && n.inferredStart == 0 {
+func (r *Reconciler) inferStart(n *node, merged *Node) (reason string) {
+	if !n.everPublished && !r.firstList && n.inferredStart == 0 {
 		n.inferredStart = r.now
 		reason = "new"
 	}
-	if n.known && is.Instance != n.instance && n.instance != "" {
+	if n.everPublished && merged.Instance != n.instance && n.instance != "" {
 		n.inferredStart = r.now
 		reason = "another instance"
 	}
-	n.instance = cmp.Or(is.Instance, n.instance)
-	if n.known && n.published.Status != Up && is.Status == Up && n.heldUntil == 0 {
+	n.instance = cmp.Or(merged.Instance, n.instance)
+	if n.everPublished && n.published.Status != Up && merged.Status == Up && n.heldUntil == 0 {
 		reason = cmp.Or(r.nodeReturned(n), reason)
 	}
 	return reason
@@ -110,18 +120,18 @@
 // for a change of its start time, "" for none.
 func (r *Reconciler) nodeReturned(n *node) (reason string) {
 	limits := &r.settings.Limits
-	if n.leftByFailure && (r.now-n.leftAt > limits.CacheRetention || n.processEnded) {
+	if n.wasGone && (r.now-n.leftAt > limits.CacheRetention || n.processEnded) {
 		n.inferredStart = r.now
 		n.processEnded = false
 		n.failures = 0
 		reason = "returned after a failure"
 	}
-	n.leftByFailure = false
+	n.wasGone = false
 	decay := math.Exp(-float64(r.now-n.returnsAt) / float64(limits.FlapMemory))
 	n.returns = n.returns*decay + 1
 	n.returnsAt = r.now
-	if n.returns >= firstHeldReturn {
-		doublings := math.Floor(n.returns - firstHeldReturn)
+	if n.returns >= holdDownThreshold {
+		doublings := math.Floor(n.returns - holdDownThreshold)
 		holdDown := time.Duration(min(float64(limits.FirstHoldDown)*math.Exp2(doublings), float64(limits.MaxHoldDown)))
 		n.heldUntil = r.now + holdDown
 		r.setTimer(holdDown)
@@ -147,14 +157,14 @@
 	for _, name := range held {
 		n := r.nodes[name]
 		n.heldUntil = 0
-		is, from := r.merge(name)
-		if is.Status != Up {
+		merged, from := r.merge(name)
+		if merged.Status != Up {
 			continue
 		}
-		if is.Started == 0 {
-			is.Started = n.inferredStart
+		if merged.Started == 0 {
+			merged.Started = n.inferredStart
 		}
-		is.Reason = "released from hold-down, as no other node serves"
-		r.publish(n, is, from)
+		merged.Reason = "released from hold-down, as no other node serves"
+		r.publish(n, merged, from)
 	}
 }
--- a/internal/membership/sources.go
+++ b/internal/membership/sources.go
@@ -60,8 +60,8 @@
 	r.sources = slices.DeleteFunc(r.sources, func(s *source) bool { return s.retired })
 }
 
-// takeList takes a list of a source.
-func (r *Reconciler) takeList(s *source, e ListReceived) {
+// listReceived stores a list, decides on the nodes that it lacks, and publishes what follows.
+func (r *Reconciler) listReceived(s *source, e ListReceived) {
 	r.expirePending()
 	names := s.update(e.Nodes, r.now)
 	r.firstList = !s.hasReported
