--- a/internal/lease/agent/client.go
+++ b/internal/lease/agent/client.go
@@ -15,16 +15,16 @@
 	"mulleinpier/internal/peer/rpc"
 )
 
-// executeRetryPause separates two attempts to have a command carried out.
-const executeRetryPause = 50 * time.Millisecond
+// executeRetryDelay separates two attempts to have a command carried out.
+const executeRetryDelay = 50 * time.Millisecond
 
-// Client asks the voters of a fleet. It is safe for concurrent use.
+// Client sends requests to the voters of a fleet. It is safe for concurrent use.
 type Client struct {
 	fleet Fleet
 	http  *http.Client
 
 	mu     sync.Mutex
-	leader int // place of the voter that is taken for the leader
+	leader int // index in fleet.Voters of the presumed leader
 }
 
 // NewClient returns a client of a fleet.
@@ -38,8 +38,8 @@
 // Close ends idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// send sends a request once, to the voter that is taken for the leader. A voter that does not lead says which one does;
-// after one that does not answer the next is taken for the leader.
+// send sends a request once, to the presumed leader. A voter that does not lead says which one does; after one that
+// does not answer, the next is presumed to lead.
 func (c *Client) send(ctx context.Context, command lease.Command, token uint64) (Reply, error) {
 	c.mu.Lock()
 	leader := c.leader
@@ -59,8 +59,8 @@
 	return reply, err
 }
 
-// Execute has a command carried out, and asks until a voter that can decide has answered or ctx ends. A rejection is an
-// error.
+// Execute has a command carried out: it sends it until a voter that can decide has answered, or ctx ends. A rejection
+// is an error.
 func (c *Client) Execute(ctx context.Context, command lease.Command) (Reply, error) {
 	for {
 		reply, err := c.send(ctx, command, 0)
@@ -73,13 +73,13 @@
 		select {
 		case <-ctx.Done():
 			return Reply{}, errors.Join(errors.New("lease: no voter that can decide has answered"), err)
-		case <-time.After(executeRetryPause):
+		case <-time.After(executeRetryDelay):
 		}
 	}
 }
 
-// queryState asks one voter for its state.
-func (c *Client) queryState(ctx context.Context, voter VoterAddress) (s VoterState, err error) {
+// fetchState asks one voter for its state.
+func (c *Client) fetchState(ctx context.Context, voter VoterAddress) (s VoterState, err error) {
 	url := "http://" + voter.Address + statePath
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -96,21 +96,21 @@
 // VoterStates asks each voter for its state; a voter that does not answer is left out.
 func (c *Client) VoterStates(ctx context.Context) (list []VoterState) {
 	for _, voter := range c.fleet.Voters {
-		if s, err := c.queryState(ctx, voter); err == nil {
+		if s, err := c.fetchState(ctx, voter); err == nil {
 			list = append(list, s)
 		}
 	}
 	return list
 }
 
-// Members returns the fleet's instances as the majority of the voters sees them that answer until ctx ends, and how
-// many voters do.
+// Members returns the fleet's instances as most of those voters see them that answer before ctx ends, and how many
+// voters have answered.
 func (c *Client) Members(ctx context.Context) (list []peer.MemberState, answered int) {
 	states := make([]VoterState, len(c.fleet.Voters))
 	errs := make([]error, len(c.fleet.Voters))
 	var tasks sync.WaitGroup
 	for i, voter := range c.fleet.Voters {
-		tasks.Go(func() { states[i], errs[i] = c.queryState(ctx, voter) })
+		tasks.Go(func() { states[i], errs[i] = c.fetchState(ctx, voter) })
 	}
 	tasks.Wait()
 	for _, err := range errs {
@@ -132,7 +132,7 @@
 	var first VoterState
 	var errs error
 	for _, voter := range c.fleet.Voters {
-		s, err := c.queryState(ctx, voter)
+		s, err := c.fetchState(ctx, voter)
 		if err != nil {
 			errs = errors.Join(errs, fmt.Errorf("%s: %w", voter.Name, err))
 			continue
--- a/internal/lease/agent/fleet.go
+++ b/internal/lease/agent/fleet.go
@@ -8,12 +8,6 @@
 	"mulleinpier/internal/lease"
 )
 
-// Bounds of a fleet's voters.
-const (
-	minVoters = 1
-	maxVoters = 7
-)
-
 // Fleet names the voters, in an order that all processes of the fleet have in common.
 type Fleet struct {
 	Name   string
@@ -29,14 +23,14 @@
 // Validate returns what is wrong with a fleet.
 func (f *Fleet) Validate() error {
 	named := f.Name != "" && len(f.Name) <= lease.MaxNameBytes
-	if !named || len(f.Voters) < minVoters || len(f.Voters) > maxVoters {
-		return fmt.Errorf("leases: want a fleet's name and %d to %d voters", minVoters, maxVoters)
+	if !named || len(f.Voters) < 1 || len(f.Voters) > lease.MaxVoters {
+		return fmt.Errorf("leases: want a fleet's name and 1 to %d voters", lease.MaxVoters)
 	}
 	seen := make(map[string]bool)
 	for _, v := range f.Voters {
 		if _, _, err := net.SplitHostPort(v.Address); err != nil || v.Name == "" || seen[v.Name] {
 			return fmt.Errorf(
-				"leases: voter %q at %q cannot be: want a name of its own and HOST:PORT", v.Name, v.Address)
+				"leases: voter %q at %q: want a name that no other has, and HOST:PORT", v.Name, v.Address)
 		}
 		seen[v.Name] = true
 	}
--- a/internal/lease/agent/guard.go
+++ b/internal/lease/agent/guard.go
@@ -7,12 +7,12 @@
 )
 
 // ErrExpiredDuringAction says that an action went on after its lease had ended.
-var ErrExpiredDuringAction = errors.New("lease: the act outlived the lease")
+var ErrExpiredDuringAction = errors.New("lease: the action outlived the lease")
 
-// RunGuarded is the fencing guard: it runs an action under the fencing token if the lease is valid, and looks again
+// RunGuarded is the fencing guard: it runs an action under the fencing token if the lease is valid, and checks again
 // afterwards. The action's context ends when the lease does. For an action that has outlived its lease the error is
-// [ErrExpiredDuringAction]: what it did then it did without the lease, and a resource that compares tokens has
-// rejected it.
+// [ErrExpiredDuringAction]: it acted for a while without the lease, and only a resource that compares tokens has
+// rejected what it did in that time.
 func (h *Holder) RunGuarded(ctx context.Context, action func(ctx context.Context, token uint64) error) error {
 	h.mu.Lock()
 	token, ok := h.session.Valid(Now())
--- a/internal/lease/agent/handlers.go
+++ b/internal/lease/agent/handlers.go
@@ -61,7 +61,7 @@
 		case <-r.Context().Done():
 			return
 		}
-	default: // too many ask at a time
+	default: // the queue is full: NoAnswer
 	}
 	if reply.Outcome == lease.NoAnswer {
 		if s, ok := v.queryState(r.Context()); ok {
@@ -96,7 +96,7 @@
 	}
 }
 
-// state copies what the loop knows.
+// state returns this voter's state. It runs in the loop, and copies what the loop changes.
 func (v *Voter) state() VoterState {
 	machine, now := v.replica.StateMachine(), Now()
 	s := VoterState{
--- a/internal/lease/agent/holder.go
+++ b/internal/lease/agent/holder.go
@@ -14,7 +14,7 @@
 // ErrLeaseLost says that a lease is not held any more.
 var ErrLeaseLost = errors.New("lease: lost")
 
-// minWakeup is the least time between two looks at a session.
+// minWakeup is the shortest time between two timer events of a session.
 const minWakeup = time.Millisecond
 
 // Holder is this process's part in one task. It is safe for concurrent use.
@@ -24,14 +24,14 @@
 	mu             sync.Mutex
 	session        *lease.Session
 	changed        chan struct{}  // closed with the next change
-	endOutcome     lease.Outcome  // once the session is finished
-	activeActions  int            // of RunGuarded
-	pendingRelease *lease.Command // sent once nothing acts under the grant any more
+	endOutcome     lease.Outcome  // set when the session finishes
+	activeActions  int            // calls of RunGuarded under way
+	pendingRelease *lease.Command // sent once no action runs under the grant any more
 	stop           context.CancelFunc
 	tasks          sync.WaitGroup
 }
 
-// Hold begins to ask for a task, and waits in its queue if wait is set. [Holder.Close] ends it.
+// Hold requests a task, and waits in its queue if wait is set. [Holder.Close] ends it.
 func (c *Client) Hold(
 	ctx context.Context, task, name string, duration time.Duration, wait bool,
 ) (*Holder, error) {
@@ -52,11 +52,11 @@
 	return h, nil
 }
 
-// run lets time pass for the session until it is finished.
+// run gives the session its timer events until it is finished.
 func (h *Holder) run(ctx context.Context) {
 	for {
 		h.mu.Lock()
-		h.carryOut(ctx, h.session.Handle(Now(), lease.TimerFired{}, nil))
+		h.perform(ctx, h.session.Handle(Now(), lease.TimerFired{}, nil))
 		finished := h.session.State(Now()) == lease.Finished
 		wait := max(h.session.NextWakeup()-Now(), minWakeup)
 		changed := h.changed
@@ -73,8 +73,8 @@
 	}
 }
 
-// carryOut does what the session asks. h.mu is held.
-func (h *Holder) carryOut(ctx context.Context, actions []lease.SessionAction) {
+// perform carries out the session's actions. h.mu is held.
+func (h *Holder) perform(ctx context.Context, actions []lease.SessionAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case lease.SendRequest:
@@ -100,12 +100,12 @@
 	response := lease.Response{Sequence: request.Sequence, Outcome: reply.Outcome, Token: reply.Token}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.carryOut(ctx, h.session.Handle(Now(), response, nil))
+	h.perform(ctx, h.session.Handle(Now(), response, nil))
 	h.notify()
 }
 
-// releaseWhenIdle sends the release once no action is under way, so that waiters need not wait for the lease to run
-// out. If it fails the lease does run out. h.mu is held.
+// releaseWhenIdle sends the release once no action is under way, so that waiters need not wait for the lease to
+// expire. If sending fails, it expires. h.mu is held.
 func (h *Holder) releaseWhenIdle(ctx context.Context) {
 	if h.pendingRelease == nil || h.activeActions > 0 {
 		return
@@ -159,7 +159,7 @@
 // Close releases the lease and ends.
 func (h *Holder) Close() {
 	h.mu.Lock()
-	h.carryOut(context.Background(), h.session.Handle(Now(), lease.ReleaseRequested{}, nil))
+	h.perform(context.Background(), h.session.Handle(Now(), lease.ReleaseRequested{}, nil))
 	h.mu.Unlock()
 	h.stop()
 	h.tasks.Wait()
--- a/internal/lease/agent/links.go
+++ b/internal/lease/agent/links.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// maxQueuedMessages bounds what waits for another voter; any more is lost, which the library makes up for.
+	// maxQueuedMessages bounds the messages queued for another voter; more are dropped, and sent again by raft.
 	maxQueuedMessages = 256
-	// maxBatchBytes is the size at which no message is added to those that are sent together.
+	// maxBatchBytes is the size from which no further message is added to a batch.
 	maxBatchBytes = rpc.MaxBodyBytes / 4
-	// maxKnownSenders bounds the voter IDs that messages are known to have come from.
+	// maxKnownSenders bounds Voter.senders.
 	maxKnownSenders = 64
 )
 
@@ -26,7 +26,7 @@
 	}
 	select {
 	case v.links[v.voterName(m.GetTo())] <- data:
-	default: // none of that name, or it takes too little
+	default: // no voter of that name, or its queue is full
 	}
 }
 
@@ -54,8 +54,8 @@
 	v.senders[id] = name
 }
 
-// carryMessages takes what is queued for another voter to it, as much as there is at a time.
-func (v *Voter) carryMessages(ctx context.Context, to VoterAddress, queue <-chan []byte) {
+// sendMessages sends what is queued for another voter, in batches of what is there at a time.
+func (v *Voter) sendMessages(ctx context.Context, to VoterAddress, queue <-chan []byte) {
 	for {
 		batch := voterMessages{Header: rpc.NewHeader(v.fleet.Name), From: v.name, VoterID: v.id}
 		select {
@@ -69,6 +69,6 @@
 			batch.Messages = append(batch.Messages, data)
 			size += len(data)
 		}
-		rpc.Post(ctx, v.client, to.Address, messagesPath, batch, nil) // what is lost is sent again by the library
+		rpc.Post(ctx, v.client, to.Address, messagesPath, batch, nil) // what is lost is sent again by raft
 	}
 }
--- a/internal/lease/agent/requests.go
+++ b/internal/lease/agent/requests.go
@@ -27,14 +27,14 @@
 	nonce        uint64
 }
 
-// heldResponse is the response that a waiter has not been given yet, so that it hears at once when its turn comes.
+// heldResponse is a response that is withheld from a waiter (long polling), so that it learns at once of its grant.
 type heldResponse struct {
 	responses chan<- quorum.Response
 	until     time.Duration
 }
 
-// respond answers a request, or holds the response of one that waits for its turn. A waiter counts its lease from when
-// it sent the request, which is before.
+// respond answers a request, or holds the response of one that waits in a queue. Holding it is safe: the waiter counts
+// its lease from when it sent the request.
 func (v *Voter) respond(r pendingRequest, response quorum.Response) {
 	c := &r.command
 	if response.Outcome != lease.Queued || c.Kind != lease.Acquire || len(v.heldResponses) >= maxHeldResponses {
@@ -42,14 +42,14 @@
 		return
 	}
 	w := waiterKey{c.Task, c.Holder, c.Nonce}
-	if earlier, ok := v.heldResponses[w]; ok { // it has asked again
+	if earlier, ok := v.heldResponses[w]; ok { // a repetition: the earlier request is answered now
 		earlier.responses <- response
 	}
 	until := Now() + min(c.Duration/4, maxResponseDelay)
 	v.heldResponses[w] = heldResponse{r.responses, until}
 }
 
-// releaseHeldResponses says to those who have waited for long that they still wait.
+// releaseHeldResponses answers the waiters whose responses were held long enough: they are still queued.
 func (v *Voter) releaseHeldResponses() {
 	now := Now()
 	for w, held := range v.heldResponses {
@@ -60,7 +60,7 @@
 	}
 }
 
-// answerGranted says to waiters that their turn has come.
+// answerGranted answers the held responses of waiters that have been granted their task.
 func (v *Voter) answerGranted(a quorum.WaitersGranted) {
 	for _, g := range a.Grants {
 		w := waiterKey{a.Task, g.Holder, g.Nonce}
@@ -71,10 +71,10 @@
 	}
 }
 
-// dropHeldResponses sends waiters to another voter.
+// dropHeldResponses answers all waiters that this voter can't decide any more: they ask another.
 func (v *Voter) dropHeldResponses() {
 	for w, held := range v.heldResponses {
 		delete(v.heldResponses, w)
-		held.responses <- quorum.Response{}
+		held.responses <- quorum.Response{Outcome: lease.NoAnswer}
 	}
 }
--- a/internal/lease/agent/storage.go
+++ b/internal/lease/agent/storage.go
@@ -20,8 +20,8 @@
 	recordVoterID   = "seat" // of a voter that joined later; the first ones find theirs in the snapshot
 )
 
-// InitVoter makes the file of one of a fleet's first voters, once in its life: a voter that loses its file may not vote
-// again under the same ID, as it may have promised what it has forgotten.
+// InitVoter creates the file of one of a fleet's first voters, once for each ID: a voter that loses its file may not
+// vote again under the same ID, as it does not know what it has promised.
 func InitVoter(path string, f *Fleet) error {
 	if err := f.Validate(); err != nil {
 		return err
@@ -37,7 +37,7 @@
 	return createStorage(path, f, state, 0)
 }
 
-// InitJoiningVoter makes the file of a voter that has been added under a new ID.
+// InitJoiningVoter creates the file of a voter that has been added under a new ID.
 func InitJoiningVoter(path string, f *Fleet, id uint64) error {
 	if err := f.Validate(); err != nil {
 		return err
@@ -73,7 +73,7 @@
 		if c.Named[recordSnapshot], err = proto.Marshal(s.Snapshot); err != nil {
 			return c, fmt.Errorf("leases: snapshot: %w", err)
 		}
-		c.DropFrom = 1 // all entries from before it
+		c.DropFrom = 1 // the whole log: the snapshot replaces it
 	}
 	for _, e := range s.Entries {
 		data, err := proto.Marshal(e)
@@ -98,7 +98,7 @@
 		id = binary.BigEndian.Uint64(data)
 	}
 	if got := string(named[recordFleet]); got != fleet {
-		return s, 0, fmt.Errorf("leases: it is the memory of fleet %q, not of %q", got, fleet)
+		return s, 0, fmt.Errorf("leases: the file belongs to fleet %q, not to %q", got, fleet)
 	}
 	s.HardState, s.Snapshot = new(raftpb.HardState), new(raftpb.Snapshot)
 	err = errors.Join(
--- a/internal/lease/agent/voter.go
+++ b/internal/lease/agent/voter.go
@@ -28,7 +28,7 @@
 const (
 	// maxConnections bounds the connections to each other voter.
 	maxConnections = 4
-	// writeTimeout is more than a heartbeat or a request of a waiter is kept without an answer.
+	// writeTimeout is longer than a heartbeat's or a waiter's response is ever held.
 	writeTimeout = 3 * time.Second
 )
 
@@ -53,7 +53,7 @@
 	lastRequestID uint64
 	heldResponses map[waiterKey]heldResponse
 	haltError     error // once the replica has halted
-	diskSyncs     int   // so far
+	diskSyncs     int   // since the voter was opened
 
 	mu      sync.Mutex
 	senders map[uint64]string // names of the voters that messages came from, by ID
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	if f.voterIndex(name) < 0 {
-		return nil, fmt.Errorf("leases: %q is none of the voters", name)
+		return nil, fmt.Errorf("leases: %q is not among the fleet's voters", name)
 	}
 	l, err := store.Open(path)
 	if err != nil {
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 		if id == 0 {
-			return nil, fmt.Errorf("leases: it is the memory of voters of whom %q was none", name)
+			return nil, fmt.Errorf("leases: the file belongs to a fleet without a voter %q", name)
 		}
 	}
 	incarnation := rand.Uint64() | 1
@@ -118,10 +118,10 @@
 	}, nil
 }
 
-// Close gives up a voter that was never run.
+// Close closes a voter that was never run.
 func (v *Voter) Close() error { return v.store.Close() }
 
-// Run keeps the voter at work until ctx ends, on a listener of its own.
+// Run runs the voter on a listener of its own until ctx ends, and closes it.
 func (v *Voter) Run(ctx context.Context, listener net.Listener) {
 	var tasks sync.WaitGroup
 	server := rpc.NewServer(v.handler(), writeTimeout)
@@ -131,7 +131,7 @@
 		if to.Name != v.name {
 			queue := make(chan []byte, maxQueuedMessages)
 			v.links[to.Name] = queue
-			tasks.Go(func() { v.carryMessages(ctx, to, queue) })
+			tasks.Go(func() { v.sendMessages(ctx, to, queue) })
 		}
 	}
 	tasks.Go(func() { server.Serve(listener) })
@@ -144,7 +144,7 @@
 	v.store.Close()
 }
 
-// loop is the one goroutine that the replica belongs to.
+// loop runs in the one goroutine that owns the replica.
 func (v *Voter) loop(ctx context.Context) {
 	ticker := time.NewTicker(quorum.TickInterval)
 	defer ticker.Stop()
@@ -167,21 +167,21 @@
 	}
 }
 
-// handle gives the replica an event and does what it asks, and what follows from a save.
+// handle passes an event to the replica and carries out its actions. A save brings the next event.
 func (v *Voter) handle(event quorum.Event) {
 	for event != nil {
 		actions := v.replica.Handle(Now(), event)
 		event = nil
 		for _, a := range actions {
-			if next := v.carryOut(a); next != nil {
+			if next := v.perform(a); next != nil {
 				event = next
 			}
 		}
 	}
 }
 
-// carryOut does one thing that the replica asks for, and returns the event that follows from a save, else nil.
-func (v *Voter) carryOut(action quorum.Action) quorum.Event {
+// perform carries out one action of the replica, and returns the event that follows from a save, else nil.
+func (v *Voter) perform(action quorum.Action) quorum.Event {
 	switch a := action.(type) {
 	case quorum.Save:
 		if err := v.save(a.State); err != nil {
@@ -231,7 +231,7 @@
 func (v *Voter) compactLog(a quorum.CompactLog) {
 	c, err := storageChange(quorum.PersistentState{Snapshot: a.Snapshot})
 	if err == nil {
-		c.DropFrom = 0 // what lies behind the snapshot stays
+		c.DropFrom = 0 // the entries after the snapshot stay
 		c.DropThrough = a.Snapshot.GetMetadata().GetIndex()
 		err = v.store.Save(c)
 	}
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -37,7 +37,7 @@
 	Wait bool `cbor:"6,keyasint,omitempty"`
 	// Token is the fencing token of the grant that the command is about.
 	Token uint64 `cbor:"7,keyasint,omitempty"`
-	// To is the waiter that is to follow, or the voter that is added or removed.
+	// To is the waiter that gets the task next, or the voter that is added or removed.
 	To         string `cbor:"8,keyasint,omitempty"`
 	MaxHolders int    `cbor:"9,keyasint,omitempty"`
 	// VoterID is that of an AddVoter or RemoveVoter, as the leader proposed it.
--- a/internal/lease/expiry.go
+++ b/internal/lease/expiry.go
@@ -33,7 +33,7 @@
 	nonce        uint64
 }
 
-// renewal is one that waits until this voter is known to lead still.
+// renewal is one that waits for the confirmation that this voter still leads.
 type renewal struct {
 	sequence  uint64
 	requestID uint64
@@ -41,8 +41,8 @@
 	token     uint64
 }
 
-// NewExpiryManager returns the expiry manager of a voter. The caller applies commands to the state machine, and tells
-// of each by CommandApplied.
+// NewExpiryManager returns the expiry manager of a voter. The caller applies commands to the state machine, and passes
+// each on as CommandApplied.
 func NewExpiryManager(parameters Parameters, machine *StateMachine) *ExpiryManager {
 	return &ExpiryManager{
 		parameters:     parameters,
@@ -52,10 +52,10 @@
 	}
 }
 
-// IsLeader reports whether this voter takes itself for the leader.
+// IsLeader reports whether this voter believes that it leads; another may lead by now.
 func (m *ExpiryManager) IsLeader() bool { return m.leading }
 
-// TimeLeft returns how long a grant is kept yet, for display. It is known on the leader alone.
+// TimeLeft returns how long until a grant expires, for display. It is known on the leader alone.
 func (m *ExpiryManager) TimeLeft(token uint64, now time.Duration) (time.Duration, bool) {
 	d, ok := m.deadlines[token]
 	return d.at - now, ok
@@ -83,7 +83,7 @@
 		return m.confirmRenewals(now, e.Sequence, out)
 	case Tick:
 		if m.leading {
-			return m.proposeSilentWaiters(now, m.proposeExpired(now, out))
+			return m.proposeWaiterReleases(now, m.proposeExpired(now, out))
 		}
 	}
 	return out
@@ -108,7 +108,7 @@
 	m.deadlines[g.Token] = leaseDeadline{task: task, at: now + m.parameters.voterDuration(g.Duration)}
 }
 
-// stepDown answers the renewals that wait: this voter can't know whether they hold.
+// stepDown answers the pending renewals: this voter can't know whether their grants are still valid.
 func (m *ExpiryManager) stepDown(out []ExpiryAction) []ExpiryAction {
 	m.leading = false
 	for _, r := range m.unconfirmedRenewals {
@@ -128,8 +128,8 @@
 		m.setDeadline(now, e.Command.Task, g)
 	}
 	c := &e.Command
-	waits := c.Kind == Acquire && e.Result.Err == nil && e.Result.Grant.Token == 0
-	if waits {
+	isQueued := c.Kind == Acquire && e.Result.Err == nil && e.Result.Grant.Token == 0
+	if isQueued {
 		m.waiterLastSeen[waiterKey{c.Task, c.Holder, c.Nonce}] = now
 	}
 }
@@ -190,9 +190,9 @@
 	return out
 }
 
-// proposeSilentWaiters takes waiters out of their queues that have sent nothing for the duration of their lease, in a
-// fixed order as well.
-func (m *ExpiryManager) proposeSilentWaiters(now time.Duration, out []ExpiryAction) []ExpiryAction {
+// proposeWaiterReleases proposes to take waiters out of their queues that have sent nothing for the duration of their
+// lease. Two with the same nonce and holder names of the same length come in any order.
+func (m *ExpiryManager) proposeWaiterReleases(now time.Duration, out []ExpiryAction) []ExpiryAction {
 	var silent []waiterKey
 	for w, seen := range m.waiterLastSeen {
 		if now-seen > m.waiterTimeout(w) {
--- a/internal/lease/expiry_messages.go
+++ b/internal/lease/expiry_messages.go
@@ -46,7 +46,7 @@
 	// ConfirmLeadership asks whether this voter still leads, as of now.
 	ConfirmLeadership struct{ Sequence uint64 }
 	// RenewalResult answers a Renew. Granted makes the holder count its lease anew from when it sent the request;
-	// NotHeld says that it holds no more, NoAnswer that this voter can't know.
+	// NotHeld says that it does not hold the task any more, NoAnswer that this voter can't know.
 	RenewalResult struct {
 		RequestID uint64
 		Outcome   Outcome
--- a/internal/lease/parameters.go
+++ b/internal/lease/parameters.go
@@ -13,7 +13,7 @@
 	MaxDuration time.Duration
 }
 
-// DefaultParameters are the parameters in service.
+// DefaultParameters are the parameters of all processes in service.
 var DefaultParameters = Parameters{
 	MaxClockDrift: 0.05,
 	SafetyMargin:  20 * time.Millisecond,
--- a/internal/lease/permit.go
+++ b/internal/lease/permit.go
@@ -12,7 +12,8 @@
 const (
 	// PermitTask is the task whose holders may drain or reload.
 	PermitTask = "restart"
-	// PermitDuration is how long a permit keeps others waiting after its holder has ended without releasing it.
+	// PermitDuration is the lease duration of a permit. Others wait that long after a holder that ended without
+	// releasing it.
 	PermitDuration = 10 * time.Second
 )
 
@@ -21,7 +22,7 @@
 	return name + "/" + strconv.Itoa(pid) + "/" + strconv.FormatUint(nonce, 16)
 }
 
-// parseHolderName takes a holder's name apart. The process's own name may contain slashes.
+// parseHolderName splits what HolderName has joined. The process's own name may contain slashes.
 func parseHolderName(holder string) (name string, pid int, ok bool) {
 	rest, _, hasNonce := cutLast(holder)
 	name, number, hasPID := cutLast(rest)
@@ -37,9 +38,9 @@
 	return s[:i], s[i+1:], true
 }
 
-// OrphanedTokens returns the fencing tokens of a task's grants that earlier processes of a name have left behind:
-// those of processes that run no more on this machine, self excepted. The process that comes up after them releases
-// these, as a permit covers a restart to its end. A process that still runs releases its own.
+// OrphanedTokens returns the fencing tokens of a task's grants that earlier processes of a name did not release:
+// processes that do not run on this machine any more, self excepted. Their successor releases these once it serves, as
+// a permit covers a restart to its end. A process that still runs releases its own.
 func OrphanedTokens(t *Task, name string, self int, isRunning func(pid int) bool) (tokens []uint64) {
 	if t == nil {
 		return nil
@@ -62,8 +63,8 @@
 	ProceedWithoutPermit
 )
 
-// DecideWithoutPermit decides for a process that has waited for a time. One that insists on a permit waits for ever;
-// any other goes on without one after maxWait.
+// DecideWithoutPermit decides for a process that has waited for a permit in vain so far. One that insists on a permit
+// waits for ever; any other goes on without one after maxWait.
 func DecideWithoutPermit(waited, maxWait time.Duration, insist bool) PermitVerdict {
 	switch {
 	case insist, waited < maxWait:
--- a/internal/lease/quorum/apply.go
+++ b/internal/lease/quorum/apply.go
@@ -15,11 +15,11 @@
 const (
 	// snapshotInterval is how many entries are applied between two snapshots.
 	snapshotInterval = 2000
-	// keptEntries are kept before a snapshot, for voters that are a little behind.
+	// keptEntries are kept from before a snapshot, for voters that are a little behind.
 	keptEntries = 200
 )
 
-// advance takes the next of what the library wants done, unless something is being saved.
+// advance handles the next Ready of the raft library, unless one is being saved.
 func (r *Replica) advance() {
 	if r.leading && r.node.BasicStatus().RaftState != raft.StateLeader {
 		r.loseLeadership()
@@ -41,7 +41,7 @@
 		r.advance()
 		return
 	}
-	r.do(Save{state})
+	r.emit(Save{state})
 }
 
 func hasHardState(ready *raft.Ready) bool {
@@ -69,24 +69,24 @@
 	}
 	r.storage.Append(ready.Entries)
 	if len(ready.Messages) > 0 {
-		r.do(Send{ready.Messages})
+		r.emit(Send{ready.Messages})
 	}
 	for _, e := range ready.CommittedEntries {
 		r.apply(e)
 	}
 	for _, s := range ready.ReadStates {
 		if len(s.RequestCtx) == 8 {
-			r.tellExpiry(lease.LeadershipConfirmed{Sequence: binary.BigEndian.Uint64(s.RequestCtx)})
+			r.handleExpiryEvent(lease.LeadershipConfirmed{Sequence: binary.BigEndian.Uint64(s.RequestCtx)})
 		}
 	}
 	r.node.Advance(ready)
 	r.compact()
 }
 
-// apply carries out a decided entry. Every voter passes over an entry without a readable command alike.
+// apply carries out a committed entry. An entry without a readable command is passed over, by every voter alike.
 func (r *Replica) apply(e *raftpb.Entry) {
 	r.applied = e.GetIndex()
-	r.noteLeadership(e)
+	r.checkLeadershipAcquired(e)
 	data, change := decodeEntryData(e)
 	var entry logEntry
 	if len(data) == 0 || cbor.Unmarshal(data, &entry) != nil {
@@ -99,21 +99,21 @@
 	if change != nil {
 		r.applyVoterChange(change, result.Err)
 	}
-	r.tellExpiry(lease.CommandApplied{Command: entry.Command, Result: result})
+	r.handleExpiryEvent(lease.CommandApplied{Command: entry.Command, Result: result})
 	if len(result.NewGrants) > 0 && r.leading {
-		r.do(WaitersGranted{entry.Command.Task, result.NewGrants})
+		r.emit(WaitersGranted{entry.Command.Task, result.NewGrants})
 	}
 	r.answerProposal(&entry, &result)
 }
 
-// noteLeadership begins to lead with the first entry of this voter's own term: all that was decided before the term
-// lies before that entry.
-func (r *Replica) noteLeadership(e *raftpb.Entry) {
+// checkLeadershipAcquired begins to lead with the first committed entry of this voter's own term: all that was decided
+// before the term lies before that entry.
+func (r *Replica) checkLeadershipAcquired(e *raftpb.Entry) {
 	status := r.node.BasicStatus()
 	if !r.leading && status.RaftState == raft.StateLeader && e.GetTerm() == status.GetTerm() {
 		r.leading = true
-		r.tellExpiry(lease.LeadershipAcquired{})
-		r.do(LeadershipChanged{true})
+		r.handleExpiryEvent(lease.LeadershipAcquired{})
+		r.emit(LeadershipChanged{true})
 	}
 }
 
@@ -129,7 +129,7 @@
 	return change.GetContext(), change
 }
 
-// applyVoterChange tells the library of a change of voters. One that the state machine has rejected changes nobody.
+// applyVoterChange puts a change of voters into force. One that the state machine has rejected changes nothing.
 func (r *Replica) applyVoterChange(change *raftpb.ConfChange, rejected error) {
 	if rejected != nil {
 		r.node.ApplyConfChange(&raftpb.ConfChange{})
@@ -141,15 +141,15 @@
 
 // answerProposal answers the request that an entry was proposed for, if it was by this voter in this run.
 func (r *Replica) answerProposal(entry *logEntry, result *lease.Result) {
-	if _, mine := r.pending[entry.RequestID]; !mine || entry.Proposer != r.incarnation {
+	if _, isPending := r.proposals[entry.RequestID]; !isPending || entry.Proposer != r.incarnation {
 		return
 	}
-	delete(r.pending, entry.RequestID)
+	delete(r.proposals, entry.RequestID)
 	response := Response{RequestID: entry.RequestID, Err: result.Err}
 	switch {
 	case result.Err != nil:
 		response.Outcome = lease.Rejected
-	case entry.Command.Kind != lease.Acquire:
+	case entry.Command.Kind != lease.Acquire: // carried out, see Response
 		response.Outcome = lease.NotHeld
 	case result.Grant.Token == 0:
 		response.Outcome = lease.Queued
@@ -160,7 +160,7 @@
 		r.renew(entry.RequestID, entry.Command.Task, result.Grant.Token)
 		return
 	}
-	r.do(response)
+	r.emit(response)
 }
 
 // compact cuts the log at a snapshot: every snapshotInterval entries, and after a change of voters, as a new voter is
@@ -182,5 +182,5 @@
 	if r.applied > keptEntries {
 		r.storage.Compact(r.applied - keptEntries)
 	}
-	r.do(CompactLog{snapshot})
+	r.emit(CompactLog{snapshot})
 }
--- a/internal/lease/quorum/messages.go
+++ b/internal/lease/quorum/messages.go
@@ -39,14 +39,15 @@
 type Action interface{ action() }
 
 type (
-	// Save makes a state last, all or nothing; SaveCompleted or SaveFailed follows. A snapshot replaces the log up to
-	// it; entries replace those of the same index and all behind.
+	// Save makes a state durable, all or nothing; SaveCompleted or SaveFailed follows. A snapshot replaces the log up
+	// to it; entries replace those of the same index and all after them.
 	Save struct{ State PersistentState }
 	// CompactLog drops the log up to a snapshot that is saved with it. No event needs to follow.
 	CompactLog struct{ Snapshot *raftpb.Snapshot }
-	// Send takes messages to other voters; any may be lost.
+	// Send sends messages to other voters; any may be lost.
 	Send struct{ Messages []*raftpb.Message }
-	// Response ends a request.
+	// Response answers a request. A command other than Acquire that was carried out has the outcome NotHeld: its
+	// sender holds nothing by it.
 	Response struct {
 		RequestID uint64
 		Outcome   lease.Outcome
@@ -60,7 +61,8 @@
 	}
 	// LeadershipChanged says that this voter leads now, or not any more.
 	LeadershipChanged struct{ IsLeader bool }
-	// Halted says that this voter takes no part any more: its disk has failed, or its memory contradicts the others'.
+	// Halted says that this voter takes no part any more: its disk has failed, or what it has saved contradicts the
+	// others'.
 	Halted struct{ Err error }
 )
 
--- a/internal/lease/quorum/replica.go
+++ b/internal/lease/quorum/replica.go
@@ -17,8 +17,8 @@
 const (
 	// electionTicks without a message make a voter ask for votes: after 300 to 600 ms.
 	electionTicks = 10
-	// noElectionTicks are never reached.
-	noElectionTicks = 1 << 30
+	// neverTicks is an election timeout that no replica reaches.
+	neverTicks = 1 << 30
 
 	maxMessageBytes     = 256 << 10
 	maxInFlightMessages = 64
@@ -43,7 +43,7 @@
 	leading       bool
 	halted        bool
 
-	pending       map[uint64]lease.Command // proposals of this incarnation, by request ID
+	proposals     map[uint64]lease.Command // proposals of this incarnation, by request ID
 	renewals      map[uint64]pendingRenewal
 	lastRenewalID uint64
 
@@ -60,11 +60,11 @@
 	ManualElections                     // by [Replica.Campaign] alone
 )
 
-// New returns the voter that remembers a saved state. The incarnation must differ from any before it.
+// New returns a voter that goes on from a saved state. The incarnation must differ from any before it.
 func New(
 	id, incarnation uint64, saved PersistentState, parameters lease.Parameters, elections Elections,
 ) (r *Replica, err error) {
-	defer func() { // the library panics over a state that can't be
+	defer func() { // the library panics over an inconsistent state
 		if cause := recover(); cause != nil {
 			r, err = nil, fmt.Errorf("quorum: %v", cause)
 		}
@@ -74,7 +74,7 @@
 		incarnation: incarnation,
 		storage:     raft.NewMemoryStorage(),
 		parameters:  parameters,
-		pending:     make(map[uint64]lease.Command),
+		proposals:   make(map[uint64]lease.Command),
 		renewals:    make(map[uint64]pendingRenewal),
 	}
 	if err := r.load(saved); err != nil {
@@ -89,7 +89,7 @@
 // load fills the state machine and the library's storage.
 func (r *Replica) load(saved PersistentState) error {
 	if saved.Snapshot == nil || saved.HardState == nil {
-		return errors.New("quorum: a voter without memory may not vote")
+		return errors.New("quorum: a voter without a saved state may not vote")
 	}
 	if err := r.restore(saved.Snapshot); err != nil {
 		return err
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// loadSnapshot has the storage begin with a snapshot. One without an index is that of a voter which has heard nothing
-// yet.
+// loadSnapshot has the storage begin with a snapshot. One without an index is that of a joining voter which has not
+// received anything yet.
 func (r *Replica) loadSnapshot(s *raftpb.Snapshot) error {
 	if s.GetMetadata().GetIndex() == 0 {
 		return nil
@@ -123,7 +123,7 @@
 	isAutomatic := elections == AutomaticElections
 	ticks := electionTicks
 	if !isAutomatic {
-		ticks = noElectionTicks
+		ticks = neverTicks
 	}
 	return &raft.Config{
 		ID:                        r.id,
@@ -163,10 +163,10 @@
 // Leader returns the ID of the voter that leads as far as this one knows, 0 for none.
 func (r *Replica) Leader() uint64 { return r.node.BasicStatus().Lead }
 
-// StateMachine returns what the voters have agreed on, as far as this one has heard. It is to be read only.
+// StateMachine returns the state machine as far as this voter has applied the log. It must not be changed.
 func (r *Replica) StateMachine() *lease.StateMachine { return r.machine }
 
-// TimeLeft returns how long a grant is kept yet. It is known on the leader alone.
+// TimeLeft returns how long until a grant expires. It is known on the leader alone.
 func (r *Replica) TimeLeft(token uint64, now time.Duration) (time.Duration, bool) {
 	return r.expiry.TimeLeft(token, now)
 }
@@ -184,7 +184,7 @@
 // Handle takes an event at a time, by a clock that counts the machine's sleep, and returns what is to be done.
 func (r *Replica) Handle(now time.Duration, event Event) (actions []Action) {
 	r.now, r.actions = now, nil
-	defer func() { // the library panics over a memory that contradicts the others': this voter has lost some of its own
+	defer func() { // the library panics if what this voter has saved contradicts the others: it has lost a part of it
 		if cause := recover(); cause != nil {
 			actions = r.halt(fmt.Errorf("quorum: %v", cause))
 		}
@@ -198,9 +198,9 @@
 	switch e := event.(type) {
 	case Tick:
 		r.node.Tick()
-		r.tellExpiry(lease.Tick{})
+		r.handleExpiryEvent(lease.Tick{})
 	case MessageReceived:
-		r.node.Step(e.Message) // a message that can't be meant is dropped: the error says no more
+		r.node.Step(e.Message) // the error says only that the message was dropped
 	case RequestReceived:
 		r.handleRequest(e)
 	case SaveFailed:
@@ -212,23 +212,23 @@
 	return r.actions
 }
 
-func (r *Replica) do(a Action) { r.actions = append(r.actions, a) }
+func (r *Replica) emit(a Action) { r.actions = append(r.actions, a) }
 
-// halt ends this voter's part, for this run of it.
+// halt ends this voter's participation until its process starts again.
 func (r *Replica) halt(err error) []Action {
 	r.halted, r.actions = true, nil
 	r.loseLeadership()
-	r.do(Halted{err})
+	r.emit(Halted{err})
 	return r.actions
 }
 
-// loseLeadership ends what this voter has under way as a leader. What it proposed may be decided yet: nothing is known.
+// loseLeadership answers what this voter has under way as a leader with NoAnswer: its proposals may still be committed.
 func (r *Replica) loseLeadership() {
 	r.leading = false
-	r.tellExpiry(lease.LeadershipLost{})
-	for id := range r.pending {
-		r.do(Response{RequestID: id})
+	r.handleExpiryEvent(lease.LeadershipLost{})
+	for id := range r.proposals {
+		r.emit(Response{RequestID: id})
 	}
-	clear(r.pending)
-	r.do(LeadershipChanged{false})
+	clear(r.proposals)
+	r.emit(LeadershipChanged{false})
 }
--- a/internal/lease/quorum/requests.go
+++ b/internal/lease/quorum/requests.go
@@ -24,8 +24,8 @@
 
 // handleRequest takes a request of a holder or an operator.
 func (r *Replica) handleRequest(e RequestReceived) {
-	if !r.leading || len(r.pending) >= maxPending || len(r.renewals) >= maxPending {
-		r.do(Response{RequestID: e.RequestID})
+	if !r.leading || len(r.proposals) >= maxPending || len(r.renewals) >= maxPending {
+		r.emit(Response{RequestID: e.RequestID})
 		return
 	}
 	if e.Token > 0 {
@@ -33,11 +33,11 @@
 		return
 	}
 	if err := r.checkCommand(&e.Command); err != nil {
-		r.do(Response{RequestID: e.RequestID, Outcome: lease.Rejected, Err: err})
+		r.emit(Response{RequestID: e.RequestID, Outcome: lease.Rejected, Err: err})
 		return
 	}
 	if c := &e.Command; c.Kind == lease.Acquire {
-		r.tellExpiry(lease.WaiterSeen{Task: c.Task, Holder: c.Holder, Nonce: c.Nonce})
+		r.handleExpiryEvent(lease.WaiterSeen{Task: c.Task, Holder: c.Holder, Nonce: c.Nonce})
 		if r.answerRepeated(e) {
 			return
 		}
@@ -72,7 +72,7 @@
 	}
 	for _, w := range t.Waiters {
 		if w.Holder == e.Command.Holder && w.Nonce == e.Command.Nonce {
-			r.do(Response{RequestID: e.RequestID, Outcome: lease.Queued})
+			r.emit(Response{RequestID: e.RequestID, Outcome: lease.Queued})
 			return true
 		}
 	}
@@ -82,7 +82,7 @@
 func (r *Replica) renew(requestID uint64, task string, token uint64) {
 	r.lastRenewalID++
 	r.renewals[r.lastRenewalID] = pendingRenewal{requestID, token}
-	r.tellExpiry(lease.Renew{RequestID: r.lastRenewalID, Task: task, Token: token})
+	r.handleExpiryEvent(lease.Renew{RequestID: r.lastRenewalID, Task: task, Token: token})
 }
 
 // propose puts a command before the voters. The request ID is 0 for a command of the expiry manager.
@@ -91,9 +91,9 @@
 	switch {
 	case requestID == 0: // the expiry manager proposes anew what is still due
 	case err != nil:
-		r.do(Response{RequestID: requestID})
+		r.emit(Response{RequestID: requestID})
 	default:
-		r.pending[requestID] = c
+		r.proposals[requestID] = c
 	}
 }
 
@@ -116,8 +116,8 @@
 	return r.node.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: &id, Context: entry})
 }
 
-// tellExpiry gives the expiry manager an event and does what it asks.
-func (r *Replica) tellExpiry(event lease.ExpiryEvent) {
+// handleExpiryEvent passes an event to the expiry manager and carries out its actions.
+func (r *Replica) handleExpiryEvent(event lease.ExpiryEvent) {
 	for _, a := range r.expiry.Handle(r.now, event, nil) {
 		switch a := a.(type) {
 		case lease.ConfirmLeadership:
@@ -131,7 +131,7 @@
 			if a.Outcome == lease.Granted {
 				response.Token = renewal.token
 			}
-			r.do(response)
+			r.emit(response)
 		}
 	}
 }
--- a/internal/lease/quorum/state.go
+++ b/internal/lease/quorum/state.go
@@ -16,11 +16,11 @@
 	firstTerm  = 1
 )
 
-// PersistentState is what a voter must remember.
+// PersistentState is what a voter saves.
 type PersistentState struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot // of the state machine, with the voters
-	Entries   []*raftpb.Entry  // behind the snapshot
+	Entries   []*raftpb.Entry  // after the snapshot
 }
 
 // InitialState returns what every voter of a new fleet begins with. The voters have the IDs from 1 on.
@@ -61,7 +61,7 @@
 	}, nil
 }
 
-// VoterIDOf finds a voter's ID in what it remembers, 0 for none.
+// VoterIDOf finds a voter's ID in its saved state, 0 for none.
 func VoterIDOf(saved PersistentState, name string) (uint64, error) {
 	machine, err := decodeSnapshot(saved.Snapshot)
 	if err != nil {
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// retryPause separates two requests of which the first brought no grant.
-	retryPause = 50 * time.Millisecond
+	// retryDelay is the time from a response without a grant to the next request.
+	retryDelay = 50 * time.Millisecond
 	// requestTimeout is how long a response is waited for.
 	requestTimeout = 300 * time.Millisecond
 )
@@ -28,14 +28,14 @@
 	sequence       uint64 // of the last request
 }
 
-// SessionState is where a session stands.
+// SessionState is the state of a session.
 type SessionState uint8
 
 // The states.
 const (
-	Acquiring SessionState = iota // it wants the task, or waits for its turn
+	Acquiring SessionState = iota // it has asked for the task, or waits in its queue
 	Holding                       // it may act as long as [Session.Valid] says so
-	Finished                      // it was given back, lost or rejected, for good
+	Finished                      // the task was released, lost or rejected, for good
 )
 
 // NewSession returns a session that sends its first request at its first TimerFired.
@@ -52,7 +52,7 @@
 	}
 }
 
-// State returns where the session stands at a time.
+// State returns the session's state at a time.
 func (s *Session) State(now time.Duration) SessionState {
 	if s.state == Holding && now >= s.validUntil {
 		return Finished
@@ -85,7 +85,7 @@
 	if s.state == Finished {
 		return out
 	}
-	if s.state == Holding && now >= s.validUntil { // whatever has come meanwhile came too late
+	if s.state == Holding && now >= s.validUntil { // a renewal that arrives now is too late
 		s.state = Finished
 		return append(out, Ended{NotHeld})
 	}
@@ -123,7 +123,7 @@
 func (s *Session) handleResponse(now time.Duration, e Response, out []SessionAction) []SessionAction {
 	switch e.Outcome {
 	case NoAnswer, Queued:
-		s.nextRequest = now + min(retryPause, s.renewInterval())
+		s.nextRequest = now + min(retryDelay, s.renewInterval())
 	case Granted:
 		return s.handleGrant(now, e.Token, out)
 	default:
@@ -136,12 +136,12 @@
 	return out
 }
 
-// handleGrant counts the lease from when the request was sent, which is before the voters do.
+// handleGrant counts the lease from when the request was sent: the voters count from later.
 func (s *Session) handleGrant(now time.Duration, token uint64, out []SessionAction) []SessionAction {
 	until := s.requestSent + s.parameters.holderDuration(s.Duration)
 	if now >= until || s.state == Holding && token != s.token {
 		s.nextRequest = now
-		return out // too old to be worth anything: it is asked for anew
+		return out // it has run out already, or is another grant: the next request is sent at once
 	}
 	s.nextRequest = s.requestSent + s.renewInterval()
 	s.validUntil = max(s.validUntil, until)
--- a/internal/lease/session_messages.go
+++ b/internal/lease/session_messages.go
@@ -27,9 +27,9 @@
 const (
 	NoAnswer Outcome = iota // no voter that can decide has answered: nothing is known
 	Queued                  // the sender waits for its turn
-	Granted                 // the sender holds, counted from when it sent the request
-	Rejected                // the task is held by others, and the sender does not wait
-	NotHeld                 // the sender holds no more
+	Granted                 // the sender holds the task, counted from when it sent the request
+	Rejected                // for an Acquire: others hold the task, and the sender does not wait
+	NotHeld                 // the sender does not hold the task, or not any more
 )
 
 // SessionAction is what a [Session] wants done.
@@ -44,9 +44,9 @@
 	}
 	// SendRelease sends a Release, which needs no answer, once nothing is done under the grant any more.
 	SendRelease struct{ Command Command }
-	// Acquired says that the session holds.
+	// Acquired says that the session holds the task now.
 	Acquired struct{ Token uint64 }
-	// Ended says that the session does not hold: no more, or never will.
+	// Ended says that the session does not hold the task any more, or never will.
 	Ended struct{ Outcome Outcome }
 )
 
--- a/internal/lease/voters.go
+++ b/internal/lease/voters.go
@@ -1,7 +1,7 @@
 package lease
 
-// maxVoters bounds the voters of a fleet.
-const maxVoters = 7
+// MaxVoters is the most voters that a fleet can have.
+const MaxVoters = 7
 
 // VoterID returns a voter's ID, 0 for none of that name.
 func (m *StateMachine) VoterID(name string) uint64 {
@@ -18,7 +18,7 @@
 func (m *StateMachine) CheckVoterChange(c *Command) (id uint64, err error) {
 	id = m.VoterID(c.To)
 	if c.Kind == AddVoter {
-		if id != 0 || len(m.Voters) >= maxVoters {
+		if id != 0 || len(m.Voters) >= MaxVoters {
 			return 0, ErrInvalidVoterChange
 		}
 		return m.LastVoterID + 1, nil
