--- a/internal/lease/agent/recorded_test.go
+++ b/internal/lease/agent/recorded_test.go
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestRecordedVotersGoOn runs three voters of this version from the recorded files: they agree on what was recorded,
+// TestRecordedVotersContinue runs three voters of this version from the recorded files: they agree on what was recorded,
 // and their next token is higher than all before.
-func TestRecordedVotersGoOn(t *testing.T) {
+func TestRecordedVotersContinue(t *testing.T) {
 	f := newStoppedFleet(t)
 	for i, path := range f.paths {
 		copyRecorded(t, fmt.Sprintf("v%d.bolt", i), path)
--- a/internal/lease/statemachine_test.go
+++ b/internal/lease/statemachine_test.go
@@ -14,7 +14,7 @@
 	return Command{Kind: Acquire, Task: task, Holder: holder, Nonce: nonce, Duration: 1000 * ms, Wait: wait}
 }
 
-func TestStateMachine(t *testing.T) {
+func TestCommandResults(t *testing.T) {
 	m := NewStateMachine()
 	type want struct {
 		own     uint64 // token of the sender's grant
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// TestTwoTerminationsEndEveryLife guards invariant 3.
-func TestTwoTerminationsEndEveryLife(t *testing.T) {
+// TestTwoTerminationsStopEveryState guards invariant 3.
+func TestTwoTerminationsStopEveryState(t *testing.T) {
 	for s := range stateCount {
 		m := Machine{state: s}
 		m.Handle(Terminate)
--- a/internal/peer/detector.go
+++ b/internal/peer/detector.go
@@ -33,7 +33,7 @@
 // The results.
 const (
 	Accepted       HeartbeatResult = iota
-	Replaced                       // another process of that name counts since
+	Replaced                       // another process of that name has taken this one's place
 	NameTaken                      // another process of that name still counts
 	TooManyMembers                 // there is no room for the member
 )
@@ -70,17 +70,17 @@
 	parameters Parameters
 	members    map[string]*watchedMember // by name
 	version    uint64
-	// completeVersion is the version that last removed a member: changes since an older one can't be told by a list.
+	// completeVersion is the version that last removed a member: a list of changes since an older one would lack that.
 	completeVersion uint64
-	lastLook        time.Duration
+	lastEvent       time.Duration
 }
 
 // NewDetector returns a watcher that knows nobody.
 func NewDetector(parameters Parameters, now time.Duration) *Detector {
-	return &Detector{parameters: parameters, members: make(map[string]*watchedMember), lastLook: now}
+	return &Detector{parameters: parameters, members: make(map[string]*watchedMember), lastEvent: now}
 }
 
-// Version changes with every change of the opinion.
+// Version returns the version of the opinion, which rises with every change.
 func (d *Detector) Version() uint64 { return d.version }
 
 // Members returns what the watcher knows of all members, by name.
@@ -117,13 +117,13 @@
 		}
 	}
 	for name, m := range d.members {
-		d.judge(now, name, m)
+		d.updateState(now, name, m)
 	}
 	return result
 }
 
-// judge suspects a member that is silent, gives it up, or forgets it.
-func (d *Detector) judge(now time.Duration, name string, m *watchedMember) {
+// updateState makes a member that is silent or disconnected suspect and then gone, and forgets it in the end.
+func (d *Detector) updateState(now time.Duration, name string, m *watchedMember) {
 	p := &d.parameters
 	silence := now - m.lastHeartbeat
 	disconnected := m.connectionLost > 0
@@ -140,9 +140,9 @@
 	}
 }
 
-// excuseOwnPause moves all times that are counted from by a time in which this watcher was paused itself.
+// excuseOwnPause moves all start times of timeouts forward by a time in which this watcher was paused itself.
 func (d *Detector) excuseOwnPause(now time.Duration) {
-	if gap := now - d.lastLook; gap >= d.parameters.PauseThreshold {
+	if gap := now - d.lastEvent; gap >= d.parameters.PauseThreshold {
 		for _, m := range d.members {
 			m.lastHeartbeat += gap
 			if m.connectionLost > 0 {
@@ -151,7 +151,7 @@
 			m.stateSince += gap
 		}
 	}
-	d.lastLook = max(d.lastLook, now)
+	d.lastEvent = max(d.lastEvent, now)
 }
 
 func (d *Detector) setState(now time.Duration, m *watchedMember, s State) {
@@ -194,7 +194,7 @@
 	return Accepted
 }
 
-// noteReplaced remembers that the member's present process does not count any more.
+// noteReplaced records that another process takes the place of the member's present one.
 func (m *watchedMember) noteReplaced() {
 	m.replaced = append(m.replaced, m.member.Incarnation)
 	if len(m.replaced) > maxReplacedIncarnations {
--- a/internal/peer/membership_test.go
+++ b/internal/peer/fleet_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestPausedWatcher guards guarantee 3, at a watcher and at all of them.
-func TestPausedWatcher(t *testing.T) {
+// TestPausedWatcherTakesNobodyForGone guards guarantee 3, at a watcher and at all of them.
+func TestPausedWatcherTakesNobodyForGone(t *testing.T) {
 	for _, stopped := range [][]int{{0}, {0, 1}, {0, 1, 2}} {
 		f := newFleet(3, "a", "b")
 		f.run(time.Second)
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestMajority guards guarantee 5, and that one watcher's opinion is no verdict.
-func TestMajority(t *testing.T) {
+// TestStateFollowsMajority guards guarantee 5, and that one watcher's opinion is no verdict.
+func TestStateFollowsMajority(t *testing.T) {
 	f := newFleet(3, "a", "b")
 	f.run(time.Second)
 	f.members[0].cutOffFrom[1] = true
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestTwoProcessesOfOneName guards guarantee 4.
-func TestTwoProcessesOfOneName(t *testing.T) {
+// TestFirstProcessOfANameCounts guards guarantee 4.
+func TestFirstProcessOfANameCounts(t *testing.T) {
 	f := newFleet(3, "a")
 	f.run(time.Second)
 	second := f.join("a", 2)
--- a/internal/peer/rpc/rpc.go
+++ b/internal/peer/rpc/rpc.go
@@ -1,9 +1,9 @@
-// Package rpc is how instances of one fleet send one another messages: a body of CBOR over HTTP, under a header that
-// names the fleet and the version that the sender speaks. It knows nothing of what the messages are about.
+// Package rpc is how instances of one fleet send one another messages: a body of CBOR over HTTP, with a header that
+// names the fleet and the version that the sender speaks. It does not interpret the rest of the messages.
 //
 // Guarantees:
 //
-//  1. A message of another fleet, or of a version that does not fit, is not understood; its sender is told why in one
+//  1. A message of another fleet, or of a version that does not fit, is rejected; its sender gets the reason in one
 //     line.
 //  2. A body holds at most [MaxBodyBytes].
 //  3. A later version is understood as far as its messages say so ([Header.MinVersion]): fleets are mixed while they
@@ -31,7 +31,7 @@
 	MaxBodyBytes = 1 << 20
 )
 
-// Header stands in every message, embedded.
+// Header is embedded in every message.
 type Header struct {
 	Version int    `cbor:"1,keyasint"` // that the sender speaks
 	Fleet   string `cbor:"2,keyasint"`
@@ -53,7 +53,8 @@
 	return h.Version <= version || h.MinVersion > 0 && h.MinVersion <= version
 }
 
-// Parse reads a message of a fleet. A message that is not understood has a reason, and an HTTP status.
+// Parse reads a message of a fleet. For a message that it rejects it returns an HTTP status and the reason, otherwise
+// StatusOK and "".
 func Parse(body []byte, fleet string, into any) (status int, reason string) {
 	var h Header
 	if cbor.Unmarshal(body, &h) != nil {
--- a/internal/peer/rpc/rpc_test.go
+++ b/internal/peer/rpc/rpc_test.go
@@ -7,9 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestCompatible guards fleets that are mixed while they are being replaced: an older and a newer program understand
+// TestVersionsAreCompatible guards fleets that are mixed while they are being replaced: an older and a newer program understand
 // each other as far as the newer one says so.
-func TestCompatible(t *testing.T) {
+func TestVersionsAreCompatible(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		header              Header
@@ -35,7 +35,7 @@
 	Text string `cbor:"3,keyasint"`
 }
 
-func TestParse(t *testing.T) {
+func TestForeignMessagesAreRejected(t *testing.T) {
 	good, err := cbor.Marshal(message{NewHeader("shop"), "x"})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peer/transport/client.go
+++ b/internal/peer/transport/client.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// retryPause separates two heartbeats of which the first failed.
-	retryPause = 50 * time.Millisecond
+	// retryDelay is the time from a failed heartbeat to the next.
+	retryDelay = 50 * time.Millisecond
 	// exchangeTimeout bounds one exchange: as a rule it is answered a heartbeat interval later.
 	exchangeTimeout = 2 * time.Second
 	// maxConnections bounds the connections to each watcher.
 	maxConnections = 2
 )
 
-// errIncompleteReport says that a watcher reports changes of what was never received.
-var errIncompleteReport = errors.New("changes of what was never heard")
+// errIncompleteReport says that a watcher reports changes of a list that this process has not received.
+var errIncompleteReport = errors.New("changes of a list that was not received")
 
-// Watcher is where a watcher takes heartbeats.
+// Watcher is the name of a watcher and where it takes heartbeats.
 type Watcher struct {
 	Name    string
 	Address string // HOST:PORT
 }
 
-// Client is this process among the others of its fleet. It is safe for concurrent use.
+// Client sends this process's heartbeats and receives the watchers' reports. It is safe for concurrent use.
 type Client struct {
 	fleet    string
 	watchers []Watcher
@@ -84,7 +84,7 @@
 		case <-ctx.Done():
 		case <-ticker.C:
 			c.mu.Lock()
-			c.notify(c.view.Tick(c.clock()))
+			c.publish(c.view.Tick(c.clock()))
 			c.mu.Unlock()
 		}
 	}
@@ -99,7 +99,7 @@
 		r, err := c.exchange(ctx, w, known)
 		if err != nil {
 			known = reportID{}
-			sleep(ctx, retryPause)
+			sleep(ctx, retryDelay)
 			continue
 		}
 		known = reportID{r.ServerIncarnation, r.Version}
@@ -143,7 +143,7 @@
 			c.log.Warn("heartbeat rejected", "watcher", w.Name, "reason", r.Result.String())
 		}
 	}
-	c.notify(c.view.Merge(c.clock(), w.Name, peer.Report{Complete: r.Complete, Members: r.Members}))
+	c.publish(c.view.Merge(c.clock(), w.Name, peer.Report{Complete: r.Complete, Members: r.Members}))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -153,8 +153,8 @@
 	}
 }
 
-// notify logs changes, and wakes those who wait for one. c.mu is held.
-func (c *Client) notify(changes []peer.Change) {
+// publish logs what has changed, and wakes the callers of Members that wait for a change. c.mu is held.
+func (c *Client) publish(changes []peer.Change) {
 	if isolated, _ := c.view.Isolated(); isolated != c.isolated {
 		c.isolated = isolated
 		if isolated { // what is known of others may be outdated
@@ -180,14 +180,14 @@
 	return c.State != c.Previous && (c.State == peer.Gone || c.Previous == peer.Gone || c.Previous == 0)
 }
 
-// MarkLeaving makes this process known as one that drains: the next one of its name counts from then.
+// MarkLeaving announces that this process drains: from then on another of its name may take its place.
 func (c *Client) MarkLeaving() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.self.Leaving = true
 }
 
-// IsReplaced reports whether another process of this one's name counts since.
+// IsReplaced reports whether another process of this one's name has taken its place.
 func (c *Client) IsReplaced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peer/transport/server.go
+++ b/internal/peer/transport/server.go
@@ -23,7 +23,7 @@
 
 	mu               sync.Mutex
 	detector         *peer.Detector
-	notifiedVersion  uint64        // that changed was closed for last
+	notifiedVersion  uint64        // the version for which changed was last closed
 	changed          chan struct{} // closed with the next change of the opinion
 	connections      map[net.Conn]uint64
 	lastConnectionID uint64
@@ -81,15 +81,15 @@
 	return result
 }
 
-// Stop makes the watcher report no more changes. As its connections are closed, one after another, it would take those
-// that are closed first for the ends of processes, and say so to the others.
+// Stop makes the watcher report no more changes. Otherwise, as the server closes its connections one after another, it
+// would take the first ones for ends of processes and report that on the others.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
 }
 
-// Run lets time pass until ctx ends.
+// Run gives the detector its ticks until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	for {
 		s.mu.Lock()
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -10,10 +10,10 @@
 type View struct {
 	parameters    Parameters
 	watchers      int
-	reports       map[string]*received // by watcher
+	opinions      map[string]*opinion // of the watchers, by name
 	members       map[string]MemberState
 	isolated      bool
-	isolatedSince time.Duration // or since when it is not
+	isolatedSince time.Duration // when isolated last changed
 }
 
 // Report is what a watcher knows: of all members if it is complete, else of those that have changed since its last
@@ -23,9 +23,9 @@
 	Members  []MemberState
 }
 
-// received is a watcher's opinion of all members.
-type received struct {
-	at      time.Duration // of the last report
+// opinion is what a watcher knows of all members, as it has reported it.
+type opinion struct {
+	updated time.Duration // when the last report came
 	members map[string]MemberState
 }
 
@@ -35,12 +35,12 @@
 	Previous State
 }
 
-// NewView returns the view of an instance that has heard nothing, with so many watchers.
+// NewView returns the view of an instance that has received no report yet, with so many watchers.
 func NewView(parameters Parameters, watchers int, now time.Duration) *View {
 	return &View{
 		parameters:    parameters,
 		watchers:      watchers,
-		reports:       make(map[string]*received),
+		opinions:      make(map[string]*opinion),
 		members:       make(map[string]MemberState),
 		isolated:      true,
 		isolatedSince: now,
@@ -52,15 +52,15 @@
 
 // Merge takes a watcher's report at a time and returns what has changed.
 func (v *View) Merge(now time.Duration, watcher string, report Report) []Change {
-	r := v.reports[watcher]
+	r := v.opinions[watcher]
 	if r == nil {
 		if !report.Complete {
 			return nil // the rest was never received
 		}
-		r = &received{}
-		v.reports[watcher] = r
+		r = &opinion{}
+		v.opinions[watcher] = r
 	}
-	r.at = now
+	r.updated = now
 	if report.Complete {
 		r.members = make(map[string]MemberState, len(report.Members))
 	}
@@ -79,7 +79,7 @@
 		return nil
 	}
 	for _, name := range v.knownNames() {
-		s, known := v.judge(now, name)
+		s, known := v.majorityState(now, name)
 		old := v.members[name]
 		switch {
 		case !known && old.Name != "": // forgotten by all
@@ -94,7 +94,7 @@
 
 func (v *View) updateIsolated(now time.Duration) {
 	fresh := 0
-	for _, r := range v.reports {
+	for _, r := range v.opinions {
 		if v.isFresh(now, r) {
 			fresh++
 		}
@@ -104,16 +104,16 @@
 	}
 }
 
-func (v *View) isFresh(now time.Duration, r *received) bool {
-	return now-r.at < v.parameters.GoneAfter
+func (v *View) isFresh(now time.Duration, r *opinion) bool {
+	return now-r.updated < v.parameters.GoneAfter
 }
 
-// knownNames returns the names of all members that are known of, in order.
+// knownNames returns the names of all members in the view and in reports, in order.
 func (v *View) knownNames() (list []string) {
 	for name := range v.members {
 		list = append(list, name)
 	}
-	for _, r := range v.reports {
+	for _, r := range v.opinions {
 		for name := range r.members {
 			list = append(list, name)
 		}
@@ -124,38 +124,39 @@
 
 // votes are what the fresh reports say of one process of a member.
 type votes struct {
-	seen         MemberState
+	member       MemberState
 	alive, total int
 }
 
-// isBetter reports whether a process rather counts than another of its name: the one that most watchers see alive.
+// isBetter reports whether a process comes before another of its name: the one that more watchers see alive.
 func (r *votes) isBetter(than *votes) bool {
 	return cmp.Or(
 		cmp.Compare(r.alive, than.alive),
 		cmp.Compare(r.total, than.total),
-		cmp.Compare(r.seen.Incarnation, than.seen.Incarnation),
+		cmp.Compare(r.member.Incarnation, than.member.Incarnation),
 	) > 0
 }
 
-// countVotes counts what the fresh reports say of a member, by its incarnations. A watcher that has not heard of the
-// latest process says of the name that it is gone, so these votes count for all of them.
+// countVotes counts what the fresh reports say of a member, by its incarnations. It returns the votes of the best one.
+// A watcher that does not know the latest process yet reports the name as gone under an earlier incarnation, so gone
+// counts these votes of all incarnations.
 func (v *View) countVotes(now time.Duration, name string) (best *votes, gone int) {
 	processes := make(map[uint64]*votes)
-	for _, r := range v.reports {
+	for _, r := range v.opinions {
 		s, ok := r.members[name]
 		if !ok || !v.isFresh(now, r) {
 			continue
 		}
 		p := processes[s.Incarnation]
 		if p == nil {
-			p = &votes{seen: s}
+			p = &votes{member: s}
 			processes[s.Incarnation] = p
 		}
 		p.total++
 		switch s.State {
 		case Alive:
 			p.alive++
-			p.seen.Leaving = p.seen.Leaving || s.Leaving
+			p.member.Leaving = p.member.Leaving || s.Leaving
 		case Gone:
 			gone++
 		}
@@ -168,20 +169,20 @@
 	return best, gone
 }
 
-// judge returns what a majority of the watchers knows of a member, and whether any of them knows it.
-func (v *View) judge(now time.Duration, name string) (MemberState, bool) {
+// majorityState returns what a majority of the watchers knows of a member, and whether any of them knows it.
+func (v *View) majorityState(now time.Duration, name string) (MemberState, bool) {
 	best, gone := v.countVotes(now, name)
 	if best == nil {
 		return MemberState{}, false
 	}
-	s := best.seen
+	s := best.member
 	old, known := v.members[name]
 	switch {
 	case best.alive >= v.majority():
 		s.State = Alive
 	case gone >= v.majority():
 		s.State = Gone
-	case known && old.Incarnation == s.Incarnation && old.State == Gone: // it comes back by a majority alone
+	case known && old.Incarnation == s.Incarnation && old.State == Gone: // only a majority brings it back
 		s.State = Gone
 	default:
 		s.State = Suspect
@@ -189,7 +190,7 @@
 	return s, true
 }
 
-// Isolated reports whether too few watchers are heard, and since when that is so, or is not.
+// Isolated reports whether too few watchers send reports, and when that last changed.
 func (v *View) Isolated() (isolated bool, since time.Duration) { return v.isolated, v.isolatedSince }
 
 // Members returns all members that are known, by name.
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -1,12 +1,12 @@
-// Package store keeps what must outlive a process: a file of numbered records and a few named ones. It knows bytes, and
-// nothing of what they are about.
+// Package store keeps what must outlive a process: a file of numbered records and a few named ones. It does not
+// interpret the bytes of the records.
 //
 // Guarantees:
 //
-//  1. What a call has returned from without an error lasts, over a kill and a loss of power, as far as the disk keeps
-//     its promise to sync.
+//  1. A change that was saved without an error survives a kill and a loss of power, provided that the disk has written
+//     what it reports as synced.
 //  2. A call that fails has changed nothing.
-//  3. A file that was not made by Create is not opened, and one is never made over another.
+//  3. A file that was not made by Create is not opened, and Create replaces no file.
 //
 // It does not repair files and keeps no copies. It starts no goroutines; a [Log] belongs to its caller until Close.
 package store
@@ -23,7 +23,7 @@
 )
 
 // ErrNotFound says that there is no file: it was never made, or is lost.
-var ErrNotFound = errors.New("store: there is none")
+var ErrNotFound = errors.New("store: no such file")
 
 const (
 	// lockTimeout bounds the wait for another process that has the file open.
@@ -63,10 +63,10 @@
 // Create makes a file, which must not exist, with a first change.
 func Create(path string, first Change) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("store: %s is there already", path)
+		return fmt.Errorf("store: %s exists already", path)
 	}
 	unfinished := path + unfinishedSuffix
-	os.Remove(unfinished) // of a process that ended while it made one
+	os.Remove(unfinished) // left by a process that ended during Create
 	if err := createFile(unfinished, first); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -96,7 +96,7 @@
 	return errors.Join(err, l.Close())
 }
 
-// syncDirectory makes a rename in a directory last.
+// syncDirectory makes a rename in a directory durable.
 func syncDirectory(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 	err = db.View(func(tx *bolt.Tx) error {
 		if tx.Bucket(namedBucket) == nil || tx.Bucket(logBucket) == nil {
-			return errors.New("it holds something else")
+			return errors.New("not a file made by Create")
 		}
 		return nil
 	})
@@ -130,7 +130,7 @@
 // Close ends the use of the file.
 func (l *Log) Close() error { return l.db.Close() }
 
-// Save makes a change last.
+// Save makes a change durable.
 func (l *Log) Save(c Change) error {
 	return l.db.Update(func(tx *bolt.Tx) error {
 		for name, data := range c.Named {
@@ -161,7 +161,7 @@
 // indexKey returns a record's key; keys are ordered as indices are.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// deleteRange deletes the records from one key on, through another unless that is nil.
+// deleteRange deletes the records from one key through another. A nil key leaves that end open.
 func deleteRange(b *bolt.Bucket, from, through []byte) error {
 	var keys [][]byte
 	c := b.Cursor()
--- a/internal/store/log_test.go
+++ b/internal/store/log_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestLog(t *testing.T) {
+func TestSavedChangesAreLoaded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a")
 	if _, err := Open(path); !errors.Is(err, ErrNotFound) {
 		t.Fatalf("opened before it was made: %v", err)
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -29,20 +29,20 @@
 // String returns the verdict as logs have it.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Options say how a proxy goes about writes.
+// Options are the configuration of replicated writes.
 type Options struct {
 	Replicas       int  // holders beside the owner: 1 or 2
 	RequireReplica bool // a write is rejected where none of them can be had
 }
 
-// ClaimKind is why an owner asks.
+// ClaimKind is why an owner claims a write.
 type ClaimKind uint8
 
 // The kinds.
 const (
-	FirstAttempt ClaimKind = iota // of a client
-	ClientRetry                   // the client says that it has asked before
-	TakenOver                     // a holder goes on with an orphaned write
+	FirstAttempt ClaimKind = iota // a client's first request
+	ClientRetry                   // a request that the client marks as a repetition
+	TakenOver                     // a holder continues an orphaned write
 )
 
 // Claim is an owner's side of one write. The zero value is not usable.
@@ -53,24 +53,23 @@
 	window      time.Duration
 	requestedAt time.Duration // by the owner's clock
 
-	awaitedResponses int
-	inProgress       bool // another owner has the write
-	windowExpired    bool // a holder says that it may not be sent any more
-	grants           int
-	grantsByOthers   int
-	unavailable      int      // others that had no room, or should have answered
-	uninformed       []string // holders that said nothing, or may have forgotten
-	previousOwner    string   // name of the owner that a holder knew
-	epoch            uint64
-	age              time.Duration // the most that any holder knows
+	awaitedResponses   int
+	inProgress         bool     // another owner has the write
+	windowExpired      bool     // a holder says that it may not be sent any more
+	grants             int      // the first is that of the owner's own registry
+	unavailableHolders int      // others that had no room, or did not answer
+	uninformed         []string // holders that did not answer, or may have forgotten
+	previousOwner      string   // name of the owner that a holder knew
+	epoch              uint64
+	age                time.Duration // the most that any holder knows
 
 	verdict  Verdict
 	deadline time.Duration // of the permission
 	receipt  string
 }
 
-// NewClaim returns the claim to a write that is asked for at the owner's own registry and at so many other holders. All
-// of them that live must grant it: so each of them knows of whatever was sent.
+// NewClaim returns the claim to a write at the owner's own registry and so many other holders. All of them that live
+// must grant it: so each of them knows of whatever was sent.
 func NewClaim(
 	parameters Parameters, window, now time.Duration, others int, o Options, kind ClaimKind,
 ) *Claim {
@@ -93,7 +92,7 @@
 // Epoch returns the epoch that the owner completes the write under.
 func (c *Claim) Epoch() uint64 { return c.epoch }
 
-// IsInProgress reports whether a holder has said that another owner has the write: it is worth waiting for the rest.
+// IsInProgress reports whether a holder has said that another owner has the write: a further response of it follows.
 func (c *Claim) IsInProgress() bool { return c.inProgress }
 
 // HandleResponse takes a holder's response.
@@ -116,18 +115,15 @@
 	case SafeToRetry:
 		c.verdict = Reject
 	case Declined:
-		c.unavailable++
+		c.unavailableHolders++
 	case Granted:
-		c.noteGrant(holder, r)
+		c.addGrant(holder, r)
 	}
 	c.decide()
 }
 
-func (c *Claim) noteGrant(holder string, r ClaimResponse) {
+func (c *Claim) addGrant(holder string, r ClaimResponse) {
 	c.grants++
-	if c.grants > 1 { // the first is that of the owner's own registry
-		c.grantsByOthers++
-	}
 	if r.MayHaveForgotten {
 		c.uninformed = append(c.uninformed, holder)
 	}
@@ -144,7 +140,7 @@
 // HolderTimedOut says that a holder has not answered, and that there is no other to ask.
 func (c *Claim) HolderTimedOut(holder string) {
 	if c.verdict == Undecided {
-		c.unavailable++
+		c.unavailableHolders++
 	}
 	c.HolderGone(holder)
 }
@@ -169,16 +165,15 @@
 	}
 }
 
-// decide looks whether enough is known. All who can answer are waited for: one of several may know that the write was
-// served.
+// decide reaches a verdict once all holders that can answer have: one of several may know that the write was served.
 func (c *Claim) decide() {
 	switch {
 	case c.verdict != Undecided || c.awaitedResponses > 0:
 	case c.windowExpired:
 		c.verdict = OutcomeUnknown
-	case c.unavailable > 0 || c.grantsByOthers == 0 && c.kind != TakenOver:
+	case c.unavailableHolders > 0 || c.grants <= 1 && c.kind != TakenOver:
 		c.decideWithoutHolders()
-	case c.mayHaveRunUnknown():
+	case c.mayHaveRunEarlier():
 		c.verdict = OutcomeUnknown
 	default:
 		c.verdict = Proceed
@@ -192,7 +187,7 @@
 // decideWithoutHolders decides where holders can't be had.
 func (c *Claim) decideWithoutHolders() {
 	switch {
-	case c.kind != FirstAttempt || c.age > 0: // it may have run, as far as those know who answer
+	case c.kind != FirstAttempt || c.age > 0: // it may have run
 		c.verdict = OutcomeUnknown
 	case c.options.RequireReplica:
 		c.verdict = Reject
@@ -201,9 +196,9 @@
 	}
 }
 
-// mayHaveRunUnknown reports whether a write that is not new may have run longer ago than those know who answered: as
-// many holders as there are replicas may lack what they should know.
-func (c *Claim) mayHaveRunUnknown() bool {
+// mayHaveRunEarlier reports whether a write that is not new may have run longer ago than the holders that answered
+// know. That is so once as many holders as there are replicas are uninformed: they may be all that knew.
+func (c *Claim) mayHaveRunEarlier() bool {
 	switch c.kind {
 	case ClientRetry:
 		return c.countUninformed() >= c.options.Replicas
@@ -213,7 +208,7 @@
 	return false
 }
 
-// countUninformed counts the holders that might have known more. The previous owner, which was lost, is none of them.
+// countUninformed counts the uninformed holders but for the previous owner, which is known to be lost.
 func (c *Claim) countUninformed() (n int) {
 	for _, holder := range c.uninformed {
 		if holder != c.previousOwner {
--- a/internal/takeover/claim_test.go
+++ b/internal/takeover/claim_test.go
@@ -15,8 +15,8 @@
 	gone      = ClaimResponse{Decision: 99}
 )
 
-// TestClaim has an owner decide by what holders answer.
-func TestClaim(t *testing.T) {
+// TestClaimVerdicts has an owner decide by what holders answer.
+func TestClaimVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		kind           ClaimKind
--- a/internal/takeover/coordinator/claims.go
+++ b/internal/takeover/coordinator/claims.go
@@ -10,7 +10,7 @@
 const (
 	// responseTimeout is how long a holder's response is waited for.
 	responseTimeout = 150 * time.Millisecond
-	// answerMargin is how long before its time is over a client is answered.
+	// answerMargin is how long before its deadline a client is answered.
 	answerMargin = 30 * time.Millisecond
 )
 
@@ -24,17 +24,17 @@
 	epoch     uint64 // that the write is completed under
 	holders   []takeover.Owner
 	// awaited are the holders that have not answered, and until when they are waited for.
-	awaited     map[string]time.Duration
-	deadline    time.Duration // when the client's time is over
-	othersAsked bool
-	// What the other holders are told of a write that was taken over.
-	takenEpoch uint64
-	takenAge   time.Duration
+	awaited         map[string]time.Duration
+	deadline        time.Duration // when the client's time is over
+	othersRequested bool
+	// What is sent to the other holders of a write that was taken over.
+	takeoverEpoch uint64
+	takeoverAge   time.Duration
 }
 
 // newClaim returns a claim at this proxy's registry and at the write's other holders.
 func (c *Coordinator) newClaim(write takeover.Write, kind takeover.ClaimKind, now time.Duration) *claim {
-	holders, gone := c.holders(write.ID)
+	holders, gone := c.holdersOf(write.ID)
 	c.lastID++
 	options := takeover.Options{Replicas: c.options.Replicas, RequireReplica: c.options.RequireReplica}
 	cl := &claim{
@@ -67,11 +67,11 @@
 	cl.requestID = w.requestID
 	cl.deadline = now + time.Until(w.expires) - answerMargin
 	c.requesters[cl.id] = requester{claimID: cl.id, isSelf: true}
-	c.tellRegistry(takeover.ClaimRequest{
+	c.handleRegistryEvent(takeover.ClaimRequest{
 		RequestID: cl.id,
 		Write:     w.write,
 		Owner:     c.options.Self,
-		Rank:      len(cl.holders),
+		Rank:      len(cl.holders), // after all other holders
 		Retry:     w.retry,
 	})
 }
@@ -90,9 +90,9 @@
 		r.MayHaveForgotten = true // it was passed over while it was absent, whatever it knows of that
 	}
 	cl.HandleResponse(holder, r)
-	mayAsk := r.Decision == takeover.Granted || r.Decision == takeover.WindowExpired
-	if isSelf && mayAsk && !cl.othersAsked {
-		c.askOthers(cl, 0, 0)
+	othersMayKnow := r.Decision == takeover.Granted || r.Decision == takeover.WindowExpired
+	if isSelf && othersMayKnow && !cl.othersRequested {
+		c.requestFromOthers(cl, 0, 0)
 	}
 	c.decide(cl)
 }
@@ -103,29 +103,29 @@
 	return ok && c.options.Clock()-at < takeover.DefaultParameters.RecoveryPeriod
 }
 
-// askOthers asks the other holders. One that has ended meanwhile is gone.
-func (c *Coordinator) askOthers(cl *claim, epoch uint64, age time.Duration) {
-	cl.othersAsked = true
-	cl.takenEpoch, cl.takenAge = epoch, age
+// requestFromOthers sends the claim to the other holders. One that has ended meanwhile counts as gone.
+func (c *Coordinator) requestFromOthers(cl *claim, epoch uint64, age time.Duration) {
+	cl.othersRequested = true
+	cl.takeoverEpoch, cl.takeoverAge = epoch, age
 	for rank, o := range cl.holders {
 		m := c.members[o.Name]
 		if m == nil || m.Owner != o || c.gone[o] {
 			cl.HolderGone(o.Name)
 			continue
 		}
-		c.askHolder(cl, m, rank)
+		c.requestFrom(cl, m, rank)
 	}
 }
 
-func (c *Coordinator) askHolder(cl *claim, m *member, rank int) {
+func (c *Coordinator) requestFrom(cl *claim, m *member, rank int) {
 	cl.awaited[m.Name] = c.options.Clock() + responseTimeout
 	m.queue(func(o *outbox) {
 		o.claims = append(o.claims, claimRequest{
 			ClaimID: cl.id,
 			Write:   cl.write,
 			Rank:    rank,
-			Epoch:   cl.takenEpoch,
-			Age:     cl.takenAge,
+			Epoch:   cl.takeoverEpoch,
+			Age:     cl.takeoverAge,
 			Retry:   cl.kind != takeover.FirstAttempt,
 		})
 	})
@@ -148,21 +148,22 @@
 // replaceHolder asks another proxy in place of a holder that has not answered: that one may be paused, which is known
 // only later. It reports whether there is another.
 func (c *Coordinator) replaceHolder(cl *claim, holder string) bool {
-	if len(cl.holders) >= 2*c.options.Replicas+1 { // enough were asked
+	maxHolders := 2*c.options.Replicas + 1
+	if len(cl.holders) >= maxHolders {
 		return false
 	}
 	for _, m := range c.rankedMembers(cl.write.ID) {
 		if !slices.Contains(cl.holders, m.Owner) && !c.gone[m.Owner] {
 			cl.ReplaceHolder(holder)
 			cl.holders = append(cl.holders, m.Owner)
-			c.askHolder(cl, m, len(cl.holders)-1)
+			c.requestFrom(cl, m, len(cl.holders)-1)
 			return true
 		}
 	}
 	return false
 }
 
-// decide does what follows once a claim's verdict stands.
+// decide acts on a claim's verdict, once there is one.
 func (c *Coordinator) decide(cl *claim) {
 	verdict, deadline := cl.Verdict()
 	if verdict == takeover.Undecided || c.claims[cl.id] != cl {
@@ -177,7 +178,7 @@
 	c.decideForClient(cl, verdict, deadline)
 }
 
-// decideForClient permits the core to send, or has it answer the client. Where nothing is sent the holders are told.
+// decideForClient permits the core to send, or has it answer the client and reports the outcome to the holders.
 func (c *Coordinator) decideForClient(cl *claim, verdict takeover.Verdict, deadline time.Duration) {
 	switch verdict {
 	case takeover.Proceed:
@@ -186,7 +187,7 @@
 		return
 	case takeover.ProceedUnreplicated:
 		c.count(func(n *Counts) { n.Unreplicated++ })
-		// The holders that know of it, be it the own registry alone, are to learn what came of it.
+		// The outcome is reported later even so: to the own registry, and to the holders that know of the write.
 		c.permit(cl, takeover.DefaultParameters.PermissionDuration)
 		return
 	}
@@ -198,8 +199,8 @@
 		c.reportOutcome(cl, takeover.Served, cl.Receipt())
 	case takeover.OutcomeUnknown:
 		c.count(func(n *Counts) { n.OutcomeUnknown++ })
-		// And so it stays: who asks again later, when those that may have forgotten are past their recovery period, is
-		// not to find that they know nothing.
+		// Recorded as unknown: a later claim, made when the holders that may have forgotten are past their recovery
+		// period, must not take the write for a new one.
 		c.reportUnsent(cl, takeover.Unknown)
 	case takeover.KeyConflict:
 		c.count(func(n *Counts) { n.Rejected++ })
@@ -209,7 +210,7 @@
 	}
 }
 
-// permit has the core send a write, if that is still wanted.
+// permit has the core send a write, if its client still waits.
 func (c *Coordinator) permit(cl *claim, within time.Duration) {
 	cl.epoch = max(cl.Epoch(), 1)
 	c.sending[cl.requestID] = cl
@@ -219,15 +220,15 @@
 	}
 }
 
-// reportUnsent gives a write its outcome that this owner does not send.
+// reportUnsent reports the outcome of a write that this owner does not send.
 func (c *Coordinator) reportUnsent(cl *claim, outcome takeover.Outcome) {
 	cl.epoch = max(cl.Epoch(), 1)
 	c.reportOutcome(cl, outcome, "")
 }
 
-// reportOutcome tells all holders what came of a write, this proxy's own registry first.
+// reportOutcome reports the outcome of a write to all holders, this proxy's own registry first.
 func (c *Coordinator) reportOutcome(cl *claim, outcome takeover.Outcome, receipt string) {
-	c.tellRegistry(takeover.Completion{
+	c.handleRegistryEvent(takeover.Completion{
 		ID:      cl.write.ID,
 		Digest:  cl.write.Digest,
 		Owner:   c.options.Self,
--- a/internal/takeover/coordinator/coordinator.go
+++ b/internal/takeover/coordinator/coordinator.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// maxQueuedInputs bounds what waits for the coordinator's goroutine; finished writes come beside.
+	// maxQueuedInputs bounds the inbox but for writeFinished, which is always taken.
 	maxQueuedInputs = 16384
-	// tickInterval separates two looks at what is due.
+	// tickInterval is the time between two ticks, at which timeouts are checked.
 	tickInterval = 20 * time.Millisecond
 	// pauseThreshold is the time between two ticks that counts as a pause of this process, as in package pause.
 	pauseThreshold = 300 * time.Millisecond
@@ -26,12 +26,12 @@
 	maxConnections = 4
 )
 
-// Core is what a coordinator asks of the proxy that it belongs to.
+// Core is what a coordinator needs of the proxy that it belongs to.
 type Core interface {
-	// ClaimDecided says what was decided on a write; with Proceed it may be sent for a time yet. It reports whether
-	// that was still wanted.
+	// ClaimDecided passes on the verdict on a write; with Proceed the write may be sent for the time within. It reports
+	// whether the request was still waiting for it.
 	ClaimDecided(requestID uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool
-	// ResumeWrite goes on with a write that another proxy had, which may be sent for a time yet.
+	// ResumeWrite sends a write that another proxy had in flight, which may be sent for the time within.
 	ResumeWrite(in *request.Request, within time.Duration) (requestID uint64, ok bool)
 }
 
@@ -41,7 +41,7 @@
 	Members() (list []peer.MemberState, isolated bool, changed <-chan struct{})
 }
 
-// Options say how writes are held.
+// Options configure a coordinator.
 type Options struct {
 	Fleet          string
 	Self           takeover.Owner
@@ -71,18 +71,18 @@
 	sending    map[uint64]*claim    // by the core's request ID
 	members    map[string]*member   // by name
 	gone       map[takeover.Owner]bool
-	// presenceChanged is when a member was lost, or heard again, by name.
+	// presenceChanged is when a member was lost, or returned, by name.
 	presenceChanged map[string]time.Duration
-	selfGone        bool // the others take this process for gone
+	selfGone        bool // the fleet's members list this process as gone
 	isolated        bool
-	takenOver       uint64 // writes so far
+	resumedWrites   uint64 // writes so far
 	lastTick        time.Duration
 }
 
 // input is what comes to the coordinator's goroutine.
 type input interface{ handle(c *Coordinator) }
 
-// New returns a coordinator; Run puts it to work.
+// New returns a coordinator that does nothing until Run.
 func New(core Core, o Options) *Coordinator {
 	return &Coordinator{
 		options:         o,
@@ -116,7 +116,7 @@
 func (c *Coordinator) Complete(requestID uint64, outcome takeover.Outcome, receipt string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.append(writeFinished{requestID, outcome, receipt})
+	c.appendInput(writeFinished{requestID, outcome, receipt})
 }
 
 // enqueue hands something to the coordinator's goroutine, unless there is no room.
@@ -126,12 +126,12 @@
 	if len(c.inbox) >= maxQueuedInputs {
 		return false
 	}
-	c.append(in)
+	c.appendInput(in)
 	return true
 }
 
-// append adds to the inbox and wakes the goroutine. c.mu is held.
-func (c *Coordinator) append(in input) {
+// appendInput adds to the inbox and wakes the coordinator's goroutine. c.mu is held.
+func (c *Coordinator) appendInput(in input) {
 	c.inbox = append(c.inbox, in)
 	select {
 	case c.wake <- struct{}{}:
@@ -139,7 +139,7 @@
 	}
 }
 
-// takeInbox returns what has come.
+// takeInbox empties the inbox and returns what was in it.
 func (c *Coordinator) takeInbox() []input {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +148,7 @@
 	return inputs
 }
 
-// Run keeps the coordinator at work until ctx ends, on a listener of its own.
+// Run runs the coordinator on a listener of its own until ctx ends.
 func (c *Coordinator) Run(ctx context.Context, listener net.Listener, fleet Membership) {
 	var tasks sync.WaitGroup
 	server := rpc.NewServer(c.handler(), writeTimeout)
@@ -175,7 +175,7 @@
 		case <-changed:
 			list, isolated, changed = fleet.Members()
 			if c.isolated && !isolated {
-				c.tellRegistry(takeover.Rejoined{})
+				c.handleRegistryEvent(takeover.Rejoined{})
 			}
 			c.isolated = isolated
 			c.updateMembers(ctx, list, tasks)
@@ -205,19 +205,19 @@
 	}
 }
 
-// tick lets time pass: for the registry, for holders that do not answer, and for clients whose time is over.
+// tick checks what is due: in the registry, of holders that do not answer, and of clients whose time is over.
 func (c *Coordinator) tick() {
 	now := c.options.Clock()
 	if now-c.lastTick >= pauseThreshold { // what the others sent meanwhile may be lost
-		c.tellRegistry(takeover.Rejoined{})
+		c.handleRegistryEvent(takeover.Rejoined{})
 	}
 	c.lastTick = now
-	c.tellRegistry(takeover.Tick{})
+	c.handleRegistryEvent(takeover.Tick{})
 	for _, cl := range c.claims {
 		c.replaceSilentHolders(cl, now)
 		if now >= cl.deadline {
 			cl.ClientTimedOut()
-			c.tellRegistry(takeover.WaiterLeft{ID: cl.write.ID, RequestID: cl.id})
+			c.handleRegistryEvent(takeover.WaiterLeft{ID: cl.write.ID, RequestID: cl.id})
 		}
 		c.decide(cl)
 	}
@@ -230,8 +230,8 @@
 	isSelf  bool
 }
 
-// tellRegistry gives the registry an event and does what it asks. What is done may bring further events.
-func (c *Coordinator) tellRegistry(event takeover.Event) {
+// handleRegistryEvent passes an event to the registry and carries out its actions, which may bring further events.
+func (c *Coordinator) handleRegistryEvent(event takeover.Event) {
 	for _, action := range c.registry.Handle(c.options.Clock(), event, nil) {
 		switch a := action.(type) {
 		case takeover.ClaimResponse:
@@ -242,7 +242,7 @@
 	}
 }
 
-// registryAnswered takes the registry's response to the requester.
+// registryAnswered passes the registry's response on to the requester.
 func (c *Coordinator) registryAnswered(a takeover.ClaimResponse) {
 	to, ok := c.requesters[a.RequestID]
 	if !ok {
--- a/internal/takeover/coordinator/coordinator_test.go
+++ b/internal/takeover/coordinator/coordinator_test.go
@@ -100,8 +100,8 @@
 	})
 }
 
-// TestWithoutHolders has a proxy be alone.
-func TestWithoutHolders(t *testing.T) {
+// TestVerdictsWithoutHolders has a proxy be alone.
+func TestVerdictsWithoutHolders(t *testing.T) {
 	for _, c := range []struct {
 		requireReplica bool
 		want           takeover.Verdict
@@ -136,7 +136,7 @@
 	if len(list) != 1 {
 		t.Fatalf("%+v", list)
 	}
-	if w := list[0]; w.ID != "write\x00shop\x00k" || w.Owner != "a" || w.State != takeover.StateOpen {
+	if w := list[0]; w.ID != "write\x00shop\x00k" || w.Owner != "a" || w.State != takeover.StateInFlight {
 		t.Errorf("%+v", w)
 	}
 }
--- a/internal/takeover/coordinator/counts.go
+++ b/internal/takeover/coordinator/counts.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// Counts are of what a coordinator has done since its start.
+// Counts count what a coordinator has done since its start.
 type Counts struct {
 	Claims         int // of clients' writes
 	Proceeded      int // claims that were permitted
--- a/internal/takeover/coordinator/inputs.go
+++ b/internal/takeover/coordinator/inputs.go
@@ -48,7 +48,7 @@
 	for _, r := range m.Claims {
 		c.lastID++
 		c.requesters[c.lastID] = requester{owner: m.From, claimID: r.ClaimID}
-		c.tellRegistry(takeover.ClaimRequest{
+		c.handleRegistryEvent(takeover.ClaimRequest{
 			RequestID: c.lastID,
 			Write:     r.Write,
 			Owner:     m.From,
@@ -59,7 +59,7 @@
 		})
 	}
 	for _, done := range m.Completions {
-		c.tellRegistry(takeover.Completion{
+		c.handleRegistryEvent(takeover.Completion{
 			ID:      done.ID,
 			Digest:  done.Digest,
 			Owner:   m.From,
@@ -95,7 +95,7 @@
 	if !rpc.ReadRequest(w, r, c.options.Fleet, &m) {
 		return
 	}
-	if m.To != c.options.Self { // for a process that was here before
+	if m.To != c.options.Self { // for an earlier process at this address
 		http.Error(w, "another process", http.StatusGone)
 		return
 	}
--- a/internal/takeover/coordinator/members.go
+++ b/internal/takeover/coordinator/members.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/takeover"
 )
 
-// updateMembers takes the fleet's members as they are now.
+// updateMembers compares the fleet's members with those known, and handles what was lost, returned or is new.
 func (c *Coordinator) updateMembers(ctx context.Context, list []peer.MemberState, tasks *sync.WaitGroup) {
 	c.forgetMembers(list)
 	for _, s := range list {
@@ -34,7 +34,7 @@
 		case s.State == peer.Alive && c.gone[owner]:
 			delete(c.gone, owner)
 			c.presenceChanged[owner.Name] = c.options.Clock()
-			c.tellRegistry(takeover.OwnerReturned{Owner: owner})
+			c.handleRegistryEvent(takeover.OwnerReturned{Owner: owner})
 		}
 		if m == nil && s.State != peer.Gone && s.Address != "" {
 			c.addMember(ctx, s, tasks)
@@ -42,16 +42,16 @@
 	}
 }
 
-// updateSelf notes whether the others take this process for gone: then it was passed over meanwhile.
+// updateSelf notes whether the fleet lists this process as gone: until it returned, it was sent no writes.
 func (c *Coordinator) updateSelf(s peer.State) {
 	gone := s == peer.Gone
 	if c.selfGone && !gone {
-		c.tellRegistry(takeover.Rejoined{})
+		c.handleRegistryEvent(takeover.Rejoined{})
 	}
 	c.selfGone = gone
 }
 
-// addMember starts to carry messages to another proxy.
+// addMember adds another proxy, and starts the goroutine that sends it messages.
 func (c *Coordinator) addMember(ctx context.Context, s peer.MemberState, tasks *sync.WaitGroup) {
 	ctx, stop := context.WithCancel(ctx)
 	m := &member{
@@ -64,10 +64,10 @@
 		wake:    make(chan struct{}, 1),
 	}
 	c.members[s.Name] = m
-	tasks.Go(func() { c.carry(ctx, m) })
+	tasks.Go(func() { c.sendMessages(ctx, m) })
 }
 
-// forgetMembers lets go of those whom the fleet has forgotten, so that names that come and go don't pile up.
+// forgetMembers removes the members that the fleet has forgotten, so that names that come and go don't pile up.
 func (c *Coordinator) forgetMembers(list []peer.MemberState) {
 	known := make(map[string]bool, len(list))
 	for _, s := range list {
@@ -86,7 +86,7 @@
 	})
 }
 
-// ownerLost says that a process is gone: no response of it is waited for, and its writes are orphaned.
+// ownerLost handles the loss of a process: no response of it is waited for any more, and its writes are orphaned.
 func (c *Coordinator) ownerLost(o takeover.Owner) {
 	for _, cl := range c.claims {
 		if _, awaited := cl.awaited[o.Name]; awaited {
@@ -95,12 +95,12 @@
 			c.decide(cl)
 		}
 	}
-	c.tellRegistry(takeover.OwnerLost{Owner: o})
+	c.handleRegistryEvent(takeover.OwnerLost{Owner: o})
 }
 
-// holders returns a write's holders beside this proxy: the best ranked members that live; and the names of those before
-// them that are gone, which might know more.
-func (c *Coordinator) holders(id string) (list []*member, gone []string) {
+// holdersOf returns a write's holders beside this proxy: the best ranked members that live; and the names of those
+// ranked before them that are gone, which might know more.
+func (c *Coordinator) holdersOf(id string) (list []*member, gone []string) {
 	for _, m := range c.rankedMembers(id) {
 		switch {
 		case len(list) >= c.options.Replicas:
--- a/internal/takeover/coordinator/orphans.go
+++ b/internal/takeover/coordinator/orphans.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/takeover"
 )
 
-// takeOver begins to go on with an orphaned write: the other holders are heard before anything is sent.
+// takeOver claims an orphaned write that this holder has taken over: the other holders are asked before it is sent.
 func (c *Coordinator) takeOver(a takeover.TakeOver) {
 	now := c.options.Clock()
 	cl := c.newClaim(a.Write, takeover.TakenOver, now)
@@ -22,11 +22,11 @@
 		Age:           a.Age,
 		PreviousOwner: a.PreviousOwner,
 	})
-	c.askOthers(cl, a.Epoch, a.Age)
+	c.requestFromOthers(cl, a.Epoch, a.Age)
 	c.decide(cl)
 }
 
-// decideTakenOver goes on with a write that was taken over, or completes it.
+// decideTakenOver resumes a write that was taken over, or reports its outcome.
 func (c *Coordinator) decideTakenOver(cl *claim, verdict takeover.Verdict, deadline time.Duration) {
 	if verdict == takeover.ReturnReceipt {
 		c.reportOutcome(cl, takeover.Served, cl.Receipt())
@@ -42,7 +42,7 @@
 
 // resume has the core send a write that was taken over, and reports whether it will.
 func (c *Coordinator) resume(cl *claim, deadline time.Duration) bool {
-	c.takenOver++
+	c.resumedWrites++
 	var p payload
 	if cbor.Unmarshal(cl.write.Payload, &p) != nil {
 		return false
@@ -50,7 +50,7 @@
 	in := &request.Request{
 		Verb:           request.Set,
 		Key:            p.Key,
-		ID:             fmt.Sprintf("%s.%x.%d", c.options.Self.Name, c.options.Self.Incarnation, c.takenOver),
+		ID:             fmt.Sprintf("%s.%x.%d", c.options.Self.Name, c.options.Self.Incarnation, c.resumedWrites),
 		Value:          p.Value,
 		Class:          p.Class,
 		Tenant:         p.Tenant,
--- a/internal/takeover/coordinator/outbox.go
+++ b/internal/takeover/coordinator/outbox.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maxQueued bounds the claims, and the responses, that wait for another proxy; more is dropped, and made up for by
-	// who waits for it.
+	// maxQueued bounds the claims, and the responses, that are queued for another proxy. Further ones are dropped: the
+	// claim times out at that holder, and another is asked.
 	maxQueued = 8192
-	// maxQueuedCompletions is more, as completions are kept until they are heard.
+	// maxQueuedCompletions is higher, as completions are kept until they have been received.
 	maxQueuedCompletions = 4 * maxQueued
 	// maxBatch bounds the items of each kind in one message.
 	maxBatch = 256
-	// completionTimeout is how long a holder may be out of reach before it learns no outcome.
+	// completionTimeout is how long sending to a holder may fail before completions for it are dropped.
 	completionTimeout = 5 * time.Second
-	// retryPause separates two messages of which the first failed.
-	retryPause = 20 * time.Millisecond
+	// retryDelay is the time from a failed message to the next.
+	retryDelay = 20 * time.Millisecond
 )
 
 // outbox is what is to be sent to another proxy.
@@ -41,7 +41,7 @@
 	outbox outbox
 }
 
-// queue changes what is to be sent, drops what has no room, and wakes the member's carrier.
+// queue changes what is to be sent, drops what has no room, and wakes the goroutine that sends.
 func (m *member) queue(change func(o *outbox)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,10 +73,10 @@
 
 func (o *outbox) len() int { return len(o.claims) + len(o.responses) + len(o.completions) }
 
-// carry takes what is queued for a member to it, as much as there is at a time. Completions are sent until they are
-// heard, or for completionTimeout; what else is lost is made up for by who waits for it.
-func (c *Coordinator) carry(ctx context.Context, m *member) {
-	var failingSince time.Time // zero while messages are heard
+// sendMessages sends what is queued for a member, in batches. Completions are sent until they have been received, or
+// for completionTimeout; claims and responses are sent once, as the claim's timeout makes up for a loss.
+func (c *Coordinator) sendMessages(ctx context.Context, m *member) {
+	var failingSince time.Time // zero while messages arrive
 	for {
 		batch := m.takeBatch()
 		if batch.len() == 0 {
@@ -103,7 +103,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(retryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
--- a/internal/takeover/holders.go
+++ b/internal/takeover/holders.go
@@ -13,7 +13,7 @@
 }
 
 // RankHolders ranks instances for a write by rendezvous hashing, from the write's ID alone: any proxy finds the same
-// order. Of the instances behind the first, those that lie in zones which none before them lies in come first.
+// order. The best of each zone come first, in the order of their ranks, and then all others in that order.
 func RankHolders(id string, candidates []Candidate) []Candidate {
 	type weighted struct {
 		Candidate
@@ -45,7 +45,8 @@
 	h.Write([]byte(id))
 	h.Write([]byte{0})
 	h.Write([]byte(name))
-	x := h.Sum64() // whose last bytes change too few of its bits
+	x := h.Sum64()
+	// The finalizer of MurmurHash3: the last bytes of FNV's input change too few bits of its sum.
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/internal/takeover/parameters.go
+++ b/internal/takeover/parameters.go
@@ -6,11 +6,11 @@
 type Parameters struct {
 	// MaxClockDrift is the fraction by which a clock may run fast or slow.
 	MaxClockDrift float64
-	// SafetyMargin is left of windows and permissions.
+	// SafetyMargin is subtracted from windows and permissions.
 	SafetyMargin time.Duration
 	// PermissionDuration is how long the permission to send lasts.
 	PermissionDuration time.Duration
-	// TakeoverInterval separates the turns in which holders take an orphaned write over.
+	// TakeoverInterval is the time from one holder's turn to take over an orphaned write to the next one's.
 	TakeoverInterval time.Duration
 	// OutcomeRetention is how long outcomes are kept.
 	OutcomeRetention time.Duration
@@ -25,7 +25,7 @@
 	MaxWaiters int
 }
 
-// DefaultParameters are the parameters in service.
+// DefaultParameters are the parameters of all processes in service.
 var DefaultParameters = Parameters{
 	MaxClockDrift:      0.05,
 	SafetyMargin:       100 * time.Millisecond,
@@ -39,12 +39,12 @@
 	MaxWaiters:         8,
 }
 
-// atLeast returns the part of a span that surely lies within it by another's clock.
+// atLeast returns how long a span lasts at least by this process's clock, if another's clock has measured it.
 func (p Parameters) atLeast(span time.Duration) time.Duration {
 	return time.Duration(float64(span)*(1-p.MaxClockDrift)) - p.SafetyMargin
 }
 
-// atMost returns what an age by another's clock may be by one's own.
+// atMost returns how long an age is at most by this process's clock, if another's clock has measured it.
 func (p Parameters) atMost(age time.Duration) time.Duration {
 	return time.Duration(float64(age) * (1 + p.MaxClockDrift))
 }
--- a/internal/takeover/registry.go
+++ b/internal/takeover/registry.go
@@ -12,38 +12,38 @@
 	owner      Owner
 	epoch      uint64
 	ownerCount int           // owners so far that had permission
-	rank       int           // of this holder
+	rank       int           // of this holder: the lower it is, the sooner it takes an orphaned write over
 	firstSend  time.Duration // when the write may have run first, by this registry's clock
 	orphaned   bool          // its owner is lost, or has given it up
 	takeoverAt time.Duration // when this holder takes an orphaned write over, if no other has
 	outcome    Outcome
 	receipt    string
-	since      time.Duration // of the outcome, or of the entry
-	waiters    []ClaimRequest
+	since      time.Duration  // of the outcome, or of the entry
+	waiters    []ClaimRequest // of other owners, until there is an outcome or the write is orphaned
 	// uncertain marks a write that came as a retry in the registry's recovery period: it may have run longer ago than
 	// is known here.
 	uncertain bool
 }
 
-// Registry is what a holder knows. The zero value is not usable.
+// Registry is a holder's table of writes. The zero value is not usable.
 type Registry struct {
-	parameters   Parameters
-	self         Owner
-	startedAt    time.Duration // or when it returned
-	entries      map[string]*entry
-	byArrival    []string // IDs, for what runs out
-	payloadBytes int
-	orphans      map[string]struct{} // IDs of orphaned writes
+	parameters      Parameters
+	self            Owner
+	recoveringSince time.Duration // or when it returned
+	entries         map[string]*entry
+	byArrival       []string // IDs in the order of arrival, for expireEntries
+	payloadBytes    int
+	orphans         map[string]struct{} // IDs of orphaned writes
 }
 
 // NewRegistry returns an empty registry of a process that starts now.
 func NewRegistry(parameters Parameters, self Owner, now time.Duration) *Registry {
 	return &Registry{
-		parameters: parameters,
-		self:       self,
-		startedAt:  now,
-		entries:    make(map[string]*entry),
-		orphans:    make(map[string]struct{}),
+		parameters:      parameters,
+		self:            self,
+		recoveringSince: now,
+		entries:         make(map[string]*entry),
+		orphans:         make(map[string]struct{}),
 	}
 }
 
@@ -53,7 +53,7 @@
 // List returns up to limit of the writes that are known: first those whose outcome is unknown, then the orphaned ones,
 // those in flight and those served.
 func (r *Registry) List(now time.Duration, limit int) []WriteStatus {
-	ranks := map[State]int{StateUnknown: 0, StateLost: 1, StateOpen: 2, StateServed: 3}
+	ranks := map[State]int{StateUnknown: 0, StateOrphaned: 1, StateInFlight: 2, StateServed: 3}
 	var list []WriteStatus
 	for id, e := range r.entries {
 		list = append(list, WriteStatus{
@@ -79,9 +79,9 @@
 	case e.outcome == Unknown:
 		return StateUnknown
 	case e.orphaned:
-		return StateLost
+		return StateOrphaned
 	}
-	return StateOpen
+	return StateInFlight
 }
 
 // Handle takes an event at a time and appends what is to be done to out.
@@ -100,9 +100,9 @@
 			w.waiters = slices.DeleteFunc(w.waiters, func(c ClaimRequest) bool { return c.RequestID == e.RequestID })
 		}
 	case Rejoined:
-		r.startedAt = now
+		r.recoveringSince = now
 	case Tick:
-		return r.forget(now, r.takeOverOrphans(now, out))
+		return r.expireEntries(now, r.takeOverOrphans(now, out))
 	}
 	return out
 }
@@ -118,7 +118,7 @@
 	return out
 }
 
-// orphan leaves a write to who waits for it, or to a holder in its turn.
+// orphan grants a write to the first that waits for it, or leaves it to the holders' turns.
 func (r *Registry) orphan(now time.Duration, e *entry, out []Action) []Action {
 	e.orphaned = true
 	e.takeoverAt = now + time.Duration(e.rank)*r.parameters.TakeoverInterval
@@ -140,13 +140,13 @@
 	}
 }
 
-// isWithinWindow reports whether a repeat is dropped that is sent now, or while a permission lasts that is cut to the
-// window.
+// isWithinWindow reports whether nodes drop a repeat that is sent now. A permission that is granted now is cut to the
+// end of the window.
 func (r *Registry) isWithinWindow(now time.Duration, e *entry) bool {
 	return now-e.firstSend < r.parameters.atLeast(e.write.DedupWindow)
 }
 
-// finish gives a write its outcome, which all who wait learn.
+// finish gives a write its outcome, and answers all that wait for it.
 func (r *Registry) finish(now time.Duration, e *entry, o Outcome, receipt string, out []Action) []Action {
 	e.outcome, e.receipt, e.since = o, receipt, now
 	r.payloadBytes -= len(e.write.Payload)
@@ -174,7 +174,7 @@
 	delete(r.orphans, id)
 }
 
-// takeOverOrphans takes over what is orphaned, in this holder's turn.
+// takeOverOrphans takes over the orphaned writes for which it is this holder's turn.
 func (r *Registry) takeOverOrphans(now time.Duration, out []Action) []Action {
 	var due []string
 	for id := range r.orphans {
@@ -200,8 +200,9 @@
 	return out
 }
 
-// forget gives writes up that nobody has completed, and removes outcomes that were kept for long enough.
-func (r *Registry) forget(now time.Duration, out []Action) []Action {
+// expireEntries gives writes that nobody has completed in time the outcome Unknown, and removes outcomes that were kept
+// for long enough.
+func (r *Registry) expireEntries(now time.Duration, out []Action) []Action {
 	for len(r.byArrival) > 0 {
 		id := r.byArrival[0]
 		e := r.entries[id]
--- a/internal/takeover/registry_claims.go
+++ b/internal/takeover/registry_claims.go
@@ -14,7 +14,7 @@
 	switch {
 	case e.outcome != InFlight:
 		return append(out, e.outcomeResponse(c.RequestID))
-	case c.Epoch > e.epoch: // it was taken over: the age that is told counts if it is older
+	case c.Epoch > e.epoch: // it was taken over: the longer of the two ages counts
 		e.firstSend = min(e.firstSend, now-r.parameters.atMost(c.Age))
 		return r.grantTo(now, e, c, c.Epoch, out)
 	case c.Epoch > 0 && c.Epoch < e.epoch: // another has taken it over since
@@ -28,18 +28,18 @@
 	return append(out, ClaimResponse{RequestID: c.RequestID, Decision: InProgress})
 }
 
-// addClaimed notes a write that was not known, if there is room, and grants it.
+// addClaimed adds a write that was not known, if there is room, and grants it.
 func (r *Registry) addClaimed(now time.Duration, c ClaimRequest) ClaimResponse {
-	full := len(r.entries) >= r.parameters.MaxWrites ||
+	isFull := len(r.entries) >= r.parameters.MaxWrites ||
 		r.payloadBytes+len(c.Write.Payload) > r.parameters.MaxBytes
-	if full {
+	if isFull {
 		return ClaimResponse{RequestID: c.RequestID, Decision: Declined}
 	}
 	age := time.Duration(0)
 	if c.Epoch > 0 { // it was taken over
 		age = r.parameters.atMost(c.Age)
 	}
-	recovering := now-r.startedAt < r.parameters.RecoveryPeriod
+	recovering := now-r.recoveringSince < r.parameters.RecoveryPeriod
 	e := &entry{
 		write:      c.Write,
 		owner:      c.Owner,
@@ -86,8 +86,8 @@
 	})
 }
 
-// complete takes what came of a write. That it was served is a fact, whoever says so; any other outcome counts from its
-// owner alone.
+// complete records the outcome of a write. That it was served is accepted from any process, any other outcome from its
+// present owner alone.
 func (r *Registry) complete(now time.Duration, c *Completion, out []Action) []Action {
 	e := r.entries[c.ID]
 	switch {
@@ -116,7 +116,7 @@
 	return out
 }
 
-// addServed notes a served write of which this holder did not know, if there is room.
+// addServed adds a served write that this holder did not know, if there is room.
 func (r *Registry) addServed(now time.Duration, c *Completion) {
 	if c.Outcome != Served || len(r.entries) >= r.parameters.MaxWrites {
 		return
--- a/internal/takeover/registry_messages.go
+++ b/internal/takeover/registry_messages.go
@@ -6,16 +6,16 @@
 type Event interface{ event() }
 
 type (
-	// ClaimRequest is an owner's wish to send a write, or to learn what came of it. An owner asks its own registry
-	// first, and other holders only with permission of that: so it has one claim to a write at a time.
+	// ClaimRequest asks for the permission to send a write, or for its outcome. An owner asks its own registry first,
+	// and other holders only once that has answered: so it has one claim to a write at a time.
 	ClaimRequest struct {
 		RequestID uint64 // repeated in the ClaimResponse
 		Write     Write
 		Owner     Owner
 		Rank      int           // of this holder among the write's holders
-		Epoch     uint64        // of a proxy that has taken the write over; 0 for one that asks
+		Epoch     uint64        // of a proxy that has taken the write over; 0 for a client's request
 		Age       time.Duration // since the write may have run first, with Epoch
-		Retry     bool          // the client says that it has asked before
+		Retry     bool          // the client marks its request as a repetition
 	}
 	// Completion says what came of a write.
 	Completion struct {
@@ -28,9 +28,9 @@
 	}
 	// OwnerLost says that a process is gone.
 	OwnerLost struct{ Owner Owner }
-	// OwnerReturned says that a process that was lost is heard again.
+	// OwnerReturned says that a process that was taken for lost is alive.
 	OwnerReturned struct{ Owner Owner }
-	// WaiterLeft says that one who waits does not any more.
+	// WaiterLeft says that an owner does not wait for a write any more.
 	WaiterLeft struct {
 		ID        string // of the write
 		RequestID uint64
@@ -58,7 +58,7 @@
 	AlreadyServed                     // with a receipt
 	WindowExpired                     // the write may have run, and its window is over
 	Conflict                          // the key belongs to another write
-	Declined                          // there is no room: no permission, and nothing is noted
+	Declined                          // no permission: there is no room, or another took the write over since
 	SafeToRetry                       // the write surely has not run, and its owner gave it up
 	InProgress                        // another owner has it: one of the other decisions follows once that has ended
 )
@@ -80,8 +80,8 @@
 		// PreviousOwner, with Granted, is that of a write which the holder knew.
 		PreviousOwner Owner
 	}
-	// TakeOver makes this process the owner of a write which nobody asks for. The other holders are to be heard before
-	// it is sent: one of them may know more.
+	// TakeOver makes this process the owner of an orphaned write that no owner waits for. The other holders must be
+	// asked before it is sent: one of them may know more.
 	TakeOver struct {
 		Write         Write
 		Epoch         uint64
--- a/internal/takeover/registry_test.go
+++ b/internal/takeover/registry_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("new: %+v, want %+v", got, want)
 	}
 	list := r.List(50*ms, 10)
-	if len(list) != 1 || list[0].State != StateOpen || list[0].Owner != "a" || list[0].Age != 50*ms {
+	if len(list) != 1 || list[0].State != StateInFlight || list[0].Owner != "a" || list[0].Age != 50*ms {
 		t.Errorf("listed as %+v", list)
 	}
 	if got := claimAt(t, r, ms, ownerB, 2); got.Decision != InProgress {
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestFormerOwner guards guarantees 2 and 3: the write of a lost owner goes to the one who waits. What the former owner
+// TestFormerOwnerGetsNoPermission guards guarantees 2 and 3: the write of a lost owner goes to the one who waits. What the former owner
 // says then counts only if the write was served.
-func TestFormerOwner(t *testing.T) {
+func TestFormerOwnerGetsNoPermission(t *testing.T) {
 	r := newTestRegistry()
 	claimAt(t, r, 0, ownerA, 1)
 	claimAt(t, r, ms, ownerB, 2)
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestTakeoverTurns has holders take an orphaned write over in their order.
-func TestTakeoverTurns(t *testing.T) {
+// TestHoldersTakeOverInTurn has holders take an orphaned write over in their order.
+func TestHoldersTakeOverInTurn(t *testing.T) {
 	for rank := range 3 {
 		r := newTestRegistry()
 		r.Handle(0, ClaimRequest{RequestID: 1, Write: write("k"), Owner: ownerA, Rank: rank}, nil)
--- a/internal/takeover/simulation_test.go
+++ b/internal/takeover/simulation_test.go
@@ -100,7 +100,7 @@
 		p := &simulatedProxy{simulation: s, clockRate: 1 + 0.05*float64(1-i)}
 		p.Name, p.Zone = fmt.Sprint("p", i), fmt.Sprint("z", i)
 		p.start(uint64(i + 1))
-		p.registry.startedAt = -s.parameters.OutcomeRetention // it has run for long
+		p.registry.recoveringSince = -s.parameters.OutcomeRetention // it has run for long
 		s.proxies = append(s.proxies, p)
 	}
 	return s
@@ -138,7 +138,7 @@
 	p.Incarnation, p.up = incarnation, true
 	p.registry = NewRegistry(p.simulation.parameters, p.Owner, p.clock())
 	if p.simulation.defects.forgetfulRegistry {
-		p.registry.startedAt = -p.simulation.parameters.OutcomeRetention
+		p.registry.recoveringSince = -p.simulation.parameters.OutcomeRetention
 	}
 	p.responses = make(map[uint64]func(ClaimResponse))
 	p.gone = make(map[Owner]bool)
--- a/internal/takeover/write.go
+++ b/internal/takeover/write.go
@@ -47,8 +47,8 @@
 
 // The states.
 const (
-	StateOpen    State = "open"
-	StateLost    State = "lost" // in flight, and its owner is lost
-	StateServed  State = "served"
-	StateUnknown State = "unknown"
+	StateInFlight State = "open"
+	StateOrphaned State = "lost" // in flight, and its owner is lost
+	StateServed   State = "served"
+	StateUnknown  State = "unknown"
 )
