--- a/client/catalogue/catalogue.go
+++ b/client/catalogue/catalogue.go
@@ -23,7 +23,7 @@
 	TLS        bool
 	CAFile     string // certificates to trust in place of the system's
 	TokenFile  string // holds an ACL token; it is read again for each query
-	// Wait is how long a query may wait for a change; 1 min, as in the daemon.
+	// Wait is how long a query may wait for a change, from 1 s to 10 min; 0 for 1 min.
 	Wait time.Duration
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -53,15 +53,15 @@
 	// Advertise is Listen as other proxies reach it.
 	Advertise string
 	Takeover  Takeover
-	// SuspendedTime overrides how long the machine has been suspended, for fault tests; nil for the machine's clocks.
-	SuspendedTime func() time.Duration
+	// TotalSleep overrides how long the machine has slept in all, for fault tests; nil for the machine's clocks.
+	TotalSleep func() time.Duration
 }
 
 // Takeover tells how writes with an idempotency key survive the loss of this proxy.
 type Takeover struct {
-	Enabled  bool
-	Replicas int  // other proxies that hold a write
-	Strict   bool // a write without a replica is rejected; else it is sent without
+	Enabled        bool
+	Replicas       int  // other proxies that hold a write
+	RequireReplica bool // a write without a replica is rejected; else it is sent without
 }
 
 // Permit tells whether this process needs a permit of the fleet before it drains or reloads.
@@ -96,15 +96,15 @@
 const maxStableReads = 20
 
 // ReadStable reads a file like Read, where the file may be being written at this moment: half of it may be valid,
-// and say less. So the text is used once two reads in a row have returned the same; pause is the wait between them.
+// and say less. So the text is used once two reads in a row have returned the same; wait is called between them.
 // A file that cannot be opened is an error at once.
-func ReadStable(path string, pause func()) (*Config, error) {
+func ReadStable(path string, wait func()) (*Config, error) {
 	last, err := readFile(path)
 	for range maxStableReads {
 		if err != nil {
 			return nil, err
 		}
-		pause()
+		wait()
 		var text string
 		if text, err = readFile(path); err == nil && text == last {
 			return parseConfig(path, text)
@@ -169,7 +169,7 @@
 	return r.config, nil
 }
 
-// path resolves a path that is relative to the folder of the file.
+// path returns a path in the file as it is from the working folder: a relative one is relative to the file's folder.
 func (r *reader) path(name string) string {
 	if filepath.IsAbs(name) {
 		return name
@@ -220,7 +220,7 @@
 	sleepFor := t.duration("sleep_for", 0, 0, maxDuration)
 	p.TotalSleep = clock.SimulatedSleep(sleepAt, sleepFor, t.number("drift", 0, -0.5, 0.5))
 	if r.config.Peers != nil {
-		r.config.Peers.SuspendedTime = p.TotalSleep
+		r.config.Peers.TotalSleep = p.TotalSleep
 	}
 	t.rejectUnknown()
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -33,9 +33,9 @@
 	}
 	takeover := t.text("takeover", "off", oneOf("off", "plain", "strict"))
 	p.Takeover = Takeover{
-		Enabled:  takeover != "off",
-		Strict:   takeover == "strict",
-		Replicas: t.integer("holders", 1, 1, 2),
+		Enabled:        takeover != "off",
+		RequireReplica: takeover == "strict",
+		Replicas:       t.integer("holders", 1, 1, 2),
 	}
 	p.Listen = t.text("listen", "", isAddress)
 	p.Advertise = t.text("advertise", p.Listen, isAddress)
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -23,7 +23,8 @@
 // noOriginKind tells policy that no node is the origin itself.
 const noOriginKind = -1
 
-// readIdentity reads the settings of the proxy that are in no table.
+// readIdentity reads the settings outside of all tables (name, address, zone, the zones and types of nodes), and sets
+// those that the file has no keys for.
 func (r *reader) readIdentity() {
 	p, top := r.config.Proxy, r.top
 	p.ReconcileLists, p.Membership = true, membership.DefaultLimits
@@ -55,7 +56,7 @@
 	}
 }
 
-// readLimits reads the table limits. It returns those of connections and requests.
+// readLimits reads the table limits. It returns those that AllocateResources divides.
 func (r *reader) readLimits() proxy.ResourceLimits {
 	p := r.config.Proxy
 	t := r.top.table("limits")
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -157,37 +157,37 @@
 	return texts
 }
 
-// duration reads a duration, a text such as "200ms".
-func (t *table) duration(name string, byDefault, least, most time.Duration) time.Duration {
+// duration reads a duration from lower to upper, a text such as "200ms".
+func (t *table) duration(name string, byDefault, lower, upper time.Duration) time.Duration {
 	v, ok := t.get(name)
 	if !ok {
 		return byDefault
 	}
 	text, _ := v.(string)
 	d, err := time.ParseDuration(text)
-	if err != nil || d < least || d > most {
-		t.reject(name, v, fmt.Sprintf("a duration from %v to %v, such as \"%v\"", least, most, byDefault))
+	if err != nil || d < lower || d > upper {
+		t.reject(name, v, fmt.Sprintf("a duration from %v to %v, such as \"%v\"", lower, upper, byDefault))
 		return byDefault
 	}
 	return d
 }
 
-// integer reads a whole number.
-func (t *table) integer(name string, byDefault, least, most int) int {
+// integer reads a whole number from lower to upper.
+func (t *table) integer(name string, byDefault, lower, upper int) int {
 	v, ok := t.get(name)
 	if !ok {
 		return byDefault
 	}
 	n, ok := v.(int64)
-	if !ok || n < int64(least) || n > int64(most) {
-		t.reject(name, v, fmt.Sprintf("a whole number from %d to %d", least, most))
+	if !ok || n < int64(lower) || n > int64(upper) {
+		t.reject(name, v, fmt.Sprintf("a whole number from %d to %d", lower, upper))
 		return byDefault
 	}
 	return int(n)
 }
 
-// number reads a number, with a fraction or without.
-func (t *table) number(name string, byDefault, least, most float64) float64 {
+// number reads a number from lower to upper, with a fraction or without.
+func (t *table) number(name string, byDefault, lower, upper float64) float64 {
 	v, ok := t.get(name)
 	if !ok {
 		return byDefault
@@ -196,8 +196,8 @@
 	if n, isInteger := v.(int64); isInteger {
 		x, ok = float64(n), true
 	}
-	if !ok || math.IsNaN(x) || x < least || x > most {
-		t.reject(name, v, fmt.Sprintf("a number from %v to %v", least, most))
+	if !ok || math.IsNaN(x) || x < lower || x > upper {
+		t.reject(name, v, fmt.Sprintf("a number from %v to %v", lower, upper))
 		return byDefault
 	}
 	return x
@@ -217,7 +217,7 @@
 	return b
 }
 
-// table returns a table within, empty if there is none.
+// table returns the inner table of a key, empty if there is none.
 func (t *table) table(name string) *table {
 	inner := &table{errors: t.errors, prefix: t.key(name) + "."}
 	if v, ok := t.get(name); ok {
@@ -228,7 +228,7 @@
 	return inner
 }
 
-// tables returns a list of tables within.
+// tables returns the inner tables [[name]] of a key.
 func (t *table) tables(name string) (list []*table) {
 	v, ok := t.get(name)
 	if !ok {
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -54,7 +54,7 @@
 // StatusError is a response with a status other than success.
 type StatusError struct {
 	Status     int
-	Reason     string        // the beginning of the body
+	Reason     string        // the first maxReasonBytes of the body
 	RetryAfter time.Duration // 0 if the response has none
 }
 
@@ -68,7 +68,7 @@
 	agent Agent
 	base  string
 	http  http.Client
-	err   error // what is wrong with the agent's certificates
+	err   error // of reading the agent's certificates; returned by every call
 }
 
 func newClient(agent Agent) *client {
--- a/internal/consul/instances.go
+++ b/internal/consul/instances.go
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// severity is how bad a tag or a check is for an instance.
+// severity is the status that a tag or a check gives an instance; the highest one counts.
 type severity uint8
 
 const (
@@ -159,25 +159,25 @@
 // critical: it tells that the process runs.
 func (s *source) setStatus(endpoint *discovery.Endpoint, e *entry) {
 	worst, reason := isUp, ""
-	worsen := func(to severity, why string) {
+	raise := func(to severity, why string) {
 		if to > worst {
 			worst, reason = to, why
 		}
 	}
 	for _, tag := range e.Service.Tags {
 		if s.DrainTag != "" && tag == s.DrainTag {
-			worsen(isDraining, "tag "+tag)
+			raise(isDraining, "tag "+tag)
 		}
 	}
 	for _, c := range e.Checks {
 		switch {
 		case c.Status == "passing":
 		case c.CheckID == "_node_maintenance", strings.HasPrefix(c.CheckID, "_service_maintenance"):
-			worsen(isDraining, "in maintenance: "+c.Notes)
+			raise(isDraining, "in maintenance: "+c.Notes)
 		case s.DrainCheck != "" && c.CheckID == s.DrainCheck:
-			worsen(isDraining, "check "+c.CheckID+" is "+c.Status)
+			raise(isDraining, "check "+c.CheckID+" is "+c.Status)
 		case c.Status == "critical":
-			worsen(isRemoved, "check "+c.CheckID+" is critical")
+			raise(isRemoved, "check "+c.CheckID+" is critical")
 		case c.Status == "warning":
 			endpoint.Weight = e.Service.Weights.Warning
 		}
--- a/internal/consul/source.go
+++ b/internal/consul/source.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// MinQueryInterval is the least time between two queries: of a catalogue with many changes a second, each query
-	// returns the complete list.
+	// MinQueryInterval is the shortest time between two queries: each returns the complete list, however many changes a
+	// second the catalogue has.
 	MinQueryInterval = 50 * time.Millisecond
-	// idlePerReadTime is the wait between two queries per time that reading a list took: one part in ten of all
-	// time may go into that.
+	// idlePerReadTime times the time that reading a list took is the wait before the next query: so reading takes a
+	// tenth of all time at most, up to maxQueryInterval.
 	idlePerReadTime = 9
-	// maxQueryInterval bounds the wait: a drain must be noticed within half a second of its entry.
+	// maxQueryInterval bounds that wait: a drain must be noticed within half a second of its entry.
 	maxQueryInterval = 400 * time.Millisecond
 	// pollInterval is the wait between queries of an agent that returns no index, or zero.
 	pollInterval = 400 * time.Millisecond
 	// maxStaleness bounds the time since the server last heard of the leader.
 	maxStaleness = 10 * time.Second
-	// waitSlack is added to the wait of a blocking query. The agent adds up to a sixteenth of it, and takes its time.
+	// waitSlack is added to the timeout of a blocking query, beside the sixteenth of the wait that the agent may add.
 	waitSlack = 5 * time.Second
 	// fetchTimeout bounds a query that does not block.
 	fetchTimeout = 3 * time.Second
@@ -72,7 +72,7 @@
 	readTime time.Duration // that reading the list took
 }
 
-// fetchQuery is a query for the current list, which the leader answers after confirming that it is one still.
+// fetchQuery is a query for the current list, which the leader answers after confirming that it still leads.
 func fetchQuery() (url.Values, time.Duration) { return url.Values{"consistent": {""}}, fetchTimeout }
 
 // watchQuery is a query for the list once it has changed since an index, or the current one for 0.
--- a/internal/daemon/actions.go
+++ b/internal/daemon/actions.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/sdnotify"
 )
 
-// do carries out an action.
-func (d *daemon) do(action lifecycle.Action) {
+// perform carries out an action of the state machine.
+func (d *daemon) perform(action lifecycle.Action) {
 	switch action {
 	case lifecycle.NotifyReady, lifecycle.NotifyReloading, lifecycle.NotifyStopping, lifecycle.NotifyWatchdog:
 		d.notify(d.notification(action))
@@ -102,8 +102,8 @@
 func (d *daemon) status() string {
 	text := d.machine.State().String()
 	if d.server != nil {
-		clients, open := d.server.Load()
-		text += fmt.Sprintf(", clients=%d open=%d goroutines=%d", clients, open, runtime.NumGoroutine())
+		clients, inFlight := d.server.Load()
+		text += fmt.Sprintf(", clients=%d open=%d goroutines=%d", clients, inFlight, runtime.NumGoroutine())
 	}
 	return sdnotify.Status(text)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -156,6 +156,6 @@
 
 func (d *daemon) handle(e lifecycle.Event) {
 	for _, action := range d.machine.Handle(e) {
-		d.do(action)
+		d.perform(action)
 	}
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -56,8 +56,8 @@
 	if c.Peers == nil {
 		return
 	}
-	if c.Peers.SuspendedTime != nil {
-		agent.OverrideClockOffset(c.Peers.SuspendedTime)
+	if c.Peers.TotalSleep != nil {
+		agent.OverrideTotalSleep(c.Peers.TotalSleep)
 	}
 	leases, err := agent.NewClient(c.Peers.Fleet)
 	if err != nil { // the configuration has been checked
@@ -117,7 +117,7 @@
 		return a == b
 	}
 	x, y := *a, *b
-	x.SuspendedTime, y.SuspendedTime = nil, nil
+	x.TotalSleep, y.TotalSleep = nil, nil
 	return reflect.DeepEqual(x, y)
 }
 
--- a/internal/daemon/permit.go
+++ b/internal/daemon/permit.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// leaseCallTimeout bounds calls to the voters that are no wait for a permit.
+	// leaseCallTimeout bounds calls to the voters other than the wait for a permit.
 	leaseCallTimeout = 2 * time.Second
 	// permitRetryInterval is the wait before a permit is requested again after an error.
 	permitRetryInterval = leaseCallTimeout / 10
@@ -90,8 +90,8 @@
 	f.drainPermit = p
 }
 
-// releasePredecessorPermits releases the permits that an ended process of the same name has left to its successor: its
-// restart is over now. A permit that cannot be released expires by itself.
+// releasePredecessorPermits releases the permits that an ended process of the same name did not release: the restart
+// that they cover ends as this process serves. A permit that cannot be released expires by itself.
 func (f *fleetMember) releasePredecessorPermits(ctx context.Context) {
 	if !f.needsPermit() {
 		return
@@ -106,8 +106,8 @@
 		f.log.Warn("predecessor permit lookup failed", "error", err)
 		return
 	}
-	tasks := state.StateMachine.Tasks[lease.PermitTask]
-	for _, token := range lease.OrphanedTokens(tasks, name, os.Getpid(), processExists) {
+	task := state.StateMachine.Tasks[lease.PermitTask]
+	for _, token := range lease.OrphanedTokens(task, name, os.Getpid(), processExists) {
 		release := lease.Command{Kind: lease.Release, Task: lease.PermitTask, Token: token}
 		if _, err := leases.Execute(ctx, release); err != nil {
 			f.log.Warn("predecessor permit release failed", "token", token, "error", err)
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -29,7 +29,7 @@
 		Self:           takeover.Owner{Name: self.Name, Incarnation: self.Incarnation},
 		Zone:           self.Zone,
 		Replicas:       c.Takeover.Replicas,
-		RequireReplica: c.Takeover.Strict,
+		RequireReplica: c.Takeover.RequireReplica,
 		Clock:          agent.Now,
 		Log:            f.log,
 	})
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,11 +15,11 @@
 const (
 	// dialTimeout is well under the 4 s after which a new address of the service counts as known.
 	dialTimeout = 1500 * time.Millisecond
-	// responseTimeout is for the beginning of a response; a call may wait its turn.
+	// responseTimeout bounds the wait for the beginning of a response; the service may queue calls.
 	responseTimeout = 6 * time.Second
-	// silenceTimeout ends a silent watch. An idle watch sends a line every 2 s. What a watch misses that has fallen
-	// silent counts as notified 6 s later: there must be time left for the wait before a new call, which spreads
-	// the calls of all proxies, and for that call.
+	// silenceTimeout ends a silent watch. An idle watch sends a line every 2 s. A change that a silent watch did not
+	// deliver counts as known 6 s after it: that leaves time for the wait before a new call, which spreads the calls
+	// of all proxies, and for that call.
 	silenceTimeout = 3 * time.Second
 	// maxHeaderBytes bounds the header of a response.
 	maxHeaderBytes = 16 << 10
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -27,7 +27,7 @@
 			return text, err
 		}
 		text = append(text, buffered[start:end]...)
-		in.Discard(end) // it has been peeked at
+		in.Discard(end) // does not fail: these bytes are buffered
 		if complete {
 			return text, nil
 		}
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -20,8 +20,8 @@
 type Source interface {
 	// Fetch returns the complete list.
 	Fetch(ctx context.Context) (List, error)
-	// Watch delivers each change after an index, until the watch is lost or ctx ends. It always returns an error.
-	// Silence counts as loss, since a machine that is cut off sends nothing.
+	// Watch delivers each change after an index until the watch is lost or ctx ends, and returns why. Silence counts as
+	// loss, since a machine that is cut off sends nothing.
 	Watch(ctx context.Context, from uint64, deliver func(List)) error
 }
 
--- a/internal/fleettest/lease.go
+++ b/internal/fleettest/lease.go
@@ -563,7 +563,7 @@
 // RunHolder is a holder's process: it takes the task, acts for a while at the judge, gives it back, over and over,
 // until ctx ends.
 func RunHolder(ctx context.Context, o HolderOptions) error {
-	agent.OverrideClockOffset(clock.SimulatedSleep(0, 0, o.ClockDrift))
+	agent.OverrideTotalSleep(clock.SimulatedSleep(0, 0, o.ClockDrift))
 	client, err := agent.NewClient(o.Fleet)
 	if err != nil {
 		return err
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -10,6 +10,8 @@
 	// responses to the aborted requests are written. In a shortened drain it also follows upon the last deadline,
 	// before the abort.
 	abortGrace = 50 * time.Millisecond
+	// unsetTimer is longer than any drain.
+	unsetTimer = time.Hour
 )
 
 // drainState is the state of a server's graceful shutdown. It is guarded by Server.mu.
@@ -17,9 +19,9 @@
 	started     bool
 	startedAt   time.Time
 	shortened   bool
-	acceptEnded bool        // no room for further connections is waited for
+	acceptEnded bool        // makeRoom does not wait any more
 	acceptTimer *time.Timer // sets acceptEnded; nil before the drain
-	abortTimer  *time.Timer // aborts what is open; nil before that is determined
+	abortTimer  *time.Timer // aborts the requests in flight; nil until drainClients
 }
 
 // startDrain bounds the time in which connections are accepted. Where another process holds a listener too, later
@@ -88,7 +90,7 @@
 	if s.drain.shortened {
 		wait = s.core.LongestRemaining() + abortGrace
 	}
-	cutTimer := time.AfterFunc(time.Hour, s.cutClients) // set when the requests are aborted
+	cutTimer := time.AfterFunc(unsetTimer, s.cutClients) // set when the requests are aborted
 	defer cutTimer.Stop()
 	s.drain.abortTimer = time.AfterFunc(wait, func() {
 		s.core.AbortAll()
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -17,11 +17,11 @@
 	bytesPerRequest = 16 << 10
 	// budgetDivisor gives the part of the memory for the values of requests, and as much for those of responses.
 	budgetDivisor = 8
-	// minLongestDeadline is the least value that is assumed for the longest deadline of all classes.
+	// minLongestDeadline is the lowest value that is assumed for the longest deadline of all classes.
 	minLongestDeadline = time.Second
 )
 
-// The least limits that a proxy can work with.
+// The lowest limits that a proxy can work with.
 const (
 	MinDescriptors = 2 * reservedDescriptors
 	MinMemoryBytes = 32 * bytesPerMB
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// earlyCloseMargin is how many places before the last one idle connections are closed: each counts until its
+	// earlyCloseMargin is how many connections below the limit idle ones begin to be closed: each counts until its
 	// client closes too.
 	earlyCloseMargin = 16
-	// minIdleToEvict is the least time that a connection must have idled before it is closed to make room.
+	// minIdleToEvict is how long a connection must have idled before it is closed to make room.
 	minIdleToEvict = 100 * time.Millisecond
-	// minBlockingAccept is the least time that an accept takes which found the backlog empty.
+	// minBlockingAccept is the duration from which an accept is taken to have found the backlog empty.
 	minBlockingAccept = time.Millisecond
 	// acceptRetryInterval is the wait after an accept that failed for lack of descriptors or buffers.
 	acceptRetryInterval = 10 * time.Millisecond
@@ -99,10 +99,10 @@
 	}()
 }
 
-// makeRoom closes the client that has idled longest when places run short, and waits while there is none. It reports
-// whether there is room; there is none only where a drain ends the wait. What is in the backlog has been acknowledged
-// and must not be accepted only to be dropped; nor must a connection be closed that was just accepted, since its
-// request may not have been read yet.
+// makeRoom closes the client that has idled longest when the limit of clients is near, and waits while it is reached.
+// It reports whether there is room for another; there is none only where a drain ends the wait. A connection in the
+// backlog has been acknowledged and must not be accepted only to be dropped; nor must one be closed that was just
+// accepted, since its request may not have been read yet.
 func (s *Server) makeRoom() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	s.mu.Lock()
-	// Requests under the former configuration may be open for as long as that allows.
+	// Requests under the former configuration may be in flight for as long as that allows.
 	s.longestDeadline = max(s.longestDeadline, longestDeadline(&next.Policy))
 	s.mu.Unlock()
 	s.binary.SetRules(next.binaryRules())
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -93,24 +93,24 @@
 	}
 	binaryAddress := s.config.binaryListen()
 	sharesMain := binaryAddress == ""
-	main := newHost()
-	main.NewSession = func(c *frontend.Conn, first byte) frontend.Session {
+	mainHost := newHost()
+	mainHost.NewSession = func(c *frontend.Conn, first byte) frontend.Session {
 		if first == codec.RequestMagic && sharesMain && s.binary.Enabled() {
-			return s.binary.NewSession(main, c, MainListener)
+			return s.binary.NewSession(mainHost, c, MainListener)
 		}
-		return meta.NewSession(main, c)
+		return meta.NewSession(mainHost, c)
 	}
-	if err := s.openListener(s.config.Listen, inherited, main); err != nil || sharesMain {
+	if err := s.openListener(s.config.Listen, inherited, mainHost); err != nil || sharesMain {
 		return err
 	}
-	own := newHost()
-	own.NewSession = func(c *frontend.Conn, _ byte) frontend.Session {
-		return s.binary.NewSession(own, c, BinaryListener)
+	binaryHost := newHost()
+	binaryHost.NewSession = func(c *frontend.Conn, _ byte) frontend.Session {
+		return s.binary.NewSession(binaryHost, c, BinaryListener)
 	}
-	return s.openListener(binaryAddress, nil, own)
+	return s.openListener(binaryAddress, nil, binaryHost)
 }
 
-// Core returns what decides on requests.
+// Core returns the core, which runs the life of requests.
 func (s *Server) Core() *core.Core { return s.core }
 
 // EndpointListReady is closed once a source has delivered the endpoint list.
@@ -125,7 +125,7 @@
 }
 
 // Load returns the number of client connections and of requests in flight.
-func (s *Server) Load() (clients, open int) {
+func (s *Server) Load() (clients, inFlight int) {
 	s.mu.Lock()
 	clients = len(s.clients)
 	s.mu.Unlock()
@@ -166,11 +166,11 @@
 func (s *Server) stats(kind string) []core.Stat {
 	switch kind {
 	case "":
-		clients, open := s.Load()
+		clients, inFlight := s.Load()
 		return []core.Stat{
 			{Name: "uptime", Value: strconv.Itoa(int(time.Since(s.startedAt).Seconds()))},
 			{Name: "curr_connections", Value: strconv.Itoa(clients)},
-			{Name: "open_requests", Value: strconv.Itoa(open)},
+			{Name: "open_requests", Value: strconv.Itoa(inFlight)},
 			{Name: "service_level", Value: strconv.Itoa(int(s.core.OverloadLevel()))},
 		}
 	case "service":
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -97,11 +97,11 @@
 // maxIdleClients returns how many clients may idle. Where handovers have precedence it is half: a free place takes
 // one at once.
 func (s *Server) maxIdleClients() int {
-	most := s.maxClients / idleShareDivisor
+	maxIdle := s.maxClients / idleShareDivisor
 	if s.core.OverloadLevel() >= overload.Handovers {
-		most /= 2
+		maxIdle /= 2
 	}
-	return most
+	return maxIdle
 }
 
 // closeOldest closes idle clients until maxIdle are left, those first that have idled longest, and none that has
