--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"net"
-	"testing"
 	"time"
 
 	"mulleinpier/internal/discovery"
@@ -39,23 +37,3 @@
 		},
 	}
 }
-
-// serveConnections listens on a free port, until the test ends, and serves each connection by serve.
-func serveConnections(t *testing.T, serve func(net.Conn)) (address string) {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	go func() {
-		for {
-			connection, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go serve(connection)
-		}
-	}()
-	return listener.Addr().String()
-}
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -26,7 +26,7 @@
 // and none is deferred twice.
 func TestDeferredSendsAreReleasedInBatches(t *testing.T) {
 	var written atomic.Int64
-	address := serveConnections(t, func(connection net.Conn) {
+	address := testutil.ServeConnections(t, func(connection net.Conn) {
 		for lines := bufio.NewScanner(connection); lines.Scan(); {
 			written.Add(1)
 		}
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	var mu sync.Mutex
 	var lines []string
-	address := serveConnections(t, func(connection net.Conn) {
+	address := testutil.ServeConnections(t, func(connection net.Conn) {
 		defer connection.Close()
 		for in := bufio.NewScanner(connection); in.Scan(); {
 			words := strings.Fields(in.Text())
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -39,7 +39,7 @@
 func startSource(t *testing.T) *scriptedSource {
 	t.Helper()
 	source := &scriptedSource{calls: make(chan *sourceCall, 1000)}
-	source.addr = serveConnections(t, func(connection net.Conn) {
+	source.addr = testutil.ServeConnections(t, func(connection net.Conn) {
 		t.Cleanup(func() { connection.Close() })
 		r, err := http.ReadRequest(bufio.NewReader(connection))
 		if err != nil {
--- a/internal/fleettest/faultinject/helpers_test.go
+++ b/internal/fleettest/faultinject/helpers_test.go
@@ -11,35 +11,20 @@
 	"mulleinpier/internal/testutil"
 )
 
-// startServer calls serve with each connection until the test ends. It returns its address.
-func startServer(t *testing.T, serve func(c net.Conn)) string {
-	t.Helper()
-	listener := testutil.Listen(t)
-	go func() {
-		for {
-			c, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				serve(c)
-			}()
-		}
-	}()
-	return listener.Addr().String()
-}
-
 // startEcho starts a server that sends back what it gets.
 func startEcho(t *testing.T) string {
 	t.Helper()
-	return startServer(t, func(c net.Conn) { io.Copy(c, c) })
+	return testutil.ServeConnections(t, func(c net.Conn) {
+		defer c.Close()
+		io.Copy(c, c)
+	})
 }
 
 // startLineServer starts a server that calls handle with each line.
 func startLineServer(t *testing.T, handle func(c net.Conn, line string)) string {
 	t.Helper()
-	return startServer(t, func(c net.Conn) {
+	return testutil.ServeConnections(t, func(c net.Conn) {
+		defer c.Close()
 		for in := bufio.NewScanner(c); in.Scan(); {
 			handle(c, in.Text())
 		}
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"mulleinpier/internal/discovery"
+	"mulleinpier/internal/testutil"
 )
 
 // waitTimeout bounds each wait of these tests; none depends on its length.
@@ -46,21 +47,7 @@
 // address.
 func startNode(t *testing.T, handle func(nodeCommand)) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	go func() {
-		for {
-			socket, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go handleCommands(socket, handle)
-		}
-	}()
-	return listener.Addr().String()
+	return testutil.ServeConnections(t, func(connection net.Conn) { handleCommands(connection, handle) })
 }
 
 // handleCommands passes the commands of a connection to handle.
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -105,27 +105,14 @@
 // startPool returns a pool with one connection at most to a node that runs script for each request.
 func startPool(t *testing.T, script func(id string, connection net.Conn)) (*Pool, ends) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	go func() {
-		for {
-			connection, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer connection.Close()
-				for in := bufio.NewScanner(connection); in.Scan(); {
-					script(requestID(in.Text()), connection)
-				}
-			}()
+	address := testutil.ServeConnections(t, func(connection net.Conn) {
+		defer connection.Close()
+		for in := bufio.NewScanner(connection); in.Scan(); {
+			script(requestID(in.Text()), connection)
 		}
-	}()
+	})
 	handler := make(ends, 100)
-	return runPool(t, testLimits, handler, listener.Addr().String(), func() {}), handler
+	return runPool(t, testLimits, handler, address, func() {}), handler
 }
 
 // sendRead sends a read to the node.
