--- a/internal/fleettest/attempt.go
+++ b/internal/fleettest/attempt.go
@@ -101,21 +101,21 @@
 	return nil
 }
 
-// connect returns an idle connection to a proxy, or a new one.
-func (w *workload) connect(p *proxyInstance, binary bool) (*clientConn, error) {
-	if conn := w.takeIdle(poolOf(p, binary)); conn != nil {
+// connect returns an idle connection to a proxy in a request's dialect, or a new one.
+func (w *workload) connect(p *proxyInstance, q *clientRequest) (*clientConn, error) {
+	if conn := w.takeIdle(poolKey{p.index, q.binary}); conn != nil {
 		return conn, nil
 	}
 	conn, err := dial(p.clientAddress)
 	if err != nil {
 		return nil, err
 	}
-	conn.binary = binary
+	conn.binary = q.binary
 	return conn, nil
 }
 
 // takeIdle returns the latest idle connection of a pool that is not too old, nil for none.
-func (w *workload) takeIdle(pool int) *clientConn {
+func (w *workload) takeIdle(pool poolKey) *clientConn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for len(w.idleConns[pool]) > 0 {
@@ -130,14 +130,6 @@
 	return nil
 }
 
-// poolOf is the pool of a proxy's connections of one dialect.
-func poolOf(p *proxyInstance, binary bool) int {
-	if binary {
-		return 2*p.index + 1
-	}
-	return 2 * p.index
-}
-
 func dial(address string) (*clientConn, error) {
 	socket, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -156,7 +148,7 @@
 	conn.used = true
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	pool := poolOf(p, conn.binary)
+	pool := poolKey{p.index, conn.binary}
 	w.idleConns[pool] = append(w.idleConns[pool], conn)
 }
 
@@ -188,7 +180,7 @@
 		return notConnected, 0
 	}
 	start := time.Now()
-	conn, err := w.connect(p, q.binary)
+	conn, err := w.connect(p, q)
 	if err != nil {
 		w.recorder.dialFailed()
 		return notConnected, 0
--- a/internal/fleettest/directory.go
+++ b/internal/fleettest/directory.go
@@ -10,70 +10,78 @@
 	"mulleinpier/internal/fake/endpointlist"
 )
 
-// directory is where the proxies of a fleet learn of its nodes. It knows when each was
-// told what.
+// directory is the service from which the proxies of a fleet learn of its nodes. It knows when each was notified of
+// what.
 type directory interface {
-	// config opens a place for a proxy, and returns what its configuration says of it.
+	// config opens an address for a proxy, and returns the part of its configuration about the directory.
 	config(proxy int) (string, error)
-	// notifiedAt returns when a proxy was first told that a node drains or is gone, and false
-	// while it is not told so.
+	// notifiedAt returns when a proxy was first notified that a node drains or is gone; false while it is not notified
+	// of that.
 	notifiedAt(proxy int, node string) (time.Time, bool)
 	update(e endpointlist.Entry)
-	// setFault makes all of it fail in a way, "" for none.
+	// setFault makes all of the directory fail in a way, "" for none.
 	setFault(kind string)
-	// move changes the place of a proxy.
+	// move changes the address for a proxy.
 	move(proxy int) error
-	addresses() []string // to talk to by hand
+	// addresses lists what people can connect to.
+	addresses() []string
 	close()
 }
 
-// platformDirectory is a directory of the platform's form.
+// platformDirectory is a directory of the platform's kind.
 type platformDirectory struct {
 	service *endpointlist.Service
-	mu      sync.Mutex
-	at      map[int]string
+
+	mu     sync.Mutex
+	opened map[int]string // addresses by proxy
 }
 
-// newPlatformDirectory has each proxy find a node where placed says.
-func newPlatformDirectory(entries []endpointlist.Entry, placed func(proxy int, e *endpointlist.Entry) string) *platformDirectory {
+// newPlatformDirectory returns a directory in which each proxy finds a node at the address that addressFor returns.
+func newPlatformDirectory(
+	entries []endpointlist.Entry, addressFor func(proxy int, e *endpointlist.Entry) string,
+) *platformDirectory {
 	service := endpointlist.New(entries)
-	service.AddressFor = placed
-	return &platformDirectory{service: service, at: make(map[int]string)}
+	service.AddressFor = addressFor
+	return &platformDirectory{service: service, opened: make(map[int]string)}
 }
 
 func (d *platformDirectory) config(proxy int) (string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.at[proxy] == "" {
-		at, err := d.service.Open(proxy)
+	if d.opened[proxy] == "" {
+		address, err := d.service.Open(proxy)
 		if err != nil {
 			return "", err
 		}
-		d.at[proxy] = at
+		d.opened[proxy] = address
 	}
-	return fmt.Sprintf("[nodes]\ndiscovery = %q\n", d.at[proxy]), nil
+	return fmt.Sprintf("[nodes]\ndiscovery = %q\n", d.opened[proxy]), nil
 }
 
 func (d *platformDirectory) notifiedAt(proxy int, node string) (time.Time, bool) {
 	return d.service.DrainNotifiedAt(proxy, node)
 }
+
 func (d *platformDirectory) update(e endpointlist.Entry) { d.service.Set(e) }
-func (d *platformDirectory) setFault(kind string)        { d.service.SetDown(kind != "") }
-func (d *platformDirectory) addresses() []string         { return nil }
-func (d *platformDirectory) close()                      { d.service.Close() }
+
+func (d *platformDirectory) setFault(kind string) { d.service.SetDown(kind != "") }
+
+func (d *platformDirectory) addresses() []string { return nil }
+
+func (d *platformDirectory) close() { d.service.Close() }
 
 func (d *platformDirectory) move(proxy int) error {
-	at, err := d.service.Move(proxy)
-	if err == nil {
-		d.mu.Lock()
-		d.at[proxy] = at
-		d.mu.Unlock()
+	address, err := d.service.Move(proxy)
+	if err != nil {
+		return err
 	}
-	return err
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.opened[proxy] = address
+	return nil
 }
 
-// consulDirectory is a directory of Consul's: one agent for each zone, at which the proxies of
-// the zone register too.
+// consulDirectory is a directory of Consul agents, one for each zone, at which the proxies of the zone register too.
 type consulDirectory struct {
 	catalogue *consul.Catalogue
 	zones     []string
@@ -82,7 +90,11 @@
 	agents map[string]*consul.Agent // by zone
 }
 
-const consulService = "cache"
+const (
+	consulService = "cache"
+	// consulRewind is a fault of the catalogue, not of an agent: its index starts again.
+	consulRewind = "rewind"
+)
 
 func newConsulDirectory(entries []endpointlist.Entry, zones []string) (*consulDirectory, error) {
 	d := &consulDirectory{catalogue: consul.New(), zones: zones, agents: make(map[string]*consul.Agent)}
@@ -109,30 +121,41 @@
 }
 
 func (d *consulDirectory) config(proxy int) (string, error) {
-	return fmt.Sprintf("[nodes]\nconsul = %q\n[consul]\nservice = %q\n[consul.register]\nservice = \"proxy\"\nttl = \"3s\"\n",
-		d.agent(proxy).Address(), consulService), nil
+	const format = "[nodes]\nconsul = %q\n[consul]\nservice = %q\n" +
+		"[consul.register]\nservice = \"proxy\"\nttl = \"3s\"\n"
+	return fmt.Sprintf(format, d.agent(proxy).Address(), consulService), nil
 }
 
+// hostOf is Consul's name of the machine of a node.
+func hostOf(node string) string { return "host-" + node }
+
 func (d *consulDirectory) notifiedAt(proxy int, node string) (time.Time, bool) {
-	return d.agent(proxy).LeavingWrittenAt("host-"+node, node)
+	return d.agent(proxy).LeavingWrittenAt(hostOf(node), node)
 }
 
-// update enters a node as an agent beside it would: a drain is its maintenance.
+// update registers a node as an agent beside it would: a drain is its maintenance mode.
 func (d *consulDirectory) update(e endpointlist.Entry) {
-	host := "host-" + e.Name
-	address, port := splitPort(e.Address)
+	host := hostOf(e.Name)
 	if e.Status == "removed" {
 		d.catalogue.Remove(host, e.Name)
 		return
 	}
-	i := consul.Instance{Node: host, ID: e.Name, Service: consulService, Address: address, Port: port,
-		Meta:   map[string]string{"name": e.Name, "zone": e.Zone, "type": e.Type, "group": fmt.Sprint(e.Group)},
-		Checks: []consul.Check{{CheckID: "tcp", Status: "passing"}}}
+	address, port := splitPort(e.Address)
+	i := consul.Instance{
+		Node:    host,
+		ID:      e.Name,
+		Service: consulService,
+		Address: address,
+		Port:    port,
+		Meta:    map[string]string{"name": e.Name, "zone": e.Zone, "type": e.Type, "group": fmt.Sprint(e.Group)},
+		Checks:  []consul.Check{{CheckID: "tcp", Status: "passing"}},
+	}
 	if e.StartedMillis > 0 {
 		i.Meta["started_ms"] = fmt.Sprint(e.StartedMillis)
 	}
 	if e.Status == "draining" {
-		i.Checks = append(i.Checks, consul.Check{CheckID: "_service_maintenance:" + e.Name, Status: "critical", Notes: "fleettestd"})
+		check := consul.Check{CheckID: "_service_maintenance:" + e.Name, Status: "critical", Notes: "fault test"}
+		i.Checks = append(i.Checks, check)
 	}
 	d.catalogue.Set(i)
 }
@@ -144,7 +167,7 @@
 }
 
 func (d *consulDirectory) setFault(kind string) {
-	if kind == "rewind" {
+	if kind == consulRewind {
 		d.catalogue.ResetIndex()
 		return
 	}
@@ -155,16 +178,17 @@
 	}
 }
 
-// move has another agent take the place of a proxy's, for all proxies of its zone.
+// move starts another agent in place of a proxy's, for all proxies of its zone.
 func (d *consulDirectory) move(proxy int) error {
-	a, err := d.catalogue.Start("agent-"+d.zoneOf(proxy), "")
+	zone := d.zoneOf(proxy)
+	a, err := d.catalogue.Start("agent-"+zone, "")
 	if err != nil {
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	old := d.agents[d.zoneOf(proxy)]
-	d.agents[d.zoneOf(proxy)] = a
+	old := d.agents[zone]
+	d.agents[zone] = a
 	old.Close()
 	return nil
 }
--- a/internal/fleettest/drains.go
+++ b/internal/fleettest/drains.go
@@ -15,8 +15,8 @@
 )
 
 // requestArrived is called for each request that comes to a node. A request of a binary client, or at a binary node,
-// has no id that names its proxy: a write is known by its value then, and a drain counts from the time at which the last
-// proxy was notified.
+// has no id that names its proxy: a write is known by its value then, and a drain counts from the time at which the
+// last proxy was notified.
 func (f *fleet) requestArrived(node, id, value string, at time.Time) {
 	proxy := proxyOf(id)
 	notified, draining := f.drainNotifiedAt(proxy, node)
--- a/internal/fleettest/events.go
+++ b/internal/fleettest/events.go
@@ -22,8 +22,8 @@
 	"cold":    "restarts a node cold, and has the directory report it",
 	"remove":  "takes a node out of the directory",
 	"fault":   "makes a node fail by FaultKind, OneIn and Delay",
-	"list-down": "takes the directory down; with FaultKind, has Consul agents fail so (quiet, empty, part, leaderless, " +
-		"rewind and others)",
+	"list-down": "takes the directory down; with FaultKind, has Consul agents fail so (quiet, empty, part, " +
+		"leaderless, rewind and others)",
 	"list-up": "brings it back",
 	"flap":    "takes a node out of the directory and enters it again, Count times, each for Interval",
 	"die":     "ends a node's process; the directory does not report it",
@@ -134,10 +134,8 @@
 		f.origin.SetServiceTime(time.Duration(e.Delay))
 	case "dark", "light":
 		f.runZoneEvent(e)
-	case "leave":
-		f.setStatusOfFirst(e.Count, "removed")
-	case "return":
-		f.setStatusOfFirst(e.Count, "up")
+	case "leave", "return":
+		f.setStatusOfFirst(e.Count, map[string]string{"leave": "removed", "return": "up"}[e.Action])
 	default:
 		if err := f.runNodeEvent(ctx, e); err != nil {
 			f.addProblem("node %d: %v", e.Node, err)
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -54,8 +54,8 @@
 	return startFleetWithVoterView(s, program, folder, progress, nil)
 }
 
-// startFleetWithVoterView is startFleet with proxies that find the voters at other addresses. newView is called once the
-// voters' own addresses are known.
+// startFleetWithVoterView is startFleet with proxies that find the voters at other addresses. newView is called once
+// the voters' own addresses are known.
 func startFleetWithVoterView(
 	s *Scenario, program []string, folder string, progress func(string, ...any),
 	newView func(voters []agent.VoterAddress) (voterView, error),
--- a/internal/fleettest/permits.go
+++ b/internal/fleettest/permits.go
@@ -68,26 +68,30 @@
 }
 
 // writePeers writes the part of the configuration that makes the proxy a member of the fleet.
-func (d *proxyInstance) writePeers(b io.Writer) {
-	if d.fleet.scenario.Fleet.RestartPermits == 0 {
+func (p *proxyInstance) writePeers(b io.Writer) {
+	f := &p.fleet.scenario.Fleet
+	if f.RestartPermits == 0 {
 		return
 	}
-	list, voter := d.fleet.voters.Voters, d.index
-	if d.fleet.voterView != nil {
-		list = d.fleet.voterView(d.index)
+	list := p.fleet.voters.Voters
+	if p.fleet.voterView != nil {
+		list = p.fleet.voterView(p.index)
 	}
-	if voter >= permitVoters || d.fleet.scenario.Fleet.Leaderless {
+	voter := p.index
+	if voter >= permitVoters || f.Leaderless {
 		voter = -1
 	}
-	io.WriteString(b, peersConfig(list, d.fleet.folder, voter))
-	if f := &d.fleet.scenario.Fleet; f.TakeoverMode != "" {
-		fmt.Fprintf(b, "listen = %q\nadvertise = %q\ntakeover = %q\nholders = %d\n", d.peerAddress, d.advertisedPeerAddress, f.TakeoverMode, f.TakeoverHolders)
+	io.WriteString(b, peersConfig(list, p.fleet.folder, voter))
+	if f.TakeoverMode != "" {
+		fmt.Fprintf(b, "listen = %q\nadvertise = %q\ntakeover = %q\nholders = %d\n",
+			p.peerAddress, p.advertisedPeerAddress, f.TakeoverMode, f.TakeoverHolders)
 	}
 }
 
 // setPermits sets how many permits the voters give at a time.
 func (f *fleet) setPermits() error {
-	if f.scenario.Fleet.RestartPermits == 0 || f.scenario.Fleet.Leaderless {
+	permits := f.scenario.Fleet.RestartPermits
+	if permits == 0 || f.scenario.Fleet.Leaderless {
 		return nil
 	}
 	c, err := agent.NewClient(f.voters)
@@ -97,7 +101,7 @@
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), processTimeout)
 	defer cancel()
-	_, err = c.Execute(ctx, lease.Command{Kind: lease.SetLimit, Task: lease.PermitTask, MaxHolders: f.scenario.Fleet.RestartPermits})
+	_, err = c.Execute(ctx, lease.Command{Kind: lease.SetLimit, Task: lease.PermitTask, MaxHolders: permits})
 	return err
 }
 
@@ -142,22 +146,23 @@
 }
 
 // endWithoutPermit ends a process that is not replaced: told to end twice, it waits for no permit.
-func (d *proxyInstance) endWithoutPermit(p *process) error {
-	if d.fleet.scenario.Fleet.RestartPermits > 0 {
-		p.mu.Lock()
-		p.endExpected = true
-		p.mu.Unlock()
-		p.cmd.Process.Signal(syscall.SIGTERM)
-		select {
-		case <-p.draining:
-		case <-p.exited:
-		case <-time.After(drainNoticeTime):
-		}
-		if isClosed(p.draining) { // otherwise it is told again below
-			return p.endWithin(syscall.Signal(0), processTimeout)
-		}
+func (p *proxyInstance) endWithoutPermit(old *process) error {
+	if p.fleet.scenario.Fleet.RestartPermits == 0 {
+		return old.end(syscall.SIGTERM)
+	}
+	old.mu.Lock()
+	old.endExpected = true
+	old.mu.Unlock()
+	old.cmd.Process.Signal(syscall.SIGTERM)
+	select {
+	case <-old.draining:
+	case <-old.exited:
+	case <-time.After(drainNoticeTime):
+	}
+	if isClosed(old.draining) {
+		return old.endWithin(syscall.Signal(0), processTimeout) // it needs no second signal
 	}
-	return p.end(syscall.SIGTERM)
+	return old.end(syscall.SIGTERM)
 }
 
 // maxDown is how many proxies were down by permits at a time.
--- a/internal/fleettest/ports.go
+++ b/internal/fleettest/ports.go
@@ -28,6 +28,12 @@
 
 // reserve opens an address that was not reserved before. Its caller closes it for what is to listen there.
 func (p *portReserver) reserve() (net.Listener, error) {
+	var again []net.Listener // closed only after another one was found
+	defer func() {
+		for _, l := range again {
+			l.Close()
+		}
+	}()
 	for {
 		l, err := net.Listen("tcp", p.host+":0")
 		if err != nil {
@@ -38,6 +44,6 @@
 			p.reserved[address] = true
 			return l, nil
 		}
-		defer l.Close() // only after another one was found
+		again = append(again, l)
 	}
 }
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// processTimeout bounds the waits for a process: a start, a reload, an end.
+// processTimeout bounds the waits for a process: for its start, a reload and its end.
 const processTimeout = 20 * time.Second
 
-// process is one run of a proxy's program, whose service manager the rehearsal is.
+// process is one process of a proxy's program; this package is its service manager.
 type process struct {
 	cmd          *exec.Cmd
 	notifySocket *net.UnixConn
@@ -43,8 +43,8 @@
 
 var processSerial atomic.Int64
 
-// startProcess starts a program under a service manager's protocol; with a
-// listener it is passed that. What it writes goes behind the log at a path.
+// startProcess starts a program under the service manager's protocol. It inherits listener, unless that is nil. What it
+// writes is appended to a log.
 func startProcess(argv []string, listener *os.File, log string) (*process, error) {
 	name := fmt.Sprintf("@fleettest-%d-%d", os.Getpid(), processSerial.Add(1))
 	notify, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: name, Net: "unixgram"})
@@ -57,11 +57,18 @@
 		return nil, err
 	}
 	defer out.Close()
-	p := &process{notifySocket: notify, logPath: log, ready: make(chan struct{}), draining: make(chan struct{}), exited: make(chan struct{}), startedAt: time.Now()}
+	p := &process{
+		notifySocket: notify,
+		logPath:      log,
+		ready:        make(chan struct{}),
+		draining:     make(chan struct{}),
+		exited:       make(chan struct{}),
+		startedAt:    time.Now(),
+	}
 	p.cmd = exec.Command(argv[0], argv[1:]...)
 	p.cmd.Env = append(os.Environ(), "NOTIFY_SOCKET="+name, "WATCHDOG_USEC=2000000", "GW_CONFIG=")
 	if listener != nil {
-		// Its number is known only to the process itself.
+		// Only the process itself knows its id.
 		p.cmd.Args = append([]string{"sh", "-c", `LISTEN_PID=$$ LISTEN_FDS=1 exec "$0" "$@"`}, argv...)
 		p.cmd.Path = "/bin/sh"
 		p.cmd.ExtraFiles = []*os.File{listener}
@@ -82,7 +89,7 @@
 	return p, nil
 }
 
-// readNotifications takes what the process tells its service manager.
+// readNotifications reads what the process sends to its service manager.
 func (p *process) readNotifications() {
 	buf := make([]byte, 4<<10)
 	for ready, drains := false, false; ; {
@@ -116,7 +123,7 @@
 	}
 }
 
-// awaitReady waits until the process has told that it is ready.
+// awaitReady waits until the process has reported that it is ready.
 func (p *process) awaitReady() error {
 	select {
 	case <-p.ready:
@@ -130,20 +137,20 @@
 
 var errEnded = errors.New("the program ended")
 
-// end has the process end by a signal, and waits for it.
+// end ends the process by a signal, and waits for it.
 func (p *process) end(signal syscall.Signal) error { return p.endWithin(signal, processTimeout) }
 
-func (p *process) endWithin(signal syscall.Signal, most time.Duration) error {
+func (p *process) endWithin(signal syscall.Signal, limit time.Duration) error {
 	p.mu.Lock()
 	p.endExpected = true
 	p.mu.Unlock()
 	p.cmd.Process.Signal(signal)
 	select {
 	case <-p.exited:
-	case <-time.After(most):
+	case <-time.After(limit):
 		p.cmd.Process.Kill()
 		<-p.exited
-		return fmt.Errorf("did not end in %v after %v", most, signal)
+		return fmt.Errorf("did not end in %v after %v", limit, signal)
 	}
 	p.tasks.Wait()
 	if signal == syscall.SIGKILL {
@@ -152,7 +159,7 @@
 	return p.err
 }
 
-// hasCrashed tells whether the process has ended unasked.
+// hasCrashed reports whether the process has ended by itself.
 func (p *process) hasCrashed() bool {
 	select {
 	case <-p.exited:
@@ -171,7 +178,7 @@
 	return p.reloads
 }
 
-// Footprint is what a process takes.
+// Footprint is what a process uses.
 type Footprint struct {
 	ResidentMB  float64 `json:"resident_mb"`
 	Descriptors int     `json:"descriptors"`
@@ -202,7 +209,7 @@
 	return residentMB, descriptors
 }
 
-// logTail returns the last of what a process wrote.
+// logTail returns the last part of what a process wrote.
 func logTail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fleettest/recorder_test.go
+++ b/internal/fleettest/recorder_test.go
@@ -25,7 +25,15 @@
 	r.retried(b)
 	r.lost("x %d", 7)
 	phases, events := r.phaseReports()
-	p := phases[0]
+	checkFirstPhase(t, phases[0])
+	checkSecondPhase(t, phases[1])
+	if events.lost != 1 || len(events.samples) != 1 || !strings.HasSuffix(events.samples[0], "x 7") {
+		t.Errorf("events %+v", events)
+	}
+}
+
+func checkFirstPhase(t *testing.T, p PhaseReport) {
+	t.Helper()
 	if p.Offered != 2 || p.InTime != 1 || p.Failed != 1 || p.InTimePercent() != 50 {
 		t.Errorf("first phase %+v", p)
 	}
@@ -35,14 +43,14 @@
 	if p.OfferedWeight != 3 || p.ServedWeight != 2 {
 		t.Errorf("first phase %+v", p)
 	}
-	p = phases[1]
+}
+
+func checkSecondPhase(t *testing.T, p PhaseReport) {
+	t.Helper()
 	if p.Offered != 2 || p.Late != 1 || p.Refused != 1 || p.Retries != 1 {
 		t.Errorf("second phase %+v", p)
 	}
 	if p.OfferedWeight != 1.2 || math.Abs(p.ServedWeight-0.06) > 1e-9 {
 		t.Errorf("second phase %+v", p)
 	}
-	if events.lost != 1 || len(events.samples) != 1 || !strings.HasSuffix(events.samples[0], "x 7") {
-		t.Errorf("events %+v", events)
-	}
 }
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -153,8 +153,8 @@
 }
 
 // verdictWord is the word of verdict lines.
-func verdictWord(ok bool) string {
-	if ok {
+func verdictWord(r interface{ OK() bool }) string {
+	if r.OK() {
 		return "ok"
 	}
 	return "BROKEN"
@@ -163,7 +163,7 @@
 // Verdict is the last line of the printed report.
 func (r *Report) Verdict() string {
 	line := fmt.Sprintf("verdict: %s requests=%d lost=%d doubled=%d late_drains=%d crashes=%d",
-		verdictWord(r.OK()), r.Requests, r.Lost, r.DuplicateWrites, r.LateDrains, r.Crashes)
+		verdictWord(r), r.Requests, r.Lost, r.DuplicateWrites, r.LateDrains, r.Crashes)
 	if r.ProcessesStopped {
 		line += fmt.Sprintf(" stopped=%d", r.InFlightAtStopped)
 	}
@@ -200,7 +200,8 @@
 
 func (r *Report) printPhases(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "phase\toffered\ta second\tin time\tshare\tlate\trefused\tfailed\tp50 ms\tp99 ms\tfetches\tretries\t")
+	fmt.Fprint(w, "phase\toffered\ta second\tin time\tshare\t")
+	fmt.Fprintln(w, "late\trefused\tfailed\tp50 ms\tp99 ms\tfetches\tretries\t")
 	for _, p := range r.Phases {
 		fmt.Fprintf(w, "%s\t%d\t%.0f\t%d\t%.2f%%\t%d\t%d\t%d\t%.1f\t%.1f\t%d\t%d\t\n",
 			p.Name, p.Offered, float64(p.Offered)/max(p.Seconds, 1e-9), p.InTime, p.InTimePercent(),
@@ -211,7 +212,8 @@
 
 func (r *Report) printFootprints(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "proxy\tMB at first\tat the end\tdescriptors at first\tat the end\tgoroutines at first\tat the end\t")
+	fmt.Fprint(w, "proxy\tMB at first\tat the end\tdescriptors at first\tat the end\t")
+	fmt.Fprintln(w, "goroutines at first\tat the end\t")
 	for i := range min(len(r.FirstFootprints), len(r.LastFootprints)) {
 		a, b := r.FirstFootprints[i], r.LastFootprints[i]
 		fmt.Fprintf(w, "%d\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t\n",
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -107,23 +107,23 @@
 	return list
 }
 
-// HoldFleet holds a fleet until ctx ends. It prints the addresses of proxies and nodes by print.
-func HoldFleet(ctx context.Context, s *Scenario, o Options, print func(line string)) error {
+// HoldFleet holds a fleet until ctx ends. It prints the addresses of proxies and nodes by printLine.
+func HoldFleet(ctx context.Context, s *Scenario, o Options, printLine func(line string)) error {
 	f, err := startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {})
 	if err != nil {
 		return err
 	}
 	defer f.close()
 	for _, p := range f.proxies {
-		print("proxy " + p.address)
+		printLine("proxy " + p.address)
 	}
 	for _, address := range f.directory.addresses() {
-		print(address)
+		printLine(address)
 	}
 	for _, n := range f.nodes {
-		print("node " + n.Name() + " " + n.Address())
+		printLine("node " + n.Name() + " " + n.Address())
 	}
-	print("ready")
+	printLine("ready")
 	<-ctx.Done()
 	f.stop()
 	if f.crashes > 0 {
--- a/internal/fleettest/scenariocheck.go
+++ b/internal/fleettest/scenariocheck.go
@@ -93,8 +93,6 @@
 }
 
 func (l *LoadSettings) check(f *FleetSettings) error {
-	badPipelines := l.PipelineDepth < 1 || l.PipelineDepth > maxPipelineDepth ||
-		l.Pipelines < 0 || l.Pipelines > maxPipelines
 	switch {
 	case l.Rate < 0 || l.Rate > maxRate:
 		return fmt.Errorf("load.rate cannot be %v: want 0 to %d", l.Rate, maxRate)
@@ -102,7 +100,7 @@
 		return fmt.Errorf("load.binary cannot be %v: want 0 to 1, and fleet.binary", l.BinaryShare)
 	case !isShare(l.LibraryShare):
 		return fmt.Errorf("load.library cannot be %v: want 0 to 1", l.LibraryShare)
-	case l.Skew <= 1 || l.Keys < 1 || badPipelines:
+	case l.Skew <= 1 || l.Keys < 1 || !l.hasGoodPipelines():
 		return errors.New("load: want skew above 1, keys from 1, depth 1 to 100, pipelines 0 to 100")
 	case l.TenantQuota < 0:
 		return fmt.Errorf("load.quota cannot be %d: want no less than 0", l.TenantQuota)
@@ -113,6 +111,11 @@
 	return nil
 }
 
+func (l *LoadSettings) hasGoodPipelines() bool {
+	goodDepth := l.PipelineDepth >= 1 && l.PipelineDepth <= maxPipelineDepth
+	return goodDepth && l.Pipelines >= 0 && l.Pipelines <= maxPipelines
+}
+
 func (p *Phase) check(tenants []string) error {
 	isFactor := func(x float64) bool { return x >= 0 && x <= maxFactor }
 	floodWithoutTenants := p.FirstTenantFactor > 1 && len(tenants) == 0
@@ -127,35 +130,47 @@
 		return err
 	}
 	f := &s.Fleet
+	isZoneEvent := e.Action == "dark" || e.Action == "light"
 	switch {
-	case (e.Action == "dark" || e.Action == "light") && !slices.Contains(f.Zones, e.Zone):
+	case isZoneEvent && !slices.Contains(f.Zones, e.Zone):
 		return fmt.Errorf("there is no zone %q", e.Zone)
 	case eventActions[e.Action] == "":
 		return fmt.Errorf("nothing is done by %q", e.Action)
 	case !slices.Contains(restartModes, e.Mode) || !slices.Contains(configVariants, e.ConfigVariant):
 		return fmt.Errorf("mode cannot be %q, or with cannot be %q", e.Mode, e.ConfigVariant)
-	case e.Proxy < -1 || e.Proxy >= f.Proxies || e.Node < 0 || e.Node >= f.Nodes:
-		return fmt.Errorf("there is no proxy %d, or no node %d", e.Proxy, e.Node)
-	case slices.ContainsFunc(e.Proxies, func(i int) bool { return i < 0 || i >= f.Proxies }):
-		return fmt.Errorf("there is no such proxy: %v", e.Proxies)
 	case time.Duration(e.At) > s.length():
 		return errors.New("comes after the end")
 	}
+	if err := f.checkTargets(e); err != nil {
+		return err
+	}
 	if _, err := node.ParseFault(e.FaultKind); err != nil && e.Action != "list-down" && e.Action != "link" {
 		return err
 	}
-	if e.Count < 0 || e.Count > f.Nodes && (e.Action == "leave" || e.Action == "return") {
+	return nil
+}
+
+// checkTargets checks the proxies and nodes of an event.
+func (f *FleetSettings) checkTargets(e *Event) error {
+	switch {
+	case e.Proxy < -1 || e.Proxy >= f.Proxies || e.Node < 0 || e.Node >= f.Nodes:
+		return fmt.Errorf("there is no proxy %d, or no node %d", e.Proxy, e.Node)
+	case slices.ContainsFunc(e.Proxies, without(f.Proxies)):
+		return fmt.Errorf("there is no such proxy: %v", e.Proxies)
+	case e.Count < 0 || e.Count > f.Nodes && (e.Action == "leave" || e.Action == "return"):
 		return fmt.Errorf("times cannot be %d", e.Count)
 	}
 	return nil
 }
 
+// without reports whether a number is none of so many.
+func without(count int) func(i int) bool { return func(i int) bool { return i < 0 || i >= count } }
+
 // checkFault checks an event that injects a fault into processes or links.
 func (s *Scenario) checkFault(e *Event) error {
 	if !slices.Contains([]string{"stop", "link", "starve", "crowd"}, e.Action) {
 		return nil
 	}
-	without := func(count int) func(i int) bool { return func(i int) bool { return i < 0 || i >= count } }
 	duration := time.Duration(e.Duration)
 	switch {
 	case slices.ContainsFunc(e.proxies(), without(s.Fleet.Proxies)):
--- a/internal/fleettest/workload.go
+++ b/internal/fleettest/workload.go
@@ -54,10 +54,16 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	zipf      *rand.Zipf
-	idleConns [][]*clientConn // by proxy and dialect, the latest last
+	idleConns map[poolKey][]*clientConn // the latest last
 	quotas    []tenantQuota
 }
 
+// poolKey names the idle connections to a proxy in one dialect.
+type poolKey struct {
+	proxy  int
+	binary bool
+}
+
 // tenantQuota is what a tenant has left of its quota, a second's worth at most.
 type tenantQuota struct {
 	left float64 // requests
@@ -84,7 +90,7 @@
 		recorder:  r,
 		rng:       rng,
 		zipf:      rand.NewZipf(rng, load.Skew, zipfOffset, uint64(load.Keys-1)),
-		idleConns: make([][]*clientConn, 2*len(f.proxies)),
+		idleConns: make(map[poolKey][]*clientConn),
 		quotas:    make([]tenantQuota, len(load.Tenants)),
 		classes: [2]requestClass{
 			{
