--- a/internal/fleettest/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -50,7 +50,7 @@
 
 // Print writes the report, its verdict last.
 func (r *LeaseGapsReport) Print(out io.Writer) {
-	printWaits(out, r.Gaps)
+	printGaps(out, r.Gaps)
 	for _, p := range r.Problems {
 		fmt.Fprintln(out, "  "+p)
 	}
@@ -64,9 +64,9 @@
 // gapTask is one task with its two holders.
 type gapTask struct {
 	name    string
-	judge   *judge
+	checker *fencingChecker
 	holders [2]*process
-	ways    [2][]*faultinject.Link
+	links   [2][]*faultinject.Link
 	seen    [2][]agent.VoterAddress
 	first   int // number of its first holder
 }
@@ -110,9 +110,9 @@
 				r.Problems = append(r.Problems, fmt.Sprintf("task %d: %v", i, err))
 			}
 			if t != nil {
-				t.judge.mu.Lock()
-				defer t.judge.mu.Unlock()
-				r.Actions, r.Overlaps, r.TokenRegressions = r.Actions+len(t.judge.committed), r.Overlaps+t.judge.overlaps(), r.TokenRegressions+t.judge.backward
+				t.checker.mu.Lock()
+				defer t.checker.mu.Unlock()
+				r.Actions, r.Overlaps, r.TokenRegressions = r.Actions+len(t.checker.committed), r.Overlaps+t.checker.countOverlaps(), r.TokenRegressions+t.checker.tokenRegressions
 			}
 		})
 	}
@@ -120,24 +120,24 @@
 	f.stop()
 	r.Problems = append(r.Problems, f.problems...)
 	for _, kind := range gapKinds {
-		r.Gaps = append(r.Gaps, waitOf(kind, waits[kind]))
+		r.Gaps = append(r.Gaps, gapOf(kind, waits[kind]))
 	}
 	return r, ctx.Err()
 }
 
 func newGapTask(f *fleet, o LeaseGapsOptions, i int) (*gapTask, error) {
-	j, err := newJudge()
+	j, err := newFencingChecker()
 	if err != nil {
 		return nil, err
 	}
-	t := &gapTask{name: fmt.Sprint("gap", i), judge: j, first: 10 + 2*i}
+	t := &gapTask{name: fmt.Sprint("gap", i), checker: j, first: 10 + 2*i}
 	for h := range t.holders {
 		for _, v := range f.voters.Voters {
 			link, err := faultinject.NewLink(linkHost, v.Address)
 			if err != nil {
 				return t, err
 			}
-			t.ways[h] = append(t.ways[h], link)
+			t.links[h] = append(t.links[h], link)
 			t.seen[h] = append(t.seen[h], agent.VoterAddress{Name: v.Name, Address: link.Address()})
 		}
 		if err := t.start(o, h); err != nil {
@@ -148,7 +148,16 @@
 }
 
 func (t *gapTask) start(o LeaseGapsOptions, h int) (err error) {
-	if t.holders[h], err = startHolder(o.HolderCommand, t.judge, t.first+h, t.name, true, t.seen[h], o.Folder); err != nil {
+	process := holderProcess{
+		command: o.HolderCommand,
+		checker: t.checker,
+		id:      t.first + h,
+		task:    t.name,
+		stays:   true,
+		voters:  t.seen[h],
+		folder:  o.Folder,
+	}
+	if t.holders[h], err = process.start(); err != nil {
 		return err
 	}
 	return t.holders[h].awaitReady()
@@ -159,11 +168,11 @@
 		if x != nil && !isClosed(x.exited) {
 			x.end(syscall.SIGKILL)
 		}
-		for _, l := range t.ways[h] {
+		for _, l := range t.links[h] {
 			l.Close()
 		}
 	}
-	t.judge.close()
+	t.checker.close()
 }
 
 // settled waits until one of the two acts and the other waits in the queue, and tells who acts and under which number.
@@ -174,10 +183,10 @@
 			continue
 		}
 		task := s.StateMachine.Tasks[t.name]
-		t.judge.mu.Lock()
-		who, acts := t.judge.who, time.Since(t.judge.last) < 100*time.Millisecond
-		highest := t.judge.highest
-		t.judge.mu.Unlock()
+		t.checker.mu.Lock()
+		who, acts := t.checker.lastHolder, time.Since(t.checker.lastSeen) < 100*time.Millisecond
+		highest := t.checker.highestToken
+		t.checker.mu.Unlock()
 		if acts && len(task.Grants) == 1 && len(task.Waiters) == 1 && task.Grants[0].Token == highest {
 			return who - t.first, highest, task.Waiters[0].Holder, nil
 		}
@@ -188,9 +197,9 @@
 // next waits for the first act under a higher number, and returns how long the task was without one.
 func (t *gapTask) next(ctx context.Context, number uint64) (time.Duration, error) {
 	for until := time.Now().Add(gapPatience); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(time.Millisecond) {
-		t.judge.mu.Lock()
-		higher, gap := t.judge.highest > number, t.judge.gap
-		t.judge.mu.Unlock()
+		t.checker.mu.Lock()
+		higher, gap := t.checker.highestToken > number, t.checker.gapBefore
+		t.checker.mu.Unlock()
 		if higher {
 			return gap, nil
 		}
@@ -231,7 +240,7 @@
 			case "cut off":
 				set := func(fault faultinject.Fault) error {
 					var err error
-					for _, l := range t.ways[h] {
+					for _, l := range t.links[h] {
 						if e := l.SetFault(fault); e != nil {
 							err = e
 						}
--- /dev/null
+++ b/internal/fleettest/leasefaults.go
@@ -0,0 +1,153 @@
+package fleettest
+
+import (
+	"context"
+	"sync"
+	"syscall"
+	"time"
+
+	"mulleinpier/internal/fleettest/faultinject"
+)
+
+// The kinds of faults of a lease test; every other kind that is drawn fails a link.
+const (
+	leaseFaultKill = iota
+	leaseFaultStop
+	leaseFaultDisk  // of a voter
+	leaseFaultKinds = 6
+)
+
+// leaseFault is a fault of a lease test.
+type leaseFault struct {
+	kind      int
+	process   int
+	link      leaseLink
+	linkFault string
+	duration  time.Duration
+}
+
+var leaseLinkFaults = []string{"cut", "forth", "back", "delay", linkReset, "slow", "twice"}
+
+const (
+	leaseStartTime = time.Second // without faults
+	leaseLinkDelay = 150 * time.Millisecond
+)
+
+// drawFault draws a fault.
+func (t *leaseTest) drawFault() leaseFault {
+	const processes = leaseVoters + leaseHolders
+	f := leaseFault{process: t.rng.IntN(processes)}
+	f.duration = time.Duration(100+t.rng.IntN(3400)) * time.Millisecond
+	f.kind = t.rng.IntN(leaseFaultKinds)
+	if holder := t.checker.currentHolder(); holder > 0 && t.rng.IntN(2) == 0 {
+		f.process = holder
+	}
+	f.link = leaseLink{process: t.rng.IntN(processes), voter: t.rng.IntN(leaseVoters)}
+	if f.link.process == f.link.voter {
+		f.link.process = max(t.checker.currentHolder(), leaseVoters)
+	}
+	f.linkFault = leaseLinkFaults[t.rng.IntN(len(leaseLinkFaults))]
+	return f
+}
+
+// injectFaults injects faults, some of them at the same time, until ctx ends. It never kills or stops two of the three
+// voters at a time; the faults of links may well leave no leader.
+func (t *leaseTest) injectFaults(ctx context.Context) {
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	sleep(ctx, leaseStartTime)
+	for ctx.Err() == nil {
+		f := t.drawFault()
+		t.report.Faults++
+		ended := make(chan struct{})
+		tasks.Go(func() {
+			defer close(ended)
+			t.inject(ctx, f)
+		})
+		if f.kind <= leaseFaultDisk && f.process < leaseVoters {
+			<-ended
+		}
+		sleep(ctx, time.Duration(200+t.rng.IntN(800))*time.Millisecond)
+	}
+}
+
+// inject injects a fault until its end.
+func (t *leaseTest) inject(ctx context.Context, f leaseFault) {
+	isVoter := f.process < leaseVoters
+	switch {
+	case f.kind == leaseFaultKill:
+		t.kill(f.process)
+	case f.kind == leaseFaultStop:
+		t.stopProcess(ctx, f.process, f.duration)
+	case f.kind == leaseFaultDisk && isVoter:
+		t.fillDisk(ctx, f.process, f.duration)
+	default:
+		t.failLink(ctx, f)
+	}
+}
+
+// kill kills a process, and starts it again.
+func (t *leaseTest) kill(process int) {
+	if process < leaseVoters {
+		t.fleet.proxies[process].kill()
+		return
+	}
+	i := process - leaseVoters
+	t.mu.Lock()
+	holder := t.holders[i]
+	t.mu.Unlock()
+	t.checker.noteFault(causeKilled, process)
+	holder.end(syscall.SIGKILL)
+	if err := t.startHolder(i); err != nil {
+		t.addCrash("holder %d: %v", i, err)
+	}
+}
+
+// stopProcess stops a process for a time.
+func (t *leaseTest) stopProcess(ctx context.Context, process int, d time.Duration) {
+	schedule := faultinject.StopSchedule{Duration: d}
+	if process < leaseVoters {
+		err := t.fleet.proxies[process].stopBySchedule(ctx, schedule)
+		if err != nil && ctx.Err() == nil {
+			t.addCrash("stop of voter %d: %v", process, err)
+		}
+		return
+	}
+	t.mu.Lock()
+	pid := t.holders[process-leaseVoters].cmd.Process.Pid
+	t.mu.Unlock()
+	t.checker.noteFault(causeStopped, process)
+	schedule.Run(ctx, pid, func(_, _ time.Time) {}) // it fails if the holder was killed meanwhile
+}
+
+// fillDisk fills the disk of a voter for a time. The voter steps down but still serves clients; it votes again after a
+// restart.
+func (t *leaseTest) fillDisk(ctx context.Context, voter int, d time.Duration) {
+	p := t.fleet.proxies[voter]
+	if err := faultinject.FullDisk(ctx, p.currentProcess().cmd.Process.Pid, d); err != nil {
+		t.addCrash("voter %d: %v", voter, err)
+	}
+	if ctx.Err() == nil {
+		p.kill()
+	}
+}
+
+// failLink makes a link fail for a time.
+func (t *leaseTest) failLink(ctx context.Context, f leaseFault) {
+	link := t.links[f.link]
+	if f.link.process >= leaseVoters {
+		t.checker.noteFault(causeLinkCut, f.link.process)
+	}
+	if f.linkFault == linkReset {
+		link.Reset()
+		return
+	}
+	if link.SetFault(faultinject.LinkFaults[f.linkFault](leaseLinkDelay)) != nil {
+		return // the test has ended
+	}
+	if f.linkFault == "twice" { // it concerns new connections
+		link.Reset()
+	}
+	sleep(ctx, f.duration)
+	link.SetFault(faultinject.Fault{})
+}
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -84,11 +84,11 @@
 	fmt.Fprintf(out, "verdict: %s instances=%d false=%d missed=%d\n", word, r.Instances, r.FalseDeaths, r.MissedDeaths)
 }
 
-// peersPlay is a play under way.
-type peersPlay struct {
+// peersTest is a play under way.
+type peersTest struct {
 	o      PeersOptions
 	fleet  *fleet
-	ways   [][]*faultinject.Link // from an instance to the voters
+	links  [][]*faultinject.Link // from an instance to the voters
 	report *PeersReport
 }
 
@@ -105,9 +105,9 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	p := &peersPlay{o: o, ways: make([][]*faultinject.Link, o.Instances), report: &PeersReport{Instances: o.Instances}}
+	p := &peersTest{o: o, links: make([][]*faultinject.Link, o.Instances), report: &PeersReport{Instances: o.Instances}}
 	defer p.close()
-	if p.fleet, err = startFleetWithVoterView(s, o.ProxyCommand, o.Folder, func(string, ...any) {}, p.open); err != nil {
+	if p.fleet, err = startFleetWithVoterView(s, o.ProxyCommand, o.Folder, func(string, ...any) {}, p.openLinks); err != nil {
 		return nil, err
 	}
 	defer p.fleet.close()
@@ -123,8 +123,8 @@
 	return p.report, ctx.Err()
 }
 
-// open puts links between instances and voters, where troubles are to be played.
-func (p *peersPlay) open(real []agent.VoterAddress) (voterView, error) {
+// openLinks puts links between instances and voters, where troubles are to be played.
+func (p *peersTest) openLinks(real []agent.VoterAddress) (voterView, error) {
 	found := make([][]agent.VoterAddress, p.o.Instances)
 	for i := range found {
 		for at, v := range real {
@@ -133,7 +133,7 @@
 				if err != nil {
 					return nil, err
 				}
-				p.ways[i] = append(p.ways[i], link)
+				p.links[i] = append(p.links[i], link)
 				v.Address = link.Address()
 			}
 			found[i] = append(found[i], v)
@@ -142,8 +142,8 @@
 	return func(i int) []agent.VoterAddress { return found[i] }, nil
 }
 
-func (p *peersPlay) close() {
-	for _, list := range p.ways {
+func (p *peersTest) close() {
+	for _, list := range p.links {
 		for _, l := range list {
 			l.Close()
 		}
@@ -151,7 +151,7 @@
 }
 
 // rest measures instances while nothing happens.
-func (p *peersPlay) rest(ctx context.Context) error {
+func (p *peersTest) rest(ctx context.Context) error {
 	c, err := agent.NewClient(p.fleet.voters)
 	if err != nil {
 		return err
@@ -199,7 +199,7 @@
 }
 
 // play has troubles befall instances that do not vote, in turn, and reads what the others logged.
-func (p *peersPlay) play(ctx context.Context) {
+func (p *peersTest) play(ctx context.Context) {
 	for _, trouble := range []struct {
 		name  string
 		death bool
@@ -219,7 +219,7 @@
 		{"cut off for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "cut") }},
 		{"answers held for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "back") }},
 		{"connections reset", false, func(d *proxyInstance) error {
-			for _, l := range p.ways[d.index] {
+			for _, l := range p.links[d.index] {
 				l.Reset()
 			}
 			return nil
@@ -260,13 +260,13 @@
 }
 
 // cut has an instance's ways to the voters fail for a while.
-func (p *peersPlay) cut(ctx context.Context, i int, kind string) error {
+func (p *peersTest) cut(ctx context.Context, i int, kind string) error {
 	var errs []error
-	for _, l := range p.ways[i] {
+	for _, l := range p.links[i] {
 		errs = append(errs, l.SetFault(faultinject.LinkFaults[kind](0)))
 	}
 	sleep(ctx, 2*time.Second)
-	for _, l := range p.ways[i] {
+	for _, l := range p.links[i] {
 		errs = append(errs, l.SetFault(faultinject.Fault{}))
 	}
 	return errors.Join(errs...)
@@ -275,7 +275,7 @@
 var memberLine = regexp.MustCompile(`(?m)^time=(\S+) .*msg="peers: member" proxy=\S+ name=(\S+) state=gone `)
 
 // gone is when an instance logged that another was gone, after a time; zero for never.
-func (p *peersPlay) gone(at int, name string, from time.Time) time.Time {
+func (p *peersTest) gone(at int, name string, from time.Time) time.Time {
 	text, err := os.ReadFile(p.fleet.proxies[at].currentProcess().logPath)
 	if err != nil {
 		return time.Time{}
