--- a/client/answer.go
+++ b/client/answer.go
@@ -59,7 +59,7 @@
 	return noValue, nil
 }
 
-// setFailed takes an answer that reports a failure, or that the request is invalid.
+// setFailed sets the outcome by a line that reports a failure, or that the request is invalid.
 func (a *answer) setFailed(line []byte) {
 	a.outcome = retry.Failed
 	a.cause = errors.New(string(line))
@@ -68,7 +68,8 @@
 	}
 }
 
-// setRead takes the first line of an answer to a read, and returns the size of the value that follows.
+// setRead sets the outcome by the first line of an answer to a read, and returns the size of the value that follows,
+// or noValue.
 func (a *answer) setRead(first *meta.AnswerLine) (size int, err error) {
 	switch first.Kind {
 	case request.Value:
--- a/client/call_test.go
+++ b/client/call_test.go
@@ -96,7 +96,7 @@
 
 // The tries of a call for each outcome of the first, for a read, a keyed and an unsafe write: how many a proxy sees,
 // and the error at the end.
-func TestOutcomes(t *testing.T) {
+func TestErrorForEachFirstOutcome(t *testing.T) {
 	unsafeClass := Class{Name: "plain", Effect: Unsafe, Wait: 700 * ms}
 	for _, c := range outcomeCases {
 		t.Run(string(c.reaction)+"/read", func(t *testing.T) {
@@ -240,7 +240,7 @@
 }
 
 // The wall clock is set forward while a write is in flight: its window may be over, so it is not sent again.
-func TestClockSteps(t *testing.T) {
+func TestClockStepsCloseTheWindow(t *testing.T) {
 	var step atomic.Int64
 	clock := systemClock()
 	o := Options{clock: func() retry.Timestamp {
@@ -268,7 +268,7 @@
 }
 
 // Invalid requests are refused before anything is sent, and all that is wrong with options is reported together.
-func TestInvalid(t *testing.T) {
+func TestInvalidRequestsAndOptionsAreRefused(t *testing.T) {
 	c, ns := newTestClient(t, 1, Options{}, always(scriptednode.Serve))
 	for _, r := range []Request{
 		{},
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -191,7 +191,7 @@
 }
 
 // The hooks report all that happens to a call, and an answer that came too late.
-func TestTrace(t *testing.T) {
+func TestHooksReportEachStep(t *testing.T) {
 	var mu sync.Mutex
 	var seen []string
 	note := func(format string, a ...any) {
--- a/client/command.go
+++ b/client/command.go
@@ -47,10 +47,13 @@
 // maxAnswerTravel bounds the time that is kept for an answer's way back to the client.
 const maxAnswerTravel = 20 * time.Millisecond
 
-// announcedTimeout is the timeout that a proxy is told: an answer that it sends at the last moment still has to come
-// back in time.
+// answerTravelDivisor gives the part of a timeout that is kept for that way, up to maxAnswerTravel.
+const answerTravelDivisor = 20
+
+// announcedTimeout is the timeout that a request carries: an answer that the proxy sends at its end still has to come
+// back before the attempt times out.
 func announcedTimeout(timeout time.Duration) time.Duration {
-	return timeout - min(timeout/20, maxAnswerTravel)
+	return timeout - min(timeout/answerTravelDivisor, maxAnswerTravel)
 }
 
 // appendCommand appends a request as it is sent to proxies.
--- a/client/connection.go
+++ b/client/connection.go
@@ -24,7 +24,7 @@
 	maxDirectBytes = 8 << 10
 	// freshTime is how long after a request a connection is taken to be open without a check.
 	freshTime = time.Millisecond
-	// minCompactLength is how many answered attempts there are at least before the list of pending ones is compacted.
+	// minCompactLength is how many answered attempts the list of pending ones may contain before it is compacted.
 	minCompactLength = 64
 )
 
@@ -75,7 +75,7 @@
 	reading       bool
 	writing       bool
 	err           error // why it ended; nil while it is open
-	settled       bool  // all pending attempts have their outcome
+	pendingEnded  bool  // all pending attempts have their outcome
 	ended         chan struct{}
 }
 
@@ -159,7 +159,7 @@
 		c.setReadDeadline(deadline)
 		err = c.checkAlive()
 	}
-	c.checkDone()
+	c.finishCheck()
 	if err != nil {
 		c.fail(err)
 		return false
@@ -179,7 +179,7 @@
 	c.mu.Unlock()
 	c.setReadDeadline(0)
 	err := c.checkAlive()
-	c.checkDone()
+	c.finishCheck()
 	if err != nil && !isTimeout(err) {
 		c.fail(err)
 		return
@@ -188,14 +188,14 @@
 	c.yieldReading()
 }
 
-// checkDone gives up writing after a check.
-func (c *connection) checkDone() {
+// finishCheck ends the writing that a check has claimed.
+func (c *connection) finishCheck() {
 	c.mu.Lock()
 	c.writing = false
 	ended := c.err != nil
 	c.mu.Unlock()
 	if ended {
-		c.settle()
+		c.endPending()
 	}
 }
 
@@ -213,7 +213,7 @@
 		}
 	}
 	hook := c.client.options.Trace.LateAnswer
-	if hook != nil && t.info != nil && a.outcome <= retry.Failed && a.outcome != retry.NotSent {
+	if hook != nil && t.info != nil && a.outcome.IsAnswer() {
 		info := *t.info
 		info.Outcome = outcomeNames[a.outcome]
 		info.Took = c.client.options.clock().Monotonic - t.sentAt
@@ -222,8 +222,8 @@
 	c.client.abandonedEnded(c)
 }
 
-// fail ends the connection. A goroutine that is writing settles the pending attempts after its write, because only
-// then is it known what was written.
+// fail ends the connection. A goroutine that is writing ends the pending attempts after its write, because only then
+// is it known what was written.
 func (c *connection) fail(err error) {
 	c.mu.Lock()
 	if c.err != nil {
@@ -237,18 +237,18 @@
 	signal(c.writeWanted)
 	signal(c.readWanted)
 	if !writing {
-		c.settle()
+		c.endPending()
 	}
 }
 
-// settle gives all pending attempts of a connection that has ended their outcome, once.
-func (c *connection) settle() {
+// endPending gives all pending attempts of a connection that has ended their outcome. It does so once.
+func (c *connection) endPending() {
 	c.mu.Lock()
-	if c.settled {
+	if c.pendingEnded {
 		c.mu.Unlock()
 		return
 	}
-	c.settled = true
+	c.pendingEnded = true
 	pending := c.pending[c.firstPending:]
 	c.pending = nil
 	c.outgoing = nil
--- a/client/connwrite.go
+++ b/client/connwrite.go
@@ -38,7 +38,7 @@
 	c.mu.Unlock()
 	switch {
 	case ended:
-		c.settle()
+		c.endPending()
 	case err != nil:
 		c.fail(err)
 	}
--- a/client/internal/balance/balancer_test.go
+++ b/client/internal/balance/balancer_test.go
@@ -305,7 +305,7 @@
 }
 
 // An empty list changes nothing; one that shrinks stops new requests at once.
-func TestListChanges(t *testing.T) {
+func TestListChangesAreFollowed(t *testing.T) {
 	b := newBalancer(usualSettings, 1, 3)
 	connect(b, 0)
 	if b.Update(0, nil) || len(addresses(b)) != 3 {
--- a/client/internal/retry/budget.go
+++ b/client/internal/retry/budget.go
@@ -26,7 +26,7 @@
 	return b.saved >= 1
 }
 
-// spend takes one retry out of the budget, and reports whether there was one.
+// spend pays for one retry, and reports whether the budget could afford it.
 func (b *Budget) spend(e Effect) bool {
 	if !b.CanAfford(e) {
 		return false
--- a/client/internal/retry/outcome.go
+++ b/client/internal/retry/outcome.go
@@ -28,6 +28,15 @@
 	outcomeCount
 )
 
+// IsAnswer reports whether the service has answered an attempt with this outcome.
+func (o Outcome) IsAnswer() bool {
+	switch o {
+	case Served, NotFound, Rejected, Invalid, Failed:
+		return true
+	}
+	return false
+}
+
 // MayHaveRun reports whether an attempt with this outcome may have been carried out, or may yet be.
 func (o Outcome) MayHaveRun() bool {
 	switch o {
--- a/client/internal/retry/request.go
+++ b/client/internal/retry/request.go
@@ -121,7 +121,7 @@
 func (r *Request) AttemptEnded(
 	now Timestamp, outcome Outcome, retryAfter time.Duration, budget *Budget, rng *rand.Rand,
 ) Decision {
-	r.record(outcome)
+	r.recordOutcome(outcome)
 	stop := Decision{Result: r.result(outcome)}
 	if outcome == Rejected {
 		stop.RetryAfter = retryAfter
@@ -149,8 +149,8 @@
 	return Decision{Backoff: backoff}
 }
 
-// record takes an outcome into the request's state.
-func (r *Request) record(outcome Outcome) {
+// recordOutcome updates the request's state by the outcome of its last attempt.
+func (r *Request) recordOutcome(outcome Outcome) {
 	if outcome.MayHaveRun() {
 		if !r.mayHaveRun {
 			r.mayHaveRun = true
--- a/client/internal/retry/retry_test.go
+++ b/client/internal/retry/retry_test.go
@@ -311,7 +311,7 @@
 
 // A throttle lets everything through while less than half is rejected, holds most back while all is, and recovers
 // within seconds.
-func TestThrottle(t *testing.T) {
+func TestThrottleFollowsRejections(t *testing.T) {
 	var throttle Throttle
 	rng := rng()
 	play := func(from, to time.Duration, rejected float64) (sent, all int) {
--- a/client/source.go
+++ b/client/source.go
@@ -15,7 +15,7 @@
 // Source provides the list of proxies.
 type Source interface {
 	// Follow calls update with the complete list, host:port each, first and after each change, until ctx ends or an
-	// error occurs; the client calls it again after a pause then. An empty list is not put into force: the last one
+	// error occurs; the client calls it again after a delay then. An empty list is not put into force: the last one
 	// stays.
 	Follow(ctx context.Context, update func(addresses []string)) error
 }
--- a/client/sourcewatch.go
+++ b/client/sourcewatch.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minSourcePause is the least time before a source that failed is followed again.
-const minSourcePause = 500 * time.Millisecond
+// minSourceRetryDelay is the shortest time before a source that failed is followed again; the longest is twice that.
+const minSourceRetryDelay = 500 * time.Millisecond
 
 // followSource puts the lists of the source into force until the client is closed.
 func (c *Client) followSource() {
@@ -14,10 +14,10 @@
 		}
 		c.traceList(nil, err)
 		c.mu.Lock()
-		pause := minSourcePause + time.Duration(c.rng.Int64N(int64(minSourcePause)))
+		delay := minSourceRetryDelay + time.Duration(c.rng.Int64N(int64(minSourceRetryDelay)))
 		c.mu.Unlock()
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-c.ctx.Done():
 		}
 	}
--- a/cmd/mulleinctl/getset.go
+++ b/cmd/mulleinctl/getset.go
@@ -10,7 +10,7 @@
 	"mulleinpier/client"
 )
 
-// proxyFlags say which proxies are asked, and how.
+// proxyFlags say which proxies the requests go to, and how.
 type proxyFlags struct {
 	Proxies []string      `short:"p" help:"Proxies, host:port, separated by commas."`
 	File    string        `help:"A file that lists proxies, one a line, in place of --proxies."`
--- a/cmd/mulleinctl/hold.go
+++ b/cmd/mulleinctl/hold.go
@@ -56,6 +56,8 @@
 	if err := c.await(ctx, holder); err != nil {
 		return err
 	}
+	// runCommand ends the command itself: at a signal, by ctx, or some time before the lease ends, by LostBefore. The
+	// guard must outlast both, and the action's context would end too late.
 	return holder.RunGuarded(context.WithoutCancel(ctx), func(_ context.Context, token uint64) error {
 		return c.runCommand(ctx, holder, argv, token, out, log)
 	})
@@ -75,8 +77,8 @@
 // killMargin is kept between the end of the grace time and the end of the lease.
 const killMargin = 50 * time.Millisecond
 
-// runCommand runs the command under a grant. The command is ended before the lease is: a renewal that does not come in
-// time is noticed while the grace time is still left.
+// runCommand runs the command under a grant. The command is ended before the lease is: a missing renewal is noticed
+// while the grace time is still left.
 func (c *holdCommand) runCommand(
 	ctx context.Context, holder *agent.Holder, argv []string, token uint64, out, log io.Writer,
 ) (err error) {
--- a/cmd/mulleinctl/main_test.go
+++ b/cmd/mulleinctl/main_test.go
@@ -44,7 +44,7 @@
 }
 
 // Each command against a scripted proxy, with what it prints and its exit code.
-func TestCommands(t *testing.T) {
+func TestOutputAndExitCodeOfEachCommand(t *testing.T) {
 	proxy, list := startProxy(t)
 	at := "--proxies=" + proxy.Address(0)
 	for _, c := range []struct {
--- a/cmd/mulleinctl/voters.go
+++ b/cmd/mulleinctl/voters.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// voterFlags say which voters are asked.
+// voterFlags say which voters the requests go to.
 type voterFlags struct {
 	Fleet  string        `required:"" env:"MULLEIN_FLEET" help:"Name of the fleet."`
 	Voters []string      `required:"" env:"MULLEIN_VOTERS" help:"Voters, name=host:port,..., in the configured order."`
@@ -56,7 +56,7 @@
 	})
 }
 
-// state asks the voters for the state of all leases.
+// state fetches the state of all leases from the leader.
 func (f *voterFlags) state(ctx context.Context) (state agent.VoterState, err error) {
 	err = f.withClient(ctx, func(ctx context.Context, c *agent.Client) error {
 		state, err = c.LeaderState(ctx)
--- a/cmd/mulleinpier/main.go
+++ b/cmd/mulleinpier/main.go
@@ -35,26 +35,29 @@
 
 // commands are the commands with their options.
 type commands struct {
-	Serve    configOptions `cmd:"" help:"Serve clients until SIGTERM."`
-	Check    configOptions `cmd:"" help:"Print all errors of a configuration."`
-	Platform struct {
-		Reduce bool `xor:"taken" help:"With levels of reduced service."`
-		Counts bool `xor:"taken" help:"With a log line of counts a second."`
-	} `cmd:"" help:"Serve as the platform has it, as without a command."`
-	Secret struct {
+	Serve    configOptions   `cmd:"" help:"Serve clients until SIGTERM."`
+	Check    configOptions   `cmd:"" help:"Print all errors of a configuration."`
+	Platform platformOptions `cmd:"" help:"Serve as the platform has it, as without a command."`
+	Secret   struct {
 		User string `required:"" help:"The name of the user."`
 	} `cmd:"" help:"Read a secret and print its line for a file of users."`
 	Version struct{} `cmd:"" help:"Print the version."`
 }
 
-// stableInterval is how long a configuration must not have changed to be reloaded.
+// platformOptions are the options of the command platform.
+type platformOptions struct {
+	Reduce bool `xor:"taken" help:"With levels of reduced service."`
+	Counts bool `xor:"taken" help:"With a log line of counts a second."`
+}
+
+// stableInterval is the time between two reads of a configuration that must agree before it is reloaded.
 const stableInterval = 50 * time.Millisecond
 
 // errUsage is the error of an invalid command line.
 var errUsage = cli.ErrUsage
 
 func main() {
-	// First of all: until they are caught, signals end the program, and so does a reader of the log that goes away.
+	// First of all: until they are caught, signals end the program, and so does a write to a log without a reader.
 	signal.Ignore(syscall.SIGPIPE)
 	hangups, terminations := make(chan os.Signal, 1), make(chan os.Signal, 2)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -84,7 +87,7 @@
 	return fmt.Sprintf("%v (and %d more: see %s check)", list[0], len(list)-1, programName)
 }
 
-// run runs the command of args.
+// run runs the command that args name.
 func run(args []string, out io.Writer, o daemon.Options) error {
 	if len(args) == 0 {
 		return runPlatformDefault(o)
@@ -100,7 +103,7 @@
 		fmt.Fprintln(out, programName, version())
 		return nil
 	case "platform":
-		return runPlatform(o, c.Platform.Reduce, c.Platform.Counts)
+		return runPlatform(o, c.Platform)
 	case "secret":
 		return printSecret(c.Secret.User, os.Stdin, out)
 	case "check":
--- a/cmd/mulleinpier/platform.go
+++ b/cmd/mulleinpier/platform.go
@@ -30,15 +30,15 @@
 	return daemon.Run(o)
 }
 
-// runPlatform serves as the platform has it, with levels of reduced service or with log lines of counts.
-func runPlatform(o daemon.Options, reduce, logCounts bool) error {
+// runPlatform serves as the platform has it, with what the options add.
+func runPlatform(o daemon.Options, options platformOptions) error {
 	load := platformLoader(o.Getenv)
 	o.Platform = true
 	o.LoadConfig = func() (*config.Config, error) {
 		c, err := load()
 		if err == nil {
-			c.Proxy.Overload.Enabled = reduce
-			c.Proxy.LogCounts = logCounts
+			c.Proxy.Overload.Enabled = options.Reduce
+			c.Proxy.LogCounts = options.Counts
 		}
 		return c, err
 	}
--- a/internal/consul/instances_test.go
+++ b/internal/consul/instances_test.go
@@ -105,7 +105,7 @@
 	return func(i *fakeconsul.Instance) { i.Meta = map[string]string{key: value} }
 }
 
-func TestStatuses(t *testing.T) {
+func TestStatusByTagsAndChecks(t *testing.T) {
 	catalogue, agent := startAgent(t, "")
 	for name, c := range map[string]struct {
 		change func(*fakeconsul.Instance)
--- a/internal/consul/registrar_test.go
+++ b/internal/consul/registrar_test.go
@@ -44,7 +44,7 @@
 	r.ended <- struct{}{}
 }
 
-func TestRegistration(t *testing.T) {
+func TestRegistrationIsKeptUntilDrain(t *testing.T) {
 	catalogue, agent := startAgent(t, "")
 	r := &registration{t: t, catalogue: catalogue, ended: make(chan struct{}, 1)}
 	r.registrar = NewRegistrar(Registration{
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -49,7 +49,7 @@
 	f.join(c)
 }
 
-// join starts what a configuration asks for. f.mu is held.
+// join starts what a configuration enables. f.mu is held.
 func (f *fleetMember) join(c *config.Config) {
 	f.config = c.Peers
 	f.leave = func() {}
--- a/internal/lease/agent/recorded_test.go
+++ b/internal/lease/agent/recorded_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestRecordedVotersContinue runs three voters of this version from the recorded files: they agree on what was recorded,
-// and their next token is higher than all before.
+// TestRecordedVotersContinue runs three voters of this version from the recorded files: they agree on what was
+// recorded, and their next token is higher than all before.
 func TestRecordedVotersContinue(t *testing.T) {
 	f := newStoppedFleet(t)
 	for i, path := range f.paths {
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -17,7 +17,7 @@
 //  4. A grant that is revoked is waited out, never believed to be over early.
 //  5. The same request, sent twice or late, gets one grant.
 //
-// What it does not promise: that a process looks at its session between its check and its action. The resource has to
+// It does not promise that nothing happens between a process's check of its session and its action. The resource has to
 // compare fencing tokens; where it can't, the gap that docs/design/lease.md describes remains.
 //
 // The types are not safe for concurrent use and start no goroutines; each belongs to its caller.
--- a/internal/lease/expiry.go
+++ b/internal/lease/expiry.go
@@ -61,7 +61,7 @@
 	return d.at - now, ok
 }
 
-// Handle takes an event at a time and appends what is to be done to out.
+// Handle handles an event that occurs at now, and appends the actions to out.
 func (m *ExpiryManager) Handle(now time.Duration, event ExpiryEvent, out []ExpiryAction) []ExpiryAction {
 	switch e := event.(type) {
 	case LeadershipAcquired:
--- a/internal/lease/expiry_messages.go
+++ b/internal/lease/expiry_messages.go
@@ -27,7 +27,7 @@
 	// LeadershipConfirmed says that this voter still led after the ConfirmLeadership of this sequence, and those
 	// before it, had been asked for.
 	LeadershipConfirmed struct{ Sequence uint64 }
-	// Tick lets time pass.
+	// Tick has the deadlines checked.
 	Tick struct{}
 )
 
--- a/internal/lease/quorum/discardlogger.go
+++ b/internal/lease/quorum/discardlogger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// discardLogger takes the library's log: what matters comes as actions. Fatal and Panic panic, as [Replica.Handle]
-// expects.
+// discardLogger discards the log of the raft library: what matters comes as actions. Fatal and Panic panic, which
+// [Replica.Handle] recovers from.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)                   {}
--- a/internal/lease/quorum/messages.go
+++ b/internal/lease/quorum/messages.go
@@ -13,7 +13,7 @@
 type Event interface{ event() }
 
 type (
-	// Tick lets one TickInterval pass.
+	// Tick says that one TickInterval has passed.
 	Tick struct{}
 	// MessageReceived is a message of another voter.
 	MessageReceived struct{ Message *raftpb.Message }
--- a/internal/lease/quorum/replica.go
+++ b/internal/lease/quorum/replica.go
@@ -15,7 +15,7 @@
 const TickInterval = 30 * time.Millisecond
 
 const (
-	// electionTicks without a message make a voter ask for votes: after 300 to 600 ms.
+	// electionTicks without a message of a leader make a voter start an election: after 300 to 600 ms.
 	electionTicks = 10
 	// neverTicks is an election timeout that no replica reaches.
 	neverTicks = 1 << 30
@@ -51,7 +51,7 @@
 	now     time.Duration
 }
 
-// Elections says when a voter asks for votes.
+// Elections says when a voter starts an election.
 type Elections uint8
 
 // The kinds of elections.
@@ -171,7 +171,7 @@
 	return r.expiry.TimeLeft(token, now)
 }
 
-// Campaign asks for votes at once.
+// Campaign starts an election at once.
 func (r *Replica) Campaign(now time.Duration) []Action {
 	r.now, r.actions = now, nil
 	if !r.halted {
@@ -181,7 +181,7 @@
 	return r.actions
 }
 
-// Handle takes an event at a time, by a clock that counts the machine's sleep, and returns what is to be done.
+// Handle handles an event that occurs at now, by a clock that counts the machine's sleep, and returns the actions.
 func (r *Replica) Handle(now time.Duration, event Event) (actions []Action) {
 	r.now, r.actions = now, nil
 	defer func() { // the library panics if what this voter has saved contradicts the others: it has lost a part of it
--- a/internal/lease/quorum/requests.go
+++ b/internal/lease/quorum/requests.go
@@ -15,7 +15,7 @@
 // pendingRenewal is the request that a renewal belongs to.
 type pendingRenewal struct{ requestID, token uint64 }
 
-// logEntry is what the voters' log holds.
+// logEntry is an entry of the voters' log.
 type logEntry struct {
 	RequestID uint64        `cbor:"1,keyasint"` // of the proposer; 0 for a command of its expiry manager
 	Proposer  uint64        `cbor:"2,keyasint"` // incarnation of the voter that proposed it
@@ -89,7 +89,7 @@
 func (r *Replica) propose(requestID uint64, c lease.Command) {
 	err := r.proposeEntry(requestID, c)
 	switch {
-	case requestID == 0: // the expiry manager proposes anew what is still due
+	case requestID == 0: // the expiry manager proposes it again while it is due
 	case err != nil:
 		r.emit(Response{RequestID: requestID})
 	default:
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -80,7 +80,7 @@
 	return next
 }
 
-// Handle takes an event at a time, and appends what is to be done to out.
+// Handle handles an event that occurs at now, and appends the actions to out.
 func (s *Session) Handle(now time.Duration, event SessionEvent, out []SessionAction) []SessionAction {
 	if s.state == Finished {
 		return out
--- a/internal/lease/session_messages.go
+++ b/internal/lease/session_messages.go
@@ -4,7 +4,7 @@
 type SessionEvent interface{ sessionEvent() }
 
 type (
-	// TimerFired lets time pass.
+	// TimerFired says that the time of NextWakeup has come.
 	TimerFired struct{}
 	// Response is the voters' answer to the SendRequest of a sequence.
 	Response struct {
--- a/internal/loadgen/config_test.go
+++ b/internal/loadgen/config_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestBusiest(t *testing.T) {
+func TestBusiestSpanIsFound(t *testing.T) {
 	times := []time.Duration{100, 0, 10, 51, 99, 200, 149}
 	if n := busiest(slices.Clone(times), 50); n != 3 { // 100, 99, 51 and 149, 100
 		t.Fatal(n)
--- a/internal/loadgen/naive.go
+++ b/internal/loadgen/naive.go
@@ -103,24 +103,24 @@
 	deadline := time.Now().Add(class.Wait)
 	mayHaveRun := false
 	for try := 0; ; try++ {
-		wait := min(time.Until(deadline), time.Duration(q.share*float64(class.Wait)))
-		as := failed
+		wait := min(time.Until(deadline), time.Duration(q.tryShare*float64(class.Wait)))
+		result := failed
 		if wait > 0 {
-			as = c.try(q, class.Name, wait, try)
+			result = c.try(q, class.Name, wait, try)
 		}
-		switch as {
+		switch result {
 		case served:
 			return served
 		case failed:
 			mayHaveRun = true
 		}
-		if try >= q.retries || time.Until(deadline) <= q.pause {
-			if as == failed && mayHaveRun && q.isHandover() {
+		if try >= q.retries || time.Until(deadline) <= q.retryDelay {
+			if result == failed && mayHaveRun && q.isHandover() {
 				return unknown
 			}
-			return as
+			return result
 		}
-		time.Sleep(q.pause)
+		time.Sleep(q.retryDelay)
 	}
 }
 
@@ -143,7 +143,7 @@
 		Key:    q.key,
 		Class:  class,
 		Tenant: c.recorder.config.Tenant,
-		Retry:  number > 0 && q.marked,
+		Retry:  number > 0 && q.marksRetries,
 	}
 	if q.isHandover() {
 		r.Verb = wire.Set
@@ -156,20 +156,20 @@
 	}
 	conn.socket.SetDeadline(time.Now().Add(wait))
 	c.recorder.tried()
-	as, usable := failed, false
+	result, usable := failed, false
 	if _, err := conn.socket.Write(text); err == nil {
-		as, usable = conn.readAnswer(id, r.Verb)
+		result, usable = conn.readAnswer(id, r.Verb)
 	}
 	if usable {
 		c.release(conn)
 	} else {
 		conn.socket.Close()
 	}
-	return as
+	return result
 }
 
 // readAnswer reads the answer to a request, and reports whether the connection can be used for others.
-func (c *naiveConn) readAnswer(id string, verb wire.Verb) (as outcome, usable bool) {
+func (c *naiveConn) readAnswer(id string, verb wire.Verb) (result outcome, usable bool) {
 	line, err := c.reader.ReadSlice('\n')
 	if err != nil {
 		return failed, false
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -127,7 +127,7 @@
 }
 
 // ended counts a request that started at a time.
-func (r *recorder) ended(start time.Time, q *request, as outcome) {
+func (r *recorder) ended(start time.Time, q *request, result outcome) {
 	took := time.Since(start)
 	objective := r.config.ReadObjective
 	if q.isHandover() {
@@ -140,7 +140,7 @@
 	if q.isHandover() {
 		p.Handovers++
 	}
-	switch as {
+	switch result {
 	case served:
 		r.latencies[i].RecordValue(max(took.Microseconds(), 1))
 		if took > objective {
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -12,12 +12,12 @@
 
 // request is one request of a load, with how a naive client retries it.
 type request struct {
-	key     string
-	value   string // "" of a read
-	retries int
-	pause   time.Duration // before each retry
-	share   float64       // of the deadline that a try waits
-	marked  bool          // retries are marked as such
+	key          string
+	value        string // "" of a read
+	retries      int
+	retryDelay   time.Duration // before each retry
+	tryShare     float64       // of the deadline that a try waits
+	marksRetries bool          // retries are marked as such
 }
 
 func (q *request) isHandover() bool { return q.value != "" }
@@ -42,20 +42,30 @@
 const (
 	generatorStream = 7 // second seed of the load's generator
 	zipfOffset      = 4 // flattens the popularity of the first keys
-	naiveRetries    = 3
+)
+
+// The manners of naive clients. Each request draws its own.
+const (
+	naiveRetries        = 3
+	minTryShare         = 0.3 // of the deadline
+	tryShareSpan        = 0.25
+	minRetryDelayMs     = 20 // of the half of the requests that are not retried at once
+	retryDelaySpanMs    = 140
+	markingClientsOneIn = 2 // one request in so many marks its retries
+	delayedRetriesOneIn = 2
 )
 
 // next draws a request.
 func (s *requestSource) next() *request {
 	s.drawn++
 	q := &request{
-		key:     fmt.Sprint("k", s.zipf.Uint64()),
-		retries: naiveRetries,
-		share:   0.3 + s.rng.Float64()*0.25,
-		marked:  s.rng.IntN(2) == 0,
+		key:          fmt.Sprint("k", s.zipf.Uint64()),
+		retries:      naiveRetries,
+		tryShare:     minTryShare + s.rng.Float64()*tryShareSpan,
+		marksRetries: s.rng.IntN(markingClientsOneIn) == 0,
 	}
-	if s.rng.IntN(2) == 0 {
-		q.pause = time.Duration(20+s.rng.IntN(140)) * time.Millisecond
+	if s.rng.IntN(delayedRetriesOneIn) == 0 {
+		q.retryDelay = time.Duration(minRetryDelayMs+s.rng.IntN(retryDelaySpanMs)) * time.Millisecond
 	}
 	if s.rng.Float64() < s.config.HandoverShare {
 		q.key = fmt.Sprint("h", s.rng.IntN(s.config.Keys))
--- a/internal/membership/confirm.go
+++ b/internal/membership/confirm.go
@@ -79,7 +79,7 @@
 	r.setTimer(p.until - r.now)
 }
 
-// extendConfirmation takes a list that shows the same collapse again, or that lacks further nodes.
+// extendConfirmation handles a further list during a confirmation: it shows the same collapse, or lacks more nodes.
 func (r *Reconciler) extendConfirmation(s *source, remaining int, missing []string) {
 	p := s.pending
 	if remaining > 0 && p.listEmpty { // no longer empty: what is still missing is a loss like any other
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -146,7 +146,7 @@
 	return r
 }
 
-// Handle takes an event at a time that never goes back, and appends what has to be done to actions.
+// Handle handles an event that occurs at now, which never goes back, and appends what has to be done to actions.
 func (r *Reconciler) Handle(now time.Duration, event Event, actions []Action) []Action {
 	r.now, r.actions = now, actions
 	switch e := event.(type) {
--- a/internal/membership/restarts.go
+++ b/internal/membership/restarts.go
@@ -79,7 +79,7 @@
 // the reason for a change, "" for none.
 func (r *Reconciler) infer(n *node, merged *Node) (reason string) {
 	if merged.Status != Up {
-		n.heldUntil = 0 // it left again: the next return counts anew
+		n.heldUntil = 0 // it left again: the next return starts another
 	}
 	if merged.Status == Gone {
 		return ""
--- a/internal/membership/sources.go
+++ b/internal/membership/sources.go
@@ -118,7 +118,7 @@
 	return missing
 }
 
-// remove takes a node for reported gone.
+// remove records a node as if the source had reported it gone.
 func (s *source) remove(name string, now time.Duration, reason string) {
 	s.nodes[name] = &Node{Name: name, Status: Gone, Reason: reason}
 	s.losses[name] = now
--- a/internal/peer/detector.go
+++ b/internal/peer/detector.go
@@ -19,7 +19,7 @@
 	}
 	// ConnectionLost says that a connection has ended.
 	ConnectionLost struct{ ConnectionID uint64 }
-	// Tick lets time pass. It is to come every half of Parameters.PauseThreshold at least.
+	// Tick has the silences checked. It must come at least every half of Parameters.PauseThreshold.
 	Tick struct{}
 )
 
@@ -34,7 +34,7 @@
 const (
 	Accepted       HeartbeatResult = iota
 	Replaced                       // another process of that name has taken this one's place
-	NameTaken                      // another process of that name still counts
+	NameTaken                      // another process of that name has it still
 	TooManyMembers                 // there is no room for the member
 )
 
@@ -102,7 +102,7 @@
 	return list, complete
 }
 
-// Handle takes an event at a time. The result is that of a heartbeat.
+// Handle handles an event that occurs at now. The result is that of a heartbeat, and Accepted for other events.
 func (d *Detector) Handle(now time.Duration, event Event) HeartbeatResult {
 	d.excuseOwnPause(now)
 	result := Accepted
@@ -166,7 +166,7 @@
 	m.changedVersion = d.version
 }
 
-// heartbeat takes a member's sign of life, unless another process of its name counts.
+// heartbeat records a member's sign of life, unless another process has its name.
 func (d *Detector) heartbeat(now time.Duration, e *Heartbeat) HeartbeatResult {
 	m := d.members[e.Member.Name]
 	if m == nil {
--- a/internal/peer/rpc/rpc_test.go
+++ b/internal/peer/rpc/rpc_test.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestVersionsAreCompatible guards fleets that are mixed while they are being replaced: an older and a newer program understand
-// each other as far as the newer one says so.
+// TestVersionsAreCompatible guards fleets that are mixed while they are being replaced: an older and a newer program
+// understand each other as far as the newer one says so.
 func TestVersionsAreCompatible(t *testing.T) {
 	for _, c := range []struct {
 		name                string
--- a/internal/peer/transport/client.go
+++ b/internal/peer/transport/client.go
@@ -133,7 +133,7 @@
 	return &r, nil
 }
 
-// merge takes a watcher's report into the view.
+// merge merges a watcher's report into the view.
 func (c *Client) merge(w Watcher, r *report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peer/transport/server.go
+++ b/internal/peer/transport/server.go
@@ -12,7 +12,7 @@
 	"mulleinpier/internal/peer/rpc"
 )
 
-// minTickWait is the least time between two ticks of a watcher.
+// minTickWait is the shortest time between two ticks of a watcher.
 const minTickWait = time.Millisecond
 
 // Server is a watcher. It is safe for concurrent use.
@@ -107,7 +107,7 @@
 	}
 }
 
-// ServeHTTP takes a heartbeat, and answers it once there is something to report.
+// ServeHTTP handles a heartbeat, and answers it once something has changed or a heartbeat interval has passed.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var in heartbeat
 	if !rpc.ReadRequest(w, r, s.fleet, &in) {
@@ -126,7 +126,7 @@
 	rpc.WriteResponse(w, s.report(result, &in))
 }
 
-// waitForChange waits until the opinion is another than the sender knows, a heartbeat interval at the most. It returns
+// waitForChange waits until the opinion differs from what the sender knows, or for a heartbeat interval. It returns
 // false where the connection has ended meanwhile, or this server does.
 func (s *Server) waitForChange(ctx context.Context, in *heartbeat) bool {
 	timer := time.NewTimer(peer.DefaultParameters.HeartbeatInterval)
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -50,7 +50,7 @@
 // majority returns how many of the watchers have to agree.
 func (v *View) majority() int { return v.watchers/2 + 1 }
 
-// Merge takes a watcher's report at a time and returns what has changed.
+// Merge merges a watcher's report that came at now into the view, and returns what has changed.
 func (v *View) Merge(now time.Duration, watcher string, report Report) []Change {
 	r := v.opinions[watcher]
 	if r == nil {
@@ -72,7 +72,7 @@
 	return v.Tick(now)
 }
 
-// Tick lets time pass and returns what has changed.
+// Tick checks what is due at a time and returns what has changed.
 func (v *View) Tick(now time.Duration) (changes []Change) {
 	v.updateIsolated(now)
 	if v.isolated {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// drainAcceptTime is how long connections are still accepted after SIGTERM: clients go on connecting for some
-	// tenths of a second.
+	// drainAcceptTime is how long connections are accepted after the start of a drain: clients go on connecting for
+	// some tenths of a second.
 	drainAcceptTime = 500 * time.Millisecond
 	// abortGrace is the time between the abort of all requests and the cut of all connections, in which the
 	// responses to the aborted requests are written. In a shortened drain it also follows upon the last deadline,
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// accept accepts a connection, and notes whether the backlog was empty.
+// accept accepts a connection, and records when the backlog was empty.
 func (l *clientListener) accept(now func() time.Duration) (*net.TCPConn, error) {
 	start := now()
 	socket, err := l.AcceptTCP()
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -95,7 +95,7 @@
 // IsInProgress reports whether a holder has said that another owner has the write: a further response of it follows.
 func (c *Claim) IsInProgress() bool { return c.inProgress }
 
-// HandleResponse takes a holder's response.
+// HandleResponse applies a holder's response.
 func (c *Claim) HandleResponse(holder string, r ClaimResponse) {
 	if r.Decision == InProgress {
 		c.inProgress = true
--- a/internal/takeover/coordinator/claims.go
+++ b/internal/takeover/coordinator/claims.go
@@ -76,7 +76,7 @@
 	})
 }
 
-// holderAnswered takes a holder's response to a claim.
+// holderAnswered applies a holder's response to a claim.
 func (c *Coordinator) holderAnswered(cl *claim, holder string, r takeover.ClaimResponse) {
 	if r.Decision == takeover.InProgress {
 		c.count(func(n *Counts) { n.InProgress++ })
--- a/internal/takeover/coordinator/doc.go
+++ b/internal/takeover/coordinator/doc.go
@@ -1,7 +1,7 @@
 // Package coordinator runs what package takeover decides in a real process: it asks other proxies for permission to
 // send keyed writes, keeps copies of theirs, takes over orphaned writes, and reports outcomes to the other holders.
 //
-// What the guarantees of package takeover need beside it:
+// Beyond the guarantees of package takeover:
 //
 //  1. A write's outcome is sent to each holder until it has been received, or for [completionTimeout].
 //  2. Every claim ends: its client is answered before its time is over, and when the coordinator stops.
--- a/internal/takeover/coordinator/inputs.go
+++ b/internal/takeover/coordinator/inputs.go
@@ -36,14 +36,14 @@
 	}
 }
 
-// listRequest asks for the list of writes.
+// listRequest is an operator's request for the list of writes.
 type listRequest struct{ reply chan []takeover.WriteStatus }
 
 func (l listRequest) handle(c *Coordinator) {
 	l.reply <- c.registry.List(c.options.Clock(), maxListedWrites)
 }
 
-// handle takes another proxy's message.
+// handle handles another proxy's message.
 func (m *message) handle(c *Coordinator) {
 	for _, r := range m.Claims {
 		c.lastID++
@@ -89,7 +89,7 @@
 	return mux
 }
 
-// serveMessage takes another proxy's message.
+// serveMessage queues another proxy's message.
 func (c *Coordinator) serveMessage(w http.ResponseWriter, r *http.Request) {
 	var m message
 	if !rpc.ReadRequest(w, r, c.options.Fleet, &m) {
--- a/internal/takeover/coordinator/outbox.go
+++ b/internal/takeover/coordinator/outbox.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// takeBatch takes what one message holds out of the outbox.
+// takeBatch removes from the outbox what fits into one message.
 func (m *member) takeBatch() (batch outbox) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/takeover/coordinator/protocol.go
+++ b/internal/takeover/coordinator/protocol.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// messagePath is where a coordinator takes other proxies' messages.
+	// messagePath is where a coordinator receives other proxies' messages.
 	messagePath = "/v1/work"
 	// WritesPath is where a coordinator lists its writes, as JSON.
 	WritesPath = "/v1/works"
--- a/internal/takeover/registry.go
+++ b/internal/takeover/registry.go
@@ -84,7 +84,7 @@
 	return StateInFlight
 }
 
-// Handle takes an event at a time and appends what is to be done to out.
+// Handle handles an event that occurs at now, and appends the actions to out.
 func (r *Registry) Handle(now time.Duration, event Event, out []Action) []Action {
 	switch e := event.(type) {
 	case ClaimRequest:
--- a/internal/takeover/registry_messages.go
+++ b/internal/takeover/registry_messages.go
@@ -37,7 +37,7 @@
 	}
 	// Rejoined says that this process was out of the others' reach, or paused: it may lack what it was sent.
 	Rejoined struct{}
-	// Tick lets time pass.
+	// Tick has the deadlines checked.
 	Tick struct{}
 )
 
--- a/internal/takeover/registry_test.go
+++ b/internal/takeover/registry_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestFormerOwnerGetsNoPermission guards guarantees 2 and 3: the write of a lost owner goes to the one who waits. What the former owner
-// says then counts only if the write was served.
+// TestFormerOwnerGetsNoPermission guards guarantees 2 and 3: the write of a lost owner goes to the one who waits. What
+// the former owner says then counts only if the write was served.
 func TestFormerOwnerGetsNoPermission(t *testing.T) {
 	r := newTestRegistry()
 	claimAt(t, r, 0, ownerA, 1)
