--- a/client/acquire.go
+++ b/client/acquire.go
@@ -10,8 +10,8 @@
 	"mulleinpier/client/internal/retry"
 )
 
-// acquired is what a call waits for before each attempt: a place on a connection, or its end.
-type acquired struct {
+// acquisition is what a call waits for before each attempt: a place on a connection, or its end.
+type acquisition struct {
 	conn    *connection   // nil: the call has ended
 	sentAt  time.Duration // on the client's clock
 	timeout time.Duration // of the attempt
@@ -23,9 +23,9 @@
 }
 
 // giveUp ends a call that gets no further attempt.
-func giveUp(r *retry.Request, outcome retry.Outcome, retryAfter time.Duration, cause error) acquired {
+func giveUp(r *retry.Request, outcome retry.Outcome, retryAfter time.Duration, cause error) acquisition {
 	d := r.GiveUp(outcome, retryAfter)
-	return acquired{result: d.Result, retryAfter: d.RetryAfter, cause: cause}
+	return acquisition{result: d.Result, retryAfter: d.RetryAfter, cause: cause}
 }
 
 // errTooManyWaiting is the cause of a call that is refused because [Options.MaxWaiting] calls wait.
@@ -34,7 +34,7 @@
 // acquire waits for a place for the next attempt of a call, and starts the attempt.
 func (c *Client) acquire(
 	ctx context.Context, r *retry.Request, deadline time.Duration, avoid *balance.Proxy,
-) acquired {
+) acquisition {
 	throttleChecked := false
 	for {
 		c.mu.Lock()
@@ -51,7 +51,7 @@
 		}
 		throttleChecked = true
 		choice := c.balancer.Choose(now.Monotonic, avoid)
-		if a, done := c.actLocked(choice, r, now, deadline); done {
+		if a, done := c.applyChoiceLocked(choice, r, now, deadline); done {
 			c.mu.Unlock()
 			return a
 		}
@@ -83,10 +83,10 @@
 	return nil
 }
 
-// actLocked does what the balancer chose. done is false if the call has to wait. c.mu is held.
-func (c *Client) actLocked(
+// applyChoiceLocked does what the balancer chose. done is false if the call has to wait. c.mu is held.
+func (c *Client) applyChoiceLocked(
 	choice balance.Choice, r *retry.Request, now retry.Timestamp, deadline time.Duration,
-) (a acquired, done bool) {
+) (a acquisition, done bool) {
 	switch choice.Kind {
 	case balance.Send:
 		if conn := c.pickConnLocked(choice.Proxy, now.Monotonic); conn != nil {
@@ -103,11 +103,11 @@
 			return giveUp(r, retry.NotSent, 0, nil), true
 		}
 	}
-	return acquired{}, false
+	return acquisition{}, false
 }
 
 // startAttemptLocked starts an attempt on a connection. c.mu is held.
-func (c *Client) startAttemptLocked(conn *connection, r *retry.Request, now retry.Timestamp) acquired {
+func (c *Client) startAttemptLocked(conn *connection, r *retry.Request, now retry.Timestamp) acquisition {
 	timeout, _ := r.StartAttempt(now, c.budget)
 	conn.inFlight++
 	conn.awaited++
@@ -118,7 +118,7 @@
 	if isRetry {
 		c.counters.retries.Add(1)
 	}
-	return acquired{conn: conn, sentAt: now.Monotonic, timeout: timeout, isRetry: isRetry}
+	return acquisition{conn: conn, sentAt: now.Monotonic, timeout: timeout, isRetry: isRetry}
 }
 
 // waiter is one wait, for a place on a connection or for an answer.
--- a/client/attempt.go
+++ b/client/attempt.go
@@ -55,7 +55,7 @@
 var attemptPool = sync.Pool{New: func() any { return &attempt{done: make(chan struct{}, 1)} }}
 
 // newAttempt takes an attempt from the pool.
-func (c *Client) newAttempt(place *acquired, wire *request.Request, info *TryInfo) *attempt {
+func (c *Client) newAttempt(place *acquisition, wire *request.Request, info *TryInfo) *attempt {
 	t := attemptPool.Get().(*attempt)
 	t.state.Store(attemptWaiting)
 	t.serial = c.lastSerial.Add(1)
@@ -90,7 +90,7 @@
 }
 
 // attempt makes one attempt on a connection, and returns how it ended.
-func (c *Client) attempt(ctx context.Context, place *acquired, wire *request.Request, info *TryInfo) (a answer) {
+func (c *Client) attempt(ctx context.Context, place *acquisition, wire *request.Request, info *TryInfo) (a answer) {
 	t := c.newAttempt(place, wire, info)
 	if info != nil {
 		info.ID = string(appendID(nil, c.idPrefix, t.serial))
--- a/client/call.go
+++ b/client/call.go
@@ -40,7 +40,7 @@
 	err := x.prepare()
 	c.activeCalls.Add(1)
 	if c.draining.Load() || c.ctx.Err() != nil {
-		c.leave()
+		c.callEnded()
 		return Answer{}, &Error{Kind: ErrClosed, Op: x.op, Key: r.Key}
 	}
 	c.counters.calls.Add(1)
@@ -89,7 +89,7 @@
 }
 
 // attempt makes one attempt at a place, and calls the hooks around it.
-func (x *call) attempt(ctx context.Context, place *acquired) (a answer, now retry.Timestamp) {
+func (x *call) attempt(ctx context.Context, place *acquisition) (a answer, now retry.Timestamp) {
 	c := x.client
 	trace := &c.options.Trace
 	x.wire.Retry = place.isRetry
@@ -208,12 +208,12 @@
 			Err:   err,
 		})
 	}
-	c.leave()
+	c.callEnded()
 	return err
 }
 
-// leave counts the end of an active call, and wakes [Client.Shutdown] after the last.
-func (c *Client) leave() {
+// callEnded counts the end of an active call, and wakes [Client.Shutdown] after the last.
+func (c *Client) callEnded() {
 	if c.activeCalls.Add(-1) == 0 && c.draining.Load() {
 		select {
 		case c.drained <- struct{}{}:
--- /dev/null
+++ b/internal/config/overload.go
@@ -0,0 +1,38 @@
+package config
+
+import (
+	"time"
+
+	"mulleinpier/internal/overload"
+)
+
+// maxPin bounds how far ahead the end of a pinned level may lie.
+const maxPin = 24 * time.Hour
+
+// readOverload reads the table service: how service is reduced under overload.
+func (r *reader) readOverload() {
+	t := r.top.table("service")
+	c := &r.config.Proxy.Overload
+	c.Enabled = t.boolean("reduce", true)
+	c.Limits = overload.DefaultTimings
+	c.Limits.ConfirmFor = t.duration("confirm", c.Limits.ConfirmFor, 0, time.Minute)
+	c.Limits.MinStay = t.duration("stay", c.Limits.MinStay, time.Second, maxDuration)
+	c.Limits.MaxStay = t.duration("most_stay", c.Limits.MaxStay, time.Second, maxDuration)
+	if c.Limits.MaxStay < c.Limits.MinStay {
+		t.add("most_stay", "cannot be %v: want no less than stay, %v", c.Limits.MaxStay, c.Limits.MinStay)
+	}
+	level := t.text("pin", "", oneOf(overload.LevelNames()...))
+	until := t.text("pin_until", "", anything)
+	switch {
+	case t.has("pin") != t.has("pin_until"):
+		t.add("pin", "goes with %s: a pin has an end", t.key("pin_until"))
+	case t.has("pin"):
+		end, err := time.Parse(time.RFC3339, until)
+		if err != nil || time.Until(end) > maxPin {
+			t.add("pin_until", "cannot be %q: want a time as 2006-01-02T15:04:05Z, within %v", until, maxPin)
+		}
+		c.PinnedLevel, _ = overload.ParseLevel(level) // it has been checked
+		c.PinnedUntil = end
+	}
+	t.rejectUnknown()
+}
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -1,11 +1,8 @@
 package config
 
 import (
-	"slices"
 	"time"
 
-	"mulleinpier/internal/membership"
-	"mulleinpier/internal/overload"
 	"mulleinpier/internal/proxy"
 	"mulleinpier/policy"
 )
@@ -16,46 +13,9 @@
 	maxMemoryMB    = 1 << 20
 	maxInFlight    = 1 << 20
 	maxDescriptors = 1 << 20
-	maxPin         = 24 * time.Hour
 	bytesPerMB     = 1 << 20
 )
 
-// noOriginKind tells policy that no node is the origin itself.
-const noOriginKind = -1
-
-// readIdentity reads the settings outside of all tables (name, address, zone, the zones and types of nodes), and sets
-// those that the file has no keys for.
-func (r *reader) readIdentity() {
-	p, top := r.config.Proxy, r.top
-	p.ReconcileLists, p.Membership = true, membership.DefaultLimits
-	p.Name = top.text("name", defaultName, printable)
-	p.Listen = top.text("listen", "", isAddress)
-	if !top.has("listen") {
-		r.errors.add("listen", "is missing: want HOST:PORT")
-	}
-	p.Policy = policy.Settings{
-		ProxyCount:      1,
-		OriginKind:      noOriginKind,
-		OverQuotaFactor: 0.2,
-		LoadReports:     policy.LoadReportInResponse,
-		EventInterval:   5 * time.Millisecond,
-	}
-	settings := &p.Policy
-	settings.Zones = top.texts("zones", []string{}, printable)
-	settings.MachineKinds = top.texts("types", []string{}, printable)
-	r.errors.addDuplicates("zones", settings.Zones)
-	r.errors.addDuplicates("types", settings.MachineKinds)
-	zone := top.text("zone", "", anything)
-	if zone == "" {
-		return
-	}
-	settings.Zone = slices.Index(settings.Zones, zone)
-	if settings.Zone < 0 {
-		r.errors.add("zone", "cannot be %q: want one of zones %q", zone, settings.Zones)
-		settings.Zone = 0
-	}
-}
-
 // readLimits reads the table limits. It returns those that AllocateResources divides.
 func (r *reader) readLimits() proxy.ResourceLimits {
 	p := r.config.Proxy
@@ -104,31 +64,3 @@
 	}
 	t.rejectUnknown()
 }
-
-// readOverload reads the table service: how service is reduced under overload.
-func (r *reader) readOverload() {
-	t := r.top.table("service")
-	c := &r.config.Proxy.Overload
-	c.Enabled = t.boolean("reduce", true)
-	c.Limits = overload.DefaultTimings
-	c.Limits.ConfirmFor = t.duration("confirm", c.Limits.ConfirmFor, 0, time.Minute)
-	c.Limits.MinStay = t.duration("stay", c.Limits.MinStay, time.Second, maxDuration)
-	c.Limits.MaxStay = t.duration("most_stay", c.Limits.MaxStay, time.Second, maxDuration)
-	if c.Limits.MaxStay < c.Limits.MinStay {
-		t.add("most_stay", "cannot be %v: want no less than stay, %v", c.Limits.MaxStay, c.Limits.MinStay)
-	}
-	level := t.text("pin", "", oneOf(overload.LevelNames()...))
-	until := t.text("pin_until", "", anything)
-	switch {
-	case t.has("pin") != t.has("pin_until"):
-		t.add("pin", "goes with %s: a pin has an end", t.key("pin_until"))
-	case t.has("pin"):
-		end, err := time.Parse(time.RFC3339, until)
-		if err != nil || time.Until(end) > maxPin {
-			t.add("pin_until", "cannot be %q: want a time as 2006-01-02T15:04:05Z, within %v", until, maxPin)
-		}
-		c.PinnedLevel, _ = overload.ParseLevel(level) // it has been checked
-		c.PinnedUntil = end
-	}
-	t.rejectUnknown()
-}
--- a/internal/lease/quorum/fuzz_test.go
+++ b/internal/lease/quorum/fuzz_test.go
@@ -9,9 +9,9 @@
 	"mulleinpier/internal/lease"
 )
 
-// FuzzHeard guards what voters send one another: whatever comes is not decoded, dropped, applied, or halts this voter;
+// FuzzReceivedMessages guards what voters send one another: whatever comes is not decoded, dropped, applied, or halts this voter;
 // nothing of it ends the process, and a voter that has halted says nothing more.
-func FuzzHeard(f *testing.F) {
+func FuzzReceivedMessages(f *testing.F) {
 	for _, kind := range []raftpb.MessageType{
 		raftpb.MessageType_MsgHeartbeat,
 		raftpb.MessageType_MsgApp,
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -116,15 +116,15 @@
 	}
 }
 
-// history is the course of a random life.
+// history is what random events did to a machine.
 type history struct {
 	states  []State // after each event
 	events  []Event
 	actions [][]Action
 }
 
-// randomLife plays n random events to a new machine.
-func randomLife(seed uint64, n int) history {
+// randomHistory plays n random events to a new machine.
+func randomHistory(seed uint64, n int) history {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var m Machine
 	var h history
@@ -161,7 +161,7 @@
 // is applied only after it was requested.
 func TestDrainIsFinal(t *testing.T) {
 	for seed := range uint64(2000) {
-		h := randomLife(seed, 60)
+		h := randomHistory(seed, 60)
 		ending, requested := false, false
 		for i, actions := range h.actions {
 			for _, a := range actions {
@@ -188,7 +188,7 @@
 // read once more before the daemon is Serving again.
 func TestHangupsAreServed(t *testing.T) {
 	for seed := range uint64(2000) {
-		h := randomLife(seed, 60)
+		h := randomHistory(seed, 60)
 		unserved := false
 		for i, actions := range h.actions {
 			if h.events[i] == Hangup && h.states[i] < Draining {
@@ -208,7 +208,7 @@
 // waits for good.
 func TestReadyIsNotifiedAfterEachReload(t *testing.T) {
 	for seed := range uint64(2000) {
-		h := randomLife(seed, 60)
+		h := randomHistory(seed, 60)
 		ready, reloading := false, false
 		for i, actions := range h.actions {
 			for _, a := range actions {
@@ -245,7 +245,7 @@
 }
 
 func TestSameEventsGiveSameActions(t *testing.T) {
-	if a, b := randomLife(7, 500), randomLife(7, 500); !reflect.DeepEqual(a, b) {
+	if a, b := randomHistory(7, 500), randomHistory(7, 500); !reflect.DeepEqual(a, b) {
 		t.Error("two lives with the same events differ")
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -43,8 +43,8 @@
 		h.handle(e)
 		h.pass(time.Second)
 	}
-	if most := 8 + int(DefaultLimits.ForgetAfter/time.Second) + 5; len(h.reconciler.nodes) > most {
-		t.Errorf("%d nodes are remembered of 5007, want %d at most", len(h.reconciler.nodes), most)
+	if maximum := 8 + int(DefaultLimits.ForgetAfter/time.Second) + 5; len(h.reconciler.nodes) > maximum {
+		t.Errorf("%d nodes are remembered of 5007, want %d at most", len(h.reconciler.nodes), maximum)
 	}
 	if n := len(h.reconciler.sources[0].nodes); n > 8 {
 		t.Errorf("%d reports are retained", n)
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -85,13 +85,13 @@
 	if s := f.state("a"); s != Alive {
 		t.Errorf("back at two: %v", s)
 	}
-	f.unheardWatchers = map[int]bool{0: true, 1: true}
+	f.unreachableWatchers = map[int]bool{0: true, 1: true}
 	f.endProcess(f.members[1])
 	f.run(2 * time.Second)
 	if isolated, _ := f.view.Isolated(); !isolated || f.state("b") != Alive {
 		t.Errorf("isolated %v, b %v: want what was known last", isolated, f.state("b"))
 	}
-	f.unheardWatchers = map[int]bool{}
+	f.unreachableWatchers = map[int]bool{}
 	f.run(time.Second)
 	if s := f.state("b"); s != Gone {
 		t.Errorf("hearing the watchers again, b is %v", s)
--- a/internal/peer/simulation_test.go
+++ b/internal/peer/simulation_test.go
@@ -10,15 +10,15 @@
 // simulatedFleet is some members and watchers in virtual time: each member sends heartbeats to each watcher that it is
 // not cut off from.
 type simulatedFleet struct {
-	now             time.Duration
-	watchers        []*Detector
-	view            *View
-	knownVersions   []uint64     // of the watchers' reports, as the view has them
-	stoppedWatchers map[int]bool // by place
-	unheardWatchers map[int]bool // that the view does not hear
-	members         []*simulatedMember
-	changes         []string // of the view, as "name state"
-	reportedMembers int      // in all reports
+	now                 time.Duration
+	watchers            []*Detector
+	view                *View
+	knownVersions       []uint64     // of the watchers' reports, as the view has them
+	stoppedWatchers     map[int]bool // by place
+	unreachableWatchers map[int]bool // whose reports the view does not get
+	members             []*simulatedMember
+	changes             []string // of the view, as "name state"
+	reportedMembers     int      // in all reports
 }
 
 type simulatedMember struct {
@@ -30,10 +30,10 @@
 
 func newFleet(watchers int, names ...string) *simulatedFleet {
 	f := &simulatedFleet{
-		view:            NewView(DefaultParameters, watchers, 0),
-		knownVersions:   make([]uint64, watchers),
-		stoppedWatchers: map[int]bool{},
-		unheardWatchers: map[int]bool{},
+		view:                NewView(DefaultParameters, watchers, 0),
+		knownVersions:       make([]uint64, watchers),
+		stoppedWatchers:     map[int]bool{},
+		unreachableWatchers: map[int]bool{},
 	}
 	for range watchers {
 		f.watchers = append(f.watchers, NewDetector(DefaultParameters, 0))
@@ -50,7 +50,7 @@
 	return m
 }
 
-// run lets time pass: heartbeats, looks and reports, a tick every 10 ms.
+// run simulates a span in steps of 10 ms: heartbeats, ticks and reports.
 func (f *simulatedFleet) run(d time.Duration) {
 	for until := f.now + d; f.now < until; f.now += 10 * ms {
 		for i, w := range f.watchers {
@@ -63,7 +63,7 @@
 				}
 			}
 			w.Handle(f.now, Tick{})
-			if !f.unheardWatchers[i] {
+			if !f.unreachableWatchers[i] {
 				list, complete := w.ChangedSince(f.knownVersions[i])
 				f.knownVersions[i] = w.Version()
 				f.reportedMembers += len(list)
--- a/internal/proxy/platform_test.go
+++ b/internal/proxy/platform_test.go
@@ -46,8 +46,8 @@
 		b.SetCapacity(config.Upstream.FleetShare)
 		for _, nodes := range []int{1, 60} {
 			limit := b.Limit(time.Second, nodes)
-			most := max(nodes*platformNodeConnections, connlimit.MinConnections)
-			if limit < connlimit.MinConnections || limit > most {
+			maximum := max(nodes*platformNodeConnections, connlimit.MinConnections)
+			if limit < connlimit.MinConnections || limit > maximum {
 				t.Errorf("%q proxies: %d connections to %d nodes", proxies, limit, nodes)
 			}
 		}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -42,8 +42,8 @@
 			idlers++
 		}
 	}
-	if most := h.server.maxClients / idleShareDivisor; idlers > most {
-		t.Errorf("%d idle clients keep a connection, want %d at most", idlers, most)
+	if maximum := h.server.maxClients / idleShareDivisor; idlers > maximum {
+		t.Errorf("%d idle clients keep a connection, want %d at most", idlers, maximum)
 	}
 }
 
--- a/internal/takeover/coordinator/claims.go
+++ b/internal/takeover/coordinator/claims.go
@@ -17,12 +17,12 @@
 // claim is this proxy's claim to a write.
 type claim struct {
 	*takeover.Claim
-	id        uint64 // among this proxy's claims
-	requestID uint64 // the core's; 0 for a write that is taken over
-	write     takeover.Write
-	kind      takeover.ClaimKind
-	epoch     uint64 // that the write is completed under
-	holders   []takeover.Owner
+	id              uint64 // among this proxy's claims
+	requestID       uint64 // the core's; 0 for a write that is taken over
+	write           takeover.Write
+	kind            takeover.ClaimKind
+	completionEpoch uint64 // that the write is completed under
+	holders         []takeover.Owner
 	// awaited are the holders that have not answered, and until when they are waited for.
 	awaited         map[string]time.Duration
 	deadline        time.Duration // when the client's time is over
@@ -195,7 +195,7 @@
 	switch verdict {
 	case takeover.ReturnReceipt:
 		c.count(func(n *Counts) { n.Served++ })
-		cl.epoch = cl.Epoch()
+		cl.completionEpoch = cl.Epoch()
 		c.reportOutcome(cl, takeover.Served, cl.Receipt())
 	case takeover.OutcomeUnknown:
 		c.count(func(n *Counts) { n.OutcomeUnknown++ })
@@ -212,17 +212,17 @@
 
 // permit has the core send a write, if its client still waits.
 func (c *Coordinator) permit(cl *claim, within time.Duration) {
-	cl.epoch = max(cl.Epoch(), 1)
-	c.sending[cl.requestID] = cl
+	cl.completionEpoch = max(cl.Epoch(), 1)
+	c.permittedClaims[cl.requestID] = cl
 	if !c.core.ClaimDecided(cl.requestID, takeover.Proceed, within, "") {
-		delete(c.sending, cl.requestID)
+		delete(c.permittedClaims, cl.requestID)
 		c.reportUnsent(cl, takeover.NotExecuted)
 	}
 }
 
 // reportUnsent reports the outcome of a write that this owner does not send.
 func (c *Coordinator) reportUnsent(cl *claim, outcome takeover.Outcome) {
-	cl.epoch = max(cl.Epoch(), 1)
+	cl.completionEpoch = max(cl.Epoch(), 1)
 	c.reportOutcome(cl, outcome, "")
 }
 
@@ -232,7 +232,7 @@
 		ID:      cl.write.ID,
 		Digest:  cl.write.Digest,
 		Owner:   c.options.Self,
-		Epoch:   cl.epoch,
+		Epoch:   cl.completionEpoch,
 		Outcome: outcome,
 		Receipt: receipt,
 	})
@@ -240,7 +240,7 @@
 		if m := c.members[o.Name]; m != nil && m.Owner == o {
 			m.queue(func(out *outbox) {
 				out.completions = append(out.completions,
-					completion{cl.write.ID, cl.write.Digest, cl.epoch, outcome, receipt})
+					completion{cl.write.ID, cl.write.Digest, cl.completionEpoch, outcome, receipt})
 			})
 		}
 	}
--- a/internal/takeover/coordinator/coordinator.go
+++ b/internal/takeover/coordinator/coordinator.go
@@ -35,8 +35,8 @@
 	ResumeWrite(in *request.Request, within time.Duration) (requestID uint64, ok bool)
 }
 
-// Membership is who else is in the fleet.
-type Membership interface {
+// FleetMembers is who else is in the fleet.
+type FleetMembers interface {
 	// Members returns the members, whether they may be outdated, and a channel that is closed with the next change.
 	Members() (list []peer.MemberState, isolated bool, changed <-chan struct{})
 }
@@ -64,13 +64,13 @@
 	counts Counts
 
 	// All else belongs to Run's goroutine.
-	registry   *takeover.Registry
-	claims     map[uint64]*claim    // undecided, by ID
-	lastID     uint64               // of a claim, or of another proxy's request
-	requesters map[uint64]requester // of requests that the registry has not answered, by request ID
-	sending    map[uint64]*claim    // by the core's request ID
-	members    map[string]*member   // by name
-	gone       map[takeover.Owner]bool
+	registry        *takeover.Registry
+	claims          map[uint64]*claim    // undecided, by ID
+	lastID          uint64               // of a claim, or of another proxy's request
+	requesters      map[uint64]requester // of requests that the registry has not answered, by request ID
+	permittedClaims map[uint64]*claim    // by the core's request ID
+	members         map[string]*member   // by name
+	gone            map[takeover.Owner]bool
 	// presenceChanged is when a member was lost, or returned, by name.
 	presenceChanged map[string]time.Duration
 	selfGone        bool // the fleet's members list this process as gone
@@ -92,7 +92,7 @@
 		registry:        takeover.NewRegistry(takeover.DefaultParameters, o.Self, o.Clock()),
 		claims:          make(map[uint64]*claim),
 		requesters:      make(map[uint64]requester),
-		sending:         make(map[uint64]*claim),
+		permittedClaims: make(map[uint64]*claim),
 		members:         make(map[string]*member),
 		gone:            make(map[takeover.Owner]bool),
 		presenceChanged: make(map[string]time.Duration),
@@ -149,7 +149,7 @@
 }
 
 // Run runs the coordinator on a listener of its own until ctx ends.
-func (c *Coordinator) Run(ctx context.Context, listener net.Listener, fleet Membership) {
+func (c *Coordinator) Run(ctx context.Context, listener net.Listener, fleet FleetMembers) {
 	var tasks sync.WaitGroup
 	server := rpc.NewServer(c.handler(), writeTimeout)
 	tasks.Go(func() { server.Serve(listener) })
@@ -163,7 +163,7 @@
 	c.http.CloseIdleConnections()
 }
 
-func (c *Coordinator) loop(ctx context.Context, fleet Membership, tasks *sync.WaitGroup) {
+func (c *Coordinator) loop(ctx context.Context, fleet FleetMembers, tasks *sync.WaitGroup) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	list, isolated, changed := fleet.Members()
--- a/internal/takeover/coordinator/inputs.go
+++ b/internal/takeover/coordinator/inputs.go
@@ -30,8 +30,8 @@
 }
 
 func (w writeFinished) handle(c *Coordinator) {
-	if cl := c.sending[w.requestID]; cl != nil {
-		delete(c.sending, w.requestID)
+	if cl := c.permittedClaims[w.requestID]; cl != nil {
+		delete(c.permittedClaims, w.requestID)
 		c.reportOutcome(cl, w.outcome, w.receipt)
 	}
 }
--- a/internal/takeover/coordinator/orphans.go
+++ b/internal/takeover/coordinator/orphans.go
@@ -14,7 +14,7 @@
 func (c *Coordinator) takeOver(a takeover.TakeOver) {
 	now := c.options.Clock()
 	cl := c.newClaim(a.Write, takeover.TakenOver, now)
-	cl.epoch = a.Epoch
+	cl.completionEpoch = a.Epoch
 	cl.deadline = now + a.Write.DedupWindow
 	cl.HandleResponse(c.options.Self.Name, takeover.ClaimResponse{
 		Decision:      takeover.Granted,
@@ -64,7 +64,7 @@
 		return false
 	}
 	cl.requestID = requestID
-	c.sending[requestID] = cl
+	c.permittedClaims[requestID] = cl
 	c.count(func(n *Counts) { n.TakenOver++ })
 	c.options.Log.Info("write taken over",
 		"key", p.Key, "idempotency_key", p.IdempotencyKey, "remaining", deadline-c.options.Clock())
--- a/internal/takeover/simulation_writes_test.go
+++ b/internal/takeover/simulation_writes_test.go
@@ -206,21 +206,21 @@
 	s.after(deadline-s.now, func() { p.whenRunning(func() { answer("unknown") }) })
 }
 
-// complete says to all holders what came of the write, until they have heard it.
+// complete reports the outcome of the write to all holders, until they have received it.
 func (p *simulatedProxy) complete(holders []*simulatedProxy, epoch uint64, o Outcome) {
 	s := p.simulation
 	c := Completion{ID: "k", Digest: 1, Owner: p.Owner, Epoch: epoch, Outcome: o, Receipt: "r"}
 	p.handle(c)
 	for _, holder := range holders {
-		heard := false
+		received := false
 		var notify func(left int)
 		notify = func(left int) {
-			if heard || left == 0 {
+			if received || left == 0 {
 				return
 			}
 			s.send(p, holder, func() {
 				holder.handle(c)
-				s.send(holder, p, func() { heard = true })
+				s.send(holder, p, func() { received = true })
 			})
 			s.after(completionTicks, func() { p.whenRunning(func() { notify(left - 1) }) })
 		}
