--- a/internal/lease/quorum/fuzz_test.go
+++ b/internal/lease/quorum/fuzz_test.go
@@ -9,8 +9,8 @@
 	"mulleinpier/internal/lease"
 )
 
-// FuzzReceivedMessages guards what voters send one another: whatever comes is not decoded, dropped, applied, or halts this voter;
-// nothing of it ends the process, and a voter that has halted says nothing more.
+// FuzzReceivedMessages guards what voters send one another: whatever comes is not decoded, dropped, applied, or halts
+// this voter; nothing of it ends the process, and a voter that has halted sends nothing more.
 func FuzzReceivedMessages(f *testing.F) {
 	for _, kind := range []raftpb.MessageType{
 		raftpb.MessageType_MsgHeartbeat,
