--- a/internal/lease/interleaving_test.go
+++ b/internal/lease/interleaving_test.go
@@ -25,7 +25,7 @@
 	if w.leader == 1 && !w.oldLeaderDeposed {
 		step(func(c *world) {
 			c.oldLeaderDeposed = true
-			c.tellVoter(0, LeadershipLost{})
+			c.handleAtVoter(0, LeadershipLost{})
 		})
 	}
 	if w.faultsLeft.stop > 0 && w.stopped < 0 {
@@ -34,7 +34,7 @@
 	if w.stopped >= 0 {
 		step(func(c *world) {
 			c.stopped = -1
-			c.tellContender(0, TimerFired{})
+			c.handleAtContender(0, TimerFired{})
 		})
 	}
 	if w.faultsLeft.crash > 0 {
@@ -47,7 +47,7 @@
 	if w.faultsLeft.release > 0 && w.sessions[1].state == Holding {
 		step(func(c *world) {
 			c.faultsLeft.release--
-			c.tellContender(1, ReleaseRequested{})
+			c.handleAtContender(1, ReleaseRequested{})
 		})
 	}
 	return list
@@ -91,7 +91,7 @@
 	if !w.defect.forgetfulVoter {
 		copyTasks(w.machines[1], w.machines[0])
 	}
-	w.tellVoter(1, LeadershipAcquired{})
+	w.handleAtVoter(1, LeadershipAcquired{})
 	if w.defect.inheritedLeasesEnded {
 		clear(w.managers[1].deadlines)
 		for name, t := range w.machines[1].Tasks {
--- a/internal/lease/interleaving_world_test.go
+++ b/internal/lease/interleaving_world_test.go
@@ -188,12 +188,12 @@
 	w.send(message{kind: responseMessage, contender: to.contender, incarnation: to.incarnation, response: r})
 }
 
-// tellVoter gives a voter's expiry manager an event and does what it asks.
-func (w *world) tellVoter(v int, event ExpiryEvent) {
+// handleAtVoter gives a voter's expiry manager an event and does what it asks.
+func (w *world) handleAtVoter(v int, event ExpiryEvent) {
 	for _, a := range w.managers[v].Handle(w.voterNow(), event, nil) {
 		switch a := a.(type) {
 		case ConfirmLeadership:
-			if v == w.leader { // a majority says so now; the word may come late
+			if v == w.leader { // a majority confirms it now; the confirmation may come late
 				w.send(message{kind: confirmationMessage, voter: v, sequence: a.Sequence})
 			}
 		case RenewalResult:
@@ -211,7 +211,7 @@
 // commit has the true leader carry out a command.
 func (w *world) commit(v int, c Command) Result {
 	r := w.machines[v].Apply(&c)
-	w.tellVoter(v, CommandApplied{c, r})
+	w.handleAtVoter(v, CommandApplied{c, r})
 	return r
 }
 
@@ -219,7 +219,7 @@
 	w.lastRequestID++
 	m.request.Token = token
 	w.renewals[w.lastRequestID] = m
-	w.tellVoter(v, Renew{w.lastRequestID, "a", token})
+	w.handleAtVoter(v, Renew{w.lastRequestID, "a", token})
 }
 
 // deliver brings a message to its receiver: a request to voter v.
@@ -228,10 +228,10 @@
 	case requestMessage:
 		w.deliverRequest(m, v)
 	case confirmationMessage:
-		w.tellVoter(m.voter, LeadershipConfirmed{m.sequence})
+		w.handleAtVoter(m.voter, LeadershipConfirmed{m.sequence})
 	case responseMessage:
 		if m.incarnation == w.incarnations[m.contender] {
-			w.tellContender(m.contender, m.response)
+			w.handleAtContender(m.contender, m.response)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 	case v != w.leader: // it is never decided
 		return
 	}
-	w.tellVoter(v, WaiterSeen{"a", m.request.Command.Holder, m.request.Command.Nonce})
+	w.handleAtVoter(v, WaiterSeen{"a", m.request.Command.Holder, m.request.Command.Nonce})
 	r := w.commit(v, m.request.Command)
 	switch {
 	case r.Grant.Token > 0 && !r.Created:
@@ -259,8 +259,8 @@
 	}
 }
 
-// tellContender gives a contender's session an event and does what it asks.
-func (w *world) tellContender(i int, e SessionEvent) {
+// handleAtContender gives a contender's session an event and does what it asks.
+func (w *world) handleAtContender(i int, e SessionEvent) {
 	s := w.sessions[i]
 	r, isResponse := e.(Response)
 	if w.defect.countsFromResponse && isResponse &&
@@ -284,11 +284,11 @@
 func (w *world) passTick() {
 	w.now++
 	for v := range w.managers {
-		w.tellVoter(v, Tick{})
+		w.handleAtVoter(v, Tick{})
 	}
 	for i := range w.sessions {
 		if i != w.stopped {
-			w.tellContender(i, TimerFired{})
+			w.handleAtContender(i, TimerFired{})
 		}
 	}
 }
--- a/internal/lease/quorum/simulation_contenders_test.go
+++ b/internal/lease/quorum/simulation_contenders_test.go
@@ -33,7 +33,7 @@
 		}
 		s.whenContenderRuns(c, func() {
 			if c.incarnation == incarnation {
-				s.tellContender(c, lease.TimerFired{})
+				s.handleAtContender(c, lease.TimerFired{})
 			}
 		})
 		s.after(20*ms, wakeUp)
@@ -52,7 +52,7 @@
 	}
 }
 
-func (s *simulation) tellContender(c *contender, e lease.SessionEvent) {
+func (s *simulation) handleAtContender(c *contender, e lease.SessionEvent) {
 	incarnation := c.incarnation
 	for _, a := range c.session.Handle(s.clock(c.clockRate), e, nil) {
 		switch a := a.(type) {
@@ -88,7 +88,7 @@
 				s.whenContenderRuns(c, func() {
 					if c.incarnation == incarnation {
 						response := lease.Response{Sequence: request.Sequence, Outcome: r.Outcome, Token: r.Token}
-						s.tellContender(c, response)
+						s.handleAtContender(c, response)
 					}
 				})
 			})
--- a/internal/lease/quorum/simulation_faults_test.go
+++ b/internal/lease/quorum/simulation_faults_test.go
@@ -24,7 +24,7 @@
 		s.cutLink(v, span)
 	case 5:
 		if c.session.State(s.clock(c.clockRate)) == lease.Holding {
-			s.whenContenderRuns(c, func() { s.tellContender(c, lease.ReleaseRequested{}) })
+			s.whenContenderRuns(c, func() { s.handleAtContender(c, lease.ReleaseRequested{}) })
 		}
 	case 6:
 		s.loseDisk(v)
