--- a/client/connwrite.go
+++ b/client/connwrite.go
@@ -9,7 +9,7 @@
 	maxKeptBufferBytes = 64 << 10
 )
 
-// takeBatchLocked returns what is to be written next, or nothing. The caller holds writing then. c.mu is held.
+// takeBatchLocked returns what is to be written next and claims writing for the caller, or nil. c.mu is held.
 func (c *connection) takeBatchLocked() []byte {
 	if c.err != nil || c.writing || len(c.outgoing) == 0 {
 		return nil
--- a/internal/lease/agent/storage.go
+++ b/internal/lease/agent/storage.go
@@ -61,7 +61,7 @@
 	return store.Create(path, c)
 }
 
-// storageChange returns what is to be saved as the store has it.
+// storageChange converts what is to be saved into a change of the store.
 func storageChange(s quorum.PersistentState) (c store.Change, err error) {
 	c.Named = make(map[string][]byte)
 	if s.HardState != nil {
--- a/internal/lease/quorum/apply.go
+++ b/internal/lease/quorum/apply.go
@@ -91,7 +91,7 @@
 	var entry logEntry
 	if len(data) == 0 || cbor.Unmarshal(data, &entry) != nil {
 		if change != nil {
-			r.node.ApplyConfChange(&raftpb.ConfChange{}) // it is over, and changes nothing
+			r.node.ApplyConfChange(&raftpb.ConfChange{}) // ends the change of voters without an effect
 		}
 		return
 	}
--- a/internal/lease/quorum/replica.go
+++ b/internal/lease/quorum/replica.go
@@ -60,7 +60,7 @@
 	ManualElections                     // by [Replica.Campaign] alone
 )
 
-// New returns a voter that goes on from a saved state. The incarnation must differ from any before it.
+// New returns a voter that continues from a saved state. The incarnation must differ from any before it.
 func New(
 	id, incarnation uint64, saved PersistentState, parameters lease.Parameters, elections Elections,
 ) (r *Replica, err error) {
--- a/internal/lease/quorum/simulation_contenders_test.go
+++ b/internal/lease/quorum/simulation_contenders_test.go
@@ -97,7 +97,7 @@
 			s.whenRunning(v, func() {
 				s.lastRequestID++
 				s.responses[s.lastRequestID] = respond
-				s.tellVoter(v, RequestReceived{s.lastRequestID, request.Command, request.Token})
+				s.handleAtVoter(v, RequestReceived{s.lastRequestID, request.Command, request.Token})
 			})
 		})
 	}
--- a/internal/lease/quorum/simulation_faults_test.go
+++ b/internal/lease/quorum/simulation_faults_test.go
@@ -126,7 +126,7 @@
 	default:
 		s.lastRequestID++
 		command := lease.Command{Kind: kind, To: v.name}
-		s.tellVoter(leader, RequestReceived{RequestID: s.lastRequestID, Command: command})
+		s.handleAtVoter(leader, RequestReceived{RequestID: s.lastRequestID, Command: command})
 		continueWith(kind)
 	}
 }
--- a/internal/lease/quorum/simulation_test.go
+++ b/internal/lease/quorum/simulation_test.go
@@ -198,7 +198,7 @@
 	if v.diskLost {
 		return
 	}
-	s.whenRunning(v, func() { s.tellVoter(v, Tick{}) })
+	s.whenRunning(v, func() { s.handleAtVoter(v, Tick{}) })
 	s.after(TickInterval, func() { s.tick(v) })
 }
 
@@ -214,7 +214,7 @@
 	}
 }
 
-func (s *simulation) tellVoter(v *simulatedVoter, e Event) {
+func (s *simulation) handleAtVoter(v *simulatedVoter, e Event) {
 	s.carryOut(v, v.replica.Handle(s.clock(v.clockRate), e))
 }
 
@@ -248,7 +248,7 @@
 	incarnation := v.incarnation
 	v.saving = &state
 	if s.defect.sendsBeforeSave {
-		s.after(0, func() { s.whenRunning(v, func() { s.tellVoter(v, SaveCompleted{}) }) })
+		s.after(0, func() { s.whenRunning(v, func() { s.handleAtVoter(v, SaveCompleted{}) }) })
 		return
 	}
 	s.after(v.saveDelay+time.Duration(s.rng.IntN(8))*ms, func() {
@@ -258,7 +258,7 @@
 			}
 			v.write(state)
 			v.saving = nil
-			s.tellVoter(v, SaveCompleted{})
+			s.handleAtVoter(v, SaveCompleted{})
 		})
 	})
 }
@@ -316,5 +316,5 @@
 	if err != nil {
 		panic(err)
 	}
-	s.tellVoter(to, MessageReceived{m})
+	s.handleAtVoter(to, MessageReceived{m})
 }
--- a/internal/lease/session_messages.go
+++ b/internal/lease/session_messages.go
@@ -20,7 +20,7 @@
 func (Response) sessionEvent()         {}
 func (ReleaseRequested) sessionEvent() {}
 
-// Outcome is what became of a request. The numbers are part of the voters' replies.
+// Outcome is the result of a request. The numbers are part of the voters' replies.
 type Outcome uint8
 
 // The outcomes.
--- a/internal/lease/statemachine.go
+++ b/internal/lease/statemachine.go
@@ -208,7 +208,8 @@
 	return m.grantWaiters(t, r)
 }
 
-// grantWaiters grants to waiters, in turn, as far as the limit lets it, and adds their grants to the result.
+// grantWaiters grants the task to waiters in the order of the queue while the limit allows it, and adds their grants to
+// the result.
 func (m *StateMachine) grantWaiters(t *Task, r Result) Result {
 	for len(t.Waiters) > 0 && len(t.Grants) < t.MaxHolders {
 		next := t.Waiters[0]
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -13,7 +13,7 @@
 	bytesPerMB = 1 << 20
 	// reservedDescriptors are for everything but clients and nodes: discovery, listeners, poller, log.
 	reservedDescriptors = 32
-	// bytesPerRequest is the memory that is set aside for each request in flight.
+	// bytesPerRequest is the memory that is reserved for each request in flight.
 	bytesPerRequest = 16 << 10
 	// budgetDivisor gives the part of the memory for the values of requests, and as much for those of responses.
 	budgetDivisor = 8
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -13,7 +13,7 @@
 	OutcomeUnknown                     // the write may have run, and may not be sent: a failure
 	Reject                             // as busy, at once: the write was not sent by this owner, nor will it be
 	KeyConflict                        // the key belongs to another write: an error of its own
-	ProceedUnreplicated                // no holder can be had, and the configuration has it go on as without any
+	ProceedUnreplicated                // it sends the write without holders, which the configuration allows
 )
 
 var verdictNames = [...]string{
@@ -108,7 +108,7 @@
 	switch r.Decision {
 	case AlreadyServed:
 		c.verdict, c.receipt = ReturnReceipt, r.Receipt
-	case WindowExpired: // as far as that holder knows: another may know that the write was served
+	case WindowExpired: // no verdict yet: another holder may know that the write was served
 		c.windowExpired = true
 	case Conflict:
 		c.verdict = KeyConflict
--- a/internal/takeover/coordinator/coordinator.go
+++ b/internal/takeover/coordinator/coordinator.go
@@ -68,7 +68,7 @@
 	claims          map[uint64]*claim    // undecided, by ID
 	lastID          uint64               // of a claim, or of another proxy's request
 	requesters      map[uint64]requester // of requests that the registry has not answered, by request ID
-	permittedClaims map[uint64]*claim    // by the core's request ID
+	permittedClaims map[uint64]*claim    // whose write the core may send, by its request ID
 	members         map[string]*member   // by name
 	gone            map[takeover.Owner]bool
 	// presenceChanged is when a member was lost, or returned, by name.
@@ -79,7 +79,7 @@
 	lastTick        time.Duration
 }
 
-// input is what comes to the coordinator's goroutine.
+// input is an entry of the inbox, handled in the coordinator's goroutine.
 type input interface{ handle(c *Coordinator) }
 
 // New returns a coordinator that does nothing until Run.
--- a/internal/takeover/coordinator/inputs.go
+++ b/internal/takeover/coordinator/inputs.go
@@ -22,7 +22,7 @@
 
 func (w writeArrived) handle(c *Coordinator) { c.startClaim(&w) }
 
-// writeFinished is what came of a write that the core was permitted to send.
+// writeFinished is the outcome of a write that the core was permitted to send.
 type writeFinished struct {
 	requestID uint64
 	outcome   takeover.Outcome
--- a/internal/takeover/coordinator/protocol.go
+++ b/internal/takeover/coordinator/protocol.go
@@ -38,7 +38,7 @@
 	Retry   bool           `cbor:"6,keyasint,omitempty"`
 }
 
-// completion says what came of a write, see [takeover.Completion].
+// completion reports the outcome of a write, see [takeover.Completion].
 type completion struct {
 	ID      string           `cbor:"1,keyasint"`
 	Digest  uint64           `cbor:"2,keyasint"`
--- a/internal/takeover/doc.go
+++ b/internal/takeover/doc.go
@@ -1,7 +1,7 @@
 // Package takeover decides what becomes of a keyed write in flight when the proxy that accepted it is lost. It does no
 // I/O and reads no clock: its callers pass the time with each event. Two parts know each other by messages only:
 //
-//   - [Registry] is a holder's part: which proxy owns a write, since when it may have run, and what came of it.
+//   - [Registry] is a holder's part: which proxy owns a write, since when it may have run, and its outcome.
 //   - [Claim] is an owner's part: the holders' responses decide whether and until when the write may be sent.
 //
 // Which proxies hold a write follows from its key ([RankHolders]), so that any proxy finds them.
--- a/internal/takeover/registry.go
+++ b/internal/takeover/registry.go
@@ -159,7 +159,7 @@
 	return out
 }
 
-// outcomeResponse says what came of a write.
+// outcomeResponse answers a claim to a write that has an outcome.
 func (e *entry) outcomeResponse(requestID uint64) ClaimResponse {
 	if e.outcome == Served {
 		return ClaimResponse{RequestID: requestID, Decision: AlreadyServed, Receipt: e.receipt}
--- a/internal/takeover/registry_messages.go
+++ b/internal/takeover/registry_messages.go
@@ -17,7 +17,7 @@
 		Age       time.Duration // since the write may have run first, with Epoch
 		Retry     bool          // the client marks its request as a repetition
 	}
-	// Completion says what came of a write.
+	// Completion reports the outcome of a write.
 	Completion struct {
 		ID      string
 		Digest  uint64
--- a/internal/takeover/write.go
+++ b/internal/takeover/write.go
@@ -20,7 +20,7 @@
 	Payload []byte `cbor:"4,keyasint"`
 }
 
-// Outcome is what came of a write. The numbers are sent between proxies.
+// Outcome is what is known of a write's execution. The numbers are sent between proxies.
 type Outcome uint8
 
 // The outcomes.
