--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -6,7 +6,8 @@
 //
 //  1. A list that is malformed, incomplete or not a list at all is an error, never a list: it would remove nodes.
 //  2. A watch that falls silent ends, early enough for a drain to be noticed in time after another call.
-//  3. Memory is bounded: a list of more than 8 MiB is an error.
+//  3. Memory is bounded: no more than 8 MiB of a list are read. A longer list of a service is an error; of a longer
+//     node file the beginning is used if it is valid.
 //
 // The package does not decide what a list means for the nodes; package membership does. A source runs in the
 // goroutine of its caller and starts none of its own.
--- a/internal/peer/transport/client.go
+++ b/internal/peer/transport/client.go
@@ -42,7 +42,7 @@
 	self       peer.Member
 	view       *peer.View
 	isolated   bool                 // as it was logged last
-	lastResult peer.HeartbeatResult // of any watcher, as it was logged last
+	lastResult peer.HeartbeatResult // of the latest report, whichever watcher sent it
 	changed    chan struct{}        // closed with the next change of the view
 }
 
@@ -187,7 +187,7 @@
 	c.self.Leaving = true
 }
 
-// IsReplaced reports whether another process of this one's name has taken its place.
+// IsReplaced reports whether another process of this one's name has taken its place, as the latest report says.
 func (c *Client) IsReplaced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sdnotify/listener.go
+++ b/internal/sdnotify/listener.go
@@ -20,7 +20,7 @@
 		return nil, nil
 	}
 	if count != "1" {
-		return nil, fmt.Errorf("LISTEN_FDS cannot be %q: one socket is taken", count)
+		return nil, fmt.Errorf("LISTEN_FDS cannot be %q: want 1", count)
 	}
 	unix.CloseOnExec(firstPassedDescriptor)
 	file := os.NewFile(firstPassedDescriptor, "passed listener")
--- a/internal/sdnotify/sdnotify.go
+++ b/internal/sdnotify/sdnotify.go
@@ -20,7 +20,7 @@
 // writeTimeout bounds the wait for a manager that reads nothing.
 const writeTimeout = 100 * time.Millisecond
 
-// The states without parameters.
+// The messages without parameters.
 const (
 	Ready        = "READY=1"
 	Stopping     = "STOPPING=1"
--- a/internal/takeover/write.go
+++ b/internal/takeover/write.go
@@ -33,13 +33,15 @@
 
 // WriteStatus is a write as a holder knows it, for operators.
 type WriteStatus struct {
-	ID         string        `json:"id"`
-	Owner      string        `json:"owner"`
-	Epoch      uint64        `json:"number"`
-	OwnerCount int           `json:"owners"` // owners so far that had permission
-	State      State         `json:"state"`
-	Age        time.Duration `json:"age"` // since the write may have run first
-	Receipt    string        `json:"receipt,omitempty"`
+	ID         string `json:"id"`
+	Owner      string `json:"owner"`
+	Epoch      uint64 `json:"number"`
+	OwnerCount int    `json:"owners"` // owners so far that had permission
+	State      State  `json:"state"`
+	// Age is the time since the write may have run first. Of a write that this holder knows by its completion alone it
+	// is the holder's clock.
+	Age     time.Duration `json:"age"`
+	Receipt string        `json:"receipt,omitempty"`
 }
 
 // State is what a holder knows of a write, as operators see it.
