--- a/internal/lease/quorum/simulation_faults_test.go
+++ b/internal/lease/quorum/simulation_faults_test.go
@@ -24,7 +24,7 @@
 		s.cutLink(v, span)
 	case 5:
 		if c.session.State(s.clock(c.clockRate)) == lease.Holding {
-			s.whenContenderRuns(c, func() { s.tellContender(c, lease.ReleaseRequested{}) })
+			s.whenContenderRuns(c, func() { s.handleAtContender(c, lease.ReleaseRequested{}) })
 		}
 	case 6:
 		s.loseDisk(v)
@@ -126,7 +126,7 @@
 	default:
 		s.lastRequestID++
 		command := lease.Command{Kind: kind, To: v.name}
-		s.tellVoter(leader, RequestReceived{RequestID: s.lastRequestID, Command: command})
+		s.handleAtVoter(leader, RequestReceived{RequestID: s.lastRequestID, Command: command})
 		continueWith(kind)
 	}
 }
--- a/internal/lease/session_messages.go
+++ b/internal/lease/session_messages.go
@@ -4,7 +4,7 @@
 type SessionEvent interface{ sessionEvent() }
 
 type (
-	// TimerFired lets time pass.
+	// TimerFired says that the time of NextWakeup has come.
 	TimerFired struct{}
 	// Response is the voters' answer to the SendRequest of a sequence.
 	Response struct {
@@ -20,7 +20,7 @@
 func (Response) sessionEvent()         {}
 func (ReleaseRequested) sessionEvent() {}
 
-// Outcome is what became of a request. The numbers are part of the voters' replies.
+// Outcome is the result of a request. The numbers are part of the voters' replies.
 type Outcome uint8
 
 // The outcomes.
--- a/internal/takeover/registry.go
+++ b/internal/takeover/registry.go
@@ -84,7 +84,7 @@
 	return StateInFlight
 }
 
-// Handle takes an event at a time and appends what is to be done to out.
+// Handle handles an event that occurs at now, and appends the actions to out.
 func (r *Registry) Handle(now time.Duration, event Event, out []Action) []Action {
 	switch e := event.(type) {
 	case ClaimRequest:
@@ -159,7 +159,7 @@
 	return out
 }
 
-// outcomeResponse says what came of a write.
+// outcomeResponse answers a claim to a write that has an outcome.
 func (e *entry) outcomeResponse(requestID uint64) ClaimResponse {
 	if e.outcome == Served {
 		return ClaimResponse{RequestID: requestID, Decision: AlreadyServed, Receipt: e.receipt}
--- a/internal/takeover/registry_messages.go
+++ b/internal/takeover/registry_messages.go
@@ -17,7 +17,7 @@
 		Age       time.Duration // since the write may have run first, with Epoch
 		Retry     bool          // the client marks its request as a repetition
 	}
-	// Completion says what came of a write.
+	// Completion reports the outcome of a write.
 	Completion struct {
 		ID      string
 		Digest  uint64
@@ -37,7 +37,7 @@
 	}
 	// Rejoined says that this process was out of the others' reach, or paused: it may lack what it was sent.
 	Rejoined struct{}
-	// Tick lets time pass.
+	// Tick has the deadlines checked.
 	Tick struct{}
 )
 
