--- a/internal/fake/rawclient/client.go
+++ b/internal/fake/rawclient/client.go
@@ -27,7 +27,7 @@
 // Effect says whether a write may be repeated. Its values are classes of the proxy's default configuration.
 type Effect string
 
-// The effects.
+// The classes of writes.
 const (
 	Keyed  Effect = "write" // with an idempotency key
 	Unsafe Effect = "plain" // not idempotent
