--- a/internal/config/sources.go
+++ b/internal/config/sources.go
@@ -36,19 +36,10 @@
 	r.errors.addDuplicates("nodes.addresses", addresses)
 	t.rejectUnknown()
 	if t.has("addresses") && r.errors.count() == before {
-		if len(addresses) == 0 {
-			t.add("addresses", "cannot be empty: want one HOST:PORT and more")
-		}
-		static := strings.Join(addresses, ",")
-		r.addSource(discovery.SourceConfig{StaticAddresses: static}, discovery.StaticList(static))
+		r.addStaticSource(t, addresses)
 	}
 	if t.has("file") && r.errors.count() == before {
-		path := r.path(file)
-		known, err := discovery.ReadFile(path)
-		if err != nil {
-			t.add("file", "cannot be %q: %v", file, err)
-		}
-		r.addSource(discovery.SourceConfig{File: path}, known)
+		r.addFileSource(t, file)
 	}
 	if t.has("consul") {
 		r.readConsul(consulAddress)
@@ -64,6 +55,25 @@
 	}
 }
 
+// addStaticSource adds nodes.addresses.
+func (r *reader) addStaticSource(t *table, addresses []string) {
+	if len(addresses) == 0 {
+		t.add("addresses", "cannot be empty: want one HOST:PORT and more")
+	}
+	static := strings.Join(addresses, ",")
+	r.addSource(discovery.SourceConfig{StaticAddresses: static}, discovery.StaticList(static))
+}
+
+// addFileSource adds nodes.file.
+func (r *reader) addFileSource(t *table, file string) {
+	path := r.path(file)
+	known, err := discovery.ReadFile(path)
+	if err != nil {
+		t.add("file", "cannot be %q: %v", file, err)
+	}
+	r.addSource(discovery.SourceConfig{File: path}, known)
+}
+
 // readConsul reads the table consul: the sources in Consul's catalogue, and the registration of the proxy there.
 func (r *reader) readConsul(address string) {
 	t := r.top.table("consul")
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -50,7 +50,12 @@
 	}
 	d.reports <- taskReport{server: server, log: log}
 	var ready sync.WaitGroup
-	ready.Go(func() { d.reportStarted(ctx, server, c, log) })
+	ready.Go(func() {
+		if d.awaitStarted(ctx, server, c, log) {
+			d.reports <- taskReport{event: lifecycle.Started}
+			d.fleet.releasePredecessorPermits(ctx)
+		}
+	})
 	deregister := startRegistration(ctx, server, c, log)
 	d.fleet.start(c, server.Core(), log)
 	server.Serve(ctx)
@@ -119,9 +124,11 @@
 	}
 }
 
-// reportStarted reports that clients can be served: once the endpoint list is known, or EndpointListTimeout has passed.
-// On the platform the proxy answers from the start.
-func (d *daemon) reportStarted(ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger) {
+// awaitStarted waits until clients can be served: until the endpoint list is known, or EndpointListTimeout has passed.
+// On the platform the proxy answers from the start. It returns false if ctx ended before.
+func (d *daemon) awaitStarted(
+	ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger,
+) (started bool) {
 	if !d.Platform && len(c.Proxy.InitialList.Endpoints) == 0 {
 		timeout := time.NewTimer(c.Startup.EndpointListTimeout)
 		defer timeout.Stop()
@@ -130,11 +137,8 @@
 		case <-timeout.C:
 			log.Warn("endpoint list delayed", "sources", c.Proxy.SourceNames())
 		case <-ctx.Done():
-			return
+			return false
 		}
 	}
-	if ctx.Err() == nil {
-		d.reports <- taskReport{event: lifecycle.Started}
-		d.fleet.releasePredecessorPermits(ctx)
-	}
+	return ctx.Err() == nil
 }
--- a/internal/lease/agent/holder.go
+++ b/internal/lease/agent/holder.go
@@ -37,14 +37,16 @@
 ) (*Holder, error) {
 	nonce := uint64(time.Now().UnixNano())
 	holder := lease.HolderName(name, os.Getpid(), nonce)
-	command := lease.Command{Kind: lease.Acquire, Task: task, Holder: holder, Nonce: nonce, Duration: duration}
-	if err := lease.DefaultParameters.CheckCommand(&command); err != nil {
+	acquire := lease.Command{
+		Kind: lease.Acquire, Task: task, Holder: holder, Nonce: nonce, Duration: duration, Wait: wait,
+	}
+	if err := lease.DefaultParameters.CheckCommand(&acquire); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	h := &Holder{
 		client:  c,
-		session: lease.NewSession(lease.DefaultParameters, task, holder, nonce, duration, wait),
+		session: lease.NewSession(lease.DefaultParameters, acquire),
 		changed: make(chan struct{}),
 		stop:    stop,
 	}
--- a/internal/lease/interleaving_world_test.go
+++ b/internal/lease/interleaving_world_test.go
@@ -103,7 +103,9 @@
 }
 
 func (w *world) newSession(holder string, nonce uint64) *Session {
-	return NewSession(w.parameters, "a", holder, nonce, leaseTicks*worldTick, true)
+	return NewSession(w.parameters, Command{
+		Kind: Acquire, Task: "a", Holder: holder, Nonce: nonce, Duration: leaseTicks * worldTick, Wait: true,
+	})
 }
 
 // voterNow is the voters' clock, fast by the drift bound.
--- a/internal/lease/quorum/simulation_contenders_test.go
+++ b/internal/lease/quorum/simulation_contenders_test.go
@@ -19,13 +19,15 @@
 
 const leaseDuration = 400 * ms
 
-// startContender has a contender want the task anew.
+// startContender starts another run of a contender, which wants the task.
 func (s *simulation) startContender(c *contender) {
 	s.lastNonce++
 	c.incarnation++
 	incarnation := c.incarnation
 	holder := fmt.Sprint(c.name, ".", incarnation)
-	c.session = lease.NewSession(s.parameters, "a", holder, s.lastNonce, leaseDuration, true)
+	c.session = lease.NewSession(s.parameters, lease.Command{
+		Kind: lease.Acquire, Task: "a", Holder: holder, Nonce: s.lastNonce, Duration: leaseDuration, Wait: true,
+	})
 	var wakeUp func()
 	wakeUp = func() {
 		if c.incarnation != incarnation {
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -7,17 +7,15 @@
 	retryDelay = 50 * time.Millisecond
 	// requestTimeout is how long a response is waited for.
 	requestTimeout = 300 * time.Millisecond
+	// renewalsPerDuration is how often a lease is renewed within its duration.
+	renewalsPerDuration = 3
 )
 
 // Session is a holder's side of one task, through one acquisition of it. Its times are those of a clock which counts
 // the machine's sleep.
 type Session struct {
 	parameters Parameters
-	Task       string
-	Holder     string
-	Nonce      uint64
-	Duration   time.Duration // of the lease
-	Wait       bool
+	acquire    Command
 
 	state          SessionState
 	token          uint64
@@ -38,18 +36,9 @@
 	Finished                      // the task was released, lost or rejected, for good
 )
 
-// NewSession returns a session that sends its first request at its first TimerFired.
-func NewSession(
-	parameters Parameters, task, holder string, nonce uint64, duration time.Duration, wait bool,
-) *Session {
-	return &Session{
-		parameters: parameters,
-		Task:       task,
-		Holder:     holder,
-		Nonce:      nonce,
-		Duration:   duration,
-		Wait:       wait,
-	}
+// NewSession returns a session of an Acquire command, which it sends at its first TimerFired.
+func NewSession(parameters Parameters, acquire Command) *Session {
+	return &Session{parameters: parameters, acquire: acquire}
 }
 
 // State returns the session's state at a time.
@@ -117,7 +106,7 @@
 	s.sequence++
 	s.requestPending = true
 	s.requestSent = now
-	return append(out, SendRequest{s.sequence, s.acquireCommand(), s.token})
+	return append(out, SendRequest{s.sequence, s.acquire, s.token})
 }
 
 func (s *Session) handleResponse(now time.Duration, e Response, out []SessionAction) []SessionAction {
@@ -138,7 +127,7 @@
 
 // handleGrant counts the lease from when the request was sent: the voters count from later.
 func (s *Session) handleGrant(now time.Duration, token uint64, out []SessionAction) []SessionAction {
-	until := s.requestSent + s.parameters.holderDuration(s.Duration)
+	until := s.requestSent + s.parameters.holderDuration(s.acquire.Duration)
 	if now >= until || s.state == Holding && token != s.token {
 		s.nextRequest = now
 		return out // it has run out already, or is another grant: the next request is sent at once
@@ -154,15 +143,9 @@
 }
 
 // renewInterval separates a request from the next one after a grant.
-func (s *Session) renewInterval() time.Duration { return s.Duration / 3 }
-
-func (s *Session) acquireCommand() Command {
-	return Command{
-		Kind: Acquire, Task: s.Task, Holder: s.Holder, Nonce: s.Nonce,
-		Duration: s.Duration, Wait: s.Wait,
-	}
-}
+func (s *Session) renewInterval() time.Duration { return s.acquire.Duration / renewalsPerDuration }
 
 func (s *Session) releaseCommand() Command {
-	return Command{Kind: Release, Task: s.Task, Holder: s.Holder, Nonce: s.Nonce, Token: s.token}
+	a := &s.acquire
+	return Command{Kind: Release, Task: a.Task, Holder: a.Holder, Nonce: a.Nonce, Token: s.token}
 }
--- a/internal/takeover/coordinator/members.go
+++ b/internal/takeover/coordinator/members.go
@@ -16,32 +16,37 @@
 	for _, s := range list {
 		if s.Name == c.options.Self.Name {
 			c.updateSelf(s.State)
-			continue
-		}
-		owner := takeover.Owner{Name: s.Name, Incarnation: s.Incarnation}
-		m := c.members[s.Name]
-		if m != nil && m.Incarnation != s.Incarnation { // another process of that name: the one before is lost
-			c.ownerLost(m.Owner)
-			m.stop()
-			delete(c.members, s.Name)
-			m = nil
-		}
-		switch {
-		case s.State == peer.Gone && m != nil && !c.gone[owner]:
-			c.gone[owner] = true
-			c.presenceChanged[owner.Name] = c.options.Clock()
-			c.ownerLost(owner)
-		case s.State == peer.Alive && c.gone[owner]:
-			delete(c.gone, owner)
-			c.presenceChanged[owner.Name] = c.options.Clock()
-			c.handleRegistryEvent(takeover.OwnerReturned{Owner: owner})
-		}
-		if m == nil && s.State != peer.Gone && s.Address != "" {
-			c.addMember(ctx, s, tasks)
+		} else {
+			c.updateMember(ctx, s, tasks)
 		}
 	}
 }
 
+// updateMember handles what is known of another process.
+func (c *Coordinator) updateMember(ctx context.Context, s peer.MemberState, tasks *sync.WaitGroup) {
+	owner := takeover.Owner{Name: s.Name, Incarnation: s.Incarnation}
+	m := c.members[s.Name]
+	if m != nil && m.Incarnation != s.Incarnation { // another process of that name: the one before is lost
+		c.ownerLost(m.Owner)
+		m.stop()
+		delete(c.members, s.Name)
+		m = nil
+	}
+	switch {
+	case s.State == peer.Gone && m != nil && !c.gone[owner]:
+		c.gone[owner] = true
+		c.presenceChanged[owner.Name] = c.options.Clock()
+		c.ownerLost(owner)
+	case s.State == peer.Alive && c.gone[owner]:
+		delete(c.gone, owner)
+		c.presenceChanged[owner.Name] = c.options.Clock()
+		c.handleRegistryEvent(takeover.OwnerReturned{Owner: owner})
+	}
+	if m == nil && s.State != peer.Gone && s.Address != "" {
+		c.addMember(ctx, s, tasks)
+	}
+}
+
 // updateSelf notes whether the fleet lists this process as gone: until it returned, it was sent no writes.
 func (c *Coordinator) updateSelf(s peer.State) {
 	gone := s == peer.Gone
