--- a/internal/fake/consul/agent.go
+++ b/internal/fake/consul/agent.go
@@ -78,8 +78,8 @@
 
 func (i *Instance) key() string { return i.Node + "/" + i.ID }
 
-// touch counts a change. c.mu is held.
-func (c *Catalogue) touch() uint64 {
+// bumpIndexLocked counts a change. c.mu is held.
+func (c *Catalogue) bumpIndexLocked() uint64 {
 	c.index++
 	close(c.changed)
 	c.changed = make(chan struct{})
@@ -90,10 +90,10 @@
 func (c *Catalogue) Set(i Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.set(i)
+	c.setLocked(i)
 }
 
-func (c *Catalogue) set(i Instance) {
+func (c *Catalogue) setLocked(i Instance) {
 	i.Datacenter = cmp.Or(i.Datacenter, "dc1")
 	i.Passing, i.Warning = cmp.Or(i.Passing, 1), cmp.Or(i.Warning, 1)
 	i.Checks = slices.Clone(i.Checks)
@@ -104,7 +104,7 @@
 			old.timer.Stop()
 		}
 	}
-	i.modified = c.touch()
+	i.modified = c.bumpIndexLocked()
 	c.instances[i.key()] = &i
 }
 
@@ -120,7 +120,7 @@
 		i.timer.Stop()
 	}
 	delete(c.instances, i.key())
-	c.touch()
+	c.bumpIndexLocked()
 	return true
 }
 
@@ -132,12 +132,12 @@
 	if i == nil {
 		return false
 	}
-	c.setCheck(i, check, status, "")
+	c.setCheckLocked(i, check, status, "")
 	return true
 }
 
-// setCheck does it. c.mu is held.
-func (c *Catalogue) setCheck(i *Instance, check, status, notes string) {
+// setCheckLocked does it. c.mu is held.
+func (c *Catalogue) setCheckLocked(i *Instance, check, status, notes string) {
 	at := slices.IndexFunc(i.Checks, func(k Check) bool { return k.CheckID == check })
 	i.Checks = slices.Clone(i.Checks) // answers being written hold the old ones
 	switch {
@@ -152,7 +152,7 @@
 	default:
 		i.Checks = append(i.Checks, Check{Node: i.Node, CheckID: check, Name: check, Status: status, Notes: notes, ServiceID: i.ID, ServiceName: i.Service})
 	}
-	i.modified = c.touch()
+	i.modified = c.bumpIndexLocked()
 }
 
 // SetMaintenance turns an instance to maintenance or back.
@@ -167,7 +167,7 @@
 	if on {
 		status = "critical"
 	}
-	c.setCheck(i, "_service_maintenance:"+id, status, reason)
+	c.setCheckLocked(i, "_service_maintenance:"+id, status, reason)
 	return true
 }
 
@@ -188,11 +188,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index = 1
-	c.touch()
+	c.bumpIndexLocked()
 }
 
-// arm starts a TTL check's time anew. c.mu is held.
-func (c *Catalogue) arm(i *Instance, check string) {
+// startTTLLocked starts a TTL check's time anew. c.mu is held.
+func (c *Catalogue) startTTLLocked(i *Instance, check string) {
 	if i.timer != nil {
 		i.timer.Stop()
 	}
@@ -200,7 +200,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.instances[i.key()] == i {
-			c.setCheck(i, check, "critical", "")
+			c.setCheckLocked(i, check, "critical", "")
 		}
 	})
 }
@@ -214,14 +214,14 @@
 	listener  net.Listener
 	server    *http.Server
 
-	mu      sync.Mutex
-	fault   FaultKind
-	faulted chan struct{}        // closed when the fault changes
-	wrote   map[string]time.Time // by instance: when its leaving was first written, until it is back
-	had     map[string]bool      // instances of the last list
-	queries int
-	bytes   int64
-	looks   int // queries in consistent mode
+	mu                sync.Mutex
+	fault             FaultKind
+	faultChanged      chan struct{}        // closed when the fault changes
+	leavingWrittenAt  map[string]time.Time // by instance: when its leaving was first written, until it is back
+	lastList          map[string]bool      // instances of the last list
+	queries           int
+	bytes             int64
+	consistentQueries int // queries in consistent mode
 }
 
 // Start returns an agent of a catalogue that listens on loopback. With a token, calls
@@ -236,8 +236,8 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{Node: node, catalogue: c, token: token, listener: listener, faulted: make(chan struct{}), wrote: make(map[string]time.Time),
-		had: make(map[string]bool)}
+	a := &Agent{Node: node, catalogue: c, token: token, listener: listener, faultChanged: make(chan struct{}), leavingWrittenAt: make(map[string]time.Time),
+		lastList: make(map[string]bool)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/health/service/{name}", a.health)
 	mux.HandleFunc("GET /v1/catalog/service/{name}", a.catalog)
@@ -248,7 +248,7 @@
 	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", a.deregister)
 	mux.HandleFunc("PUT /v1/agent/service/maintenance/{id}", a.maintenance)
 	mux.HandleFunc("PUT /v1/agent/check/{verb}/{id}", a.check)
-	a.server = &http.Server{Handler: a.guard(mux), ReadHeaderTimeout: time.Minute}
+	a.server = &http.Server{Handler: a.withFaults(mux), ReadHeaderTimeout: time.Minute}
 	go a.server.Serve(listener)
 	return a, nil
 }
@@ -263,13 +263,13 @@
 // counts as a change: what is told with an old index is no news to anybody.
 func (a *Agent) SetFault(kind FaultKind) {
 	a.catalogue.mu.Lock()
-	a.catalogue.touch()
+	a.catalogue.bumpIndexLocked()
 	a.catalogue.mu.Unlock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fault = kind
-	close(a.faulted)
-	a.faulted = make(chan struct{})
+	close(a.faultChanged)
+	a.faultChanged = make(chan struct{})
 }
 
 // DropRegistrations takes out of the catalogue all that was registered here, as an agent does that
@@ -286,7 +286,7 @@
 			i.timer.Stop()
 		}
 		delete(c.instances, key)
-		c.touch()
+		c.bumpIndexLocked()
 	}
 }
 
@@ -295,7 +295,7 @@
 func (a *Agent) LeavingWrittenAt(node, id string) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	at, ok := a.wrote[node+"/"+id]
+	at, ok := a.leavingWrittenAt[node+"/"+id]
 	return at, ok
 }
 
@@ -304,27 +304,27 @@
 func (a *Agent) Stats() (queries, looks int, bytes int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.queries, a.looks, a.bytes
+	return a.queries, a.consistentQueries, a.bytes
 }
 
-func (a *Agent) state() (FaultKind, chan struct{}) {
+func (a *Agent) currentFault() (FaultKind, chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.fault, a.faulted
+	return a.fault, a.faultChanged
 }
 
-// guard checks the token, and lets the faults happen that befall every call.
-func (a *Agent) guard(next http.Handler) http.Handler {
+// withFaults checks the token, and lets the faults happen that befall every call.
+func (a *Agent) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a.token != "" && r.Header.Get("X-Consul-Token") != a.token {
 			http.Error(w, "Permission denied: token with AccessorID lacks permission", http.StatusForbidden)
 			return
 		}
-		switch fault, _ := a.state(); fault {
+		switch fault, _ := a.currentFault(); fault {
 		case NoResponse:
 			for fault == NoResponse && r.Context().Err() == nil {
 				var changed chan struct{}
-				if fault, changed = a.state(); fault == NoResponse {
+				if fault, changed = a.currentFault(); fault == NoResponse {
 					select {
 					case <-changed:
 					case <-r.Context().Done():
@@ -345,9 +345,9 @@
 	})
 }
 
-// await blocks as a blocking query does, and returns the index in force. It returns
+// awaitChange blocks as a blocking query does, and returns the index in force. It returns
 // false where the agent falls silent meanwhile.
-func (a *Agent) await(r *http.Request) (uint64, bool) {
+func (a *Agent) awaitChange(r *http.Request) (uint64, bool) {
 	q := r.URL.Query()
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
 	wait, err := time.ParseDuration(q.Get("wait"))
@@ -360,7 +360,7 @@
 		a.catalogue.mu.Lock()
 		now, changed := a.catalogue.index, a.catalogue.changed
 		a.catalogue.mu.Unlock()
-		fault, faulted := a.state()
+		fault, faulted := a.currentFault()
 		if fault == NoResponse {
 			return 0, false
 		}
@@ -370,7 +370,7 @@
 		select {
 		case <-changed:
 		case <-faulted:
-			if fault, _ := a.state(); fault != NoResponse {
+			if fault, _ := a.currentFault(); fault != NoResponse {
 				return now, true
 			}
 		case <-late.C:
@@ -413,9 +413,9 @@
 
 // health answers for /v1/health/service/NAME.
 func (a *Agent) health(w http.ResponseWriter, r *http.Request) {
-	index, ok := a.await(r)
+	index, ok := a.awaitChange(r)
 	if !ok { // silent until the agent is another way: then the connection ends
-		for fault, changed := a.state(); fault == NoResponse && r.Context().Err() == nil; fault, changed = a.state() {
+		for fault, changed := a.currentFault(); fault == NoResponse && r.Context().Err() == nil; fault, changed = a.currentFault() {
 			select {
 			case <-changed:
 			case <-r.Context().Done():
@@ -424,11 +424,11 @@
 		panic(http.ErrAbortHandler)
 	}
 	q := r.URL.Query()
-	fault, _ := a.state()
+	fault, _ := a.currentFault()
 	a.mu.Lock()
 	a.queries++
 	if q.Has("consistent") {
-		a.looks++
+		a.consistentQueries++
 	}
 	a.mu.Unlock()
 	list := []healthJSON{}
@@ -461,7 +461,7 @@
 	case ZeroIndex:
 		h.Set("X-Consul-Index", "0")
 	case HugeList:
-		a.huge(w)
+		a.writeHugeList(w)
 		return
 	}
 	text, err := json.Marshal(list)
@@ -485,7 +485,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	case NoFault, ZeroIndex:
-		a.note(list)
+		a.noteWritten(list)
 	}
 	a.mu.Lock()
 	a.bytes += int64(len(text))
@@ -493,8 +493,8 @@
 	w.Write(text)
 }
 
-// huge writes a list of 100,000 instances, as long as anybody reads it.
-func (a *Agent) huge(w http.ResponseWriter) {
+// writeHugeList writes a list of 100,000 instances, as long as anybody reads it.
+func (a *Agent) writeHugeList(w http.ResponseWriter) {
 	fmt.Fprint(w, "[")
 	for i := range 100000 {
 		one, err := json.Marshal((&Instance{Node: "huge", ID: fmt.Sprint("i", i), Service: "s", Address: "127.0.0.1", Port: 1}).health())
@@ -511,8 +511,8 @@
 	fmt.Fprint(w, "]")
 }
 
-// note keeps when an instance's leaving was first written.
-func (a *Agent) note(list []healthJSON) {
+// noteWritten keeps when an instance's leaving was first written.
+func (a *Agent) noteWritten(list []healthJSON) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -521,18 +521,18 @@
 		key := h.Node.Node + "/" + h.Service.ID
 		has[key] = true
 		up := !slices.ContainsFunc(h.Checks, func(k Check) bool { return k.Status == "critical" })
-		if _, told := a.wrote[key]; up {
-			delete(a.wrote, key)
+		if _, told := a.leavingWrittenAt[key]; up {
+			delete(a.leavingWrittenAt, key)
 		} else if !told {
-			a.wrote[key] = now
+			a.leavingWrittenAt[key] = now
 		}
 	}
-	for key := range a.had {
-		if _, told := a.wrote[key]; !has[key] && !told {
-			a.wrote[key] = now
+	for key := range a.lastList {
+		if _, told := a.leavingWrittenAt[key]; !has[key] && !told {
+			a.leavingWrittenAt[key] = now
 		}
 	}
-	a.had = has
+	a.lastList = has
 }
 
 // catalog answers for /v1/catalog/service/NAME.
@@ -594,11 +594,11 @@
 		i.ttl = ttl
 		i.Checks = []Check{{Node: a.Node, CheckID: check, Name: in.Check.Name, Status: cmp.Or(in.Check.Status, "critical"), ServiceID: i.ID,
 			ServiceName: i.Service, Type: "ttl"}}
-		c.set(i)
-		c.arm(c.instances[i.key()], check)
+		c.setLocked(i)
+		c.startTTLLocked(c.instances[i.key()], check)
 		return
 	}
-	c.set(i)
+	c.setLocked(i)
 }
 
 func (a *Agent) deregister(w http.ResponseWriter, r *http.Request) {
@@ -637,8 +637,8 @@
 	defer c.mu.Unlock()
 	for _, i := range c.instances {
 		if i.Node == a.Node && i.ttl > 0 && slices.ContainsFunc(i.Checks, func(k Check) bool { return k.CheckID == id }) {
-			c.setCheck(i, id, status, "")
-			c.arm(i, id)
+			c.setCheckLocked(i, id, status, "")
+			c.startTTLLocked(i, id)
 			return
 		}
 	}
--- a/internal/fake/endpointlist/list.go
+++ b/internal/fake/endpointlist/service.go
@@ -32,15 +32,15 @@
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// quiet is the time after which a watch brings an empty line.
-const quiet = 2 * time.Second
+// keepaliveInterval is the time after which a watch brings an empty line.
+const keepaliveInterval = 2 * time.Second
 
-// leaveTime is how long an address that was moved away from keeps its connections.
-const leaveTime = 1500 * time.Millisecond
+// moveGrace is how long an address that was moved away from keeps its connections.
+const moveGrace = 1500 * time.Millisecond
 
-// mostKept bounds the changes that are kept for watches that come back; one from
+// maxKeptChanges bounds the changes that are kept for watches that come back; one from
 // before them gets the whole list.
-const mostKept = 1024
+const maxKeptChanges = 1024
 
 // Service is a stand-in list service. It is safe for concurrent use.
 type Service struct {
@@ -48,23 +48,23 @@
 	// from one proxy to the next.
 	AddressFor func(proxy int, e *Entry) string
 
-	mu      sync.Mutex
-	changed chan struct{} // closed at each change
-	index   uint64
-	entries map[string]Entry
-	log     []message // changes, in order
-	down    bool
-	doors   map[int]*door
-	leaving []*door
-	told    map[int]map[string]time.Time // proxy, node: of a drain that is on
-	named   map[int]map[string]bool      // proxy, node: it has been told of it
-	tasks   sync.WaitGroup
-	timers  map[*time.Timer]struct{}
-	closed  bool
+	mu              sync.Mutex
+	changed         chan struct{} // closed at each change
+	index           uint64
+	entries         map[string]Entry
+	changes         []message // changes, in order
+	down            bool
+	listeners       map[int]*proxyListener
+	leaving         []*proxyListener
+	drainNotifiedAt map[int]map[string]time.Time // proxy, node: of a drain that is on
+	isNotified      map[int]map[string]bool      // proxy, node: it has been told of it
+	tasks           sync.WaitGroup
+	timers          map[*time.Timer]struct{}
+	closed          bool
 }
 
-// door is the address of one proxy.
-type door struct {
+// proxyListener is the address of one proxy.
+type proxyListener struct {
 	listener net.Listener
 	server   *http.Server
 	end      chan struct{} // closed to end its watches
@@ -72,8 +72,8 @@
 
 // New returns a service of a list of entries.
 func New(entries []Entry) *Service {
-	s := &Service{changed: make(chan struct{}), index: 1, entries: make(map[string]Entry), doors: make(map[int]*door),
-		told: make(map[int]map[string]time.Time), named: make(map[int]map[string]bool), timers: make(map[*time.Timer]struct{})}
+	s := &Service{changed: make(chan struct{}), index: 1, entries: make(map[string]Entry), listeners: make(map[int]*proxyListener),
+		drainNotifiedAt: make(map[int]map[string]time.Time), isNotified: make(map[int]map[string]bool), timers: make(map[*time.Timer]struct{})}
 	for _, e := range entries {
 		s.entries[e.Name] = e
 	}
@@ -84,7 +84,7 @@
 func (s *Service) Open(proxy int) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if d := s.doors[proxy]; d != nil {
+	if d := s.listeners[proxy]; d != nil {
 		return d.listener.Addr().String(), nil
 	}
 	return s.open(proxy)
@@ -95,10 +95,10 @@
 	if err != nil {
 		return "", err
 	}
-	d := &door{listener: listener, end: make(chan struct{})}
+	d := &proxyListener{listener: listener, end: make(chan struct{})}
 	d.server = &http.Server{ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(proxy, d, w, r) })}
-	s.doors[proxy] = d
+	s.listeners[proxy] = d
 	s.tasks.Go(func() { d.server.Serve(listener) })
 	return listener.Addr().String(), nil
 }
@@ -108,7 +108,7 @@
 func (s *Service) Move(proxy int) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old := s.doors[proxy]
+	old := s.listeners[proxy]
 	address, err := s.open(proxy)
 	if err != nil || old == nil {
 		return address, err
@@ -116,10 +116,10 @@
 	old.listener.Close()
 	s.leaving = append(s.leaving, old)
 	var timer *time.Timer
-	timer = time.AfterFunc(leaveTime, func() {
+	timer = time.AfterFunc(moveGrace, func() {
 		s.mu.Lock()
 		delete(s.timers, timer)
-		s.leaving = slices.DeleteFunc(s.leaving, func(d *door) bool { return d == old })
+		s.leaving = slices.DeleteFunc(s.leaving, func(d *proxyListener) bool { return d == old })
 		s.mu.Unlock()
 		close(old.end)
 		old.server.Close()
@@ -132,15 +132,15 @@
 func (s *Service) Close() {
 	s.mu.Lock()
 	s.closed = true
-	var ending []*door
+	var ending []*proxyListener
 	for timer := range s.timers {
 		timer.Stop()
 	}
 	ending = append(ending, s.leaving...)
-	for _, d := range s.doors {
+	for _, d := range s.listeners {
 		ending = append(ending, d)
 	}
-	s.leaving, s.doors = nil, make(map[int]*door)
+	s.leaving, s.listeners = nil, make(map[int]*proxyListener)
 	s.mu.Unlock()
 	for _, d := range ending {
 		close(d.end)
@@ -162,9 +162,9 @@
 			s.entries[e.Name] = e
 		}
 	}
-	s.log = append(s.log, message{Index: s.index, Endpoints: slices.Clone(entries)})
-	if len(s.log) > mostKept {
-		s.log = s.log[len(s.log)-mostKept:]
+	s.changes = append(s.changes, message{Index: s.index, Endpoints: slices.Clone(entries)})
+	if len(s.changes) > maxKeptChanges {
+		s.changes = s.changes[len(s.changes)-maxKeptChanges:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -184,13 +184,13 @@
 func (s *Service) DrainNotifiedAt(proxy int, node string) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, ok := s.told[proxy][node]
+	at, ok := s.drainNotifiedAt[proxy][node]
 	return at, ok
 }
 
-// since returns what changed after a version, and a channel that is closed at
+// changesSince returns what changed after a version, and a channel that is closed at
 // the next change.
-func (s *Service) since(from uint64) (message, chan struct{}, bool) {
+func (s *Service) changesSince(from uint64) (message, chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := message{Index: s.index}
@@ -199,7 +199,7 @@
 		return m, s.changed, false
 	case from == s.index:
 		return m, s.changed, true
-	case from == 0 || from > s.index || len(s.log) == 0 || from < s.log[0].Index-1:
+	case from == 0 || from > s.index || len(s.changes) == 0 || from < s.changes[0].Index-1:
 		m.Snapshot = true
 		for _, e := range s.entries {
 			m.Endpoints = append(m.Endpoints, e)
@@ -207,7 +207,7 @@
 		return m, s.changed, true
 	}
 	latest := make(map[string]int)
-	for _, c := range s.log {
+	for _, c := range s.changes {
 		if c.Index <= from {
 			continue
 		}
@@ -223,15 +223,15 @@
 	return m, s.changed, true
 }
 
-// tell notes what a proxy is about to be told. It is called before the write:
+// noteNotification notes what a proxy is about to be told. It is called before the write:
 // a drain counts from no later than that.
-func (s *Service) tell(proxy int, m *message) {
+func (s *Service) noteNotification(proxy int, m *message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	told, named := s.told[proxy], s.named[proxy]
+	told, named := s.drainNotifiedAt[proxy], s.isNotified[proxy]
 	if told == nil {
 		told, named = make(map[string]time.Time), make(map[string]bool)
-		s.told[proxy], s.named[proxy] = told, named
+		s.drainNotifiedAt[proxy], s.isNotified[proxy] = told, named
 	}
 	now := time.Now()
 	gone := func(name string) {
@@ -255,13 +255,13 @@
 	}
 }
 
-func (s *Service) serve(proxy int, d *door, w http.ResponseWriter, r *http.Request) {
+func (s *Service) serve(proxy int, d *proxyListener, w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.FormValue("from"), 10, 64)
 	if r.URL.Path != "/api/targets" || r.FormValue("from") != "" && err != nil {
 		http.NotFound(w, r)
 		return
 	}
-	m, changed, up := s.since(from)
+	m, changed, up := s.changesSince(from)
 	if !up {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
@@ -273,7 +273,7 @@
 			if m.Endpoints == nil { // nothing is new; null would be no list
 				m.Endpoints = []Entry{}
 			}
-			s.tell(proxy, &m)
+			s.noteNotification(proxy, &m)
 			if s.AddressFor != nil {
 				m.Endpoints = slices.Clone(m.Endpoints) // the log's own hold the real addresses
 				for i := range m.Endpoints {
@@ -293,13 +293,13 @@
 		from = m.Index
 		select {
 		case <-changed:
-		case <-time.After(quiet):
+		case <-time.After(keepaliveInterval):
 		case <-d.end:
 			return
 		case <-r.Context().Done():
 			return
 		}
-		if m, changed, up = s.since(from); !up {
+		if m, changed, up = s.changesSince(from); !up {
 			return
 		}
 	}
--- a/internal/fake/faultyproxy/double.go
+++ b/internal/fake/faultyproxy/proxy.go
@@ -42,7 +42,7 @@
 	Window      time.Duration // of the nodes
 }
 
-type entry struct {
+type nodeEntry struct {
 	Name, Address, Status string
 	since                 time.Time // of its status
 }
@@ -53,9 +53,9 @@
 	injected atomic.Int64
 	count    atomic.Int64 // requests that the fault might befall
 	mu       sync.Mutex
-	nodes    map[string]entry
+	nodes    map[string]nodeEntry
 	conns    map[net.Conn]bool // true while a request is out
-	ending   bool
+	stopping bool
 	tasks    sync.WaitGroup
 }
 
@@ -65,7 +65,7 @@
 // Serve works until ctx ends and all is answered. known is called once the list
 // of nodes has come.
 func Serve(ctx context.Context, c Config, known func()) *Proxy {
-	d := &Proxy{config: c, nodes: make(map[string]entry), conns: make(map[net.Conn]bool)}
+	d := &Proxy{config: c, nodes: make(map[string]nodeEntry), conns: make(map[net.Conn]bool)}
 	d.tasks.Go(func() { d.watch(ctx, known) })
 	d.tasks.Go(func() {
 		for {
@@ -82,7 +82,7 @@
 	<-ctx.Done()
 	c.Listener.Close()
 	d.mu.Lock()
-	d.ending = true
+	d.stopping = true
 	for socket, busy := range d.conns {
 		if !busy {
 			socket.Close()
@@ -108,7 +108,7 @@
 			continue
 		}
 		for lines := bufio.NewScanner(response.Body); lines.Scan(); {
-			var m struct{ Endpoints []entry }
+			var m struct{ Endpoints []nodeEntry }
 			if json.Unmarshal(lines.Bytes(), &m) != nil {
 				continue
 			}
@@ -129,13 +129,13 @@
 	}
 }
 
-// due tells whether the fault befalls this one of those that it might.
-func (d *Proxy) due() bool {
+// isDefectDue tells whether the fault befalls this one of those that it might.
+func (d *Proxy) isDefectDue() bool {
 	return d.count.Add(1)%int64(max(d.config.OneIn, 1)) == 0
 }
 
-// choose returns the address of a node for a key.
-func (d *Proxy) choose(key string) string {
+// chooseNode returns the address of a node for a key.
+func (d *Proxy) chooseNode(key string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var up, draining []string
@@ -146,7 +146,7 @@
 			draining = append(draining, e.Address)
 		}
 	}
-	if d.config.Fault == UseDraining && len(draining) > 0 && d.due() {
+	if d.config.Fault == UseDraining && len(draining) > 0 && d.isDefectDue() {
 		d.injected.Add(1)
 		return draining[0]
 	}
@@ -187,7 +187,7 @@
 		}
 		if c.Stats { // asked by the test itself, which counts no such request as lost
 			io.WriteString(socket, "END\r\n")
-			if d.rest(socket) {
+			if d.release(socket) {
 				return
 			}
 			continue
@@ -201,36 +201,36 @@
 		}
 		answer := "MN\r\n"
 		if !c.Noop {
-			answer = ask(nodes, d.choose(c.Key), &c, body)
+			answer = forward(nodes, d.chooseNode(c.Key), &c, body)
 		}
 		switch {
-		case d.config.Fault == LoseAnswer && d.due():
+		case d.config.Fault == LoseAnswer && d.isDefectDue():
 			d.injected.Add(1)
 			answer = ""
-		case d.config.Fault == DuplicateWrite && c.Verb == request.Set && strings.HasPrefix(answer, "HD") && d.due():
+		case d.config.Fault == DuplicateWrite && c.Verb == request.Set && strings.HasPrefix(answer, "HD") && d.isDefectDue():
 			d.injected.Add(1)
 			d.tasks.Go(func() {
 				time.Sleep(d.config.Window + d.config.Window/5)
 				again := make(map[string]*upstream)
-				ask(again, d.choose(c.Key), &c, body)
+				forward(again, d.chooseNode(c.Key), &c, body)
 				for _, n := range again {
 					n.socket.Close()
 				}
 			})
 		}
 		io.WriteString(socket, answer)
-		if d.rest(socket) {
+		if d.release(socket) {
 			return
 		}
 	}
 }
 
-// rest marks a connection as idle, and tells whether it is to be closed.
-func (d *Proxy) rest(socket net.Conn) (ending bool) {
+// release marks a connection as idle, and tells whether it is to be closed.
+func (d *Proxy) release(socket net.Conn) (ending bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.conns[socket] = false
-	return d.ending
+	return d.stopping
 }
 
 type upstream struct {
@@ -238,8 +238,8 @@
 	in     *bufio.Reader
 }
 
-// ask sends a request to a node and returns its answer.
-func ask(nodes map[string]*upstream, address string, c *meta.Command, body []byte) string {
+// forward sends a request to a node and returns its answer.
+func forward(nodes map[string]*upstream, address string, c *meta.Command, body []byte) string {
 	for again := range 2 {
 		n := nodes[address]
 		if n == nil {
--- a/internal/fake/faultyproxy/double_test.go
+++ b/internal/fake/faultyproxy/proxy_test.go
@@ -11,7 +11,7 @@
 // TestFiguresAreNoRequests guards the count of faults: a rehearsal asks each proxy for its figures at the
 // end, and where the fault befell that, one more was counted than clients could have seen.
 func TestFiguresAreNoRequests(t *testing.T) {
-	d := &Proxy{config: Config{Fault: LoseAnswer, OneIn: 1}, nodes: make(map[string]entry), conns: make(map[net.Conn]bool)}
+	d := &Proxy{config: Config{Fault: LoseAnswer, OneIn: 1}, nodes: make(map[string]nodeEntry), conns: make(map[net.Conn]bool)}
 	ours, theirs := net.Pipe()
 	d.tasks.Go(func() { d.serve(theirs) })
 	ours.SetDeadline(time.Now().Add(30 * time.Second))
--- a/internal/fake/node/cache.go
+++ b/internal/fake/node/cache.go
@@ -2,17 +2,19 @@
 
 import "container/list"
 
-// cache is a bounded set of keys that forgets the one used longest ago.
+// cache is a bounded set of keys that evicts the least recently used one.
 type cache struct {
-	most  int
-	order list.List // of keys, the latest first
-	place map[string]*list.Element
+	capacity int
+	order    list.List // of keys, the most recently used first
+	elements map[string]*list.Element
 }
 
-func newCache(most int) *cache { return &cache{most: most, place: make(map[string]*list.Element)} }
+func newCache(most int) *cache {
+	return &cache{capacity: most, elements: make(map[string]*list.Element)}
+}
 
 func (c *cache) has(key string) bool {
-	e := c.place[key]
+	e := c.elements[key]
 	if e != nil {
 		c.order.MoveToFront(e)
 	}
@@ -20,18 +22,18 @@
 }
 
 func (c *cache) add(key string) {
-	if c.has(key) || c.most <= 0 {
+	if c.has(key) || c.capacity <= 0 {
 		return
 	}
-	if len(c.place) >= c.most {
+	if len(c.elements) >= c.capacity {
 		c.drop(c.order.Back().Value.(string))
 	}
-	c.place[key] = c.order.PushFront(key)
+	c.elements[key] = c.order.PushFront(key)
 }
 
 func (c *cache) drop(key string) {
-	if e := c.place[key]; e != nil {
+	if e := c.elements[key]; e != nil {
 		c.order.Remove(e)
-		delete(c.place, key)
+		delete(c.elements, key)
 	}
 }
--- a/internal/fake/node/node_test.go
+++ b/internal/fake/node/node_test.go
@@ -239,8 +239,8 @@
 	for _, key := range []string{"a", "b", "a", "c"} {
 		c.add(key)
 	}
-	if !c.has("a") || c.has("b") || !c.has("c") || len(c.place) != 2 {
-		t.Errorf("the cache holds %v", c.place)
+	if !c.has("a") || c.has("b") || !c.has("c") || len(c.elements) != 2 {
+		t.Errorf("the cache holds %v", c.elements)
 	}
 }
 
--- a/internal/fake/origin/origin.go
+++ b/internal/fake/origin/origin.go
@@ -33,26 +33,26 @@
 }
 
 const (
-	mostEffects = 1 << 20 // lines of the ledger: past it the oldest make room
-	mostDoubled = 1000    // that are kept for the record; all are counted
+	maxEffects    = 1 << 20 // lines of the ledger: past it the oldest make room
+	maxDuplicates = 1000    // that are kept for the record; all are counted
 )
 
 // Origin is a stand-in origin. It is safe for concurrent use.
 type Origin struct {
 	config Config
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	running int
-	waiting []*job
-	down    bool
-	slow    time.Duration // work in place of the usual; 0 for none
-	stats   Stats
-	ledger  map[string]*Effect
-	order   []string // keys of the ledger, oldest first
-	doubled []Effect // as they were found, for the record
-	timers  map[*time.Timer]struct{}
-	closed  bool
+	mu         sync.Mutex
+	rng        *rand.Rand
+	running    int
+	waiting    []*job
+	down       bool
+	slowTime   time.Duration // work in place of the usual; 0 for none
+	stats      Stats
+	ledger     map[string]*Effect
+	order      []string // keys of the ledger, oldest first
+	duplicates []Effect // as they were found, for the record
+	timers     map[*time.Timer]struct{}
+	closed     bool
 }
 
 // Stats count what an origin did.
@@ -79,7 +79,7 @@
 // Write carries out a write of a record under an idempotency key. The effect
 // is had as it ends; the origin itself drops no repeats, the nodes do.
 func (o *Origin) Write(record, key string, done func(error)) {
-	o.submit(done, func() { o.enter(record, key, time.Now()) })
+	o.submit(done, func() { o.recordLocked(record, key, time.Now()) })
 }
 
 func (o *Origin) submit(done func(error), effect func()) {
@@ -106,17 +106,17 @@
 	if o.running >= o.config.Slots {
 		o.waiting = append(o.waiting, j)
 	} else {
-		o.begin(j)
+		o.startLocked(j)
 	}
 	o.mu.Unlock()
 }
 
-// begin starts a piece of work. o.mu is held.
-func (o *Origin) begin(j *job) {
+// startLocked starts a piece of work. o.mu is held.
+func (o *Origin) startLocked(j *job) {
 	o.running++
 	work := o.config.ServiceTime
-	if o.slow > 0 {
-		work = o.slow
+	if o.slowTime > 0 {
+		work = o.slowTime
 	}
 	took := time.Duration(float64(work) * (0.75 + o.rng.Float64()/2))
 	var timer *time.Timer
@@ -127,7 +127,7 @@
 		if len(o.waiting) > 0 && !o.closed {
 			next := o.waiting[0]
 			o.waiting = o.waiting[1:]
-			o.begin(next)
+			o.startLocked(next)
 		}
 		o.mu.Unlock()
 		j.done()
@@ -135,13 +135,13 @@
 	o.timers[timer] = struct{}{}
 }
 
-// enter writes an effect into the ledger. o.mu is held.
-func (o *Origin) enter(record, key string, now time.Time) {
+// recordLocked writes an effect into the ledger. o.mu is held.
+func (o *Origin) recordLocked(record, key string, now time.Time) {
 	o.stats.Writes++
 	name := record + " " + key
 	e := o.ledger[name]
 	if e == nil {
-		if len(o.order) >= mostEffects {
+		if len(o.order) >= maxEffects {
 			delete(o.ledger, o.order[0])
 			o.order = o.order[1:]
 		}
@@ -154,8 +154,8 @@
 	e.Last = now
 	if e.Count == 2 {
 		o.stats.Duplicates++
-		if len(o.doubled) < mostDoubled {
-			o.doubled = append(o.doubled, *e)
+		if len(o.duplicates) < maxDuplicates {
+			o.duplicates = append(o.duplicates, *e)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 func (o *Origin) SetServiceTime(d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.slow = d
+	o.slowTime = d
 }
 
 // Stats returns what was done so far.
@@ -186,7 +186,7 @@
 func (o *Origin) DuplicateEffects() []Effect {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return slices.Clone(o.doubled)
+	return slices.Clone(o.duplicates)
 }
 
 // EffectCount tells how often a write was carried out.
--- a/internal/fake/rawclient/caller.go
+++ b/internal/fake/rawclient/client.go
@@ -88,7 +88,7 @@
 	Reader  *bufio.Reader
 	dialect scriptednode.Dialect
 	opaque  uint32
-	expect  []expected
+	pending []expected
 }
 
 // expected is what the next answer must belong to.
@@ -139,13 +139,13 @@
 
 func (c *Client) id() string {
 	id := fmt.Sprintf("c%d", serial.Add(1))
-	c.expect = append(c.expect, expected{id: id})
+	c.pending = append(c.pending, expected{id: id})
 	return id
 }
 
 func (c *Client) binary(text func(opaque uint32) []byte) error {
 	c.opaque++
-	c.expect = append(c.expect, expected{opaque: c.opaque})
+	c.pending = append(c.pending, expected{opaque: c.opaque})
 	_, err := c.Socket.Write(text(c.opaque))
 	return err
 }
@@ -171,11 +171,11 @@
 // Next reads the answer to the oldest command that has none, and fails where it is
 // another's.
 func (c *Client) Next() (a Answer, err error) {
-	if len(c.expect) == 0 {
+	if len(c.pending) == 0 {
 		return a, errors.New("caller: nothing was asked")
 	}
-	due := c.expect[0]
-	c.expect = c.expect[1:]
+	due := c.pending[0]
+	c.pending = c.pending[1:]
 	if c.dialect == scriptednode.Binary {
 		return c.nextBinary(due)
 	}
--- a/internal/fake/scriptednode/script.go
+++ b/internal/fake/scriptednode/nodes.go
@@ -83,7 +83,7 @@
 	tasks     sync.WaitGroup
 
 	mu       sync.Mutex
-	asked    []ReceivedRequest
+	requests []ReceivedRequest
 	accepted int
 	conns    map[net.Conn]int // by node
 	done     chan struct{}
@@ -155,7 +155,7 @@
 func (ns *Nodes) Requests() []ReceivedRequest {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
-	return append([]ReceivedRequest(nil), ns.asked...)
+	return append([]ReceivedRequest(nil), ns.requests...)
 }
 
 // Close ends the nodes and waits for their goroutines.
@@ -209,24 +209,24 @@
 		}
 		a.Node, a.At = i, at
 		ns.mu.Lock()
-		number := len(ns.asked)
-		ns.asked = append(ns.asked, a)
+		number := len(ns.requests)
+		ns.requests = append(ns.requests, a)
 		ns.mu.Unlock()
-		if !ns.carryOut(ns.react(number, a), r, c) {
+		if !ns.apply(ns.react(number, a), r, c) {
 			return
 		}
 	}
 }
 
-// asked is what an answer needs of its request.
-type asked struct {
+// parsedCommand is what an answer needs of its request.
+type parsedCommand struct {
 	verb request.Verb
 	key  string
 	id   string
 	head binary.Header
 }
 
-func readMeta(in *bufio.Reader) (r asked, a ReceivedRequest, err error) {
+func readMeta(in *bufio.Reader) (r parsedCommand, a ReceivedRequest, err error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return r, a, err
@@ -241,12 +241,12 @@
 			return r, a, err
 		}
 	}
-	return asked{verb: c.Verb, key: c.Key, id: c.ID},
+	return parsedCommand{verb: c.Verb, key: c.Key, id: c.ID},
 		ReceivedRequest{Verb: c.Verb, Key: c.Key, Value: string(body[:c.ValueLen]), Idempotency: c.IdempotencyKey, ID: c.ID, Class: c.Class, Tenant: c.Tenant,
 			Wait: c.Timeout, Retry: c.Retry}, nil
 }
 
-func readBinary(in *bufio.Reader) (r asked, a ReceivedRequest, err error) {
+func readBinary(in *bufio.Reader) (r parsedCommand, a ReceivedRequest, err error) {
 	var head [binary.HeaderLen]byte
 	if _, err = io.ReadFull(in, head[:]); err != nil {
 		return r, a, err
@@ -268,11 +268,11 @@
 	return r, ReceivedRequest{Verb: r.verb, Key: r.key, Value: string(body[r.head.ExtrasLen+r.head.KeyLen:])}, nil
 }
 
-// carryOut does what a reaction asks for, and tells whether the connection goes on.
-func (ns *Nodes) carryOut(do Reaction, r asked, c net.Conn) bool {
-	say := ns.sayMeta
+// apply does what a reaction asks for, and tells whether the connection goes on.
+func (ns *Nodes) apply(do Reaction, r parsedCommand, c net.Conn) bool {
+	say := ns.encodeMeta
 	if ns.dialect == Binary {
-		say = ns.sayBinary
+		say = ns.encodeBinary
 	}
 	switch do {
 	case Reset:
@@ -302,7 +302,7 @@
 	return err == nil
 }
 
-func (ns *Nodes) sayMeta(do Reaction, r asked) []byte {
+func (ns *Nodes) encodeMeta(do Reaction, r parsedCommand) []byte {
 	value, id := Value(r.key), r.id
 	switch do {
 	case Miss:
@@ -332,7 +332,7 @@
 	return []byte(text)
 }
 
-func (ns *Nodes) sayBinary(do Reaction, r asked) []byte {
+func (ns *Nodes) encodeBinary(do Reaction, r parsedCommand) []byte {
 	switch do {
 	case Miss:
 		return binary.AppendStatus(nil, &r.head, binary.NotFound, 0)
--- a/internal/fake/unresponsive/deaf.go
+++ b/internal/fake/unresponsive/node.go
@@ -13,7 +13,7 @@
 // Node is such a node.
 type Node struct {
 	listener *net.TCPListener
-	fill     map[string]net.Conn // what fills its queue, by their addresses
+	fillers  map[string]net.Conn // what fills its queue, by their addresses
 }
 
 // Start returns a node whose queue of connections is full. The kernel drops what else asks for one, which asks
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{listener: l.(*net.TCPListener), fill: make(map[string]net.Conn)}
+	n := &Node{listener: l.(*net.TCPListener), fillers: make(map[string]net.Conn)}
 	raw, err := n.listener.SyscallConn()
 	if err == nil {
 		var failed error
@@ -38,7 +38,7 @@
 		if err != nil {
 			return n, nil
 		}
-		n.fill[c.LocalAddr().String()] = c
+		n.fillers[c.LocalAddr().String()] = c
 	}
 	n.Close()
 	return nil, errors.New("the queue of connections does not fill")
@@ -54,7 +54,7 @@
 		if err != nil {
 			return nil, err
 		}
-		own := n.fill[c.RemoteAddr().String()]
+		own := n.fillers[c.RemoteAddr().String()]
 		if own == nil {
 			return c, nil
 		}
@@ -66,7 +66,7 @@
 // Close ends it.
 func (n *Node) Close() {
 	n.listener.Close()
-	for _, c := range n.fill {
+	for _, c := range n.fillers {
 		c.Close()
 	}
 }
