--- a/internal/fake/endpointlist/service.go
+++ b/internal/fake/endpointlist/service.go
@@ -1,6 +1,6 @@
-// Package endpointlist is a stand-in for the service that tells proxies the list of
-// nodes, in the platform's form. It speaks with each proxy at an address of its
-// own, so that it knows when each was told of a drain.
+// Package endpointlist is a fake of the service that notifies proxies of the list of nodes, in the platform's format. It
+// talks to each proxy at an address of its own, so that it knows when each was notified of a drain. Close ends its
+// goroutines.
 package endpointlist
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Entry is a node's entry, as the platform's form has it.
+// Entry is a node's entry in the platform's format.
 type Entry struct {
 	Name          string  `json:"name"`
 	Address       string  `json:"address"`
@@ -26,23 +26,23 @@
 	StartedMillis int64   `json:"since_ms"`
 }
 
+// message is one line of a watch: the changes up to a version, or a snapshot.
 type message struct {
 	Index     uint64  `json:"index"`
 	Snapshot  bool    `json:"snapshot"`
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// keepaliveInterval is the time after which a watch brings an empty line.
+// keepaliveInterval is after how long without changes a watch gets an empty line.
 const keepaliveInterval = 2 * time.Second
 
 // moveGrace is how long an address that was moved away from keeps its connections.
 const moveGrace = 1500 * time.Millisecond
 
-// maxKeptChanges bounds the changes that are kept for watches that come back; one from
-// before them gets the whole list.
+// maxKeptChanges bounds the changes that are kept for watches that resume; older ones get a snapshot.
 const maxKeptChanges = 1024
 
-// Service is a stand-in list service. It is safe for concurrent use.
+// Service is a fake list service. It is safe for concurrent use.
 type Service struct {
 	// AddressFor, if set before use, is where a proxy finds a node: the address of an entry may differ
 	// from one proxy to the next.
@@ -70,7 +70,7 @@
 	end      chan struct{} // closed to end its watches
 }
 
-// New returns a service of a list of entries.
+// New returns a service with a list of entries.
 func New(entries []Entry) *Service {
 	s := &Service{changed: make(chan struct{}), index: 1, entries: make(map[string]Entry), listeners: make(map[int]*proxyListener),
 		drainNotifiedAt: make(map[int]map[string]time.Time), isNotified: make(map[int]map[string]bool), timers: make(map[*time.Timer]struct{})}
@@ -80,7 +80,7 @@
 	return s
 }
 
-// Open returns the address for a proxy, opening it at first.
+// Open returns the address for a proxy, and opens it if need be.
 func (s *Service) Open(proxy int) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,6 +90,7 @@
 	return s.open(proxy)
 }
 
+// open opens an address for a proxy. s.mu is held.
 func (s *Service) open(proxy int) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,8 +104,8 @@
 	return listener.Addr().String(), nil
 }
 
-// Move opens another address for a proxy. The old one takes no new connection
-// and ends those that it has after a while.
+// Move opens another address for a proxy. The old one accepts no new connection, and ends those that it has after a
+// while.
 func (s *Service) Move(proxy int) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,8 +150,7 @@
 	s.tasks.Wait()
 }
 
-// Set tells changes: entries with other figures, new ones, or gone with status
-// removed.
+// Set changes entries, adds new ones, and removes those with the status removed.
 func (s *Service) Set(entries ...Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +170,7 @@
 	s.changed = make(chan struct{})
 }
 
-// SetDown takes the service down, which ends watches and fails calls, or up again.
+// SetDown takes the service down, which ends watches and fails requests, or brings it back.
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,8 +179,8 @@
 	s.changed = make(chan struct{})
 }
 
-// DrainNotifiedAt tells since when a proxy knows that a node drains or is gone; false
-// if it was not told so, or has been told since that the node is up.
+// DrainNotifiedAt returns since when a proxy knows that a node drains or is gone; false if it was not notified, or was
+// notified since that the node is up.
 func (s *Service) DrainNotifiedAt(proxy int, node string) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,8 +188,8 @@
 	return at, ok
 }
 
-// changesSince returns what changed after a version, and a channel that is closed at
-// the next change.
+// changesSince returns what changed after a version, and a channel that is closed at the next change; false if the
+// service is down.
 func (s *Service) changesSince(from uint64) (message, chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,8 +223,8 @@
 	return m, s.changed, true
 }
 
-// noteNotification notes what a proxy is about to be told. It is called before the write:
-// a drain counts from no later than that.
+// noteNotification notes what a proxy is notified of. It is called before the write, so that a drain counts from no
+// later than the notification.
 func (s *Service) noteNotification(proxy int, m *message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/faultyproxy/proxy.go
+++ b/internal/fake/faultyproxy/proxy.go
@@ -1,6 +1,5 @@
-// Package faultyproxy is a test double of a proxy with a fault put in, so that it can
-// be shown that a rehearsal sees what it looks for. It is no proxy to learn from:
-// it sends each request to one node and decides nothing.
+// Package faultyproxy is a proxy with a planted defect, to show that the fault tests detect what they look for. It is no
+// example of a proxy: it sends each request to one node and decides nothing. Serve owns its goroutines.
 package faultyproxy
 
 import (
@@ -33,7 +32,7 @@
 // Faults are all of them.
 var Faults = []string{NoFault, LoseAnswer, DuplicateWrite, UseDraining}
 
-// Config says what to run.
+// Config describes a faulty proxy.
 type Config struct {
 	Listener    net.Listener
 	ListAddress string // address of the list service
@@ -42,12 +41,13 @@
 	Window      time.Duration // of the nodes
 }
 
+// nodeEntry is what the proxy knows of a node.
 type nodeEntry struct {
 	Name, Address, Status string
 	since                 time.Time // of its status
 }
 
-// Proxy is one at work.
+// Proxy is a faulty proxy.
 type Proxy struct {
 	config   Config
 	injected atomic.Int64
@@ -59,11 +59,10 @@
 	tasks    sync.WaitGroup
 }
 
-// Injected tells how often the fault was put in.
+// Injected returns how often the defect showed.
 func (d *Proxy) Injected() int64 { return d.injected.Load() }
 
-// Serve works until ctx ends and all is answered. known is called once the list
-// of nodes has come.
+// Serve serves until ctx ends and all requests are answered. known is called once the list of nodes has come.
 func Serve(ctx context.Context, c Config, known func()) *Proxy {
 	d := &Proxy{config: c, nodes: make(map[string]nodeEntry), conns: make(map[net.Conn]bool)}
 	d.tasks.Go(func() { d.watch(ctx, known) })
@@ -93,6 +92,7 @@
 	return d
 }
 
+// watch follows the list of nodes.
 func (d *Proxy) watch(ctx context.Context, known func()) {
 	for told := false; ctx.Err() == nil; {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.config.ListAddress+"/api/targets?watch=1&from=0", nil)
@@ -129,12 +129,12 @@
 	}
 }
 
-// isDefectDue tells whether the fault befalls this one of those that it might.
+// isDefectDue counts a request in which the defect could show, and reports whether it does in this one.
 func (d *Proxy) isDefectDue() bool {
 	return d.count.Add(1)%int64(max(d.config.OneIn, 1)) == 0
 }
 
-// chooseNode returns the address of a node for a key.
+// chooseNode returns the address of the node for a key.
 func (d *Proxy) chooseNode(key string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -159,6 +159,7 @@
 	return up[int(h.Sum32()>>4)%len(up)]
 }
 
+// serve serves one connection.
 func (d *Proxy) serve(socket net.Conn) {
 	nodes := make(map[string]*upstream)
 	defer func() {
@@ -225,7 +226,7 @@
 	}
 }
 
-// release marks a connection as idle, and tells whether it is to be closed.
+// release marks a connection as idle, and reports whether it is to be closed.
 func (d *Proxy) release(socket net.Conn) (ending bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -233,12 +234,13 @@
 	return d.stopping
 }
 
+// upstream is a connection to a node.
 type upstream struct {
 	socket net.Conn
 	in     *bufio.Reader
 }
 
-// forward sends a request to a node and returns its answer.
+// forward sends a request to a node, and returns its answer.
 func forward(nodes map[string]*upstream, address string, c *meta.Command, body []byte) string {
 	for again := range 2 {
 		n := nodes[address]
--- a/internal/fake/origin/origin.go
+++ b/internal/fake/origin/origin.go
@@ -1,6 +1,5 @@
-// Package origin is a stand-in for the one slow origin behind all cache nodes: it
-// has so many places, a queue, and a time for each piece of work, and it keeps a
-// ledger of every effect. It has no sockets: nodes of the same process call it.
+// Package origin is a fake of the one slow origin behind all cache nodes: it has slots, a queue and a service time, and
+// keeps a ledger of every effect. It has no sockets, nodes of the same process call it. Its timers end with Close.
 package origin
 
 import (
@@ -11,13 +10,13 @@
 	"time"
 )
 
-// Errors of work that was not begun, and so had no effect.
+// Errors of work that was not started, and so had no effect.
 var (
 	ErrFull = errors.New("origin: queue full")
 	ErrDown = errors.New("origin: down")
 )
 
-// Config says what an origin can do.
+// Config describes an origin.
 type Config struct {
 	Slots       int           // pieces of work at a time; at least 1
 	Queue       int           // pieces that may wait
@@ -25,7 +24,7 @@
 	Seed        uint64
 }
 
-// Effect is one line of the ledger: a write by its record and idempotency key.
+// Effect is an entry of the ledger: a write by its record and idempotency key, and how often it took effect.
 type Effect struct {
 	Record, Key string
 	Count       int // carried out so often
@@ -37,7 +36,7 @@
 	maxDuplicates = 1000    // that are kept for the record; all are counted
 )
 
-// Origin is a stand-in origin. It is safe for concurrent use.
+// Origin is a fake origin. It is safe for concurrent use.
 type Origin struct {
 	config Config
 
@@ -55,7 +54,8 @@
 	closed     bool
 }
 
-// Stats count what an origin did.
+// Stats count the work of an origin. QueueFull counts rejections; Effects counts distinct writes, Duplicates those that
+// took effect more than once.
 type Stats struct {
 	Fetches, Writes, QueueFull int
 	Effects, Duplicates        int // distinct writes, and those carried out more than once
@@ -70,18 +70,18 @@
 		timers: make(map[*time.Timer]struct{})}
 }
 
-// Fetch reads a key; done is called once, on a goroutine of the origin's or, with
-// an error, at once.
+// Fetch reads a key. done is called once, on a goroutine of the origin or, with an error, at once.
 func (o *Origin) Fetch(done func(error)) {
 	o.submit(done, func() { o.stats.Fetches++ })
 }
 
-// Write carries out a write of a record under an idempotency key. The effect
-// is had as it ends; the origin itself drops no repeats, the nodes do.
+// Write carries out a write of a record under an idempotency key. It takes effect when it ends. The origin drops no
+// repeats; the nodes do.
 func (o *Origin) Write(record, key string, done func(error)) {
 	o.submit(done, func() { o.recordLocked(record, key, time.Now()) })
 }
 
+// submit starts work or queues it. effect is called when it ends, with o.mu held.
 func (o *Origin) submit(done func(error), effect func()) {
 	o.mu.Lock()
 	var err error
@@ -135,7 +135,7 @@
 	o.timers[timer] = struct{}{}
 }
 
-// recordLocked writes an effect into the ledger. o.mu is held.
+// recordLocked enters an effect into the ledger. o.mu is held.
 func (o *Origin) recordLocked(record, key string, now time.Time) {
 	o.stats.Writes++
 	name := record + " " + key
@@ -160,36 +160,35 @@
 	}
 }
 
-// SetDown stops the origin from taking work, or lets it again.
+// SetDown has the origin reject all work, or accept it again.
 func (o *Origin) SetDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.down = down
 }
 
-// SetServiceTime changes the time for one piece of work that begins from now on, 0 for the usual.
+// SetServiceTime changes the time of work that starts from now on; 0 for the configured one.
 func (o *Origin) SetServiceTime(d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.slowTime = d
 }
 
-// Stats returns what was done so far.
+// Stats returns the counts so far.
 func (o *Origin) Stats() Stats {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.stats
 }
 
-// DuplicateEffects returns effects that were had more than once, as they were when that
-// was found.
+// DuplicateEffects returns the writes that took effect more than once, as they were when that was found.
 func (o *Origin) DuplicateEffects() []Effect {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.duplicates)
 }
 
-// EffectCount tells how often a write was carried out.
+// EffectCount returns how often a write took effect.
 func (o *Origin) EffectCount(record, key string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -199,7 +198,7 @@
 	return 0
 }
 
-// Close ends all work under way; what it would have brought never comes.
+// Close drops all work in progress; its callers get no answer.
 func (o *Origin) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fake/rawclient/client.go
+++ b/internal/fake/rawclient/client.go
@@ -1,5 +1,5 @@
-// Package rawclient is a stand-in client that says one thing at a time, in either dialect,
-// and tells what came back in words that know none. It retries nothing.
+// Package rawclient is a client that sends one command at a time in either dialect, and reports the answers in terms of
+// neither. It retries nothing and starts no goroutines.
 package rawclient
 
 import (
@@ -21,9 +21,9 @@
 )
 
 // ErrMalformedAnswer is the error of what is no answer.
-var ErrMalformedAnswer = errors.New("caller: malformed answer")
+var ErrMalformedAnswer = errors.New("rawclient: malformed answer")
 
-// AppendKeyOnly appends a command that is a key and nothing else, or not even that.
+// AppendKeyOnly appends a command that consists of a key, or of nothing.
 func AppendKeyOnly(dst []byte, op codec.Opcode, key string, opaque uint32) []byte {
 	h := codec.Header{Opcode: op, KeyLen: len(key), BodyLen: len(key), Opaque: opaque}
 	return append(h.Append(dst, codec.RequestMagic), key...)
@@ -36,7 +36,7 @@
 	return append(append(dst, key...), value...)
 }
 
-// AppendSASLPlain appends a proof by the mechanism PLAIN.
+// AppendSASLPlain appends an authentication by the mechanism PLAIN.
 func AppendSASLPlain(dst []byte, user, secret string, opaque uint32) []byte {
 	text := "PLAIN\x00" + user + "\x00" + secret
 	h := codec.Header{Opcode: codec.SASLAuth, KeyLen: 5, BodyLen: len(text), Opaque: opaque}
@@ -66,14 +66,14 @@
 	return r, nil
 }
 
-// RetryAfter is when a refusal says to come again, 0 for none.
+// RetryAfter is the advice of a refusal, 0 for none.
 func (r *Response) RetryAfter() time.Duration {
 	_, text, _ := strings.Cut(r.Value, " ")
 	ms, _ := strconv.Atoi(text)
 	return time.Duration(ms) * time.Millisecond
 }
 
-// Effect is how a write may be repeated.
+// Effect is whether a write may be repeated.
 type Effect string
 
 // The effects, as classes of the proxy's usual configuration have them.
@@ -82,7 +82,7 @@
 	Unsafe Effect = "plain"
 )
 
-// Client is a client's connection. It is not safe for concurrent use.
+// Client is a connection of a client. It is not safe for concurrent use.
 type Client struct {
 	Socket  net.Conn
 	Reader  *bufio.Reader
@@ -99,7 +99,7 @@
 
 var serial atomic.Uint64
 
-// Dial returns a connection to a proxy. All that is said on it ends within limit.
+// Dial opens a connection to a proxy. All commands on it must be answered within limit.
 func Dial(dialect scriptednode.Dialect, address string, limit time.Duration) (*Client, error) {
 	socket, err := net.DialTimeout("tcp", address, limit)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return &Client{Socket: socket, Reader: bufio.NewReader(socket), dialect: dialect}, nil
 }
 
-// Read asks for a key.
+// Read sends a read of a key.
 func (c *Client) Read(key string) error {
 	if c.dialect == scriptednode.Binary {
 		return c.binary(func(opaque uint32) []byte { return AppendKeyOnly(nil, codec.Get, key, opaque) })
@@ -119,8 +119,8 @@
 	return err
 }
 
-// Write writes a key. Of a keyed write, its name tells it from others: a
-// client of the binary protocol has a ticket in its place, as if it had just read.
+// Write sends a write of a key. name is the idempotency key of a keyed write; a client of the binary protocol has a
+// ticket in its place, as if it had just read.
 func (c *Client) Write(key, value string, effect Effect, name string) error {
 	if c.dialect == scriptednode.Binary {
 		cas := uint64(0)
@@ -150,29 +150,36 @@
 	return err
 }
 
-// Answer is what came back.
+// Answer is an answer in terms of neither dialect.
 type Answer struct {
-	Kind       request.AnswerKind // Bad for what says that the request can't be meant
+	Kind       request.AnswerKind // Invalid for a client error
 	Text       string             // the value, or the receipt
 	RetryAfter time.Duration
 }
 
-// String says an answer in one word, and its text.
+// words describe the kinds of answers.
+var words = map[request.AnswerKind]string{
+	request.Value:    "value",
+	request.Stored:   "stored",
+	request.Busy:     "busy",
+	request.Failed:   "failed",
+	request.NotFound: "missing",
+	request.Invalid:  "bad",
+}
+
+// String describes an answer by one word and its text.
 func (a Answer) String() string {
 	text := a.Text
 	if len(text) > 40 {
 		text = fmt.Sprintf("%d bytes", len(text))
 	}
-	words := map[request.AnswerKind]string{request.Value: "value", request.Stored: "stored", request.Busy: "busy", request.Failed: "failed",
-		request.NotFound: "missing", request.Invalid: "bad"}
 	return strings.TrimSpace(words[a.Kind] + " " + text)
 }
 
-// Next reads the answer to the oldest command that has none, and fails where it is
-// another's.
+// Next reads the answer to the oldest command without one. An answer to another command is an error.
 func (c *Client) Next() (a Answer, err error) {
 	if len(c.pending) == 0 {
-		return a, errors.New("caller: nothing was asked")
+		return a, errors.New("rawclient: no command was sent")
 	}
 	due := c.pending[0]
 	c.pending = c.pending[1:]
--- a/internal/fake/relay/relay.go
+++ b/internal/fake/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a bare byte relay that understands nothing: what a proxy would
-// cost that had nothing to decide. Measurements stand beside it.
+// Package relay is a byte relay: what a proxy would cost that decides nothing. Measurements compare with it. Serve owns
+// its goroutines.
 package relay
 
 import (
@@ -8,8 +8,7 @@
 	"sync"
 )
 
-// Serve passes each connection of a listener on to one of its own at an address,
-// until the listener is closed.
+// Serve passes each connection of a listener on to a new one to an address, until the listener is closed.
 func Serve(listener net.Listener, to string) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
@@ -33,9 +32,10 @@
 	}
 }
 
-// pass copies what comes and ends the other way with it. It copies in user
-// space, as a proxy must that looks at what passes.
+const bufferBytes = 16 << 10
+
+// pass copies one direction, and its end. It copies in user space, as a proxy has to that reads what passes.
 func pass(to, from net.Conn) {
-	io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, 16<<10))
+	io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, bufferBytes))
 	to.(*net.TCPConn).CloseWrite()
 }
--- a/internal/fake/scriptednode/nodes.go
+++ b/internal/fake/scriptednode/nodes.go
@@ -1,5 +1,5 @@
-// Package scriptednode is a stand-in for cache nodes, or for proxies, that do exactly what a test tells them
-// to, in either dialect: the same reactions to the same requests, said as each has it.
+// Package scriptednode is a fake of cache nodes, or of proxies, that do exactly what a test tells them to, in either
+// dialect. Close ends its goroutines.
 package scriptednode
 
 import (
@@ -17,7 +17,7 @@
 	"mulleinpier/internal/request"
 )
 
-// Dialect is what nodes speak.
+// Dialect is the protocol of nodes.
 type Dialect string
 
 // The dialects.
@@ -51,8 +51,7 @@
 // Receipt is that of every write.
 const Receipt = "7"
 
-// Value is what a node has under a key: the largest there may be for one that begins
-// with "big".
+// Value is the value of every key: the largest possible one for a key that starts with "big".
 func Value(key string) string {
 	if strings.HasPrefix(key, "big") {
 		return strings.Repeat("v", meta.MaxValue)
@@ -60,7 +59,7 @@
 	return "v:" + key
 }
 
-// ReceivedRequest is a request as a node got it.
+// ReceivedRequest is a request as a node received it.
 type ReceivedRequest struct {
 	Node        int
 	At          time.Time // of its first byte
@@ -89,8 +88,8 @@
 	done     chan struct{}
 }
 
-// Start returns so many nodes that listen on loopback. react is asked what to do
-// with each request, by its number over all nodes from 0.
+// Start starts so many nodes on loopback. react returns what to do with each request, by its number over all nodes from
+// 0.
 func Start(dialect Dialect, nodes int, react func(number int, a ReceivedRequest) Reaction) (*Nodes, error) {
 	ns := &Nodes{dialect: dialect, react: react, conns: make(map[net.Conn]int), done: make(chan struct{})}
 	for i := range nodes {
@@ -111,7 +110,7 @@
 // CloseListener closes a node's listener for good.
 func (ns *Nodes) CloseListener(i int) { ns.listeners[i].Close() }
 
-// Stop ends a node as its process's end would: connections are reset, new ones refused.
+// Stop ends a node as the end of its process would: connections are reset, new ones refused.
 func (ns *Nodes) Stop(i int) {
 	ns.listeners[i].Close()
 	ns.each(i, func(c *net.TCPConn) {
@@ -120,7 +119,7 @@
 	})
 }
 
-// HalfClose ends the sending on all connections of a node, as a draining one does with what idles.
+// HalfClose ends the sending direction of all connections of a node, as a draining one does with idle ones.
 func (ns *Nodes) HalfClose(i int) { ns.each(i, func(c *net.TCPConn) { c.CloseWrite() }) }
 
 func (ns *Nodes) each(i int, do func(*net.TCPConn)) {
@@ -151,7 +150,7 @@
 	return ns.accepted, len(ns.conns)
 }
 
-// Requests returns what the nodes were asked so far, in order.
+// Requests returns the requests so far, in order.
 func (ns *Nodes) Requests() []ReceivedRequest {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
@@ -192,7 +191,7 @@
 	}
 }
 
-// serve takes requests until the connection ends, or a reaction ends it.
+// serve reads requests until the connection ends, or a reaction ends it.
 func (ns *Nodes) serve(i int, c net.Conn) {
 	read, in := readMeta, bufio.NewReader(c)
 	if ns.dialect == Binary {
@@ -226,6 +225,7 @@
 	head binary.Header
 }
 
+// readMeta reads a request of the meta protocol.
 func readMeta(in *bufio.Reader) (r parsedCommand, a ReceivedRequest, err error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -241,11 +241,21 @@
 			return r, a, err
 		}
 	}
-	return parsedCommand{verb: c.Verb, key: c.Key, id: c.ID},
-		ReceivedRequest{Verb: c.Verb, Key: c.Key, Value: string(body[:c.ValueLen]), Idempotency: c.IdempotencyKey, ID: c.ID, Class: c.Class, Tenant: c.Tenant,
-			Wait: c.Timeout, Retry: c.Retry}, nil
+	r = parsedCommand{verb: c.Verb, key: c.Key, id: c.ID}
+	return r, ReceivedRequest{
+		Verb:        c.Verb,
+		Key:         c.Key,
+		Value:       string(body[:c.ValueLen]),
+		Idempotency: c.IdempotencyKey,
+		ID:          c.ID,
+		Class:       c.Class,
+		Tenant:      c.Tenant,
+		Wait:        c.Timeout,
+		Retry:       c.Retry,
+	}, nil
 }
 
+// readBinary reads a request of the binary protocol.
 func readBinary(in *bufio.Reader) (r parsedCommand, a ReceivedRequest, err error) {
 	var head [binary.HeaderLen]byte
 	if _, err = io.ReadFull(in, head[:]); err != nil {
@@ -268,7 +278,7 @@
 	return r, ReceivedRequest{Verb: r.verb, Key: r.key, Value: string(body[r.head.ExtrasLen+r.head.KeyLen:])}, nil
 }
 
-// apply does what a reaction asks for, and tells whether the connection goes on.
+// apply does what a reaction says, and reports whether the connection goes on.
 func (ns *Nodes) apply(do Reaction, r parsedCommand, c net.Conn) bool {
 	say := ns.encodeMeta
 	if ns.dialect == Binary {
@@ -294,7 +304,7 @@
 		return false
 	case EndlessValue:
 		c.Write(text)
-		c.Write(make([]byte, 1<<20)) // a bound: it has been given up long before
+		c.Write(make([]byte, 1<<20)) // enough: its reader gives up long before
 		<-ns.done
 		return false
 	}
@@ -302,6 +312,7 @@
 	return err == nil
 }
 
+// encodeMeta is the answer of a reaction in the meta protocol.
 func (ns *Nodes) encodeMeta(do Reaction, r parsedCommand) []byte {
 	value, id := Value(r.key), r.id
 	switch do {
@@ -332,6 +343,7 @@
 	return []byte(text)
 }
 
+// encodeBinary is the answer of a reaction in the binary protocol.
 func (ns *Nodes) encodeBinary(do Reaction, r parsedCommand) []byte {
 	switch do {
 	case Miss:
--- a/internal/fake/unresponsive/node.go
+++ b/internal/fake/unresponsive/node.go
@@ -1,5 +1,5 @@
-// Package unresponsive is a stand-in for a node to which no connection comes up until it is told so: as one whose machine
-// is cut off for a while, or that is late to accept.
+// Package unresponsive is a fake node to which no connection comes up until the test accepts one: as at a machine that
+// is cut off for a while, or a process that accepts late. It starts no goroutines.
 package unresponsive
 
 import (
@@ -10,14 +10,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Node is such a node.
+// Node is an unresponsive node.
 type Node struct {
 	listener *net.TCPListener
-	fillers  map[string]net.Conn // what fills its queue, by their addresses
+	fillers  map[string]net.Conn // connections that fill the backlog, by their addresses
 }
 
-// Start returns a node whose queue of connections is full. The kernel drops what else asks for one, which asks
-// again by itself, after a second at first.
+// Start returns a node whose backlog is full. The kernel drops other attempts to connect, which their senders repeat,
+// first after a second.
 func Start() (*Node, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 		n.Close()
 		return nil, err
 	}
-	for range 16 { // far more than the queue holds
+	for range 16 { // far more than the backlog holds
 		c, err := net.DialTimeout("tcp", n.Address(), 50*time.Millisecond)
 		if err != nil {
 			return n, nil
@@ -41,13 +41,13 @@
 		n.fillers[c.LocalAddr().String()] = c
 	}
 	n.Close()
-	return nil, errors.New("the queue of connections does not fill")
+	return nil, errors.New("the backlog does not fill")
 }
 
-// Address returns where it would listen.
+// Address returns where it listens.
 func (n *Node) Address() string { return n.listener.Addr().String() }
 
-// Accept lets connections come up from now on, and returns the next.
+// Accept lets connections come up from now on, and returns the next one.
 func (n *Node) Accept() (*net.TCPConn, error) {
 	for {
 		c, err := n.listener.AcceptTCP()
@@ -63,7 +63,7 @@
 	}
 }
 
-// Close ends it.
+// Close closes the node.
 func (n *Node) Close() {
 	n.listener.Close()
 	for _, c := range n.fillers {
