--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -16,12 +16,12 @@
 	"mulleinpier/internal/loadgen"
 )
 
-// ClientsReport compares tills that use the client library with such as the operators describe.
+// ClientsReport compares clients that use the library with naive ones.
 type ClientsReport struct {
 	Runs []ClientsRun `json:"plays"`
 }
 
-// ClientsRun is one trouble, met by one kind of tills or by both at once.
+// ClientsRun is the result of one fault, met by one kind of clients or by both at once.
 type ClientsRun struct {
 	Name            string            `json:"name"`
 	Description     string            `json:"about"`
@@ -32,7 +32,7 @@
 	Fetches         int               `json:"fetches"`
 }
 
-// clientFault is what befalls a fleet in the middle of three phases.
+// clientFault is a fault in the middle of three phases of a load.
 type clientFault struct {
 	name, description     string
 	proxies               int
@@ -43,7 +43,7 @@
 	inject                func(ctx context.Context, f *fleet)
 }
 
-// rampUpTime is how long all tills have to begin.
+// rampUpTime is how long all clients have to start.
 const rampUpTime = 2 * time.Second
 
 func (t *clientFault) phases() []loadgen.Phase {
@@ -53,8 +53,8 @@
 // ClientsOptions say what to play.
 type ClientsOptions struct {
 	Options
-	Clients   int    // tills of each kind
-	OnlyFault string // one trouble, "" for all
+	Clients   int    // of each kind
+	OnlyFault string // name of one fault, "" for all
 	Short     bool
 }
 
@@ -83,7 +83,7 @@
 	return all
 }
 
-// killAllFor ends all proxies' processes outright, and starts them after a while.
+// killAllFor kills all proxies, and starts them after a while.
 func (f *fleet) killAllFor(ctx context.Context, d time.Duration) {
 	var tasks sync.WaitGroup
 	for _, p := range f.proxies {
@@ -100,7 +100,7 @@
 	tasks.Wait()
 }
 
-// stopHalfTheNodes takes every other node away for a while; nobody tells the list.
+// stopHalfTheNodes stops every other node for a while; the directory does not report it.
 func (f *fleet) stopHalfTheNodes(ctx context.Context, d time.Duration) {
 	each := func(do func(*node.Node) error) {
 		for i, n := range f.nodes {
@@ -116,7 +116,7 @@
 	each((*node.Node).Restart)
 }
 
-// clientsScenario is the fleet that tills of a load ask.
+// clientsScenario is the fleet of a clients test.
 func clientsScenario(t *clientFault) *Scenario {
 	s, err := LoadScenario("up")
 	if err != nil {
@@ -133,7 +133,7 @@
 	return s
 }
 
-// RunClients plays all troubles, each by turns with both kinds of tills, or with both at once.
+// RunClients plays all faults, each with both kinds of clients, in turn or at once.
 func RunClients(ctx context.Context, o ClientsOptions) (*ClientsReport, error) {
 	report := &ClientsReport{}
 	for _, t := range clientFaults(o.Short) {
@@ -165,7 +165,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	o.Progress("%s: %s; %d tills each of %v", t.name, t.description, o.Clients, kinds)
+	o.Progress("%s: %s; %d clients each of %v", t.name, t.description, o.Clients, kinds)
 	f, err := startFleet(s, o.ProxyCommand, folder, o.Progress)
 	if err != nil {
 		return nil, err
@@ -216,7 +216,7 @@
 	return p, nil
 }
 
-// recentlyKilled tells whether a proxy was killed outright within the time that a request may be out at it.
+// recentlyKilled reports whether a proxy was killed within the time that a request may be in flight at it.
 func (f *fleet) recentlyKilled(address string) bool {
 	for _, d := range f.proxies {
 		if d.clientAddress == address {
@@ -228,7 +228,7 @@
 	return false
 }
 
-// Bounds that the library's tills must keep in a rehearsal.
+// The bounds that library clients have to keep.
 const (
 	// maxDialPeak bounds the attempts to connect in the busiest 50 ms of a restart, in times of
 	// their mean over the trouble.
@@ -236,7 +236,7 @@
 	maxTriesPerRequest = 1.1
 )
 
-// broken lists what the library's tills did not keep.
+// broken lists the bounds that library clients did not keep.
 func (p *ClientsRun) broken() (list []string) {
 	say := func(format string, a ...any) { list = append(list, p.Name+": "+fmt.Sprintf(format, a...)) }
 	if p.Crashes > 0 {
@@ -264,7 +264,7 @@
 	return list
 }
 
-// OK tells whether the library's tills kept what they have to.
+// OK reports whether library clients kept their bounds.
 func (r *ClientsReport) OK() bool {
 	for i := range r.Runs {
 		if len(r.Runs[i].broken()) > 0 {
--- a/internal/fleettest/conform.go
+++ b/internal/fleettest/conform.go
@@ -20,36 +20,35 @@
 	"mulleinpier/internal/request"
 )
 
-// The conformance suite: one table of cases, each played with both dialects of clients
-// and both of nodes, by a real process of the proxy between scripted nodes. What a case
-// wants is said in words that know no dialect.
+// This file holds the conformance suite: a table of cases, each played with both dialects of clients and of nodes, by a
+// real process of the proxy between scripted nodes. What a case wants is described in terms of neither dialect.
 
-// conformDeadline is that of every class in the suite.
+// conformDeadline is the deadline of every class in the suite.
 const conformDeadline = 900 * time.Millisecond
 
-// step is what a client does. Pauses between two are the case's own.
+// step is one command of a client. Times between steps are up to the case.
 type step struct {
 	key, value string
 	effect     rawclient.Effect // of a write; "" for a read
-	want       string           // an Answer as its String says it
-	unlike     string           // the same where nodes speak binary, if that differs
+	want       string           // an answer, as [rawclient.Answer.String] has it
+	unlike     string           // the same where nodes speak binary, if it differs
 }
 
-// conformCase is one case. Its steps are asked all at once, and answered in order.
+// conformCase is one case. Its steps are sent together, and answered in order.
 type conformCase struct {
 	name  string
 	react []scriptednode.Reaction          // to the requests in their order over all nodes; then Serve
 	by    map[string]scriptednode.Reaction // to requests by key, before react
 	dead  bool                             // no node but the last listens
-	turns bool                             // a step is asked once the one before is answered
-	warm  bool                             // it has served a while before: a fresh proxy turns some of many at once away
+	turns bool                             // a step is sent once the one before is answered
+	warm  bool                             // it has served for a while: a fresh proxy rejects some of many requests at once
 	drain bool                             // the first node drains before the steps
 	steps []step
-	sent  int  // to nodes at the least; -1 for no matter
-	most  int  // and at the most; 0 for no more than the least
+	sent  int  // requests to nodes at least; -1 for any number
+	most  int  // and at most; 0 for no more than sent
 	none  bool // where nodes speak binary, nothing is sent to them
-	same  bool // all that was sent has one idempotency key, where the dialect has room for it
-	quick bool // it is answered long before the deadline: given up at once
+	same  bool // all requests have one idempotency key, where the dialect has room for it
+	quick bool // it is answered long before the deadline
 }
 
 func read(key, want string) step { return step{key: key, want: want} }
@@ -119,13 +118,13 @@
 	{name: "keyed write where a node drains", drain: true, steps: []step{keyed("k", "stored 7")}, sent: 1, none: true},
 }
 
-// ConformanceRow is what one case came to, by client and node: "" where it is as wanted.
+// ConformanceRow is the result of one case: what was wrong, by dialects of client and node; "" where nothing was.
 type ConformanceRow struct {
 	Case     string            `json:"case"`
 	Failures map[string]string `json:"wrong"`
 }
 
-// ConformanceReport is what the suite found.
+// ConformanceReport is the result of the suite.
 type ConformanceReport struct {
 	CasesRun int              `json:"played"`
 	Rows     []ConformanceRow `json:"rows"`
@@ -137,13 +136,13 @@
 
 func combination(c [2]scriptednode.Dialect) string { return string(c[0]) + "/" + string(c[1]) }
 
-// warmKey begins the keys that are read before a case's own.
+// warmKey starts the keys that are read before the steps of a case.
 const warmKey = "warm"
 
-// conformAtOnce bounds the fleets of the suite that are up at a time.
+// conformAtOnce bounds the fleets of the suite at a time.
 const conformAtOnce = 6
 
-// RunConformance plays the suite.
+// RunConformance runs the suite.
 func RunConformance(ctx context.Context, o Options) (*ConformanceReport, error) {
 	report := &ConformanceReport{}
 	var mu sync.Mutex
@@ -182,7 +181,7 @@
 	return report, ctx.Err()
 }
 
-// play plays the case once, and tells what was not as wanted.
+// play runs the case once, and describes what was wrong.
 func (k *conformCase) play(o Options, client, dialect scriptednode.Dialect, path string) (wrong string, err error) {
 	var mu sync.Mutex
 	left := slices.Clone(k.react)
@@ -279,7 +278,7 @@
 	return k.judge(asked, dialect, drained), nil
 }
 
-// drainFirst has the list tell that a node drains, and returns when that must be known.
+// drainFirst has the list report that a node drains, and returns when the proxy has to act on it.
 func drainFirst(service *endpointlist.Service, e endpointlist.Entry) (time.Time, error) {
 	e.Status = "draining"
 	service.Set(e)
@@ -292,7 +291,7 @@
 	return time.Time{}, fmt.Errorf("the drain was not told in %v", processTimeout)
 }
 
-// ask does the steps and tells what was not answered as wanted.
+// ask runs the steps, and describes what was not answered as wanted.
 func (k *conformCase) ask(c *rawclient.Client, dialect scriptednode.Dialect) string {
 	send := func(i int) error {
 		if s := k.steps[i]; s.effect != "" {
@@ -329,7 +328,7 @@
 	return ""
 }
 
-// judge tells what was sent to nodes that must not have been, or was not.
+// judge describes what was sent to nodes and must not have been, or was not sent.
 func (k *conformCase) judge(asked []scriptednode.ReceivedRequest, dialect scriptednode.Dialect, drained time.Time) string {
 	least, most := k.sent, max(k.sent, k.most)
 	if k.none && dialect == scriptednode.Binary {
@@ -349,7 +348,7 @@
 	return ""
 }
 
-// OK tells whether all is as wanted.
+// OK reports whether every case was as wanted.
 func (r *ConformanceReport) OK() bool {
 	return !slices.ContainsFunc(r.Rows, func(row ConformanceRow) bool { return len(row.Failures) > 0 }) &&
 		r.CasesRun == len(conformCases)*len(combinations)
--- a/internal/fleettest/cost.go
+++ b/internal/fleettest/cost.go
@@ -27,7 +27,7 @@
 	"mulleinpier/internal/request"
 )
 
-// CostOptions say how to measure what a proxy costs.
+// CostOptions say how to measure the cost of a proxy.
 type CostOptions struct {
 	ProxyCommand         []string // starts a proxy; its configuration's path follows
 	ProfiledProxyCommand func(path string) []string
@@ -40,13 +40,13 @@
 	Progress             func(format string, a ...any)
 }
 
-// CostReport is what was measured. Costs are CPU time in ms for 1,000 requests.
+// CostReport is the result of measuring. Costs are CPU time in milliseconds for 1,000 requests.
 type CostReport struct {
 	Rows             []CostRow `json:"rows"`
 	HottestFunctions []string  `json:"hottest"` // functions by their own CPU time
 }
 
-// CostRow is of one number of connections; a figure for each run.
+// CostRow has the figures of one number of connections, one for each run.
 type CostRow struct {
 	Conns                   int       `json:"conns"`
 	ProxyMillis             []float64 `json:"proxy_ms"`
@@ -57,7 +57,7 @@
 	BinaryRequestsPerSecond []float64 `json:"binary_requests_a_second"`
 }
 
-// cpuTime is the CPU time that a process has had, all its threads together.
+// cpuTime is the CPU time of all threads of a process.
 func cpuTime(pid int) (time.Duration, error) {
 	var t unix.Timespec
 	// The clock of another process, as the manual page clock_getcpuclockid(3) has it.
@@ -67,7 +67,7 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// startVoters starts three processes that vote and serve nobody.
+// startVoters starts three processes that vote and serve no clients.
 func startVoters(program []string, folder string) (list []agent.VoterAddress, end func(), err error) {
 	f, err := newVoters(folder, newPortReserver())
 	if err != nil {
@@ -97,7 +97,7 @@
 	return f.Voters, end, nil
 }
 
-// MeasureCost measures a proxy and a byte relay side by side, turn by turn.
+// MeasureCost measures a proxy and a byte relay side by side, by turns.
 func MeasureCost(ctx context.Context, o CostOptions) (*CostReport, error) {
 	center := origin.New(origin.Config{Slots: 64, Queue: 1024, ServiceTime: time.Millisecond})
 	defer center.Close()
@@ -177,8 +177,7 @@
 	return r, err
 }
 
-// freeAddress returns an address that was free a moment ago, of a host that no
-// connection goes out from.
+// freeAddress returns a free address, of a host that no connection goes out from.
 func freeAddress() (string, error) {
 	l, err := listenAt(newHost())
 	if err != nil {
@@ -188,8 +187,8 @@
 	return l.Addr().String(), nil
 }
 
-// drive sends requests over so many connections, one at a time on each, and
-// returns the CPU seconds that a process had for them, and the seconds they took.
+// drive sends requests over so many connections, one at a time on each. It returns the CPU seconds that a process used
+// for them, and the seconds that they took.
 func drive(ctx context.Context, p *process, address string, binary bool, conns, requests int) (cpu, took float64, err error) {
 	var links []*clientConn
 	defer func() {
@@ -235,8 +234,7 @@
 // warmUp is how many requests a connection does before they count.
 const warmUp = 20
 
-// ask sends so many requests over connections, one at a time on each, and counts those
-// that were refused.
+// ask sends so many requests over connections, one at a time on each, and counts those that were refused.
 func ask(ctx context.Context, links []*clientConn, serial *atomic.Int64, requests int) (int, error) {
 	var left, refused atomic.Int64
 	left.Store(int64(requests))
@@ -278,8 +276,7 @@
 	}
 }
 
-// hottest returns the functions with the most CPU time of their own, from a
-// profile of a proxy of its own.
+// hottest returns the functions with the most CPU time of their own, from a profile of a separate proxy.
 func hottest(ctx context.Context, o CostOptions, config, address string, before *process) ([]string, error) {
 	if err := before.end(syscall.SIGTERM); err != nil {
 		return nil, err
@@ -327,7 +324,7 @@
 	return list, nil
 }
 
-// spread says the median of figures, and their least and most.
+// spread formats the median, minimum and maximum of figures.
 func spread(x []float64) string {
 	x = slices.Sorted(slices.Values(x))
 	if len(x) == 0 {
--- a/internal/fleettest/degrade.go
+++ b/internal/fleettest/degrade.go
@@ -18,8 +18,8 @@
 	"mulleinpier/internal/overload"
 )
 
-// LevelChange is one change of a proxy's level of service, as it keeps it, at seconds from the
-// rehearsal's beginning.
+// LevelChange is one change of a proxy's degradation level, as the proxy has recorded it, with the time since the start
+// of the test.
 type LevelChange struct {
 	At float64 `json:"at_s"`
 	overload.Transition
@@ -43,7 +43,7 @@
 
 var errStats = errors.New("no figures")
 
-// askLevels asks a proxy for the records that it keeps, the oldest first.
+// askLevels asks a proxy for the changes that it has recorded, the oldest first.
 func askLevels(address string) (records []overload.Transition, err error) {
 	socket, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -75,23 +75,22 @@
 	}
 }
 
-// DegradationReport compares service that is reduced on purpose with service that is not, by
-// the same seeds.
+// DegradationReport compares service with and without degradation levels, by the same seeds.
 type DegradationReport struct {
 	Pairs []DegradationPair `json:"pairs"`
 }
 
-// DegradationPair is one scenario, played without and with levels of service.
+// DegradationPair is one scenario, played without and with degradation levels.
 type DegradationPair struct {
 	WithoutLevels *Report `json:"without"`
 	WithLevels    *Report `json:"with"`
 }
 
-// DegradationScenarios are those that Degrade plays.
+// DegradationScenarios are those that are played by default.
 var DegradationScenarios = []string{"degrade-swing", "degrade-origin", "degrade-late", "degrade-zone", "degrade-flood", "degrade-two"}
 
-// RunDegradation plays scenarios side by side, each by turns without and with levels of service:
-// a fleet of these takes a quarter of a core.
+// RunDegradation plays scenarios side by side, each without and with degradation levels in turn. A fleet of these takes
+// a quarter of a core.
 func RunDegradation(ctx context.Context, names []string, o Options) (*DegradationReport, error) {
 	report := &DegradationReport{Pairs: make([]DegradationPair, len(names))}
 	errs := make([]error, len(names))
@@ -125,7 +124,7 @@
 	return nil
 }
 
-// OK tells whether all rules held, and every change had a cause.
+// OK reports whether all rules held, and every change of a level had a cause.
 func (r *DegradationReport) OK() bool {
 	for _, p := range r.Pairs {
 		if !p.WithoutLevels.OK() || !p.WithLevels.OK() {
@@ -157,9 +156,8 @@
 	return sum
 }
 
-// changes counts those of all proxies, and returns the worst level and how long after the
-// last phase had begun the last proxy was back at full service; it is negative where one
-// was not.
+// changes counts the changes of all proxies. It returns the worst level, and how long after the start of the last phase
+// the last proxy was back at full service; negative if one was not.
 func (r *Report) changes() (n int, worst overload.Level, full float64) {
 	calm := 0.0
 	for _, p := range r.Phases[:max(len(r.Phases)-1, 0)] {
--- a/internal/fleettest/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -15,10 +15,10 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file measures how long a task is without an act when its holder gives it back, hands it over, is killed, stopped
+// This file measures how long a task is without an action when its holder releases it, hands it over, is killed, stopped
 // or cut off: many tasks at three voters, each with two processes that want it.
 
-// gapTasks are how many tasks are measured at a time.
+// gapTasks is how many tasks are measured at a time.
 const gapTasks = 10
 
 // gapKinds are what befalls holders, in turn.
@@ -34,7 +34,7 @@
 	Repetitions   int // of each kind
 }
 
-// LeaseGapsReport is what was measured.
+// LeaseGapsReport is the result of measuring gaps.
 type LeaseGapsReport struct {
 	Gaps             []LeaseGap `json:"waits"`
 	Actions          int        `json:"acts"`
@@ -43,7 +43,7 @@
 	Problems         []string   `json:"problems"`
 }
 
-// OK tells whether no two acts overlapped and all was measured.
+// OK reports whether no two actions overlapped and everything was measured.
 func (r *LeaseGapsReport) OK() bool {
 	return r.Overlaps+r.TokenRegressions+len(r.Problems) == 0 && r.Actions > 0
 }
@@ -71,7 +71,7 @@
 	first   int // number of its first holder
 }
 
-// MeasureLeaseGaps measures.
+// MeasureLeaseGaps measures how long a task is without an action after each kind of fault of its holder.
 func MeasureLeaseGaps(ctx context.Context, o LeaseGapsOptions) (*LeaseGapsReport, error) {
 	s, err := leaseScenario(time.Minute, 1)
 	if err != nil {
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -15,7 +15,7 @@
 	"mulleinpier/internal/fake/consul"
 )
 
-// MembersOptions say how to measure what following a catalogue costs.
+// MembersOptions say how to measure the cost of following a catalogue.
 type MembersOptions struct {
 	Options
 	Nodes            int
@@ -23,7 +23,7 @@
 	Duration         time.Duration
 }
 
-// MembersReport is what was measured of one proxy without requests.
+// MembersReport is what was measured of one proxy without requests. In force means that a proxy acts on a change.
 type MembersReport struct {
 	Nodes            int     `json:"nodes"`
 	ChangesPerSecond int     `json:"changes"`
@@ -39,8 +39,8 @@
 	FromEntryP99     float64 `json:"from_entry_p99_ms"`
 }
 
-// MeasureMembership measures a proxy that follows a large catalogue with many changes: each node is
-// turned to maintenance once.
+// MeasureMembership measures a proxy that follows a large catalogue with many changes: each node is set to maintenance
+// once.
 func MeasureMembership(ctx context.Context, o MembersOptions) (*MembersReport, error) {
 	c := consul.New()
 	name := func(i int) (host, id string) { return fmt.Sprintf("host-%d", i), fmt.Sprintf("cache-%d", i) }
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -17,8 +17,8 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file plays instances that know each other: ends, stops and cuts of some, and what the others log of them when;
-// and what knowing each other costs at rest.
+// This file plays the members of a fleet: some of them end, are stopped or cut off, and the logs of the others show when
+// that was detected. It also measures what membership costs without events.
 
 // PeersOptions say what to play.
 type PeersOptions struct {
@@ -27,7 +27,7 @@
 	Repetitions int // of each trouble; 0 for rest alone
 }
 
-// PeersReport is what was found.
+// PeersReport is the result of a peers test.
 type PeersReport struct {
 	Instances      int                  `json:"instances"`
 	DetectionTimes []PeersDetectionTime `json:"known"`
@@ -37,7 +37,7 @@
 	Problems       []string             `json:"problems"`
 }
 
-// PeersDetectionTime is when a trouble was known to each of the others, from its beginning.
+// PeersDetectionTime is how long after a fault the other members detected it.
 type PeersDetectionTime struct {
 	Fault string  `json:"trouble"`
 	Count int64   `json:"times"` // troubles by those who are to know
@@ -46,7 +46,7 @@
 	Max   float64 `json:"most_ms"`
 }
 
-// PeersIdleCost is what instances take while nothing happens, a second each.
+// PeersIdleCost is what a process uses in a second without events.
 type PeersIdleCost struct {
 	Process    string  `json:"who"`
 	CPUMillis  float64 `json:"cpu_ms"`
@@ -56,7 +56,7 @@
 	DiskSyncs  float64 `json:"saves"` // syncs of the disk
 }
 
-// OK tells whether nobody was taken for dead that lived, and all deaths were known.
+// OK reports whether no live member was reported dead, and every death was detected.
 func (r *PeersReport) OK() bool { return r.FalseDeaths+r.MissedDeaths+len(r.Problems) == 0 }
 
 // Print writes the report, its verdict last.
@@ -84,7 +84,7 @@
 	fmt.Fprintf(out, "verdict: %s instances=%d false=%d missed=%d\n", word, r.Instances, r.FalseDeaths, r.MissedDeaths)
 }
 
-// peersTest is a play under way.
+// peersTest is a test in progress.
 type peersTest struct {
 	o      PeersOptions
 	fleet  *fleet
@@ -92,10 +92,10 @@
 	report *PeersReport
 }
 
-// restTime is how long rest is measured.
+// restTime is how long idling is measured.
 const restTime = 8 * time.Second
 
-// RunPeers plays instances that know each other.
+// RunPeers plays the members of a fleet.
 func RunPeers(ctx context.Context, o PeersOptions) (*PeersReport, error) {
 	s, err := leaseScenario(time.Minute, 1)
 	if err != nil {
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -15,8 +15,8 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// This file plays proxies that are killed, stopped and cut off with handovers in hand, and counts how many of those were
-// carried out twice, and of how many nobody ever learnt what came.
+// This file plays proxies that are killed, stopped and cut off with handovers in flight. It counts how many of those
+// were carried out twice, and of how many nobody learnt the outcome.
 
 // The modes of takeover, as configurations name them.
 const (
@@ -29,12 +29,12 @@
 	Options
 	Duration time.Duration
 	Rate     float64
-	Holders  int    // 0 for works that are each proxy's own
+	Holders  int    // other proxies that record a write; 0 for none
 	Mode     string // plain or strict
 	Seed     uint64
 }
 
-// TakeoverReport is what was found.
+// TakeoverReport is the result of a takeover test.
 type TakeoverReport struct {
 	Run         *Report        `json:"play"`
 	Handovers   int            `json:"handovers"`
@@ -44,10 +44,10 @@
 	VerdictLine string         `json:"verdict"`
 }
 
-// OK tells whether all rules held.
+// OK reports whether all rules held, and handovers happened.
 func (r *TakeoverReport) OK() bool { return r.Run.OK() && r.Handovers > 0 }
 
-// Verdict is the closing line.
+// Verdict is the last line of the printed report.
 func (r *TakeoverReport) Verdict() string {
 	word := "ok"
 	if !r.OK() {
@@ -94,10 +94,10 @@
 	return nil
 }
 
-// slowStretch is every third stretch of so long, in which the origin is slow.
+// slowStretch is how long the origin is slow or not, one stretch in three slow.
 const slowStretch = 15 * time.Second
 
-// RunTakeover plays.
+// RunTakeover plays proxies that fail with handovers in flight.
 func RunTakeover(ctx context.Context, o TakeoverOptions) (*TakeoverReport, error) {
 	s, err := LoadScenario("still")
 	if err != nil {
@@ -154,7 +154,7 @@
 	return r, ctx.Err()
 }
 
-// harass kills, stops or cuts off a proxy every 2 s, each while the one before may be in trouble yet, and makes the origin
+// harass kills, stops or cuts off a proxy every 2 s, while the one before may not have recovered, and makes the origin
 // slow now and then.
 func (f *fleet) harass(ctx context.Context, until time.Time, rng *rand.Rand, faults map[string]int) {
 	var tasks sync.WaitGroup
--- a/internal/fleettest/times.go
+++ b/internal/fleettest/times.go
@@ -14,8 +14,7 @@
 	"mulleinpier/internal/fake/origin"
 )
 
-// StartStopReport tells how long a daemon takes to come and to go, in ms, a figure
-// for each run.
+// StartStopReport is how long a proxy takes to start and to stop, in milliseconds, a figure for each run.
 type StartStopReport struct {
 	ExecToReady     []float64 `json:"exec_to_ready_ms"`
 	ExitIdle        []float64 `json:"sigterm_to_exit_idle_ms"`
@@ -33,7 +32,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-// MeasureStartStop measures starts and ends of a program, so many of each.
+// MeasureStartStop measures so many starts and stops of each kind.
 func MeasureStartStop(program []string, folder string, runs int) (*StartStopReport, error) {
 	const work = 800 * time.Millisecond
 	center := origin.New(origin.Config{Slots: 4, Queue: 4})
