--- a/internal/fleettest/leasereport.go
+++ b/internal/fleettest/leasereport.go
@@ -53,8 +53,8 @@
 func (r *LeaseReport) Print(out io.Writer) {
 	printGaps(out, r.Gaps)
 	fmt.Fprintf(out, "%d requests at the voters meanwhile\n", r.Requests)
-	fmt.Fprintf(out, "%d faults in %.0f s, tokens up to %d; %d actions began beside one that a stop or a cut had left open, "+
-		"%d messages were rejected for their tokens\n",
+	fmt.Fprintf(out, "%d faults in %.0f s, tokens up to %d; %d actions began beside one that a stop or a cut had left "+
+		"open, %d messages were rejected for their tokens\n",
 		r.Faults, r.Seconds, r.HighestToken, r.ConcurrentStarts, r.RejectedByToken)
 	for _, p := range r.Problems {
 		fmt.Fprintln(out, "  "+p)
