--- a/client/call_test.go
+++ b/client/call_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-func TestGetAndSet(t *testing.T) {
+// Calls of each kind carry the marks of their class and tenant, and are traced and counted.
+func TestCallsAreTracedAndCounted(t *testing.T) {
 	var reported, incomplete atomic.Int64
 	trace := Trace{CallDone: func(i CallInfo) {
 		reported.Add(1)
@@ -213,7 +214,7 @@
 }
 
 // Resolve waits until no try can start any more, and reads.
-func TestResolve(t *testing.T) {
+func TestResolveWaitsUntilSettledAndReads(t *testing.T) {
 	o := Options{Window: 300 * ms, RetryRatio: -1}
 	c, ns := newTestClient(t, 1, o, func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if r.Value != "" {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -155,7 +155,7 @@
 }
 
 // Close ends active calls, a write as unknown; Shutdown waits for them.
-func TestCloseAndShutdown(t *testing.T) {
+func TestCloseEndsCallsAndShutdownWaits(t *testing.T) {
 	for _, c := range []struct {
 		set  bool
 		want error
--- a/client/connection_test.go
+++ b/client/connection_test.go
@@ -74,7 +74,7 @@
 }
 
 // A proxy that half closes idle connections makes no call fail, not even an unsafe one.
-func TestHalfClose(t *testing.T) {
+func TestHalfClosedConnectionsFailNoCall(t *testing.T) {
 	c, ns := newTestClient(t, 2, Options{Write: Plain, Spread: ms}, always(scriptednode.Serve))
 	for range 20 {
 		if _, err := c.Set(context.Background(), "k", nil); err != nil {
--- a/cmd/mulleinctl/lease_test.go
+++ b/cmd/mulleinctl/lease_test.go
@@ -105,6 +105,7 @@
 	return ""
 }
 
+// TestLeaseVerbs runs each verb against real voters: what it prints and its exit code.
 func TestLeaseVerbs(t *testing.T) {
 	flags := startVoters(t)
 	var verb leaseVerb = func(verb string, args ...string) (string, int) {
--- a/cmd/mulleinpier/pause_test.go
+++ b/cmd/mulleinpier/pause_test.go
@@ -240,9 +240,9 @@
 	d.awaitExit()
 }
 
-// TestMachineSleepCounts guards rule 2 where the monotonic clock does not show a pause: a machine that seems to
-// have slept rejects requests that may have expired meanwhile.
-func TestMachineSleepCounts(t *testing.T) {
+// TestRequestsExpireDuringMachineSleep guards rule 2 where the monotonic clock does not show a pause: a machine that
+// seems to have slept rejects requests that may have expired meanwhile.
+func TestRequestsExpireDuringMachineSleep(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure("[test]\nsleep_at = \"1s\"\nsleep_for = \"30s\"\n")
 	d.start()
--- a/cmd/mulleinpier/peers_test.go
+++ b/cmd/mulleinpier/peers_test.go
@@ -39,9 +39,9 @@
 	return text
 }
 
-// TestNoPermitAvailable guards operators against a fleet that has lost its voters: a daemon that may drain without
+// TestDrainWithoutVoters guards operators against a fleet that has lost its voters: a daemon that may drain without
 // a permit does so after its wait; one that may not keeps serving, and drains when it is terminated again.
-func TestNoPermitAvailable(t *testing.T) {
+func TestDrainWithoutVoters(t *testing.T) {
 	fleet := agent.Fleet{Name: "test"}
 	for i := range 3 {
 		fleet.Voters = append(fleet.Voters, agent.VoterAddress{Name: fmt.Sprint("v", i), Address: freeAddress(t)})
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestMinimalFile guards the defaults: three lines are enough for a daemon.
-func TestMinimalFile(t *testing.T) {
+// TestDefaultsOfMinimalFile guards the defaults: three lines are enough for a daemon.
+func TestDefaultsOfMinimalFile(t *testing.T) {
 	const file = "listen = \"127.0.0.1:11211\"\n[nodes]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n"
 	c, err := Read(writeFile(t, file))
 	if err != nil {
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestFileBeingWritten guards against a reload that applies the first half of a file, which is valid and has a
-// class less.
-func TestFileBeingWritten(t *testing.T) {
+// TestHalfWrittenFileIsNotApplied guards against a reload that applies the first half of a file, which is valid and has
+// a class less.
+func TestHalfWrittenFileIsNotApplied(t *testing.T) {
 	const half = "listen = \"h:1\"\n[nodes]\naddresses = [\"h:1\"]\n[[class]]\nname = \"a\"\n"
 	const complete = half + "[[class]]\nname = \"b\"\n"
 	path := writeFile(t, half)
--- a/internal/consul/instances_test.go
+++ b/internal/consul/instances_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestDatacenterAndTag(t *testing.T) {
+func TestDatacenterAndTagAreQueried(t *testing.T) {
 	catalogue, agent := startAgent(t, "")
 	catalogue.Set(instance("a"))
 	far := instance("far")
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestInvalidInstances(t *testing.T) {
+func TestInvalidInstancesAreErrors(t *testing.T) {
 	catalogue, agent := startAgent(t, "")
 	other := instance("bb")
 	other.Meta = map[string]string{"name": "cache9"}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -38,9 +38,9 @@
 	"<html>", "\x00\xff",
 }
 
-// TestInvalidLists guards against lists made of a broken response: cut at any length, or not a list at all, it is
-// an error and delivers nothing. An empty list would remove every node.
-func TestInvalidLists(t *testing.T) {
+// TestInvalidListsDeliverNothing guards against lists made of a broken response: cut at any length, or not a list at
+// all, it is an error and delivers nothing. An empty list would remove every node.
+func TestInvalidListsDeliverNothing(t *testing.T) {
 	responses := make(chan string, 1)
 	c := startService(t, responses)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/internal/lease/agent/holder_test.go
+++ b/internal/lease/agent/holder_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestHandOver has an operator hand a task to the last of three waiters: it is the next holder.
-func TestHandOver(t *testing.T) {
+// TestHandOverMakesWaiterNext has an operator hand a task to the last of three waiters: it is the next holder.
+func TestHandOverMakesWaiterNext(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
 	token := f.await(a)
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestGoneInTime guards guarantees 1 and 2.
-func TestGoneInTime(t *testing.T) {
+// TestEndedAndSilentMembersAreGoneInTime guards guarantees 1 and 2.
+func TestEndedAndSilentMembersAreGoneInTime(t *testing.T) {
 	f := newFleet(3, "a", "b", "c")
 	f.run(time.Second)
 	f.endProcess(f.members[0])
--- a/internal/proxy/binary_test.go
+++ b/internal/proxy/binary_test.go
@@ -82,8 +82,8 @@
 	waiting.expectEnd()
 }
 
-// TestBinaryListener has binary clients connect to a listener for them only.
-func TestBinaryListener(t *testing.T) {
+// TestBinaryListenerServesBinaryClients has binary clients connect to a listener for them only.
+func TestBinaryListenerServesBinaryClients(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses,
 		"[binary]\nlisten = \"127.0.0.1:0\"\n[[route]]\nlistener = \"binary\"\nclass = \"read\"\n")
--- a/internal/proxy/nodefailures_test.go
+++ b/internal/proxy/nodefailures_test.go
@@ -12,10 +12,10 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestNodeConnectionFailures breaks connections to nodes in every way with requests of every effect in flight: each
-// request gets one response, no request of an unsafe class reaches nodes twice, and one of a keyed class that reaches
-// them more than once has its key.
-func TestNodeConnectionFailures(t *testing.T) {
+// TestBrokenNodeConnectionsRepeatNoUnsafeRequest breaks connections to nodes in every way with requests of every effect
+// in flight: each request gets one response, no request of an unsafe class reaches nodes twice, and one of a keyed
+// class that reaches them more than once has its key.
+func TestBrokenNodeConnectionsRepeatNoUnsafeRequest(t *testing.T) {
 	react := func(_ int, request scriptednode.ReceivedRequest) scriptednode.Reaction {
 		_, kind, _ := strings.Cut(request.ID, "-")
 		kind, _, _ = strings.Cut(kind, "-")
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -119,8 +119,9 @@
 	}
 }
 
-// TestUnknownStatistics guards against invalid input: stats of an unknown or invalid kind gets a prompt error.
-func TestUnknownStatistics(t *testing.T) {
+// TestUnknownStatisticsAreAnError guards against invalid input: stats of an unknown or invalid kind gets a prompt
+// error.
+func TestUnknownStatisticsAreAnError(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "")
 	socket, err := net.Dial("tcp", p.server.Address().String())
--- a/internal/proxy/platform_test.go
+++ b/internal/proxy/platform_test.go
@@ -19,9 +19,9 @@
 	"1e30": true, "2.5": true, `"many"`: true, "[]": true,
 }
 
-// TestProxyCountBounds guards what follows from the number of proxies: one that is missing, zero or absurd leads to
-// reasonable limits, and one that is not a whole number fails the start.
-func TestProxyCountBounds(t *testing.T) {
+// TestAbsurdProxyCountsGetReasonableLimits guards what follows from the number of proxies: one that is missing, zero or
+// absurd leads to reasonable limits, and one that is not a whole number fails the start.
+func TestAbsurdProxyCountsGetReasonableLimits(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/takeover/holders_test.go
+++ b/internal/takeover/holders_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestRankHolders guards that any proxy finds the same holders, in different zones, and that a loss moves few writes.
-func TestRankHolders(t *testing.T) {
+// TestHolderRankingIsSharedAndStable guards that any proxy finds the same holders, in different zones, and that a loss
+// moves few writes.
+func TestHolderRankingIsSharedAndStable(t *testing.T) {
 	var candidates []Candidate
 	for i := range 12 {
 		candidates = append(candidates, Candidate{Owner{fmt.Sprint("p", i), 1}, fmt.Sprint("z", i%3)})
