--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -33,6 +33,9 @@
 
 // insert adds a server to a group, as far as it is among its first limit.
 func (h *homeServers) insert(group, limit int, s *server, score float64) {
+	if score <= h.scores[group][limit-1] { // scores are in descending order: so it is for most servers
+		return
+	}
 	for i := range limit {
 		if score > h.scores[group][i] {
 			s, h.servers[group][i] = h.servers[group][i], s
