--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -47,7 +47,12 @@
 const rampUpTime = 2 * time.Second
 
 func (t *clientFault) phases() []loadgen.Phase {
-	return []loadgen.Phase{{Name: "start", Duration: rampUpTime}, {Name: "calm", Duration: t.before}, {Name: "trouble", Duration: t.during}, {Name: "after", Duration: t.after}}
+	return []loadgen.Phase{
+		{Name: "start", Duration: rampUpTime},
+		{Name: "calm", Duration: t.before},
+		{Name: "trouble", Duration: t.during},
+		{Name: "after", Duration: t.after},
+	}
 }
 
 // ClientsOptions say what to play.
@@ -61,28 +66,82 @@
 // outageDuration is how long all proxies are gone.
 const outageDuration = 5 * time.Second
 
+// clientFaults returns the faults to play: all, or the first two at a lower rate and for less time.
 func clientFaults(short bool) []clientFault {
-	all := []clientFault{
-		{name: "restart", description: "one proxy of four is restarted", proxies: 4, before: 4 * time.Second, during: 6 * time.Second, after: 4 * time.Second,
-			together: true, rate: 900, slots: 10, inject: func(_ context.Context, f *fleet) { f.proxies[1].restart(modeGap) }},
-		{name: "only", description: "the only proxy is restarted", proxies: 1, before: 5 * time.Second, during: 5 * time.Second, after: 4 * time.Second, rate: 900, slots: 6,
-			inject: func(_ context.Context, f *fleet) { f.proxies[0].restart(modeGap) }},
-		{name: "kill", description: "one proxy of four is killed outright and started again", proxies: 4, before: 5 * time.Second, during: 5 * time.Second,
-			after: 4 * time.Second, rate: 900, slots: 6, inject: func(_ context.Context, f *fleet) { f.proxies[1].kill() }},
-		{name: "gone", description: "all four proxies are gone for 5 s and come back", proxies: 4, before: 5 * time.Second, during: 9 * time.Second,
-			after: 5 * time.Second, rate: 900, slots: 6, inject: func(ctx context.Context, f *fleet) { f.killAllFor(ctx, outageDuration) }},
-		{name: "outage", description: "half of the nodes are gone for 10 s, the others can't carry the load", proxies: 4, before: 5 * time.Second, during: 10 * time.Second,
-			after: 8 * time.Second, rate: 900, slots: 4, inject: func(ctx context.Context, f *fleet) { f.stopHalfTheNodes(ctx, 10*time.Second) }},
-	}
+	all := allClientFaults()
 	if short {
 		all = all[:2]
 		for i := range all {
-			all[i].rate, all[i].before, all[i].during, all[i].after = 300, 2*time.Second, 4*time.Second, 2*time.Second
+			all[i].rate = 300
+			all[i].before = 2 * time.Second
+			all[i].during = 4 * time.Second
+			all[i].after = 2 * time.Second
 		}
 	}
 	return all
 }
 
+func allClientFaults() []clientFault {
+	return []clientFault{
+		{
+			name:        "restart",
+			description: "one proxy of four is restarted",
+			proxies:     4,
+			before:      4 * time.Second,
+			during:      6 * time.Second,
+			after:       4 * time.Second,
+			together:    true,
+			rate:        900,
+			slots:       10,
+			inject:      func(_ context.Context, f *fleet) { f.proxies[1].restart(modeGap) },
+		},
+		{
+			name:        "only",
+			description: "the only proxy is restarted",
+			proxies:     1,
+			before:      5 * time.Second,
+			during:      5 * time.Second,
+			after:       4 * time.Second,
+			rate:        900,
+			slots:       6,
+			inject:      func(_ context.Context, f *fleet) { f.proxies[0].restart(modeGap) },
+		},
+		{
+			name:        "kill",
+			description: "one proxy of four is killed outright and started again",
+			proxies:     4,
+			before:      5 * time.Second,
+			during:      5 * time.Second,
+			after:       4 * time.Second,
+			rate:        900,
+			slots:       6,
+			inject:      func(_ context.Context, f *fleet) { f.proxies[1].kill() },
+		},
+		{
+			name:        "gone",
+			description: "all four proxies are gone for 5 s and come back",
+			proxies:     4,
+			before:      5 * time.Second,
+			during:      9 * time.Second,
+			after:       5 * time.Second,
+			rate:        900,
+			slots:       6,
+			inject:      func(ctx context.Context, f *fleet) { f.killAllFor(ctx, outageDuration) },
+		},
+		{
+			name:        "outage",
+			description: "half of the nodes are gone for 10 s, the others can't carry the load",
+			proxies:     4,
+			before:      5 * time.Second,
+			during:      10 * time.Second,
+			after:       8 * time.Second,
+			rate:        900,
+			slots:       4,
+			inject:      func(ctx context.Context, f *fleet) { f.stopHalfTheNodes(ctx, 10*time.Second) },
+		},
+	}
+}
+
 // killAllFor kills all proxies, and starts them after a while.
 func (f *fleet) killAllFor(ctx context.Context, d time.Duration) {
 	var tasks sync.WaitGroup
@@ -171,7 +230,12 @@
 		return nil, err
 	}
 	defer f.close()
-	p := &ClientsRun{Name: t.name, Description: t.description, Results: make([]*loadgen.Result, len(kinds)), DuplicateWrites: make(map[string]int)}
+	p := &ClientsRun{
+		Name:            t.name,
+		Description:     t.description,
+		Results:         make([]*loadgen.Result, len(kinds)),
+		DuplicateWrites: make(map[string]int),
+	}
 	var addresses []string
 	for _, d := range f.proxies {
 		addresses = append(addresses, d.clientAddress)
@@ -179,10 +243,20 @@
 	var tasks sync.WaitGroup
 	errs := make([]error, len(kinds))
 	for i, kind := range kinds {
-		c := loadgen.Config{Kind: kind, Addresses: addresses, Clients: o.Clients, Rate: t.rate, HandoverShare: 0.06, Keys: 3000, Skew: 1.2, Seed: 3,
-			SeenByNode: f.seenByNode, RecentlyKilled: f.recentlyKilled,
-			Phases:  t.phases(),
-			Options: client.Options{Window: time.Duration(s.Fleet.DedupWindow), StartSpread: time.Second}}
+		c := loadgen.Config{
+			Kind:           kind,
+			Addresses:      addresses,
+			Clients:        o.Clients,
+			Rate:           t.rate,
+			HandoverShare:  0.06,
+			Keys:           3000,
+			Skew:           1.2,
+			Seed:           3,
+			SeenByNode:     f.seenByNode,
+			RecentlyKilled: f.recentlyKilled,
+			Phases:         t.phases(),
+			Options:        client.Options{Window: time.Duration(s.Fleet.DedupWindow), StartSpread: time.Second},
+		}
 		tasks.Go(func() { p.Results[i], errs[i] = loadgen.Run(ctx, c) })
 	}
 	tasks.Go(func() {
@@ -221,8 +295,9 @@
 	for _, d := range f.proxies {
 		if d.clientAddress == address {
 			d.mu.Lock()
-			defer d.mu.Unlock()
-			return time.Since(d.killedAt) < processTimeout
+			killedAt := d.killedAt
+			d.mu.Unlock()
+			return time.Since(killedAt) < processTimeout
 		}
 	}
 	return false
@@ -258,7 +333,8 @@
 			}
 		}
 		if bad := r.Phases[2]; p.Name == "restart" && float64(bad.DialsBusiest50ms) > maxDialPeak*bad.DialsMean50ms {
-			say("%d attempts to connect in the busiest 50 ms, %.1f in the mean", bad.DialsBusiest50ms, bad.DialsMean50ms)
+			say("%d attempts to connect in the busiest 50 ms, %.1f in the mean",
+				bad.DialsBusiest50ms, bad.DialsMean50ms)
 		}
 	}
 	return list
@@ -277,12 +353,17 @@
 // Print writes the report as tables, its verdict last.
 func (r *ClientsReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "trouble\ttills\tphase\toffered\tin time\tlate\trefused\tfailed\tunknown\ttries each\tgoodput\thandovers\tin time\tp50 ms\tp99 ms\tdials\tin vain\tbusiest 50 ms\tmean\ttimes\tlost\t")
+	fmt.Fprintln(w, "trouble\ttills\tphase\toffered\tin time\tlate\trefused\tfailed\tunknown\ttries each\t"+
+		"goodput\thandovers\tin time\tp50 ms\tp99 ms\tdials\tin vain\tbusiest 50 ms\tmean\ttimes\tlost\t")
 	for _, p := range r.Runs {
 		for _, x := range p.Results {
 			for _, f := range x.Phases {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.0f\t%d\t%d\t%.1f\t%.1f\t%d\t%d\t%d\t%.1f\t%.1f\t%d\t\n", p.Name, x.Kind, f.Phase, f.Offered, f.InTime, f.Late,
-					f.Refused, f.Failed, f.Unknown, f.TriesPerRequest(), f.Goodput(), f.Handovers, f.HandoversInTime, f.P50, f.P99, f.Dials, f.DialFails, f.DialsBusiest50ms, f.DialsMean50ms,
+				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t",
+					p.Name, x.Kind, f.Phase,
+					f.Offered, f.InTime, f.Late, f.Refused, f.Failed, f.Unknown, f.TriesPerRequest())
+				fmt.Fprintf(w, "%.0f\t%d\t%d\t%.1f\t%.1f\t%d\t%d\t%d\t%.1f\t%.1f\t%d\t\n",
+					f.Goodput(), f.Handovers, f.HandoversInTime, f.P50, f.P99,
+					f.Dials, f.DialFails, f.DialsBusiest50ms, f.DialsMean50ms,
 					float64(f.DialsBusiest50ms)/max(f.DialsMean50ms, 1e-9), f.Lost)
 			}
 		}
@@ -301,10 +382,13 @@
 		for _, x := range p.Results {
 			crossed, excused, overdue := 0, 0, 0
 			for _, f := range x.Phases {
-				crossed, excused, overdue = crossed+f.CrossedClose, excused+f.KilledInFlight, overdue+f.Overdue
+				crossed += f.CrossedClose
+				excused += f.KilledInFlight
+				overdue += f.Overdue
 			}
-			fmt.Fprintf(out, "  %s: no breach: %d crossed a close, %d were out at a killed proxy, %d answered just after they were given up, %d not offered\n", x.Kind, crossed, excused,
-				overdue, x.NotOffered)
+			fmt.Fprintf(out, "  %s: no breach: %d crossed a close, %d were out at a killed proxy, "+
+				"%d answered just after they were given up, %d not offered\n",
+				x.Kind, crossed, excused, overdue, x.NotOffered)
 			for _, s := range x.LostSamples {
 				fmt.Fprintln(out, "  "+s)
 			}
@@ -313,5 +397,6 @@
 			fmt.Fprintln(out, "  "+strings.ReplaceAll(s, "\n", " | "))
 		}
 	}
-	fmt.Fprintf(out, "verdict: %s plays=%d doubled_library=%d doubled_brief=%d\n", word, len(r.Runs), doubled[string(loadgen.Library)], doubled[string(loadgen.Naive)])
+	fmt.Fprintf(out, "verdict: %s plays=%d doubled_library=%d doubled_brief=%d\n",
+		word, len(r.Runs), doubled[string(loadgen.Library)], doubled[string(loadgen.Naive)])
 }
--- a/internal/fleettest/cost.go
+++ b/internal/fleettest/cost.go
@@ -81,10 +81,13 @@
 	}
 	for i, v := range f.Voters {
 		config := filepath.Join(folder, v.Name+".toml")
-		text := "name = \"" + v.Name + "\"\nlisten = \"127.0.0.1:0\"\nnodes.addresses = [\"127.0.0.2:1\"]\n" + peersConfig(f.Voters, folder, i)
+		text := "name = \"" + v.Name + "\"\nlisten = \"127.0.0.1:0\"\nnodes.addresses = [\"127.0.0.2:1\"]\n" +
+			peersConfig(f.Voters, folder, i)
 		if err = os.WriteFile(config, []byte(text), 0o600); err == nil {
 			var p *process
-			if p, err = startProcess(append(slices.Clone(program), config), nil, filepath.Join(folder, v.Name+".log")); err == nil {
+			logFile := filepath.Join(folder, v.Name+".log")
+			p, err = startProcess(append(slices.Clone(program), config), nil, logFile)
+			if err == nil {
 				started = append(started, p)
 				err = p.awaitReady()
 			}
@@ -102,8 +105,14 @@
 	center := origin.New(origin.Config{Slots: 64, Queue: 1024, ServiceTime: time.Millisecond})
 	defer center.Close()
 	most := slices.Max(o.Conns)
-	n, err := node.Start(node.Config{Name: "n0", MaxConns: 2*most + 64, Queue: 4 * most, Slots: 4 * most, Origin: center,
-		Group: node.NewGroup(time.Second)})
+	n, err := node.Start(node.Config{
+		Name:     "n0",
+		MaxConns: 2*most + 64,
+		Queue:    4 * most,
+		Slots:    4 * most,
+		Origin:   center,
+		Group:    node.NewGroup(time.Second),
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +122,8 @@
 		return nil, err
 	}
 	config := filepath.Join(o.Folder, "cost.toml")
-	text := fmt.Sprintf("listen = %q\nnodes.addresses = [%q]\nbinary.clients = true\n[limits]\nsockets = 1024\nconnections_per_node = %d\n", proxyAt, n.Address(), most)
+	text := fmt.Sprintf("listen = %q\nnodes.addresses = [%q]\nbinary.clients = true\n"+
+		"[limits]\nsockets = 1024\nconnections_per_node = %d\n", proxyAt, n.Address(), most)
 	if o.Peers {
 		voters, end, err := startVoters(o.ProxyCommand, o.Folder)
 		if err != nil {
@@ -138,7 +148,8 @@
 	if err != nil {
 		return nil, err
 	}
-	relay, err := startProcess(append(slices.Clone(o.RelayCommand), relayAt, n.Address()), nil, filepath.Join(o.Folder, "relay.log"))
+	relayCommand := append(slices.Clone(o.RelayCommand), relayAt, n.Address())
+	relay, err := startProcess(relayCommand, nil, filepath.Join(o.Folder, "relay.log"))
 	if err != nil {
 		return nil, err
 	}
@@ -163,13 +174,18 @@
 				if err != nil {
 					return nil, err
 				}
-				cost[j], rate[j] = cpu*1e6/float64(o.Requests), float64(o.Requests)/took
+				cost[j] = cpu * 1e6 / float64(o.Requests)
+				rate[j] = float64(o.Requests) / took
 			}
 			if run > 0 {
-				row.ProxyMillis, row.RelayMillis = append(row.ProxyMillis, cost[0]), append(row.RelayMillis, cost[1])
-				row.Ratio, row.RequestsPerSecond = append(row.Ratio, cost[0]/cost[1]), append(row.RequestsPerSecond, rate[0])
-				row.BinaryMillis, row.BinaryRequestsPerSecond = append(row.BinaryMillis, cost[2]), append(row.BinaryRequestsPerSecond, rate[2])
-				o.Progress("run %d, %d connections: proxy %.1f ms, relay %.1f ms, proxy with binary clients %.1f ms", run, row.Conns, cost[0], cost[1], cost[2])
+				row.ProxyMillis = append(row.ProxyMillis, cost[0])
+				row.RelayMillis = append(row.RelayMillis, cost[1])
+				row.Ratio = append(row.Ratio, cost[0]/cost[1])
+				row.RequestsPerSecond = append(row.RequestsPerSecond, rate[0])
+				row.BinaryMillis = append(row.BinaryMillis, cost[2])
+				row.BinaryRequestsPerSecond = append(row.BinaryRequestsPerSecond, rate[2])
+				o.Progress("run %d, %d connections: proxy %.1f ms, relay %.1f ms, proxy with binary clients %.1f ms",
+					run, row.Conns, cost[0], cost[1], cost[2])
 			}
 		}
 	}
@@ -189,7 +205,9 @@
 
 // drive sends requests over so many connections, one at a time on each. It returns the CPU seconds that a process used
 // for them, and the seconds that they took.
-func drive(ctx context.Context, p *process, address string, binary bool, conns, requests int) (cpu, took float64, err error) {
+func drive(
+	ctx context.Context, p *process, address string, useBinary bool, conns, requests int,
+) (cpu, took float64, err error) {
 	var links []*clientConn
 	defer func() {
 		for _, l := range links {
@@ -201,7 +219,7 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		l.binary = binary
+		l.binary = useBinary
 		l.socket.SetDeadline(time.Now().Add(5 * time.Minute))
 		links = append(links, l)
 	}
@@ -247,7 +265,8 @@
 				var err error
 				if l.binary {
 					l.opaque++
-					_, err = l.socket.Write(rawclient.AppendKeyOnly(nil, binary.Get, fmt.Sprintf("k%d", id%64), l.opaque))
+					request := rawclient.AppendKeyOnly(nil, binary.Get, fmt.Sprintf("k%d", id%64), l.opaque)
+					_, err = l.socket.Write(request)
 				} else {
 					_, err = fmt.Fprintf(l.socket, "mg k%d v O%x Pc=read,d=2000\r\n", id%64, id)
 				}
@@ -336,9 +355,13 @@
 // Print writes the report as a table.
 func (r *CostReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "CPU ms for 1,000 reads\tproxy\tbyte relay\tratio\treads a second\tbinary clients\treads a second\t")
+	fmt.Fprintln(w, "CPU ms for 1,000 reads\tproxy\tbyte relay\tratio\treads a second\t"+
+		"binary clients\treads a second\t")
 	for _, row := range r.Rows {
-		fmt.Fprintf(w, "%d connections\t%s\t%s\t%s\t%s\t%s\t%s\t\n", row.Conns, spread(row.ProxyMillis), spread(row.RelayMillis), spread(row.Ratio), spread(row.RequestsPerSecond), spread(row.BinaryMillis), spread(row.BinaryRequestsPerSecond))
+		fmt.Fprintf(w, "%d connections\t%s\t%s\t%s\t%s\t%s\t%s\t\n",
+			row.Conns,
+			spread(row.ProxyMillis), spread(row.RelayMillis), spread(row.Ratio),
+			spread(row.RequestsPerSecond), spread(row.BinaryMillis), spread(row.BinaryRequestsPerSecond))
 	}
 	w.Flush()
 	fmt.Fprintln(out, "median (least to most) of", len(r.Rows[0].Ratio), "runs; the proxy's hottest functions:")
--- a/internal/fleettest/degrade.go
+++ b/internal/fleettest/degrade.go
@@ -87,7 +87,14 @@
 }
 
 // DegradationScenarios are those that are played by default.
-var DegradationScenarios = []string{"degrade-swing", "degrade-origin", "degrade-late", "degrade-zone", "degrade-flood", "degrade-two"}
+var DegradationScenarios = []string{
+	"degrade-swing",
+	"degrade-origin",
+	"degrade-late",
+	"degrade-zone",
+	"degrade-flood",
+	"degrade-two",
+}
 
 // RunDegradation plays scenarios side by side, each without and with degradation levels in turn. A fleet of these takes
 // a quarter of a core.
@@ -185,7 +192,8 @@
 // Print writes the report as tables, its verdict last.
 func (r *DegradationReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "scenario\treduced\thandovers\tin time\tworth\tearned\treads in time\tretries\tfetches\tchanges\tworst level\tfull after s\t")
+	fmt.Fprintln(w, "scenario\treduced\thandovers\tin time\tworth\tearned\treads in time\tretries\tfetches\tchanges\t"+
+		"worst level\tfull after s\t")
 	for _, p := range r.Pairs {
 		for _, x := range []struct {
 			reduced string
@@ -193,9 +201,13 @@
 		}{{"no", p.WithoutLevels}, {"yes", p.WithLevels}} {
 			s := x.r.total()
 			n, worst, full := x.r.changes()
-			fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%.0f\t%.4f\t%.4f\t%d\t%d\t%d\t%s\t%.1f\t\n", x.r.Scenario, x.reduced, s.Handovers,
-				part(float64(s.HandoversInTime), float64(s.Handovers)), s.OfferedWeight, part(s.ServedWeight, s.OfferedWeight),
-				part(float64(s.InTime-s.HandoversInTime), float64(s.Offered-s.Handovers)), s.Retries, s.Fetches, n, worst, full)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%.0f\t%.4f\t%.4f\t%d\t%d\t%d\t%s\t%.1f\t\n",
+				x.r.Scenario, x.reduced, s.Handovers,
+				part(float64(s.HandoversInTime), float64(s.Handovers)),
+				s.OfferedWeight,
+				part(s.ServedWeight, s.OfferedWeight),
+				part(float64(s.InTime-s.HandoversInTime), float64(s.Offered-s.Handovers)),
+				s.Retries, s.Fetches, n, worst, full)
 		}
 	}
 	w.Flush()
@@ -204,15 +216,20 @@
 	for _, p := range r.Pairs {
 		for i, a := range p.WithoutLevels.Phases {
 			b := p.WithLevels.Phases[i]
-			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t\n", p.WithLevels.Scenario, a.Name, part(float64(a.HandoversInTime), float64(a.Handovers)),
-				part(float64(b.HandoversInTime), float64(b.Handovers)), part(a.ServedWeight, a.OfferedWeight), part(b.ServedWeight, b.OfferedWeight))
+			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t\n",
+				p.WithLevels.Scenario, a.Name,
+				part(float64(a.HandoversInTime), float64(a.Handovers)),
+				part(float64(b.HandoversInTime), float64(b.Handovers)),
+				part(a.ServedWeight, a.OfferedWeight),
+				part(b.ServedWeight, b.OfferedWeight))
 		}
 	}
 	w.Flush()
 	for _, p := range r.Pairs {
 		for i, list := range p.WithLevels.LevelChanges {
 			for _, c := range list {
-				fmt.Fprintf(out, "  %s proxy %d %6.1f s: %s to %s by %s %.3f (bound %.3f)\n", p.WithLevels.Scenario, i, c.At, c.From, c.To, c.Cause, c.Value, c.Threshold)
+				fmt.Fprintf(out, "  %s proxy %d %6.1f s: %s to %s by %s %.3f (bound %.3f)\n",
+					p.WithLevels.Scenario, i, c.At, c.From, c.To, c.Cause, c.Value, c.Threshold)
 			}
 		}
 		for _, x := range []*Report{p.WithoutLevels, p.WithLevels} {
--- a/internal/fleettest/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -15,8 +15,8 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file measures how long a task is without an action when its holder releases it, hands it over, is killed, stopped
-// or cut off: many tasks at three voters, each with two processes that want it.
+// This file measures how long a task is without an action when its holder releases it, hands it over, is killed,
+// stopped or cut off: many tasks at three voters, each with two processes that want it.
 
 // gapTasks is how many tasks are measured at a time.
 const gapTasks = 10
@@ -112,7 +112,9 @@
 			if t != nil {
 				t.checker.mu.Lock()
 				defer t.checker.mu.Unlock()
-				r.Actions, r.Overlaps, r.TokenRegressions = r.Actions+len(t.checker.committed), r.Overlaps+t.checker.countOverlaps(), r.TokenRegressions+t.checker.tokenRegressions
+				r.Actions += len(t.checker.committed)
+				r.Overlaps += t.checker.countOverlaps()
+				r.TokenRegressions += t.checker.tokenRegressions
 			}
 		})
 	}
@@ -196,9 +198,11 @@
 
 // next waits for the first act under a higher number, and returns how long the task was without one.
 func (t *gapTask) next(ctx context.Context, number uint64) (time.Duration, error) {
-	for until := time.Now().Add(gapPatience); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(time.Millisecond) {
+	until := time.Now().Add(gapPatience)
+	for ; time.Now().Before(until) && ctx.Err() == nil; time.Sleep(time.Millisecond) {
 		t.checker.mu.Lock()
-		higher, gap := t.checker.highestToken > number, t.checker.gapBefore
+		higher := t.checker.highestToken > number
+		gap := t.checker.gapBefore
 		t.checker.mu.Unlock()
 		if higher {
 			return gap, nil
@@ -208,7 +212,9 @@
 }
 
 // measure has each kind befall the holder so many times.
-func (t *gapTask) measure(ctx context.Context, f *fleet, o LeaseGapsOptions, times int, note func(string, time.Duration)) error {
+func (t *gapTask) measure(
+	ctx context.Context, f *fleet, o LeaseGapsOptions, times int, note func(string, time.Duration),
+) error {
 	c, err := agent.NewClient(f.voters)
 	if err != nil {
 		return err
@@ -226,7 +232,8 @@
 			case "given back":
 				x.cmd.Process.Signal(syscall.SIGUSR1)
 			case "handed over":
-				if _, err := c.Execute(ctx, lease.Command{Kind: lease.HandOver, Task: t.name, Token: number, To: waits}); err != nil {
+				command := lease.Command{Kind: lease.HandOver, Task: t.name, Token: number, To: waits}
+				if _, err := c.Execute(ctx, command); err != nil {
 					return err
 				}
 			case "killed":
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -46,8 +46,15 @@
 	name := func(i int) (host, id string) { return fmt.Sprintf("host-%d", i), fmt.Sprintf("cache-%d", i) }
 	for i := range o.Nodes {
 		host, id := name(i)
-		c.Set(consul.Instance{Node: host, ID: id, Service: consulService, Address: "127.0.0.2", Port: 1 + i%60000,
-			Meta: map[string]string{"name": id, "zone": "a", "type": "m1", "group": "1"}, Checks: []consul.Check{{CheckID: "tcp", Status: "passing"}}})
+		c.Set(consul.Instance{
+			Node:    host,
+			ID:      id,
+			Service: consulService,
+			Address: "127.0.0.2",
+			Port:    1 + i%60000,
+			Meta:    map[string]string{"name": id, "zone": "a", "type": "m1", "group": "1"},
+			Checks:  []consul.Check{{CheckID: "tcp", Status: "passing"}},
+		})
 	}
 	agent, err := c.Start("here", "")
 	if err != nil {
@@ -60,7 +67,8 @@
 	}
 	config, log := filepath.Join(o.Folder, "members.toml"), filepath.Join(o.Folder, "members.log")
 	os.Remove(log) // of a run before: when each node came to drain is read from it
-	text := fmt.Sprintf("listen = %q\n[limits]\nmemory_mb = 32\n[nodes]\nconsul = %q\n[consul]\nservice = %q\n", address, agent.Address(), consulService)
+	text := fmt.Sprintf("listen = %q\n[limits]\nmemory_mb = 32\n[nodes]\nconsul = %q\n[consul]\nservice = %q\n",
+		address, agent.Address(), consulService)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -84,7 +92,7 @@
 	var entered []time.Time
 	for i := 0; i < o.Nodes && time.Since(begun) < o.Duration && ctx.Err() == nil; i++ {
 		host, id := name(i)
-		c.SetMaintenance(host, id, true, "fleettestd")
+		c.SetMaintenance(host, id, true, "fleet test")
 		entered = append(entered, time.Now())
 		sleep(ctx, time.Until(begun.Add(time.Duration(i+1)*time.Second/time.Duration(o.ChangesPerSecond))))
 	}
@@ -97,7 +105,8 @@
 	r.ResidentMB, _ = footprintOf(p.cmd.Process.Pid)
 	sleep(ctx, time.Second)
 	lists, _, bytes := agent.Stats()
-	r.ListsReceived, r.BytesPerChange = lists-listsBefore, float64(bytes-bytesBefore)/float64(max(r.ChangesPerSecond, 1))
+	r.ListsReceived = lists - listsBefore
+	r.BytesPerChange = float64(bytes-bytesBefore) / float64(max(r.ChangesPerSecond, 1))
 	force, err := inForce(log)
 	if err != nil {
 		return nil, err
@@ -116,7 +125,10 @@
 	}
 	slices.Sort(took)
 	slices.Sort(all)
-	r.P50, r.P99, r.Max, r.FromEntryP99 = quantile(took, 0.5), quantile(took, 0.99), quantile(took, 1), quantile(all, 0.99)
+	r.P50 = quantile(took, 0.5)
+	r.P99 = quantile(took, 0.99)
+	r.Max = quantile(took, 1)
+	r.FromEntryP99 = quantile(all, 0.99)
 	return r, ctx.Err()
 }
 
@@ -149,8 +161,10 @@
 
 // Print writes the report.
 func (r *MembersReport) Print(out io.Writer) {
-	fmt.Fprintf(out, "%d nodes, %d changes in %.1f s: CPU %.1f%% of a core, %.1f MB resident, %d lists, %.0f bytes a change\n", r.Nodes, r.ChangesPerSecond,
-		r.Seconds, 100*r.CPUShare, r.ResidentMB, r.ListsReceived, r.BytesPerChange)
-	fmt.Fprintf(out, "from the agent's answer to the list in force: p50 %.0f ms, p99 %.0f ms, at the most %.0f ms; from the entry in the catalogue p99 %.0f ms; %d never\n",
+	fmt.Fprintf(out, "%d nodes, %d changes in %.1f s: "+
+		"CPU %.1f%% of a core, %.1f MB resident, %d lists, %.0f bytes a change\n",
+		r.Nodes, r.ChangesPerSecond, r.Seconds, 100*r.CPUShare, r.ResidentMB, r.ListsReceived, r.BytesPerChange)
+	fmt.Fprintf(out, "from the agent's answer to the list in force: p50 %.0f ms, p99 %.0f ms, at the most %.0f ms; "+
+		"from the entry in the catalogue p99 %.0f ms; %d never\n",
 		r.P50, r.P99, r.Max, r.FromEntryP99, r.MissedChanges)
 }
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -17,8 +17,8 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file plays the members of a fleet: some of them end, are stopped or cut off, and the logs of the others show when
-// that was detected. It also measures what membership costs without events.
+// This file plays the members of a fleet: some of them end, are stopped or cut off, and the logs of the others show
+// when that was detected. It also measures what membership costs without events.
 
 // PeersOptions say what to play.
 type PeersOptions struct {
@@ -71,7 +71,8 @@
 	}
 	fmt.Fprintf(w, "at rest, a second, of %d instances\tCPU ms\tMB\tmessages\tbytes of bodies\tsyncs\n", r.Instances)
 	for _, x := range r.IdleCosts {
-		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.0f\t%.0f\t%.2f\n", x.Process, x.CPUMillis, x.ResidentMB, x.Messages, x.Bytes, x.DiskSyncs)
+		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.0f\t%.0f\t%.2f\n",
+			x.Process, x.CPUMillis, x.ResidentMB, x.Messages, x.Bytes, x.DiskSyncs)
 	}
 	w.Flush()
 	for _, p := range r.Problems {
@@ -101,13 +102,16 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Fleet.Proxies, s.Fleet.Nodes = o.Instances, 2
+	s.Fleet.Proxies = o.Instances
+	s.Fleet.Nodes = 2
 	if err := s.check(); err != nil {
 		return nil, err
 	}
 	p := &peersTest{o: o, links: make([][]*faultinject.Link, o.Instances), report: &PeersReport{Instances: o.Instances}}
 	defer p.close()
-	if p.fleet, err = startFleetWithVoterView(s, o.ProxyCommand, o.Folder, func(string, ...any) {}, p.openLinks); err != nil {
+	quiet := func(string, ...any) {}
+	p.fleet, err = startFleetWithVoterView(s, o.ProxyCommand, o.Folder, quiet, p.openLinks)
+	if err != nil {
 		return nil, err
 	}
 	defer p.fleet.close()
@@ -124,10 +128,10 @@
 }
 
 // openLinks puts links between instances and voters, where troubles are to be played.
-func (p *peersTest) openLinks(real []agent.VoterAddress) (voterView, error) {
+func (p *peersTest) openLinks(voters []agent.VoterAddress) (voterView, error) {
 	found := make([][]agent.VoterAddress, p.o.Instances)
 	for i := range found {
-		for at, v := range real {
+		for at, v := range voters {
 			if p.o.Repetitions > 0 && at != i {
 				link, err := faultinject.NewLink(linkHost, v.Address)
 				if err != nil {
@@ -159,7 +163,9 @@
 	defer c.Close()
 	traffic := func() (messages, bytes, saves float64) {
 		for _, s := range c.VoterStates(ctx) {
-			messages, bytes, saves = messages+float64(s.Traffic.Messages), bytes+float64(s.Traffic.Bytes), saves+float64(s.DiskSyncs)
+			messages += float64(s.Traffic.Messages)
+			bytes += float64(s.Traffic.Bytes)
+			saves += float64(s.DiskSyncs)
 		}
 		return messages, bytes, saves
 	}
@@ -253,8 +259,13 @@
 			}
 		}
 		if trouble.death {
-			p.report.DetectionTimes = append(p.report.DetectionTimes, PeersDetectionTime{trouble.name, known.TotalCount(), float64(known.ValueAtQuantile(50)),
-				float64(known.ValueAtQuantile(99)), float64(known.Max())})
+			p.report.DetectionTimes = append(p.report.DetectionTimes, PeersDetectionTime{
+				trouble.name,
+				known.TotalCount(),
+				float64(known.ValueAtQuantile(50)),
+				float64(known.ValueAtQuantile(99)),
+				float64(known.Max()),
+			})
 		}
 	}
 }
@@ -281,7 +292,8 @@
 		return time.Time{}
 	}
 	for _, m := range memberLine.FindAllStringSubmatch(string(text), -1) {
-		if t, err := time.Parse(time.RFC3339Nano, m[1]); err == nil && m[2] == name && !t.Before(from.Truncate(time.Millisecond)) {
+		t, err := time.Parse(time.RFC3339Nano, m[1])
+		if err == nil && m[2] == name && !t.Before(from.Truncate(time.Millisecond)) {
 			return t
 		}
 	}
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -54,7 +54,8 @@
 		word = "BROKEN"
 	}
 	p := r.Run
-	return fmt.Sprintf("verdict: %s requests=%d handovers=%d taken=%d unknown=%d lost=%d doubled=%d late_drains=%d crashes=%d", word, p.Requests, r.Handovers, r.TakenOver,
+	return fmt.Sprintf("verdict: %s requests=%d handovers=%d taken=%d unknown=%d lost=%d doubled=%d late_drains=%d crashes=%d",
+		word, p.Requests, r.Handovers, r.TakenOver,
 		p.UnknownOutcomes, p.Lost, p.DuplicateWrites, p.LateDrains, p.Crashes)
 }
 
@@ -63,11 +64,13 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "phase\toffered\tin time\tlate\trefused\tfailed\thandovers\tin time")
 	for _, p := range r.Run.Phases {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Name, p.Offered, p.InTime, p.Late, p.Refused, p.Failed, p.Handovers, p.HandoversInTime)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n",
+			p.Name, p.Offered, p.InTime, p.Late, p.Refused, p.Failed, p.Handovers, p.HandoversInTime)
 	}
 	w.Flush()
-	fmt.Fprintf(out, "faults %v; %d out at killed proxies, %d at stopped ones, %d over cut links; the test itself was %.0f ms late at the most\n", r.Faults,
-		r.Run.KilledInFlight, r.Run.InFlightAtStopped, r.Run.InFlightAtCutLink, r.Run.MaxLagMillis)
+	fmt.Fprintf(out, "faults %v; %d out at killed proxies, %d at stopped ones, %d over cut links; "+
+		"the test itself was %.0f ms late at the most\n",
+		r.Faults, r.Run.KilledInFlight, r.Run.InFlightAtStopped, r.Run.InFlightAtCutLink, r.Run.MaxLagMillis)
 	for _, p := range r.Run.Problems {
 		fmt.Fprintln(out, "  "+p)
 	}
@@ -103,22 +106,43 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Name, s.Description, s.Seed = "takeover", "proxies killed, stopped and cut off with handovers in hand", max(o.Seed, 1)
-	s.Fleet.RestartPermits, s.Fleet.TakeoverMode, s.Fleet.TakeoverHolders = 1, o.Mode, o.Holders
+	s.Name = "takeover"
+	s.Description = "proxies killed, stopped and cut off with handovers in hand"
+	s.Seed = max(o.Seed, 1)
+	s.Fleet.RestartPermits = 1
+	s.Fleet.TakeoverMode = o.Mode
+	s.Fleet.TakeoverHolders = o.Holders
 	if o.Holders == 0 {
 		s.Fleet.TakeoverMode = ""
 	}
-	s.Fleet.Slots, s.Fleet.Queue, s.Fleet.OriginSlots, s.Fleet.OriginQueue, s.Fleet.Zones = 64, 512, 4096, 8192, []string{"a", "b", "c"}
-	s.Load.Rate, s.Load.HandoverShare, s.Load.LateRetries, s.Load.LateRetryShare = o.Rate, 0.2, 4, 1.0/3
+	s.Fleet.Slots = 64
+	s.Fleet.Queue = 512
+	s.Fleet.OriginSlots = 4096
+	s.Fleet.OriginQueue = 8192
+	s.Fleet.Zones = []string{"a", "b", "c"}
+	s.Load.Rate = o.Rate
+	s.Load.HandoverShare = 0.2
+	s.Load.LateRetries = 4
+	s.Load.LateRetryShare = 1.0 / 3
 	const calm, after = 4 * time.Second, 4 * time.Second
-	s.Phases = []Phase{{Name: "calm", Duration: tomlDuration(calm)}, {Name: "faults", Duration: tomlDuration(o.Duration)}, {Name: "after", Duration: tomlDuration(after)}}
+	s.Phases = []Phase{
+		{Name: "calm", Duration: tomlDuration(calm)},
+		{Name: "faults", Duration: tomlDuration(o.Duration)},
+		{Name: "after", Duration: tomlDuration(after)},
+	}
 	// So that there are links between clients and proxies.
-	s.Events = []Event{{At: tomlDuration(calm), Action: "link", LinkTo: "clients", FaultKind: "reset", Proxies: []int{0}}}
+	s.Events = []Event{{
+		At:        tomlDuration(calm),
+		Action:    "link",
+		LinkTo:    "clients",
+		FaultKind: "reset",
+		Proxies:   []int{0},
+	}}
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	var f *fleet
-	if f, err = startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {}); err != nil {
+	f, err := startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {})
+	if err != nil {
 		return nil, err
 	}
 	defer f.close()
@@ -184,7 +208,8 @@
 			case "kill":
 				d.kill()
 			case "stop":
-				if err := d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 3 * time.Second}); err != nil && ctx.Err() == nil {
+				err := d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 3 * time.Second})
+				if err != nil && ctx.Err() == nil {
 					f.addProblem("stop of proxy %d: %v", i, err)
 				}
 			case "clients cut":
--- a/internal/fleettest/times.go
+++ b/internal/fleettest/times.go
@@ -126,5 +126,6 @@
 	fmt.Fprintf(out, "exec to ready                                     %s\n", spread(r.ExecToReady))
 	fmt.Fprintf(out, "SIGTERM to exit, nothing open                     %s\n", spread(r.ExitIdle))
 	fmt.Fprintf(out, "SIGTERM to exit, nothing open, passed listener    %s\n", spread(r.ExitPassedListener))
-	fmt.Fprintf(out, "SIGTERM to exit, a read open that takes %.0f ms    %s\n", r.OpenRequestMillis, spread(r.ExitWithRequest))
+	fmt.Fprintf(out, "SIGTERM to exit, a read open that takes %.0f ms    %s\n",
+		r.OpenRequestMillis, spread(r.ExitWithRequest))
 }
