--- a/client/client_test.go
+++ b/client/client_test.go
@@ -155,7 +155,7 @@
 }
 
 // Close ends active calls, a write as unknown; Shutdown waits for them.
-func TestCloseAndShutdown(t *testing.T) {
+func TestCloseEndsCallsAndShutdownWaits(t *testing.T) {
 	for _, c := range []struct {
 		set  bool
 		want error
@@ -191,7 +191,7 @@
 }
 
 // The hooks report all that happens to a call, and an answer that came too late.
-func TestTrace(t *testing.T) {
+func TestHooksReportEachStep(t *testing.T) {
 	var mu sync.Mutex
 	var seen []string
 	note := func(format string, a ...any) {
--- a/cmd/fleettest/recorded_test.go
+++ b/cmd/fleettest/recorded_test.go
@@ -34,7 +34,7 @@
 			fmt.Fprintf(&got, "%s: %s\n", verb, line)
 		}
 	}
-	if want := testutil.Recorded(t, "flags.txt"); !bytes.Equal(got.Bytes(), want) {
+	if want := testutil.Recorded(t, "testdata/recorded/flags.txt"); !bytes.Equal(got.Bytes(), want) {
 		t.Errorf("verbs and flags differ from those recorded; got\n%s\nwant\n%s", got.Bytes(), want)
 	}
 }
@@ -49,7 +49,7 @@
 		name, _, _ := strings.Cut(line, " ")
 		names.WriteString(name + "\n")
 	}
-	if want := string(testutil.Recorded(t, "scenarios.txt")); names.String() != want {
+	if want := string(testutil.Recorded(t, "testdata/recorded/scenarios.txt")); names.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", names.String(), want)
 	}
 }
@@ -75,14 +75,14 @@
 		{"wave-permits.json", &fleettest.Report{}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			testutil.CheckRecordedJSON(t, c.file, c.into, " ")
+			testutil.CheckRecordedJSON(t, "testdata/recorded/"+c.file, c.into, " ")
 		})
 	}
 }
 
 // Each line of exit-codes.txt is an exit code and the arguments, of commands that end before a fleet is started.
 func TestExitCodesAsRecorded(t *testing.T) {
-	lines := bufio.NewScanner(bytes.NewReader(testutil.Recorded(t, "exit-codes.txt")))
+	lines := bufio.NewScanner(bytes.NewReader(testutil.Recorded(t, "testdata/recorded/exit-codes.txt")))
 	for lines.Scan() {
 		text, args, _ := strings.Cut(lines.Text(), "\t")
 		want, err := strconv.Atoi(text)
@@ -155,7 +155,7 @@
 		text := readStats(t, address)
 		return strings.Contains(text, "STAT service_memory ") && strings.Contains(text, "STAT service_late_handovers ")
 	})
-	if got, want := readStats(t, address), string(testutil.Recorded(t, "stats.txt")); got != want {
+	if got, want := readStats(t, address), string(testutil.Recorded(t, "testdata/recorded/stats.txt")); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
--- a/cmd/mulleinctl/recorded_test.go
+++ b/cmd/mulleinctl/recorded_test.go
@@ -37,7 +37,7 @@
 			fmt.Fprintf(&got, "%s: %s\n", verb, line)
 		}
 	}
-	if want := testutil.Recorded(t, "flags.txt"); !bytes.Equal(got.Bytes(), want) {
+	if want := testutil.Recorded(t, "testdata/recorded/flags.txt"); !bytes.Equal(got.Bytes(), want) {
 		t.Errorf("verbs and flags differ from those recorded; got\n%s\nwant\n%s", got.Bytes(), want)
 	}
 }
@@ -57,7 +57,7 @@
 		{"load.json", &loadgen.Result{}, " "},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			testutil.CheckRecordedJSON(t, c.file, c.into, c.indent)
+			testutil.CheckRecordedJSON(t, "testdata/recorded/"+c.file, c.into, c.indent)
 		})
 	}
 }
@@ -66,7 +66,7 @@
 func TestExitCodesAsRecorded(t *testing.T) {
 	proxy, list := startProxy(t)
 	placeholders := strings.NewReplacer("{proxy}", proxy.Address(0), "{list}", list)
-	lines := bufio.NewScanner(bytes.NewReader(testutil.Recorded(t, "exit-codes.txt")))
+	lines := bufio.NewScanner(bytes.NewReader(testutil.Recorded(t, "testdata/recorded/exit-codes.txt")))
 	for lines.Scan() {
 		columns := strings.SplitN(lines.Text(), "\t", 3)
 		want, err := strconv.Atoi(columns[0])
@@ -99,7 +99,7 @@
 		name, _, _ := strings.Cut(line, "  ")
 		rows.WriteString(name + "\n")
 	}
-	if want := string(testutil.Recorded(t, "load-rows.txt")); rows.String() != want {
+	if want := string(testutil.Recorded(t, "testdata/recorded/load-rows.txt")); rows.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", rows.String(), want)
 	}
 }
--- a/cmd/simadapter/fleet_test.go
+++ b/cmd/simadapter/fleet_test.go
@@ -22,10 +22,11 @@
 	faultTicks      = 100                     // length of a fault at a node
 	restartTick     = ticksPerSession * 3 / 4 // one proxy restarts, with other settings
 	relistTicks     = 40                      // a change of the list is announced within so long
+	writeAttribute  = 1 << 2                  // marks a request as a write
 )
 
 // fleet is a small simulated fleet on the other side of the simulator's wire: it answers what the
-// balancers send, draws faults, drains and restarts from a seed, and stands for clients and discovery.
+// balancers send, draws faults, drains and restarts from a seed, and takes the part of clients and discovery.
 type fleet struct {
 	rng     *rand.Rand
 	tick    int
@@ -59,7 +60,7 @@
 	done bool
 }
 
-// playSession runs the adapter against a fleet and returns both sides of what was said.
+// playSession runs the adapter against a fleet and returns what it read and what it wrote.
 func playSession(t *testing.T, seed uint64) (input, output []byte) {
 	t.Helper()
 	f := newFleet(seed)
@@ -68,7 +69,7 @@
 	done := make(chan error, 1)
 	go func() { done <- run(adapterInput, adapterOutput) }()
 	replies := bufio.NewReader(fromAdapter)
-	var said bytes.Buffer
+	var written bytes.Buffer
 	for f.tick = 1; f.tick <= ticksPerSession; f.tick++ {
 		batch := f.batch(seed)
 		f.input.WriteString(batch)
@@ -80,7 +81,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			said.WriteString(line)
+			written.WriteString(line)
 			parts := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
 			if parts[0] == "next" {
 				break
@@ -96,7 +97,7 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	return f.input.Bytes(), said.Bytes()
+	return f.input.Bytes(), written.Bytes()
 }
 
 func number(t *testing.T, text string) int {
@@ -132,17 +133,19 @@
 		"Services": []any{
 			map[string]any{"Name": "read", "Effect": "safe", "Aim": 200 + 600*rng.Float64(), "HardLimit": 1500,
 				"Importance": 1, "LateShare": 0.3},
-			map[string]any{"Name": "write", "Effect": draw("keyed", "unsafe", "safe"), "DedupScope": draw("all", "zone", "cell"),
-				"Aim": 400 + 500*rng.Float64(), "HardLimit": 2000, "Window": 800 + 1500*rng.Float64(), "Importance": 2,
+			map[string]any{"Name": "write", "Effect": draw("keyed", "unsafe", "safe"),
+				"DedupScope": draw("all", "zone", "cell"), "Aim": 400 + 500*rng.Float64(),
+				"HardLimit": 2000, "Window": 800 + 1500*rng.Float64(), "Importance": 2,
 				"LateShare": 0.3},
 		},
 		"Realms": []any{map[string]any{"Name": "shop", "QuotaRps": 20 + 200*rng.Float64()},
 			map[string]any{"Name": "courier", "QuotaRps": 20 + 100*rng.Float64()}},
 		"Limits": map[string]any{"MaxAttempts": 2 + rng.IntN(3), "MayDuplicate": rng.IntN(3) > 0,
 			"Cancel": rng.IntN(4) > 0, "Probes": rng.IntN(2) > 0, "RetryAfter": rng.IntN(4) > 0, "MaxRetryAfter": 1200},
-		"Charges": map[string]any{"Origin": 0.2 * rng.Float64(), "CrossZone": 0.1 * rng.Float64(), "Probe": 0.01, "Handshake": 0.05},
-		"Obligations": map[string]any{"AnswerSlack": 20, "MustAskIn": 4000, "StopSendingWithin": 500, "StartCapacity": 0.3,
-			"RampTime": 6000, "TipMultiple": 3, "Fall": 2000},
+		"Charges": map[string]any{"Origin": 0.2 * rng.Float64(), "CrossZone": 0.1 * rng.Float64(), "Probe": 0.01,
+			"Handshake": 0.05},
+		"Obligations": map[string]any{"AnswerSlack": 20, "MustAskIn": 4000, "StopSendingWithin": 500,
+			"StartCapacity": 0.3, "RampTime": 6000, "TipMultiple": 3, "Fall": 2000},
 	}
 	text, err := json.Marshal(object)
 	if err != nil {
@@ -157,13 +160,14 @@
 	lines := make([][]string, sessionProxies)
 	for i := range lines {
 		if f.tick == 1 {
-			lines[i] = append(lines[i], fmt.Sprintf("attach\t%d\t%s", seed*10+uint64(i), f.settings(seed, i)), f.census(), "update\t1\twarm_copy\t0")
+			attach := fmt.Sprintf("attach\t%d\t%s", seed*10+uint64(i), f.settings(seed, i))
+			lines[i] = append(lines[i], attach, f.census(), "update\t1\twarm_copy\t0")
 		}
 	}
 	if f.tick == restartTick {
 		i := sessionProxies - 1
-		lines[i] = append(lines[i], "down", fmt.Sprintf("attach\t%d\t%s", seed*10+9, f.settings(seed+1, i)), f.census(),
-			"update\t1\ttotal\t0")
+		attach := fmt.Sprintf("attach\t%d\t%s", seed*10+9, f.settings(seed+1, i))
+		lines[i] = append(lines[i], "down", attach, f.census(), "update\t1\ttotal\t0")
 	}
 	for _, line := range f.pending[f.tick] {
 		who, text, _ := strings.Cut(line, "\t")
@@ -194,7 +198,8 @@
 		if n.started > 0 {
 			started = strconv.Itoa(n.started * tickMillis)
 		}
-		fmt.Fprintf(&b, "\nrow\t%s\t%d\t%d\t%d\t%s\t%g\t%s", n.address, n.zone, n.kind, i%3, n.mode, 1+0.5*float64(n.kind), started)
+		weight := 1 + 0.5*float64(n.kind)
+		fmt.Fprintf(&b, "\nrow\t%s\t%d\t%d\t%d\t%s\t%g\t%s", n.address, n.zone, n.kind, i%3, n.mode, weight, started)
 	}
 	return b.String()
 }
@@ -241,7 +246,7 @@
 		f.nextID++
 		class, attributes, wait := 0, 0, 1500
 		if f.rng.IntN(5) == 0 {
-			class, attributes, wait = 1, 4, 2000
+			class, attributes, wait = 1, writeAttribute, 2000
 		}
 		key := fmt.Sprintf("u:%d", int(120*f.rng.Float64()*f.rng.Float64()))
 		f.open[f.nextID] = &simRequest{proxy: proxy, key: key}
@@ -298,8 +303,8 @@
 		final = 1
 	}
 	ticks := 1 + int(took)/tickMillis
-	f.later(proxy, ticks, fmt.Sprintf("result\t%d\t%d\t%s\t%s\t%.2f\t%d\t%d\trps:%d,active:%d", id, attempt, address, result,
-		took, final, detail, f.rng.IntN(200), f.rng.IntN(20)))
+	f.later(proxy, ticks, fmt.Sprintf("result\t%d\t%d\t%s\t%s\t%.2f\t%d\t%d\trps:%d,active:%d",
+		id, attempt, address, result, took, final, detail, f.rng.IntN(200), f.rng.IntN(20)))
 }
 
 // revoke reports an attempt as cancelled at the next tick; an outcome already on its way comes too late.
--- a/internal/fake/consul/agent.go
+++ b/internal/fake/consul/agent.go
@@ -1,3 +1,14 @@
+// Package consul is a fake of Consul's service catalogue and its agents for tests. It speaks the published HTTP API as
+// far as proxies and nodes use it: health and catalogue of a service with blocking queries, agent services, TTL checks,
+// maintenance, and status. It guarantees:
+//
+//  1. The published Go client understands what it answers.
+//  2. It knows when each agent first reported to its clients that an instance is no longer available.
+//  3. An agent fails on demand in the ways of [FaultKind].
+//
+// It has no ACLs except for one token per agent, and no cluster behind it.
+//
+// An agent owns its listener and its HTTP server; [Agent.Close] ends them without waiting for handlers.
 package consul
 
 import (
@@ -8,27 +19,34 @@
 	"time"
 )
 
-// Agent is a fake agent. It is safe for concurrent use.
+const (
+	headerTimeout = time.Minute
+	maxBodySize   = 1 << 20 // bytes of a request
+)
+
+// Agent is an agent with an address of its own. It is safe for concurrent use.
 type Agent struct {
-	Node string // name of the machine of the services that are registered here
+	Node string // Consul's node, to which services that are registered here belong
 
 	catalogue *Catalogue
 	token     string
 	listener  net.Listener
 	server    *http.Server
 
-	mu                sync.Mutex
+	mu                sync.Mutex // never held together with Catalogue.mu
 	fault             FaultKind
-	faultChanged      chan struct{}        // closed when the fault changes
-	leavingWrittenAt  map[string]time.Time // by instance, until it is up again
-	lastList          map[string]bool      // instances of the last list
+	faultChanged      chan struct{}             // closed when the fault changes
+	unavailableSince  map[instanceKey]time.Time // when an instance was first reported unavailable, until it is back
+	lastReported      map[instanceKey]bool      // instances of the last list
 	queries           int
-	bytes             int64
-	consistentQueries int // queries in consistent mode
+	consistentQueries int
+	bytesWritten      int64
 }
 
-// Start starts an agent of the catalogue on loopback. With a token, requests must bring it.
+// Start returns an agent of a catalogue that listens at a free port of a loopback address. If token is not empty,
+// requests must carry it.
 func (c *Catalogue) Start(node, token string) (*Agent, error) {
+	// No connection goes out from this address, so that none can take the port of an agent that is down.
 	return c.StartAt("127.0.0.2:0", node, token)
 }
 
@@ -36,7 +54,7 @@
 func (c *Catalogue) StartAt(address, node, token string) (*Agent, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("fake consul agent %q: %w", node, err)
 	}
 	a := &Agent{
 		Node:             node,
@@ -44,62 +62,59 @@
 		token:            token,
 		listener:         listener,
 		faultChanged:     make(chan struct{}),
-		leavingWrittenAt: make(map[string]time.Time),
-		lastList:         make(map[string]bool),
+		unavailableSince: make(map[instanceKey]time.Time),
+		lastReported:     make(map[instanceKey]bool),
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/health/service/{name}", a.health)
-	mux.HandleFunc("GET /v1/catalog/service/{name}", a.catalog)
-	mux.HandleFunc("GET /v1/agent/services", a.services)
-	mux.HandleFunc("GET /v1/agent/self", a.self)
-	mux.HandleFunc("GET /v1/status/leader", func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprint(w, `"127.0.0.1:8300"`)
-	})
-	mux.HandleFunc("PUT /v1/agent/service/register", a.register)
-	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", a.deregister)
-	mux.HandleFunc("PUT /v1/agent/service/maintenance/{id}", a.maintenance)
-	mux.HandleFunc("PUT /v1/agent/check/{verb}/{id}", a.check)
-	a.server = &http.Server{Handler: a.withFaults(mux), ReadHeaderTimeout: time.Minute}
+	a.server = &http.Server{Handler: a.withAccessAndFaults(a.routes()), ReadHeaderTimeout: headerTimeout}
 	go a.server.Serve(listener)
 	return a, nil
 }
 
-// Address returns where the agent listens.
+func (a *Agent) routes() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /v1/health/service/{name}", a.handleHealth)
+	mux.HandleFunc("GET /v1/catalog/service/{name}", a.handleCatalogue)
+	mux.HandleFunc("GET /v1/agent/services", a.handleServices)
+	mux.HandleFunc("GET /v1/agent/self", a.handleSelf)
+	mux.HandleFunc("GET /v1/status/leader", handleLeader)
+	mux.HandleFunc("PUT /v1/agent/service/register", a.handleRegister)
+	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", a.handleDeregister)
+	mux.HandleFunc("PUT /v1/agent/service/maintenance/{id}", a.handleMaintenance)
+	mux.HandleFunc("PUT /v1/agent/check/{verb}/{id}", a.handleCheck)
+	return mux
+}
+
+// Address returns the address at which the agent listens.
 func (a *Agent) Address() string { return a.listener.Addr().String() }
 
-// Close ends the agent.
+// Close closes the listener and all connections.
 func (a *Agent) Close() { a.server.Close() }
 
-// DropRegistrations removes everything that was registered at the agent, as if it had lost its state.
+// DropRegistrations removes all instances of the agent's node from the catalogue, as when an agent has lost its state.
 func (a *Agent) DropRegistrations() {
 	c := a.catalogue
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key, i := range c.instances {
-		if i.Node != a.Node {
-			continue
-		}
-		if i.timer != nil {
-			i.timer.Stop()
+	for _, i := range c.instances {
+		if i.Node == a.Node {
+			c.drop(i)
 		}
-		delete(c.instances, key)
-		c.bumpIndexLocked()
 	}
 }
 
-// LeavingWrittenAt returns when the agent first wrote to a client that an instance is draining, failed or gone; false
-// while it reports the instance as up.
+// LeavingWrittenAt returns when the agent first reported that an instance is draining, has failed or is gone. It
+// returns false while the agent reports that the instance is available.
 func (a *Agent) LeavingWrittenAt(node, id string) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	at, ok := a.leavingWrittenAt[node+"/"+id]
+	at, ok := a.unavailableSince[newInstanceKey(node, id)]
 	return at, ok
 }
 
-// Stats returns how many lists the agent was asked for, how many of them in consistent mode, and how many bytes of
-// lists it has written.
-func (a *Agent) Stats() (queries, consistent int, bytes int64) {
+// Stats returns how many lists were queried, how many of these in consistent mode, and how many bytes of lists were
+// written.
+func (a *Agent) Stats() (queries, consistentQueries int, bytesWritten int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.queries, a.consistentQueries, a.bytes
+	return a.queries, a.consistentQueries, a.bytesWritten
 }
--- a/internal/fake/consul/catalogue.go
+++ b/internal/fake/consul/catalogue.go
@@ -1,7 +1,3 @@
-// Package consul is a fake of Consul's catalogue and of the agents that report it, by the published HTTP API: health
-// and catalogue of a service with blocking queries, an agent's services and TTL checks, maintenance, status. It knows
-// what it wrote of each node to whom and when, and fails on demand by a [FaultKind]. An agent owns its server's
-// goroutines; Close ends them.
 package consul
 
 import (
@@ -12,115 +8,143 @@
 	"time"
 )
 
-// Check is a check of an instance.
+// Check is a health check of an instance, encoded as in Consul's API.
 type Check struct {
 	Node, CheckID, Name, Status, Notes, Output string
 	ServiceID, ServiceName, Type               string
 	CreateIndex, ModifyIndex                   uint64
 }
 
+// Statuses of checks.
+const (
+	passing  = "passing"
+	warning  = "warning"
+	critical = "critical"
+)
+
+const (
+	defaultDatacenter = "dc1"
+	initialIndex      = 10 // of a new catalogue; a restored one starts lower
+)
+
 // Instance is an instance of a service as agents register it.
 type Instance struct {
-	Node, NodeAddress string // Consul's node, which holds it
-	Datacenter        string // "" for dc1
+	Node, NodeAddress string // of Consul's node, to which the instance belongs
+	Datacenter        string // "" means dc1
 	ID, Service       string
 	Address           string
 	Port              int
 	Tags              []string
 	Meta              map[string]string
-	Passing, Warning  float64 // weights; 1 for 0
+	Passing, Warning  float64 // weights; 0 means 1
 	Checks            []Check
 
-	created, modified uint64
-	ttl               time.Duration
-	timer             *time.Timer
+	created, modified uint64        // index of the change
+	ttl               time.Duration // of its TTL check, 0 without one
+	ttlTimer          *time.Timer   // sets the TTL check to critical
 }
 
-const (
-	defaultDatacenter  = "dc1"
-	defaultNodeAddress = "127.0.0.1"
-	firstIndex         = 10
-)
+// instanceKey identifies an instance in a catalogue. Its order is the order of lists.
+type instanceKey string
+
+func newInstanceKey(node, id string) instanceKey { return instanceKey(node + "/" + id) }
+
+func (i *Instance) key() instanceKey { return newInstanceKey(i.Node, i.ID) }
+
+func (i *Instance) stopTTL() {
+	if i.ttlTimer != nil {
+		i.ttlTimer.Stop()
+	}
+}
+
+// hasCheck reports whether the instance has a check with this ID.
+func (i *Instance) hasCheck(id string) bool {
+	return slices.ContainsFunc(i.Checks, func(c Check) bool { return c.CheckID == id })
+}
 
-// Catalogue is what agents report. It is safe for concurrent use.
+// Catalogue is the state that agents answer from. It is safe for concurrent use.
 type Catalogue struct {
-	mu        sync.Mutex
+	mu        sync.Mutex    // never held together with Agent.mu
 	changed   chan struct{} // closed at each change
 	index     uint64
-	instances map[string]*Instance // by node and ID
+	instances map[instanceKey]*Instance
 }
 
 // New returns an empty catalogue.
 func New() *Catalogue {
-	return &Catalogue{changed: make(chan struct{}), index: firstIndex, instances: make(map[string]*Instance)}
+	return &Catalogue{
+		changed:   make(chan struct{}),
+		index:     initialIndex,
+		instances: make(map[instanceKey]*Instance),
+	}
 }
 
-func (i *Instance) key() string { return i.Node + "/" + i.ID }
-
-// bumpIndexLocked counts a change and wakes waiting queries. c.mu is held.
-func (c *Catalogue) bumpIndexLocked() uint64 {
+// advance counts a change, wakes blocking queries and returns the new index. c.mu is held.
+func (c *Catalogue) advance() uint64 {
 	c.index++
 	close(c.changed)
 	c.changed = make(chan struct{})
 	return c.index
 }
 
-// Set registers an instance, or changes it.
+// Set adds or replaces an instance.
 func (c *Catalogue) Set(i Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.setLocked(i)
+	c.put(i)
 }
 
-// setLocked registers an instance. c.mu is held.
-func (c *Catalogue) setLocked(i Instance) {
+// put is Set. c.mu is held.
+func (c *Catalogue) put(i Instance) {
 	i.Datacenter = cmp.Or(i.Datacenter, defaultDatacenter)
-	i.Passing, i.Warning = cmp.Or(i.Passing, 1), cmp.Or(i.Warning, 1)
+	i.Passing = cmp.Or(i.Passing, 1)
+	i.Warning = cmp.Or(i.Warning, 1)
 	i.Checks = slices.Clone(i.Checks)
 	i.created = c.index + 1
 	if old := c.instances[i.key()]; old != nil {
 		i.created = old.created
-		if old.timer != nil {
-			old.timer.Stop()
-		}
+		old.stopTTL()
 	}
-	i.modified = c.bumpIndexLocked()
+	i.modified = c.advance()
 	c.instances[i.key()] = &i
 }
 
-// Remove removes an instance, and reports whether there was one.
+// Remove removes an instance and reports whether it was there.
 func (c *Catalogue) Remove(node, id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := c.instances[node+"/"+id]
+	i := c.instances[newInstanceKey(node, id)]
 	if i == nil {
 		return false
 	}
-	if i.timer != nil {
-		i.timer.Stop()
-	}
-	delete(c.instances, i.key())
-	c.bumpIndexLocked()
+	c.drop(i)
 	return true
 }
 
-// SetCheck sets the status of a check of an instance, adding the check if need be; "" removes it. It reports whether
-// there is the instance.
+// drop removes an instance that is in the catalogue. c.mu is held.
+func (c *Catalogue) drop(i *Instance) {
+	i.stopTTL()
+	delete(c.instances, i.key())
+	c.advance()
+}
+
+// SetCheck sets the status of a check of an instance and adds the check if it is missing; "" removes it. It reports
+// whether the instance exists.
 func (c *Catalogue) SetCheck(node, id, check, status string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := c.instances[node+"/"+id]
+	i := c.instances[newInstanceKey(node, id)]
 	if i == nil {
 		return false
 	}
-	c.setCheckLocked(i, check, status, "")
+	c.updateCheck(i, check, status, "")
 	return true
 }
 
-// setCheckLocked sets the status of a check. c.mu is held.
-func (c *Catalogue) setCheckLocked(i *Instance, check, status, notes string) {
-	at := slices.IndexFunc(i.Checks, func(k Check) bool { return k.CheckID == check })
-	i.Checks = slices.Clone(i.Checks) // answers in progress have the old list
+// updateCheck is SetCheck with the notes for a check that is added. c.mu is held.
+func (c *Catalogue) updateCheck(i *Instance, check, status, notes string) {
+	at := slices.IndexFunc(i.Checks, func(c Check) bool { return c.CheckID == check })
+	i.Checks = slices.Clone(i.Checks) // answers that are being written share the old slice
 	switch {
 	case at >= 0 && i.Checks[at].Status == status:
 		return
@@ -141,26 +165,29 @@
 			ServiceName: i.Service,
 		})
 	}
-	i.modified = c.bumpIndexLocked()
+	i.modified = c.advance()
 }
 
-// SetMaintenance turns the maintenance mode of an instance on or off, and reports whether there is the instance.
+// SetMaintenance starts or ends the maintenance of an instance, as Consul does by a critical check. It reports whether
+// the instance exists.
+//
+//revive:disable-next-line:flag-parameter it is a state to be set
 func (c *Catalogue) SetMaintenance(node, id string, on bool, reason string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := c.instances[node+"/"+id]
+	i := c.instances[newInstanceKey(node, id)]
 	if i == nil {
 		return false
 	}
 	status := ""
 	if on {
-		status = "critical"
+		status = critical
 	}
-	c.setCheckLocked(i, "_service_maintenance:"+id, status, reason)
+	c.updateCheck(i, "_service_maintenance:"+id, status, reason)
 	return true
 }
 
-// Instances returns the instances of a service, in order.
+// Instances returns the instances of a service, ordered by node and ID.
 func (c *Catalogue) Instances(service string) (list []Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,24 +199,22 @@
 	return list
 }
 
-// ResetIndex has the index start again, as in a cluster that was restored from a backup.
+// ResetIndex makes the index start over, as in a cluster that was restored from a backup.
 func (c *Catalogue) ResetIndex() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index = 1
-	c.bumpIndexLocked()
+	c.advance()
 }
 
-// startTTLLocked starts the time of a TTL check again. c.mu is held.
-func (c *Catalogue) startTTLLocked(i *Instance, check string) {
-	if i.timer != nil {
-		i.timer.Stop()
-	}
-	i.timer = time.AfterFunc(i.ttl, func() {
+// restartTTL restarts the time after which a TTL check becomes critical. c.mu is held.
+func (c *Catalogue) restartTTL(i *Instance, check string) {
+	i.stopTTL()
+	i.ttlTimer = time.AfterFunc(i.ttl, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.instances[i.key()] == i {
-			c.setCheckLocked(i, check, "critical", "")
+			c.updateCheck(i, check, critical, "")
 		}
 	})
 }
--- a/internal/fake/consul/fault.go
+++ b/internal/fake/consul/fault.go
@@ -1,37 +1,34 @@
 package consul
 
-import (
-	"context"
-	"net/http"
-)
+import "net/http"
 
-// FaultKind is a way in which an agent fails. Its values are names in scenarios.
+// FaultKind is a way in which an agent fails.
 type FaultKind string
 
 // The kinds of faults.
 const (
 	NoFault       FaultKind = ""
-	NoResponse    FaultKind = "quiet"      // connections come up, but no query is answered, not even a waiting one
-	SlowBody      FaultKind = "slow"       // bodies come a byte at a time
-	EmptyList     FaultKind = "empty"      // lists are empty, without any sign of a fault
-	ACLFiltered   FaultKind = "filtered"   // the same, as ACLs have filtered them, which a header says
+	NoResponse    FaultKind = "quiet"      // connections are accepted, but nothing is answered, nor pending queries
+	SlowBody      FaultKind = "slow"       // bodies arrive one byte at a time
+	EmptyList     FaultKind = "empty"      // lists are empty, without a sign of an error
+	ACLFiltered   FaultKind = "filtered"   // lists are empty, and a header says that ACLs filtered them
 	PartialList   FaultKind = "part"       // lists lack every other instance
-	Leaderless    FaultKind = "leaderless" // no leader is known
+	Leaderless    FaultKind = "leaderless" // the cluster has no known leader
 	StaleLeader   FaultKind = "stale"      // the last contact with the leader was long ago
-	MalformedBody FaultKind = "garbage"    // bodies are no JSON
-	TruncatedBody FaultKind = "half"       // bodies end half way
-	HugeList      FaultKind = "huge"       // lists have 100,000 instances
+	MalformedBody FaultKind = "garbage"    // bodies are not JSON
+	TruncatedBody FaultKind = "half"       // the connection ends in the middle of a body
+	HugeList      FaultKind = "huge"       // lists have hugeListLength instances
 	RateLimited   FaultKind = "limited"    // 429, with a Retry-After of a second
 	Forbidden     FaultKind = "forbidden"  // 403
 	ServerError   FaultKind = "broken"     // 500
-	ZeroIndex     FaultKind = "noindex"    // the index is zero
+	ZeroIndex     FaultKind = "noindex"    // the index is 0
 )
 
-// SetFault makes the agent fail from now on, including waiting queries; NoFault ends that. It counts as a change,
-// because an answer with an old index would be ignored.
+// SetFault makes the agent fail in a way from now on, pending queries included. NoFault ends the present fault.
+// It counts as a change of the catalogue: a client ignores an answer whose index is the one that it already has.
 func (a *Agent) SetFault(kind FaultKind) {
 	a.catalogue.mu.Lock()
-	a.catalogue.bumpIndexLocked()
+	a.catalogue.advance()
 	a.catalogue.mu.Unlock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -40,14 +37,15 @@
 	a.faultChanged = make(chan struct{})
 }
 
-func (a *Agent) currentFault() (FaultKind, chan struct{}) {
+// currentFault returns the fault, and a channel that is closed when it changes.
+func (a *Agent) currentFault() (fault FaultKind, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fault, a.faultChanged
 }
 
-// withFaults checks the token, and applies the faults that concern every request.
-func (a *Agent) withFaults(next http.Handler) http.Handler {
+// withAccessAndFaults checks the token, and applies the faults that affect every request.
+func (a *Agent) withAccessAndFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a.token != "" && r.Header.Get("X-Consul-Token") != a.token {
 			http.Error(w, "Permission denied: token with AccessorID lacks permission", http.StatusForbidden)
@@ -55,8 +53,7 @@
 		}
 		switch fault, _ := a.currentFault(); fault {
 		case NoResponse:
-			a.awaitResponsive(r.Context())
-			panic(http.ErrAbortHandler)
+			a.abortAfterSilence(r)
 		case RateLimited:
 			w.Header().Set("Retry-After", "1")
 			http.Error(w, "rate limit exceeded, try again later", http.StatusTooManyRequests)
@@ -70,16 +67,16 @@
 	})
 }
 
-// awaitResponsive waits until the agent responds again, or ctx ends.
-func (a *Agent) awaitResponsive(ctx context.Context) {
-	for ctx.Err() == nil {
+// abortAfterSilence answers nothing while NoResponse lasts, and then ends the connection.
+func (a *Agent) abortAfterSilence(r *http.Request) {
+	for {
 		fault, changed := a.currentFault()
-		if fault != NoResponse {
-			return
+		if fault != NoResponse || r.Context().Err() != nil {
+			panic(http.ErrAbortHandler)
 		}
 		select {
 		case <-changed:
-		case <-ctx.Done():
+		case <-r.Context().Done():
 		}
 	}
 }
--- a/internal/fake/faultyproxy/proxy_test.go
+++ b/internal/fake/faultyproxy/proxy_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// TestFiguresAreNoRequests guards the count of faults: a rehearsal asks each proxy for its figures at the
-// end, and where the fault befell that, one more was counted than clients could have seen.
-func TestFiguresAreNoRequests(t *testing.T) {
-	d := &Proxy{config: Config{Fault: LoseAnswer, OneIn: 1}, nodes: make(map[string]nodeEntry), conns: make(map[net.Conn]bool)}
+// TestFaultDoesNotAffectStats guards the count of injected faults: a fault test asks each proxy for its stats at the
+// end. If the fault affected that, more faults would be counted than clients can have seen.
+func TestFaultDoesNotAffectStats(t *testing.T) {
+	p := newProxy(Config{Fault: LoseAnswer, OneIn: 1})
 	ours, theirs := net.Pipe()
-	d.tasks.Go(func() { d.serve(theirs) })
+	p.tasks.Go(func() { p.serve(theirs) })
 	ours.SetDeadline(time.Now().Add(30 * time.Second))
 	in := bufio.NewReader(ours)
 	for range 3 {
@@ -24,15 +24,15 @@
 			t.Fatalf("%q, %v", line, err)
 		}
 	}
-	if got := d.Injected(); got != 0 {
-		t.Errorf("%d faults befell questions for figures", got)
+	if got := p.Injected(); got != 0 {
+		t.Errorf("%d faults affected stats", got)
 	}
 	if _, err := io.WriteString(ours, "mn\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	ours.Close()
-	d.tasks.Wait()
-	if got := d.Injected(); got != 1 {
+	p.tasks.Wait()
+	if got := p.Injected(); got != 1 {
 		t.Errorf("%d faults for one request", got)
 	}
 }
--- a/internal/fake/node/cache.go
+++ b/internal/fake/node/cache.go
@@ -5,35 +5,42 @@
 // cache is a bounded set of keys that evicts the least recently used one.
 type cache struct {
 	capacity int
-	order    list.List // of keys, the most recently used first
+	recency  list.List // of keys, the most recently used first
 	elements map[string]*list.Element
 }
 
-func newCache(most int) *cache {
-	return &cache{capacity: most, elements: make(map[string]*list.Element)}
+func newCache(capacity int) *cache {
+	return &cache{capacity: capacity, elements: make(map[string]*list.Element)}
 }
 
-func (c *cache) has(key string) bool {
+// contains reports whether a key is cached.
+func (c *cache) contains(key string) bool {
+	_, ok := c.elements[key]
+	return ok
+}
+
+// touch reports whether a key is cached, and marks it as just used.
+func (c *cache) touch(key string) bool {
 	e := c.elements[key]
 	if e != nil {
-		c.order.MoveToFront(e)
+		c.recency.MoveToFront(e)
 	}
 	return e != nil
 }
 
 func (c *cache) add(key string) {
-	if c.has(key) || c.capacity <= 0 {
+	if c.touch(key) || c.capacity <= 0 {
 		return
 	}
 	if len(c.elements) >= c.capacity {
-		c.drop(c.order.Back().Value.(string))
+		c.remove(c.recency.Back().Value.(string))
 	}
-	c.elements[key] = c.order.PushFront(key)
+	c.elements[key] = c.recency.PushFront(key)
 }
 
-func (c *cache) drop(key string) {
+func (c *cache) remove(key string) {
 	if e := c.elements[key]; e != nil {
-		c.order.Remove(e)
+		c.recency.Remove(e)
 		delete(c.elements, key)
 	}
 }
--- a/internal/fake/node/connection.go
+++ b/internal/fake/node/connection.go
@@ -7,112 +7,113 @@
 	"time"
 )
 
-// maxPipelined bounds the requests of one connection that are not answered yet.
-const maxPipelined = 256
-
-const readBufferBytes = 4 << 10
+const (
+	maxPipelined   = 256     // requests of one connection that are not answered yet
+	readBufferSize = 4 << 10 // bytes
+)
 
-// connection is a connection of a client.
+// connection is one client connection. One goroutine reads requests, another writes the answers in the same order.
 type connection struct {
 	node    *Node
 	socket  *net.TCPConn
-	changed sync.Cond // of what follows, under Node.mu
-	replies []*command
+	changed sync.Cond // signalled when a field below changes or a request is answered; uses Node.mu
+	pending []*pendingRequest
 	closed  bool
 }
 
-// resetLocked resets a connection. The node's lock is held.
-func (c *connection) resetLocked() {
+// reset breaks the connection. Node.mu is held.
+func (c *connection) reset() {
 	c.closed = true
 	c.socket.SetLinger(0)
 	c.socket.Close()
 	c.changed.Broadcast()
-	c.node.stalled.Broadcast()
+	c.node.silenceChanged.Broadcast()
 }
 
-// readLoop reads commands until the connection ends.
-func (c *connection) readLoop() {
-	n := c.node
-	in := bufio.NewReaderSize(c.socket, readBufferBytes)
-	for c.readCommand(in) {
-	}
-	n.mu.Lock()
-	// What was read is answered if the peer has only stopped sending.
-	for len(c.replies) > 0 && !c.closed {
-		c.changed.Wait()
+// read takes requests until the connection ends.
+func (c *connection) read() {
+	in := bufio.NewReaderSize(c.socket, readBufferSize)
+	for c.readRequest(in) {
 	}
-	c.closed = true
-	delete(n.conns, c)
-	c.changed.Broadcast()
-	n.stalled.Broadcast()
-	n.mu.Unlock()
-	c.socket.Close()
+	c.finish()
 }
 
-// readCommand reads and admits one command; false if no other can follow.
-func (c *connection) readCommand(in *bufio.Reader) bool {
+// readRequest takes one request, and returns false if none can follow.
+func (c *connection) readRequest(in *bufio.Reader) bool {
 	n := c.node
 	c.socket.SetReadDeadline(time.Now().Add(n.config.IdleTimeout))
 	if _, err := in.Peek(1); err != nil {
 		return false
 	}
-	at := time.Now()
-	c.socket.SetReadDeadline(at.Add(n.config.IdleTimeout))
-	j := &command{conn: c}
-	read := n.readMeta
+	arrived := time.Now()
+	c.socket.SetReadDeadline(arrived.Add(n.config.IdleTimeout))
+	r := &pendingRequest{connection: c}
+	parse := n.readMeta
 	if n.config.Binary {
-		read = n.readBinary
+		parse = n.readBinary
 	}
-	complete, err := read(in, j)
+	complete, err := parse(in, r)
 	if !complete {
 		return false
 	}
-	if j.answer == nil && n.config.OnRequest != nil {
-		n.config.OnRequest(n.config.Name, j.command.ID, string(j.command.Value), at)
+	if r.answer == nil && n.config.OnRequest != nil {
+		n.config.OnRequest(n.Name(), r.command.ID, string(r.command.Value), arrived)
 	}
+	return c.enqueue(r, arrived) && err == nil
+}
+
+// enqueue waits until the connection may have one more request in flight, and admits it. It returns false if the
+// connection closes meanwhile.
+func (c *connection) enqueue(r *pendingRequest, arrived time.Time) bool {
+	n := c.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for len(c.replies) >= maxPipelined && !c.closed {
+	for len(c.pending) >= maxPipelined && !c.closed {
 		c.changed.Wait()
 	}
 	if c.closed {
 		return false
 	}
-	c.replies = append(c.replies, j)
-	if j.answer == nil {
-		n.admitLocked(j, at)
+	c.pending = append(c.pending, r)
+	if r.answer == nil {
+		n.admit(r, arrived)
 	}
 	c.changed.Broadcast()
-	return err == nil
+	return true
 }
 
-// writeLoop writes the answers in the order of the commands.
-func (c *connection) writeLoop() {
+// finish closes the connection once all requests are answered: the client may only have stopped sending.
+func (c *connection) finish() {
+	n := c.node
+	n.mu.Lock()
+	for len(c.pending) > 0 && !c.closed {
+		c.changed.Wait()
+	}
+	c.closed = true
+	delete(n.connections, c)
+	c.changed.Broadcast()
+	n.silenceChanged.Broadcast()
+	n.mu.Unlock()
+	c.socket.Close()
+}
+
+// write sends the answers in the order of the requests.
+func (c *connection) write() {
 	n := c.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for {
-		for !c.closed && (len(c.replies) == 0 || c.replies[0].answer == nil || n.isSilentLocked()) {
-			if n.isSilentLocked() {
-				n.stalled.Wait()
-			} else {
-				c.changed.Wait()
-			}
-		}
-		if c.closed {
-			return
-		}
-		j := c.replies[0]
-		if j.fault == Reset {
-			c.resetLocked()
+	for c.waitForAnswer() {
+		r := c.pending[0]
+		if r.fault == Reset {
+			c.reset()
 			return
 		}
 		n.mu.Unlock()
 		c.socket.SetWriteDeadline(time.Now().Add(n.config.IdleTimeout))
-		_, err := c.socket.Write(j.answer)
+		_, err := c.socket.Write(r.answer)
 		n.mu.Lock()
-		c.replies[0] = nil
-		c.replies = c.replies[1:]
+		c.pending[0] = nil
+		c.pending = c.pending[1:]
 		if err != nil {
 			c.closed = true
 			c.socket.Close()
@@ -120,3 +121,17 @@
 		c.changed.Broadcast()
 	}
 }
+
+// waitForAnswer waits until the oldest request has an answer that may be sent. It returns false if the connection
+// closes. Node.mu is held.
+func (c *connection) waitForAnswer() bool {
+	n := c.node
+	for !c.closed && (len(c.pending) == 0 || c.pending[0].answer == nil || n.isSilent()) {
+		if n.isSilent() {
+			n.silenceChanged.Wait()
+		} else {
+			c.changed.Wait()
+		}
+	}
+	return !c.closed
+}
--- a/internal/fake/node/fault.go
+++ b/internal/fake/node/fault.go
@@ -1,118 +1,113 @@
 package node
 
 import (
-	"errors"
 	"fmt"
-	"net"
 	"slices"
-	"syscall"
 	"time"
 
-	"mulleinpier/internal/binary"
+	"mulleinpier/internal/fake/backlog"
 )
 
-// FaultKind is a way in which a node fails. Its values are names in scenarios.
+// FaultKind is a way in which a node fails.
 type FaultKind string
 
 // The kinds of faults.
 const (
 	NoFault     FaultKind = ""
-	Stall       FaultKind = "stall"   // nothing is started or answered, connections come up
-	Reset       FaultKind = "reset"   // the connection is reset after a request has been carried out
-	Late        FaultKind = "late"    // an answer comes later by Fault.Delay
-	Busy        FaultKind = "busy"    // requests are rejected
-	Garbage     FaultKind = "garbage" // a malformed answer; the request has been carried out
-	ProcessDown FaultKind = "refuse"  // the process has ended: connections are reset and refused
-	MachineDown FaultKind = "vanish"  // the machine is gone: no answers, no connections
+	Stall       FaultKind = "stall"   // nothing is started or answered, but connections are accepted
+	Reset       FaultKind = "reset"   // the connection is reset once a request has been executed
+	Late        FaultKind = "late"    // an answer is delayed by Fault.Delay
+	Busy        FaultKind = "busy"    // requests are rejected without being executed
+	Garbage     FaultKind = "garbage" // the request is executed, the answer is malformed
+	ProcessDown FaultKind = "refuse"  // the process is down: connections are reset and refused
+	MachineDown FaultKind = "vanish"  // the machine is unreachable: nothing is sent, connection attempts time out
 )
 
-// Faults are all kinds.
+// Faults lists all kinds of faults.
 var Faults = []FaultKind{NoFault, Stall, Reset, Late, Busy, Garbage, ProcessDown, MachineDown}
 
-// Fault is a fault, and the share of requests that it concerns. Reset, Late, Busy and Garbage concern one request in
-// OneIn, all for 0 and 1.
+// Fault is a kind of fault and which requests it affects.
 type Fault struct {
 	Kind  FaultKind
-	OneIn int
-	Delay time.Duration
+	OneIn int           // Reset, Late, Busy and Garbage affect one request in this many; 0 and 1 mean all
+	Delay time.Duration // of Late
 }
 
-// ParseFault returns the kind of that name.
+// ParseFault returns the kind of fault with a name.
 func ParseFault(name string) (FaultKind, error) {
-	k := FaultKind(name)
-	if !slices.Contains(Faults, k) {
-		return k, fmt.Errorf("no fault is named %q: want one of %q", name, Faults)
+	kind := FaultKind(name)
+	if !slices.Contains(Faults, kind) {
+		return kind, fmt.Errorf("no fault is named %q: want one of %q", name, Faults)
 	}
-	return k, nil
+	return kind, nil
 }
 
-// SetFault makes the node fail from now on; the zero Fault ends that.
+// affectsSingleRequests reports whether requests are affected one by one, as opposed to the node as a whole.
+func (k FaultKind) affectsSingleRequests() bool {
+	return k == Reset || k == Late || k == Busy || k == Garbage
+}
+
+// SetFault makes the node fail in a way from now on. The zero Fault ends the present fault.
 func (n *Node) SetFault(f Fault) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	before := n.fault.Kind
 	n.fault = f
-	n.faultCount = 0
-	n.stalled.Broadcast()
+	n.faultEligible = 0
+	n.silenceChanged.Broadcast()
 	if before == MachineDown {
-		for _, c := range n.fillers {
-			c.Close()
-		}
-		n.fillers = nil
-		n.closeAllLocked() // a machine that is back knows none of its connections
+		n.shutDown() // a machine that was down has lost its connections
 	}
 	switch {
 	case f.Kind == ProcessDown:
-		n.closeAllLocked()
+		n.shutDown()
 	case f.Kind == MachineDown:
-		return n.fillBacklogLocked()
+		return n.fillBacklog()
 	case n.listener == nil && !n.closed:
-		return n.listenLocked(n.address)
+		return n.listen(n.address)
 	}
-	n.startWaitingLocked()
+	n.startQueued()
 	return nil
 }
 
-const (
-	maxFillers        = 8 // that fill the backlog; the kernel accepts one or two more than it is told
-	fillerDialTimeout = 50 * time.Millisecond
-)
+// isSilent reports whether the node sends nothing at all. n.mu is held.
+func (n *Node) isSilent() bool {
+	return !n.closed && (n.fault.Kind == Stall || n.fault.Kind == MachineDown)
+}
 
-// fillBacklogLocked fills the backlog of the listener, from which nothing is accepted any more, so that no connection
-// comes up. n.mu is held.
-func (n *Node) fillBacklogLocked() error {
-	raw, err := n.listener.SyscallConn()
-	if err != nil {
-		return err
+// nextFault returns the fault that affects the next request, NoFault for none. n.mu is held.
+func (n *Node) nextFault() FaultKind {
+	if !n.fault.Kind.affectsSingleRequests() {
+		return NoFault
 	}
-	own := n.listener
-	n.listener = nil // its accept would take what fills it
-	raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })
-	if err != nil {
-		return err
-	}
-	own.SetDeadline(time.Unix(1, 0)) // ends its accept; the socket stays
-	n.listener = own
-	for range maxFillers {
-		c, err := net.DialTimeout("tcp", n.address, fillerDialTimeout)
-		if err != nil {
-			return nil // full
-		}
-		n.fillers = append(n.fillers, c)
+	n.faultEligible++
+	if n.fault.OneIn > 1 && n.faultEligible%n.fault.OneIn != 0 {
+		return NoFault
 	}
-	return errors.New("node: the backlog does not fill")
+	return n.fault.Kind
 }
 
-// isSilentLocked reports whether the node answers nothing at all. n.mu is held.
-func (n *Node) isSilentLocked() bool {
-	return !n.closed && (n.fault.Kind == Stall || n.fault.Kind == MachineDown)
+// fillBacklog stops accepting and fills the listen backlog, so that the kernel drops further connection attempts.
+// n.mu is held.
+func (n *Node) fillBacklog() (err error) {
+	listener := n.listener
+	if listener == nil {
+		return fmt.Errorf("fake node %q: its process is down and has no listen backlog", n.config.Name)
+	}
+	n.listener = nil                      // so that accept registers none of the connections that fill the backlog
+	listener.SetDeadline(time.Unix(1, 0)) // ends accept; the socket stays open
+	n.backlogFill, err = backlog.Fill(listener)
+	n.listener = listener
+	if err != nil {
+		return fmt.Errorf("fake node %q: %w", n.config.Name, err)
+	}
+	return nil
 }
 
-// garbage is a malformed answer.
-func (n *Node) garbage(j *command) []byte {
-	if n.config.Binary {
-		h := binary.Header{Opcode: j.header.Opcode, Opaque: j.header.Opaque + 1, ExtrasLen: 4, BodyLen: 3000000000}
-		return append(h.Append(nil, binary.ResponseMagic), "noise"...)
+// emptyBacklog closes the connections that fillBacklog opened. n.mu is held.
+func (n *Node) emptyBacklog() {
+	for _, c := range n.backlogFill {
+		c.Close()
 	}
-	return []byte("VA 3000000000 O" + j.command.ID + "\r\n\x00noise")
+	n.backlogFill = nil
 }
--- a/internal/fake/node/node.go
+++ b/internal/fake/node/node.go
@@ -1,69 +1,154 @@
-// Package node is a fake cache node: it reads through to a fake origin and speaks the meta or the binary protocol as
-// real nodes do. Its cache, slots, queue and connections are bounded; it starts warm or cold, collapses when it gets
-// far more than it withstands while cold, and fails on demand by a [Fault]. A node owns its goroutines; Close ends
-// them.
+// Package node is a fake cache node for tests. It speaks the meta or the binary protocol on a real socket and reads
+// through to a fake origin, as production nodes do. It guarantees:
+//
+//  1. Execution slots, request queue, connection table and cache are bounded (see [Config]).
+//  2. Within a [Group], writes with the same idempotency key are executed once per deduplication window.
+//  3. A node that starts cold has a reduced capacity until it is warm. If it is sent far more than that, it
+//     collapses: it rejects all requests until it is restarted.
+//  4. It fails on demand in the ways of [Fault], as a client sees them at its socket.
+//
+// It does not store what clients write: the value of a read names the key, the node and a serial number.
+//
+// A node owns its listener, its connections and two goroutines per connection; [Node.Close] waits for these.
 package node
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
+
+	"mulleinpier/internal/fake/origin"
+)
+
+// Config says what a node is and what its limits are. A field that is 0 takes the default named at it.
+type Config struct {
+	Name             string
+	Slots            int           // requests executed at the same time; default 8
+	Queue            int           // requests that may wait for a slot; default 64
+	ServiceTime      time.Duration // mean execution time of a request, varied by a quarter; default none
+	Capacity         int           // keys in the cache; default 4096
+	MaxConns         int           // open connections, further ones are reset; default 64
+	IdleTimeout      time.Duration // after which a connection is closed; default 15 s
+	ValueSize        int           // bytes to which the value of a read is padded; default 64
+	ReportLoad       bool          // answers carry a load report
+	Binary           bool          // the node speaks only the binary protocol, otherwise only meta
+	MissingKeyPrefix string        // keys with this prefix do not exist at the origin; "" for none
+	// LedgerByValue has the origin's ledger identify writes by their values instead of their idempotency keys. Fault
+	// tests whose clients write each value once see a repeated write by it, whatever idempotency key it came with.
+	LedgerByValue bool
+
+	Cold               bool          // the node starts now, with an empty cache and reduced capacity
+	ColdCapacityShare  float64       // share of the capacity at the start; default 0.3
+	WarmUpTime         time.Duration // from the start to full capacity; default 8.6 s
+	CollapseLoadFactor float64       // multiple of the capacity that makes it collapse; default 3
+	CollapseTime       time.Duration // window in which the load is measured for that; default 2 s
+
+	Seed   uint64
+	Origin *origin.Origin // required
+	Group  *Group         // required
+	// OnRequest, if set, is called with each request: its id ("" in the binary protocol, which has none), its value,
+	// and when its first byte arrived.
+	OnRequest func(node, id, value string, at time.Time)
+}
+
+const (
+	defaultSlots              = 8
+	defaultQueue              = 64
+	defaultCapacity           = 4096
+	defaultMaxConns           = 64
+	defaultIdleTimeout        = 15 * time.Second
+	defaultValueSize          = 64 // bytes
+	defaultColdCapacityShare  = 0.3
+	defaultWarmUpTime         = 8600 * time.Millisecond
+	defaultCollapseLoadFactor = 3
+	defaultCollapseTime       = 2 * time.Second
 )
 
-// loopbackHost is an address that no connection goes out from: while a node is down, no other socket can take its port
-// by chance.
-const loopbackHost = "127.0.0.2"
+func (c *Config) setDefaults() {
+	setDefault(&c.Slots, defaultSlots)
+	setDefault(&c.Queue, defaultQueue)
+	setDefault(&c.Capacity, defaultCapacity)
+	setDefault(&c.MaxConns, defaultMaxConns)
+	setDefault(&c.IdleTimeout, defaultIdleTimeout)
+	setDefault(&c.ValueSize, defaultValueSize)
+	setDefault(&c.ColdCapacityShare, defaultColdCapacityShare)
+	setDefault(&c.WarmUpTime, defaultWarmUpTime)
+	setDefault(&c.CollapseLoadFactor, defaultCollapseLoadFactor)
+	setDefault(&c.CollapseTime, defaultCollapseTime)
+}
+
+func setDefault[T comparable](field *T, value T) {
+	var zero T
+	if *field == zero {
+		*field = value
+	}
+}
+
+// Stats count what a node received and how it answered.
+type Stats struct {
+	Requests  int
+	Hits      int
+	Misses    int
+	Writes    int // including Repeats
+	Repeats   int // writes dropped because their idempotency key had been executed
+	Busy      int // rejected requests
+	Conns     int // open now
+	MaxConns  int // most that were open at the same time
+	Collapsed bool
+}
+
+// host is a loopback address that no connection goes out from, so that the port of a node that is down cannot be
+// taken by an outgoing connection.
+const host = "127.0.0.2"
 
-// Node is a fake cache node. It is safe for concurrent use.
+// Node is a running fake node. It is safe for concurrent use.
 type Node struct {
 	config  Config
 	address string
 
-	mu         sync.Mutex
-	stalled    sync.Cond // while fault is Stall or Vanish
-	rng        *rand.Rand
-	cache      *cache
-	startedAt  time.Time // zero for long ago, so that it is warm
-	draining   bool
-	fault      Fault
-	faultCount int // requests counted for Fault.OneIn
-	listener   *net.TCPListener
-	fillers    []net.Conn // that keep the backlog full while vanished
-	conns      map[*connection]struct{}
-	running    int
-	waiting    []*command
-	fetching   int
-	arrivals   []time.Time // within FallTime, while cold
-	stats      Stats
-	serial     int
-	closed     bool
-	tasks      sync.WaitGroup
-}
-
-// generatorStream is the second seed of nodes' generators.
-const generatorStream = 4
-
-// Start starts a node at a free port of the loopback.
+	mu             sync.Mutex
+	silenceChanged sync.Cond // signalled when isSilent may have changed or a connection has closed
+	rng            *rand.Rand
+	cache          *cache
+	startedAt      time.Time // zero for a node that has always been warm
+	draining       bool
+	fault          Fault
+	faultEligible  int // requests since the fault was set, for Fault.OneIn
+	listener       *net.TCPListener
+	backlogFill    []net.Conn // connections that keep the listen backlog full during MachineDown
+	connections    map[*connection]struct{}
+	running        int // requests being executed
+	queue          []*pendingRequest
+	fetching       int         // reads waiting for the origin
+	arrivals       []time.Time // of the last CollapseTime, while warming up
+	stats          Stats
+	serial         int // number of values and of binary receipts issued
+	closed         bool
+	tasks          sync.WaitGroup
+}
+
+// Start returns a node that listens at a free port of a loopback address.
 func Start(c Config) (*Node, error) {
-	c.applyDefaults()
+	c.setDefaults()
 	n := &Node{
-		config: c,
-		rng:    rand.New(rand.NewPCG(c.Seed, generatorStream)),
-		cache:  newCache(c.Capacity),
-		conns:  make(map[*connection]struct{}),
+		config:      c,
+		rng:         rand.New(rand.NewPCG(c.Seed, 4)),
+		cache:       newCache(c.Capacity),
+		connections: make(map[*connection]struct{}),
 	}
-	n.stalled.L = &n.mu
+	n.silenceChanged.L = &n.mu
 	if c.Cold {
 		n.startedAt = time.Now()
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.listenLocked(loopbackHost + ":0"); err != nil {
+	if err := n.listen(net.JoinHostPort(host, "0")); err != nil {
 		return nil, err
 	}
 	n.address = n.listener.Addr().String()
-	c.Group.join(n)
+	c.Group.add(n)
 	return n, nil
 }
 
@@ -74,10 +159,10 @@
 	return n.config.Name
 }
 
-// Address returns where it listens, the same after a restart.
+// Address returns the address at which the node listens. A restart does not change it.
 func (n *Node) Address() string { return n.address }
 
-// Started returns the time of its last cold start; zero for long ago.
+// Started returns the time of the last start, zero for a node that has always been warm.
 func (n *Node) Started() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,19 +174,26 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.stats
-	s.Conns = len(n.conns)
+	s.Conns = len(n.connections)
 	return s
 }
 
-// listenLocked listens at an address. n.mu is held.
-func (n *Node) listenLocked(address string) error {
+// HasCached reports whether the node has a cached copy of a key.
+func (n *Node) HasCached(key string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.cache.contains(key)
+}
+
+// listen opens the listener. n.mu is held.
+func (n *Node) listen(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return err
+		return fmt.Errorf("fake node %q: %w", n.config.Name, err)
 	}
-	n.listener = listener.(*net.TCPListener)
-	own := n.listener
-	n.tasks.Go(func() { n.accept(own) })
+	opened := listener.(*net.TCPListener)
+	n.listener = opened
+	n.tasks.Go(func() { n.accept(opened) })
 	return nil
 }
 
@@ -111,82 +203,79 @@
 		if err != nil {
 			return
 		}
-		n.mu.Lock()
 		c := &connection{node: n, socket: socket}
 		c.changed.L = &n.mu
-		if n.closed || n.listener != listener || len(n.conns) >= n.config.MaxConns {
-			n.mu.Unlock()
-			socket.SetLinger(0) // a full table resets
+		if !n.register(c, listener) {
+			socket.SetLinger(0) // so that Close resets the connection
 			socket.Close()
 			continue
 		}
-		n.conns[c] = struct{}{}
-		n.stats.MaxConns = max(n.stats.MaxConns, len(n.conns))
-		n.mu.Unlock()
-		n.tasks.Go(c.readLoop)
-		n.tasks.Go(c.writeLoop)
+		n.tasks.Go(c.read)
+		n.tasks.Go(c.write)
+	}
+}
+
+// register adds a connection to the table. It returns false if the table is full or the listener is no longer in use.
+func (n *Node) register(c *connection, listener *net.TCPListener) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.closed || n.listener != listener || len(n.connections) >= n.config.MaxConns {
+		return false
 	}
+	n.connections[c] = struct{}{}
+	n.stats.MaxConns = max(n.stats.MaxConns, len(n.connections))
+	return true
 }
 
-// Close ends the node and waits for its goroutines.
+// Close stops the node and waits for the goroutines of its listener and connections. Requests in flight are not
+// answered.
 func (n *Node) Close() {
 	n.mu.Lock()
 	n.closed = true
 	n.fault = Fault{}
-	n.stalled.Broadcast()
-	n.closeAllLocked()
+	n.silenceChanged.Broadcast()
+	n.shutDown()
 	n.mu.Unlock()
 	n.tasks.Wait()
 }
 
-// closeAllLocked closes the listener and resets all connections. n.mu is held.
-func (n *Node) closeAllLocked() {
+// shutDown closes the listener, resets all connections and forgets the queue. n.mu is held.
+func (n *Node) shutDown() {
 	if n.listener != nil {
 		n.listener.Close()
 		n.listener = nil
 	}
-	for _, c := range n.fillers {
-		c.Close()
+	n.emptyBacklog()
+	for c := range n.connections {
+		c.reset()
 	}
-	n.fillers = nil
-	for c := range n.conns {
-		c.resetLocked()
-	}
-	n.waiting = nil
+	n.queue = nil
 }
 
-// Restart replaces the node by one that was just started: cold and empty, at the same address.
+// Restart restarts the node at its address, cold and with an empty cache. Faults and draining end.
 func (n *Node) Restart() error { return n.RestartAs("") }
 
-// RestartAs is Restart under another name: another node takes the address over.
+// RestartAs is Restart with another name, as if a different node had taken over the address. "" keeps the name.
 func (n *Node) RestartAs(name string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if name != "" {
 		n.config.Name = name
 	}
-	n.closeAllLocked()
+	n.shutDown()
 	n.cache = newCache(n.config.Capacity)
 	n.startedAt = time.Now()
 	n.draining = false
 	n.fault = Fault{}
 	n.arrivals = nil
 	n.stats.Collapsed = false
-	n.stalled.Broadcast()
-	return n.listenLocked(n.address)
+	n.silenceChanged.Broadcast()
+	return n.listen(n.address)
 }
 
-// SetDraining has the node reject new requests, or accept them again.
+// SetDraining makes the node reject new requests, or accept them again.
 func (n *Node) SetDraining(draining bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.draining = draining
 }
-
-// HasCached reports whether a key is in the cache.
-func (n *Node) HasCached(key string) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	_, ok := n.cache.elements[key]
-	return ok
-}
--- a/internal/fake/origin/origin.go
+++ b/internal/fake/origin/origin.go
@@ -1,5 +1,11 @@
-// Package origin is a fake of the one slow origin behind all cache nodes: it has slots, a queue and a service time, and
-// keeps a ledger of every effect. It has no sockets, nodes of the same process call it. Its timers end with Close.
+// Package origin is a fake of the one slow origin behind all cache nodes. It has no sockets: fake nodes of the same
+// process call it. It guarantees:
+//
+//  1. It executes a bounded number of operations at the same time, and queues a bounded number.
+//  2. Its ledger counts every execution of every write. The origin drops no repeated writes; nodes do.
+//  3. An operation that fails was not started and has no effect.
+//
+// Operations complete on goroutines of their own; [Origin.Close] stops those that have not completed.
 package origin
 
 import (
@@ -10,168 +16,148 @@
 	"time"
 )
 
-// Errors of work that was not started, and so had no effect.
+// Errors of operations that were not started.
 var (
 	ErrFull = errors.New("origin: queue full")
 	ErrDown = errors.New("origin: down")
 )
 
-// Config describes an origin.
+// Config says what the limits of an origin are.
 type Config struct {
-	Slots       int           // pieces of work at a time; at least 1
-	Queue       int           // pieces that may wait
-	ServiceTime time.Duration // for one piece, give or take a quarter
+	Slots       int           // operations executed at the same time; at least 1
+	Queue       int           // operations that may wait for a slot
+	ServiceTime time.Duration // mean execution time of an operation, varied by a quarter
 	Seed        uint64
 }
 
-// Effect is an entry of the ledger: a write by its record and idempotency key, and how often it took effect.
-type Effect struct {
-	Record, Key string
-	Count       int // carried out so often
-	First, Last time.Time
+// Stats count what an origin did.
+type Stats struct {
+	Fetches    int
+	Writes     int // executions
+	QueueFull  int // operations rejected with ErrFull
+	Effects    int // distinct writes
+	Duplicates int // distinct writes that were executed more than once
 }
 
-const (
-	maxEffects    = 1 << 20 // lines of the ledger: past it the oldest make room
-	maxDuplicates = 1000    // that are kept for the record; all are counted
-)
-
 // Origin is a fake origin. It is safe for concurrent use.
 type Origin struct {
 	config Config
 
-	mu         sync.Mutex
-	rng        *rand.Rand
-	running    int
-	waiting    []*job
-	down       bool
-	slowTime   time.Duration // work in place of the usual; 0 for none
-	stats      Stats
-	ledger     map[string]*Effect
-	order      []string // keys of the ledger, oldest first
-	duplicates []Effect // as they were found, for the record
-	timers     map[*time.Timer]struct{}
-	closed     bool
-}
-
-// Stats count the work of an origin. QueueFull counts rejections; Effects counts distinct writes, Duplicates those that
-// took effect more than once.
-type Stats struct {
-	Fetches, Writes, QueueFull int
-	Effects, Duplicates        int // distinct writes, and those carried out more than once
+	mu                  sync.Mutex
+	rng                 *rand.Rand
+	running             int
+	queue               []*operation
+	down                bool
+	serviceTimeOverride time.Duration // 0 for none
+	stats               Stats
+	ledger              ledger
+	timers              map[*time.Timer]struct{} // of running operations
+	closed              bool
 }
 
-type job struct{ done func() }
+type operation struct{ complete func() }
 
 // New returns an origin.
 func New(c Config) *Origin {
 	c.Slots = max(c.Slots, 1)
-	return &Origin{config: c, rng: rand.New(rand.NewPCG(c.Seed, 3)), ledger: make(map[string]*Effect),
-		timers: make(map[*time.Timer]struct{})}
+	return &Origin{
+		config: c,
+		rng:    rand.New(rand.NewPCG(c.Seed, 3)),
+		ledger: ledger{effects: make(map[effectKey]*Effect)},
+		timers: make(map[*time.Timer]struct{}),
+	}
 }
 
-// Fetch reads a key. done is called once, on a goroutine of the origin or, with an error, at once.
+// Fetch reads a key. done is called at most once: with an error before Fetch returns, otherwise on another goroutine.
 func (o *Origin) Fetch(done func(error)) {
 	o.submit(done, func() { o.stats.Fetches++ })
 }
 
-// Write carries out a write of a record under an idempotency key. It takes effect when it ends. The origin drops no
-// repeats; the nodes do.
+// Write writes a record under an idempotency key. It calls done as Fetch does, after the write has taken effect.
 func (o *Origin) Write(record, key string, done func(error)) {
-	o.submit(done, func() { o.recordLocked(record, key, time.Now()) })
+	o.submit(done, func() { o.recordWrite(effectKey{record, key}) })
 }
 
-// submit starts work or queues it. effect is called when it ends, with o.mu held.
+// submit starts or queues an operation. effect is called with o.mu held when it completes.
 func (o *Origin) submit(done func(error), effect func()) {
+	if err := o.trySubmit(done, effect); err != nil {
+		done(err)
+	}
+}
+
+func (o *Origin) trySubmit(done func(error), effect func()) error {
 	o.mu.Lock()
-	var err error
-	switch {
-	case o.down || o.closed:
-		err = ErrDown
-	case o.running >= o.config.Slots && len(o.waiting) >= o.config.Queue:
-		o.stats.QueueFull++
-		err = ErrFull
+	defer o.mu.Unlock()
+	if o.down || o.closed {
+		return ErrDown
 	}
-	if err != nil {
-		o.mu.Unlock()
-		done(err)
-		return
+	busy := o.running >= o.config.Slots
+	if busy && len(o.queue) >= o.config.Queue {
+		o.stats.QueueFull++
+		return ErrFull
 	}
-	j := &job{done: func() {
+	op := &operation{complete: func() {
 		o.mu.Lock()
 		effect()
 		o.mu.Unlock()
 		done(nil)
 	}}
-	if o.running >= o.config.Slots {
-		o.waiting = append(o.waiting, j)
+	if busy {
+		o.queue = append(o.queue, op)
 	} else {
-		o.startLocked(j)
+		o.start(op)
 	}
-	o.mu.Unlock()
+	return nil
 }
 
-// startLocked starts a piece of work. o.mu is held.
-func (o *Origin) startLocked(j *job) {
+// start executes an operation, and then the next in the queue. o.mu is held.
+func (o *Origin) start(op *operation) {
 	o.running++
-	work := o.config.ServiceTime
-	if o.slowTime > 0 {
-		work = o.slowTime
+	mean := o.config.ServiceTime
+	if o.serviceTimeOverride > 0 {
+		mean = o.serviceTimeOverride
 	}
-	took := time.Duration(float64(work) * (0.75 + o.rng.Float64()/2))
+	// Between 3/4 and 5/4 of the mean.
+	serviceTime := time.Duration(float64(mean) * (0.75 + o.rng.Float64()/2))
 	var timer *time.Timer
-	timer = time.AfterFunc(took, func() {
+	timer = time.AfterFunc(serviceTime, func() {
 		o.mu.Lock()
 		delete(o.timers, timer)
 		o.running--
-		if len(o.waiting) > 0 && !o.closed {
-			next := o.waiting[0]
-			o.waiting = o.waiting[1:]
-			o.startLocked(next)
+		if len(o.queue) > 0 && !o.closed {
+			next := o.queue[0]
+			o.queue = o.queue[1:]
+			o.start(next)
 		}
 		o.mu.Unlock()
-		j.done()
+		op.complete()
 	})
 	o.timers[timer] = struct{}{}
 }
 
-// recordLocked enters an effect into the ledger. o.mu is held.
-func (o *Origin) recordLocked(record, key string, now time.Time) {
+// recordWrite enters an executed write into the ledger. o.mu is held.
+func (o *Origin) recordWrite(key effectKey) {
 	o.stats.Writes++
-	name := record + " " + key
-	e := o.ledger[name]
-	if e == nil {
-		if len(o.order) >= maxEffects {
-			delete(o.ledger, o.order[0])
-			o.order = o.order[1:]
-		}
-		e = &Effect{Record: record, Key: key, First: now}
-		o.ledger[name] = e
-		o.order = append(o.order, name)
+	switch o.ledger.record(key, time.Now()) {
+	case 1:
 		o.stats.Effects++
-	}
-	e.Count++
-	e.Last = now
-	if e.Count == 2 {
+	case 2:
 		o.stats.Duplicates++
-		if len(o.duplicates) < maxDuplicates {
-			o.duplicates = append(o.duplicates, *e)
-		}
 	}
 }
 
-// SetDown has the origin reject all work, or accept it again.
+// SetDown makes the origin reject operations, or accept them again. Operations in flight complete.
 func (o *Origin) SetDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.down = down
 }
 
-// SetServiceTime changes the time of work that starts from now on; 0 for the configured one.
+// SetServiceTime changes the mean execution time of operations that start from now on; 0 restores the configured one.
 func (o *Origin) SetServiceTime(d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.slowTime = d
+	o.serviceTimeOverride = d
 }
 
 // Stats returns the counts so far.
@@ -181,24 +167,25 @@
 	return o.stats
 }
 
-// DuplicateEffects returns the writes that took effect more than once, as they were when that was found.
+// DuplicateEffects returns the first writes that were executed more than once, each as it was at its second execution.
 func (o *Origin) DuplicateEffects() []Effect {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return slices.Clone(o.duplicates)
+	return slices.Clone(o.ledger.duplicates)
 }
 
-// EffectCount returns how often a write took effect.
+// EffectCount returns how often a write was executed.
 func (o *Origin) EffectCount(record, key string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if e := o.ledger[record+" "+key]; e != nil {
+	if e := o.ledger.effects[effectKey{record, key}]; e != nil {
 		return e.Count
 	}
 	return 0
 }
 
-// Close drops all work in progress; its callers get no answer.
+// Close stops all operations in flight: they have no effect, and their callbacks are not called. It does not wait for
+// one that is just completing.
 func (o *Origin) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -207,5 +194,5 @@
 		t.Stop()
 	}
 	clear(o.timers)
-	o.waiting = nil
+	o.queue = nil
 }
--- a/internal/fake/unresponsive/node.go
+++ b/internal/fake/unresponsive/node.go
@@ -1,69 +1,59 @@
-// Package unresponsive is a fake node to which no connection comes up until the test accepts one: as at a machine that
-// is cut off for a while, or a process that accepts late. It starts no goroutines.
+// Package unresponsive is a fake of a node that accepts no connection until the test says so, as if its machine were
+// unreachable for a while or its process slow to accept. It starts no goroutines.
 package unresponsive
 
 import (
-	"errors"
+	"fmt"
 	"net"
-	"time"
 
-	"golang.org/x/sys/unix"
+	"mulleinpier/internal/fake/backlog"
 )
 
 // Node is an unresponsive node.
 type Node struct {
 	listener *net.TCPListener
-	fillers  map[string]net.Conn // connections that fill the backlog, by their addresses
+	fillers  map[string]net.Conn // that fill the listener's backlog, by their local addresses
 }
 
-// Start returns a node whose backlog is full. The kernel drops other attempts to connect, which their senders repeat,
-// first after a second.
+// Start returns a node with a full listen backlog. The kernel drops further connection attempts; clients' kernels try
+// again by themselves, at first after a second.
 func Start() (*Node, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("unresponsive node: %w", err)
 	}
 	n := &Node{listener: l.(*net.TCPListener), fillers: make(map[string]net.Conn)}
-	raw, err := n.listener.SyscallConn()
-	if err == nil {
-		var failed error
-		err = errors.Join(raw.Control(func(fd uintptr) { failed = unix.Listen(int(fd), 0) }), failed)
+	fillers, err := backlog.Fill(n.listener)
+	for _, c := range fillers {
+		n.fillers[c.LocalAddr().String()] = c
 	}
 	if err != nil {
 		n.Close()
-		return nil, err
-	}
-	for range 16 { // far more than the backlog holds
-		c, err := net.DialTimeout("tcp", n.Address(), 50*time.Millisecond)
-		if err != nil {
-			return n, nil
-		}
-		n.fillers[c.LocalAddr().String()] = c
+		return nil, fmt.Errorf("unresponsive node: %w", err)
 	}
-	n.Close()
-	return nil, errors.New("the backlog does not fill")
+	return n, nil
 }
 
-// Address returns where it listens.
+// Address returns the address at which the node will accept connections.
 func (n *Node) Address() string { return n.listener.Addr().String() }
 
-// Accept lets connections come up from now on, and returns the next one.
+// Accept makes the node accept connections from now on, and returns the next one.
 func (n *Node) Accept() (*net.TCPConn, error) {
 	for {
 		c, err := n.listener.AcceptTCP()
 		if err != nil {
 			return nil, err
 		}
-		own := n.fillers[c.RemoteAddr().String()]
-		if own == nil {
+		filler := n.fillers[c.RemoteAddr().String()]
+		if filler == nil {
 			return c, nil
 		}
-		own.Close()
+		filler.Close()
 		c.Close()
 	}
 }
 
-// Close closes the node.
+// Close closes the listener and the connections that fill its backlog, but not those that Accept returned.
 func (n *Node) Close() {
 	n.listener.Close()
 	for _, c := range n.fillers {
--- a/internal/fleettest/leaseholder.go
+++ b/internal/fleettest/leaseholder.go
@@ -38,7 +38,7 @@
 // RunHolder is a holder's process: over and over it acquires the task, acts at the resource for a while and releases
 // the task, until ctx ends.
 func RunHolder(ctx context.Context, o HolderOptions) error {
-	agent.OverrideClockOffset(clock.SimulatedSleep(0, 0, o.ClockDrift))
+	agent.OverrideTotalSleep(clock.SimulatedSleep(0, 0, o.ClockDrift))
 	client, err := agent.NewClient(o.Fleet)
 	if err != nil {
 		return err
--- /dev/null
+++ b/internal/lease/agent/requests.go
@@ -0,0 +1,80 @@
+package agent
+
+import (
+	"time"
+
+	"mulleinpier/internal/lease"
+	"mulleinpier/internal/lease/quorum"
+)
+
+const (
+	// maxHeldResponses bounds the waiters whose responses are held.
+	maxHeldResponses = 4096
+	// maxResponseDelay is how long a waiter's response is held.
+	maxResponseDelay = 250 * time.Millisecond
+)
+
+// pendingRequest is one that the replica has not answered.
+type pendingRequest struct {
+	command   lease.Command
+	token     uint64 // of the grant to renew; 0 for a command
+	responses chan<- quorum.Response
+}
+
+// waiterKey names a waiter.
+type waiterKey struct {
+	task, holder string
+	nonce        uint64
+}
+
+// heldResponse is a response that is withheld from a waiter (long polling), so that it learns at once of its grant.
+type heldResponse struct {
+	responses chan<- quorum.Response
+	until     time.Duration
+}
+
+// respond answers a request, or holds the response of one that waits in a queue. Holding it is safe: the waiter counts
+// its lease from when it sent the request.
+func (v *Voter) respond(r pendingRequest, response quorum.Response) {
+	c := &r.command
+	if response.Outcome != lease.Queued || c.Kind != lease.Acquire || len(v.heldResponses) >= maxHeldResponses {
+		r.responses <- response
+		return
+	}
+	w := waiterKey{c.Task, c.Holder, c.Nonce}
+	if earlier, ok := v.heldResponses[w]; ok { // a repetition: the earlier request is answered now
+		earlier.responses <- response
+	}
+	until := Now() + min(c.Duration/4, maxResponseDelay)
+	v.heldResponses[w] = heldResponse{r.responses, until}
+}
+
+// releaseHeldResponses answers the waiters whose responses were held long enough: they are still queued.
+func (v *Voter) releaseHeldResponses() {
+	now := Now()
+	for w, held := range v.heldResponses {
+		if now >= held.until {
+			delete(v.heldResponses, w)
+			held.responses <- quorum.Response{Outcome: lease.Queued}
+		}
+	}
+}
+
+// answerGranted answers the held responses of waiters that have been granted their task.
+func (v *Voter) answerGranted(a quorum.WaitersGranted) {
+	for _, g := range a.Grants {
+		w := waiterKey{a.Task, g.Holder, g.Nonce}
+		if held, ok := v.heldResponses[w]; ok {
+			delete(v.heldResponses, w)
+			held.responses <- quorum.Response{Outcome: lease.Granted, Token: g.Token}
+		}
+	}
+}
+
+// dropHeldResponses answers all waiters that this voter can't decide any more: they ask another.
+func (v *Voter) dropHeldResponses() {
+	for w, held := range v.heldResponses {
+		delete(v.heldResponses, w)
+		held.responses <- quorum.Response{Outcome: lease.NoAnswer}
+	}
+}
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -6,73 +6,80 @@
 	"time"
 )
 
-// View is what one instance holds of all, from the opinions of the watchers. The zero value is not usable.
+// View is what one instance knows of all members, from the watchers' reports. The zero value is not usable.
 type View struct {
-	terms    Parameters
-	watchers int
-	opinions map[string]*opinion // by watcher
-	members  map[string]MemberState
-	blind    bool
-	since    time.Duration // that it is blind, or not
+	parameters    Parameters
+	watchers      int
+	opinions      map[string]*opinion // of the watchers, by name
+	members       map[string]MemberState
+	isolated      bool
+	isolatedSince time.Duration // when isolated last changed
 }
 
+// Report is what a watcher knows: of all members if it is complete, else of those that have changed since its last
+// report.
+type Report struct {
+	Complete bool
+	Members  []MemberState
+}
+
+// opinion is what a watcher knows of all members, as it has reported it.
 type opinion struct {
-	heard time.Duration
-	list  map[string]MemberState
+	updated time.Duration // when the last report came
+	members map[string]MemberState
 }
 
-// Change is a member whose state, or process, has changed. Was is 0 for one that is new.
+// Change is a member whose state, or process, has changed. Previous is 0 for one that is new.
 type Change struct {
 	MemberState
 	Previous State
 }
 
-// NewView returns the view of one that has heard nothing, with so many watchers.
-func NewView(terms Parameters, watchers int, now time.Duration) *View {
-	return &View{terms: terms, watchers: watchers, opinions: make(map[string]*opinion), members: make(map[string]MemberState), blind: true, since: now}
+// NewView returns the view of an instance that has received no report yet, with so many watchers.
+func NewView(parameters Parameters, watchers int, now time.Duration) *View {
+	return &View{
+		parameters:    parameters,
+		watchers:      watchers,
+		opinions:      make(map[string]*opinion),
+		members:       make(map[string]MemberState),
+		isolated:      true,
+		isolatedSince: now,
+	}
 }
 
-// majority is how many of the watchers have to agree.
+// majority returns how many of the watchers have to agree.
 func (v *View) majority() int { return v.watchers/2 + 1 }
 
-// Merge takes a watcher's opinion at a time: of all, or of those of whom it has changed since it was told last.
-func (v *View) Merge(now time.Duration, watcher string, whole bool, list []MemberState) []Change {
-	o := v.opinions[watcher]
-	if o == nil {
-		if !whole {
-			return nil // the rest was never heard
+// Merge merges a watcher's report that came at now into the view, and returns what has changed.
+func (v *View) Merge(now time.Duration, watcher string, report Report) []Change {
+	r := v.opinions[watcher]
+	if r == nil {
+		if !report.Complete {
+			return nil // the rest was never received
 		}
-		o = &opinion{}
-		v.opinions[watcher] = o
+		r = &opinion{}
+		v.opinions[watcher] = r
 	}
-	o.heard = now
-	if whole {
-		o.list = make(map[string]MemberState, len(list))
+	r.updated = now
+	if report.Complete {
+		r.members = make(map[string]MemberState, len(report.Members))
 	}
-	for _, s := range list {
-		if _, known := o.list[s.Name]; known || len(o.list) < v.terms.MaxMembers {
-			o.list[s.Name] = s
+	for _, s := range report.Members {
+		if _, known := r.members[s.Name]; known || len(r.members) < v.parameters.MaxMembers {
+			r.members[s.Name] = s
 		}
 	}
 	return v.Tick(now)
 }
 
-// Tick lets time pass.
+// Tick checks what is due at a time and returns what has changed.
 func (v *View) Tick(now time.Duration) (changes []Change) {
-	fresh := 0
-	for _, o := range v.opinions {
-		if now-o.heard < v.terms.GoneAfter {
-			fresh++
-		}
-	}
-	if blind := fresh < v.majority(); blind != v.blind {
-		v.blind, v.since = blind, now
-	}
-	if v.blind {
+	v.updateIsolated(now)
+	if v.isolated {
 		return nil
 	}
-	for _, name := range v.names() {
-		s, known := v.judge(now, name)
+	for _, name := range v.knownNames() {
+		s, known := v.majorityState(now, name)
 		old := v.members[name]
 		switch {
 		case !known && old.Name != "": // forgotten by all
@@ -85,71 +92,97 @@
 	return changes
 }
 
-// names are all that are known of, in order.
-func (v *View) names() (list []string) {
-	seen := make(map[string]bool)
-	add := func(name string) {
-		if !seen[name] {
-			seen[name] = true
-			list = append(list, name)
+func (v *View) updateIsolated(now time.Duration) {
+	fresh := 0
+	for _, r := range v.opinions {
+		if v.isFresh(now, r) {
+			fresh++
 		}
 	}
+	if isolated := fresh < v.majority(); isolated != v.isolated {
+		v.isolated, v.isolatedSince = isolated, now
+	}
+}
+
+func (v *View) isFresh(now time.Duration, r *opinion) bool {
+	return now-r.updated < v.parameters.GoneAfter
+}
+
+// knownNames returns the names of all members in the view and in reports, in order.
+func (v *View) knownNames() (list []string) {
 	for name := range v.members {
-		add(name)
+		list = append(list, name)
 	}
-	for _, o := range v.opinions {
-		for name := range o.list {
-			add(name)
+	for _, r := range v.opinions {
+		for name := range r.members {
+			list = append(list, name)
 		}
 	}
 	slices.Sort(list)
-	return list
+	return slices.Compact(list)
 }
 
-// judge counts the opinions that are fresh. Of several processes of one name the one counts that most watchers see
-// alive.
-func (v *View) judge(now time.Duration, name string) (MemberState, bool) {
-	type run struct {
-		seen         MemberState
-		alive, votes int
-	}
-	runs, gone := make(map[uint64]*run), 0 // who has not heard of the latest process says of the name that it is gone
-	for _, o := range v.opinions {
-		s, ok := o.list[name]
-		if !ok || now-o.heard >= v.terms.GoneAfter {
+// votes are what the fresh reports say of one process of a member.
+type votes struct {
+	member       MemberState
+	alive, total int
+}
+
+// isBetter reports whether a process comes before another of its name: the one that more watchers see alive.
+func (r *votes) isBetter(than *votes) bool {
+	return cmp.Or(
+		cmp.Compare(r.alive, than.alive),
+		cmp.Compare(r.total, than.total),
+		cmp.Compare(r.member.Incarnation, than.member.Incarnation),
+	) > 0
+}
+
+// countVotes counts what the fresh reports say of a member, by its incarnations. It returns the votes of the best one.
+// A watcher that does not know the latest process yet reports the name as gone under an earlier incarnation, so gone
+// counts these votes of all incarnations.
+func (v *View) countVotes(now time.Duration, name string) (best *votes, gone int) {
+	processes := make(map[uint64]*votes)
+	for _, r := range v.opinions {
+		s, ok := r.members[name]
+		if !ok || !v.isFresh(now, r) {
 			continue
 		}
-		r := runs[s.Incarnation]
-		if r == nil {
-			r = &run{seen: s}
-			runs[s.Incarnation] = r
+		p := processes[s.Incarnation]
+		if p == nil {
+			p = &votes{member: s}
+			processes[s.Incarnation] = p
 		}
-		r.votes++
+		p.total++
 		switch s.State {
 		case Alive:
-			r.alive++
-			r.seen.Leaving = r.seen.Leaving || s.Leaving
+			p.alive++
+			p.member.Leaving = p.member.Leaving || s.Leaving
 		case Gone:
 			gone++
 		}
 	}
-	var best *run
-	for _, r := range runs {
-		if best == nil || cmp.Or(cmp.Compare(r.alive, best.alive), cmp.Compare(r.votes, best.votes), cmp.Compare(r.seen.Incarnation, best.seen.Incarnation)) > 0 {
-			best = r
+	for _, p := range processes {
+		if best == nil || p.isBetter(best) {
+			best = p
 		}
 	}
+	return best, gone
+}
+
+// majorityState returns what a majority of the watchers knows of a member, and whether any of them knows it.
+func (v *View) majorityState(now time.Duration, name string) (MemberState, bool) {
+	best, gone := v.countVotes(now, name)
 	if best == nil {
 		return MemberState{}, false
 	}
-	s := best.seen
+	s := best.member
 	old, known := v.members[name]
 	switch {
 	case best.alive >= v.majority():
 		s.State = Alive
 	case gone >= v.majority():
 		s.State = Gone
-	case known && old.Incarnation == s.Incarnation && old.State == Gone: // it comes back by a majority alone
+	case known && old.Incarnation == s.Incarnation && old.State == Gone: // only a majority brings it back
 		s.State = Gone
 	default:
 		s.State = Suspect
@@ -157,14 +190,14 @@
 	return s, true
 }
 
-// Isolated tells whether too few watchers are heard, and since when that is so, or is not.
-func (v *View) Isolated() (bool, time.Duration) { return v.blind, v.since }
+// Isolated reports whether too few watchers send reports, and when that last changed.
+func (v *View) Isolated() (isolated bool, since time.Duration) { return v.isolated, v.isolatedSince }
 
-// Members are all that are known, by name.
+// Members returns all members that are known, by name.
 func (v *View) Members() (list []MemberState) {
 	for _, s := range v.members {
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b MemberState) int { return cmp.Compare(a.Name, b.Name) })
+	sortByName(list)
 	return list
 }
--- a/internal/testutil/recorded.go
+++ b/internal/testutil/recorded.go
@@ -4,27 +4,46 @@
 	"bytes"
 	"encoding/json"
 	"os"
-	"path/filepath"
+	"reflect"
 	"regexp"
 	"strings"
 	"testing"
+
+	"github.com/fxamacker/cbor/v2"
 )
 
-// Recorded returns an output of an earlier version from the folder testdata/recorded.
-func Recorded(t testing.TB, name string) []byte {
+// Recorded reads a file that an earlier version of this program wrote.
+func Recorded(t testing.TB, path string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "recorded", name))
+	recorded, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return recorded
+}
+
+// CheckRecordedCBOR guards a message against a change of its encoding: what an earlier version wrote to path must
+// decode to want, and want must encode to the very same bytes, so that the earlier version reads what this one writes.
+func CheckRecordedCBOR[T any](t *testing.T, path string, want T) {
+	t.Helper()
+	recorded := Recorded(t, path)
+	var got T
+	if err := cbor.Unmarshal(recorded, &got); err != nil {
+		t.Errorf("%s: %v", path, err)
+	} else if !reflect.DeepEqual(got, want) {
+		t.Errorf("%s decodes to\n%+v, want\n%+v", path, got, want)
+	}
+	encoded, err := cbor.Marshal(want)
+	if err != nil || !bytes.Equal(encoded, recorded) {
+		t.Errorf("%s: now encoded as\n%x, recorded as\n%x (error %v)", path, encoded, recorded, err)
+	}
 }
 
 // CheckRecordedJSON reads a recorded JSON output into the type that this version prints, and fails the test unless it
 // comes out again byte for byte: so no field has another name, type or place.
-func CheckRecordedJSON(t testing.TB, name string, into any, indent string) {
+func CheckRecordedJSON(t testing.TB, path string, into any, indent string) {
 	t.Helper()
-	text := Recorded(t, name)
+	text := Recorded(t, path)
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
@@ -37,7 +56,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again.Bytes(), text) {
-		t.Errorf("%s: got\n%s\nwant\n%s", name, again.Bytes(), text)
+		t.Errorf("%s: got\n%s\nwant\n%s", path, again.Bytes(), text)
 	}
 }
 
