--- a/internal/testutil/address.go
+++ b/internal/testutil/address.go
@@ -16,7 +16,7 @@
 	return listener
 }
 
-// ServeConnections calls serve with each connection to a free port, each in a goroutine of its own, until the test ends.
+// ServeConnections calls serve with each connection to a free port, in a goroutine of its own, until the test ends.
 // Closing the connection is up to serve.
 func ServeConnections(t testing.TB, serve func(net.Conn)) (address string) {
 	t.Helper()
