--- a/internal/fleettest/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -179,7 +179,8 @@
 
 // settled waits until one of the two acts and the other waits in the queue, and tells who acts and under which number.
 func (t *gapTask) settled(ctx context.Context, c *agent.Client) (holder int, number uint64, waits string, err error) {
-	for until := time.Now().Add(gapPatience); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
+	until := time.Now().Add(gapPatience)
+	for ; time.Now().Before(until) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		s, err := c.LeaderState(ctx)
 		if err != nil || s.StateMachine.Tasks[t.name] == nil {
 			continue
@@ -222,52 +223,69 @@
 	defer c.Close()
 	for range times {
 		for _, kind := range gapKinds {
-			h, number, waits, err := t.settled(ctx, c)
+			gap, err := t.measureOnce(ctx, c, o, kind)
 			if err != nil {
 				return err
 			}
-			x := t.holders[h]
-			after := func() error { return nil }
-			switch kind {
-			case "given back":
-				x.cmd.Process.Signal(syscall.SIGUSR1)
-			case "handed over":
-				command := lease.Command{Kind: lease.HandOver, Task: t.name, Token: number, To: waits}
-				if _, err := c.Execute(ctx, command); err != nil {
-					return err
-				}
-			case "killed":
-				x.end(syscall.SIGKILL)
-				after = func() error { return t.start(o, h) }
-			case "stopped":
-				if err := syscall.Kill(x.cmd.Process.Pid, syscall.SIGSTOP); err != nil {
-					return err
-				}
-				after = func() error { return syscall.Kill(x.cmd.Process.Pid, syscall.SIGCONT) }
-			case "cut off":
-				set := func(fault faultinject.Fault) error {
-					var err error
-					for _, l := range t.links[h] {
-						if e := l.SetFault(fault); e != nil {
-							err = e
-						}
-					}
-					return err
-				}
-				if err := set(faultinject.LinkFaults["cut"](0)); err != nil {
-					return err
-				}
-				after = func() error { return set(faultinject.Fault{}) }
-			}
-			gap, err := t.next(ctx, number)
-			if e := after(); err == nil {
-				err = e
-			}
-			if err != nil {
-				return fmt.Errorf("%s: %w", kind, err)
-			}
 			note(kind, gap)
 		}
 	}
 	return nil
 }
+
+// measureOnce has one kind befall the holder, and returns how long the task was without an action. It undoes the fault.
+func (t *gapTask) measureOnce(
+	ctx context.Context, c *agent.Client, o LeaseGapsOptions, kind string,
+) (time.Duration, error) {
+	holder, number, waits, err := t.settled(ctx, c)
+	if err != nil {
+		return 0, err
+	}
+	undo := func() error { return nil }
+	if kind == "handed over" {
+		_, err = c.Execute(ctx, lease.Command{Kind: lease.HandOver, Task: t.name, Token: number, To: waits})
+	} else {
+		undo, err = t.disturb(o, kind, holder)
+	}
+	if err != nil {
+		return 0, err
+	}
+	gap, err := t.next(ctx, number)
+	if e := undo(); err == nil {
+		err = e
+	}
+	if err != nil {
+		return 0, fmt.Errorf("%s: %w", kind, err)
+	}
+	return gap, nil
+}
+
+// disturb has a holder release its task, or ends, stops or cuts it off. It returns what undoes that.
+func (t *gapTask) disturb(o LeaseGapsOptions, kind string, holder int) (undo func() error, err error) {
+	x := t.holders[holder]
+	switch kind {
+	case "given back":
+		x.cmd.Process.Signal(syscall.SIGUSR1)
+	case "killed":
+		x.end(syscall.SIGKILL)
+		return func() error { return t.start(o, holder) }, nil
+	case "stopped":
+		resume := func() error { return syscall.Kill(x.cmd.Process.Pid, syscall.SIGCONT) }
+		return resume, syscall.Kill(x.cmd.Process.Pid, syscall.SIGSTOP)
+	case "cut off":
+		restore := func() error { return t.setLinks(holder, faultinject.Fault{}) }
+		return restore, t.setLinks(holder, faultinject.LinkFaults["cut"](0))
+	}
+	return func() error { return nil }, nil
+}
+
+// setLinks sets a fault on all links of a holder, and returns the last error.
+func (t *gapTask) setLinks(holder int, fault faultinject.Fault) error {
+	var err error
+	for _, l := range t.links[holder] {
+		if e := l.SetFault(fault); e != nil {
+			err = e
+		}
+	}
+	return err
+}
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -54,7 +54,8 @@
 		word = "BROKEN"
 	}
 	p := r.Run
-	return fmt.Sprintf("verdict: %s requests=%d handovers=%d taken=%d unknown=%d lost=%d doubled=%d late_drains=%d crashes=%d",
+	return fmt.Sprintf("verdict: %s requests=%d handovers=%d taken=%d unknown=%d "+
+		"lost=%d doubled=%d late_drains=%d crashes=%d",
 		word, p.Requests, r.Handovers, r.TakenOver,
 		p.UnknownOutcomes, p.Lost, p.DuplicateWrites, p.LateDrains, p.Crashes)
 }
@@ -100,8 +101,13 @@
 // slowStretch is how long the origin is slow or not, one stretch in three slow.
 const slowStretch = 15 * time.Second
 
-// RunTakeover plays proxies that fail with handovers in flight.
-func RunTakeover(ctx context.Context, o TakeoverOptions) (*TakeoverReport, error) {
+// Duration of the phases before and after the faults.
+const (
+	takeoverCalm  = 4 * time.Second
+	takeoverAfter = 4 * time.Second
+)
+
+func takeoverScenario(o TakeoverOptions) (*Scenario, error) {
 	s, err := LoadScenario("still")
 	if err != nil {
 		return nil, err
@@ -124,21 +130,26 @@
 	s.Load.HandoverShare = 0.2
 	s.Load.LateRetries = 4
 	s.Load.LateRetryShare = 1.0 / 3
-	const calm, after = 4 * time.Second, 4 * time.Second
 	s.Phases = []Phase{
-		{Name: "calm", Duration: tomlDuration(calm)},
+		{Name: "calm", Duration: tomlDuration(takeoverCalm)},
 		{Name: "faults", Duration: tomlDuration(o.Duration)},
-		{Name: "after", Duration: tomlDuration(after)},
+		{Name: "after", Duration: tomlDuration(takeoverAfter)},
 	}
 	// So that there are links between clients and proxies.
 	s.Events = []Event{{
-		At:        tomlDuration(calm),
+		At:        tomlDuration(takeoverCalm),
 		Action:    "link",
 		LinkTo:    "clients",
 		FaultKind: "reset",
 		Proxies:   []int{0},
 	}}
-	if err := s.check(); err != nil {
+	return s, s.check()
+}
+
+// RunTakeover plays proxies that fail with handovers in flight.
+func RunTakeover(ctx context.Context, o TakeoverOptions) (*TakeoverReport, error) {
+	s, err := takeoverScenario(o)
+	if err != nil {
 		return nil, err
 	}
 	f, err := startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {})
@@ -156,8 +167,8 @@
 	var tasks sync.WaitGroup
 	tasks.Go(func() { c.run(span) })
 	tasks.Go(func() { t.watchLag(span) })
-	sleep(span, calm)
-	f.harass(span, began.Add(calm+o.Duration), rand.New(rand.NewPCG(s.Seed, 11)), r.Faults)
+	sleep(span, takeoverCalm)
+	f.harass(span, began.Add(takeoverCalm+o.Duration), rand.New(rand.NewPCG(s.Seed, 11)), r.Faults)
 	f.origin.SetServiceTime(time.Duration(s.Fleet.OriginServiceTime))
 	tasks.Wait() // tills that ask late among them
 	f.stop()
@@ -167,17 +178,26 @@
 	for _, p := range r.Run.Phases {
 		r.Handovers += p.Handovers
 	}
-	for i := range f.proxies {
-		text, err := os.ReadFile(filepath.Join(o.Folder, fmt.Sprintf("p%d.log", i)))
-		if err != nil {
-			return nil, err
-		}
-		r.TakenOver += bytes.Count(text, []byte(`msg="write taken over"`))
+	if r.TakenOver, err = countTakenOver(o.Folder, len(f.proxies)); err != nil {
+		return nil, err
 	}
 	r.VerdictLine = r.Verdict()
 	return r, ctx.Err()
 }
 
+// countTakenOver counts the writes that proxies logged as taken over.
+func countTakenOver(folder string, proxies int) (int, error) {
+	var n int
+	for i := range proxies {
+		text, err := os.ReadFile(filepath.Join(folder, fmt.Sprintf("p%d.log", i)))
+		if err != nil {
+			return 0, err
+		}
+		n += bytes.Count(text, []byte(`msg="write taken over"`))
+	}
+	return n, nil
+}
+
 // harass kills, stops or cuts off a proxy every 2 s, while the one before may not have recovered, and makes the origin
 // slow now and then.
 func (f *fleet) harass(ctx context.Context, until time.Time, rng *rand.Rand, faults map[string]int) {
