--- a/internal/fleettest/times.go
+++ b/internal/fleettest/times.go
@@ -42,84 +42,112 @@
 		return nil, err
 	}
 	defer n.Close()
+	m := startStop{program: program, folder: folder, node: n}
 	r := &StartStopReport{OpenRequestMillis: millis(work)}
-	one := func(passed, open bool) (ready, exit float64, err error) {
-		l, err := listenAt(newHost())
-		if err != nil {
-			return 0, 0, err
-		}
-		address := l.Addr().String()
-		var file *os.File
-		if passed {
-			if file, err = l.File(); err != nil {
-				return 0, 0, err
-			}
-			defer file.Close()
-		}
-		l.Close()
-		config := filepath.Join(folder, "times.toml")
-		text := fmt.Sprintf("listen = %q\nnodes.addresses = [%q]\n", address, n.Address())
-		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-			return 0, 0, err
-		}
-		p, err := startProcess(append(slices.Clone(program), config), file, filepath.Join(folder, "times.log"))
-		if err != nil {
-			return 0, 0, err
-		}
-		if err := p.awaitReady(); err != nil {
-			return 0, 0, err
-		}
-		k, err := dial(address)
-		if err != nil {
-			return 0, 0, err
-		}
-		defer k.socket.Close()
-		k.socket.SetDeadline(time.Now().Add(processTimeout))
-		if open {
-			before := n.Stats().Requests
-			fmt.Fprint(k.socket, "mg k v O1 Pc=read,d=2000\r\n")
-			for n.Stats().Requests == before {
-				time.Sleep(time.Millisecond)
-			}
-		}
-		answered := make(chan error, 1)
-		go func() { // as clients do: take the answer, and close once the other end has
-			defer k.socket.Close()
-			var err error
-			if open {
-				_, _, err = k.readAnswer()
-			}
-			io.Copy(io.Discard, k.reader)
-			answered <- err
-		}()
-		begun := time.Now()
-		if err := p.end(syscall.SIGTERM); err != nil {
-			return 0, 0, err
-		}
-		if err := <-answered; err != nil {
-			return 0, 0, fmt.Errorf("the open request was not answered: %w", err)
-		}
-		return millis(p.readyAt.Sub(p.startedAt)), millis(p.exitedAt.Sub(begun)), nil
-	}
 	for range runs {
-		ready, idle, err := one(false, false)
+		ready, idle, err := m.measure(trial{})
 		if err != nil {
 			return nil, err
 		}
-		_, open, err := one(false, true)
+		_, open, err := m.measure(trial{openRequest: true})
 		if err != nil {
 			return nil, err
 		}
-		_, passed, err := one(true, false)
+		_, passed, err := m.measure(trial{passedListener: true})
 		if err != nil {
 			return nil, err
 		}
-		r.ExecToReady, r.ExitIdle = append(r.ExecToReady, ready), append(r.ExitIdle, idle)
-		r.ExitWithRequest, r.ExitPassedListener = append(r.ExitWithRequest, open), append(r.ExitPassedListener, passed)
+		r.ExecToReady = append(r.ExecToReady, ready)
+		r.ExitIdle = append(r.ExitIdle, idle)
+		r.ExitWithRequest = append(r.ExitWithRequest, open)
+		r.ExitPassedListener = append(r.ExitPassedListener, passed)
 	}
 	return r, nil
 }
 
+// trial says which start and stop to measure.
+type trial struct {
+	passedListener bool // in place of one that the proxy opens
+	openRequest    bool // when SIGTERM comes
+}
+
+// startStop starts and stops a proxy in front of a node.
+type startStop struct {
+	program []string
+	folder  string
+	node    *node.Node
+}
+
+// measure starts and stops a proxy once. It returns the milliseconds from exec to ready and from SIGTERM to exit.
+func (m *startStop) measure(t trial) (ready, exit float64, err error) {
+	p, address, err := m.start(t)
+	if err != nil {
+		return 0, 0, err
+	}
+	c, err := dial(address)
+	if err != nil {
+		return 0, 0, err
+	}
+	defer c.socket.Close()
+	c.socket.SetDeadline(time.Now().Add(processTimeout))
+	if t.openRequest {
+		before := m.node.Stats().Requests
+		fmt.Fprint(c.socket, "mg k v O1 Pc=read,d=2000\r\n")
+		for m.node.Stats().Requests == before {
+			time.Sleep(time.Millisecond)
+		}
+	}
+	answered := make(chan error, 1)
+	go func() { answered <- c.awaitClose(t) }()
+	begun := time.Now()
+	if err := p.end(syscall.SIGTERM); err != nil {
+		return 0, 0, err
+	}
+	if err := <-answered; err != nil {
+		return 0, 0, fmt.Errorf("the open request was not answered: %w", err)
+	}
+	return millis(p.readyAt.Sub(p.startedAt)), millis(p.exitedAt.Sub(begun)), nil
+}
+
+// start starts a proxy and waits until it is ready.
+func (m *startStop) start(t trial) (p *process, address string, err error) {
+	l, err := listenAt(newHost())
+	if err != nil {
+		return nil, "", err
+	}
+	address = l.Addr().String()
+	var file *os.File
+	if t.passedListener {
+		file, err = l.File()
+		if err != nil {
+			return nil, "", err
+		}
+		defer file.Close()
+	}
+	l.Close()
+	config := filepath.Join(m.folder, "times.toml")
+	text := fmt.Sprintf("listen = %q\nnodes.addresses = [%q]\n", address, m.node.Address())
+	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		return nil, "", err
+	}
+	p, err = startProcess(append(slices.Clone(m.program), config), file, filepath.Join(m.folder, "times.log"))
+	if err != nil {
+		return nil, "", err
+	}
+	return p, address, p.awaitReady()
+}
+
+// awaitClose does as clients do: it takes the answer to an open request, and closes once the other end has.
+func (c *clientConn) awaitClose(t trial) error {
+	defer c.socket.Close()
+	var err error
+	if t.openRequest {
+		_, _, err = c.readAnswer()
+	}
+	io.Copy(io.Discard, c.reader)
+	return err
+}
+
 // Print writes the report.
 func (r *StartStopReport) Print(out io.Writer) {
 	fmt.Fprintf(out, "ms, median (least to most) of %d runs\n", len(r.ExecToReady))
