--- a/internal/fleettest/times.go
+++ b/internal/fleettest/times.go
@@ -80,7 +80,14 @@
 
 // measure starts and stops a proxy once. It returns the milliseconds from exec to ready and from SIGTERM to exit.
 func (m *startStop) measure(t trial) (ready, exit float64, err error) {
-	p, address, err := m.start(t)
+	address, listener, err := reserve(t)
+	if err != nil {
+		return 0, 0, err
+	}
+	if listener != nil {
+		defer listener.Close()
+	}
+	p, err := m.start(address, listener)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -109,32 +116,31 @@
 	return millis(p.readyAt.Sub(p.startedAt)), millis(p.exitedAt.Sub(begun)), nil
 }
 
-// start starts a proxy and waits until it is ready.
-func (m *startStop) start(t trial) (p *process, address string, err error) {
+// reserve returns a free address and, if the proxy is to get its listener passed, that listener; nil if not.
+func reserve(t trial) (address string, listener *os.File, err error) {
 	l, err := listenAt(newHost())
 	if err != nil {
-		return nil, "", err
+		return "", nil, err
 	}
-	address = l.Addr().String()
-	var file *os.File
+	defer l.Close()
 	if t.passedListener {
-		file, err = l.File()
-		if err != nil {
-			return nil, "", err
-		}
-		defer file.Close()
+		listener, err = l.File()
 	}
-	l.Close()
+	return l.Addr().String(), listener, err
+}
+
+// start starts a proxy and waits until it is ready.
+func (m *startStop) start(address string, listener *os.File) (*process, error) {
 	config := filepath.Join(m.folder, "times.toml")
 	text := fmt.Sprintf("listen = %q\nnodes.addresses = [%q]\n", address, m.node.Address())
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-		return nil, "", err
+		return nil, err
 	}
-	p, err = startProcess(append(slices.Clone(m.program), config), file, filepath.Join(m.folder, "times.log"))
+	p, err := startProcess(append(slices.Clone(m.program), config), listener, filepath.Join(m.folder, "times.log"))
 	if err != nil {
-		return nil, "", err
+		return nil, err
 	}
-	return p, address, p.awaitReady()
+	return p, p.awaitReady()
 }
 
 // awaitClose does as clients do: it takes the answer to an open request, and closes once the other end has.
