--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -39,13 +39,13 @@
 	FromEntryP99     float64 `json:"from_entry_p99_ms"`
 }
 
-// MeasureMembership measures a proxy that follows a large catalogue with many changes: each node is set to maintenance
-// once.
-func MeasureMembership(ctx context.Context, o MembersOptions) (*MembersReport, error) {
+// nameOf returns the names of an instance of the catalogue.
+func nameOf(i int) (host, id string) { return fmt.Sprintf("host-%d", i), fmt.Sprintf("cache-%d", i) }
+
+func largeCatalogue(nodes int) *consul.Catalogue {
 	c := consul.New()
-	name := func(i int) (host, id string) { return fmt.Sprintf("host-%d", i), fmt.Sprintf("cache-%d", i) }
-	for i := range o.Nodes {
-		host, id := name(i)
+	for i := range nodes {
+		host, id := nameOf(i)
 		c.Set(consul.Instance{
 			Node:    host,
 			ID:      id,
@@ -56,23 +56,20 @@
 			Checks:  []consul.Check{{CheckID: "tcp", Status: "passing"}},
 		})
 	}
+	return c
+}
+
+// MeasureMembership measures a proxy that follows a large catalogue with many changes: each node is set to maintenance
+// once.
+func MeasureMembership(ctx context.Context, o MembersOptions) (*MembersReport, error) {
+	c := largeCatalogue(o.Nodes)
 	agent, err := c.Start("here", "")
 	if err != nil {
 		return nil, err
 	}
 	defer agent.Close()
-	address, err := freeAddress()
-	if err != nil {
-		return nil, err
-	}
-	config, log := filepath.Join(o.Folder, "members.toml"), filepath.Join(o.Folder, "members.log")
-	os.Remove(log) // of a run before: when each node came to drain is read from it
-	text := fmt.Sprintf("listen = %q\n[limits]\nmemory_mb = 32\n[nodes]\nconsul = %q\n[consul]\nservice = %q\n",
-		address, agent.Address(), consulService)
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-		return nil, err
-	}
-	p, err := startProcess(append(slices.Clone(o.ProxyCommand), config), nil, log)
+	log := filepath.Join(o.Folder, "members.log")
+	p, err := o.startProxy(agent.Address(), log)
 	if err != nil {
 		return nil, err
 	}
@@ -89,14 +86,9 @@
 	}
 	r := &MembersReport{Nodes: o.Nodes}
 	begun := time.Now()
-	var entered []time.Time
-	for i := 0; i < o.Nodes && time.Since(begun) < o.Duration && ctx.Err() == nil; i++ {
-		host, id := name(i)
-		c.SetMaintenance(host, id, true, "fleet test")
-		entered = append(entered, time.Now())
-		sleep(ctx, time.Until(begun.Add(time.Duration(i+1)*time.Second/time.Duration(o.ChangesPerSecond))))
-	}
-	r.ChangesPerSecond, r.Seconds = len(entered), time.Since(begun).Seconds()
+	entered := o.changeAll(ctx, c, begun)
+	r.ChangesPerSecond = len(entered)
+	r.Seconds = time.Since(begun).Seconds()
 	after, err := cpuTime(p.cmd.Process.Pid)
 	if err != nil {
 		return nil, err
@@ -107,13 +99,49 @@
 	lists, _, bytes := agent.Stats()
 	r.ListsReceived = lists - listsBefore
 	r.BytesPerChange = float64(bytes-bytesBefore) / float64(max(r.ChangesPerSecond, 1))
-	force, err := inForce(log)
+	if err := r.fillTimes(agent, log, entered); err != nil {
+		return nil, err
+	}
+	return r, ctx.Err()
+}
+
+// startProxy starts a proxy that follows an agent.
+func (o *MembersOptions) startProxy(agentAddress, log string) (*process, error) {
+	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
+	config := filepath.Join(o.Folder, "members.toml")
+	os.Remove(log) // of a run before: when each node came to drain is read from it
+	text := fmt.Sprintf("listen = %q\n[limits]\nmemory_mb = 32\n[nodes]\nconsul = %q\n[consul]\nservice = %q\n",
+		address, agentAddress, consulService)
+	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		return nil, err
+	}
+	return startProcess(append(slices.Clone(o.ProxyCommand), config), nil, log)
+}
+
+// changeAll sets node after node to maintenance, and returns when it did.
+func (o *MembersOptions) changeAll(ctx context.Context, c *consul.Catalogue, begun time.Time) []time.Time {
+	var entered []time.Time
+	for i := 0; i < o.Nodes && time.Since(begun) < o.Duration && ctx.Err() == nil; i++ {
+		host, id := nameOf(i)
+		c.SetMaintenance(host, id, true, "fleet test")
+		entered = append(entered, time.Now())
+		sleep(ctx, time.Until(begun.Add(time.Duration(i+1)*time.Second/time.Duration(o.ChangesPerSecond))))
+	}
+	return entered
+}
+
+// fillTimes reads from a proxy's log how long each change took, from its entry and from the agent's answer.
+func (r *MembersReport) fillTimes(agent *consul.Agent, log string, entered []time.Time) error {
+	force, err := inForce(log)
+	if err != nil {
+		return err
+	}
 	var took, all []float32
 	for i, at := range entered {
-		host, id := name(i)
+		host, id := nameOf(i)
 		told, wrote := agent.LeavingWrittenAt(host, id)
 		known, ok := force[id]
 		if !ok || !wrote {
@@ -129,7 +157,7 @@
 	r.P99 = quantile(took, 0.99)
 	r.Max = quantile(took, 1)
 	r.FromEntryP99 = quantile(all, 0.99)
-	return r, ctx.Err()
+	return nil
 }
 
 // inForce reads from a proxy's log when each node came to drain.
