--- a/client/call_test.go
+++ b/client/call_test.go
@@ -43,8 +43,8 @@
 	t.Helper()
 	for _, r := range requests {
 		isSet := r.Value != ""
-		marked := (r.Class == "write") == isSet && (r.Idempotency != "") == isSet
-		if !marked || r.Tenant != "acme" || r.Retry || r.Wait <= 0 || r.Wait > Write.Wait {
+		marked := (r.Class == "write") == isSet && (r.IdempotencyKey != "") == isSet
+		if !marked || r.Tenant != "acme" || r.Retry || r.Timeout <= 0 || r.Timeout > Write.Wait {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -123,14 +123,14 @@
 func checkTries(t *testing.T, requests []scriptednode.ReceivedRequest, reaction scriptednode.Reaction) {
 	t.Helper()
 	for i, x := range requests {
-		if x.Retry != (i > 0) || x.Idempotency != requests[0].Idempotency {
+		if x.Retry != (i > 0) || x.IdempotencyKey != requests[0].IdempotencyKey {
 			t.Fatalf("try %d: %+v after %+v", i, x, requests[0])
 		}
 		if i == 0 {
 			continue
 		}
 		// After a try that had no answer less time is left.
-		if x.ID == requests[0].ID || x.Wait >= requests[0].Wait && reaction == scriptednode.Hang {
+		if x.ID == requests[0].ID || x.Timeout >= requests[0].Timeout && reaction == scriptednode.Hang {
 			t.Fatalf("try %d: %+v after %+v", i, x, requests[0])
 		}
 	}
@@ -197,7 +197,7 @@
 	}
 	requests := ns.Requests()
 	for _, x := range requests[1:] {
-		if late := x.At.Add(x.Wait).Sub(requests[0].At); late > 1500*ms {
+		if late := x.ReceivedAt.Add(x.Timeout).Sub(requests[0].ReceivedAt); late > 1500*ms {
 			t.Fatalf("a try that may start %v after the first", late)
 		}
 	}
@@ -208,7 +208,7 @@
 	if !errors.As(err, &e) || e.Settled.Before(start.Add(1450*ms)) {
 		t.Fatalf("%+v", err)
 	}
-	if e.Idempotency != requests[0].Idempotency || len(requests) != 1 {
+	if e.Idempotency != requests[0].IdempotencyKey || len(requests) != 1 {
 		t.Fatalf("%+v, %d tries", e, len(requests))
 	}
 }
@@ -232,8 +232,8 @@
 	if !done || err != nil {
 		t.Fatal(done, err)
 	}
-	if requests := ns.Requests(); requests[len(requests)-1].At.Before(e.Settled.Add(-5 * ms)) {
-		t.Fatalf("read %v before it was settled", e.Settled.Sub(requests[len(requests)-1].At))
+	if requests := ns.Requests(); requests[len(requests)-1].ReceivedAt.Before(e.Settled.Add(-5 * ms)) {
+		t.Fatalf("read %v before it was settled", e.Settled.Sub(requests[len(requests)-1].ReceivedAt))
 	}
 	if _, err := c.Resolve(context.Background(), ErrRefused, nil); !errors.Is(err, ErrInvalid) {
 		t.Fatal(err)
--- a/client/connection_test.go
+++ b/client/connection_test.go
@@ -180,7 +180,7 @@
 			t.Fatal(err)
 		}
 	}
-	if all, _ := ns.Accepted(); all != 2 {
+	if all, _ := ns.ConnectionCounts(); all != 2 {
 		t.Fatalf("%d connections", all)
 	}
 }
--- a/client/overload_test.go
+++ b/client/overload_test.go
@@ -58,7 +58,7 @@
 	if _, err := c.Get(context.Background(), "k"); err != nil {
 		t.Fatal(err)
 	}
-	if requests := ns.Requests(); len(requests) != 3 || requests[2].At.Sub(requests[1].At) < time.Second {
+	if requests := ns.Requests(); len(requests) != 3 || requests[2].ReceivedAt.Sub(requests[1].ReceivedAt) < time.Second {
 		t.Fatalf("%d tries", len(requests))
 	}
 }
@@ -115,7 +115,7 @@
 		})
 	}
 	tasks.Wait()
-	if all, _ := ns.Accepted(); failed.Load() > 0 || all > 12 {
+	if all, _ := ns.ConnectionCounts(); failed.Load() > 0 || all > 12 {
 		t.Fatalf("%d failed, over %d connections", failed.Load(), all)
 	}
 }
--- a/cmd/fleettest/up_test.go
+++ b/cmd/fleettest/up_test.go
@@ -109,7 +109,7 @@
 	}
 	defer c.Socket.Close()
 	c.Read("any")
-	c.Write("any", "x", rawclient.Unsafe, "")
+	c.Write("any", "x", rawclient.NonIdempotent, "")
 	for _, want := range []string{"value 64 bytes", "stored "} {
 		if got, err := c.Next(); err != nil || !strings.HasPrefix(got.String(), want) {
 			t.Errorf("a binary client was answered %q, %v, want %q", got, err, want)
--- a/internal/fake/consul/agent.go
+++ b/internal/fake/consul/agent.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// LeavingWrittenAt returns when the agent first reported that an instance is draining, has failed or is gone. It
+// UnavailableReportedAt returns when the agent first reported that an instance is draining, has failed or is gone. It
 // returns false while the agent reports that the instance is available.
-func (a *Agent) LeavingWrittenAt(node, id string) (time.Time, bool) {
+func (a *Agent) UnavailableReportedAt(node, id string) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	at, ok := a.unavailableSince[newInstanceKey(node, id)]
--- a/internal/fake/consul/agent_test.go
+++ b/internal/fake/consul/agent_test.go
@@ -164,23 +164,23 @@
 	c.Set(Instance{Node: "n", ID: "a", Service: "cache", Address: "10.0.0.1", Port: 1})
 	query()
 	c.SetMaintenance("n", "a", true, "")
-	if _, ok := a.LeavingWrittenAt("n", "a"); ok {
+	if _, ok := a.UnavailableReportedAt("n", "a"); ok {
 		t.Error("recorded before it was queried")
 	}
 	query()
-	first, ok := a.LeavingWrittenAt("n", "a")
+	first, ok := a.UnavailableReportedAt("n", "a")
 	query()
-	if again, _ := a.LeavingWrittenAt("n", "a"); !ok || !again.Equal(first) {
+	if again, _ := a.UnavailableReportedAt("n", "a"); !ok || !again.Equal(first) {
 		t.Error("not recorded, or recorded again")
 	}
 	c.SetMaintenance("n", "a", false, "")
 	query()
-	if _, ok := a.LeavingWrittenAt("n", "a"); ok {
+	if _, ok := a.UnavailableReportedAt("n", "a"); ok {
 		t.Error("still recorded when it is available")
 	}
 	c.Remove("n", "a")
 	query()
-	if _, ok := a.LeavingWrittenAt("n", "a"); !ok {
+	if _, ok := a.UnavailableReportedAt("n", "a"); !ok {
 		t.Error("its removal was not recorded")
 	}
 }
--- a/internal/fake/rawclient/client.go
+++ b/internal/fake/rawclient/client.go
@@ -24,13 +24,13 @@
 // ErrMalformedAnswer is the error of an answer that cannot be parsed or belongs to another request.
 var ErrMalformedAnswer = errors.New("raw client: malformed answer")
 
-// Effect says whether a write may be repeated. Its values are classes of the proxy's default configuration.
-type Effect string
+// WriteClass says whether a write may be repeated. Its values are classes of the proxy's default configuration.
+type WriteClass string
 
 // The classes of writes.
 const (
-	Keyed  Effect = "write" // with an idempotency key
-	Unsafe Effect = "plain" // not idempotent
+	Keyed         WriteClass = "write" // with an idempotency key
+	NonIdempotent WriteClass = "plain" // not idempotent
 )
 
 // Client is a client's connection. It is not safe for concurrent use.
@@ -73,7 +73,7 @@
 
 // Write sends a write of a key. A Keyed write has the idempotency key in meta. In the binary protocol, which has no
 // room for one, it has a new ticket instead, as if the client had just read.
-func (c *Client) Write(key, value string, effect Effect, idempotencyKey string) error {
+func (c *Client) Write(key, value string, effect WriteClass, idempotencyKey string) error {
 	if c.dialect == scriptednode.Binary {
 		cas := uint64(0)
 		if effect == Keyed {
--- a/internal/fake/scriptednode/dialect.go
+++ b/internal/fake/scriptednode/dialect.go
@@ -56,15 +56,15 @@
 		}
 	}
 	r.ReceivedRequest = ReceivedRequest{
-		Verb:        c.Verb,
-		Key:         c.Key,
-		Value:       string(body[:c.ValueLen]),
-		Idempotency: c.IdempotencyKey,
-		ID:          c.ID,
-		Class:       c.Class,
-		Tenant:      c.Tenant,
-		Wait:        c.Timeout,
-		Retry:       c.Retry,
+		Verb:           c.Verb,
+		Key:            c.Key,
+		Value:          string(body[:c.ValueLen]),
+		IdempotencyKey: c.IdempotencyKey,
+		ID:             c.ID,
+		Class:          c.Class,
+		Tenant:         c.Tenant,
+		Timeout:        c.Timeout,
+		Retry:          c.Retry,
 	}
 	return r, nil
 }
--- a/internal/fake/scriptednode/nodes.go
+++ b/internal/fake/scriptednode/nodes.go
@@ -19,17 +19,17 @@
 
 // ReceivedRequest is a request as a node received it.
 type ReceivedRequest struct {
-	Node        int
-	At          time.Time // of its first byte
-	Verb        request.Verb
-	Key, Value  string
-	Idempotency string // the idempotency key, "" in the binary protocol
+	Node           int
+	ReceivedAt     time.Time // of its first byte
+	Verb           request.Verb
+	Key, Value     string
+	IdempotencyKey string // the idempotency key, "" in the binary protocol
 	// Only in meta:
-	ID     string
-	Class  string
-	Tenant string
-	Wait   time.Duration // time that the client still waits
-	Retry  bool          // marked as a retry
+	ID      string
+	Class   string
+	Tenant  string
+	Timeout time.Duration // time that the client still waits
+	Retry   bool          // marked as a retry
 }
 
 // Nodes are scripted nodes. They are safe for concurrent use.
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// Accepted returns how many connections were accepted so far, and how many of them are open.
-func (ns *Nodes) Accepted() (total, open int) {
+// ConnectionCounts returns how many connections were accepted so far, and how many of them are open.
+func (ns *Nodes) ConnectionCounts() (total, open int) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	return ns.accepted, len(ns.open)
@@ -164,7 +164,7 @@
 			return
 		}
 		r.Node = i
-		r.At = arrived
+		r.ReceivedAt = arrived
 		ns.mu.Lock()
 		number := len(ns.requests)
 		ns.requests = append(ns.requests, r.ReceivedRequest)
--- a/internal/fake/scriptednode/nodes_test.go
+++ b/internal/fake/scriptednode/nodes_test.go
@@ -139,7 +139,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Socket.Close() })
-		if err := c.Write("k", "text", rawclient.Unsafe, ""); err != nil {
+		if err := c.Write("k", "text", rawclient.NonIdempotent, ""); err != nil {
 			t.Fatal(err)
 		}
 		if got, want := nextSeen(t, c), "stored "+scriptednode.Receipt; got != want {
--- a/internal/fleettest/conform.go
+++ b/internal/fleettest/conform.go
@@ -319,11 +319,11 @@
 		return fmt.Sprintf("%d requests sent to nodes, want %d to %d", n, lowest, highest)
 	}
 	for _, r := range requests {
-		if !drained.IsZero() && r.Node == 0 && r.At.After(drained) {
+		if !drained.IsZero() && r.Node == 0 && r.ReceivedAt.After(drained) {
 			return fmt.Sprintf("%s was sent to a node that drains", r.Key)
 		}
-		if k.same && (r.Idempotency == "" || r.Idempotency != requests[0].Idempotency) {
-			return fmt.Sprintf("a repeat was sent under %q after %q", r.Idempotency, requests[0].Idempotency)
+		if k.same && (r.IdempotencyKey == "" || r.IdempotencyKey != requests[0].IdempotencyKey) {
+			return fmt.Sprintf("a repeat was sent under %q after %q", r.IdempotencyKey, requests[0].IdempotencyKey)
 		}
 	}
 	return ""
--- a/internal/fleettest/conformcases.go
+++ b/internal/fleettest/conformcases.go
@@ -13,9 +13,9 @@
 // step is one command of a client. Times between steps are up to the case.
 type step struct {
 	key, value string
-	effect     rawclient.Effect // of a write; "" for a read
-	want       string           // an answer, as [rawclient.Answer.String] has it
-	unlike     string           // the same where nodes speak binary, if it differs
+	effect     rawclient.WriteClass // of a write; "" for a read
+	want       string               // an answer, as [rawclient.Answer.String] has it
+	unlike     string               // the same where nodes speak binary, if it differs
 }
 
 // conformCase is one case. Its steps are sent together, and answered in order.
@@ -38,7 +38,7 @@
 
 func read(key, want string) step { return step{key: key, want: want} }
 
-func write(effect rawclient.Effect, key, want string) step {
+func write(effect rawclient.WriteClass, key, want string) step {
 	return step{key: key, value: "delivered", effect: effect, want: want}
 }
 
@@ -173,7 +173,7 @@
 		steps: []step{
 			read("a", "value v:a"),
 			read("none", "missing"),
-			write(rawclient.Unsafe, "b", "stored 7"),
+			write(rawclient.NonIdempotent, "b", "stored 7"),
 			read("full", "busy"),
 			read("c", "value v:c"),
 			{key: "\x7f", want: "bad"},
@@ -182,64 +182,64 @@
 			read("d", "value v:d"),
 		},
 	},
-	{name: "unsafe write", steps: []step{write(rawclient.Unsafe, "k", "stored 7")}, sent: 1},
+	{name: "unsafe write", steps: []step{write(rawclient.NonIdempotent, "k", "stored 7")}, sent: 1},
 	{
 		name:  "unsafe write turned away",
 		react: reactions{scriptednode.Busy},
-		steps: []step{write(rawclient.Unsafe, "k", "busy")},
+		steps: []step{write(rawclient.NonIdempotent, "k", "busy")},
 		sent:  1,
 		quick: true,
 	},
 	{
 		name:  "unsafe write that failed",
 		react: reactions{scriptednode.Fail},
-		steps: []step{write(rawclient.Unsafe, "k", "failed")},
+		steps: []step{write(rawclient.NonIdempotent, "k", "failed")},
 		sent:  1,
 		quick: true,
 	},
 	{
 		name:  "unsafe write reset",
 		react: reactions{scriptednode.Reset},
-		steps: []step{write(rawclient.Unsafe, "k", "failed")},
+		steps: []step{write(rawclient.NonIdempotent, "k", "failed")},
 		sent:  1,
 		quick: true,
 	},
 	{
 		name:  "unsafe write answered by noise",
 		react: reactions{scriptednode.Garbage},
-		steps: []step{write(rawclient.Unsafe, "k", "failed")},
+		steps: []step{write(rawclient.NonIdempotent, "k", "failed")},
 		sent:  1,
 		quick: true,
 	},
 	{
 		name:  "unsafe write answered by another's",
 		react: reactions{scriptednode.OtherAnswer},
-		steps: []step{write(rawclient.Unsafe, "k", "failed")},
+		steps: []step{write(rawclient.NonIdempotent, "k", "failed")},
 		sent:  1,
 		quick: true,
 	},
 	{
 		name:  "unsafe write at a node that hangs",
 		react: reactions{scriptednode.Hang},
-		steps: []step{write(rawclient.Unsafe, "k", "failed")},
+		steps: []step{write(rawclient.NonIdempotent, "k", "failed")},
 		sent:  1,
 	},
 	{
 		name:  "unsafe write where one node listens",
 		dead:  true,
-		steps: []step{write(rawclient.Unsafe, "k", "stored 7")},
+		steps: []step{write(rawclient.NonIdempotent, "k", "stored 7")},
 		sent:  1,
 	},
 	{
 		name: "unsafe write of the largest value",
 		steps: []step{{
-			key: "k", value: strings.Repeat("v", meta.MaxValue), effect: rawclient.Unsafe, want: "stored 7",
+			key: "k", value: strings.Repeat("v", meta.MaxValue), effect: rawclient.NonIdempotent, want: "stored 7",
 		}},
 		sent: 1,
 	},
 	{
 		name:  "unsafe write of a value too large",
-		steps: []step{{key: "k", value: strings.Repeat("v", meta.MaxValue+1), effect: rawclient.Unsafe, want: "bad"}},
+		steps: []step{{key: "k", value: strings.Repeat("v", meta.MaxValue+1), effect: rawclient.NonIdempotent, want: "bad"}},
 	},
 	{name: "keyed write", steps: []step{keyed("k", "stored 7")}, sent: 1, none: true, quick: true},
 	{
--- a/internal/fleettest/directory.go
+++ b/internal/fleettest/directory.go
@@ -130,7 +130,7 @@
 func hostOf(node string) string { return "host-" + node }
 
 func (d *consulDirectory) notifiedAt(proxy int, node string) (time.Time, bool) {
-	return d.agent(proxy).LeavingWrittenAt(hostOf(node), node)
+	return d.agent(proxy).UnavailableReportedAt(hostOf(node), node)
 }
 
 // update registers a node as an agent beside it would: a drain is its maintenance mode.
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -142,7 +142,7 @@
 	var took, all []float32
 	for i, at := range entered {
 		host, id := nameOf(i)
-		told, wrote := agent.LeavingWrittenAt(host, id)
+		told, wrote := agent.UnavailableReportedAt(host, id)
 		known, ok := force[id]
 		if !ok || !wrote {
 			r.MissedChanges++
--- a/internal/loadgen/run_test.go
+++ b/internal/loadgen/run_test.go
@@ -92,10 +92,10 @@
 		}
 		writes++
 		before, known := keys[r.Value]
-		if known && before != r.Idempotency || !strings.HasPrefix(r.Value, strings.ToUpper(string(kind[:1]))) {
-			t.Fatalf("%q under %q and %q", r.Value, before, r.Idempotency)
+		if known && before != r.IdempotencyKey || !strings.HasPrefix(r.Value, strings.ToUpper(string(kind[:1]))) {
+			t.Fatalf("%q under %q and %q", r.Value, before, r.IdempotencyKey)
 		}
-		keys[r.Value] = r.Idempotency
+		keys[r.Value] = r.IdempotencyKey
 	}
 	return writes, len(keys)
 }
--- a/internal/proxy/nodefailures_test.go
+++ b/internal/proxy/nodefailures_test.go
@@ -48,7 +48,7 @@
 	attempts := make(map[string]int)
 	for _, request := range nodes.Requests() {
 		attempts[request.ID]++
-		if request.Class == "put" && request.Idempotency == "" {
+		if request.Class == "put" && request.IdempotencyKey == "" {
 			t.Errorf("%s came without its key", request.ID)
 		}
 	}
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -62,7 +62,7 @@
 func lastRequest(nodes *scriptednode.Nodes, number int) (at time.Time) {
 	for _, r := range nodes.Requests() {
 		if r.Node == number {
-			at = r.At
+			at = r.ReceivedAt
 		}
 	}
 	return at
@@ -253,13 +253,13 @@
 	var writtenAt time.Time
 	testutil.WaitUntil(t, "the agent to have written the removal", func() bool {
 		c.get("k")
-		at, ok := agent.LeavingWrittenAt("host", "n0")
+		at, ok := agent.UnavailableReportedAt("host", "n0")
 		writtenAt = at
 		return ok
 	})
 	c.expectServed(time.Until(writtenAt.Add(time.Second)))
 	for _, r := range nodes.Requests() {
-		if after := r.At.Sub(writtenAt); r.Node < removed && after > drainRule+slack {
+		if after := r.ReceivedAt.Sub(writtenAt); r.Node < removed && after > drainRule+slack {
 			t.Fatalf("node %d got a request %v after the agent had written that it is gone", r.Node, after)
 		}
 	}
