--- a/client/overload_test.go
+++ b/client/overload_test.go
@@ -58,7 +58,8 @@
 	if _, err := c.Get(context.Background(), "k"); err != nil {
 		t.Fatal(err)
 	}
-	if requests := ns.Requests(); len(requests) != 3 || requests[2].ReceivedAt.Sub(requests[1].ReceivedAt) < time.Second {
+	requests := ns.Requests()
+	if len(requests) != 3 || requests[2].ReceivedAt.Sub(requests[1].ReceivedAt) < time.Second {
 		t.Fatalf("%d tries", len(requests))
 	}
 }
--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"mulleinpier/client"
-	"mulleinpier/internal/fake/node"
+	"mulleinpier/internal/fake/origin"
 	"mulleinpier/internal/loadgen"
 )
 
@@ -63,118 +63,6 @@
 	Short     bool
 }
 
-// outageDuration is how long all proxies are gone.
-const outageDuration = 5 * time.Second
-
-// clientFaults returns the faults to play: all, or the first two at a lower rate and for less time.
-func clientFaults(short bool) []clientFault {
-	all := allClientFaults()
-	if short {
-		all = all[:2]
-		for i := range all {
-			all[i].rate = 300
-			all[i].before = 2 * time.Second
-			all[i].during = 4 * time.Second
-			all[i].after = 2 * time.Second
-		}
-	}
-	return all
-}
-
-func allClientFaults() []clientFault {
-	return []clientFault{
-		{
-			name:        "restart",
-			description: "one proxy of four is restarted",
-			proxies:     4,
-			before:      4 * time.Second,
-			during:      6 * time.Second,
-			after:       4 * time.Second,
-			together:    true,
-			rate:        900,
-			slots:       10,
-			inject:      func(_ context.Context, f *fleet) { f.proxies[1].restart(modeGap) },
-		},
-		{
-			name:        "only",
-			description: "the only proxy is restarted",
-			proxies:     1,
-			before:      5 * time.Second,
-			during:      5 * time.Second,
-			after:       4 * time.Second,
-			rate:        900,
-			slots:       6,
-			inject:      func(_ context.Context, f *fleet) { f.proxies[0].restart(modeGap) },
-		},
-		{
-			name:        "kill",
-			description: "one proxy of four is killed outright and started again",
-			proxies:     4,
-			before:      5 * time.Second,
-			during:      5 * time.Second,
-			after:       4 * time.Second,
-			rate:        900,
-			slots:       6,
-			inject:      func(_ context.Context, f *fleet) { f.proxies[1].kill() },
-		},
-		{
-			name:        "gone",
-			description: "all four proxies are gone for 5 s and come back",
-			proxies:     4,
-			before:      5 * time.Second,
-			during:      9 * time.Second,
-			after:       5 * time.Second,
-			rate:        900,
-			slots:       6,
-			inject:      func(ctx context.Context, f *fleet) { f.killAllFor(ctx, outageDuration) },
-		},
-		{
-			name:        "outage",
-			description: "half of the nodes are gone for 10 s, the others can't carry the load",
-			proxies:     4,
-			before:      5 * time.Second,
-			during:      10 * time.Second,
-			after:       8 * time.Second,
-			rate:        900,
-			slots:       4,
-			inject:      func(ctx context.Context, f *fleet) { f.stopHalfTheNodes(ctx, 10*time.Second) },
-		},
-	}
-}
-
-// killAllFor kills all proxies, and starts them after a while.
-func (f *fleet) killAllFor(ctx context.Context, d time.Duration) {
-	var tasks sync.WaitGroup
-	for _, p := range f.proxies {
-		tasks.Go(func() {
-			p.changing.Lock()
-			defer p.changing.Unlock()
-			p.killProcess()
-			sleep(ctx, d)
-			if err := p.start(); err != nil {
-				f.addCrash("%v", err)
-			}
-		})
-	}
-	tasks.Wait()
-}
-
-// stopHalfTheNodes stops every other node for a while; the directory does not report it.
-func (f *fleet) stopHalfTheNodes(ctx context.Context, d time.Duration) {
-	each := func(do func(*node.Node) error) {
-		for i, n := range f.nodes {
-			if i%2 == 1 {
-				if err := do(n); err != nil {
-					f.addProblem("node %d: %v", i, err)
-				}
-			}
-		}
-	}
-	each(func(n *node.Node) error { return n.SetFault(node.Fault{Kind: node.ProcessDown}) })
-	sleep(ctx, d)
-	each((*node.Node).Restart)
-}
-
 // clientsScenario is the fleet of a clients test.
 func clientsScenario(t *clientFault) *Scenario {
 	s, err := LoadScenario("up")
@@ -195,7 +83,7 @@
 // RunClients plays all faults, each with both kinds of clients, in turn or at once.
 func RunClients(ctx context.Context, o ClientsOptions) (*ClientsReport, error) {
 	report := &ClientsReport{}
-	for _, t := range clientFaults(o.Short) {
+	for _, t := range o.faults() {
 		if o.OnlyFault != "" && o.OnlyFault != t.name {
 			continue
 		}
@@ -243,20 +131,9 @@
 	var tasks sync.WaitGroup
 	errs := make([]error, len(kinds))
 	for i, kind := range kinds {
-		c := loadgen.Config{
-			Kind:           kind,
-			Addresses:      addresses,
-			Clients:        o.Clients,
-			Rate:           t.rate,
-			HandoverShare:  0.06,
-			Keys:           3000,
-			Skew:           1.2,
-			Seed:           3,
-			SeenByNode:     f.seenByNode,
-			RecentlyKilled: f.recentlyKilled,
-			Phases:         t.phases(),
-			Options:        client.Options{Window: time.Duration(s.Fleet.DedupWindow), StartSpread: time.Second},
-		}
+		c := o.loadConfig(t, f, kind)
+		c.Addresses = addresses
+		c.Options.Window = time.Duration(s.Fleet.DedupWindow)
 		tasks.Go(func() { p.Results[i], errs[i] = loadgen.Run(ctx, c) })
 	}
 	tasks.Go(func() {
@@ -272,7 +149,36 @@
 	f.stop()
 	waitUntilSteady(func() int { return f.origin.Stats().Writes })
 	p.Fetches = f.origin.Stats().Fetches
-	for _, e := range f.origin.DuplicateEffects() {
+	p.countDuplicates(f.origin.DuplicateEffects())
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	p.Crashes, p.Problems = f.crashes, append(p.Problems, f.problems...)
+	return p, nil
+}
+
+// loadConfig returns the load of one kind of clients in a test of a fault.
+func (o *ClientsOptions) loadConfig(t *clientFault, f *fleet, kind loadgen.Kind) loadgen.Config {
+	return loadgen.Config{
+		Kind:           kind,
+		Clients:        o.Clients,
+		Rate:           t.rate,
+		HandoverShare:  0.06,
+		Keys:           3000,
+		Skew:           1.2,
+		Seed:           3,
+		SeenByNode:     f.seenByNode,
+		RecentlyKilled: f.recentlyKilled,
+		Phases:         t.phases(),
+		Options:        client.Options{StartSpread: time.Second},
+	}
+}
+
+// maxDuplicateProblems bounds how many duplicate writes are described.
+const maxDuplicateProblems = 20
+
+// countDuplicates counts writes that took effect more than once, by the kind of client that sent them.
+func (p *ClientsRun) countDuplicates(effects []origin.Effect) {
+	for _, e := range effects {
 		name := e.Record + " " + e.Key
 		for _, kind := range []loadgen.Kind{loadgen.Library, loadgen.Naive} {
 			if strings.HasPrefix(e.Key, strings.ToUpper(string(kind[:1]))) {
@@ -280,14 +186,10 @@
 			}
 		}
 		p.DuplicateWrites[name]++
-		if name == string(loadgen.Library) && len(p.Problems) < 20 {
+		if name == string(loadgen.Library) && len(p.Problems) < maxDuplicateProblems {
 			p.Problems = append(p.Problems, describeDuplicate(&e))
 		}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	p.Crashes, p.Problems = f.crashes, append(p.Problems, f.problems...)
-	return p, nil
 }
 
 // recentlyKilled reports whether a proxy was killed within the time that a request may be in flight at it.
--- a/internal/fleettest/conformcases.go
+++ b/internal/fleettest/conformcases.go
@@ -238,8 +238,10 @@
 		sent: 1,
 	},
 	{
-		name:  "unsafe write of a value too large",
-		steps: []step{{key: "k", value: strings.Repeat("v", meta.MaxValue+1), effect: rawclient.NonIdempotent, want: "bad"}},
+		name: "unsafe write of a value too large",
+		steps: []step{{
+			key: "k", value: strings.Repeat("v", meta.MaxValue+1), effect: rawclient.NonIdempotent, want: "bad",
+		}},
 	},
 	{name: "keyed write", steps: []step{keyed("k", "stored 7")}, sent: 1, none: true, quick: true},
 	{
--- a/internal/fleettest/cost.go
+++ b/internal/fleettest/cost.go
@@ -8,7 +8,6 @@
 	"path/filepath"
 	"slices"
 	"sort"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -19,11 +18,8 @@
 	"golang.org/x/sys/unix"
 
 	"mulleinpier/internal/binary"
-	"mulleinpier/internal/fake/node"
-	"mulleinpier/internal/fake/origin"
 	"mulleinpier/internal/fake/rawclient"
 	"mulleinpier/internal/lease/agent"
-	"mulleinpier/internal/meta"
 	"mulleinpier/internal/request"
 )
 
@@ -100,96 +96,64 @@
 	return f.Voters, end, nil
 }
 
-// MeasureCost measures a proxy and a byte relay side by side, by turns.
-func MeasureCost(ctx context.Context, o CostOptions) (*CostReport, error) {
-	center := origin.New(origin.Config{Slots: 64, Queue: 1024, ServiceTime: time.Millisecond})
-	defer center.Close()
-	most := slices.Max(o.Conns)
-	n, err := node.Start(node.Config{
-		Name:     "n0",
-		MaxConns: 2*most + 64,
-		Queue:    4 * most,
-		Slots:    4 * most,
-		Origin:   center,
-		Group:    node.NewGroup(time.Second),
-	})
-	if err != nil {
-		return nil, err
-	}
-	defer n.Close()
-	proxyAt, err := freeAddress()
-	if err != nil {
-		return nil, err
-	}
-	config := filepath.Join(o.Folder, "cost.toml")
-	text := fmt.Sprintf("listen = %q\nnodes.addresses = [%q]\nbinary.clients = true\n"+
-		"[limits]\nsockets = 1024\nconnections_per_node = %d\n", proxyAt, n.Address(), most)
-	if o.Peers {
-		voters, end, err := startVoters(o.ProxyCommand, o.Folder)
-		if err != nil {
-			return nil, err
-		}
-		defer end()
-		text += peersConfig(voters, o.Folder, -1)
-		text = strings.Replace(text, "permit = \"wait\"\n", "", 1) // nobody follows it
-	}
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-		return nil, err
-	}
-	proxy, err := startProcess(append(slices.Clone(o.ProxyCommand), config), nil, filepath.Join(o.Folder, "proxy.log"))
+// costSample is one measurement of a program.
+type costSample struct {
+	millis float64 // CPU time for a thousand requests, in ms
+	rate   float64 // requests a second
+}
+
+func (rig *costRig) measure(
+	ctx context.Context, p *process, address string, useBinary bool, conns int,
+) (costSample, error) {
+	cpu, took, err := drive(ctx, p, address, useBinary, conns, rig.options.Requests)
+	requests := float64(rig.options.Requests)
+	return costSample{millis: cpu * 1e6 / requests, rate: requests / took}, err
+}
+
+// measureRow measures all programs once with the connections of a row. Run 0 warms up, and is not recorded.
+func (rig *costRig) measureRow(ctx context.Context, row *CostRow, run int) error {
+	proxy, err := rig.measure(ctx, rig.proxy, rig.proxyAddress, false, row.Conns)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	defer proxy.end(syscall.SIGTERM)
-	if err := proxy.awaitReady(); err != nil {
-		return nil, err
-	}
-	relayAt, err := freeAddress()
+	relay, err := rig.measure(ctx, rig.relay, rig.relayAddress, false, row.Conns)
 	if err != nil {
-		return nil, err
-	}
-	relayCommand := append(slices.Clone(o.RelayCommand), relayAt, n.Address())
-	relay, err := startProcess(relayCommand, nil, filepath.Join(o.Folder, "relay.log"))
+		return err
+	}
+	withBinary, err := rig.measure(ctx, rig.proxy, rig.proxyAddress, true, row.Conns)
+	if err != nil || run == 0 {
+		return err
+	}
+	row.ProxyMillis = append(row.ProxyMillis, proxy.millis)
+	row.RelayMillis = append(row.RelayMillis, relay.millis)
+	row.Ratio = append(row.Ratio, proxy.millis/relay.millis)
+	row.RequestsPerSecond = append(row.RequestsPerSecond, proxy.rate)
+	row.BinaryMillis = append(row.BinaryMillis, withBinary.millis)
+	row.BinaryRequestsPerSecond = append(row.BinaryRequestsPerSecond, withBinary.rate)
+	rig.options.Progress("run %d, %d connections: proxy %.1f ms, relay %.1f ms, proxy with binary clients %.1f ms",
+		run, row.Conns, proxy.millis, relay.millis, withBinary.millis)
+	return nil
+}
+
+// MeasureCost measures a proxy and a byte relay side by side, by turns.
+func MeasureCost(ctx context.Context, o CostOptions) (*CostReport, error) {
+	rig, err := startCostRig(o)
 	if err != nil {
 		return nil, err
 	}
-	defer relay.end(syscall.SIGTERM)
-	if err := relay.awaitReady(); err != nil {
-		return nil, err
-	}
+	defer rig.close()
 	r := &CostReport{}
 	for _, conns := range o.Conns {
 		r.Rows = append(r.Rows, CostRow{Conns: conns})
 	}
-	for run := range o.Runs + 1 { // the first is for warming up, and is dropped
+	for run := range o.Runs + 1 {
 		for i := range r.Rows {
-			row := &r.Rows[i]
-			var cost, rate [3]float64
-			for j, target := range []struct {
-				p      *process
-				at     string
-				binary bool
-			}{{proxy, proxyAt, false}, {relay, relayAt, false}, {proxy, proxyAt, true}} {
-				cpu, took, err := drive(ctx, target.p, target.at, target.binary, row.Conns, o.Requests)
-				if err != nil {
-					return nil, err
-				}
-				cost[j] = cpu * 1e6 / float64(o.Requests)
-				rate[j] = float64(o.Requests) / took
-			}
-			if run > 0 {
-				row.ProxyMillis = append(row.ProxyMillis, cost[0])
-				row.RelayMillis = append(row.RelayMillis, cost[1])
-				row.Ratio = append(row.Ratio, cost[0]/cost[1])
-				row.RequestsPerSecond = append(row.RequestsPerSecond, rate[0])
-				row.BinaryMillis = append(row.BinaryMillis, cost[2])
-				row.BinaryRequestsPerSecond = append(row.BinaryRequestsPerSecond, rate[2])
-				o.Progress("run %d, %d connections: proxy %.1f ms, relay %.1f ms, proxy with binary clients %.1f ms",
-					run, row.Conns, cost[0], cost[1], cost[2])
+			if err := rig.measureRow(ctx, &r.Rows[i], run); err != nil {
+				return nil, err
 			}
 		}
 	}
-	r.HottestFunctions, err = hottest(ctx, o, config, proxyAt, proxy)
+	r.HottestFunctions, err = hottest(ctx, o, rig.config, rig.proxyAddress, rig.proxy)
 	return r, err
 }
 
@@ -261,28 +225,14 @@
 	for _, l := range links {
 		tasks.Go(func() {
 			for left.Add(-1) >= 0 && ctx.Err() == nil {
-				id := serial.Add(1)
-				var err error
-				if l.binary {
-					l.opaque++
-					request := rawclient.AppendKeyOnly(nil, binary.Get, fmt.Sprintf("k%d", id%64), l.opaque)
-					_, err = l.socket.Write(request)
-				} else {
-					_, err = fmt.Fprintf(l.socket, "mg k%d v O%x Pc=read,d=2000\r\n", id%64, id)
-				}
-				var a meta.AnswerLine
-				if err == nil {
-					a, _, err = l.readAnswer()
-				}
-				if err == nil && a.Kind == request.Busy { // it costs too, but is no read
-					refused.Add(1)
-				} else if err == nil && a.Kind != request.Value {
-					err = fmt.Errorf("an answer of kind %d", a.Kind)
-				}
+				isRefused, err := l.askOnce(serial.Add(1))
 				if err != nil {
 					errs <- err
 					return
 				}
+				if isRefused {
+					refused.Add(1)
+				}
 			}
 		})
 	}
@@ -295,6 +245,30 @@
 	}
 }
 
+// askOnce reads one of 64 keys. A refusal costs CPU time too, but is no read.
+func (c *clientConn) askOnce(id int64) (isRefused bool, err error) {
+	key := fmt.Sprintf("k%d", id%64)
+	if c.binary {
+		c.opaque++
+		_, err = c.socket.Write(rawclient.AppendKeyOnly(nil, binary.Get, key, c.opaque))
+	} else {
+		_, err = fmt.Fprintf(c.socket, "mg %s v O%x Pc=read,d=2000\r\n", key, id)
+	}
+	if err != nil {
+		return false, err
+	}
+	a, _, err := c.readAnswer()
+	switch {
+	case err != nil:
+		return false, err
+	case a.Kind == request.Busy:
+		return true, nil
+	case a.Kind != request.Value:
+		return false, fmt.Errorf("an answer of kind %d", a.Kind)
+	}
+	return false, nil
+}
+
 // hottest returns the functions with the most CPU time of their own, from a profile of a separate proxy.
 func hottest(ctx context.Context, o CostOptions, config, address string, before *process) ([]string, error) {
 	if err := before.end(syscall.SIGTERM); err != nil {
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -204,13 +204,16 @@
 	return nil
 }
 
-// play has troubles befall instances that do not vote, in turn, and reads what the others logged.
-func (p *peersTest) play(ctx context.Context) {
-	for _, trouble := range []struct {
-		name  string
-		death bool
-		do    func(d *proxyInstance) error
-	}{
+// peersFault is a fault of one instance, and whether the others have to notice its death.
+type peersFault struct {
+	name   string
+	death  bool
+	inject func(d *proxyInstance) error
+}
+
+// faults returns the faults to inject, in turn.
+func (p *peersTest) faults(ctx context.Context) []peersFault {
+	return []peersFault{
 		{"kill -9", true, func(d *proxyInstance) error {
 			d.currentProcess().end(syscall.SIGKILL)
 			sleep(ctx, time.Second)
@@ -230,7 +233,12 @@
 			}
 			return nil
 		}},
-	} {
+	}
+}
+
+// play injects faults into instances that do not vote, in turn, and reads what the others logged.
+func (p *peersTest) play(ctx context.Context) {
+	for _, fault := range p.faults(ctx) {
 		known := hdrhistogram.New(1, int64(time.Minute/time.Millisecond), 3)
 		for i := range p.o.Repetitions {
 			if ctx.Err() != nil {
@@ -238,8 +246,8 @@
 			}
 			victim := permitVoters + i%(p.o.Instances-permitVoters)
 			from := time.Now()
-			if err := trouble.do(p.fleet.proxies[victim]); err != nil {
-				p.report.Problems = append(p.report.Problems, fmt.Sprintf("%s: %v", trouble.name, err))
+			if err := fault.inject(p.fleet.proxies[victim]); err != nil {
+				p.report.Problems = append(p.report.Problems, fmt.Sprintf("%s: %v", fault.name, err))
 				return
 			}
 			sleep(ctx, time.Second)
@@ -249,18 +257,18 @@
 				}
 				at := p.gone(other, fmt.Sprint("p", victim), from)
 				switch {
-				case at.IsZero() && trouble.death:
+				case at.IsZero() && fault.death:
 					p.report.MissedDeaths++
-				case !at.IsZero() && !trouble.death:
+				case !at.IsZero() && !fault.death:
 					p.report.FalseDeaths++
 				case !at.IsZero():
 					known.RecordValue(max(at.Sub(from).Milliseconds(), 1))
 				}
 			}
 		}
-		if trouble.death {
+		if fault.death {
 			p.report.DetectionTimes = append(p.report.DetectionTimes, PeersDetectionTime{
-				trouble.name,
+				fault.name,
 				known.TotalCount(),
 				float64(known.ValueAtQuantile(50)),
 				float64(known.ValueAtQuantile(99)),
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -79,22 +79,22 @@
 }
 
 // openPeerAddress reserves where a proxy takes works in hand, behind a link.
-func (d *proxyInstance) openPeerAddress() error {
-	l, err := d.fleet.ports.reserve()
+func (p *proxyInstance) openPeerAddress() error {
+	l, err := p.fleet.ports.reserve()
 	if err != nil {
 		return err
 	}
-	d.peerAddress = l.Addr().String()
+	p.peerAddress = l.Addr().String()
 	l.Close()
-	if d.fleet.peerLinks == nil {
-		d.fleet.peerLinks = make(map[int]*faultinject.Link)
+	if p.fleet.peerLinks == nil {
+		p.fleet.peerLinks = make(map[int]*faultinject.Link)
 	}
-	link, err := faultinject.NewLink(linkHost, d.peerAddress)
+	link, err := faultinject.NewLink(linkHost, p.peerAddress)
 	if err != nil {
 		return err
 	}
-	d.fleet.peerLinks[d.index] = link
-	d.advertisedPeerAddress = link.Address()
+	p.fleet.peerLinks[p.index] = link
+	p.advertisedPeerAddress = link.Address()
 	return nil
 }
 
