--- a/internal/takeover/coordinator/coordinator_test.go
+++ b/internal/takeover/coordinator/coordinator_test.go
@@ -114,6 +114,7 @@
 		if d := p.claim("k", "v"); d.verdict != c.want {
 			t.Errorf("replica required %v: %v, want %v", c.requireReplica, d.verdict, c.want)
 		}
+		p.stop() // a verdict is counted after the core was notified
 		if n := p.Counts(); n != c.wantCounts {
 			t.Errorf("replica required %v: %+v, want %+v", c.requireReplica, n, c.wantCounts)
 		}
