--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -11,19 +11,19 @@
 	"mulleinpier/policy"
 )
 
-// nodeAttempt is one sending of a request to a node. It is guarded by Core.mu, and ends exactly once.
+// nodeAttempt is one attempt to send a request to a node. It is guarded by Core.mu, and ends exactly once.
 type nodeAttempt struct {
 	upstream.Attempt
-	client       DisconnectChecker // nil where nobody can tell whether it has disconnected
+	client       DisconnectChecker // nil if its reply can't tell whether it has disconnected
 	started      bool              // its first byte may have been written
 	nodeName     string
 	dispatchedAt time.Duration // by Core.policyTime
 	ended        bool
-	deferred     bool // it waits for the end of the recovery from a pause
+	deferred     bool // it waits to be released during the recovery from a pause
 }
 
-// dispatch carries out a Send: it hands an attempt to the connections to its node, or defers it. An attempt
-// that can't be sent ends at once. c.mu is held.
+// dispatch executes a Send action: it passes a new attempt to the connection pool, or defers it. An attempt that
+// can't be sent ends immediately. c.mu is held.
 func (c *Core) dispatch(action *policy.Action) {
 	req := c.requests[action.ID]
 	if req == nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// cancelAttempt stops waiting for an attempt. One that has not started never will, whoever has it now: it
-// ends as not sent. c.mu is held.
+// cancelAttempt ends an attempt that is no longer wanted. If it has not started, it ends as NotSent instead of with
+// result: it can't start any more, even if a connection's writer already has it. c.mu is held.
 func (c *Core) cancelAttempt(req *InFlightRequest, attempt *nodeAttempt, result policy.Result) {
 	if attempt.ended {
 		return
@@ -71,8 +71,8 @@
 	c.endAttempt(req, attempt, result, nil)
 }
 
-// endAttempt reports to the decision module how an attempt ended, unless it has ended. The answer is nil
-// where none was received. c.mu is held.
+// endAttempt ends an attempt and reports the outcome to the decision module. It does nothing if the attempt has
+// already ended. answer is nil if none was received. c.mu is held.
 func (c *Core) endAttempt(
 	req *InFlightRequest, attempt *nodeAttempt, result policy.Result, answer *request.Answer,
 ) {
@@ -99,8 +99,7 @@
 	c.removeIfDone(req)
 }
 
-// countCacheStatus returns what an answer says of the node's cache, and counts hits and misses. c.mu is
-// held.
+// countCacheStatus returns the cache status that an answer reports, and counts hits and misses. c.mu is held.
 func (c *Core) countCacheStatus(answer *request.Answer) (status policy.CacheStatus) {
 	switch {
 	case answer.Hit:
@@ -116,7 +115,7 @@
 	return status
 }
 
-// parseLoadReport reads a node's load report. It returns nil for none and for a malformed one.
+// parseLoadReport parses a node's load report. It returns nil if there is none or if it is malformed.
 func parseLoadReport(text []byte) *policy.LoadReport {
 	if len(text) == 0 {
 		return nil
@@ -150,7 +149,7 @@
 	return &report
 }
 
-// findAttempt returns an attempt and its request, nil if the attempt has ended. c.mu is held.
+// findAttempt returns an attempt and its request, or nil for both if the attempt has ended. c.mu is held.
 func (c *Core) findAttempt(sent *upstream.Attempt) (*InFlightRequest, *nodeAttempt) {
 	req := c.requests[sent.ID]
 	if req == nil || req.attempts[sent.Number].ended {
@@ -160,9 +159,9 @@
 }
 
 // BeforeWrite implements upstream.Handler. An attempt may have waited for its connection, behind others, or
-// while this process was paused, and the reasons to send it may be gone. Its client, too, may have
-// disconnected without its connection's reader having noticed: then nobody waits for an answer, whatever
-// the request's class, so each client is checked right before the write.
+// while this process was paused, and may no longer be wanted. Its client may also have disconnected before the
+// reader of the client's connection noticed. Then nobody waits for the answer, whatever the request's class, so
+// each client is checked right before the write.
 func (c *Core) BeforeWrite(batch []*upstream.Attempt) []*upstream.Attempt {
 	sideEffects := false
 	batch = slices.DeleteFunc(batch, func(sent *upstream.Attempt) bool {
@@ -183,8 +182,8 @@
 	return slices.DeleteFunc(batch, func(sent *upstream.Attempt) bool { return !c.startAttempt(sent) })
 }
 
-// startAttempt reports whether the first byte of an attempt may be written now. One that may not has ended
-// or was deferred. c.mu is held.
+// startAttempt reports whether the first byte of an attempt may be written now. If not, the attempt has ended or
+// was deferred. c.mu is held.
 func (c *Core) startAttempt(sent *upstream.Attempt) bool {
 	req, attempt := c.findAttempt(sent)
 	if req == nil {
@@ -205,8 +204,8 @@
 	return true
 }
 
-// abandonDisconnected ends an attempt that has not started and whose client has disconnected, and its
-// request with it.
+// abandonDisconnected abandons a request whose client has disconnected, and ends its attempt, which has not
+// started.
 func (c *Core) abandonDisconnected(attempt *nodeAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -238,7 +237,7 @@
 	if req == nil {
 		return
 	}
-	c.endAttempt(req, attempt, resultOf[result], answer)
+	c.endAttempt(req, attempt, policyResultOf[result], answer)
 	switch result {
 	case upstream.NotWritten, upstream.ConnectionLost:
 		c.observeConnection(attempt.nodeName, membership.Failed)
@@ -247,8 +246,8 @@
 	}
 }
 
-// resultOf maps how an attempt ended on its connection to the decision module's terms.
-var resultOf = [...]policy.Result{
+// policyResultOf maps the result of an attempt on its connection to that of the decision module.
+var policyResultOf = [...]policy.Result{
 	upstream.Busy:                   policy.Rejected,
 	upstream.Failed:                 policy.Errored,
 	upstream.NotWritten:             policy.ConnectFailed,
@@ -257,8 +256,8 @@
 	upstream.ConnectionLimitReached: policy.ConnectionLimitReached,
 }
 
-// WrittenLate implements upstream.Handler. The reasons to send these attempts may have been gone already
-// when they were written; nothing can be undone, so it is counted and logged.
+// WrittenLate implements upstream.Handler. The attempts may no longer have been wanted when they were written.
+// That can't be undone, so it is only counted and logged.
 func (c *Core) WrittenLate(batch []*upstream.Attempt, delay time.Duration) {
 	c.mu.Lock()
 	sideEffects := 0
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,45 +15,44 @@
 	"mulleinpier/policy"
 )
 
-// maxPendingRefetches bounds the list sources that wait to be fetched again.
+// maxPendingRefetches limits the list sources that wait for a refetch.
 const maxPendingRefetches = 8
 
-// Config configures a core.
+// Config configures a [Core].
 type Config struct {
 	// ListSources are the sources of the endpoint list, in order of precedence. On the platform there is
 	// exactly one.
 	ListSources []discovery.SourceConfig
-	Seed        uint64         // of the decision module's random draws
-	InitialList discovery.List // known from an earlier run; may be empty
+	Seed        uint64         // of the decision module's random numbers
+	InitialList discovery.List // saved by an earlier run; may be empty
 	Policy      policy.Settings
 	Upstream    upstream.Limits
-	MaxInFlight int // requests at a time
-	// ReconcileLists has package membership infer what sources do not report, and question lists that
-	// collapse. Without it the list of the only source is passed on as it is.
+	MaxInFlight int // maximum number of requests in flight
+	// ReconcileLists allows several sources. Package membership infers what they do not report, such as restarts,
+	// and collapsed lists are refetched. Without it there is one source, whose list is passed on unchanged.
 	ReconcileLists bool
 	Membership     membership.Limits
 	BinaryNodes    NodeSelector // nodes that speak the binary protocol
 	Overload       OverloadConfig
-	// TotalSleep returns how long the machine has slept since boot; nil where sleep is not counted.
+	// TotalSleep returns how long the machine has slept since boot; nil if sleep is not counted.
 	TotalSleep func() time.Duration
-	LogCounts  bool // log a line of counts each second; excludes Overload, which reads the same counters
+	LogCounts  bool // log a line of counts each second; excludes Overload, which resets the same counters
 }
 
 // NodeSelector selects nodes by their names and by their types.
 type NodeSelector struct{ Names, Types []string }
 
-// matches reports whether a node is selected.
 func (s *NodeSelector) matches(node *membership.Node) bool {
 	return slices.Contains(s.Names, node.Name) || slices.Contains(s.Types, node.Type)
 }
 
 // Core accepts requests and carries out the decisions of the decision module. See the package comment for
-// its guarantees. It is created by [New] and works while [Core.Run] runs.
+// its guarantees. Create it with [New]; it works while [Core.Run] runs.
 type Core struct {
-	listOnRequest  bool     // the endpoint list comes only when the decision module requests it
+	listOnRequest  bool     // the endpoint list is requested only when the decision module asks for it
 	reconcileLists bool     // see Config.ReconcileLists
-	zones          []string // the decision module refers to zones and kinds by their index
-	kinds          []string
+	zones          []string // the decision module refers to zones and machine kinds by their index
+	machineKinds   []string
 	binaryNodes    NodeSelector
 	logCounts      bool
 	log            *slog.Logger
@@ -62,25 +61,26 @@
 	startedAt      time.Time
 	listReceived   chan struct{} // closed once a list has been received
 
-	// Signals to the goroutines of Run, each with room for one.
+	// Signals to the goroutines of Run. All but refetchRequested are buffered for one signal.
 	timerSet           chan struct{}
 	subscribeRequested chan struct{}
 	sourcesChanged     chan struct{}
 	fetchRequested     chan struct{}
 	refetchRequested   chan string // names of sources
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	rules    *rules
 	balancer *policy.Balancer
 	actions  []policy.Action // reused between events
-	// pendingEvents are events that carrying out actions has caused; handling is set while they are handled.
+	// pendingEvents are the events that handle has yet to pass on: executing actions can cause further events.
+	// handling is set while they are being handled.
 	pendingEvents []policy.Event
 	handling      bool
 
 	requests   map[uint64]*InFlightRequest
-	requestIDs map[string]struct{} // the ids that clients gave to requests
-	lastID     uint64              // of requests
-	aborted    bool                // AbortAll was called: nothing is accepted any more
+	requestIDs map[string]struct{} // the ids that clients gave to the requests in flight
+	lastID     uint64              // the latest key in requests
+	aborted    bool                // AbortAll was called: new requests are rejected
 
 	endpoints endpointState
 	timers    timers
@@ -90,8 +90,8 @@
 	takeover  TakeoverCoordinator // nil where keyed writes are not replicated
 }
 
-// rules are what a request is checked against when it arrives. They are replaced as a whole, so that no
-// request meets half of two configurations.
+// rules are the settings that an arriving request is checked against. They are replaced as a whole, so that no
+// request is checked against a mix of two configurations.
 type rules struct {
 	policy      policy.Settings
 	classes     map[string]int // indices by name
@@ -115,7 +115,7 @@
 	return r
 }
 
-// tenant returns the index of a tenant. Without configured tenants every name stands for the only one.
+// tenant returns the index of a tenant. If no tenants are configured, all names have index 0.
 func (r *rules) tenant(name string) (index int, known bool) {
 	if len(r.tenants) == 0 {
 		return 0, true
@@ -124,7 +124,7 @@
 	return index, known
 }
 
-// New returns a core that knows the nodes of the initial list.
+// New returns a Core that starts with the nodes of the initial list. It fails if the policy settings are invalid.
 func New(config *Config, log *slog.Logger) (*Core, error) {
 	balancer, err := policy.New(config.Policy, config.Seed)
 	if err != nil {
@@ -134,7 +134,7 @@
 		listOnRequest:      config.Policy.EndpointsOnRequest,
 		reconcileLists:     config.ReconcileLists,
 		zones:              config.Policy.Zones,
-		kinds:              config.Policy.MachineKinds,
+		machineKinds:       config.Policy.MachineKinds,
 		binaryNodes:        config.BinaryNodes,
 		logCounts:          config.LogCounts,
 		log:                log,
@@ -163,8 +163,8 @@
 	return c, nil
 }
 
-// Reconfigure puts the rules of another configuration into force for what arrives from now on. Either all
-// of them are in force, or none and the error says why.
+// Reconfigure applies the policy, upstream and overload settings and MaxInFlight of another configuration. Requests
+// that arrive from now on are checked against it. If it returns an error, it has changed nothing.
 func (c *Core) Reconfigure(next *Config) error {
 	c.mu.Lock()
 	if err := c.balancer.Reconfigure(next.Policy); err != nil {
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// Run runs the timers, the connections to nodes and the watch of the endpoint list until ctx ends.
+// Run runs the timers, the connections to nodes, the event log and the watches of endpoint lists until ctx ends.
 func (c *Core) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	tasks.Go(func() { c.recorder.Run(ctx) })
@@ -191,7 +191,7 @@
 		tasks.Go(func() { c.runCountLog(ctx) })
 	}
 	if c.reconcileLists {
-		tasks.Go(func() { c.followSources(ctx) })
+		tasks.Go(func() { c.watchSources(ctx) })
 	} else {
 		tasks.Go(func() { c.watchList(ctx) })
 		tasks.Go(func() { c.runListFetches(ctx) })
@@ -199,8 +199,9 @@
 	tasks.Wait()
 }
 
-// policyTime returns the time that the decision module counts by: Unix time, so that the start times of an
-// endpoint list need no mapping, advanced by the monotonic clock and by the machine's sleep.
+// policyTime returns the time that the decision module uses: the Unix time at the core's start, advanced by the
+// monotonic clock and by the machine's sleep. As it is Unix time, the start times in an endpoint list need no
+// conversion.
 func (c *Core) policyTime() time.Duration {
 	started := time.Duration(c.startedAt.UnixNano())
 	slept := time.Duration(c.pause.sleepOffset.Load())
@@ -208,10 +209,10 @@
 }
 
 // monotonic returns the time since the core's start by the monotonic clock. Pauses, stalls and arrivals of
-// requests are counted by it.
+// requests are measured by it.
 func (c *Core) monotonic() time.Duration { return time.Since(c.startedAt) }
 
-// signal wakes the goroutine that receives from a channel, unless a signal to it is waiting already.
+// signal wakes the goroutine that receives from a buffered channel. It does nothing if a signal is pending already.
 func signal(to chan<- struct{}) {
 	select {
 	case to <- struct{}{}:
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -9,23 +9,22 @@
 	"mulleinpier/policy"
 )
 
-// countInterval is the time between two log lines of counts.
 const countInterval = time.Second
 
-// counts are what became of requests since they were last logged. One proxy's say little; added up over a
-// fleet they show its behaviour.
+// counts are what became of requests since the last log line. The counts of one proxy say little; their sums over a
+// fleet show its behaviour.
 type counts struct {
 	accepted, served, rejected, failed, abandoned int // requests
 
 	dispatched   int                                    // attempts
 	results      [policy.ConnectionLimitReached + 1]int // attempts that ended, by result
-	hits, misses int                                    // that answers reported of nodes' caches
+	hits, misses int                                    // cache hits and misses that answers reported
 
-	listUpdates  int // lists that came into force
-	listFailures int // watches that were lost
+	listUpdates  int // endpoint lists that were applied
+	listFailures int // watches of the list that were lost
 }
 
-// runCountLog logs counts each countInterval until ctx ends.
+// runCountLog logs the counts every countInterval until ctx ends.
 func (c *Core) runCountLog(ctx context.Context) {
 	tick := time.NewTicker(countInterval)
 	defer tick.Stop()
@@ -42,14 +41,14 @@
 // logCountsNow logs the counts since the last call, and resets them.
 func (c *Core) logCountsNow(ctx context.Context) {
 	c.mu.Lock()
-	requests := c.counts
+	counted := c.counts
 	c.counts = counts{}
 	open := len(c.requests)
 	decisions := c.balancer.TakeCounters()
 	pauses := c.pause.logAttributes()
 	knownShare, otherShare := c.balancer.AdmissionShares()
 	c.mu.Unlock()
-	attributes := requests.logAttributes(open)
+	attributes := counted.logAttributes(open)
 	attributes = append(attributes,
 		slog.Int("nodes", decisions.Servers),
 		slog.Int("out", decisions.Ejected),
@@ -64,7 +63,8 @@
 	c.log.LogAttrs(ctx, slog.LevelInfo, "counts", attributes...)
 }
 
-// logAttributes returns the counts of requests and attempts; open requests are in flight now.
+// logAttributes returns the counts of requests and attempts as log attributes; open is the number of requests in
+// flight.
 func (n *counts) logAttributes(open int) []slog.Attr {
 	return []slog.Attr{
 		slog.Int("arrived", n.accepted),
@@ -88,7 +88,6 @@
 	}
 }
 
-// connectionAttributes returns the counts of connections to nodes.
 func connectionAttributes(connections upstream.Counts) []slog.Attr {
 	return []slog.Attr{
 		slog.Int("dials", connections.Dials),
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -5,8 +5,8 @@
 	"mulleinpier/policy"
 )
 
-// handle gives the decision module an event and carries out the actions that follow, then the events that
-// these cause in turn. c.mu is held.
+// handle passes an event to the decision module and executes the resulting actions, then handles the events that
+// these actions caused. When an action calls it, it only queues the event. c.mu is held.
 func (c *Core) handle(event policy.Event) {
 	c.pendingEvents = append(c.pendingEvents, event)
 	if c.handling {
@@ -24,7 +24,7 @@
 	c.handling = false
 }
 
-// execute carries out one action of the decision module. c.mu is held.
+// execute executes one action of the decision module. c.mu is held.
 func (c *Core) execute(action *policy.Action) {
 	switch action.Kind {
 	case policy.Send:
@@ -53,7 +53,7 @@
 	}
 }
 
-// cancel carries out a Cancel of an attempt, if there is such an attempt. c.mu is held.
+// cancel executes a Cancel action. It does nothing if there is no such attempt. c.mu is held.
 func (c *Core) cancel(action *policy.Action) {
 	req := c.requests[action.ID]
 	if req == nil || action.Attempt < 0 || action.Attempt >= len(req.attempts) {
@@ -62,8 +62,8 @@
 	c.cancelAttempt(req, req.attempts[action.Attempt], policy.Cancelled)
 }
 
-// fail answers a request whose outcome is unknown. One of which nothing has been written is rejected
-// instead: its waiting attempts will never start now, and the client may safely retry. c.mu is held.
+// fail answers a request whose outcome is unknown. If nothing of it has been written, it rejects the request
+// instead: the waiting attempts can't start any more, and the client may safely retry. c.mu is held.
 func (c *Core) fail(req *InFlightRequest, reason string) {
 	if req.nothingStarted() {
 		c.counts.rejected++
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -13,14 +13,14 @@
 	"mulleinpier/policy"
 )
 
-// This file holds the endpoint list: what its sources report goes to package membership, and what that
-// decides goes to the connections and to the decision module.
+// This file maintains the endpoint list: it passes the reports of its sources to package membership, and the
+// resulting node changes to the connection pool and to the decision module.
 
-// endpointState is what the core knows of the endpoint list and its sources. It is guarded by Core.mu.
+// endpointState is the state of the endpoint list and its sources. It is guarded by Core.mu.
 type endpointState struct {
 	sources         []discovery.SourceConfig
-	source          discovery.Source  // the open one, where there is exactly one
-	confirmedSource discovery.Source  // the one that reported last
+	source          discovery.Source  // the first one, opened; used where there is exactly one
+	confirmedSource discovery.Source  // the one whose list was last applied
 	received        bool              // Core.listReceived is closed
 	version         uint64            // of the list in force, where there is exactly one source
 	sourceVersions  map[string]uint64 // of the latest list of each of several sources, by its name
@@ -43,7 +43,7 @@
 	}
 }
 
-// membershipSources returns sources as package membership knows them.
+// membershipSources converts the configuration of sources for package membership.
 func membershipSources(configs []discovery.SourceConfig) (sources []membership.Source) {
 	for _, config := range configs {
 		source := membership.Source{Name: config.String(), NeedsConfirmation: config.NeedsConfirmation()}
@@ -52,7 +52,7 @@
 	return sources
 }
 
-// ListReceived is closed once a source has reported its endpoint list.
+// ListReceived returns a channel that is closed once a source has reported its endpoint list.
 func (c *Core) ListReceived() <-chan struct{} { return c.listReceived }
 
 // HasServingNodes reports whether there is any node that requests can be sent to.
@@ -62,39 +62,38 @@
 	return c.endpoints.reconciler.Serving() > 0
 }
 
-// SetListSources replaces the sources of the endpoint list.
+// SetListSources replaces the sources of the endpoint list. There must be at least one.
 func (c *Core) SetListSources(configs []discovery.SourceConfig) {
 	c.mu.Lock()
 	c.endpoints.sources = configs
 	c.endpoints.source = configs[0].Open()
-	c.endpoints.version = 0 // another service may count otherwise
+	c.endpoints.version = 0 // versions of different services can't be compared
 	c.handleMembership(membership.SourcesChanged{Sources: membershipSources(configs)})
 	c.mu.Unlock()
 	signal(c.sourcesChanged)
 }
 
-// listSources returns the sources of the endpoint list.
 func (c *Core) listSources() []discovery.SourceConfig {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.endpoints.sources
 }
 
-// listCall is a call of a list source. Its answer is judged by what was known when the call began.
+// listCall is a fetch or a watch of a list source. It holds what was known at its start, to recognize outdated lists.
 type listCall struct {
 	name         string
 	source       discovery.Source
-	knownVersion uint64 // of the list then; zero right after a change of sources
+	knownVersion uint64 // at the call's start, then of its latest list; zero right after a change of sources
 }
 
-// isOutdated reports whether the answer to a call is older than the list that is known by now: it must not undo a
-// drain that has been reported since the call began. A version below the one that was known then is not an older list,
-// but that of a service that has restarted and counts anew.
+// isOutdated reports whether a list from a call is older than the list known by now, so that it must not undo a drain
+// that was reported since the call began. A version below the one known at the call's start is not outdated: the
+// service has restarted, and its versions count from the start again.
 func (call listCall) isOutdated(version, known uint64) bool {
 	return version < known && version >= call.knownVersion
 }
 
-// newListCall returns a call of the present source that begins now.
+// newListCall returns a call of the current source that begins now.
 func (c *Core) newListCall() listCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,17 +129,17 @@
 	c.handle(policy.EndpointUpdate{Version: c.endpoints.version, Kind: policy.EndpointsUnavailable})
 }
 
-// applyList puts a list from the only source into force, unless it is outdated. Nor may the previous source undo
-// what the present one has reported.
+// applyList applies a list from the only source, unless it is outdated. It ignores a list from the previous source once
+// the current one has reported, so that it can't undo what the current one reported.
 func (c *Core) applyList(call listCall, list discovery.List, kind policy.EndpointUpdateKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := &c.endpoints
-	fromPresentSource := call.source == state.source
-	if !fromPresentSource && state.confirmedSource == state.source {
+	fromCurrentSource := call.source == state.source
+	if !fromCurrentSource && state.confirmedSource == state.source {
 		return
 	}
-	if fromPresentSource {
+	if fromCurrentSource {
 		if kind != policy.EndpointsCached && call.isOutdated(list.Index, state.version) {
 			c.log.Info("outdated endpoint list ignored", "version", list.Index, "known_version", state.version)
 			return
@@ -156,7 +155,7 @@
 	c.handleMembership(membership.ListReceived{Source: call.name, Complete: complete, Nodes: list.Nodes()})
 }
 
-// markListReceived notes that a list has been received. c.mu is held.
+// markListReceived closes Core.listReceived at the first call. c.mu is held.
 func (c *Core) markListReceived() {
 	if !c.endpoints.received {
 		c.endpoints.received = true
@@ -164,8 +163,9 @@
 	}
 }
 
-// handleMembership gives package membership an event and carries out the actions that follow. Connections
-// come first, so that the decision module never names a node that they don't know. c.mu is held.
+// handleMembership passes an event to package membership and executes the resulting actions. It adds nodes to the
+// connection pool before it updates the decision module, and removes them after that, so that the decision module never
+// names a node that the pool does not know. c.mu is held.
 func (c *Core) handleMembership(event membership.Event) {
 	now := c.policyTime()
 	_, isList := event.(membership.ListReceived)
@@ -175,18 +175,18 @@
 	state := &c.endpoints
 	state.actions = state.reconciler.Handle(now, event, state.actions[:0])
 	update := policy.EndpointUpdate{Version: state.version, Kind: policy.EndpointsDelta}
-	var present []upstream.Node
-	var gone []string
+	var listed []upstream.Node
+	var removed []string
 	for _, action := range state.actions {
 		switch action := action.(type) {
 		case membership.Change:
 			c.reportNodeChange(&action)
 			update.Endpoints = append(update.Endpoints, c.policyEndpoint(&action.Node))
 			if action.Status == membership.Gone {
-				gone = append(gone, action.Name)
+				removed = append(removed, action.Name)
 				delete(state.failedNodes, action.Name)
 			} else {
-				present = append(present, c.upstreamNode(&action.Node))
+				listed = append(listed, c.upstreamNode(&action.Node))
 			}
 		case membership.Refetch:
 			c.requestRefetch(action.Source)
@@ -194,15 +194,15 @@
 			c.setTimer(timer{at: c.policyTime() + action.After, kind: membershipTimer})
 		}
 	}
-	c.pool.UpdateNodes(present)
+	c.pool.UpdateNodes(listed)
 	if isList || len(update.Endpoints) > 0 {
 		c.handle(update)
 	}
-	c.pool.RemoveNodes(gone)
+	c.pool.RemoveNodes(removed)
 }
 
-// reportNodeChange logs a change of a node, from the first list that a source has reported on.
-// c.mu is held.
+// reportNodeChange records a change of a node in the event log. With reconcileLists it also logs the change, but only
+// once a source has reported a list. c.mu is held.
 func (c *Core) reportNodeChange(change *membership.Change) {
 	if c.reconcileLists && c.endpoints.received {
 		c.log.Info("node status changed", "node", change.Name, "address", change.Address,
@@ -216,8 +216,8 @@
 	})
 }
 
-// requestRefetch has a source fetched again. If too many wait already this one is left out: what is to be
-// confirmed ends without it as well. c.mu is held.
+// requestRefetch requests a refetch of a source's list. It drops the request if too many are pending: package
+// membership stops waiting for confirmation after a time even without a refetch. c.mu is held.
 func (c *Core) requestRefetch(source string) {
 	unconfirmed := len(c.endpoints.reconciler.Unconfirmed(source))
 	c.log.Warn("endpoint list collapsed", "source", source, "unconfirmed", unconfirmed)
@@ -227,39 +227,39 @@
 	}
 }
 
-// policyEndpoint returns a node as the decision module knows it.
+// policyEndpoint converts a node for the decision module.
 func (c *Core) policyEndpoint(node *membership.Node) policy.Endpoint {
 	return policy.Endpoint{
 		Server:          node.Name,
 		Zone:            indexOrLen(c.zones, node.Zone),
-		MachineKind:     indexOrLen(c.kinds, node.Type),
+		MachineKind:     indexOrLen(c.machineKinds, node.Type),
 		Cell:            node.Group,
-		State:           endpointStateOf[node.Status],
+		State:           policyStateOf[node.Status],
 		Weight:          node.Weight,
 		StartedAt:       node.Started,
 		NoDeduplication: c.binaryNodes.matches(node), // the binary protocol has no idempotency key
 	}
 }
 
-// upstreamNode returns a node as the connections know it.
+// upstreamNode converts a node for the connection pool.
 func (c *Core) upstreamNode(node *membership.Node) upstream.Node {
-	known := upstream.Node{Name: node.Name, Address: node.Address}
+	converted := upstream.Node{Name: node.Name, Address: node.Address}
 	if node.Started > 0 {
-		known.Started = time.Unix(0, int64(node.Started))
+		converted.Started = time.Unix(0, int64(node.Started))
 	}
 	if c.binaryNodes.matches(node) {
-		known.Dialect = binary.NodeDialect{}
+		converted.Dialect = binary.NodeDialect{}
 	}
-	return known
+	return converted
 }
 
-var endpointStateOf = map[membership.Status]policy.EndpointState{
+var policyStateOf = map[membership.Status]policy.EndpointState{
 	membership.Up:       policy.Serving,
 	membership.Draining: policy.Draining,
 	membership.Gone:     policy.Removed,
 }
 
-// indexOrLen returns the index of a name, and the first index after all names for an unknown one.
+// indexOrLen returns the index of a name, or len(names) if it is not among them.
 func indexOrLen(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
@@ -267,8 +267,8 @@
 	return len(names)
 }
 
-// observeConnection reports to package membership what connections see of a node: each failure, and the
-// first answer after one. c.mu is held.
+// observeConnection reports to package membership what connections observe of a node: each failure, and the
+// first answer after a failure. c.mu is held.
 func (c *Core) observeConnection(node string, observation membership.Observation) {
 	failed := c.endpoints.failedNodes
 	if !c.reconcileLists || observation != membership.Failed && !failed[node] {
--- a/internal/core/overload.go
+++ b/internal/core/overload.go
@@ -12,22 +12,22 @@
 	"mulleinpier/policy"
 )
 
-// This file keeps the degradation level: it gathers the signals, has package overload decide, notifies the
-// decision module and remembers what changed.
+// This file maintains the degradation level: it collects the signals, passes them to package overload, notifies the
+// decision module of the resulting level and records the transitions.
 
 const (
 	// OverloadSampleInterval is the time between two calls of [Core.SampleOverload].
 	OverloadSampleInterval = 250 * time.Millisecond
-	// ReservedDivisor is the part, one in so many, of the capacity for requests and for bodies that is
-	// reserved for keyed writes from level overload.Handovers on.
+	// ReservedDivisor determines the share of the capacity for requests and for bodies, 1/ReservedDivisor, that
+	// is reserved for keyed writes from level overload.Handovers on.
 	ReservedDivisor = 4
-	// historyLength is how many transitions are remembered.
+	// historyLength is the number of transitions that are kept for statistics.
 	historyLength = 64
-	// statScale is the scale of signals in statistics: four decimal places.
+	// statScale rounds signals in statistics to four decimal places.
 	statScale = 1e4
 )
 
-// OverloadConfig configures the degradation under overload.
+// OverloadConfig configures the degradation levels under overload. If Enabled is false, the level is overload.Full.
 type OverloadConfig struct {
 	Enabled     bool
 	Timings     overload.Timings
@@ -40,15 +40,15 @@
 	enabled       bool
 	controller    *overload.Controller
 	meter         overload.Meter
-	level         overload.Level // that the decision module was notified of
+	level         overload.Level // the latest that the decision module was notified of
 	timerLag      time.Duration  // the largest delay of a timer since the last sample
 	lastListAt    time.Duration  // when a list source last reported, by Core.policyTime
-	listsPeriodic bool           // a list source reports periodically, so that its silence is a signal
+	listsPeriodic bool           // a list source reports periodically, so the time since its last report is a signal
 	pinnedLevel   overload.Level
 	pinnedUntil   time.Time // of the pin in force
 
-	transitions int                                // since the start
-	history     [historyLength]overload.Transition // a ring: number i is at i%historyLength
+	transitionCount int                                // since the start
+	history         [historyLength]overload.Transition // ring buffer: number i is at i%historyLength
 }
 
 func newOverloadState(config *Config) overloadState {
@@ -65,11 +65,11 @@
 		slices.ContainsFunc(config.ListSources, discovery.SourceConfig.NeedsConfirmation)
 }
 
-// configureOverload puts a configuration into force. What the controller knows stays, and a pin that is in
-// force already does not begin anew. c.mu is held.
+// configureOverload applies a configuration. Unless it disables overload control, the controller keeps its state, and a
+// pin that is in force already is not restarted. c.mu is held.
 func (c *Core) configureOverload(next *OverloadConfig, now time.Duration) (transitions []overload.Transition) {
 	state := &c.overload
-	if next.Enabled && !state.enabled { // discard what was counted while nothing was sampled
+	if next.Enabled && !state.enabled { // discard the counts from the time without samples
 		c.balancer.TakeCounters()
 		state.meter, state.timerLag = overload.Meter{}, 0
 	}
@@ -88,12 +88,12 @@
 		state.pinnedUntil = time.Time{}
 		transitions = state.controller.Handle(now, overload.Unpin{}, nil)
 	}
-	c.rememberTransitions(transitions)
+	c.recordTransitions(transitions)
 	c.applyLevel(state.controller.Level())
 	return transitions
 }
 
-// disableOverload returns to full service. c.mu is held.
+// disableOverload resets the controller and returns to level overload.Full. c.mu is held.
 func (c *Core) disableOverload(next *OverloadConfig, now time.Duration) (transitions []overload.Transition) {
 	state := &c.overload
 	if state.level > overload.Full {
@@ -103,14 +103,13 @@
 	}
 	state.controller = overload.New(next.Timings)
 	state.pinnedUntil = time.Time{}
-	c.rememberTransitions(transitions)
+	c.recordTransitions(transitions)
 	c.applyLevel(overload.Full)
 	return transitions
 }
 
-// SampleOverload takes the signals that only the connections know, as shares of their limits (negative for
-// unknown), adds the core's own, and puts the level that follows into force. It is called at intervals of
-// OverloadSampleInterval.
+// SampleOverload updates the degradation level from the use of memory and sockets, as shares of their limits (negative
+// for unknown), and from the signals that the core collects itself. Call it at intervals of OverloadSampleInterval.
 func (c *Core) SampleOverload(memory, sockets float64) {
 	c.mu.Lock()
 	if !c.overload.enabled {
@@ -120,13 +119,13 @@
 	now := c.policyTime()
 	sample := overload.Sample{Signals: c.overloadSignals(now, memory, sockets)}
 	transitions := c.overload.controller.Handle(now, sample, nil)
-	c.rememberTransitions(transitions)
+	c.recordTransitions(transitions)
 	c.applyLevel(c.overload.controller.Level())
 	c.mu.Unlock()
 	c.logTransitions(transitions)
 }
 
-// overloadSignals gathers the signals since the last sample. c.mu is held.
+// overloadSignals collects the signals since the last sample. c.mu is held.
 func (c *Core) overloadSignals(now time.Duration, memory, sockets float64) overload.Signals {
 	state := &c.overload
 	counters := c.balancer.TakeCounters()
@@ -157,15 +156,15 @@
 	return signals
 }
 
-// rememberTransitions adds transitions to the history. c.mu is held.
-func (c *Core) rememberTransitions(transitions []overload.Transition) {
+// recordTransitions adds transitions to the history. c.mu is held.
+func (c *Core) recordTransitions(transitions []overload.Transition) {
 	for _, transition := range transitions {
-		c.overload.history[c.overload.transitions%historyLength] = transition
-		c.overload.transitions++
+		c.overload.history[c.overload.transitionCount%historyLength] = transition
+		c.overload.transitionCount++
 	}
 }
 
-// applyLevel puts a level into force. c.mu is held.
+// applyLevel puts a level into force, and notifies the decision module if it has changed. c.mu is held.
 func (c *Core) applyLevel(level overload.Level) {
 	if level != c.overload.level {
 		c.overload.level = level
@@ -173,7 +172,7 @@
 	}
 }
 
-// logTransitions logs transitions. It is called without the core's lock.
+// logTransitions logs changes of the level. It is called without c.mu held.
 func (c *Core) logTransitions(transitions []overload.Transition) {
 	for i := range transitions {
 		t := &transitions[i]
@@ -190,8 +189,8 @@
 	return c.overload.level
 }
 
-// hasCapacity reports whether one more request may be accepted. From level overload.Handovers on a part of
-// the capacity is reserved for keyed writes. c.mu is held.
+// hasCapacity reports whether one more request may be accepted. From level overload.Handovers on, part of the
+// capacity is reserved for classes that are idempotent with key. c.mu is held.
 func (c *Core) hasCapacity(class *policy.Class) bool {
 	limit := c.rules.maxInFlight
 	if c.overload.level >= overload.Handovers && class.Idempotency != policy.IdempotentWithKey {
@@ -200,11 +199,11 @@
 	return len(c.requests) < limit
 }
 
-// Stat is one statistic, as a client can request it.
+// Stat is one statistic that a client can request.
 type Stat struct{ Name, Value string }
 
-// OverloadStats returns the level in force, the signals behind it and the remembered transitions, the latest
-// first, each as a JSON object.
+// OverloadStats returns the level in force, the known signals and the recorded transitions, latest first, each
+// transition as a JSON object.
 func (c *Core) OverloadStats() []Stat {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,16 +222,16 @@
 			stats = append(stats, jsonStat("service_"+overload.Signal(i).String(), rounded))
 		}
 	}
-	stats = append(stats, jsonStat("service_changes", state.transitions))
-	oldest := max(state.transitions-historyLength, 0)
-	for i := state.transitions - 1; i >= oldest; i-- {
+	stats = append(stats, jsonStat("service_changes", state.transitionCount))
+	oldest := max(state.transitionCount-historyLength, 0)
+	for i := state.transitionCount - 1; i >= oldest; i-- {
 		transition := &state.history[i%historyLength]
 		stats = append(stats, jsonStat("service_change_"+strconv.Itoa(i), transition))
 	}
 	return stats
 }
 
-// jsonStat returns a statistic with its value as JSON, "unknown" where JSON has no form for it.
+// jsonStat returns a statistic with its value as JSON, or "unknown" if JSON can't represent it.
 func jsonStat(name string, value any) Stat {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -7,8 +7,8 @@
 	"mulleinpier/policy"
 )
 
-// TestOverloadLevelsMatchPolicyLevels guards the conversion of levels from package overload to package
-// policy by their numbers.
+// TestOverloadLevelsMatchPolicyLevels guards that the levels of package overload have the same numbers as those of
+// package policy, since the core converts them by number.
 func TestOverloadLevelsMatchPolicyLevels(t *testing.T) {
 	for level, want := range map[overload.Level]policy.DegradationLevel{
 		overload.Full:      policy.LevelFull,
--- a/internal/core/pause.go
+++ b/internal/core/pause.go
@@ -12,36 +12,36 @@
 	"mulleinpier/policy"
 )
 
-// This file has package pause check the clocks wherever something is decided, and carries out what follows
-// from a pause of the process (long enough for decisions to be void after it) or a stall (shorter).
+// This file has package pause check the clocks before decisions are made, and handles pauses of the process (after
+// which earlier decisions must be checked again) and stalls (which are shorter).
 
 // stallLogInterval is the shortest time between two log lines about stalls.
 const stallLogInterval = time.Second
 
-// pauseState is what the core knows of pauses and stalls. It is guarded by Core.mu, except for the atomics.
+// pauseState is the state of the handling of pauses and stalls. It is guarded by Core.mu, except for the atomics.
 // Times and intervals are by Core.monotonic.
 type pauseState struct {
 	detector       *pause.Detector
 	actions        []pause.Action       // reused between events
-	readTotalSleep func() time.Duration // nil where sleep is not counted
-	totalSleep     time.Duration        // of the machine, as readTotalSleep said last
+	readTotalSleep func() time.Duration // nil if sleep is not counted
+	totalSleep     time.Duration        // of the machine, as of the latest call of readTotalSleep
 	sleepOffset    atomic.Int64         // nanoseconds of sleep that the monotonic clock has not counted
-	lastCheck      atomic.Int64         // nanoseconds; when the clocks were last observed
+	lastCheck      atomic.Int64         // nanoseconds; when the clocks were last checked
 
 	lastPause   atomic.Pointer[pause.Interval] // nil for none
 	pauses      int
 	pausedTotal time.Duration
 	deferred    []deferredSend // in the order of their dispatch
 	resumed     chan struct{}  // closed while no recovery from a pause is under way
-	refresh     chan struct{}  // signals that the endpoint lists are to be fetched
-	// listsArriving counts the endpoint lists of which a part has come and that are not in force yet.
+	refresh     chan struct{}  // requests a fetch of the endpoint lists
+	// listsArriving counts the endpoint lists that have been received in part and are not applied yet.
 	listsArriving atomic.Int32
 
 	lastStall      atomic.Pointer[pause.Interval] // nil for none
-	stalls         pause.StallTracker
+	stallTracker   pause.StallTracker
 	stallCount     int
 	stalledTotal   time.Duration
-	processorTime  time.Duration // that the process had used at the latest periodic check
+	cpuTime        time.Duration // CPU time used by the process up to the latest periodic check
 	lastStallLog   time.Duration // when a stall was last logged
 	unloggedStalls int           // since then
 
@@ -49,7 +49,7 @@
 	writtenLate   int // attempts
 }
 
-// deferredSend is an attempt that waits for the end of the recovery from a pause.
+// deferredSend is an attempt that is held back during the recovery from a pause.
 type deferredSend struct {
 	request *InFlightRequest
 	attempt *nodeAttempt
@@ -67,8 +67,8 @@
 }
 
 // Now returns the time by the core's monotonic clock, as [Core.EstimateArrival] takes it, and checks for a
-// stall or a pause. Without one it costs a reading of the clock and takes no lock. A Core that New did not
-// create, as in tests of connections, has no detector and checks for nothing.
+// stall or a pause. If there was none, it only reads the clock and takes no lock. A Core that was not created by
+// [New], as in tests of connections, has no detector and does not check.
 func (c *Core) Now() time.Duration {
 	now := c.monotonic()
 	lastCheck := time.Duration(c.pause.lastCheck.Load())
@@ -80,30 +80,31 @@
 	return now
 }
 
-// WallTime converts a time by the core's monotonic clock to the system's.
+// WallTime converts a time by the core's monotonic clock to wall-clock time.
 func (c *Core) WallTime(t time.Duration) time.Time { return c.startedAt.Add(t) }
 
-// CheckClocks is to be called at intervals of pause.DefaultLimits.CheckInterval.
+// CheckClocks checks for a stall, a pause or sleep of the machine. Call it at intervals of
+// pause.DefaultLimits.CheckInterval.
 func (c *Core) CheckClocks() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.observeSleep()
-	c.pause.processorTime = processorTime()
+	c.pause.cpuTime = cpuTime()
 }
 
-// observeClocks gives package pause a reading of the clocks. It may end attempts, so it is called before
-// its caller reads the state of any. c.mu is held.
+// observeClocks passes a reading of the clocks to package pause. This may end attempts, so callers call it before
+// they read the state of an attempt. c.mu is held.
 func (c *Core) observeClocks() {
 	now := c.monotonic()
 	last := time.Duration(c.pause.lastCheck.Swap(int64(now)))
-	if last > 0 && c.pause.stalls.Observe(last, now) {
-		c.recordStall(c.pause.stalls.Latest())
+	if last > 0 && c.pause.stallTracker.Observe(last, now) {
+		c.recordStall(c.pause.stallTracker.Latest())
 	}
 	c.handlePauseEvent(now, pause.ClockChecked{TotalSleep: c.pause.totalSleep})
 }
 
-// observeSleep is observeClocks with a reading of the clock that counts the machine's sleep. It costs two
-// system calls, so it is for periodic checks and for requests with side effects. c.mu is held.
+// observeSleep is like observeClocks, but first reads how long the machine has slept. That costs two system calls, so
+// it is only for periodic checks and for requests with side effects. c.mu is held.
 func (c *Core) observeSleep() {
 	if c.pause.readTotalSleep != nil {
 		c.pause.totalSleep = max(c.pause.totalSleep, c.pause.readTotalSleep())
@@ -111,7 +112,8 @@
 	c.observeClocks()
 }
 
-// recordStall publishes a stall to the readers of connections, and logs it. c.mu is held.
+// recordStall publishes a stall to the readers of connections, and logs it unless a stall was logged within
+// stallLogInterval. c.mu is held.
 func (c *Core) recordStall(stall pause.Interval) {
 	s := &c.pause
 	s.lastStall.Store(&stall)
@@ -123,14 +125,14 @@
 	}
 	c.recorder.Warn(eventlog.ProcessStalled{
 		Duration: stall.Duration(),
-		CPUTime:  processorTime() - s.processorTime,
+		CPUTime:  cpuTime() - s.cpuTime,
 		Count:    s.unloggedStalls,
 		InFlight: len(c.requests),
 	})
 	s.lastStallLog, s.unloggedStalls = stall.End, 0
 }
 
-// LastStall returns the latest stall by the core's monotonic clock, the zero interval for none.
+// LastStall returns the latest stall by the core's monotonic clock, or the zero interval if there was none.
 func (c *Core) LastStall() (stall pause.Interval) {
 	if last := c.pause.lastStall.Load(); last != nil {
 		stall = *last
@@ -138,14 +140,14 @@
 	return stall
 }
 
-// WorstStall returns the length of the longest recent stall.
+// WorstStall returns the length of the longest recent stall, zero for none.
 func (c *Core) WorstStall() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pause.stalls.Worst(c.monotonic())
+	return c.pause.stallTracker.Worst(c.monotonic())
 }
 
-// LastPause returns the latest pause by the core's monotonic clock, the zero interval for none.
+// LastPause returns the latest pause by the core's monotonic clock, or the zero interval if there was none.
 func (c *Core) LastPause() (interval pause.Interval) {
 	if last := c.pause.lastPause.Load(); last != nil {
 		interval = *last
@@ -156,7 +158,7 @@
 // resumedAt returns when the latest pause ended, by Core.policyTime.
 func (c *Core) resumedAt() time.Duration { return c.LastPause().End + c.policyTime() - c.monotonic() }
 
-// Resumed returns a channel that is closed while no recovery from a pause is under way.
+// Resumed returns a channel that is closed if no recovery from a pause is under way, or else when the recovery ends.
 func (c *Core) Resumed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,7 +166,7 @@
 	return c.pause.resumed
 }
 
-// handlePauseEvent gives package pause an event and carries out the actions that follow. c.mu is held.
+// handlePauseEvent passes an event to package pause and executes the resulting actions. c.mu is held.
 func (c *Core) handlePauseEvent(now time.Duration, event pause.Event) {
 	s := &c.pause
 	s.detector.SetDeferredSends(len(s.deferred))
@@ -185,8 +187,8 @@
 	}
 }
 
-// beginRecovery keeps the time of a pause out of all estimates, and has the endpoint lists fetched. Sleep of
-// the machine brings deadlines forward, as clients may not have slept. c.mu is held.
+// beginRecovery excludes the time of a pause from all estimates, and requests a fetch of the endpoint lists. If the
+// machine slept, it makes deadlines earlier by that time, as clients may not have slept. c.mu is held.
 func (c *Core) beginRecovery(interval pause.Interval) {
 	s := &c.pause
 	s.lastPause.Store(&interval)
@@ -201,7 +203,7 @@
 	if isClosed(s.resumed) {
 		s.resumed = make(chan struct{})
 	}
-	c.overload.lastListAt += interval.Duration() // it was this process that was silent, not the sources
+	c.overload.lastListAt += interval.Duration() // this process was paused; the sources were not silent
 	c.handle(policy.ProcessPaused{Duration: interval.Duration()})
 	c.log.Warn("process paused", "duration", interval.Duration(), "slept", interval.Slept,
 		"in_flight", len(c.requests))
@@ -217,8 +219,8 @@
 	}
 }
 
-// EstimateArrival returns when the bytes of a read may have arrived. It calls kernel only where a pause
-// makes a difference, as that costs a system call.
+// EstimateArrival returns when the bytes of a read may have arrived. It calls kernel, which costs a system call, only
+// if a pause may have delayed the read.
 func (c *Core) EstimateArrival(read pause.ReadTiming, kernel func() pause.KernelInfo) pause.Arrival {
 	lastPause := c.LastPause()
 	info := pause.KernelInfo{}
@@ -233,8 +235,8 @@
 	return arrival
 }
 
-// decideByAge decides whether a request is too old to be accepted, and when its answer is due: earlier than
-// its client's deadline where stalls are to be expected. c.mu is held.
+// decideByAge decides whether a request is too old to be accepted, and returns its deadline by Core.policyTime. After
+// recent stalls the deadline is earlier than the client's by a safety margin. c.mu is held.
 func (c *Core) decideByAge(
 	in *request.Request, class *policy.Class, timeout time.Duration,
 ) (deadline time.Duration, tooOld bool) {
@@ -244,11 +246,11 @@
 		arrival = pause.Arrival{Earliest: now, Latest: now}
 	}
 	decision := pause.DecideByAge(now, idempotencyOf(class), timeout, class.DedupWindow, arrival)
-	due := decision.SendBefore - c.pause.stalls.SafetyMargin(now, timeout)
+	due := decision.SendBefore - c.pause.stallTracker.SafetyMargin(now, timeout)
 	return due + c.policyTime() - now, decision.Reject || now >= due
 }
 
-// idempotencyOf maps a class's idempotency to the terms of package pause.
+// idempotencyOf converts a class's idempotency for package pause.
 func idempotencyOf(class *policy.Class) pause.Idempotency {
 	switch class.Idempotency {
 	case policy.IdempotentWithKey:
@@ -260,8 +262,7 @@
 	}
 }
 
-// deferAttempt defers an attempt until the recovery from a pause has ended, and reports whether it does.
-// c.mu is held.
+// deferAttempt defers an attempt if a recovery from a pause is under way, and reports whether it did. c.mu is held.
 func (c *Core) deferAttempt(req *InFlightRequest, attempt *nodeAttempt) bool {
 	if !c.pause.detector.DefersSends() {
 		return false
@@ -271,8 +272,8 @@
 	return true
 }
 
-// releaseDeferred sends the oldest deferred attempts, at most limit. Those that were cancelled meanwhile
-// have ended and don't count. c.mu is held.
+// releaseDeferred sends the oldest deferred attempts, at most limit. Attempts that have ended in the meantime are
+// dropped and don't count. c.mu is held.
 func (c *Core) releaseDeferred(limit int) {
 	s := &c.pause
 	for released := 0; released < limit && len(s.deferred) > 0; {
@@ -292,7 +293,7 @@
 	}
 }
 
-// logAttributes returns what a line of counts says of pauses and stalls. Core.mu is held.
+// logAttributes returns the counts of pauses and stalls as log attributes. Core.mu is held.
 func (s *pauseState) logAttributes() []slog.Attr {
 	return []slog.Attr{
 		slog.Int("stops", s.pauses),
@@ -304,8 +305,8 @@
 	}
 }
 
-// processorTime returns the processor time that this process has used, zero where it is not known.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used, or zero if it is not known.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -15,15 +15,15 @@
 	"mulleinpier/policy"
 )
 
-// atomicReply is a Reply that may be read while the core uses it.
+// atomicReply is a Reply whose count of answers may be read while the core uses it.
 type atomicReply struct{ finished atomic.Int64 }
 
 func (r *atomicReply) Finish(*request.Answer) { r.finished.Add(1) }
 func (r *atomicReply) Release()               {}
 
-// TestDeferredSendsAreReleasedInBatches guards guarantee 5: sends that are decided on while the list is
-// fetched after a pause are deferred. Then they go out in batches, each written as soon as it is released,
-// and none is deferred twice.
+// TestDeferredSendsAreReleasedInBatches guards guarantee 5: sends that are decided while the list is fetched after a
+// pause are deferred. Then they are released in batches. Each is written as soon as it is released, and none is
+// deferred a second time.
 func TestDeferredSendsAreReleasedInBatches(t *testing.T) {
 	var written atomic.Int64
 	address := testutil.ServeConnections(t, func(connection net.Conn) {
@@ -42,7 +42,7 @@
 		ReleaseBatch:    4,
 		ReleaseInterval: time.Minute,
 	}
-	now := 2 * time.Minute // ahead of the clock, so that no other check counts
+	now := 2 * time.Minute // ahead of the core's clock, so that its own checks have no effect
 	handle := func(event pause.Event) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -67,6 +67,6 @@
 	handle(pause.ListsRefreshed{})
 	testutil.WaitUntil(t, "all to be written", func() bool { return written.Load() == 10 })
 	if !isClosed(c.Resumed()) {
-		t.Error("not resumed, with nothing deferred")
+		t.Error("not resumed, although nothing is deferred")
 	}
 }
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -8,8 +8,8 @@
 	"mulleinpier/policy"
 )
 
-// This file records the events of requests and attempts for the event log. Except for [Core.Recorder] all
-// of it is called with Core.mu held, and does nothing unless events are logged.
+// This file records the events of requests and attempts in the event log. The record methods are called with Core.mu
+// held, and do nothing unless the event log is enabled.
 
 // Recorder returns the event log, for the events of client connections.
 func (c *Core) Recorder() *eventlog.Recorder { return c.recorder }
@@ -17,7 +17,7 @@
 // Addressed is a [Reply] that knows the address of its client.
 type Addressed interface{ Address() string }
 
-// addressOf returns the address of a reply's client, "" where it is not known.
+// addressOf returns the address of a reply's client, or "" if it is not known.
 func addressOf(reply Reply) string {
 	if client, ok := reply.(Addressed); ok {
 		return client.Address()
--- a/internal/core/refresh.go
+++ b/internal/core/refresh.go
@@ -13,8 +13,8 @@
 	"mulleinpier/policy"
 )
 
-// runListRefresh fetches the endpoint list anew after each pause of the process, until ctx ends: what the
-// sources reported meanwhile counts as known to this proxy, but may be unread.
+// runListRefresh fetches the endpoint lists after each pause of the process, until ctx ends: the proxy is assumed to
+// know what the sources reported during the pause, but it may not have read it yet.
 func (c *Core) runListRefresh(ctx context.Context) {
 	for {
 		select {
@@ -30,8 +30,8 @@
 	}
 }
 
-// refreshLists fetches from all sources of the list at once, and waits no longer than sends are deferred: for the
-// beginning of an answer, and longer for its end.
+// refreshLists fetches the lists of all sources in parallel. It waits no longer than sends are deferred: up to
+// pause.DefaultLimits.MaxDeferral for the start of each answer, and up to MaxArrival for its end.
 func (c *Core) refreshLists(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pause.DefaultLimits.MaxArrival)
 	defer cancel()
@@ -49,20 +49,21 @@
 	}
 }
 
-// awaitAnswer ends the returned context if no answer begins in the time for which sends are deferred. An answer that
-// has begun counts as a list that arrives until done.
-func (c *Core) awaitAnswer(ctx context.Context) (answered context.Context, done func()) {
+// withFirstByteTimeout returns a context that is cancelled unless an answer begins within
+// pause.DefaultLimits.MaxDeferral, the time for which sends are deferred. Once an answer has begun, it counts in
+// pauseState.listsArriving until the caller calls done.
+func (c *Core) withFirstByteTimeout(ctx context.Context) (answered context.Context, done func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var arriving atomic.Bool
-	silence := time.AfterFunc(pause.DefaultLimits.MaxDeferral, cancel)
+	firstByteTimer := time.AfterFunc(pause.DefaultLimits.MaxDeferral, cancel)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
-		silence.Stop()
+		firstByteTimer.Stop()
 		if arriving.CompareAndSwap(false, true) {
 			c.pause.listsArriving.Add(1)
 		}
 	}})
 	return ctx, func() {
-		silence.Stop()
+		firstByteTimer.Stop()
 		cancel()
 		if arriving.Swap(true) {
 			c.pause.listsArriving.Add(-1)
@@ -70,9 +71,9 @@
 	}
 }
 
-// refreshList fetches the list of one source.
+// refreshList fetches and applies the list of one source.
 func (c *Core) refreshList(ctx context.Context, call listCall, config discovery.SourceConfig) {
-	ctx, done := c.awaitAnswer(ctx)
+	ctx, done := c.withFirstByteTimeout(ctx)
 	defer done()
 	list, err := call.source.Fetch(ctx)
 	switch {
--- a/internal/core/refresh_test.go
+++ b/internal/core/refresh_test.go
@@ -6,8 +6,8 @@
 	"mulleinpier/internal/membership"
 )
 
-// TestOutdatedListAfterPauseIsIgnored guards a proxy that reconciles its sources: the complete list that it fetches
-// after a pause arrives after a watch has reported a drain, and is older.
+// TestOutdatedListAfterPauseIsIgnored guards that a proxy that reconciles its sources ignores an outdated list: it
+// requests the complete list after a pause, a watch reports a drain, and then the list arrives, which is older.
 func TestOutdatedListAfterPauseIsIgnored(t *testing.T) {
 	source := startSource(t)
 	config := oneSourceConfig(false, source.addr)
@@ -17,23 +17,23 @@
 	signal(c.pause.refresh)
 	list := source.next(t, "a fetch of the list")
 	watch.sendList(9, false, "draining")
-	c.expectServing(t, "the drain to be heeded", false)
+	c.expectServing(t, "the drain to take effect", false)
 	list.sendHeader()
 	list.sendList(8, true, "up")
 	list.Close()
 	signal(c.pause.refresh)
-	source.next(t, "one more fetch of the list").Close() // fetches are made in turn: the previous one is applied
+	source.next(t, "one more fetch of the list").Close() // fetches are sequential: the previous list was handled
 	if c.HasServingNodes() {
-		t.Error("an outdated list has undone that the node drains")
+		t.Error("an outdated list has undone the drain of the node")
 	}
 	watch.sendList(10, false, "up")
-	c.expectServing(t, "a newer list to be heeded", true)
-	// A service that has restarted counts from the start.
+	c.expectServing(t, "a newer list to take effect", true)
+	// The versions of a restarted service count from the start again.
 	watch.Close()
 	watch = source.next(t, "a new watch")
 	watch.sendHeader()
 	watch.sendList(2, true, "draining")
-	c.expectServing(t, "the list of a restarted service to be heeded", false)
+	c.expectServing(t, "the list of a restarted service to take effect", false)
 	watch.sendList(3, false, "up")
-	c.expectServing(t, "its changes to be heeded", true)
+	c.expectServing(t, "its changes to take effect", true)
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -8,16 +8,16 @@
 	"mulleinpier/policy"
 )
 
-// Reply is where a request's answer goes. Its methods are called with the core's lock held: they must
-// neither wait nor call the core.
+// Reply receives the answer to a request. Its methods are called with the core's lock held: they must not block and
+// must not call the core.
 type Reply interface {
-	// Finish takes the only answer to the request.
+	// Finish takes the answer to the request. It is called at most once, and not after the client has disconnected.
 	Finish(answer *request.Answer)
-	// Release reports that nothing refers to the request's value any more.
+	// Release reports that the request's value is no longer referenced.
 	Release()
 }
 
-// DisconnectChecker is a [Reply] that can report, without waiting, whether its client has disconnected. It
+// DisconnectChecker is a [Reply] that can report, without blocking, whether its client has disconnected. It
 // is called without the core's lock.
 type DisconnectChecker interface{ Disconnected() bool }
 
@@ -28,22 +28,22 @@
 	acceptedAt   time.Duration // by Core.policyTime
 	request      *request.Request
 	deadline     time.Duration // when its answer is due, by Core.policyTime
-	expiresAt    time.Time     // the same by the system's clock
+	expiresAt    time.Time     // the same by the wall clock
 	reply        Reply
 	attempts     []*nodeAttempt
 	openAttempts int  // attempts that have not ended
 	finished     bool // it was answered, or its client has disconnected
 	claim        claimState
-	sendBefore   time.Duration // with claimGranted: no attempt starts from then on, by Core.policyTime
+	sendBefore   time.Duration // with claimGranted: attempts must start before it, by Core.policyTime
 }
 
-// nothingStarted reports whether no byte of a request has been written to a node. Once the request is
-// finished none will be.
+// nothingStarted reports whether no byte of a request has been written to a node. Once the request is finished, no
+// further attempt can start.
 func (r *InFlightRequest) nothingStarted() bool {
 	return !slices.ContainsFunc(r.attempts, func(attempt *nodeAttempt) bool { return attempt.started })
 }
 
-// arrival returns the event that gives a request to the decision module.
+// arrival returns the event that passes a request to the decision module.
 func (r *InFlightRequest) arrival(class, tenant int) policy.Arrival {
 	return policy.Arrival{
 		ID:       r.id,
@@ -56,8 +56,8 @@
 	}
 }
 
-// Submit takes a request that has been read completely. Its answer goes to reply. Submit returns nil for a
-// request that it has answered at once, as invalid or as rejected.
+// Submit takes a request that has been read completely, and passes its answer to reply. It returns nil if it does not
+// accept the request and has already answered it, as invalid or as rejected.
 func (c *Core) Submit(in *request.Request, reply Reply) *InFlightRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,7 @@
 		c.answerInvalid(in, reply, defect)
 		return nil
 	}
-	if reason := c.refusalOf(class); reason != "" {
+	if reason := c.rejectionReason(class); reason != "" {
 		c.answerRejected(in, reply, reason, c.balancer.RetryAfter(classIndex))
 		return nil
 	}
@@ -94,7 +94,7 @@
 	return req
 }
 
-// checkRequest returns the index of a request's tenant, or what is wrong with the request, "" for nothing. c.mu is
+// checkRequest returns the index of a request's tenant, or what makes the request invalid, "" if it is valid. c.mu is
 // held.
 func (c *Core) checkRequest(in *request.Request, class *policy.Class) (tenant int, defect string) {
 	tenant, known := c.rules.tenant(in.Tenant)
@@ -102,17 +102,17 @@
 		return 0, "unknown tenant"
 	}
 	if class.Idempotency == policy.IdempotentWithKey && in.IdempotencyKey == "" {
-		return 0, "missing k" // no node could drop its repeats
+		return 0, "missing k" // without a key nodes can't drop its repeats
 	}
-	// Answers and duplicates of a request are told apart by the id alone.
-	if _, taken := c.requestIDs[in.ID]; taken {
+	// Answers and duplicates are matched to requests by the ID alone.
+	if _, inUse := c.requestIDs[in.ID]; inUse {
 		return 0, "id in use"
 	}
 	return tenant, ""
 }
 
-// refusalOf returns why no request of a class is accepted now, "" for no reason. c.mu is held.
-func (c *Core) refusalOf(class *policy.Class) string {
+// rejectionReason returns why requests of a class are rejected now, or "" if they are not. c.mu is held.
+func (c *Core) rejectionReason(class *policy.Class) string {
 	switch {
 	case c.aborted:
 		return "process ends"
@@ -122,8 +122,8 @@
 	return ""
 }
 
-// effectiveTimeout returns how long a client waits, at most as long as the class allows: a request that
-// claims more would occupy its capacity and its timers for as long.
+// effectiveTimeout returns how long a client waits, limited to the deadline of the class: a request with a longer
+// timeout would occupy capacity and timers for that time.
 func effectiveTimeout(in *request.Request, class *policy.Class) time.Duration {
 	if in.Timeout < 0 {
 		return class.Deadline
@@ -131,7 +131,7 @@
 	return min(class.Deadline, in.Timeout)
 }
 
-// register adds an accepted request. c.mu is held.
+// register adds an accepted request and sets the timer of its deadline. c.mu is held.
 func (c *Core) register(in *request.Request, reply Reply, deadline time.Duration) *InFlightRequest {
 	c.lastID++
 	c.counts.accepted++
@@ -151,19 +151,19 @@
 	return req
 }
 
-// answerInvalid answers a request that is not accepted because it is wrong. c.mu is held.
+// answerInvalid answers a request that is not accepted because it is invalid. c.mu is held.
 func (c *Core) answerInvalid(in *request.Request, reply Reply, reason string) {
 	c.recordRejected(in, reply, reason)
 	reply.Finish(&request.Answer{Kind: request.Invalid, Reason: reason})
 }
 
-// answerRejected answers a request that is not accepted now. c.mu is held.
+// answerRejected answers a valid request that is not accepted now; the client may retry it. c.mu is held.
 func (c *Core) answerRejected(in *request.Request, reply Reply, reason string, retryAfter time.Duration) {
 	c.recordRejected(in, reply, reason)
 	reply.Finish(&request.Answer{Kind: request.Busy, RetryAfter: retryAfter})
 }
 
-// Reject answers a request that was received too late in a drain. It is never sent to a node.
+// Reject answers busy to a request that was received too late during a drain. The request is not sent to a node.
 func (c *Core) Reject(in *request.Request, reply Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,15 +183,14 @@
 	return known && c.rules.policy.Classes[i].Idempotency == policy.IdempotentWithKey
 }
 
-// InFlight returns the number of requests that have been accepted and still have an attempt out or no
-// answer.
+// InFlight returns the number of accepted requests that are unanswered or have an attempt that has not ended.
 func (c *Core) InFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.requests)
 }
 
-// LongestRemaining returns the time until the last of the unanswered requests expires.
+// LongestRemaining returns the time until the last of the unanswered requests expires, zero for none.
 func (c *Core) LongestRemaining() (longest time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,8 +202,8 @@
 	return longest
 }
 
-// AbortAll answers all unanswered requests at once, because the process ends before they can be served. Those that
-// are read after it are rejected.
+// AbortAll answers all unanswered requests immediately because the process is about to exit. Requests that are
+// submitted later are rejected.
 func (c *Core) AbortAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,7 +231,7 @@
 	}
 }
 
-// abandon ends a request whose client has disconnected. c.mu is held.
+// abandon ends a request whose client has disconnected, unless the request goes on without its client. c.mu is held.
 func (c *Core) abandon(req *InFlightRequest) {
 	if req.finished || c.detachClient(req) {
 		return
@@ -241,7 +240,7 @@
 	c.counts.abandoned++
 	c.recordAbandoned(req)
 	c.handle(policy.ClientLeft{ID: req.id})
-	for _, attempt := range req.attempts { // those that have not started give up their place in a queue
+	for _, attempt := range req.attempts { // attempts that have not started leave their queues
 		if !attempt.ended && (attempt.deferred || c.pool.Withdraw(&attempt.Attempt)) {
 			c.endAttempt(req, attempt, policy.NotSent, nil)
 		}
@@ -249,7 +248,7 @@
 	c.removeIfDone(req)
 }
 
-// answer finishes a request, unless it is finished. The reason is for the event log. c.mu is held.
+// answer finishes a request, unless it is finished already. The reason is for the event log. c.mu is held.
 func (c *Core) answer(req *InFlightRequest, answer *request.Answer, reason string) {
 	if req.finished {
 		return
@@ -261,8 +260,8 @@
 	c.removeIfDone(req)
 }
 
-// removeIfDone forgets a finished request of which no attempt is open, and releases its reply once: it is
-// called again when the end of an attempt causes that of another. c.mu is held.
+// removeIfDone removes a finished request that has no open attempt, and releases its reply. It may be called again for
+// a removed request, when the end of one attempt causes the end of another, and then does nothing. c.mu is held.
 func (c *Core) removeIfDone(req *InFlightRequest) {
 	if !req.finished || req.openAttempts != 0 || c.requests[req.id] != req {
 		return
@@ -272,7 +271,7 @@
 	req.reply.Release()
 }
 
-// retryAfter returns when a client may retry a request that is rejected, zero for no advice. c.mu is held.
+// retryAfter returns the delay before a client may retry a rejected request, zero for no advice. c.mu is held.
 func (c *Core) retryAfter(req *InFlightRequest) time.Duration {
 	if class, known := c.rules.classes[req.request.Class]; known {
 		return c.balancer.RetryAfter(class)
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -14,8 +14,8 @@
 func (r *countingReply) Finish(*request.Answer) { r.finished++ }
 func (r *countingReply) Release()               { r.released++ }
 
-// TestRequestIsReleasedOnce guards guarantee 1, and the budget of request bodies: a request whose attempts
-// end within the ends of one another must give back what it took only once.
+// TestRequestIsReleasedOnce guards guarantee 1 and the budget of request bodies: the end of one attempt can cause the
+// end of another, and the request must still return its share of the budget only once.
 func TestRequestIsReleasedOnce(t *testing.T) {
 	reply := &countingReply{}
 	req := &InFlightRequest{id: 7, request: &request.Request{ID: "x"}, reply: reply, openAttempts: 1}
@@ -26,7 +26,7 @@
 	c.removeIfDone(req)
 	c.answer(req, &request.Answer{Kind: request.Failed}, "")
 	if reply.released != 0 {
-		t.Error("released with an attempt open")
+		t.Error("released while an attempt is open")
 	}
 	req.openAttempts = 0
 	c.removeIfDone(req)
@@ -46,8 +46,8 @@
 func (r *answerRecorder) Finish(answer *request.Answer) { r.answers = append(r.answers, answer) }
 func (r *answerRecorder) Release()                      {}
 
-// TestRequestsAfterAbortAreRejected guards the end of a drain: what is read between the abort of all requests and the
-// cut of all connections must be answered at once, as the cut would lose it.
+// TestRequestsAfterAbortAreRejected guards the end of a drain: requests that are read after all requests were aborted
+// and before all connections are closed must be answered immediately, or closing the connections would lose them.
 func TestRequestsAfterAbortAreRejected(t *testing.T) {
 	for name, idempotency := range map[string]policy.Idempotency{
 		"idempotent":          policy.Idempotent,
@@ -64,10 +64,10 @@
 			late := &answerRecorder{}
 			in := &request.Request{ID: "late", Class: "c", Key: "k", IdempotencyKey: "i", Timeout: -1}
 			if req := c.Submit(in, late); req != nil {
-				t.Error("it was accepted")
+				t.Error("a request after the abort was accepted")
 			}
 			if len(late.answers) != 1 || late.answers[0].Kind != request.Busy {
-				t.Errorf("it was answered %+v, want busy", late.answers)
+				t.Errorf("a request after the abort was answered %+v, want one busy answer", late.answers)
 			}
 		})
 	}
--- a/internal/core/sources.go
+++ b/internal/core/sources.go
@@ -10,91 +10,91 @@
 	"mulleinpier/internal/membership"
 )
 
-// This file watches several sources of the endpoint list at a time, for package membership to reconcile.
+// This file watches several sources of the endpoint list in parallel; package membership reconciles their lists.
 
 const (
-	// rewatchDelay is the wait before a lost watch of one of several sources is opened again.
+	// rewatchDelay is the delay before a lost watch of one of several sources is reopened.
 	rewatchDelay = 500 * time.Millisecond
-	// refetchTimeout bounds the second fetch of a list that has collapsed: a later answer would miss the
-	// time in which a drain must be heeded.
+	// refetchTimeout limits the refetch of a collapsed list: a later answer would come after the time in which
+	// a drain must take effect.
 	refetchTimeout = 300 * time.Millisecond
 )
 
-// follower watches one source.
-type follower struct {
+// sourceWatch is a watch of one source. It is reopened when it is lost.
+type sourceWatch struct {
 	config discovery.SourceConfig
 	source discovery.Source
 	cancel context.CancelFunc
 }
 
-// followers is the state of the goroutine of followSources.
-type followers struct {
-	core     *Core
-	ctx      context.Context
-	tasks    sync.WaitGroup
-	byName   map[string]*follower
-	awaited  map[string]bool // new sources that have not reported yet
-	reported chan string     // names of sources, each at its first list
+// sourceWatches is the state of the goroutine of watchSources.
+type sourceWatches struct {
+	core       *Core
+	ctx        context.Context
+	tasks      sync.WaitGroup
+	byName     map[string]*sourceWatch
+	unreported map[string]bool // new sources that have not reported yet
+	reported   chan string     // names of sources, each at its first list
 }
 
-// followSources keeps a watch on each source of the list until ctx ends. When the sources change, the
-// former ones are followed until all new ones have reported: a drain that is announced meanwhile must not
-// be missed.
-func (c *Core) followSources(ctx context.Context) {
-	f := &followers{core: c, ctx: ctx, byName: make(map[string]*follower), reported: make(chan string)}
-	defer f.tasks.Wait()
-	f.followNew()
+// watchSources watches each source of the list until ctx ends. When the sources change, the previous ones are
+// watched until all new ones have reported: a drain that is announced in the meantime must not be missed.
+func (c *Core) watchSources(ctx context.Context) {
+	w := &sourceWatches{core: c, ctx: ctx, byName: make(map[string]*sourceWatch), reported: make(chan string)}
+	defer w.tasks.Wait()
+	w.watchNew()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.sourcesChanged:
-			f.followNew()
-		case name := <-f.reported:
-			delete(f.awaited, name)
+			w.watchNew()
+		case name := <-w.reported:
+			delete(w.unreported, name)
 		case name := <-c.refetchRequested:
-			if follower := f.byName[name]; follower != nil {
-				f.tasks.Go(func() { c.refetchList(ctx, follower) })
+			if watch := w.byName[name]; watch != nil {
+				w.tasks.Go(func() { c.refetchList(ctx, watch) })
 			}
 		}
-		if len(f.awaited) == 0 {
-			f.cancelFormer()
+		if len(w.unreported) == 0 {
+			w.cancelRemoved()
 		}
 	}
 }
 
-// followNew begins to follow the sources that are not followed yet.
-func (f *followers) followNew() {
-	f.awaited = make(map[string]bool)
-	for _, config := range f.core.listSources() {
+// watchNew starts watches of the sources that are not watched yet.
+func (w *sourceWatches) watchNew() {
+	w.unreported = make(map[string]bool)
+	for _, config := range w.core.listSources() {
 		name := config.String()
-		if f.byName[name] != nil {
+		if w.byName[name] != nil {
 			continue
 		}
-		ctx, cancel := context.WithCancel(f.ctx)
-		follower := &follower{config: config, source: config.Open(), cancel: cancel}
-		f.byName[name] = follower
-		f.awaited[name] = true
-		f.tasks.Go(func() { f.core.followSource(ctx, follower, f.reported) })
+		ctx, cancel := context.WithCancel(w.ctx)
+		watch := &sourceWatch{config: config, source: config.Open(), cancel: cancel}
+		w.byName[name] = watch
+		w.unreported[name] = true
+		w.tasks.Go(func() { w.core.watchSource(ctx, watch, w.reported) })
 	}
 }
 
-// cancelFormer ends the watches of what is no source any more.
-func (f *followers) cancelFormer() {
-	configs := f.core.listSources()
-	for name, follower := range f.byName {
+// cancelRemoved ends the watches of sources that are no longer configured.
+func (w *sourceWatches) cancelRemoved() {
+	configs := w.core.listSources()
+	for name, watch := range w.byName {
 		isNamed := func(config discovery.SourceConfig) bool { return config.String() == name }
 		if !slices.ContainsFunc(configs, isNamed) {
-			follower.cancel()
-			delete(f.byName, name)
+			watch.cancel()
+			delete(w.byName, name)
 		}
 	}
 }
 
-// followSource watches one source until ctx ends, opening a lost watch again.
-func (c *Core) followSource(ctx context.Context, f *follower, reported chan<- string) {
-	name, first := f.config.String(), true
-	call := listCall{name: name, source: f.source}
+// watchSource watches one source until ctx ends, and reopens a lost watch. At the first list it sends the source's name
+// to reported.
+func (c *Core) watchSource(ctx context.Context, w *sourceWatch, reported chan<- string) {
+	name, first := w.config.String(), true
+	call := listCall{name: name, source: w.source}
 	apply := func(list discovery.List) {
 		if ctx.Err() != nil {
 			return
@@ -115,7 +115,7 @@
 	}
 	for ctx.Err() == nil {
 		call.knownVersion = c.sourceVersion(name)
-		err := f.source.Watch(discovery.WithArrivals(ctx, &c.pause.listsArriving), 0, apply)
+		err := w.source.Watch(discovery.WithArrivals(ctx, &c.pause.listsArriving), 0, apply)
 		if ctx.Err() != nil {
 			return
 		}
@@ -127,12 +127,12 @@
 	}
 }
 
-// refetchList fetches the list of a source past anything that is cached on the way.
-func (c *Core) refetchList(ctx context.Context, f *follower) {
+// refetchList fetches the list of a source, bypassing caches, to confirm or correct a collapsed list.
+func (c *Core) refetchList(ctx context.Context, w *sourceWatch) {
 	ctx, cancel := context.WithTimeout(ctx, refetchTimeout)
 	defer cancel()
-	name := f.config.String()
-	call := c.newSourceCall(name, f.source)
+	name := w.config.String()
+	call := c.newSourceCall(name, w.source)
 	list, err := call.source.Fetch(ctx)
 	if err != nil {
 		c.log.Warn("endpoint list refetch failed", "source", name, "error", err)
@@ -157,8 +157,8 @@
 	return c.endpoints.sourceVersions[name]
 }
 
-// applySourceList gives package membership a list of one of several sources, and reports whether it did. It does not
-// if the list is outdated. c.mu is held.
+// applySourceList passes a list of one of several sources to package membership. It returns false, and ignores the
+// list, if it is outdated. c.mu is held.
 func (c *Core) applySourceList(call listCall, version uint64, report membership.ListReceived) bool {
 	known := c.endpoints.sourceVersions[call.name]
 	if call.isOutdated(version, known) {
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -8,27 +8,27 @@
 	"mulleinpier/policy"
 )
 
-// This file sends keyed writes only after a claim, so that another proxy can resume them if this one fails.
+// This file has keyed writes claimed before they are sent, so that another proxy can resume them if this one fails.
 
-// takeoverRejectionDelay is the advice to a client whose write is rejected for lack of a replica.
+// takeoverRejectionDelay is the retry delay for a client whose write is rejected because it can't be replicated.
 const takeoverRejectionDelay = time.Second
 
-// claimDecided is the reason, in the event log, of an answer that a claim brought.
+// claimDecided is the reason in the event log for an answer that results from a claim.
 const claimDecided = "claim decided"
 
-// TakeoverCoordinator claims writes and is notified of their outcomes. It is called with the core's lock
-// held: its methods must neither wait nor call the core before they return.
+// TakeoverCoordinator claims writes and is notified of their outcomes. Its methods are called with the core's lock
+// held: they must not block, and must not call the core before they return.
 type TakeoverCoordinator interface {
-	// Claim requests the right to send a write; [Core.ClaimDecided] follows before the write expires. It
-	// returns false, and does nothing, where the write can't be replicated for lack of capacity.
+	// Claim requests permission to send a write; [Core.ClaimDecided] is called before the write expires. It
+	// returns false, and does nothing, if there is no capacity to replicate the write.
 	Claim(id uint64, in *request.Request, window time.Duration, expires time.Time) bool
 	// Complete reports the outcome of a write whose claim was granted.
 	Complete(id uint64, outcome takeover.Outcome, receipt string)
-	// RequiresReplica reports whether a write that can't be replicated is rejected.
+	// RequiresReplica reports whether a write that can't be replicated is rejected, instead of sent without a claim.
 	RequiresReplica() bool
 }
 
-// SetTakeoverCoordinator has keyed writes claimed from now on, or with nil not any more. It is set before
+// SetTakeoverCoordinator has keyed writes claimed from now on; nil ends that. It is called with a coordinator before
 // the first request.
 func (c *Core) SetTakeoverCoordinator(coordinator TakeoverCoordinator) {
 	c.mu.Lock()
@@ -40,13 +40,13 @@
 type claimState uint8
 
 const (
-	claimNone    claimState = iota // none is needed
-	claimPending                   // it has not been decided
+	claimNone    claimState = iota // no claim is needed, or it has been settled
+	claimPending                   // not decided yet
 	claimGranted                   // until InFlightRequest.sendBefore
 )
 
 // requestClaim requests a claim for a request that has just been accepted, if it needs one. It returns
-// false where the request can be sent without. c.mu is held.
+// false if the request can be sent without a claim. c.mu is held.
 func (c *Core) requestClaim(req *InFlightRequest, class *policy.Class) bool {
 	isKeyedWrite := class.Idempotency == policy.IdempotentWithKey && req.request.Verb == request.Set
 	if c.takeover == nil || !isKeyedWrite {
@@ -65,8 +65,9 @@
 	return false
 }
 
-// ClaimDecided reports the decision on a claim. With takeover.Proceed the write may be sent for the time
-// within. It returns false if the request no longer waits for the decision.
+// ClaimDecided passes on the verdict on a claim. With takeover.Proceed attempts of the write may start during the
+// time within, and with takeover.ReturnReceipt it is answered with receipt. It returns false if the request no longer
+// waits for the verdict.
 func (c *Core) ClaimDecided(id uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,8 +103,8 @@
 	return req.claim == claimGranted && c.policyTime() >= req.sendBefore
 }
 
-// admit gives a request to the decision module some time after it was accepted: its class or tenant may
-// have been removed, and its deadline may have passed. c.mu is held.
+// admit passes a request to the decision module some time after it was accepted. It rejects the request if its class
+// or tenant has been removed or its deadline has passed. c.mu is held.
 func (c *Core) admit(req *InFlightRequest) {
 	class, classKnown := c.rules.classes[req.request.Class]
 	tenant, tenantKnown := c.rules.tenant(req.request.Tenant)
@@ -116,7 +117,7 @@
 
 // detachedReply is the reply of a write that no client waits for.
 type detachedReply struct {
-	release func() // nil where there is nothing to release
+	release func() // nil if there is nothing to release
 }
 
 // Finish implements Reply.
@@ -129,8 +130,8 @@
 	}
 }
 
-// ResumeWrite sends a write that another proxy had claimed and not completed. It may be sent for the time
-// within. The outcome is reported to TakeoverCoordinator.Complete under the returned id. It returns false
+// ResumeWrite sends a write that another proxy had claimed and not completed. Its attempts may start during the time
+// within. The outcome is reported to TakeoverCoordinator.Complete under the returned id. ResumeWrite returns false
 // for a write that can't be sent any more.
 func (c *Core) ResumeWrite(in *request.Request, within time.Duration) (id uint64, ok bool) {
 	c.mu.Lock()
@@ -159,7 +160,7 @@
 	return req.id, true
 }
 
-// completeClaim reports the outcome of a request whose claim was granted. c.mu is held.
+// completeClaim reports the outcome of a request to the takeover coordinator if its claim was granted. c.mu is held.
 func (c *Core) completeClaim(req *InFlightRequest, answer *request.Answer) {
 	if req.claim != claimGranted {
 		return
@@ -178,8 +179,8 @@
 	}
 }
 
-// detachClient lets a claimed write go on without its client, and reports whether it does: whoever retries
-// the write, at any proxy, needs its outcome. c.mu is held.
+// detachClient lets a claimed write continue without its client, since a retry of the write at any proxy needs its
+// outcome. It returns false, and does nothing, if the request has no granted claim. c.mu is held.
 func (c *Core) detachClient(req *InFlightRequest) bool {
 	if req.claim != claimGranted {
 		return false
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -19,7 +19,7 @@
 	"mulleinpier/policy"
 )
 
-// fakeCoordinator records what a core claims and completes.
+// fakeCoordinator is a TakeoverCoordinator that records the claims and outcomes of writes.
 type fakeCoordinator struct {
 	full     bool // it has no capacity for claims
 	required bool // writes without a claim are rejected
@@ -46,7 +46,7 @@
 
 func (f *fakeCoordinator) RequiresReplica() bool { return f.required }
 
-// outcome returns what a write was completed with, 0 for not yet.
+// outcome returns the outcome that a write was completed with, or 0 if it was not completed yet.
 func (f *fakeCoordinator) outcome(id uint64) takeover.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,7 +61,7 @@
 func (r *recordedReply) Finish(answer *request.Answer) { r.answers <- *answer }
 func (r *recordedReply) Release()                      {}
 
-// coreWithCoordinator returns a core whose only node stores every write, and the writes that the node has
+// coreWithCoordinator runs a core whose only node stores every write. received returns the writes that the node has
 // received.
 func coreWithCoordinator(t *testing.T, coordinator *fakeCoordinator) (c *Core, received func() []string) {
 	t.Helper()
@@ -105,7 +105,6 @@
 	}
 }
 
-// keyedWrite returns a write with an idempotency key.
 func keyedWrite(id string) *request.Request {
 	return &request.Request{
 		Verb:           request.Set,
@@ -118,8 +117,8 @@
 	}
 }
 
-// TestNothingIsSentWithoutClaim gives a keyed write each verdict that grants no claim: the node receives nothing,
-// and each write is answered once.
+// TestNothingIsSentWithoutClaim guards that a keyed write whose claim is not granted is never sent to a node, and is
+// answered once, for each verdict that grants no claim.
 func TestNothingIsSentWithoutClaim(t *testing.T) {
 	coordinator := &fakeCoordinator{}
 	c, received := coreWithCoordinator(t, coordinator)
@@ -135,14 +134,14 @@
 		reply := newRecordedReply()
 		c.Submit(keyedWrite(fmt.Sprint(i)), reply)
 		if !c.ClaimDecided(coordinator.claims[i], test.verdict, 0, "r") {
-			t.Errorf("verdict %d: the request does not wait for it", test.verdict)
+			t.Errorf("verdict %d: the request was not waiting for a verdict", test.verdict)
 		}
 		answer := testutil.Receive(t, "an answer", reply.answers)
 		if answer.Kind != test.want || test.verdict == takeover.ReturnReceipt && answer.Receipt != "r" {
 			t.Errorf("verdict %d: answered %+v, want %v", test.verdict, answer, test.want)
 		}
 		if c.ClaimDecided(coordinator.claims[i], takeover.Proceed, time.Minute, "") {
-			t.Errorf("verdict %d: the request waits for a second one", test.verdict)
+			t.Errorf("verdict %d: the request accepted a second verdict", test.verdict)
 		}
 	}
 	if lines := received(); len(lines) != 0 {
@@ -150,8 +149,8 @@
 	}
 }
 
-// TestClaimedWriteIsSentUntilItsClaimExpires guards that a write with a claim is sent and completed, and that one
-// whose claim has expired is completed without having been sent.
+// TestClaimedWriteIsSentUntilItsClaimExpires guards that a write with a granted claim is sent and completed, and that
+// a write whose claim has expired is completed without being sent.
 func TestClaimedWriteIsSentUntilItsClaimExpires(t *testing.T) {
 	coordinator := &fakeCoordinator{}
 	c, received := coreWithCoordinator(t, coordinator)
@@ -170,39 +169,39 @@
 	if answer := testutil.Receive(t, "an answer", reply.answers); answer.Kind == request.Stored {
 		t.Errorf("sent after its claim expired: %+v", answer)
 	}
-	testutil.WaitUntil(t, "it to be completed", func() bool { return coordinator.outcome(id) != 0 })
+	testutil.WaitUntil(t, "the expired write to be completed", func() bool { return coordinator.outcome(id) != 0 })
 	if lines := received(); len(lines) != 1 {
 		t.Errorf("the node received %q, want one write", lines)
 	}
 }
 
-// TestWriteWithoutCapacityForItsClaim guards that such a write is rejected where a replica is required, and sent
-// without a claim where not.
+// TestWriteWithoutCapacityForItsClaim guards that a write for whose claim there is no capacity is rejected if a replica
+// is required, and sent without a claim otherwise.
 func TestWriteWithoutCapacityForItsClaim(t *testing.T) {
 	coordinator := &fakeCoordinator{full: true, required: true}
 	c, _ := coreWithCoordinator(t, coordinator)
 	reply := newRecordedReply()
 	c.Submit(keyedWrite("full"), reply)
 	if answer := testutil.Receive(t, "an answer", reply.answers); answer.Kind != request.Busy {
-		t.Errorf("no capacity, replica required: %+v", answer)
+		t.Errorf("no capacity, replica required: answered %+v, want busy", answer)
 	}
 	coordinator.required = false
 	reply = newRecordedReply()
 	c.Submit(keyedWrite("plain"), reply)
 	if answer := testutil.Receive(t, "an answer", reply.answers); answer.Kind != request.Stored {
-		t.Errorf("no capacity, replica not required: %+v", answer)
+		t.Errorf("no capacity, replica not required: answered %+v, want stored", answer)
 	}
 }
 
-// TestClaimedWriteOutlivesItsClient has a client disconnect after its write was claimed, and resumes a write
-// of another proxy: both go on, and are completed.
+// TestClaimedWriteOutlivesItsClient guards that a write goes on and is completed without a client: one whose client
+// disconnects after the claim was granted, and one that is resumed for another proxy.
 func TestClaimedWriteOutlivesItsClient(t *testing.T) {
 	coordinator := &fakeCoordinator{}
 	c, received := coreWithCoordinator(t, coordinator)
 	early := c.Submit(keyedWrite("early"), newRecordedReply())
-	c.ClientDisconnected([]*InFlightRequest{early}) // before the claim is decided: nothing is to be sent
+	c.ClientDisconnected([]*InFlightRequest{early}) // before the verdict: nothing may be sent
 	if c.ClaimDecided(coordinator.claims[0], takeover.Proceed, time.Minute, "") {
-		t.Error("a request whose client had disconnected waits for its claim")
+		t.Error("a request whose client had disconnected still waited for its verdict")
 	}
 	reply := newRecordedReply()
 	claimed := c.Submit(keyedWrite("a"), reply)
@@ -218,7 +217,7 @@
 	})
 	id, ok := c.ResumeWrite(keyedWrite("b"), time.Minute)
 	if !ok {
-		t.Fatal("the write of another proxy is not resumed")
+		t.Fatal("the write of another proxy was not resumed")
 	}
 	testutil.WaitUntil(t, "the resumed write to be completed", func() bool {
 		return coordinator.outcome(id) == takeover.Served
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// timerResolution is the shortest wait between two rounds of timers: those that are due within it
-	// are handled together, as waking for each would cost more than they do.
+	// timerResolution is the shortest wait for the next timer: timers that become due within it are handled
+	// together, as waking up for each would cost more than handling it.
 	timerResolution = 2 * time.Millisecond
-	// noTimerWait is the wait where no timer is set; setting one ends it.
+	// noTimerWait is the wait if no timer is set; setting one ends the wait.
 	noTimerWait = time.Hour
 )
 
-// timerKind is what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
-	policyTimer     timerKind = iota // the decision module's; id is its token
+	policyTimer     timerKind = iota // requested by the decision module; id is its token
 	requestTimer                     // deadline of the request with number id
 	attemptTimer                     // deadline of one attempt of the request with number id
-	membershipTimer                  // of package membership
+	membershipTimer                  // requested by package membership
 	clockTimer                       // a check of the clocks for package pause
 )
 
-// timer is something to do at a time.
+// timer is a task that is due at a time.
 type timer struct {
 	at      time.Duration // by Core.policyTime
 	id      uint64
@@ -57,7 +57,7 @@
 	}
 }
 
-// fireTimers handles the timers that are due, and returns the wait until the next.
+// fireTimers handles the timers that are due, and returns the time until the next.
 func (c *Core) fireTimers() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +68,7 @@
 			return wait
 		}
 		t := c.timers.pop()
-		if t.at > c.resumedAt() { // one from before a pause is late for that, not for load
+		if t.at > c.resumedAt() { // a timer from before a pause is late because of the pause, not because of load
 			c.overload.timerLag = max(c.overload.timerLag, now-t.at)
 		}
 		c.fire(t)
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -12,36 +12,37 @@
 	"mulleinpier/policy"
 )
 
-// This file watches the only source of the endpoint list: a local agent that pushes lists, or a service
-// that all proxies request them from.
+// This file watches the endpoint list of the only source: a local agent that pushes lists, or a service from
+// which all proxies request them.
 
 const (
-	// agentAnswerTimeout is how long a local agent may take to answer a new watch before another
-	// is opened beside it. It answers at once when it works, and what it knows counts as known to the proxy.
+	// agentAnswerTimeout is how long a local agent may take to answer a new watch before another is opened in
+	// parallel. A working agent answers immediately, and the proxy is assumed to know what the agent knows.
 	agentAnswerTimeout = 400 * time.Millisecond
-	// movedAnswerTimeout is the same after a change of address, where a call may wait its turn but its
-	// list must be heeded 4 s later. More calls would be a storm: all proxies move at once.
-	movedAnswerTimeout = 3 * time.Second
-	// agentRetryDelay and movedRetryDelay are the waits before a watch that has ended without a list is
-	// opened again: of an agent, and after a change of address.
-	agentRetryDelay = 100 * time.Millisecond
-	movedRetryDelay = 500 * time.Millisecond
-	// maxSubscriptions bounds the watches that are open at a time: the one that has reported a list, and
-	// those that are to take its place.
+	// newSourceAnswerTimeout is the same after a change of the source's address. There a call may be queued, but its
+	// list must take effect 4 s later. More calls would flood the service, as all proxies change their source at
+	// the same time.
+	newSourceAnswerTimeout = 3 * time.Second
+	// agentRetryDelay and newSourceRetryDelay are the mean delays before a watch that has ended is reopened: of an
+	// agent, if the watch got no answer or was opened just before, and of a new source that has not reported a list.
+	agentRetryDelay     = 100 * time.Millisecond
+	newSourceRetryDelay = 500 * time.Millisecond
+	// maxSubscriptions limits the watches that are open at a time: the one that has reported a list, and
+	// those that are to replace it.
 	maxSubscriptions = 4
 )
 
-// subscription is one watch of the list. It belongs to the goroutine of watchList, but call.knownVersion
-// to the subscription's own.
+// subscription is one watch of the list. It belongs to the goroutine of watchList, except for call.knownVersion,
+// which belongs to the goroutine of the watch.
 type subscription struct {
 	call     listCall
 	cancel   context.CancelFunc
 	openedAt time.Time
-	answered bool // its source has answered, possibly that nothing has changed
+	answered bool // its source has answered, even if nothing has changed
 	hasList  bool // it has reported a list
 }
 
-// subscriptionEvent is what a subscription reports to the goroutine of watchList.
+// subscriptionEvent is an event that a subscription reports to the goroutine of watchList.
 type subscriptionEvent struct {
 	subscription *subscription
 	kind         subscriptionEventKind
@@ -58,21 +59,21 @@
 // subscriptions is the state of the goroutine of watchList.
 type subscriptions struct {
 	*Core
-	ctx          context.Context
-	tasks        sync.WaitGroup
-	events       chan subscriptionEvent
-	open         []*subscription // in order of opening
-	sourceMoved  bool            // the source is another, and has not reported a list yet
-	retry        *time.Timer     // when to open one more
-	retryPending bool            // retry is set because the last subscription was lost
+	ctx             context.Context
+	tasks           sync.WaitGroup
+	events          chan subscriptionEvent
+	open            []*subscription // in order of opening
+	awaitsNewSource bool            // the source was changed, and the new one has not reported a list yet
+	retry           *time.Timer     // fires when one more watch is to be opened
+	retryPending    bool            // retry is set because the last subscription was lost
 }
 
-// watchList keeps a watch of the list until ctx ends: at all times where lists are pushed, else as the
-// decision module requests it, which is also notified when a watch is lost.
+// watchList watches the list until ctx ends. Where lists are pushed, it always keeps a watch open. Otherwise it opens
+// one when the decision module requests it, and notifies the decision module when the watch is lost.
 //
-// When the source changes, the old watch is kept until the new one has reported a list: the call may wait
-// its turn for seconds, the new address may be slow or not serve yet, and a drain that is announced
-// meanwhile must not be missed. That costs one more connection for the time.
+// When the source changes, the old watch is kept until the new one has reported a list: the new call may be queued
+// for seconds, the new address may be slow or not serve yet, and a drain that is announced in the meantime must
+// not be missed. This costs one more connection during that time.
 func (c *Core) watchList(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &subscriptions{
@@ -96,7 +97,7 @@
 				s.subscribe()
 			}
 		case <-c.sourcesChanged:
-			s.handleMove()
+			s.handleSourceChange()
 		case <-s.retry.C:
 			s.retryPending = false
 			s.subscribe()
@@ -106,11 +107,11 @@
 	}
 }
 
-// handleMove opens a watch of a new source. Of the watches of the old one only that which has reported a
-// list is of use.
-func (s *subscriptions) handleMove() {
+// handleSourceChange opens a watch of a new source. Of the watches of the old source it keeps only the one that has
+// reported a list.
+func (s *subscriptions) handleSourceChange() {
 	s.cancelMatching(func(sub *subscription) bool { return !sub.hasList })
-	s.sourceMoved, s.retryPending = true, false
+	s.awaitsNewSource, s.retryPending = true, false
 	s.subscribe()
 }
 
@@ -125,14 +126,14 @@
 	}
 }
 
-// hasCurrent reports whether a watch of the present source is open, or about to be opened.
+// hasCurrent reports whether a watch of the current source is open, or about to be opened.
 func (s *subscriptions) hasCurrent() bool {
 	source := s.newListCall().source
 	isCurrent := func(sub *subscription) bool { return sub.call.source == source }
 	return s.retryPending || slices.ContainsFunc(s.open, isCurrent)
 }
 
-// cancelMatching ends the watches that match.
+// cancelMatching cancels the watches that match, and removes them from s.open.
 func (s *subscriptions) cancelMatching(matches func(*subscription) bool) {
 	s.open = slices.DeleteFunc(s.open, func(sub *subscription) bool {
 		if !matches(sub) {
@@ -143,7 +144,8 @@
 	})
 }
 
-// subscribe opens one more watch, and arranges for another beside it should the source not answer.
+// subscribe opens one more watch. For an agent, and for the first watch of a new source, it sets the timer for a
+// parallel watch in case the source does not answer.
 func (s *subscriptions) subscribe() {
 	if len(s.open) >= maxSubscriptions {
 		s.cancelOldest()
@@ -158,8 +160,8 @@
 	switch {
 	case !s.listOnRequest:
 		s.retry.Reset(agentAnswerTimeout)
-	case s.sourceMoved && !hadCurrent:
-		s.retry.Reset(movedAnswerTimeout)
+	case s.awaitsNewSource && !hadCurrent:
+		s.retry.Reset(newSourceAnswerTimeout)
 	default:
 		s.retry.Stop()
 	}
@@ -169,7 +171,7 @@
 	})
 }
 
-// cancelOldest ends the oldest watch that has not reported a list, or the oldest of all.
+// cancelOldest cancels the oldest watch that has not reported a list, or the oldest of all if each has.
 func (s *subscriptions) cancelOldest() {
 	withoutList := func(sub *subscription) bool { return !sub.hasList }
 	oldest := max(slices.IndexFunc(s.open, withoutList), 0)
@@ -177,7 +179,7 @@
 	s.open = slices.Delete(s.open, oldest, oldest+1)
 }
 
-// watch runs one watch to its end. It has a goroutine of its own.
+// watch runs one watch until it ends, in a goroutine of its own.
 func (s *subscriptions) watch(ctx context.Context, sub *subscription) {
 	ctx = discovery.WithArrivals(ctx, &s.pause.listsArriving)
 	err := sub.call.source.Watch(ctx, sub.call.knownVersion, func(list discovery.List) {
@@ -193,7 +195,7 @@
 	}
 }
 
-// report notifies the goroutine of watchList of what has happened to a watch.
+// report sends an event of a watch to the goroutine of watchList.
 func (s *subscriptions) report(ctx context.Context, sub *subscription, kind subscriptionEventKind) {
 	select {
 	case s.events <- subscriptionEvent{sub, kind}:
@@ -201,8 +203,8 @@
 	}
 }
 
-// handleAnswer handles the first answer to a watch. Where lists are pushed, other watches of the same
-// source are not needed any more; that of the source before a move is, until this one reports a list.
+// handleAnswer handles the first answer to a watch. Where lists are pushed, it cancels the other watches of the same
+// source. The watch of a previous source is still needed until this one reports a list.
 func (s *subscriptions) handleAnswer(sub *subscription) {
 	sub.answered = true
 	if s.listOnRequest || sub.call.source != s.newListCall().source {
@@ -214,19 +216,20 @@
 	})
 }
 
-// handleList handles a list that a watch has reported: if it is of the present source, all others end.
+// handleList handles a list that a watch has reported. If the watch is of the current source, it cancels all others.
 func (s *subscriptions) handleList(sub *subscription) {
 	sub.hasList = true
 	if sub.call.source != s.newListCall().source {
 		return
 	}
-	s.sourceMoved, s.retryPending = false, false
+	s.awaitsNewSource, s.retryPending = false, false
 	s.retry.Stop()
 	s.cancelMatching(func(other *subscription) bool { return other != sub })
 }
 
-// handleLoss handles the end of a watch. One of a local agent that had answered is opened again at once,
-// unless it was opened just now. Where all proxies request lists from one service the decision module spreads that.
+// handleLoss handles the end of a watch. The watch of a local agent that had answered is reopened immediately, unless
+// it was opened just before. Where all proxies request lists from one service, the decision module spreads their
+// calls over time.
 func (s *subscriptions) handleLoss(sub *subscription) {
 	s.open = slices.DeleteFunc(s.open, func(other *subscription) bool { return other == sub })
 	switch {
@@ -235,8 +238,8 @@
 		s.subscribe()
 	case !s.listOnRequest:
 		s.retryAfterDelay(agentRetryDelay)
-	case s.sourceMoved:
-		s.retryAfterDelay(movedRetryDelay)
+	case s.awaitsNewSource:
+		s.retryAfterDelay(newSourceRetryDelay)
 	default:
 		s.mu.Lock()
 		s.counts.listFailures++
@@ -245,7 +248,8 @@
 	}
 }
 
-// retryAfterDelay opens a watch after half to one and a half times a delay, so that proxies spread.
+// retryAfterDelay opens a watch after a random time between half and one and a half times delay, so that the calls of
+// proxies are spread.
 func (s *subscriptions) retryAfterDelay(delay time.Duration) {
 	s.retryPending = true
 	s.retry.Reset(delay/2 + rand.N(delay))
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -20,20 +20,20 @@
 	"mulleinpier/policy"
 )
 
-// watchSilence is a silence that is too short to count as the loss of a watch.
-const watchSilence = 2 * time.Second
+// tolerableSilence is a silence that is too short to count as the loss of a watch.
+const tolerableSilence = 2 * time.Second
 
-// scriptedSource is a source of the endpoint list that a test scripts call by call.
+// scriptedSource is a source of the endpoint list. A test answers each of its calls.
 type scriptedSource struct {
 	addr  string
 	calls chan *sourceCall
 }
 
-// sourceCall is a call of a scriptedSource.
+// sourceCall is a call of a scriptedSource by the proxy.
 type sourceCall struct {
 	net.Conn
-	watch bool   // it is a watch, not a fetch of the complete list
-	from  string // the version that the caller knows
+	watch       bool   // true for a watch, false for a fetch of the complete list
+	fromVersion string // the version that the proxy knows
 }
 
 func startSource(t *testing.T) *scriptedSource {
@@ -46,21 +46,21 @@
 			return
 		}
 		source.calls <- &sourceCall{
-			Conn:  connection,
-			watch: r.FormValue("watch") == "1",
-			from:  r.FormValue("from"),
+			Conn:        connection,
+			watch:       r.FormValue("watch") == "1",
+			fromVersion: r.FormValue("from"),
 		}
 	})
 	return source
 }
 
-// next returns the next call.
+// next waits for the next call.
 func (s *scriptedSource) next(t *testing.T, what string) *sourceCall {
 	t.Helper()
 	return testutil.Receive(t, what, s.calls)
 }
 
-// firstWatch waits for the first watch, and reports over it that the node is up.
+// firstWatch waits for the first watch, reports over it that the node is up, and waits until the core knows.
 func (s *scriptedSource) firstWatch(t *testing.T, c *Core, index int) *sourceCall {
 	t.Helper()
 	first := s.next(t, "a watch")
@@ -70,16 +70,16 @@
 	return first
 }
 
-// sendHeader answers a call without a list yet.
+// sendHeader sends the header of a response, before any list.
 func (c *sourceCall) sendHeader() { fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n") }
 
-// sendList writes a list in which n1 has a status.
+// sendList sends a list in which node n1 has the given status.
 func (c *sourceCall) sendList(index int, complete bool, status string) {
 	endpoint := fmt.Sprintf(`{"name":"n1","address":"127.0.0.1:9","status":"%s"}`, status)
 	fmt.Fprintf(c, `{"index":%d,"snapshot":%v,"endpoints":[%s]}`+"\n", index, complete, endpoint)
 }
 
-// isOpen reports whether the proxy still waits for an answer to a call.
+// isOpen reports whether the proxy has kept the connection of a call open.
 func (c *sourceCall) isOpen() bool {
 	c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err := c.Read(make([]byte, 1))
@@ -87,12 +87,12 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// sendHeartbeats sends empty lines from now on, as an idle watch does.
+// sendHeartbeats sends empty lines until the test ends, as an idle source does.
 func (c *sourceCall) sendHeartbeats(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go func() {
-		for tick := time.NewTicker(watchSilence / 4); ctx.Err() == nil; <-tick.C {
+		for tick := time.NewTicker(tolerableSilence / 4); ctx.Err() == nil; <-tick.C {
 			if _, err := fmt.Fprintln(c); err != nil {
 				return
 			}
@@ -100,17 +100,17 @@
 	}()
 }
 
-// waitClosed waits until the proxy has ended a call.
+// waitClosed waits until the proxy has closed the connection of a call.
 func (c *sourceCall) waitClosed(t *testing.T) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(testutil.Timeout))
 	if _, err := io.Copy(io.Discard, c); err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Fatal("a call that is no longer needed is kept")
+		t.Fatal("a call that is no longer needed was kept open")
 	}
 }
 
-// startCore runs a core with one list source, until the test ends. With onRequest the decision module
-// requests each list.
+// startCore runs a core with one list source until the test ends. With onRequest, the endpoint list is requested only
+// when the decision module asks for it.
 func startCore(t *testing.T, onRequest bool, address string) *Core {
 	t.Helper()
 	return runCore(t, oneSourceConfig(onRequest, address))
@@ -152,20 +152,20 @@
 		defer close(ran)
 		c.Run(ctx)
 	}()
-	go func() { // as the proxy does
+	go func() { // the proxy checks the clocks periodically, too
 		for tick := time.NewTicker(pause.DefaultLimits.CheckInterval); ctx.Err() == nil; <-tick.C {
 			c.CheckClocks()
 		}
 	}()
 	t.Cleanup(func() {
 		stop()
-		testutil.Receive(t, "the core's end", closedAs(ran))
+		testutil.Receive(t, "the end of Core.Run", notifyClosed(ran))
 	})
 	return c
 }
 
-// closedAs passes the end of a channel on as a value.
-func closedAs(c <-chan struct{}) <-chan bool {
+// notifyClosed returns a channel that receives true when c is closed.
+func notifyClosed(c <-chan struct{}) <-chan bool {
 	out := make(chan bool, 1)
 	go func() {
 		<-c
@@ -174,15 +174,15 @@
 	return out
 }
 
-// expectServing waits until there is a serving node, or none.
+// expectServing waits until there is a serving node, or with serves false until there is none.
 func (c *Core) expectServing(t *testing.T, what string, serves bool) {
 	t.Helper()
 	testutil.WaitUntil(t, what, func() bool { return c.HasServingNodes() == serves })
 }
 
 // TestSilentWatchIsReopened guards that a watch that falls silent, ends, is reset or stops in the middle of an
-// object is opened again, whether lists are pushed or requested; a drain that it missed is heeded, and so is
-// the node's return.
+// object is reopened, whether lists are pushed or requested, and that the new watch reports the drain that the old one
+// missed, and the return of the node.
 func TestSilentWatchIsReopened(t *testing.T) {
 	for name, end := range map[string]func(*sourceCall){
 		"silent": func(*sourceCall) {},
@@ -203,22 +203,22 @@
 				first := source.firstWatch(t, c, 1)
 				end(first)
 				second := source.next(t, "a new watch")
-				if !second.watch || second.from != "1" {
-					t.Errorf("the new call: watch %v from %s", second.watch, second.from)
+				if !second.watch || second.fromVersion != "1" {
+					t.Errorf("the new call: watch %v from %s, want true from 1", second.watch, second.fromVersion)
 				}
 				second.sendHeader()
 				second.sendList(2, false, "draining")
-				c.expectServing(t, "the drain to be heeded", false)
+				c.expectServing(t, "the drain to take effect", false)
 				second.sendList(3, false, "up")
-				c.expectServing(t, "the return to be heeded", true)
+				c.expectServing(t, "the return to take effect", true)
 			})
 		}
 	}
 }
 
-// TestSilentAgentIsRetriedAtBoundedRate guards that an agent that does not answer, as while discovery is down, is
-// called again and again, but at a bounded rate and with a bounded number of open calls. Its list is taken
-// from whichever call it answers, and the others end.
+// TestSilentAgentIsRetriedAtBoundedRate guards that an agent that does not answer, for example while discovery is down,
+// is called repeatedly, but at a limited rate and with a limited number of open calls. The list is taken from the call
+// that the agent answers, and the other calls end.
 func TestSilentAgentIsRetriedAtBoundedRate(t *testing.T) {
 	source := startSource(t)
 	c := startCore(t, false, source.addr)
@@ -229,11 +229,11 @@
 	for i := range 2 * maxSubscriptions {
 		calls = append(calls, source.next(t, "one more watch"))
 		if i > 0 && !calls[i-1].isOpen() {
-			t.Error("called again only after the previous call was given up")
+			t.Error("the previous call was closed before the agent was called again")
 		}
 	}
 	if took := time.Since(started); took < time.Duration(len(calls)-2)*agentAnswerTimeout {
-		t.Errorf("%d calls in %v", len(calls), took)
+		t.Errorf("%d calls in only %v", len(calls), took)
 	}
 	for _, old := range calls[:maxSubscriptions] {
 		old.waitClosed(t)
@@ -241,16 +241,15 @@
 	last := calls[len(calls)-1]
 	last.sendHeader()
 	last.sendList(2, false, "draining")
-	c.expectServing(t, "the drain to be heeded", false)
+	c.expectServing(t, "the drain to take effect", false)
 	for _, other := range calls[:len(calls)-1] {
 		other.waitClosed(t)
 	}
 	last.sendList(3, false, "up")
-	c.expectServing(t, "the return to be heeded", true)
+	c.expectServing(t, "the return to take effect", true)
 }
 
-// TestAgentWithoutChangesIsNotRetried guards that an agent that answers without reporting a change is not called
-// again.
+// TestAgentWithoutChangesIsNotRetried guards that an agent that answers, but reports no change, is not called again.
 func TestAgentWithoutChangesIsNotRetried(t *testing.T) {
 	source := startSource(t)
 	c := startCore(t, false, source.addr)
@@ -263,14 +262,14 @@
 		fmt.Fprintln(second)
 	}
 	if n := len(source.calls); n > 0 {
-		t.Errorf("called %d more times", n)
+		t.Errorf("the agent was called %d more times, want none", n)
 	}
 	second.sendList(2, false, "draining")
-	c.expectServing(t, "the drain to be heeded", false)
+	c.expectServing(t, "the drain to take effect", false)
 }
 
-// TestOutdatedListIsIgnored guards guarantee 4: a complete list that was requested before a watch reported a
-// drain arrives after it.
+// TestOutdatedListIsIgnored guards guarantee 4: a complete list that was requested before a watch reported a drain, and
+// arrives after that, does not undo the drain.
 func TestOutdatedListIsIgnored(t *testing.T) {
 	for _, status := range []string{"draining", "removed"} {
 		source := startSource(t)
@@ -279,35 +278,35 @@
 		signal(c.fetchRequested)
 		list := source.next(t, "a fetch of the list")
 		if list.watch {
-			t.Fatal("a watch where a fetch was expected")
+			t.Fatal("the source received a watch, want a fetch")
 		}
 		watch.sendList(9, false, status)
-		c.expectServing(t, "the drain to be heeded", false)
+		c.expectServing(t, "the drain to take effect", false)
 		list.sendHeader()
 		list.sendList(8, true, "up")
 		list.Close()
 		signal(c.fetchRequested)
-		list = source.next(t, "one more fetch of the list") // fetches are made in turn: the previous one is applied
+		list = source.next(t, "one more fetch of the list") // fetches are sequential: the previous list was handled
 		if c.HasServingNodes() {
-			t.Errorf("an outdated list has undone that the node is %s", status)
+			t.Errorf("an outdated list has undone the status %s of the node", status)
 		}
 		list.sendHeader()
 		list.sendList(10, true, "up")
 		list.Close()
-		c.expectServing(t, "a newer list to be heeded", true)
-		// A service that has restarted counts from the start.
+		c.expectServing(t, "a newer list to take effect", true)
+		// The versions of a restarted service count from the start again.
 		watch.Close()
 		watch = source.next(t, "a new watch")
 		watch.sendHeader()
 		watch.sendList(2, true, "draining")
-		c.expectServing(t, "the list of a restarted service to be heeded", false)
+		c.expectServing(t, "the list of a restarted service to take effect", false)
 		watch.sendList(3, false, "up")
-		c.expectServing(t, "its changes to be heeded", true)
+		c.expectServing(t, "its changes to take effect", true)
 	}
 }
 
-// TestSourceChangeKeepsReportingWatch guards that the watch of the old source is kept until a new one has reported
-// a list: through a new source that does not answer, and through a second change in the middle of the first.
+// TestSourceChangeKeepsReportingWatch guards that the watch of the old source is kept until a new source has reported
+// a list: while the new source does not answer, and when the source changes again before it has answered.
 func TestSourceChangeKeepsReportingWatch(t *testing.T) {
 	for _, onRequest := range []bool{false, true} {
 		t.Run(fmt.Sprint("on request ", onRequest), func(t *testing.T) {
@@ -317,34 +316,34 @@
 			watch := old.firstWatch(t, c, 50)
 			watch.sendHeartbeats(t)
 			c.SetListSources([]discovery.SourceConfig{{Address: silent.addr}})
-			hung := silent.next(t, "a watch of the new source")
+			unanswered := silent.next(t, "a watch of the new source")
 			watch.sendList(51, false, "draining")
-			c.expectServing(t, "a drain reported by the old source to be heeded", false)
-			beside := silent.next(t, "another watch beside the one without an answer")
-			if !hung.isOpen() {
-				t.Error("called again only after the previous call was given up")
+			c.expectServing(t, "a drain reported by the old source to take effect", false)
+			parallel := silent.next(t, "a watch in parallel to the unanswered one")
+			if !unanswered.isOpen() {
+				t.Error("the previous call was closed before the source was called again")
 			}
 			c.SetListSources([]discovery.SourceConfig{{Address: newest.addr}})
-			hung.waitClosed(t)
-			beside.waitClosed(t)
+			unanswered.waitClosed(t)
+			parallel.waitClosed(t)
 			watch.sendList(52, false, "up")
-			c.expectServing(t, "what the old source reports to be heeded after two changes", true)
-			now := newest.next(t, "a watch of the newest source")
-			if now.from != "0" {
-				t.Errorf("the newest source is watched from version %s on, want 0", now.from)
+			c.expectServing(t, "a report of the old source to take effect after two changes", true)
+			current := newest.next(t, "a watch of the newest source")
+			if current.fromVersion != "0" {
+				t.Errorf("the newest source is watched from version %s on, want 0", current.fromVersion)
 			}
-			now.sendHeader()
-			now.sendList(3, true, "draining")
-			c.expectServing(t, "the newest source to be heeded", false)
+			current.sendHeader()
+			current.sendList(3, true, "draining")
+			c.expectServing(t, "the newest source to take effect", false)
 			watch.waitClosed(t)
-			now.sendList(4, false, "up")
-			c.expectServing(t, "its changes to be heeded", true)
+			current.sendList(4, false, "up")
+			c.expectServing(t, "its changes to take effect", true)
 		})
 	}
 }
 
-// TestFlappingAgentIsNotRetriedInALoop guards that an agent that answers and ends each watch is called with
-// delays.
+// TestFlappingAgentIsNotRetriedInALoop guards that an agent that answers each watch and ends it immediately is called
+// again only after a delay.
 func TestFlappingAgentIsNotRetriedInALoop(t *testing.T) {
 	source := startSource(t)
 	startCore(t, false, source.addr)
@@ -357,42 +356,42 @@
 		w.Close()
 	}
 	if took := time.Since(started); took < (calls-2)*agentRetryDelay/2 {
-		t.Errorf("%d calls in %v", calls, took)
+		t.Errorf("%d calls in only %v", calls, took)
 	}
 }
 
-// TestSubscribeDuringSourceChangeKeepsItsWatch has the decision module request a watch while one of the new source
-// waits for its turn: that one keeps its turn, and stays the only one.
+// TestSubscribeDuringSourceChangeKeepsItsWatch guards that a watch that is queued at a new source keeps its place, and
+// stays the only one, when the decision module requests a watch.
 func TestSubscribeDuringSourceChangeKeepsItsWatch(t *testing.T) {
 	old, newest := startSource(t), startSource(t)
 	c := startCore(t, true, old.addr)
 	old.firstWatch(t, c, 1)
 	c.SetListSources([]discovery.SourceConfig{{Address: newest.addr}})
-	moved := newest.next(t, "a watch of the new source")
+	queued := newest.next(t, "a watch of the new source")
 	signal(c.subscribeRequested)
 	testutil.WaitUntil(t, "the request to be received", func() bool { return len(c.subscribeRequested) == 0 })
 	time.Sleep(agentAnswerTimeout / 4)
-	if n := len(newest.calls); n > 0 || !moved.isOpen() {
-		t.Errorf("%d more calls, the first open: %v", n, moved.isOpen())
+	if n := len(newest.calls); n > 0 || !queued.isOpen() {
+		t.Errorf("%d more calls, want none; first call open: %v, want true", n, queued.isOpen())
 	}
-	moved.sendHeader()
-	moved.sendList(1, true, "draining")
-	c.expectServing(t, "the new source to be heeded", false)
+	queued.sendHeader()
+	queued.sendList(1, true, "draining")
+	c.expectServing(t, "the new source to take effect", false)
 }
 
-// TestSourceChangeDuringRetryDelayIsFollowed changes the source a second time during the delay after a lost watch
-// of the first change; the first call of the second source is lost too.
+// TestSourceChangeDuringRetryDelayIsFollowed guards that a second change of the source takes effect if it comes during
+// the retry delay after the first new source's watch was lost, even if the second source loses its first watch too.
 func TestSourceChangeDuringRetryDelayIsFollowed(t *testing.T) {
 	old, dead, newest := startSource(t), startSource(t), startSource(t)
 	c := startCore(t, true, old.addr)
 	old.firstWatch(t, c, 1).sendHeartbeats(t)
 	c.SetListSources([]discovery.SourceConfig{{Address: dead.addr}})
 	dead.next(t, "a watch of the new source").Close()
-	time.Sleep(movedRetryDelay / 5)
+	time.Sleep(newSourceRetryDelay / 5)
 	c.SetListSources([]discovery.SourceConfig{{Address: newest.addr}})
 	newest.next(t, "a watch of the newest source").Close()
 	again := newest.next(t, "one more watch of the newest source")
 	again.sendHeader()
 	again.sendList(1, true, "draining")
-	c.expectServing(t, "the newest source to be heeded", false)
+	c.expectServing(t, "the newest source to take effect", false)
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,16 +1,16 @@
-// Package request defines a request and its answer independently of any protocol. Frontends translate the
-// requests of clients into it, and its answers into the clients' dialect; package upstream does the same
-// towards nodes. What lies between knows no dialect.
+// Package request defines a request and its answer independently of any protocol. Frontends translate client
+// requests into a [Request], and an [Answer] into the client's dialect; the dialects of package upstream do the
+// same for nodes. The code in between does not depend on a dialect.
 //
 // Invariants:
 //
-//  1. A value passes from node to client without a copy: it is read into a buffer with room for the client's
-//     frame, which is written around it in place.
-//  2. What a client of a text dialect wrote is sent to a node of the same dialect unchanged, except for the
-//     time that the proxy waits.
+//  1. A value is passed from node to client without being copied: it is read into a buffer with room for the
+//     client's frame, which is written around it in place.
+//  2. A request in a text dialect is sent to a node of the same dialect as the client wrote it, except for the
+//     timeout, which is replaced by the time that the proxy waits.
 //
 // The package does no I/O, has no state and starts no goroutine. A Request is not changed after the core has
-// accepted it; an Answer belongs to whoever it was passed to.
+// accepted it. Passing on an Answer passes on its ownership.
 package request
 
 import (
@@ -19,56 +19,56 @@
 	"mulleinpier/internal/pause"
 )
 
-// Verb is what a request does.
+// Verb is the operation that a request asks for.
 type Verb uint8
 
-// The verbs.
+// The verbs that the core handles.
 const (
 	Get Verb = iota // reads a key
-	Set             // writes one
+	Set             // writes a key
 )
 
-// Request is a client's request.
+// Request is a client's request for one key.
 type Request struct {
 	Verb           Verb
 	Key            string
-	ID             string // unique to this attempt of the client; identifies its answer
+	ID             string // unique to this attempt of the client; matches the answer to it
 	Value          []byte // of a Set
 	Class          string
 	Tenant         string
 	IdempotencyKey string        // "" for none
-	Timeout        time.Duration // how long the client waits; negative if it did not say
-	Arrival        pause.Arrival // when its last byte may have arrived, by the core's clock; zero for just now
+	Timeout        time.Duration // how long the client waits; negative if not specified
+	Arrival        pause.Arrival // when its last byte may have arrived, by the core's monotonic clock; zero for now
 	Retry          bool          // marked by the client as a retry
-	Flags          uint32        // of a Set: kept with the value by nodes whose dialect has flags
-	HeaderRoom     int           // the most bytes that the client's frontend writes before a value
+	Flags          uint32        // of a Set: stored with the value by nodes whose dialect has flags
+	HeaderRoom     int           // the maximum number of bytes that the client's frontend writes before a value
 	Raw            RawLine
 
-	SideEffects bool   // set by the core: by its class, executing it twice may do harm
-	Serial      uint32 // set by the core: tells answers apart where a dialect has no room for the id
+	SideEffects bool   // set by the core: its class is not idempotent, so executing it twice may do harm
+	Serial      uint32 // set by the core: matches answers to requests in dialects that can't carry the ID
 }
 
-// RawLine is a request's line as its client wrote it. It is empty for requests of dialects without such a line.
+// RawLine is the command line of a request as its client wrote it. It is empty in dialects without command lines.
 type RawLine struct {
 	Line string
-	// TimeoutStart and TimeoutEnd are the place of the number in the line that is the client's timeout, or
-	// where it is to be inserted.
+	// TimeoutStart and TimeoutEnd delimit the number in Line that is the client's timeout. Without one, both are
+	// the position where it is to be inserted.
 	TimeoutStart, TimeoutEnd int
-	InsertTimeout            bool // the line has no such number yet
+	InsertTimeout            bool // Line has no timeout
 }
 
 // AnswerKind is the kind of an answer.
 type AnswerKind uint8
 
-// The kinds of answers. A node gives all but Invalid, which a frontend or the core gives to a request that is
-// wrong in itself.
+// The kinds of answers. Nodes return all of them except Invalid, which a frontend or the core returns for an
+// invalid request.
 const (
-	Value    AnswerKind = iota // a read's value
-	Stored                     // a write's receipt
-	Busy                       // rejected; a retry is harmless
-	Failed                     // it may have been executed
-	NotFound                   // a read's key does not exist
-	Invalid                    // it was not sent to any node
+	Value    AnswerKind = iota // the value of a key, for a Get
+	Stored                     // a Set was executed
+	Busy                       // rejected; safe to retry
+	Failed                     // failed; it may have been executed
+	NotFound                   // the key of a Get does not exist
+	Invalid                    // not sent to any node
 )
 
 var answerKindNames = [...]string{
@@ -87,7 +87,7 @@
 type Answer struct {
 	Kind       AnswerKind
 	Receipt    string        // of Stored
-	RetryAfter time.Duration // of Busy: when to retry, 0 for no advice
+	RetryAfter time.Duration // of Busy: the delay before a retry, 0 for no advice
 	Reason     string        // of Invalid
 	Flags      uint32        // of Value
 	Hit        bool          // the node had the key cached
@@ -99,11 +99,11 @@
 	start, end int // of the value in buffer
 }
 
-// maxTailLen is the room after a value in its buffer, in bytes.
+// maxTailLen is the space reserved after a value in its buffer, in bytes.
 const maxTailLen = 2
 
-// AllocateValue makes the answer a Value of so many bytes, with room for a header before it. The returned value
-// is to be filled.
+// AllocateValue turns the answer into a Value of valueLen bytes, with headerRoom bytes of space for a header before
+// it. The caller fills the returned slice.
 func (a *Answer) AllocateValue(headerRoom, valueLen int) []byte {
 	a.Kind = Value
 	a.buffer = make([]byte, headerRoom+valueLen+maxTailLen)
@@ -111,21 +111,21 @@
 	return a.Value()
 }
 
-// Value returns the value of a read.
+// Value returns the value of an answer of kind Value.
 func (a *Answer) Value() []byte { return a.buffer[a.start:a.end:a.end] }
 
-// ValueLen returns the length of a read's value in bytes.
+// ValueLen returns the length of the value in bytes.
 func (a *Answer) ValueLen() int { return a.end - a.start }
 
-// Tail returns the room after a value, two bytes: a reader whose dialect ends values with two bytes may read
-// both at once, see [Answer.ValueAndTail].
+// Tail returns the two bytes of space after the value. A reader whose dialect ends values with two bytes can read
+// the value and these bytes at once, see [Answer.ValueAndTail].
 func (a *Answer) Tail() []byte { return a.buffer[a.end:] }
 
-// ValueAndTail returns a value with the room after it.
+// ValueAndTail returns the value and the space after it as one slice.
 func (a *Answer) ValueAndTail() []byte { return a.buffer[a.start:] }
 
-// Frame writes a head before the value and a tail after it, in place where there is room, and returns all of
-// it. It is called once.
+// Frame returns the value with head before it and tail after it. It writes them in place if they fit in the space
+// around the value, and copies all of it otherwise. Call it only once.
 func (a *Answer) Frame(head, tail []byte) []byte {
 	if len(head) > a.start || len(tail) > maxTailLen {
 		framed := make([]byte, 0, len(head)+a.ValueLen()+len(tail))
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestFrameIsWrittenInPlace guards invariant 1, and frames for which there is no room.
+// TestFrameIsWrittenInPlace guards invariant 1: a frame is written around the value without a copy if there is room for
+// it, and is still correct if there is not.
 func TestFrameIsWrittenInPlace(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -33,12 +34,12 @@
 	}
 }
 
-// TestValueIsReadWithItsTail guards that a value and the two bytes after it can be read at once.
+// TestValueIsReadWithItsTail guards that a value and the two bytes after it can be read with one call.
 func TestValueIsReadWithItsTail(t *testing.T) {
 	var answer Answer
 	answer.AllocateValue(3, 2)
 	if n := copy(answer.ValueAndTail(), "hi\r\n"); n != 4 {
-		t.Errorf("%d bytes read, want 4", n)
+		t.Errorf("read %d bytes of value and tail at once, want 4", n)
 	}
 	if string(answer.Value()) != "hi" || string(answer.Tail()) != "\r\n" || answer.ValueLen() != 2 {
 		t.Errorf("value %q of %d bytes, tail %q", answer.Value(), answer.ValueLen(), answer.Tail())
