--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -157,7 +157,7 @@
 	reply.Finish(&request.Answer{Kind: request.Invalid, Reason: reason})
 }
 
-// answerRejected answers a valid request that is not accepted now; the client may retry it. c.mu is held.
+// answerRejected answers busy to a request that is not accepted now. c.mu is held.
 func (c *Core) answerRejected(in *request.Request, reply Reply, reason string, retryAfter time.Duration) {
 	c.recordRejected(in, reply, reason)
 	reply.Finish(&request.Answer{Kind: request.Busy, RetryAfter: retryAfter})
