--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -16,8 +16,8 @@
 	"mulleinpier/internal/proxy"
 )
 
-// BenchmarkRead measures a read of a meta client at a meta node through the whole proxy. It includes the
-// allocations of client and node, which make next to none.
+// BenchmarkRead measures a read by a meta client from a meta node through the whole proxy. The allocations include
+// those of the client and the node, which are close to none.
 func BenchmarkRead(b *testing.B) {
 	node, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// startBenchmarkProxy starts a proxy of one node and returns its address.
+// startBenchmarkProxy starts a proxy with one node and returns its address.
 func startBenchmarkProxy(b *testing.B, node net.Addr) net.Addr {
 	b.Helper()
 	path := filepath.Join(b.TempDir(), "proxy.toml")
--- a/internal/proxy/binary_commands_test.go
+++ b/internal/proxy/binary_commands_test.go
@@ -15,7 +15,7 @@
 	status codec.Status
 }
 
-// quietPipeline builds 200 quiet commands with a Noop in the middle and at the end, and the responses to them.
+// quietPipeline returns 200 quiet commands with a Noop in the middle and at the end, and the responses to expect.
 func quietPipeline() (text []byte, want []expectedResponse) {
 	expect := func(opaque uint32, status codec.Status) { want = append(want, expectedResponse{opaque, status}) }
 	for i := range uint32(200) {
@@ -52,7 +52,7 @@
 }
 
 // TestQuietPipeline sends 200 quiet commands at once: hits, misses, rejections, errors and unsupported commands. All
-// responses come in order, and what must be silent is.
+// responses must come in order, and no other commands may be answered.
 func TestQuietPipeline(t *testing.T) {
 	f := startNodes(t)
 	c := startProxy(t, f.addresses, "[binary]\n").dial()
@@ -70,14 +70,15 @@
 	}
 }
 
-// supportedOpcodes are the statuses of the opcodes that are supported, as TestEveryOpcodeIsAnswered sends them.
+// supportedOpcodes maps the supported opcodes to the statuses that TestEveryOpcodeIsAnswered expects.
 var supportedOpcodes = map[codec.Opcode]codec.Status{
 	codec.Get: codec.OK, codec.GetK: codec.OK, codec.Set: codec.OK, codec.Noop: codec.OK, codec.Version: codec.OK,
 	codec.SASLList: codec.OK, codec.SASLAuth: codec.AuthError, codec.SASLStep: codec.AuthError,
 	codec.GetQ: codec.OK, codec.GetKQ: codec.OK,
 }
 
-// TestEveryOpcodeIsAnswered sends all opcodes on one connection: each has its response, and the next is understood.
+// TestEveryOpcodeIsAnswered sends all opcodes on one connection: each gets a response, and the next command is still
+// parsed correctly.
 func TestEveryOpcodeIsAnswered(t *testing.T) {
 	f := startNodes(t)
 	c := startProxy(t, f.addresses, "[binary]\n").dial()
@@ -133,8 +134,8 @@
 	return codec.UnknownCommand
 }
 
-// TestUnreadableBinaryCommands sends what is no command, or only part of one. Each gets an error, where there is an
-// opaque for one, and is closed; other clients are served meanwhile.
+// TestUnreadableBinaryCommands sends invalid and incomplete commands. If an opaque has arrived there must be a response
+// with it, and the connection must be closed. Other clients are still served.
 func TestUnreadableBinaryCommands(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "[binary]\n")
--- a/internal/proxy/binary_test.go
+++ b/internal/proxy/binary_test.go
@@ -28,8 +28,8 @@
 	return nodes
 }
 
-// TestStalledReaderIsClosed sends a pipeline of large reads and reads no response: its place and the memory that was
-// reserved for it are released.
+// TestStalledReaderIsClosed guards against a client that sends a pipeline of large reads and reads no response: its
+// connection is closed, which frees its place and the memory reserved for it.
 func TestStalledReaderIsClosed(t *testing.T) {
 	nodes := startScriptedNodes(t, scriptednode.Binary, 2)
 	addresses := fmt.Sprintf("%q, %q", nodes.Address(0), nodes.Address(1))
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestDrainWaitsForQuietCommands starts a drain between a quiet get that missed and its Noop: a client without any
-// response must not be closed.
+// TestDrainWaitsForQuietCommands starts a drain between a quiet get that missed and its Noop. The client has no
+// response to the get yet, so its connection must not be closed.
 func TestDrainWaitsForQuietCommands(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "[binary]\n")
@@ -74,15 +74,16 @@
 		return open == 0 && f.origin.Stats().Fetches >= 2
 	})
 	p.stop()
-	idle.expectEnd() // so the drain is under way, and connections that wait for nothing are closed
-	// Longer than any other connection may go on sending in a drain.
+	idle.expectEnd() // the drain has started and closes connections that wait for nothing
+	// Longer than any other connection may keep sending in a drain.
 	time.Sleep(frontend.LingerTimeout)
 	waiting.send(emptyCommand(codec.Noop, 3))
 	waiting.next(codec.OK, 3)
 	waiting.expectEnd()
 }
 
-// TestBinaryListenerServesBinaryClients has binary clients connect to a listener for them only.
+// TestBinaryListenerServesBinaryClients has binary clients connect to a listener for them only. That listener must not
+// serve meta clients, nor the main listener binary ones.
 func TestBinaryListenerServesBinaryClients(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses,
@@ -107,11 +108,11 @@
 	c.expectEnd()
 }
 
-// TestMemoryExhaustionIsReportedInBinary guards against a response in another dialect, which would break the framing,
-// where values pile up behind clients that do not read theirs.
+// TestMemoryExhaustionIsReportedInBinary guards against an error response in another dialect, which would break the
+// framing, when the values for clients that read no responses exhaust the memory for responses.
 func TestMemoryExhaustionIsReportedInBinary(t *testing.T) {
 	const clientCount, gets, valueSize = 12, 100, 60000
-	f := startNodesOf(t, valueSize)
+	f := startNodesWithValueSize(t, valueSize)
 	p := startProxy(t, f.addresses, "[binary]\n[limits]\nmemory_mb = 32\n")
 	var clients []binaryClient
 	for range clientCount {
@@ -130,7 +131,7 @@
 		exhausted += countOutOfMemory(c, gets)
 	}
 	if exhausted == 0 {
-		t.Error("the budget was never exhausted: nothing was shown")
+		t.Error("the response budget was never exhausted, so nothing was tested")
 	}
 }
 
@@ -145,7 +146,7 @@
 	}
 }
 
-// countOutOfMemory reads responses in order, and counts those for lack of memory.
+// countOutOfMemory reads responses in order, and counts those with status OutOfMemory.
 func countOutOfMemory(c binaryClient, responses int) (count int) {
 	c.t.Helper()
 	for i := range responses {
--- a/internal/proxy/commands_test.go
+++ b/internal/proxy/commands_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMalformedCommandsAreRejected guards against clients that send invalid commands: each gets an error or a close
-// soon, and nothing of it may reach a node.
+// TestMalformedCommandsAreRejected guards against invalid commands: each gets an error response soon, and no part of it
+// reaches a node.
 func TestMalformedCommandsAreRejected(t *testing.T) {
 	h := startHarness(t, 256, startNode(t, func(c nodeCommand) {
 		t.Errorf("a node received %q", c.line)
@@ -45,7 +45,8 @@
 	}
 }
 
-// TestConnectionOfNoiseIsClosed guards against a client that sends nothing but noise.
+// TestConnectionOfNoiseIsClosed guards against a client that sends only invalid commands: after a few error responses
+// its connection is closed.
 func TestConnectionOfNoiseIsClosed(t *testing.T) {
 	h := startHarness(t, 256)
 	u := h.connect()
@@ -57,8 +58,8 @@
 	u.expect("")
 }
 
-// TestOversizedValueIsRejected guards against a huge value that keeps coming: it is neither read to its end, nor is
-// the connection reset before its client has the error.
+// TestOversizedValueIsRejected guards against a client that keeps sending a value far over the limit: the value is not
+// read to its end, and the connection is not reset before its client has received the error.
 func TestOversizedValueIsRejected(t *testing.T) {
 	h := startHarness(t, 256)
 	u := h.connect()
@@ -70,7 +71,7 @@
 	}()
 	u.expect("CLIENT_ERROR bad data length")
 	if <-stopped == nil {
-		t.Error("all of a huge value was read")
+		t.Error("an oversized value was read to its end")
 	}
 }
 
@@ -78,8 +79,8 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestRequestIDInUseIsRejected guards against a client that sends the id of another's request in flight: a response
-// could go to either.
+// TestRequestIDInUseIsRejected guards against a client that sends the id of another client's request in flight: a
+// response could go to either client.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	arrived, proceed := make(chan struct{}), make(chan struct{})
 	h := startHarness(t, 256, startNode(t, func(c nodeCommand) {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -7,39 +7,40 @@
 	"mulleinpier/internal/frontend/binary"
 )
 
-// Config configures a proxy. It is filled in by one of two readers, ReadPlatformConfig for the platform's file and
-// package config for the daemon's own, and completed by AllocateResources.
+// Config is the configuration of a proxy. ReadPlatformConfig (for the platform's file) or package config (for the
+// daemon's own file) fills it in. AllocateResources then sets MaxInFlight, MaxClients, the budgets and Upstream.
 type Config struct {
 	core.Config
 	Name   string
 	Listen string // HOST:PORT
 	Cores  float64
-	// MemoryBytes and MaxDescriptors are what the process may use.
+	// MemoryBytes and MaxDescriptors are the memory and the file descriptors that the process may use.
 	MemoryBytes    int
 	MaxDescriptors int
-	// MaxClients is the number of client connections at a time.
+	// MaxClients is the maximum number of concurrent client connections.
 	MaxClients int
-	// RequestBudgetBytes and ResponseBudgetBytes bound the memory for the values of requests and responses in flight.
+	// RequestBudgetBytes limits the memory for the bodies of writes that are being read or are in flight,
+	// ResponseBudgetBytes that for values that have yet to be written to clients.
 	RequestBudgetBytes  int
 	ResponseBudgetBytes int
 	Binary              *BinaryConfig // nil where binary clients are not served
 }
 
-// BinaryConfig tells how clients of the binary protocol are served.
+// BinaryConfig configures how clients of the binary protocol are served.
 type BinaryConfig struct {
-	// Listen is the address of a listener for them only, HOST:PORT. With "" they use the main listener, where the
-	// first byte distinguishes them.
+	// Listen is the address, HOST:PORT, of a listener for binary clients only. If it is empty they use the main
+	// listener, where the first byte of a connection tells the protocols apart.
 	Listen string
 	Rules  binary.Rules
 }
 
-// The names of the listeners in routes.
+// Names of the listeners, as routes refer to them.
 const (
 	MainListener   = "main"
 	BinaryListener = "binary"
 )
 
-// SourceNames returns the names of the sources of the endpoint list, for logs.
+// SourceNames returns the names of the endpoint list's sources, separated by commas, for logs.
 func (c *Config) SourceNames() string {
 	var names []string
 	for _, source := range c.ListSources {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -16,10 +16,11 @@
 	"mulleinpier/internal/testutil"
 )
 
-// These tests guard what becomes of requests whose clients disconnect while they wait: none is sent any more,
-// whatever it waited for and whatever its class.
+// These tests check that a request is no longer sent once its client has disconnected, whatever it waited for and
+// whatever its class.
 
-// requestsByEffect make a request of an id for each effect. The effect is that of the class, whatever the verb.
+// requestsByEffect has a function for each effect, which returns a request with an id. The effect is that of the class,
+// whatever the verb.
 var requestsByEffect = map[string]func(id string) string{
 	"safe":        requestFormat("mg k%[1]s v O%[1]s Pc=read,t=shops,d=1900\r\n"),
 	"safe write":  requestFormat("ms k%[1]s 2 O%[1]s Pc=read,t=shops,d=1900\r\nhi\r\n"),
@@ -33,7 +34,7 @@
 	return func(id string) string { return fmt.Sprintf(format, id) }
 }
 
-// withUnsafeClass adds an unsafe class, and lets connections take long to be established.
+// withUnsafeClass adds an unsafe class, and allows 30 s for establishing a connection to a node.
 func withUnsafeClass(settings map[string]any) {
 	settings["Services"] = append(settings["Services"].([]any), map[string]any{
 		"Name": "once", "Effect": "unsafe", "DedupScope": "all", "Aim": 500,
@@ -42,14 +43,13 @@
 	settings["Limits"].(map[string]any)["ConnectTimeout"] = 30000
 }
 
-// disconnects are the ways in which clients disconnect.
 var disconnects = map[string]func(net.Conn){
 	"close":      func(c net.Conn) { c.Close() },
 	"half close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 	"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 }
 
-// disconnectTest is a test of a kind of request and a way to disconnect.
+// disconnectTest is a test with a kind of request and a way to disconnect.
 type disconnectTest func(t *testing.T, request func(id string) string, disconnect func(net.Conn))
 
 // forEachDisconnect runs a test for each of some effects and each way to disconnect.
@@ -102,7 +102,7 @@
 	})
 }
 
-// readUntilServed sends reads until one is served: admission may be closed for requests that hung.
+// readUntilServed sends reads until one is served, as admission may still reject some after requests that hung.
 func (h *harness) readUntilServed() {
 	h.t.Helper()
 	other := h.connect()
@@ -114,7 +114,7 @@
 	}
 }
 
-// serveEnded returns a channel that brings a value when Serve has returned.
+// serveEnded returns a channel that receives a value when Serve has returned.
 func (h *harness) serveEnded() <-chan bool {
 	out := make(chan bool, 1)
 	go func() {
@@ -124,13 +124,13 @@
 	return out
 }
 
-// TestPipelinedRequestsOfDisconnectedClientAreDropped: the reader of a connection is blocked by the limit of commands
-// under way, and does not reach the end of the connection behind those unread. Unread commands must not be sent after
-// their client has disconnected.
+// TestPipelinedRequestsOfDisconnectedClientAreDropped guards against sending unread commands after their client has
+// disconnected. The limit on commands in flight blocks the connection's reader, so the reader does not reach the end of
+// the connection behind the unread commands.
 func TestPipelinedRequestsOfDisconnectedClientAreDropped(t *testing.T) {
 	effects := slices.Collect(maps.Keys(requestsByEffect))
 	forEachDisconnect(t, effects, func(t *testing.T, request func(string) string, disconnect func(net.Conn)) {
-		const sent, maxUnderWay = 60, 32
+		const sent, maxInFlight = 60, 32
 		var received idRecorder
 		arrived, proceed := make(chan struct{}, 2*sent), make(chan struct{})
 		h := startHarnessWith(t, 256, withUnsafeClass, startNode(t, func(c nodeCommand) {
@@ -161,8 +161,8 @@
 		h.waitReleased(t, budget)
 		for _, id := range received.list() {
 			var n int
-			if fmt.Sscanf(id, "x%d", &n); n >= maxUnderWay {
-				t.Errorf("%s was sent, for which no client waited", id)
+			if fmt.Sscanf(id, "x%d", &n); n >= maxInFlight {
+				t.Errorf("%s was sent after its client had disconnected", id)
 			}
 		}
 		h.readUntilServed()
@@ -170,11 +170,11 @@
 }
 
 // linesWritten returns the lines that are written to a node's connections.
-func linesWritten(t *testing.T, d *unresponsive.Node) <-chan string {
+func linesWritten(t *testing.T, node *unresponsive.Node) <-chan string {
 	lines := make(chan string, 100)
 	go func() {
 		for {
-			c, err := d.Accept()
+			c, err := node.Accept()
 			if err != nil {
 				return
 			}
@@ -189,8 +189,8 @@
 	return lines
 }
 
-// TestNothingIsSentOnLateConnectionAfterDisconnect: a connection to a node is established late, also during a drain,
-// when the client whose request waited for it has disconnected.
+// TestNothingIsSentOnLateConnectionAfterDisconnect has a request wait for a connection to a node, which is established
+// after the client has disconnected, also during a drain. The request must not be sent.
 func TestNothingIsSentOnLateConnectionAfterDisconnect(t *testing.T) {
 	effects := []string{"safe", "keyed", "unsafe"}
 	t.Run("in a drain false", func(t *testing.T) {
@@ -220,7 +220,7 @@
 type lateConnection struct {
 	*harness
 	node   *unresponsive.Node
-	user   *client
+	client *client
 	budget int // free bytes for bodies before the request
 }
 
@@ -234,16 +234,16 @@
 	t.Cleanup(node.Close)
 	l := &lateConnection{harness: startHarnessWith(t, 256, withUnsafeClass, node.Address()), node: node}
 	l.budget = l.bodyBudget()
-	l.user = l.connect()
-	l.user.send("%s", request("x"))
+	l.client = l.connect()
+	l.client.send("%s", request("x"))
 	testutil.WaitUntil(t, "the request to wait", func() bool { return l.server.core.InFlight() == 1 })
 	return l
 }
 
-// disconnect disconnects the client, and waits until its request has left nothing behind.
+// disconnect disconnects the client, and waits until its request holds no resources any more.
 func (l *lateConnection) disconnect(disconnect func(net.Conn)) {
 	l.t.Helper()
-	disconnect(l.user.socket)
+	disconnect(l.client.socket)
 	l.waitNoClients(l.t)
 	l.waitReleased(l.t, l.budget)
 }
@@ -267,8 +267,8 @@
 	}
 }
 
-// TestBurstsReleaseAllResources: hundreds of clients send much at once, of every kind, and disconnect at once. No
-// request of others suffers, and places, bytes and descriptors are released.
+// TestBurstsReleaseAllResources has hundreds of clients send requests of every kind, invalid and incomplete ones too,
+// and disconnect all at once. Other clients still get responses, and places, budgets and descriptors are released.
 func TestBurstsReleaseAllResources(t *testing.T) {
 	h := startHarnessWith(t, 1024, withUnsafeClass, startNode(t, func(c nodeCommand) {
 		if !strings.HasPrefix(c.id, "burst") {
@@ -282,7 +282,7 @@
 	steady.expectValue("warm")
 	descriptorsBefore := countDescriptors(t)
 	sendBurst(h)
-	for served := false; !served; { // a request may be rejected, but has a response
+	for served := false; !served; { // a request may be rejected, but gets a response
 		steady.sendRead(fmt.Sprint("steady", time.Now().UnixNano()))
 		got := steady.line()
 		if served = strings.HasPrefix(got, "VA "); served {
@@ -299,13 +299,14 @@
 	testutil.WaitUntil(t, "the response budget to be released", func() bool {
 		return responseBudget.Available() == responsesBefore
 	})
-	// Connections to the node open and close by themselves; there are no more than it accepts of one proxy.
+	// The proxy opens and closes connections to the node on its own, up to the limit for each node. The node is in this
+	// process, so each connection takes two descriptors.
 	testutil.WaitUntil(t, "the descriptors to be released", func() bool {
 		return countDescriptors(t) <= descriptorsBefore+2*h.server.config.Upstream.MaxPerNode
 	})
 }
 
-// burstPayloads make what the clients of a burst send, by their number.
+// burstPayloads return what a client of a burst sends, by the client's number.
 var burstPayloads = []func(i int) string{
 	func(int) string { return strings.Repeat("noise\r\n", 2000) },
 	func(int) string { return strings.Repeat("x", 60000) },
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -3,15 +3,14 @@
 import "time"
 
 const (
-	// drainAcceptTime is how long connections are accepted after the start of a drain: clients go on connecting for
-	// some tenths of a second.
+	// drainAcceptTime is how long connections are still accepted after a drain starts, because clients keep connecting
+	// for some tenths of a second.
 	drainAcceptTime = 500 * time.Millisecond
-	// abortGrace is the time between the abort of all requests and the cut of all connections, in which the
-	// responses to the aborted requests are written. In a shortened drain it also follows upon the last deadline,
-	// before the abort.
+	// abortGrace is the time between aborting all requests and closing all connections. The responses to the aborted
+	// requests are written in it. A shortened drain also waits this long between the last deadline and the abort.
 	abortGrace = 50 * time.Millisecond
-	// unsetTimer is longer than any drain.
-	unsetTimer = time.Hour
+	// unarmedTimerDelay is the initial delay of a timer that is set later. It is longer than any drain.
+	unarmedTimerDelay = time.Hour
 )
 
 // drainState is the state of a server's graceful shutdown. It is guarded by Server.mu.
@@ -19,18 +18,18 @@
 	started     bool
 	startedAt   time.Time
 	shortened   bool
-	acceptEnded bool        // makeRoom does not wait any more
+	acceptEnded bool        // makeRoom no longer waits for a free place
 	acceptTimer *time.Timer // sets acceptEnded; nil before the drain
 	abortTimer  *time.Timer // aborts the requests in flight; nil until drainClients
 }
 
-// startDrain bounds the time in which connections are accepted. Where another process holds a listener too, later
-// connections are left to that one.
+// startDrain limits the time in which connections are accepted. An inherited listener stops accepting at once: another
+// process may hold it too and accept later connections.
 func (s *Server) startDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drain.started, s.drain.startedAt = true, time.Now()
-	// Accept returns what the backlog holds before it obeys a deadline that lies in the future.
+	// With a deadline in the future, Accept returns the connections in the backlog before it times out.
 	for _, l := range s.listeners {
 		until := time.Now().Add(drainAcceptTime)
 		if l.inherited || s.drain.shortened {
@@ -44,7 +43,8 @@
 	}
 }
 
-// endAccept ends the wait for room: where all places are taken, the drain itself has to begin to free any.
+// endAccept ends the wait in makeRoom. When all places are taken, only draining the clients is sure to free one, and
+// that starts after accepting has ended.
 func (s *Server) endAccept() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,8 +52,9 @@
 	s.changed.Broadcast()
 }
 
-// ShortenDrain shortens a drain, also one yet to come: no more connections are accepted, and Serve returns when the
-// deadlines of what is open now have passed, at the latest.
+// ShortenDrain shortens a drain, whether it has started or not. No more connections are accepted in the drain, and the
+// clients connected now may send no more commands. Serve returns shortly after the last deadline of the open requests
+// at the latest.
 func (s *Server) ShortenDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,8 +76,9 @@
 	}
 }
 
-// drainClients closes each client between requests and waits for all. Requests that cannot be finished in time are
-// answered with an error, and connections that are still open after that are cut.
+// drainClients closes each client connection once no request is in flight on it, and waits until all are closed.
+// Requests that do not finish in time are aborted and answered with an error, and abortGrace later the remaining
+// connections are closed.
 func (s *Server) drainClients() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,11 +92,11 @@
 	if s.drain.shortened {
 		wait = s.core.LongestRemaining() + abortGrace
 	}
-	cutTimer := time.AfterFunc(unsetTimer, s.cutClients) // set when the requests are aborted
-	defer cutTimer.Stop()
+	closeTimer := time.AfterFunc(unarmedTimerDelay, s.closeClients) // reset when the requests are aborted
+	defer closeTimer.Stop()
 	s.drain.abortTimer = time.AfterFunc(wait, func() {
 		s.core.AbortAll()
-		cutTimer.Reset(abortGrace)
+		closeTimer.Reset(abortGrace)
 	})
 	defer s.drain.abortTimer.Stop()
 	for len(s.clients) > 0 {
@@ -102,8 +104,8 @@
 	}
 }
 
-// cutClients closes all connections, whatever is under way on them.
-func (s *Server) cutClients() {
+// closeClients closes all client connections, even those with requests in flight.
+func (s *Server) closeClients() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.clients {
@@ -111,10 +113,10 @@
 	}
 }
 
-// drainTimeout returns how long open requests may still take. The service manager kills the process no sooner than
-// the longest deadline and 0.7 s after SIGTERM. Where the process is stalled time and again, both the signal and
-// the end of the wait may be late by the length of a stall, so two are subtracted. Requests accepted last have a
-// little less than their time.
+// drainTimeout returns how long requests may still stay open. The service manager kills the process no sooner than the
+// longest deadline and 0.7 s after SIGTERM. In a process that stalls repeatedly, both the signal and the end of the
+// wait may be late by the length of a stall, so two stalls are subtracted. Requests that are accepted last get a little
+// less than their deadline.
 func (s *Server) drainTimeout() time.Duration {
 	end := s.drain.startedAt.Add(drainAcceptTime + s.longestDeadline)
 	return time.Until(end) - 2*s.core.WorstStall()
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// These tests guard the drain: every accepted request gets a response, and the drain ends in time, whatever nodes and
-// clients do.
+// These tests check that in a drain every accepted request gets a response, and that the drain ends in time, whatever
+// nodes and clients do.
 
 // waitDraining waits until a drain accepts no more commands on any connection.
 func (h *harness) waitDraining() {
@@ -28,11 +28,11 @@
 	})
 }
 
-// TestLateRequestsInDrainAreRejected: a client goes on sending on a connection that stays open for a response that
-// hangs. It is rejected at once, since a close with unread commands would lose that response.
+// TestLateRequestsInDrainAreRejected has a client keep sending commands on a connection that stays open for a response
+// that hangs. They are rejected at once, since closing a connection with unread commands would lose that response.
 func TestLateRequestsInDrainAreRejected(t *testing.T) {
-	for class, request := range requestsByEffect {
-		t.Run(class, func(t *testing.T) {
+	for effect, request := range requestsByEffect {
+		t.Run(effect, func(t *testing.T) {
 			t.Parallel()
 			arrived := make(chan string, 100)
 			hangingNode := startNode(t, func(c nodeCommand) { arrived <- c.id })
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestDrainStartsWithAllPlacesTaken: the accept loop waits for a place when the drain starts, and none is ever
-// freed, as all clients go on sending.
+// TestDrainStartsWithAllPlacesTaken starts a drain while the accept loop waits for a free place. No place ever becomes
+// free, as all clients keep sending, so the drain must end that wait.
 func TestDrainStartsWithAllPlacesTaken(t *testing.T) {
 	h := startHarness(t, 64, startNode(t, nodeCommand.serve))
 	var clients sync.WaitGroup
@@ -98,7 +98,8 @@
 	waiting.socket.Close()
 }
 
-// TestPendingConnectionsDoNotDelayDrain: a connection to a node is pending, and would be for long.
+// TestPendingConnectionsDoNotDelayDrain starts a drain while requests wait for a connection to a node that is still
+// pending and would stay so for an hour.
 func TestPendingConnectionsDoNotDelayDrain(t *testing.T) {
 	d, err := unresponsive.Start()
 	if err != nil {
@@ -110,9 +111,9 @@
 		settings["Limits"].(map[string]any)["ConnectTimeout"] = 3600000
 	}, d.Address())
 	var clients []*client
-	for class, request := range requestsByEffect {
+	for effect, request := range requestsByEffect {
 		u := h.connect()
-		u.send("%s", request(strings.ReplaceAll(class, " ", "")))
+		u.send("%s", request(strings.ReplaceAll(effect, " ", "")))
 		clients = append(clients, u)
 	}
 	testutil.WaitUntil(t, "all to wait", func() bool { return h.server.core.InFlight() == len(clients) })
@@ -126,8 +127,8 @@
 	testutil.Receive(t, "the end of Serve", h.serveEnded())
 }
 
-// TestUnfinishedRequestsAreAnswered: the drain times out before a request does, as where a process was stalled. The
-// request gets a response nevertheless, which claims no more than is known.
+// TestUnfinishedRequestsAreAnswered has the drain time out before the requests do, as in a process that was stalled.
+// Each request still gets a response, and only those that are safe to repeat get one that invites a retry.
 func TestUnfinishedRequestsAreAnswered(t *testing.T) {
 	arrived := make(chan string, 100)
 	h := startHarnessWith(t, 256, withUnsafeClass, startNode(t, func(c nodeCommand) { arrived <- c.id }))
@@ -135,19 +136,19 @@
 	h.server.longestDeadline = 0
 	h.server.mu.Unlock()
 	clients := make(map[string]*client)
-	for class, request := range requestsByEffect {
-		clients[class] = h.connect()
-		clients[class].send("%s", strings.ReplaceAll(request(strings.ReplaceAll(class, " ", "")), "d=1900", "d=1999"))
+	for effect, request := range requestsByEffect {
+		clients[effect] = h.connect()
+		clients[effect].send("%s", strings.ReplaceAll(request(strings.ReplaceAll(effect, " ", "")), "d=1900", "d=1999"))
 		testutil.Receive(t, "the request to reach the node", arrived)
 	}
 	h.stop()
-	for class, u := range clients {
+	for effect, u := range clients {
 		want := "SERVER_ERROR failed"
-		if strings.HasPrefix(class, "safe") {
+		if strings.HasPrefix(effect, "safe") {
 			want = "SERVER_ERROR busy "
 		}
 		if got := u.line(); !strings.HasPrefix(got, want) {
-			t.Errorf("%s: got %q, want %q", class, got, want)
+			t.Errorf("%s: got %q, want %q", effect, got, want)
 		}
 	}
 	testutil.Receive(t, "the end of Serve", h.serveEnded())
--- a/internal/proxy/external_harness_test.go
+++ b/internal/proxy/external_harness_test.go
@@ -22,10 +22,10 @@
 	"mulleinpier/internal/testutil"
 )
 
-// window is the time in which the fake nodes drop repeats, and that of the class write.
-const window = 1500 * time.Millisecond
+// dedupWindow is the deduplication window of the fake nodes and of class write.
+const dedupWindow = 1500 * time.Millisecond
 
-// nodeFleet is two fake nodes and what they share.
+// nodeFleet is two fake nodes and the origin that they share.
 type nodeFleet struct {
 	t         *testing.T
 	origin    *origin.Origin
@@ -35,15 +35,15 @@
 
 func startNodes(t *testing.T) *nodeFleet {
 	t.Helper()
-	return startNodesOf(t, 0)
+	return startNodesWithValueSize(t, 0)
 }
 
-// startNodesOf starts nodes whose values have a size in bytes, 0 for the default.
-func startNodesOf(t *testing.T, valueSize int) *nodeFleet {
+// startNodesWithValueSize starts nodes whose values have a size in bytes, 0 for the default.
+func startNodesWithValueSize(t *testing.T, valueSize int) *nodeFleet {
 	t.Helper()
 	f := &nodeFleet{t: t, origin: origin.New(origin.Config{Slots: 64, Queue: 1024})}
 	t.Cleanup(f.origin.Close)
-	group := node.NewGroup(window)
+	group := node.NewGroup(dedupWindow)
 	var addresses []string
 	for i := range 2 {
 		n, err := node.Start(node.Config{
@@ -74,7 +74,7 @@
 	t      *testing.T
 	server *proxy.Server
 	path   string
-	nodes  string // the part of the configuration that lists them
+	nodes  string // the part of the configuration that lists the nodes
 	stop   func()
 }
 
@@ -91,13 +91,13 @@
 	return c
 }
 
-// configWithNodes reads a configuration that also lists the nodes of the start.
+// configWithNodes reads a configuration that also lists the nodes that the proxy was started with.
 func (p *testProxy) configWithNodes(text string) *config.Config {
 	p.t.Helper()
 	return p.config(p.nodes + text)
 }
 
-// reload reloads a configuration that also lists the nodes of the start.
+// reload reloads a configuration that also lists the nodes that the proxy was started with.
 func (p *testProxy) reload(text string) {
 	p.t.Helper()
 	if err := p.server.Reload(p.configWithNodes(text).Proxy); err != nil {
@@ -105,13 +105,13 @@
 	}
 }
 
-// startProxy starts a proxy of nodes at addresses.
+// startProxy starts a proxy with nodes at addresses. The rest of its configuration is text.
 func startProxy(t *testing.T, addresses, text string) *testProxy {
 	t.Helper()
 	return startTestProxy(t, "nodes.addresses = ["+addresses+"]\n", text)
 }
 
-// startTestProxy starts a proxy whose configuration lists its nodes in one part and has the rest in another.
+// startTestProxy starts a proxy. The part nodes of its configuration lists its nodes, and text is the rest.
 func startTestProxy(t *testing.T, nodes, text string) *testProxy {
 	t.Helper()
 	p := &testProxy{t: t, path: filepath.Join(t.TempDir(), "proxy.toml"), nodes: nodes}
@@ -152,7 +152,7 @@
 	return binaryClient{t, c}
 }
 
-// send sends commands. An end of the connection shows in the responses.
+// send sends commands. It ignores errors: reading the responses fails if the connection has ended.
 func (c binaryClient) send(commands ...[]byte) {
 	for _, command := range commands {
 		c.Socket.Write(command)
@@ -182,10 +182,10 @@
 	}
 }
 
-// readTicket reads a key and returns the ticket that comes with its value, its CAS.
+// readTicket reads a key and returns the ticket that comes with its value, as the response's CAS.
 func (c binaryClient) readTicket(key string) (ticket uint64) {
 	c.t.Helper()
-	// After a client that disconnected, a read may be rejected at random for a moment.
+	// After a client has disconnected, reads may be rejected at random for a moment.
 	testutil.WaitUntil(c.t, "a read of "+key, func() bool {
 		c.send(getCommand(key, 1))
 		r, err := rawclient.ReadResponse(c.Reader)
@@ -202,12 +202,12 @@
 	return rawclient.AppendKeyOnly(nil, codec.Get, key, opaque)
 }
 
-// emptyCommand is a command without a key.
+// emptyCommand returns a command without a key.
 func emptyCommand(op codec.Opcode, opaque uint32) []byte {
 	return rawclient.AppendKeyOnly(nil, op, "", opaque)
 }
 
-// setCommand is a Set with opaque setOpaque.
+// setCommand returns a Set with opaque setOpaque.
 func setCommand(key, value string, cas uint64) []byte {
 	return rawclient.AppendSet(nil, codec.Set, key, value, setOpaque, cas)
 }
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -11,7 +11,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// setFault makes all nodes fail in a way.
+// setFault sets the fault of all nodes; node.NoFault ends it.
 func (f *nodeFleet) setFault(kind node.FaultKind) {
 	f.t.Helper()
 	for _, n := range f.nodes {
@@ -21,7 +21,7 @@
 	}
 }
 
-// expectEffects waits until a write of a value has taken effect so many times.
+// expectEffects waits until a write of a value has taken effect want times.
 func (f *nodeFleet) expectEffects(want int, key, value string) {
 	f.t.Helper()
 	testutil.WaitUntil(f.t, fmt.Sprintf("%s to have taken effect %d times", value, want), func() bool {
@@ -29,19 +29,19 @@
 	})
 }
 
-// TestRepeatedHandoverTakesEffectOnce plays clients whose handover's response is lost with its connection, or is a
-// failure, and who ask another proxy with the same ticket: within the window and long after it, in the order of the
-// table in the design note.
+// TestRepeatedHandoverTakesEffectOnce has clients repeat handovers at another proxy with the same ticket, after the
+// first got a failure or lost its response with the connection: within the deduplication window and long after it. The
+// order is that of the table in the design note.
 func TestRepeatedHandoverTakesEffectOnce(t *testing.T) {
 	f := startNodes(t)
 	a, b := startProxy(t, f.addresses, "[binary]\n"), startProxy(t, f.addresses, "[binary]\n")
-	expectRepeatAfterCut(f, a, b)
+	expectRepeatAfterDisconnect(f, a, b)
 	expectRepeatAfterFailure(f, a, b)
 	expectDifferentHandovers(f, a, b)
 }
 
-// expectRepeatAfterCut repeats a handover whose connection ended with it in flight.
-func expectRepeatAfterCut(f *nodeFleet, a, b *testProxy) {
+// expectRepeatAfterDisconnect repeats a handover whose connection ended with it in flight.
+func expectRepeatAfterDisconnect(f *nodeFleet, a, b *testProxy) {
 	f.t.Helper()
 	first, second := a.dial(), b.dial()
 	ticket := first.readTicket("order1")
@@ -52,8 +52,9 @@
 	f.expectEffects(1, "order1", "cut")
 }
 
-// expectRepeatAfterFailure has all nodes carry a handover out and reset: the proxy tries others and fails, so the
-// client asks the other proxy. Long after, no node drops the repeat any more, so it must not reach one.
+// expectRepeatAfterFailure has all nodes execute a handover and then reset the connection. The proxy retries and fails,
+// so the client repeats the handover at the other proxy. Long afterwards no node drops the repeat any more, so it must
+// not reach one.
 func expectRepeatAfterFailure(f *nodeFleet, a, b *testProxy) {
 	f.t.Helper()
 	first, second := a.dial(), b.dial()
@@ -74,7 +75,7 @@
 		r, err := rawclient.ReadResponse(second.Reader)
 		return err == nil && r.Status == codec.Exists
 	})
-	time.Sleep(window)
+	time.Sleep(dedupWindow)
 	second.send(repeat)
 	second.next(codec.Exists, setOpaque)
 	if n := f.origin.EffectCount("order2", "reset"); n != 1 {
@@ -82,8 +83,8 @@
 	}
 }
 
-// expectDifferentHandovers sends handovers that differ by value or by ticket: all take effect. One whose CAS is no
-// ticket, or that of another server, reaches no node.
+// expectDifferentHandovers sends handovers that differ by value or by ticket: all take effect. A handover whose CAS is
+// not a ticket, or is a number of another server, reaches no node.
 func expectDifferentHandovers(f *nodeFleet, a, b *testProxy) {
 	f.t.Helper()
 	first, second := a.dial(), b.dial()
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -20,7 +20,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// waitTimeout bounds each wait of these tests; none depends on its length.
+// waitTimeout limits each wait of these tests. No result depends on its length.
 const waitTimeout = 30 * time.Second
 
 // harness is a proxy with scripted cache nodes, all on loopback.
@@ -76,7 +76,7 @@
 	}
 }
 
-// startHarness starts a proxy with descriptors for so many sockets and nodes n0, n1 and so on at these addresses.
+// startHarness starts a proxy with a limit on sockets and nodes n0, n1 and so on at these addresses.
 func startHarness(t *testing.T, sockets int, nodes ...string) *harness {
 	t.Helper()
 	return startHarnessWith(t, sockets, nil, nodes...)
@@ -137,7 +137,7 @@
 	return &harness{t: t, server: server, stop: stop, served: served}
 }
 
-// client is a client of the proxy.
+// client is a meta client of the proxy that sends raw commands.
 type client struct {
 	t      *testing.T
 	socket net.Conn
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -11,52 +11,56 @@
 
 const (
 	bytesPerMB = 1 << 20
-	// reservedDescriptors are for everything but clients and nodes: discovery, listeners, poller, log.
+	// reservedDescriptors is the number of descriptors for everything but client and node connections: discovery,
+	// listeners, poller, log.
 	reservedDescriptors = 32
-	// bytesPerRequest is the memory that is reserved for each request in flight.
+	// bytesPerRequest is the memory assumed for each request in flight, which bounds their number.
 	bytesPerRequest = 16 << 10
-	// budgetDivisor gives the part of the memory for the values of requests, and as much for those of responses.
+	// budgetDivisor sets the budgets for the values of requests and of responses: each is 1/budgetDivisor of the
+	// memory.
 	budgetDivisor = 8
-	// minLongestDeadline is the lowest value that is assumed for the longest deadline of all classes.
+	// minLongestDeadline is the lowest value that is used as the longest deadline when SilenceTimeout is derived from
+	// it.
 	minLongestDeadline = time.Second
 )
 
-// The lowest limits that a proxy can work with.
+// The lowest resource limits that a proxy can run with.
 const (
 	MinDescriptors = 2 * reservedDescriptors
 	MinMemoryBytes = 32 * bytesPerMB
 )
 
-// ResourceLimits bound connections and requests.
+// ResourceLimits are the limits on connections and requests that come from the configuration, not from the resources of
+// the process.
 type ResourceLimits struct {
 	ConnectTimeout       time.Duration // of a connection to a node
-	NodeIdleTimeout      time.Duration // after which nodes close an idle connection
+	NodeIdleTimeout      time.Duration // after which a node closes an idle connection
 	StreamsPerConnection int           // requests in flight on one connection to a node
-	ConnectionsPerNode   int           // of this proxy
+	ConnectionsPerNode   int           // opened by this proxy
 	MaxInFlight          int           // requests
 	ConnectionShare      connlimit.Capacity
 }
 
-// AllocateResources divides descriptors and memory between clients and nodes, requests and responses. It returns an
-// error where they are too few.
+// AllocateResources divides the descriptors between clients and nodes, and the memory between requests and responses.
+// It returns an error if the process has too little of a resource.
 func (c *Config) AllocateResources(limits ResourceLimits) error {
 	switch {
 	case c.MaxDescriptors < MinDescriptors:
-		return fmt.Errorf("limits: sockets cannot be %d", c.MaxDescriptors)
+		return fmt.Errorf("limits: sockets cannot be %d: too few to serve clients", c.MaxDescriptors)
 	case c.MemoryBytes < MinMemoryBytes:
-		return fmt.Errorf("limits: memory_mb cannot be %d", c.MemoryBytes/bytesPerMB)
+		return fmt.Errorf("limits: memory_mb cannot be %d: too little to serve clients", c.MemoryBytes/bytesPerMB)
 	case c.Cores <= 0:
-		return fmt.Errorf("limits: cores cannot be %v", c.Cores)
+		return fmt.Errorf("limits: cores cannot be %v: want a number above 0", c.Cores)
 	}
 	c.MaxInFlight = min(limits.MaxInFlight, c.MemoryBytes/bytesPerRequest)
-	toNodes := (c.MaxDescriptors - reservedDescriptors) / 2
-	c.MaxClients = c.MaxDescriptors - reservedDescriptors - toNodes
+	nodeConnections := (c.MaxDescriptors - reservedDescriptors) / 2
+	c.MaxClients = c.MaxDescriptors - reservedDescriptors - nodeConnections
 	c.RequestBudgetBytes = c.MemoryBytes / budgetDivisor
 	c.ResponseBudgetBytes = c.MemoryBytes / budgetDivisor
 	longest := max(minLongestDeadline, longestDeadline(&c.Policy))
 	c.Upstream = upstream.Limits{
 		MaxPerNode:     limits.ConnectionsPerNode,
-		MaxConnections: toNodes,
+		MaxConnections: nodeConnections,
 		MaxPipelined:   limits.StreamsPerConnection,
 		ConnectTimeout: limits.ConnectTimeout,
 		IdleTimeout:    limits.NodeIdleTimeout / 2, // well before the node closes it
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -12,31 +12,33 @@
 )
 
 const (
-	// earlyCloseMargin is how many connections below the limit idle ones begin to be closed: each counts until its
-	// client closes too.
+	// earlyCloseMargin is the number of free places at which idle connections begin to be closed. That is before all
+	// places are taken, because a closed connection counts until its client closes it too.
 	earlyCloseMargin = 16
-	// minIdleToEvict is how long a connection must have idled before it is closed to make room.
+	// minIdleToEvict is how long a connection must have been idle before it is closed to make room.
 	minIdleToEvict = 100 * time.Millisecond
-	// minBlockingAccept is the duration from which an accept is taken to have found the backlog empty.
+	// minBlockingAccept is the shortest duration of an accept that is assumed to have found the backlog empty.
 	minBlockingAccept = time.Millisecond
 	// acceptRetryInterval is the wait after an accept that failed for lack of descriptors or buffers.
 	acceptRetryInterval = 10 * time.Millisecond
 )
 
-// clientListener is a listener and what its clients share.
+// clientListener is a listener for clients, with the host that their connections share.
 type clientListener struct {
 	*net.TCPListener
 	inherited bool // another process may hold it too
-	// shared is a duplicate of an inherited listener, from which its connections are accepted; nil for one that was
-	// opened here. The net package does not let its callers accept by themselves.
+	// shared is a duplicate of an inherited listener, used to accept its connections. It is nil for a listener that
+	// this process opened. It is needed because package net does not let callers wait for connections on a
+	// net.TCPListener and run accept4 themselves.
 	shared *os.File
 	host   *frontend.Host
-	// backlogEmptyAt is when the backlog was last seen empty, by the clock of the core. It belongs to the goroutine
-	// that accepts.
+	// backlogEmptyAt is when the backlog was last seen empty, by the core's clock. Only the accepting goroutine uses
+	// it.
 	backlogEmptyAt time.Duration
 }
 
-// openListener opens an address, or uses an inherited listener.
+// openListener opens a listener at an address, or uses the inherited listener if there is one, and adds it to
+// s.listeners.
 func (s *Server) openListener(address string, inherited *net.TCPListener, host *frontend.Host) error {
 	l := &clientListener{TCPListener: inherited, inherited: inherited != nil, host: host}
 	if !l.inherited {
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// SetDeadline sets when accepting ends.
+// SetDeadline sets the time at which accepting ends.
 func (l *clientListener) SetDeadline(t time.Time) error {
 	if l.inherited {
 		return l.shared.SetDeadline(t)
@@ -65,7 +67,7 @@
 	return l.TCPListener.SetDeadline(t)
 }
 
-// Close closes the listener in this process.
+// Close closes the listener in this process; other processes may still hold an inherited one.
 func (l *clientListener) Close() error {
 	if l.inherited {
 		return errors.Join(l.shared.Close(), l.TCPListener.Close())
@@ -73,7 +75,7 @@
 	return l.TCPListener.Close()
 }
 
-// closeUnused undoes openListener. An inherited listener stays open, for another try.
+// closeUnused closes a listener that was not used. An inherited listener stays open, so that Listen can use it again.
 func (l *clientListener) closeUnused() {
 	if l.inherited {
 		l.shared.Close()
@@ -82,7 +84,7 @@
 	l.TCPListener.Close()
 }
 
-// accept accepts a connection, and records when the backlog was empty.
+// accept accepts a connection, and sets backlogEmptyAt if the backlog was empty.
 func (l *clientListener) accept(now func() time.Duration) (*net.TCPConn, error) {
 	start := now()
 	socket, err := l.acceptNext()
@@ -107,25 +109,26 @@
 		socket, err := l.accept(s.core.Now)
 		switch {
 		case err == nil:
-			<-s.core.Resumed() // bounded: after a pause sends are deferred for a short time
+			<-s.core.Resumed() // a short, bounded wait: after a pause, sends are deferred
 			s.serveClient(l, socket)
 		case endsAccepting(err):
 			return
-		default: // for lack of descriptors or buffers: the connection stays in the backlog
+		default: // out of descriptors or buffers: the connection stays in the backlog
 			s.log.Warn("accept failed", "error", err)
 			time.Sleep(acceptRetryInterval)
 		}
 	}
 }
 
-// endsAccepting reports whether an accept failed because the listener is closed or its deadline has passed. Nothing
-// else ends accepting, not even a time-out of the system call: Linux returns pending network errors with new
-// connections.
+// endsAccepting reports whether an accept failed because the listener is closed or its deadline has passed. All other
+// errors are retried, even a time-out reported by accept(2): on Linux it also returns network errors that are pending
+// on the new connection.
 func endsAccepting(err error) bool {
 	return errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// serveClient starts a client's goroutine. It ends with the client's connection, or with the drain.
+// serveClient starts the goroutine that serves a client. It ends with the client's connection, at the latest in the
+// drain.
 func (s *Server) serveClient(l *clientListener, socket *net.TCPConn) {
 	c := frontend.New(l.host, socket, l.backlogEmptyAt)
 	s.mu.Lock()
@@ -140,10 +143,10 @@
 	}()
 }
 
-// makeRoom closes the client that has idled longest when the limit of clients is near, and waits while it is reached.
-// It reports whether there is room for another; there is none only where a drain ends the wait. A connection in the
-// backlog has been acknowledged and must not be accepted only to be dropped; nor must one be closed that was just
-// accepted, since its request may not have been read yet.
+// makeRoom closes the client that has been idle longest when few places are free, and waits while all are taken. It
+// reports whether another client can be accepted, and returns false only if a drain ends the wait. A connection in the
+// backlog is already established for its client, so it must not be accepted only to be closed. A connection that was
+// just accepted must not be closed either, since its request may not have been read yet.
 func (s *Server) makeRoom() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +163,7 @@
 	return true
 }
 
-// closeLongestIdle closes the client that has idled longest, if any has for minIdleToEvict. s.mu is held.
+// closeLongestIdle closes the client that has been idle longest, if that is for more than minIdleToEvict. s.mu is held.
 func (s *Server) closeLongestIdle() {
 	var longest *frontend.Conn
 	since := time.Now().Add(-minIdleToEvict)
@@ -174,7 +177,8 @@
 	}
 }
 
-// closeListeners closes the listeners. The backlog of an inherited one is left to the other process.
+// closeListeners closes the listeners. Connections in the backlog of an inherited listener are left to the other
+// process that holds it.
 func (s *Server) closeListeners() {
 	for _, l := range s.listeners {
 		if !l.inherited {
@@ -184,9 +188,9 @@
 	}
 }
 
-// acceptBacklog accepts what the backlog holds, without waiting. A connection that arrives between this and the close
-// is reset together with its request, so nothing may come in between. Some microseconds remain; a listener that the
-// service manager holds leaves none.
+// acceptBacklog accepts all connections in the backlog, without waiting. The listener must be closed immediately
+// afterwards, because a connection that arrives in between is reset together with its request. This window is some
+// microseconds long; a listener that the service manager holds has none.
 func (s *Server) acceptBacklog(l *clientListener) {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/proxy/nodefailures_test.go
+++ b/internal/proxy/nodefailures_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestBrokenNodeConnectionsRepeatNoUnsafeRequest breaks connections to nodes in every way with requests of every effect
-// in flight: each request gets one response, no request of an unsafe class reaches nodes twice, and one of a keyed
-// class that reaches them more than once has its key.
+// in flight. Each request gets one response, no request of an unsafe class reaches nodes twice, and every request of a
+// keyed class that reaches a node has its key.
 func TestBrokenNodeConnectionsRepeatNoUnsafeRequest(t *testing.T) {
 	react := func(_ int, request scriptednode.ReceivedRequest) scriptednode.Reaction {
 		_, kind, _ := strings.Cut(request.ID, "-")
@@ -28,7 +28,7 @@
 	t.Cleanup(nodes.Close)
 	h := startHarnessWith(t, 512, withUnsafeClass, nodes.Address(0), nodes.Address(1), nodes.Address(2))
 	u := h.connect()
-	for i := range 300 { // warms up, or admission would be reduced by what follows
+	for i := range 300 { // warm up, or the failures that follow would reduce admission
 		u.send("mg kw%d v Ow-serve-%d Pc=read,t=shops,d=1900\r\n", i, i)
 		if line := u.line(); strings.HasPrefix(line, "VA ") {
 			u.line()
@@ -62,13 +62,13 @@
 	}
 }
 
-// failingReactions are the ways in which a node breaks its connection, or keeps a request from being served.
+// failingReactions are the ways in which a node breaks its connection or fails to serve a request.
 var failingReactions = []scriptednode.Reaction{
 	scriptednode.Reset, scriptednode.TruncatedAnswer, scriptednode.Garbage, scriptednode.OtherAnswer,
 	scriptednode.DuplicateAnswer, scriptednode.EndlessValue, scriptednode.Fail, scriptednode.Hang,
 }
 
-// expectOneResponse sends a request whose node fails in a way, and expects one response that fits it.
+// expectOneResponse sends a request to which the node reacts in a way, and expects one response that fits the reaction.
 func expectOneResponse(u *client, id, command string, kind scriptednode.Reaction) {
 	u.t.Helper()
 	mayBeServed := kind == scriptednode.DuplicateAnswer || kind == scriptednode.TruncatedAnswer
@@ -87,12 +87,12 @@
 		u.t.Errorf("%s: got %q", id, got)
 	}
 	u.send("mn\r\n")
-	u.expect("MN") // and no second response before it
+	u.expect("MN") // there was no second response before it
 	u.socket.Close()
 }
 
-// TestQueuedRequestOfDisconnectedClientIsDropped: a request waits between attempts, as there is no node, and its
-// client disconnects. It is not sent once there is a node.
+// TestQueuedRequestOfDisconnectedClientIsDropped has a client disconnect while its request waits between attempts, as
+// there is no node. The request must not be sent once there is one.
 func TestQueuedRequestOfDisconnectedClientIsDropped(t *testing.T) {
 	effects := []string{"safe", "keyed", "unsafe"}
 	forEachDisconnect(t, effects, func(t *testing.T, request func(string) string, disconnect func(net.Conn)) {
@@ -121,7 +121,7 @@
 		h.readUntilServed()
 		for _, id := range received.list() {
 			if id == "x" {
-				t.Error("the request was sent, for which no client waited")
+				t.Error("the request was sent after its client had disconnected")
 			}
 		}
 	})
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// expectStatistics expects the statistics of the overload level to include some.
+// expectStatistics expects the statistics of the overload level to include the wanted ones, and returns all.
 func (p *testProxy) expectStatistics(when string, want map[string]string) map[string]string {
 	p.t.Helper()
 	got := p.statistics("service")
@@ -68,13 +68,13 @@
 	}
 }
 
-// pinConfig is a configuration that pins the overload level until a time.
+// pinConfig returns a configuration that pins the overload level until a time.
 func pinConfig(until time.Time) string {
 	return "[service]\npin = \"handovers\"\npin_until = \"" + until.Format(time.RFC3339) + "\"\n[binary]\n"
 }
 
-// TestOverloadLevelIsReportedAndPinned guards the operators' access: the level, its statistics and its records in
-// both dialects, a pin by reload, and its end.
+// TestOverloadLevelIsReportedAndPinned checks what operators use: the overload level with its statistics and its
+// records of transitions, in both dialects, a pin that a reload sets, and the end of the pin.
 func TestOverloadLevelIsReportedAndPinned(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "[binary]\n")
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestUnknownStatisticsAreAnError guards against invalid input: stats of an unknown or invalid kind gets a prompt
-// error.
+// TestUnknownStatisticsAreAnError guards against invalid input: stats of an unknown or invalid kind gets an error at
+// once.
 func TestUnknownStatisticsAreAnError(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "")
--- a/internal/proxy/platform.go
+++ b/internal/proxy/platform.go
@@ -20,11 +20,11 @@
 
 const (
 	// platformNodeConnections is the number of connections that a node of the platform accepts from all proxies
-	// together. Nodes accept some more, but do not tell how many.
+	// together. Nodes accept some more, but do not report how many.
 	platformNodeConnections = 30
-	// Where the settings give no time in milliseconds, these are assumed.
-	assumedConnectTimeoutMillis = 1000.0
-	assumedIdleTimeoutMillis    = 10000.0
+	// Defaults in milliseconds for time-outs that are missing or zero in the settings.
+	defaultConnectTimeoutMillis = 1000.0
+	defaultIdleTimeoutMillis    = 10000.0
 )
 
 // platformFile is the platform's configuration file, in JSON.
@@ -44,7 +44,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// platformSettings are the settings that concern connections; package simwire reads the others.
+// platformSettings are the settings for connections and requests in flight; package simwire reads the others.
 type platformSettings struct {
 	Limits struct {
 		ConnectTimeoutMillis float64 `json:"ConnectTimeout"`
@@ -54,8 +54,8 @@
 	} `json:"Limits"`
 }
 
-// ReadPlatformConfig reads the file named by the environment variable GW_CONFIG. GW_LISTEN and GW_DISCOVERY, if set,
-// have precedence over the file.
+// ReadPlatformConfig reads the configuration file that the environment variable GW_CONFIG names. GW_LISTEN and
+// GW_DISCOVERY override the file's listen and discovery if they are not empty.
 func ReadPlatformConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -78,7 +78,7 @@
 	return c, nil
 }
 
-// config returns the configuration that a file describes.
+// config returns the proxy configuration that the file describes, with resources allocated.
 func (f *platformFile) config() (*Config, error) {
 	c := &Config{
 		Name:           f.Name,
@@ -94,7 +94,7 @@
 	if _, _, err := net.SplitHostPort(f.Discovery); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	c.Seed = seedOf(f.Seed)
+	c.Seed = parseSeed(f.Seed)
 	var err error
 	if len(f.Known) > 0 && string(f.Known) != "null" {
 		if c.InitialList, err = discovery.Parse(f.Known); err != nil {
@@ -113,8 +113,8 @@
 	return c, c.AllocateResources(limits)
 }
 
-// seedOf returns a hexadecimal seed, or the hash of any other text.
-func seedOf(text string) uint64 {
+// parseSeed parses a hexadecimal seed. Any other text is hashed to a seed.
+func parseSeed(text string) uint64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return seed
 	}
@@ -123,8 +123,8 @@
 	return hash.Sum64()
 }
 
-// platformResourceLimits reads the limits for connections and requests from settings. What is missing or zero is
-// assumed conservatively.
+// platformResourceLimits reads the limits for connections and requests from settings. Limits that are missing or zero
+// get conservative defaults, except MaxInFlight, which is then bounded by the memory only.
 func platformResourceLimits(settings json.RawMessage, proxies int) (ResourceLimits, error) {
 	var in platformSettings
 	if err := json.Unmarshal(settings, &in); err != nil {
@@ -137,8 +137,8 @@
 	}
 	millis := func(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 	return ResourceLimits{
-		ConnectTimeout:       millis(cmp.Or(l.ConnectTimeoutMillis, assumedConnectTimeoutMillis)),
-		NodeIdleTimeout:      millis(cmp.Or(l.IdleTimeoutMillis, assumedIdleTimeoutMillis)),
+		ConnectTimeout:       millis(cmp.Or(l.ConnectTimeoutMillis, defaultConnectTimeoutMillis)),
+		NodeIdleTimeout:      millis(cmp.Or(l.IdleTimeoutMillis, defaultIdleTimeoutMillis)),
 		StreamsPerConnection: cmp.Or(l.StreamsPerConnection, 1),
 		ConnectionsPerNode:   max(platformNodeConnections/max(proxies, 1), 1),
 		MaxInFlight:          cmp.Or(l.MaxInFlight, math.MaxInt),
--- a/internal/proxy/platform_test.go
+++ b/internal/proxy/platform_test.go
@@ -13,14 +13,15 @@
 	"mulleinpier/policy"
 )
 
-// proxyCounts are JSON values for the number of proxies, "" for none, and whether they are invalid.
+// proxyCounts maps JSON values for the number of proxies, "" for none, to whether they are invalid.
 var proxyCounts = map[string]bool{
 	"80": false, "": false, "0": false, "-3": false, "1": false, "2000000000": false,
 	"1e30": true, "2.5": true, `"many"`: true, "[]": true,
 }
 
-// TestAbsurdProxyCountsGetReasonableLimits guards what follows from the number of proxies: one that is missing, zero or
-// absurd leads to reasonable limits, and one that is not a whole number fails the start.
+// TestAbsurdProxyCountsGetReasonableLimits checks the connection limits that follow from the number of proxies: a
+// number that is missing, zero or absurd leads to reasonable limits, and one that is not a whole number fails the
+// start.
 func TestAbsurdProxyCountsGetReasonableLimits(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
@@ -35,7 +36,7 @@
 		if proxies != "" {
 			settings["NInstances"] = json.RawMessage(proxies)
 		}
-		config, err := readConfig(t, fileWith(settings))
+		config, err := readConfig(t, platformFields(settings))
 		if (err != nil) != invalid {
 			t.Errorf("%q proxies: %v", proxies, err)
 		}
@@ -57,8 +58,8 @@
 	}
 }
 
-// fileWith returns the fields of a platform configuration with settings.
-func fileWith(settings any) map[string]any {
+// platformFields returns the fields of a platform configuration with settings.
+func platformFields(settings any) map[string]any {
 	return map[string]any{
 		"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "known": nil,
 		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
@@ -116,8 +117,8 @@
 	"lists pushed": func(s map[string]any) { s["RegistryMode"] = "pushed" },
 }
 
-// TestOtherPlatformSettings guards against a program that fits one customer: with other names, numbers, effects and
-// deadlines, and without optional settings, requests of every class are served.
+// TestOtherPlatformSettings guards against code that works with one customer's settings only: with other names,
+// numbers, effects and deadlines, and without optional settings, requests of every class are served.
 func TestOtherPlatformSettings(t *testing.T) {
 	for name, change := range otherSettings {
 		t.Run(name, func(t *testing.T) {
@@ -141,7 +142,8 @@
 	}
 }
 
-// expectServed sends a command under ids of a prefix until it is served: on a busy machine some may be late.
+// expectServed sends a command until it is served, each time under a new id with a prefix. On a busy machine some may
+// be late.
 func expectServed(u *client, class, idPrefix, format, want string) {
 	u.t.Helper()
 	const maxTries = 20
@@ -194,7 +196,7 @@
 	"limits are no list": func(s map[string]any) { s["Limits"] = []any{} },
 }
 
-// TestInvalidPlatformSettings guards against a start with invalid settings: each is an error of one line.
+// TestInvalidPlatformSettings guards against a start with invalid settings: each leads to an error of one line.
 func TestInvalidPlatformSettings(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
@@ -206,7 +208,7 @@
 			t.Fatal(err)
 		}
 		change(settings)
-		_, err := readConfig(t, fileWith(settings))
+		_, err := readConfig(t, platformFields(settings))
 		if err == nil {
 			_, err = policy.New(parseSettings(t, settings), 1)
 		}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestSilentClientsAreClosedToMakeRoom guards against hundreds of clients that connect and send nothing, or send one
-// request and stay: they must be closed, and not keep others out.
+// TestSilentClientsAreClosedToMakeRoom guards against hundreds of clients that send nothing, or send one request and
+// stay: they must be closed, so that they do not keep others out.
 func TestSilentClientsAreClosedToMakeRoom(t *testing.T) {
 	h := startHarness(t, 96, startNode(t, nodeCommand.serve))
 	var silent []*client
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestIdleConnectionsAreBounded guards against clients that send one request on each of many connections and keep
-// them all: most are closed long before the idle timeout, and the latest stay.
+// TestIdleConnectionsAreBounded guards against clients that send one request on each of many connections and keep all
+// connections open: most are closed long before the idle timeout, and the most recent stay.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	h := startHarness(t, 256, startNode(t, nodeCommand.serve))
 	for i := range 60 {
@@ -33,22 +33,22 @@
 		u.sendRead(fmt.Sprint(i))
 		u.expectValue(fmt.Sprint(i))
 	}
-	h.server.closeUnused(time.Now().Add(minIdleToEvict))
+	h.server.closeInactive(time.Now().Add(minIdleToEvict))
 	h.server.mu.Lock()
 	defer h.server.mu.Unlock()
-	idlers := 0
+	idleClients := 0
 	for c := range h.server.clients {
 		if _, idle := c.IdleSince(); idle {
-			idlers++
+			idleClients++
 		}
 	}
-	if maximum := h.server.maxClients / idleShareDivisor; idlers > maximum {
-		t.Errorf("%d idle clients keep a connection, want %d at most", idlers, maximum)
+	if maximum := h.server.maxClients / idleShareDivisor; idleClients > maximum {
+		t.Errorf("%d idle clients keep a connection, want %d at most", idleClients, maximum)
 	}
 }
 
-// TestBufferedResponsesAreBounded guards against values that pile up behind a slow first response: beyond the budget
-// they become failures, and what was reserved is released.
+// TestBufferedResponsesAreBounded guards against values that accumulate behind a slow first response: those beyond the
+// response budget become failures, and all that was reserved is released.
 func TestBufferedResponsesAreBounded(t *testing.T) {
 	value := strings.Repeat("v", 60000)
 	waiting, proceed := make(chan struct{}), make(chan struct{})
@@ -67,7 +67,7 @@
 	for i := range 3 {
 		u.sendRead(fmt.Sprint(i))
 	}
-	other := h.connect() // its turn comes when the three before it are answered
+	other := h.connect() // its round trips give the node time to answer the three reads
 	for budget.Available() > 60000 {
 		other.send("mn\r\n")
 		other.expect("MN")
@@ -88,12 +88,12 @@
 	u.send("mn\r\n")
 	u.expect("MN")
 	if free := budget.Available(); free != 150000 {
-		t.Errorf("%d bytes of 150000 free when all is linesWritten", free)
+		t.Errorf("%d bytes of 150000 free when all is written", free)
 	}
 }
 
-// TestMalformedResponseIsRetried guards against malformed responses all the way from a node's socket to the client: a
-// read is retried at another node, and nothing malformed is passed on.
+// TestMalformedResponseIsRetried guards against malformed responses on the whole path from a node's socket to the
+// client: a read is retried at another node, and nothing malformed is passed on.
 func TestMalformedResponseIsRetried(t *testing.T) {
 	malformed := func(c nodeCommand) { c.respond("VA 3000000000 O%s h1\r\nnoise", c.id) }
 	h := startHarness(t, 256, startNode(t, malformed), startNode(t, nodeCommand.serve))
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestBrokenNodeConnectionsFailNoRequest guards against networks and nodes that break every other connection with a
-// request in flight: nodes that respond nevertheless must not be ejected for it, nor may it use up the retry budget.
+// TestBrokenNodeConnectionsFailNoRequest guards against failed requests when every other connection breaks with a
+// request in flight: nodes that otherwise respond must not be ejected for it, and it must not use up the retry budget.
 func TestBrokenNodeConnectionsFailNoRequest(t *testing.T) {
 	var commands atomic.Int64
 	node := func(c nodeCommand) {
@@ -123,62 +123,62 @@
 	}
 }
 
-// TestShortDeadlinesCauseNoRejectionOfOthers guards against clients that give up before a response can be expected:
-// others must not be rejected for it.
+// TestShortDeadlinesCauseNoRejectionOfOthers guards against rejecting some clients because others give up before a
+// response can be expected.
 func TestShortDeadlinesCauseNoRejectionOfOthers(t *testing.T) {
 	h := startHarness(t, 256, startNode(t, func(c nodeCommand) {
-		if !strings.HasPrefix(c.id, "hasty") {
+		if !strings.HasPrefix(c.id, "short") {
 			c.serve()
 		}
 	}))
-	patient := func(id string) {
+	expectRead := func(id string) {
 		u := h.connect()
 		u.sendRead(id)
 		u.expectValue(id)
 	}
 	for i := range 20 {
-		patient(fmt.Sprint("before", i))
+		expectRead(fmt.Sprint("before", i))
 	}
 	for i := range 40 {
-		hasty := h.connect()
-		hasty.send("mg k%d v Ohasty%d Pc=read,t=shops,d=60\r\n", i, i)
-		if got := hasty.line(); !strings.HasPrefix(got, "SERVER_ERROR busy ") {
+		short := h.connect()
+		short.send("mg k%d v Oshort%d Pc=read,t=shops,d=60\r\n", i, i)
+		if got := short.line(); !strings.HasPrefix(got, "SERVER_ERROR busy ") {
 			t.Errorf("a read without a response ended with %q", got)
 		}
 	}
 	for i := range 20 {
-		patient(fmt.Sprint("after", i))
+		expectRead(fmt.Sprint("after", i))
 	}
 }
 
-// TestHopelessRequestsAreRejectedAtOnce guards against overload that waiting requests keep up: a request that a busy
+// TestHopelessRequestsAreRejectedAtOnce guards against an overload that waiting requests sustain: a request that a busy
 // node cannot answer before its client gives up is not sent there, and the client gets a Retry-After.
 func TestHopelessRequestsAreRejectedAtOnce(t *testing.T) {
-	const waiting, hasty = 60, 20
-	arrived := make(chan string, waiting+hasty)
+	const waiting, short = 60, 20
+	arrived := make(chan string, waiting+short)
 	h := startHarness(t, 512, startNode(t, func(c nodeCommand) { arrived <- c.id }))
 	for i := range waiting { // each keeps its connection, and the node answers none
 		h.connect().sendRead(fmt.Sprint("waiting", i))
 	}
 	<-arrived
 	rejected := 0
-	for i := range hasty {
+	for i := range short {
 		u := h.connect()
-		u.send("mg k%d v Ohasty%d Pc=read,t=shops,d=150\r\n", i, i)
+		u.send("mg k%d v Oshort%d Pc=read,t=shops,d=150\r\n", i, i)
 		if strings.HasPrefix(u.line(), "SERVER_ERROR busy ") {
 			rejected++
 		}
 	}
-	if rejected != hasty {
-		t.Errorf("%d of %d rejected with a Retry-After", rejected, hasty)
+	if rejected != short {
+		t.Errorf("%d of %d rejected with a Retry-After", rejected, short)
 	}
 	sent := 0
 	for len(arrived) > 0 {
-		if strings.HasPrefix(<-arrived, "hasty") {
+		if strings.HasPrefix(<-arrived, "short") {
 			sent++
 		}
 	}
-	if sent > hasty/2 { // a few are always admitted, to detect a recovery
-		t.Errorf("%d of %d sent to a node that cannot answer them in time", sent, hasty)
+	if sent > short/2 { // a few are always admitted, to detect a recovery
+		t.Errorf("%d of %d sent to a node that cannot answer them in time", sent, short)
 	}
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// ErrNeedsRestart is the error of a reload that would change what can only change at a restart.
-var ErrNeedsRestart = errors.New("these cannot change in service")
+// ErrNeedsRestart is returned for a reload that would change settings that only a restart can change.
+var ErrNeedsRestart = errors.New("settings can only change at a restart")
 
-// ReloadSources applies of a new configuration what the platform changes in service: the address of the endpoint
-// list. Other differences are logged and have no effect until a restart. Calls of it and of Reload must not
-// overlap.
+// ReloadSources applies the one setting of a new configuration that the platform changes at run time: the address of
+// the endpoint list. Other differences are logged and take effect only at a restart. It must not run concurrently with
+// itself or Reload.
 func (s *Server) ReloadSources(next *Config) {
 	if changed := s.config.ChangesNeedingRestart(next); len(changed) > 0 {
 		s.log.Warn("configuration change needs restart", "settings", changed)
@@ -24,17 +24,17 @@
 	s.setConfig(&config)
 }
 
-// Reload applies a new configuration completely, or returns an error and changes nothing. A request that came before
-// ends under the former configuration.
+// Reload applies a new configuration completely, or returns an error and changes nothing. Requests that arrived before
+// are finished under the former configuration. It must not run concurrently with itself or ReloadSources.
 func (s *Server) Reload(next *Config) error {
-	if fixed := immutableChanges(s.config, next); len(fixed) > 0 {
-		return fmt.Errorf("%w: %s", ErrNeedsRestart, strings.Join(fixed, ", "))
+	if changes := immutableChanges(s.config, next); len(changes) > 0 {
+		return fmt.Errorf("%w: %s", ErrNeedsRestart, strings.Join(changes, ", "))
 	}
 	if err := s.core.Reconfigure(&next.Config); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	// Requests under the former configuration may be in flight for as long as that allows.
+	// Requests may be in flight under the former configuration up to its longest deadline.
 	s.longestDeadline = max(s.longestDeadline, longestDeadline(&next.Policy))
 	s.mu.Unlock()
 	s.binary.SetRules(next.binaryRules())
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// immutableChanges describes the differences in settings that Reload cannot apply.
+// immutableChanges describes each difference in settings that Reload cannot apply.
 func immutableChanges(now, next *Config) (changes []string) {
 	for _, setting := range []struct {
 		key       string
@@ -58,14 +58,14 @@
 		{"limits.sockets", now.MaxDescriptors, next.MaxDescriptors},
 	} {
 		if setting.now != setting.next {
-			change := fmt.Sprintf("%s (in force %v, asked for %v)", setting.key, setting.now, setting.next)
+			change := fmt.Sprintf("%s (in force %v, requested %v)", setting.key, setting.now, setting.next)
 			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-// setConfig makes a configuration the one in force, and follows its sources if they have changed.
+// setConfig puts a configuration into force, and switches to its sources of the endpoint list if they differ.
 func (s *Server) setConfig(next *Config) {
 	sourcesChanged := !slices.Equal(next.ListSources, s.config.ListSources)
 	s.config = next
@@ -74,8 +74,8 @@
 	}
 }
 
-// ChangesNeedingRestart returns the parts of a platform configuration that differ in next and cannot change in
-// service.
+// ChangesNeedingRestart returns the sorted names of the parts of a platform configuration that differ in next and can
+// only change at a restart.
 func (c *Config) ChangesNeedingRestart(next *Config) (changed []string) {
 	limitsDiffer := c.Cores != next.Cores || c.MemoryBytes != next.MemoryBytes ||
 		c.MaxDescriptors != next.MaxDescriptors
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -1,22 +1,23 @@
-// Package proxy is the proxy itself: its listeners, its clients' connections from accept to close, its configuration
-// and its graceful shutdown.
+// Package proxy runs the proxy: the listeners, the client connections from accept to close, the configuration and the
+// graceful shutdown.
 //
 // Guarantees:
 //
-//  1. A connection that was accepted is never dropped to make room before it has idled, so a request that was sent is
-//     answered.
-//  2. After the context of [Server.Serve] ends, connections are still accepted for a moment; each is closed between
-//     requests, and Serve returns when all accepted requests are answered, or their deadlines have passed.
-//  3. Clients that hold a place without using it (idle, or not reading responses) are closed in time, so that they
-//     never keep others out.
-//  4. A new configuration is applied completely or not at all. A request ends under the configuration that it came
-//     with.
+//  1. An accepted connection is closed to make room for others only after it has been idle for a while, so a request
+//     that was sent is answered.
+//  2. After the context of [Server.Serve] ends, connections are still accepted for a short time. Each connection is
+//     closed between requests, and Serve returns when all accepted requests are answered or their deadlines have
+//     passed.
+//  3. Connections that clients do not use, because they are idle or do not read responses, are closed in time, so that
+//     they never keep other clients out.
+//  4. A new configuration is applied completely or not at all. A request is finished under the configuration under
+//     which it arrived.
 //
-// The package does not decide on requests (package core does, by package policy), and speaks no protocol (the
-// packages in frontend do).
+// The package makes no decisions about requests (package core does, with package policy), and implements no protocol
+// (the packages in frontend do).
 //
-// A Server owns one goroutine for each listener, one for each client, one that sweeps idle clients, and those of its
-// core. All end before Serve returns. Its mutex guards the clients and the state of the drain; it is never held
+// A Server owns one goroutine for each listener, one for each client, one that closes unused connections, and those of
+// its core. All end before Serve returns. Its mutex guards the clients and the state of the drain; it is never held
 // during I/O that can block.
 package proxy
 
@@ -41,7 +42,7 @@
 	binary      *binary.Frontend
 	config      *Config // in force; written by Reload and ReloadSources only
 	log         *slog.Logger
-	maxClients  int
+	maxClients  int // places for client connections
 	memoryBytes int
 	listeners   []*clientListener // the main one first
 	startedAt   time.Time
@@ -53,15 +54,15 @@
 	drain           drainState
 }
 
-// Listen returns a Server whose addresses are open; Serve starts it. With an inherited listener, which another
-// process may hold too, it uses that in place of opening config.Listen.
+// Listen returns a Server with open listeners; Serve starts it. If inherited is not nil, it is used as the main
+// listener instead of opening config.Listen. Another process may hold it too, and it stays open if Listen fails.
 func Listen(config *Config, inherited *net.TCPListener, log *slog.Logger) (*Server, error) {
-	requests, err := core.New(&config.Config, log)
+	requestCore, err := core.New(&config.Config, log)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		core:            requests,
+		core:            requestCore,
 		config:          config,
 		log:             log,
 		maxClients:      config.MaxClients,
@@ -82,7 +83,7 @@
 	return s, nil
 }
 
-// openListeners opens the main listener and that of binary clients, if they have one.
+// openListeners opens the main listener, and the listener for binary clients if one is configured.
 func (s *Server) openListeners(inherited *net.TCPListener) error {
 	requestBudget := frontend.NewBudget(s.config.RequestBudgetBytes)
 	responseBudget := frontend.NewBudget(s.config.ResponseBudgetBytes)
@@ -108,13 +109,13 @@
 	return s.openListener(binaryAddress, nil, binaryHost)
 }
 
-// Core returns the core, which runs the life of requests.
+// Core returns the core, which handles the requests.
 func (s *Server) Core() *core.Core { return s.core }
 
-// EndpointListReady is closed once a source has delivered the endpoint list.
+// EndpointListReady returns a channel that is closed once a source has delivered the endpoint list.
 func (s *Server) EndpointListReady() <-chan struct{} { return s.core.ListReceived() }
 
-// CanServe reports whether requests can be served: a node is up, and no drain has begun.
+// CanServe reports whether requests can be served: a node is up, and no drain has started.
 func (s *Server) CanServe() bool {
 	s.mu.Lock()
 	draining := s.drain.started
@@ -130,10 +131,10 @@
 	return clients, s.core.InFlight()
 }
 
-// Address returns the address that clients connect to.
+// Address returns the address of the main listener.
 func (s *Server) Address() net.Addr { return s.listeners[0].Addr() }
 
-// BinaryAddress returns the address of the listener for binary clients only, nil if there is none.
+// BinaryAddress returns the address of the listener for binary clients only, or nil if there is none.
 func (s *Server) BinaryAddress() net.Addr {
 	if len(s.listeners) < 2 {
 		return nil
@@ -141,7 +142,7 @@
 	return s.listeners[1].Addr()
 }
 
-// Serve serves until ctx ends and the drain that follows is complete.
+// Serve serves clients until ctx ends. Then it drains them, and returns when the drain is complete.
 func (s *Server) Serve(ctx context.Context) {
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var tasks sync.WaitGroup
@@ -160,7 +161,7 @@
 	tasks.Wait()
 }
 
-// stats returns the statistics of a kind, "" for the general ones, and nil for an unknown kind.
+// stats returns the statistics of a kind, "" for the general ones. It returns nil for an unknown kind.
 func (s *Server) stats(kind string) []core.Stat {
 	switch kind {
 	case "":
--- a/internal/proxy/sharedlistener.go
+++ b/internal/proxy/sharedlistener.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// This file accepts connections by their descriptors: where the listener is shared with other processes, and where
-// nothing may wait.
+// This file runs accept4 on listeners' descriptors, to accept from a listener that is shared with other processes and
+// to empty a backlog without waiting.
 
-// maxDuplicates bounds the tries to duplicate a listener while another process makes it blocking.
-const maxDuplicates = 100
+// maxDuplicateAttempts limits the attempts to duplicate a listener while another process keeps making it blocking.
+const maxDuplicateAttempts = 100
 
-// pollableDuplicate returns a duplicate of a listener for which deadlines work. They do not for one that is blocking as
-// it is duplicated, which another process may make it at any time.
+// pollableDuplicate returns a duplicate of a listener's descriptor on which deadlines work. They do not work if the
+// listener is blocking when it is duplicated, and another process can make it blocking at any time.
 func pollableDuplicate(l *net.TCPListener) (*os.File, error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	for range maxDuplicates {
+	for range maxDuplicateAttempts {
 		controlErr := raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) })
 		if err = errors.Join(err, controlErr); err != nil {
 			return nil, err
@@ -38,9 +38,9 @@
 	return nil, os.ErrNoDeadline
 }
 
-// acceptShared is AcceptTCP for a listener whose flags are shared with other processes: passing it to a further process
-// makes it blocking in this one too, and no deadline reaches an accept that blocks. So it is made non-blocking again
-// right before each accept.
+// acceptShared replaces AcceptTCP for a listener whose status flags are shared with other processes. Passing the
+// listener to a further process makes it blocking in this one too, and a deadline does not interrupt a blocking accept,
+// so the listener is made non-blocking again right before each accept.
 func (l *clientListener) acceptShared() (*net.TCPConn, error) {
 	raw, err := l.shared.SyscallConn()
 	if err != nil {
@@ -61,8 +61,8 @@
 	return newTCPConn(accepted)
 }
 
-// acceptOnce accepts a connection from a listener's descriptor, without waiting if that is non-blocking. Connections
-// that have ended in the backlog are passed over.
+// acceptOnce accepts a connection from a listener's descriptor; it does not wait if the listener is non-blocking.
+// Connections that were aborted in the backlog are skipped.
 func acceptOnce(fd int) (accepted int, err error) {
 	for {
 		accepted, _, err = syscall.Accept4(fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
@@ -72,7 +72,7 @@
 	}
 }
 
-// newTCPConn returns an accepted connection by its descriptor, which it takes over.
+// newTCPConn turns the descriptor of an accepted connection, which it owns from then on, into a net.TCPConn.
 func newTCPConn(fd int) (*net.TCPConn, error) {
 	file := os.NewFile(uintptr(fd), "")
 	defer file.Close()
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -16,8 +16,9 @@
 	"mulleinpier/internal/testutil"
 )
 
-// drainRule is the time within which a node that leaves gets no new requests any more.
-const drainRule = 500 * time.Millisecond
+// drainGrace is the default of the setting drain_grace: how long after its removal from the list a node may still get
+// new requests.
+const drainGrace = 500 * time.Millisecond
 
 // startConsul starts an agent whose catalogue lists some nodes as n0, n1 and so on.
 func startConsul(t *testing.T, nodes *scriptednode.Nodes, numbers ...int) (*consul.Catalogue, *consul.Agent) {
@@ -68,7 +69,7 @@
 	return at
 }
 
-// loadClients are clients that read without a pause.
+// loadClients are clients that send reads one right after another.
 type loadClients struct {
 	t                *testing.T
 	served, rejected atomic.Int64
@@ -108,7 +109,7 @@
 	}
 }
 
-// awaitServed waits until some more requests have been served.
+// awaitServed waits until more than 500 further requests have been served.
 func (l *loadClients) awaitServed() {
 	l.t.Helper()
 	before := l.served.Load()
@@ -120,9 +121,9 @@
 	l.running.Wait()
 }
 
-// TestReloadBetweenSources moves a proxy under load from the platform's source to Consul and back. Both have the
-// same first node and different second ones, so a move shows; no request is lost, and a node that only the former
-// source lists gets no request once the new source has delivered its list.
+// TestReloadBetweenSources switches a proxy under load from the platform's source to Consul and back. Both sources list
+// the same first node and different second ones, which shows the switch. No request is lost, and a node that only the
+// former source lists gets no request once the new source has delivered its list.
 func TestReloadBetweenSources(t *testing.T) {
 	nodes := startScriptedNodes(t, scriptednode.Meta, 3)
 	_, agent := startConsul(t, nodes, 0, 2)
@@ -142,7 +143,7 @@
 			testutil.WaitUntil(t, "a request to the node of the new source", func() bool {
 				return lastRequest(nodes, move.newNode).After(movedAt)
 			})
-			time.Sleep(drainRule) // from when the list was in force
+			time.Sleep(drainGrace) // the list is in force already
 			quietFrom := time.Now()
 			load.awaitServed()
 			if at := lastRequest(nodes, move.formerNode); at.After(quietFrom) {
@@ -156,7 +157,7 @@
 	}
 }
 
-// valueOnClose turns a channel that is closed into one that brings a value.
+// valueOnClose returns a channel that receives a value when c is closed.
 func valueOnClose(c <-chan struct{}) <-chan struct{} {
 	out := make(chan struct{}, 1)
 	go func() {
@@ -166,24 +167,24 @@
 	return out
 }
 
-// singleClient is a client that sends one read after another.
-type singleClient struct {
+// sequentialClient is a client that sends one read after another.
+type sequentialClient struct {
 	t *testing.T
 	*rawclient.Client
 }
 
-func dialSingle(t *testing.T, p *testProxy) singleClient {
+func dialSequential(t *testing.T, p *testProxy) sequentialClient {
 	t.Helper()
 	c, err := rawclient.Dial(scriptednode.Meta, p.server.Address().String(), 4*testutil.Timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Socket.Close() })
-	return singleClient{t, c}
+	return sequentialClient{t, c}
 }
 
 // get reads a key and returns the kind of the response.
-func (c singleClient) get(key string) request.AnswerKind {
+func (c sequentialClient) get(key string) request.AnswerKind {
 	c.t.Helper()
 	if err := c.Read(key); err != nil {
 		c.t.Fatal(err)
@@ -196,7 +197,7 @@
 }
 
 // expectServed expects all reads to be served for a time.
-func (c singleClient) expectServed(d time.Duration) {
+func (c sequentialClient) expectServed(d time.Duration) {
 	c.t.Helper()
 	for until, i := time.Now().Add(d), 0; time.Now().Before(until); i++ {
 		if c.get(fmt.Sprint("k", i%50)) != request.Value {
@@ -206,22 +207,22 @@
 	}
 }
 
-// TestCollapsedListsAtSockets checks at the sockets what membership decides of an agent whose list is empty for a
-// moment and for good, and of one that correctly loses most of its nodes.
+// TestCollapsedListsAtSockets checks, by the requests that nodes receive, how membership handles an agent whose list is
+// empty for a moment and then permanently, and an agent that correctly loses most of its nodes.
 func TestCollapsedListsAtSockets(t *testing.T) {
 	nodes := startScriptedNodes(t, scriptednode.Meta, 4)
 	catalogue, agent := startConsul(t, nodes, 0, 1, 2, 3)
 	p := startTestProxy(t, "", fmt.Sprintf(
 		"[nodes]\nconsul = %q\n[consul]\nservice = \"cache\"\n[consul.list]\nfailing_time = \"2s\"\n", agent.Address()))
 	testutil.Receive(t, "the first list", valueOnClose(p.server.EndpointListReady()))
-	c := dialSingle(t, p)
+	c := dialSequential(t, p)
 	c.expectServed(300 * time.Millisecond)
 	expectEmptyListIsConfirmed(t, agent, c)
-	expectRemovalWithinDrainRule(t, nodes, catalogue, agent, c)
+	expectRemovalWithinDrainGrace(t, nodes, catalogue, agent, c)
 }
 
-// expectEmptyListIsConfirmed makes the list empty for a second, which changes nothing, and then for good.
-func expectEmptyListIsConfirmed(t *testing.T, agent *consul.Agent, c singleClient) {
+// expectEmptyListIsConfirmed makes the list empty for a second, which changes nothing, and then permanently.
+func expectEmptyListIsConfirmed(t *testing.T, agent *consul.Agent, c sequentialClient) {
 	t.Helper()
 	queries, _, _ := agent.Stats()
 	agent.SetFault(consul.EmptyList)
@@ -231,7 +232,7 @@
 	})
 	c.expectServed(time.Second)
 	agent.SetFault(consul.NoFault)
-	c.expectServed(2500 * time.Millisecond) // past failing_time
+	c.expectServed(2500 * time.Millisecond) // longer than failing_time
 	agent.SetFault(consul.EmptyList)
 	testutil.WaitUntil(t, "the empty list to be effective after all", func() bool { return c.get("k") == request.Busy })
 	agent.SetFault(consul.NoFault)
@@ -241,9 +242,9 @@
 	}
 }
 
-// expectRemovalWithinDrainRule removes three of four nodes at once while their processes run on.
-func expectRemovalWithinDrainRule(
-	t *testing.T, nodes *scriptednode.Nodes, catalogue *consul.Catalogue, agent *consul.Agent, c singleClient,
+// expectRemovalWithinDrainGrace removes three of four nodes at once while their processes keep running.
+func expectRemovalWithinDrainGrace(
+	t *testing.T, nodes *scriptednode.Nodes, catalogue *consul.Catalogue, agent *consul.Agent, c sequentialClient,
 ) {
 	t.Helper()
 	const removed, slack = 3, 50 * time.Millisecond
@@ -259,7 +260,7 @@
 	})
 	c.expectServed(time.Until(writtenAt.Add(time.Second)))
 	for _, r := range nodes.Requests() {
-		if after := r.ReceivedAt.Sub(writtenAt); r.Node < removed && after > drainRule+slack {
+		if after := r.ReceivedAt.Sub(writtenAt); r.Node < removed && after > drainGrace+slack {
 			t.Fatalf("node %d got a request %v after the agent had written that it is gone", r.Node, after)
 		}
 	}
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// sweepInterval is how often idle and stuck clients are looked for and the clocks are checked. It is the tick
-	// of the pause detection.
+	// sweepInterval is how often clients are checked for being idle or stuck, and the clocks for pauses and stalls. It
+	// is the interval that pause detection expects.
 	sweepInterval = 50 * time.Millisecond
-	// idleShareDivisor gives the part of all places that idle clients may keep: one in so many.
+	// idleShareDivisor sets how many clients may stay idle: 1/idleShareDivisor of the maximum number of clients.
 	idleShareDivisor = 8
 )
 
-// sweepClients closes clients that hold a place without using it, until ctx ends. It also samples the signals of
-// overload.
+// sweepClients closes idle and stuck clients, checks the clocks and samples the overload signals at intervals, until
+// ctx ends.
 func (s *Server) sweepClients(ctx context.Context) {
 	ticks, samples := time.NewTicker(sweepInterval), time.NewTicker(core.OverloadSampleInterval)
 	defer ticks.Stop()
@@ -31,7 +31,7 @@
 			return
 		case now := <-ticks.C:
 			s.core.CheckClocks()
-			for _, c := range s.closeUnused(now) {
+			for _, c := range s.closeInactive(now) {
 				c.Disconnected()
 			}
 		case <-samples.C:
@@ -40,7 +40,8 @@
 	}
 }
 
-// sampleOverload passes the signals to the core that it cannot see itself.
+// sampleOverload passes the overload signals to the core that it cannot measure itself: the shares of the memory and of
+// the client connections that are in use.
 func (s *Server) sampleOverload() {
 	memory := float64(usedMemory()) / float64(s.memoryBytes)
 	s.mu.Lock()
@@ -49,7 +50,7 @@
 	s.core.SampleOverload(memory, float64(clients)/float64(s.maxClients))
 }
 
-// usedMemory returns the memory in bytes that the runtime holds.
+// usedMemory returns the bytes of memory that the Go runtime holds and has not released to the operating system.
 func usedMemory() uint64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
@@ -57,24 +58,26 @@
 	return total - released
 }
 
-// idleClient is a client that has nothing under way.
+// idleClient is a client that has been idle since a time.
 type idleClient struct {
 	conn  *frontend.Conn
 	since time.Time
 }
 
-// closeUnused closes clients that have idled for long, and those that have read nothing of a response for longer than
-// any request may take. Of clients that idle for less it keeps the latest few: clients that open a connection for
-// each request and then keep it would take all places here, or at their own end, and makeRoom frees only as many as
-// come. The price is another connection where more clients than that return within frontend.IdleTimeout.
+// closeInactive closes clients that have been idle for more than frontend.IdleTimeout, and clients that have been
+// blocking the write of a response for longer than any request may take. Of the other idle clients only the most recent
+// are kept, see maxIdleClients. Clients that open a connection for each request and then keep it would otherwise use up
+// all places here, or all connections on their own side, as makeRoom closes only as many as are replaced by new ones.
+// The cost is that some clients must reconnect if more than are kept return within frontend.IdleTimeout.
 //
-// It returns the clients whose readers are blocked, and thus would not notice that they disconnect.
-func (s *Server) closeUnused(now time.Time) (blocked []*frontend.Conn) {
+// It returns the clients whose readers are blocked and therefore would not notice that the client disconnects.
+func (s *Server) closeInactive(now time.Time) (blocked []*frontend.Conn) {
 	maxIdle := s.maxIdleClients()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var idlers []idleClient
-	resumedAt := s.core.WallTime(s.core.LastPause().End) // during a pause of this process no client was stuck
+	var idleClients []idleClient
+	// A client counts as stuck only if longestDeadline has also passed since the latest pause of this process.
+	resumedAt := s.core.WallTime(s.core.LastPause().End)
 	for c := range s.clients {
 		if c.ReaderBlocked() {
 			blocked = append(blocked, c)
@@ -86,16 +89,16 @@
 		case idle && now.Sub(idleSince) > frontend.IdleTimeout:
 			c.CloseIdle()
 		case idle:
-			idlers = append(idlers, idleClient{c, idleSince})
+			idleClients = append(idleClients, idleClient{c, idleSince})
 		}
 	}
-	closeOldest(idlers, maxIdle, now)
-	s.changed.Broadcast() // a client may have become old enough to be closed by makeRoom
+	closeOldest(idleClients, maxIdle, now)
+	s.changed.Broadcast() // a client may now have been idle long enough for makeRoom to close it
 	return blocked
 }
 
-// maxIdleClients returns how many clients may idle. Where handovers have precedence it is half: a free place takes
-// one at once.
+// maxIdleClients returns how many clients may stay idle. From the overload level that prefers handovers on it is half
+// as many, so that a new handover finds a free place at once.
 func (s *Server) maxIdleClients() int {
 	maxIdle := s.maxClients / idleShareDivisor
 	if s.core.OverloadLevel() >= overload.Handovers {
@@ -104,11 +107,11 @@
 	return maxIdle
 }
 
-// closeOldest closes idle clients until maxIdle are left, those first that have idled longest, and none that has
-// idled for less than minIdleToEvict.
-func closeOldest(idlers []idleClient, maxIdle int, now time.Time) {
-	slices.SortFunc(idlers, func(x, y idleClient) int { return x.since.Compare(y.since) })
-	for i := 0; i < len(idlers)-maxIdle && now.Sub(idlers[i].since) >= minIdleToEvict; i++ {
-		idlers[i].conn.CloseIdle()
+// closeOldest closes the clients that have been idle longest until maxIdle are left. It closes none that has been idle
+// for less than minIdleToEvict.
+func closeOldest(idleClients []idleClient, maxIdle int, now time.Time) {
+	slices.SortFunc(idleClients, func(x, y idleClient) int { return x.since.Compare(y.since) })
+	for i := 0; i < len(idleClients)-maxIdle && now.Sub(idleClients[i].since) >= minIdleToEvict; i++ {
+		idleClients[i].conn.CloseIdle()
 	}
 }
--- a/internal/proxy/users_test.go
+++ b/internal/proxy/users_test.go
@@ -12,7 +12,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// writeUsers writes a file of users.
+// writeUsers writes a users file.
 func writeUsers(t *testing.T, path string, secrets map[string]string) {
 	t.Helper()
 	var text string
@@ -28,8 +28,8 @@
 	}
 }
 
-// tillOnlyConfig is a configuration with a file of users, of which one has a route.
-func tillOnlyConfig(usersPath string) string {
+// singleRouteConfig returns a configuration with a users file, in which only user till has a route.
+func singleRouteConfig(usersPath string) string {
 	const text = `[binary]
 users = "USERS"
 [[route]]
@@ -45,17 +45,17 @@
 	return rawclient.AppendSASLPlain(nil, user, secret, authOpaque)
 }
 
-// TestReloadWithConnectionsOpen changes the routing table and a secret under connections that are open: routes are in
-// force from the next command, and a session of the former secret must authenticate again.
+// TestReloadWithConnectionsOpen changes the routing table and a secret while connections are open: routes apply from
+// the next command, and a session of the former secret must authenticate again.
 func TestReloadWithConnectionsOpen(t *testing.T) {
 	f := startNodes(t)
 	file := filepath.Join(t.TempDir(), "users")
 	writeUsers(t, file, map[string]string{"till": "rose", "boss": "lily"})
-	text := tillOnlyConfig(file)
+	text := singleRouteConfig(file)
 	p := startProxy(t, f.addresses, text)
 	till := p.dial()
 	till.send(getCommand("k", 1), emptyCommand(codec.Version, 2), emptyCommand(codec.SASLList, 3))
-	till.next(codec.AuthError, 1) // before authentication only these are served
+	till.next(codec.AuthError, 1) // only the next two are served before authentication
 	till.next(codec.OK, 2)
 	till.next(codec.OK, 3)
 	till.send(authCommand("till", "rose"), getCommand("k", 4))
@@ -80,14 +80,14 @@
 	boss.next(codec.NotSupported, 7)
 }
 
-// TestPasswordGuessing guesses from many connections. Each is closed after three guesses, known and unknown users
-// get the same response, and past the allowance not even the right secret is checked, so that guessing on is no
-// use.
+// TestPasswordGuessing guesses secrets on many connections. Each connection is closed after three guesses, and known
+// and unknown users get the same response. Once the allowance is used up not even the right secret is checked, so
+// further guesses are of no use.
 func TestPasswordGuessing(t *testing.T) {
 	f := startNodes(t)
 	file := filepath.Join(t.TempDir(), "users")
 	writeUsers(t, file, map[string]string{"till": "rose"})
-	p := startProxy(t, f.addresses, tillOnlyConfig(file))
+	p := startProxy(t, f.addresses, singleRouteConfig(file))
 	var responses []string
 	for i := range 12 {
 		c := p.dial()
