--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -100,7 +100,7 @@
 		return classError("plain writes have no idempotency key and need a class that is not keyed")
 	case class.PartialDedup && rule.Verb != Reads:
 		// A client may repeat a write at any proxy, which does not know where the first attempt was sent.
-		return classError("its nodes drop repeats only within a zone or cell, and a client's repeat may reach any node")
+		return classError("its nodes drop repeats in parts only (zone or cell); a client's repeat may reach any node")
 	case isKeyed && class.DedupWindow <= 2*ticket.Margin:
 		return classError(fmt.Sprintf("its window of %v leaves no time in which a ticket is valid; want more than %v",
 			class.DedupWindow, 2*ticket.Margin))
