--- a/client/acquire.go
+++ b/client/acquire.go
@@ -10,9 +10,10 @@
 	"mulleinpier/client/internal/retry"
 )
 
-// acquisition is what a call waits for before each attempt: a place on a connection, or its end.
+// acquisition is the result of acquire: a connection on which an attempt was started, or the reason why the call has
+// ended.
 type acquisition struct {
-	conn    *connection   // nil: the call has ended
+	conn    *connection   // nil if the call has ended
 	sentAt  time.Duration // on the client's clock
 	timeout time.Duration // of the attempt
 	isRetry bool
@@ -28,10 +29,10 @@
 	return acquisition{result: d.Result, retryAfter: d.RetryAfter, cause: cause}
 }
 
-// errTooManyWaiting is the cause of a call that is refused because [Options.MaxWaiting] calls wait.
+// errTooManyWaiting is the cause of a call that is refused because [Options.MaxWaiting] calls wait already.
 var errTooManyWaiting = errors.New("too many calls wait")
 
-// acquire waits for a place for the next attempt of a call, and starts the attempt.
+// acquire waits for a connection that can take the next attempt of a call, and starts the attempt.
 func (c *Client) acquire(
 	ctx context.Context, r *retry.Request, deadline time.Duration, avoid *balance.Proxy,
 ) acquisition {
@@ -67,7 +68,8 @@
 	}
 }
 
-// throttledRetryAfter is about the advice for a call that the client's own throttle refuses.
+// throttledRetryAfter is the mean Retry-After of a call that the client's own throttle rejects. The actual value is
+// drawn from half to one and a half times that.
 const throttledRetryAfter = 500 * time.Millisecond
 
 // callErrorLocked returns why no attempt of a call can be sent at now, or nil. c.mu is held.
@@ -83,7 +85,7 @@
 	return nil
 }
 
-// applyChoiceLocked does what the balancer chose. done is false if the call has to wait. c.mu is held.
+// applyChoiceLocked carries out the balancer's choice. done is false if the call has to wait. c.mu is held.
 func (c *Client) applyChoiceLocked(
 	choice balance.Choice, r *retry.Request, now retry.Timestamp, deadline time.Duration,
 ) (a acquisition, done bool) {
@@ -98,7 +100,7 @@
 		c.counters.throttled.Add(1)
 		return giveUp(r, retry.Rejected, max(choice.RetryAt-now.Monotonic, time.Millisecond), nil), true
 	case balance.Wait:
-		// Without any connection, open or being opened, it is known now that none will come in time.
+		// No connection is open or being opened, and no proxy becomes usable before the deadline.
 		if choice.RetryAt >= deadline && len(c.conns) == 0 && !c.balancer.IsDialing() {
 			return giveUp(r, retry.NotSent, 0, nil), true
 		}
@@ -121,9 +123,9 @@
 	return acquisition{conn: conn, sentAt: now.Monotonic, timeout: timeout, isRetry: isRetry}
 }
 
-// waiter is one wait, for a place on a connection or for an answer.
+// waiter is used to wait for a connection or for an answer.
 type waiter struct {
-	woken chan struct{} // holds one, and is sent to once
+	woken chan struct{} // capacity 1; receives at most one signal per wait
 	timer *time.Timer   // stopped while in the pool
 }
 
@@ -133,7 +135,7 @@
 	return w
 }}
 
-// waitAndUnlock unlocks c.mu, which is held, and waits until the call is woken, a time has passed or ctx ends.
+// waitAndUnlock unlocks c.mu, which is held, and waits until the call is woken, limit has passed or ctx ends.
 func (c *Client) waitAndUnlock(ctx context.Context, limit time.Duration) {
 	w := waiterPool.Get().(*waiter)
 	element := c.waiters.PushBack(w)
@@ -150,7 +152,7 @@
 	if !woken {
 		c.mu.Lock()
 		select {
-		case <-w.woken: // after all; a call that ends now passes the wake-up on
+		case <-w.woken: // woken at the same moment; a call that ends now passes the wake-up on
 			if ctx.Err() != nil {
 				c.wakeLocked(1)
 			}
@@ -162,7 +164,7 @@
 	waiterPool.Put(w)
 }
 
-// wakeLocked lets so many waiting calls choose again. c.mu is held.
+// wakeLocked wakes up to n waiting calls, which then choose a proxy again. c.mu is held.
 func (c *Client) wakeLocked(n int) {
 	for ; n > 0 && c.waiters.Len() > 0; n-- {
 		c.waiters.Remove(c.waiters.Front()).(*waiter).woken <- struct{}{}
--- a/client/answer.go
+++ b/client/answer.go
@@ -11,10 +11,10 @@
 	"mulleinpier/internal/request"
 )
 
-// answer is the answer to an attempt, or why there is none.
+// answer is the answer to an attempt, or the reason why there is none.
 type answer struct {
 	outcome    retry.Outcome
-	mayFollow  bool // the caller gave up, and the answer may come yet
+	abandoned  bool // the caller gave up, and the answer may still arrive
 	retryAfter time.Duration
 	value      []byte
 	receipt    string
@@ -24,7 +24,7 @@
 // noValue is the size that parseFirstLine returns for an answer without a value.
 const noValue = -1
 
-// parseFirstLine reads the first line of the answer to an attempt. size is that of the value which follows, or
+// parseFirstLine parses the first line of the answer to an attempt. size is the size of the value that follows, or
 // noValue.
 func (a *answer) parseFirstLine(line []byte, idPrefix string, t *attempt) (size int, err error) {
 	if rest, ok := bytes.CutPrefix(line, []byte("SERVER_ERROR busy")); ok {
@@ -59,7 +59,7 @@
 	return noValue, nil
 }
 
-// setFailed sets the outcome by a line that reports a failure, or that the request is invalid.
+// setFailed sets the outcome from a line that reports a failure or an invalid request.
 func (a *answer) setFailed(line []byte) {
 	a.outcome = retry.Failed
 	a.cause = errors.New(string(line))
@@ -68,7 +68,7 @@
 	}
 }
 
-// setRead sets the outcome by the first line of an answer to a read, and returns the size of the value that follows,
+// setRead sets the outcome from the first line of an answer to a read. It returns the size of the value that follows,
 // or noValue.
 func (a *answer) setRead(first *meta.AnswerLine) (size int, err error) {
 	switch first.Kind {
@@ -82,10 +82,10 @@
 	return noValue, errMalformedAnswer
 }
 
-// maxRetryAfter bounds the advice of a rejection.
+// maxRetryAfter bounds the Retry-After of a rejection.
 const maxRetryAfter = time.Hour
 
-// parseRetryAfter reads the advice of a rejection, a space and milliseconds, or nothing for none.
+// parseRetryAfter parses the Retry-After of a rejection: a space and milliseconds, or nothing if there is none.
 func parseRetryAfter(text []byte) (time.Duration, bool) {
 	if len(text) == 0 {
 		return 0, true
--- a/client/attempt.go
+++ b/client/attempt.go
@@ -25,22 +25,22 @@
 	retry.Canceled:        "canceled",
 }
 
-// The states of an attempt.
+// States of an attempt.
 const (
-	attemptWaiting   = iota // its caller waits
-	attemptAnswered         // it has an outcome
-	attemptAbandoned        // its caller has given up; an answer is dropped
+	attemptWaiting   = iota // the caller waits
+	attemptAnswered         // the outcome is set
+	attemptAbandoned        // the caller has given up; an answer is dropped
 )
 
-// attempt is one request on one connection. Its caller owns it until it is put on the connection, and again once done
-// was received from; in between the connection owns it.
+// attempt is one request on one connection. The caller owns it until it is queued on the connection, and again after it
+// has received from done; in between the connection owns it.
 type attempt struct {
 	state atomic.Int32
-	done  chan struct{} // holds one
+	done  chan struct{} // capacity 1; signals that the outcome is set
 
-	serial    uint64 // of its id
+	serial    uint64 // makes the id unique
 	isRead    bool
-	endOffset int64 // of its last byte, in all that the connection has queued
+	endOffset int64 // offset of the request's end in all bytes queued on the connection
 	sentAt    time.Duration
 	timeout   time.Duration
 	info      *TryInfo // nil without hooks
@@ -54,14 +54,14 @@
 
 var attemptPool = sync.Pool{New: func() any { return &attempt{done: make(chan struct{}, 1)} }}
 
-// newAttempt takes an attempt from the pool.
-func (c *Client) newAttempt(place *acquisition, wire *request.Request, info *TryInfo) *attempt {
+// newAttempt takes an attempt from the pool and initialises it.
+func (c *Client) newAttempt(acquired *acquisition, wire *request.Request, info *TryInfo) *attempt {
 	t := attemptPool.Get().(*attempt)
 	t.state.Store(attemptWaiting)
 	t.serial = c.lastSerial.Add(1)
 	t.isRead = wire.Verb == request.Get
-	t.sentAt = place.sentAt
-	t.timeout = place.timeout
+	t.sentAt = acquired.sentAt
+	t.timeout = acquired.timeout
 	t.info = info
 	t.retryAfter = 0
 	t.value = nil
@@ -70,7 +70,7 @@
 	return t
 }
 
-// recycle puts an attempt that no connection knows any more back into the pool.
+// recycle returns an attempt to the pool. No connection may refer to it any more.
 func (t *attempt) recycle() {
 	t.value = nil
 	t.cause = nil
@@ -78,7 +78,7 @@
 	attemptPool.Put(t)
 }
 
-// answer copies the outcome.
+// answer returns a copy of the outcome.
 func (t *attempt) answer() answer {
 	return answer{
 		outcome:    t.outcome,
@@ -90,25 +90,25 @@
 }
 
 // attempt makes one attempt on a connection, and returns how it ended.
-func (c *Client) attempt(ctx context.Context, place *acquisition, wire *request.Request, info *TryInfo) (a answer) {
-	t := c.newAttempt(place, wire, info)
+func (c *Client) attempt(ctx context.Context, acquired *acquisition, wire *request.Request, info *TryInfo) (a answer) {
+	t := c.newAttempt(acquired, wire, info)
 	if info != nil {
 		info.ID = string(appendID(nil, c.idPrefix, t.serial))
-		info.ConnReused = place.conn.answers.Load() > 0
+		info.ConnReused = acquired.conn.answers.Load() > 0
 		if hook := c.options.Trace.TryStart; hook != nil {
 			hook(*info)
 		}
 	}
-	readsOwn, ok := place.conn.send(t, wire)
+	readsOwn, ok := acquired.conn.send(t, wire)
 	switch {
 	case !ok:
 		a.outcome = retry.NotSent
 	case readsOwn:
-		a = place.conn.readOwnAnswer(ctx, t)
+		a = acquired.conn.readOwnAnswer(ctx, t)
 	default:
 		a = t.await(ctx)
 	}
-	if !a.mayFollow {
+	if !a.abandoned {
 		t.recycle()
 	}
 	return a
@@ -131,14 +131,14 @@
 		a = contextAnswer(ctx)
 	}
 	if !t.state.CompareAndSwap(attemptWaiting, attemptAbandoned) {
-		<-t.done // the outcome came at the same moment
+		<-t.done // the outcome arrived at the same moment
 		return t.answer()
 	}
-	a.mayFollow = true
+	a.abandoned = true
 	return a
 }
 
-// attemptEnded counts how an attempt ended, and decides what follows. closed is whether the client was closed.
+// attemptEnded counts how an attempt ended and decides what follows. closed reports whether the client is closed.
 func (c *Client) attemptEnded(
 	conn *connection, r *retry.Request, a *answer, now retry.Timestamp,
 ) (d retry.Decision, closed bool) {
@@ -148,7 +148,7 @@
 	if conn.awaited == 0 {
 		conn.idleSince = now.Monotonic
 	}
-	if !a.mayFollow {
+	if !a.abandoned {
 		conn.inFlight--
 	}
 	c.balancer.RequestEnded(conn.proxy, now.Monotonic, balanceOutcome(a.outcome), a.retryAfter)
@@ -174,7 +174,7 @@
 	return d, closed
 }
 
-// balanceOutcome is what an attempt's outcome says of its proxy.
+// balanceOutcome returns what an attempt's outcome means for the choice of proxies.
 func balanceOutcome(o retry.Outcome) balance.Outcome {
 	switch o {
 	case retry.TimedOut, retry.ConnectionLost, retry.MalformedAnswer:
--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/bradfitz/gomemcache/memcache"
 )
 
-// startServer serves reads in the meta protocol and in the classic one, each with the same value, as fast as one
-// goroutine a connection can. It returns its address.
+// startServer starts a server that answers reads in the meta and in the classic protocol, always with the same value.
+// It has one goroutine per connection. startServer returns its address.
 func startServer(b *testing.B) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.2:0")
@@ -72,7 +72,7 @@
 	}
 }
 
-// openGet returns a read through one of the compared clients, and what closes the client.
+// openGet returns a function that reads through one of the compared clients, and one that closes the client.
 func openGet(b *testing.B, name, address string, goroutines int) (get func() error, done func()) {
 	b.Helper()
 	if name == "gomemcache" {
@@ -96,7 +96,7 @@
 	return get, func() { c.Close() }
 }
 
-// measureGet reads with so many goroutines.
+// measureGet measures reads from the given number of goroutines.
 func measureGet(b *testing.B, name string, goroutines int) {
 	b.Helper()
 	get, done := openGet(b, name, startServer(b), goroutines)
@@ -119,7 +119,7 @@
 	b.ReportMetric(float64(each*goroutines)/b.Elapsed().Seconds(), "req/s")
 }
 
-// BenchmarkGet reads through this client and through a known one of the classic protocol, from the same server.
+// BenchmarkGet compares this client with gomemcache, a client of the classic protocol, on servers of the same kind.
 func BenchmarkGet(b *testing.B) {
 	for _, goroutines := range []int{1, 8, 64, 512} {
 		for _, name := range []string{"gomemcache", "mulleinpier"} {
--- a/client/call.go
+++ b/client/call.go
@@ -13,7 +13,7 @@
 	"mulleinpier/internal/request"
 )
 
-// The operations, as errors and traces name them.
+// Names of the operations in errors and traces.
 const (
 	opGet = "get"
 	opSet = "set"
@@ -24,13 +24,13 @@
 	client  *Client
 	op      string
 	request Request
-	wire    request.Request // as it is sent
+	wire    request.Request // the request as it is sent
 	class   Class
 	start   retry.Timestamp
 	retries retry.Request
 }
 
-// Do carries out a call.
+// Do carries out a call. Its error is nil or an [*Error].
 func (c *Client) Do(ctx context.Context, r Request) (Answer, error) {
 	x := call{client: c, op: opGet, request: r}
 	if r.Set {
@@ -64,12 +64,12 @@
 	c := x.client
 	var avoid *balance.Proxy
 	for {
-		place := c.acquire(ctx, &x.retries, deadline, avoid)
-		if place.conn == nil {
-			return x.fail(place.result, place.retryAfter, place.cause)
+		acquired := c.acquire(ctx, &x.retries, deadline, avoid)
+		if acquired.conn == nil {
+			return x.fail(acquired.result, acquired.retryAfter, acquired.cause)
 		}
-		a, now := x.attempt(ctx, &place)
-		d, closed := c.attemptEnded(place.conn, &x.retries, &a, now)
+		a, now := x.attempt(ctx, &acquired)
+		d, closed := c.attemptEnded(acquired.conn, &x.retries, &a, now)
 		if d.Result == retry.ResultServed {
 			return x.succeed(&a)
 		}
@@ -83,31 +83,31 @@
 		if d.Result != retry.ResultPending {
 			return x.fail(d.Result, d.RetryAfter, a.cause)
 		}
-		avoid = place.conn.proxy
+		avoid = acquired.conn.proxy
 		c.backOff(ctx, d.Backoff)
 	}
 }
 
-// attempt makes one attempt at a place, and calls the hooks around it.
-func (x *call) attempt(ctx context.Context, place *acquisition) (a answer, now retry.Timestamp) {
+// attempt makes one attempt on the acquired connection and calls the hooks of the attempt.
+func (x *call) attempt(ctx context.Context, acquired *acquisition) (a answer, now retry.Timestamp) {
 	c := x.client
 	trace := &c.options.Trace
-	x.wire.Retry = place.isRetry
+	x.wire.Retry = acquired.isRetry
 	var info *TryInfo
 	if trace.TryStart != nil || trace.TryDone != nil || trace.LateAnswer != nil {
 		info = &TryInfo{
 			Op:     x.op,
 			Key:    x.request.Key,
-			Proxy:  place.conn.proxy.Address,
-			Repeat: place.isRetry,
-			Wait:   announcedTimeout(place.timeout),
+			Proxy:  acquired.conn.proxy.Address,
+			Repeat: acquired.isRetry,
+			Wait:   announcedTimeout(acquired.timeout),
 		}
 	}
-	a = c.attempt(ctx, place, &x.wire, info)
+	a = c.attempt(ctx, acquired, &x.wire, info)
 	now = c.options.clock()
 	if trace.TryDone != nil {
 		done := *info
-		done.Took = now.Monotonic - place.sentAt
+		done.Took = now.Monotonic - acquired.sentAt
 		done.Outcome = outcomeNames[a.outcome]
 		done.RetryAfter = a.retryAfter
 		trace.TryDone(done)
@@ -115,7 +115,8 @@
 	return a, now
 }
 
-// backOff waits before the next attempt; [Client.acquire] sees why it ended early.
+// backOff waits before the next attempt. It returns early if the context ends or the client is closed; [Client.acquire]
+// then finds out why.
 func (c *Client) backOff(ctx context.Context, backoff time.Duration) {
 	if backoff <= 0 {
 		return
@@ -144,7 +145,7 @@
 	return Answer{Tries: x.retries.Attempts()}, x.end(x.error(result, retryAfter, cause))
 }
 
-// error is the error of a call that was not served.
+// error returns the error of a call that was not served.
 func (x *call) error(result retry.Result, retryAfter time.Duration, cause error) error {
 	e := &Error{
 		Op:          x.op,
@@ -175,7 +176,7 @@
 	return e
 }
 
-// setNotSent sets the kind of an error of a call whose last attempt was not sent.
+// setNotSent sets the kind of the error of a call that ended because its next attempt could not be sent.
 func (e *Error) setNotSent(cause error) {
 	switch {
 	case errors.Is(cause, ErrClosed):
@@ -191,7 +192,7 @@
 	}
 }
 
-// end counts the end of a call and calls the hook. It returns err, which is nil or an [*Error].
+// end counts the end of a call and calls the CallDone hook. It returns err, which is nil or an [*Error].
 func (x *call) end(err error) error {
 	c := x.client
 	var e *Error
@@ -212,7 +213,7 @@
 	return err
 }
 
-// callEnded counts the end of an active call, and wakes [Client.Shutdown] after the last.
+// callEnded counts the end of an active call, and wakes [Client.Shutdown] after the last one.
 func (c *Client) callEnded() {
 	if c.activeCalls.Add(-1) == 0 && c.draining.Load() {
 		select {
@@ -222,7 +223,7 @@
 	}
 }
 
-// prepare checks the request and fills in the class and the request as it is sent.
+// prepare checks the request and sets class and wire.
 func (x *call) prepare() error {
 	r, options := &x.request, &x.client.options
 	x.class = r.Class
@@ -258,7 +259,7 @@
 	return x.prepareIdempotency()
 }
 
-// prepareIdempotency checks the idempotency key of a write, and makes one up for a keyed write without.
+// prepareIdempotency checks the idempotency key of a write, and generates one for a keyed write that has none.
 func (x *call) prepareIdempotency() error {
 	key := x.request.Idempotency
 	switch {
--- a/client/call_test.go
+++ b/client/call_test.go
@@ -15,7 +15,7 @@
 	"mulleinpier/internal/meta"
 )
 
-// callOfEachKind makes one call of each kind, eight in all.
+// callOfEachKind makes one call of each kind, eight reads and writes in all.
 func callOfEachKind(t *testing.T, c *Client) {
 	t.Helper()
 	ctx := context.Background()
@@ -38,19 +38,19 @@
 	}
 }
 
-// checkMarks checks what the requests of callOfEachKind say of themselves.
-func checkMarks(t *testing.T, requests []scriptednode.ReceivedRequest) {
+// checkAttributes checks class, idempotency key, tenant, retry mark and timeout of the requests of callOfEachKind.
+func checkAttributes(t *testing.T, requests []scriptednode.ReceivedRequest) {
 	t.Helper()
 	for _, r := range requests {
 		isSet := r.Value != ""
-		marked := (r.Class == "write") == isSet && (r.IdempotencyKey != "") == isSet
-		if !marked || r.Tenant != "acme" || r.Retry || r.Timeout <= 0 || r.Timeout > Write.Wait {
+		attributesOK := (r.Class == "write") == isSet && (r.IdempotencyKey != "") == isSet
+		if !attributesOK || r.Tenant != "acme" || r.Retry || r.Timeout <= 0 || r.Timeout > Write.Wait {
 			t.Fatalf("%+v", r)
 		}
 	}
 }
 
-// Calls of each kind carry the marks of their class and tenant, and are traced and counted.
+// Calls of each kind carry their class and tenant, and are traced and counted.
 func TestCallsAreTracedAndCounted(t *testing.T) {
 	var reported, incomplete atomic.Int64
 	trace := Trace{CallDone: func(i CallInfo) {
@@ -67,7 +67,7 @@
 	}
 	c, ns := newTestClient(t, 2, Options{Tenant: "acme", Trace: trace}, react)
 	callOfEachKind(t, c)
-	checkMarks(t, ns.Requests())
+	checkAttributes(t, ns.Requests())
 	if reported.Load() != 8 || incomplete.Load() > 0 {
 		t.Fatalf("%d calls reported, %d of them incompletely", reported.Load(), incomplete.Load())
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-// outcomeCase is one reaction to the first try, and the error of each kind of call; later tries are served.
+// outcomeCase is a reaction to the first attempt, and the error of each kind of call; later attempts are served.
 type outcomeCase struct {
 	reaction            scriptednode.Reaction
 	read, keyed, unsafe error
@@ -95,8 +95,8 @@
 	{reaction: scriptednode.EndlessValue, unsafe: ErrUnknown},
 }
 
-// The tries of a call for each outcome of the first, for a read, a keyed and an unsafe write: how many a proxy sees,
-// and the error at the end.
+// For each outcome of the first attempt of a read, a keyed and an unsafe write: whether the proxies see further
+// attempts, and the error of the call.
 func TestErrorForEachFirstOutcome(t *testing.T) {
 	unsafeClass := Class{Name: "plain", Effect: Unsafe, Wait: 700 * ms}
 	for _, c := range outcomeCases {
@@ -105,7 +105,7 @@
 			checkOutcome(t, c.reaction, Request{Key: "k"}, c.read)
 		})
 		if c.reaction == scriptednode.EndlessValue {
-			continue // a receipt has no length; the scripted value to a write is an answer to another command
+			continue // a receipt has no length: to a write, the scripted value would be an answer to another command
 		}
 		t.Run(string(c.reaction)+"/keyed", func(t *testing.T) {
 			t.Parallel()
@@ -119,7 +119,7 @@
 	}
 }
 
-// checkTries checks what the tries of a call say of themselves.
+// checkTries checks the retry marks, idempotency keys, ids and timeouts of the attempts of a call.
 func checkTries(t *testing.T, requests []scriptednode.ReceivedRequest, reaction scriptednode.Reaction) {
 	t.Helper()
 	for i, x := range requests {
@@ -129,7 +129,7 @@
 		if i == 0 {
 			continue
 		}
-		// After a try that had no answer less time is left.
+		// After an attempt without an answer less time is left.
 		if x.ID == requests[0].ID || x.Timeout >= requests[0].Timeout && reaction == scriptednode.Hang {
 			t.Fatalf("try %d: %+v after %+v", i, x, requests[0])
 		}
@@ -155,8 +155,8 @@
 	}
 }
 
-// A write whose answer is lost late, against a window of 1.5 s: within it the call goes on under the same key; past it
-// the caller is told that the outcome is unknown, and nothing more is sent.
+// The answer to a keyed write is lost late in its dedup window of 1.5 s. While an attempt can still end within the
+// window, the write is retried with the same key; after that the call ends with ErrUnknown, and nothing more is sent.
 func TestWriteWhoseAnswerIsLost(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -171,7 +171,7 @@
 	} {
 		t.Run(c.after.String(), func(t *testing.T) {
 			t.Parallel()
-			// It is defined here because the check for left goroutines knows test code by the names of tests.
+			// Defined here because the check for leaked goroutines recognises test code by the names of tests.
 			react := func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
 				if number == 0 {
 					time.Sleep(c.after)
@@ -186,8 +186,8 @@
 
 func checkLostAnswer(t *testing.T, react reaction, want error) {
 	t.Helper()
-	// The margin is shrunk so that a try is waited for to just before the window's end, less the 50 ms under which no
-	// try is sent.
+	// The margin is 1 ns, so that an attempt may last until just before the window's end. With less than 50 ms left no
+	// attempt is sent.
 	o := Options{Margin: 1, RetryRatio: -1, Spread: ms}
 	client, ns := newTestClient(t, 1, o, react)
 	start := time.Now()
@@ -213,7 +213,7 @@
 	}
 }
 
-// Resolve waits until no try can start any more, and reads.
+// Resolve waits until no attempt can start any more, and then reads the key.
 func TestResolveWaitsUntilSettledAndReads(t *testing.T) {
 	o := Options{Window: 300 * ms, RetryRatio: -1}
 	c, ns := newTestClient(t, 1, o, func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
@@ -228,7 +228,7 @@
 		t.Fatal(err)
 	}
 	isSigned := func(v []byte) bool { return string(v) == scriptednode.Value("order") }
-	done, err := c.Resolve(context.Background(), fmt.Errorf("till: %w", err), isSigned)
+	done, err := c.Resolve(context.Background(), fmt.Errorf("caller: %w", err), isSigned)
 	if !done || err != nil {
 		t.Fatal(done, err)
 	}
@@ -240,7 +240,7 @@
 	}
 }
 
-// The wall clock is set forward while a write is in flight: its window may be over, so it is not sent again.
+// If the wall clock is set forward while a write is in flight, its dedup window may be over, so it is not sent again.
 func TestClockStepsCloseTheWindow(t *testing.T) {
 	var step atomic.Int64
 	clock := systemClock()
@@ -268,7 +268,7 @@
 	}
 }
 
-// Invalid requests are refused before anything is sent, and all that is wrong with options is reported together.
+// Invalid requests are refused before anything is sent, and all errors in options are reported together.
 func TestInvalidRequestsAndOptionsAreRefused(t *testing.T) {
 	c, ns := newTestClient(t, 1, Options{}, always(scriptednode.Serve))
 	for _, r := range []Request{
--- a/client/catalogue/catalogue.go
+++ b/client/catalogue/catalogue.go
@@ -1,6 +1,7 @@
-// Package catalogue provides Consul's catalogue as a source of proxies for a client: proxies that register themselves
-// there (see [consul.register] in the daemon's configuration) are found without a list. It reports only whether a proxy
-// is up. It owns no goroutines; each [client.Source] follows the catalogue in the goroutine of its caller.
+// Package catalogue provides the proxies in a Consul catalogue as a [client.Source]. Proxies register themselves there
+// (see [consul.register] in the daemon's configuration), so that clients need no list of addresses. The source uses
+// only whether a proxy is up. The package starts no goroutines; each source follows the catalogue in the goroutine of
+// its caller.
 package catalogue
 
 import (
@@ -14,16 +15,16 @@
 	"mulleinpier/internal/discovery"
 )
 
-// Options say where the catalogue is. Agent and Service are needed.
+// Options configure access to the catalogue. Agent and Service are required.
 type Options struct {
 	Agent      string // host:port of a Consul agent
-	Service    string // under which proxies are registered
-	Datacenter string // "" for the agent's own
-	Tag        string // that instances must have; "" for any
+	Service    string // name under which proxies are registered
+	Datacenter string // "" for that of the agent
+	Tag        string // only instances with this tag; "" for all
 	TLS        bool
-	CAFile     string // certificates to trust in place of the system's
-	TokenFile  string // holds an ACL token; it is read again for each query
-	// Wait is how long a query may wait for a change, from 1 s to 10 min; 0 for 1 min.
+	CAFile     string // file of CA certificates to trust instead of the system's
+	TokenFile  string // file with an ACL token; it is read again for each query
+	// Wait is how long a query may wait for a change, from 1 s to 10 min; default 1 min.
 	Wait time.Duration
 }
 
@@ -37,8 +38,9 @@
 // source implements client.Source.
 type source struct{ config consul.SourceConfig }
 
-// Consul returns the proxies of a service that are up. A proxy that is draining, in maintenance or whose check is
-// critical leaves the list, and gets nothing new. An empty list is not put into force, see [client.Source].
+// Consul returns a source that lists the proxies of a service that are up. A proxy that is draining, in maintenance or
+// whose check is critical leaves the list and gets no new requests. An empty list does not take effect, see
+// [client.Source].
 func Consul(o Options) (client.Source, error) {
 	if o.Agent == "" || o.Service == "" {
 		return nil, errors.New("mulleinpier: catalogue: Agent and Service are needed")
@@ -64,7 +66,7 @@
 	}}, nil
 }
 
-// statusUp is the status of proxies that take requests.
+// statusUp is the status of proxies that accept requests.
 const statusUp = "up"
 
 // Follow implements client.Source.
--- a/client/catalogue/catalogue_test.go
+++ b/client/catalogue/catalogue_test.go
@@ -15,7 +15,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// manyKeys returns so many keys that a client that reads them in parallel uses several proxies.
+// manyKeys returns enough keys that a client that reads them in parallel uses several proxies.
 func manyKeys() (keys []string) {
 	for i := range 256 {
 		keys = append(keys, fmt.Sprint("k", i))
@@ -23,7 +23,7 @@
 	return keys
 }
 
-// instance returns a proxy's registration.
+// instance returns the registration of a proxy.
 func instance(nodes *scriptednode.Nodes, i int) consul.Instance {
 	host, text, _ := net.SplitHostPort(nodes.Address(i))
 	port, _ := strconv.Atoi(text)
@@ -40,8 +40,8 @@
 	}
 }
 
-// A client follows the catalogue: a proxy in maintenance gets nothing new, one that joins gets requests, an empty list
-// changes nothing.
+// A client follows the catalogue: a proxy in maintenance gets no new requests, one that joins gets some, and an empty
+// list changes nothing.
 func TestClientFollowsTheCatalogue(t *testing.T) {
 	var served [2]atomic.Int64
 	react := func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
--- a/client/client.go
+++ b/client/client.go
@@ -16,39 +16,40 @@
 	"mulleinpier/client/internal/retry"
 )
 
-// Client is a client of a fleet of proxies. Make one with [New]; it is safe for concurrent use.
+// Client sends requests to a fleet of proxies. Create it with [New]; it is safe for concurrent use.
 type Client struct {
 	options     Options
 	retryPolicy *retry.Policy
-	idPrefix    string // of the ids of all attempts
+	idPrefix    string // prefix of the ids of all attempts
 	lastSerial  atomic.Uint64
-	ctx         context.Context // ends when the client is closed
+	ctx         context.Context // cancelled by Close
 	cancel      context.CancelFunc
-	tasks       sync.WaitGroup // no Add after closed is set
+	tasks       sync.WaitGroup // the client's goroutines; none is added after closed is set
 
-	// mu is never held over I/O or a hook, and never taken while a connection's lock is held.
+	// mu is not held during I/O or while a hook runs, and is never locked while a connection's mu is held.
 	mu       sync.Mutex
 	rng      *rand.Rand
 	balancer *balance.Balancer
 	budget   *retry.Budget
 	throttle retry.Throttle
 	conns    map[*balance.Proxy][]*connection
-	waiters  list.List // of *waiter, the longest wait first
-	inFlight int       // requests on connections, without those that were abandoned
+	waiters  list.List // of *waiter, in the order in which they started to wait
+	inFlight int       // requests on connections, except abandoned ones
 	closed   bool
 
 	activeCalls atomic.Int64
-	draining    atomic.Bool   // no more calls are accepted
-	drained     chan struct{} // holds one: the last call has ended
+	draining    atomic.Bool   // set by Shutdown; new calls end with ErrClosed
+	drained     chan struct{} // capacity 1; signals that the last call has ended
 	counters    counters
 }
 
-// New returns a client. It does not wait for a proxy; calls do.
+// New returns a client, or an error that names all invalid options. It does not wait until a proxy can be reached;
+// calls do.
 func New(o Options) (*Client, error) {
 	if err := o.applyDefaults(); err != nil {
 		return nil, err
 	}
-	var seed [24]byte // 8 bytes of the id prefix, 16 of the random generator
+	var seed [24]byte // 8 bytes for idPrefix, 16 to seed rng
 	if _, err := crand.Read(seed[:]); err != nil {
 		return nil, err
 	}
@@ -69,44 +70,46 @@
 	return c, nil
 }
 
-// Request is one call in full.
+// Request describes one call of [Client.Do].
 type Request struct {
 	Key   string
 	Value []byte
-	Set   bool // it writes Value, otherwise it reads
-	// Class; [Options.Read] or [Options.Write] if left out.
+	Set   bool // write Value instead of reading the key
+	// Class of the request; [Options.Read] or [Options.Write] if it is the zero value.
 	Class Class
-	// Tenant; [Options.Tenant] if left out.
+	// Tenant of the request; [Options.Tenant] if it is empty.
 	Tenant string
-	// Idempotency is the key by which nodes drop repeats of a keyed write; a random one if left out. The caller's own
-	// is useful where two places may send the same write within the window.
+	// Idempotency is the idempotency key, by which nodes drop duplicates of a keyed write. If it is empty, a random key
+	// is used. Set it if the same write may be sent from two places within the dedup window.
 	Idempotency string
 }
 
-// Answer is the result of a call.
+// Answer is the result of a call of [Client.Do].
 type Answer struct {
-	Value   []byte // of a read; the caller may change it
-	Receipt string // of a write
-	Tries   int    // that were sent
+	Value   []byte // the value that was read; the caller may modify it
+	Receipt string // the receipt of a write
+	Tries   int    // attempts that were sent
 }
 
-// Get reads a key. The caller may change the value.
+// Get reads a key with the class [Options.Read]. If there is no such key, the error is [ErrMiss]. The caller may modify
+// the value.
 func (c *Client) Get(ctx context.Context, key string) ([]byte, error) {
 	a, err := c.Do(ctx, Request{Key: key})
 	return a.Value, err
 }
 
-// Set writes a key, and returns the receipt. The caller may change the value once Set has returned.
+// Set writes a key with the class [Options.Write] and returns the receipt. The caller may modify value once Set has
+// returned.
 func (c *Client) Set(ctx context.Context, key string, value []byte) (receipt string, err error) {
 	a, err := c.Do(ctx, Request{Key: key, Value: value, Set: true})
 	return a.Receipt, err
 }
 
-// maxParallelGets is how many keys of one GetMulti are read at a time.
+// maxParallelGets is the number of keys that one GetMulti reads at a time.
 const maxParallelGets = 32
 
-// GetMulti reads several keys in parallel. Keys that do not exist are left out; of other errors the first is returned,
-// together with the values that were read.
+// GetMulti reads several keys in parallel. Keys that do not exist are missing from the result. If reads fail with
+// another error, GetMulti returns the first such error together with the values that were read.
 func (c *Client) GetMulti(ctx context.Context, keys []string) (map[string][]byte, error) {
 	var mu sync.Mutex
 	var firstErr error
@@ -135,9 +138,9 @@
 	return values, firstErr
 }
 
-// Resolve finds out what became of a write that ended with [ErrUnknown]. It waits until no attempt of the write can
-// start any more, reads the key and calls done with the value (nil if there is no such key). If done reports false, the
-// write was not carried out, and the key can be set again.
+// Resolve determines whether a write that ended with [ErrUnknown] was carried out. It waits until no attempt of the
+// write can start any more, reads the key, calls done with the value (nil if there is no such key) and returns its
+// result. If done reports false, the write was not carried out, and the key can be set again.
 func (c *Client) Resolve(ctx context.Context, unknown error, done func(value []byte) bool) (bool, error) {
 	var e *Error
 	if !errors.As(unknown, &e) || e.Kind != ErrUnknown {
@@ -159,7 +162,7 @@
 	return done(value), nil
 }
 
-// Shutdown accepts no more calls, waits until the active ones have ended or ctx ends, and closes the client.
+// Shutdown rejects new calls, waits until the active ones have ended or ctx ends, and closes the client.
 func (c *Client) Shutdown(ctx context.Context) (err error) {
 	c.draining.Store(true)
 	for c.activeCalls.Load() > 0 && err == nil {
@@ -175,7 +178,8 @@
 	return err
 }
 
-// Close ends all calls with [ErrClosed], closes all connections, and returns once no goroutine of the client runs.
+// Close ends all calls with [ErrClosed], closes all connections and returns once all goroutines of the client have
+// ended.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	c.closed = true
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -17,7 +17,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// cancelCall makes a call, cancels its context in the state that inState reports, and checks how the call ends.
+// cancelCall starts a call, cancels its context once inState returns true, and checks the call's error.
 func cancelCall(t *testing.T, c *Client, r Request, inState func() bool, want error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -26,18 +26,18 @@
 		_, err := c.Do(ctx, r)
 		ended <- err
 	}()
-	testutil.WaitUntil(t, "the state", inState)
+	testutil.WaitUntil(t, "the state in which to cancel", inState)
 	cancel()
 	if err := testutil.Receive(t, "the end", ended); !errors.Is(err, want) || !errors.Is(err, context.Canceled) {
 		t.Fatalf("got %v, want %v", err, want)
 	}
 }
 
-// cancelWhileWriting cancels a call while so many others wait to be written that its own request can't be.
+// cancelWhileWriting cancels a call while so many requests are queued that its own can't be written yet.
 func cancelWhileWriting(t *testing.T, write Request, o Options) {
 	t.Helper()
 	o.Conns, o.Depth = 1, 256
-	c, _ := newTestClient(t, 1, o, always(scriptednode.Hang)) // it reads no further
+	c, _ := newTestClient(t, 1, o, always(scriptednode.Hang)) // the proxy reads no more after the first request
 	big := write
 	big.Value = make([]byte, meta.MaxValue)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -51,9 +51,9 @@
 	others.Wait()
 }
 
-// A context that is cancelled before the list has come, while connecting, while waiting for a place on a connection,
-// while the request is written, while its answer is awaited, and during backoff: the call ends, and reports what is
-// known.
+// A call whose context is cancelled ends and reports what is known about it: before the first list has arrived, while
+// connecting, while waiting for a connection, while the request is written, while its answer is awaited, and during
+// backoff.
 func TestContextCancelledInEachState(t *testing.T) {
 	write := Request{
 		Key:   "k",
@@ -61,25 +61,25 @@
 		Value: []byte("v"),
 		Class: Class{Name: "write", Effect: Keyed, Wait: time.Minute},
 	}
-	patient := Options{
+	longTimeouts := Options{
 		Read:   Class{Name: "read", Effect: Safe, Wait: time.Minute},
 		Window: time.Minute,
 		Tries:  2,
 	}
 	t.Run("no list", func(t *testing.T) {
-		o := patient
+		o := longTimeouts
 		o.Proxies = silentSource{}
 		c := open(t, o)
 		cancelCall(t, c, write, func() bool { return c.Stats().Waiting == 1 }, context.Canceled)
 	})
 	t.Run("connecting", func(t *testing.T) {
-		o := patient
+		o := longTimeouts
 		o.Dial = blockedDial
 		c, _ := newTestClient(t, 1, o, always(scriptednode.Serve))
 		cancelCall(t, c, write, func() bool { return c.Stats().Waiting == 1 }, context.Canceled)
 	})
 	t.Run("waiting", func(t *testing.T) {
-		o := patient
+		o := longTimeouts
 		o.Conns, o.Depth = 1, 1
 		c, _ := newTestClient(t, 1, o, always(scriptednode.Hang))
 		ctx, cancel := context.WithCancel(context.Background())
@@ -91,20 +91,20 @@
 		testutil.WaitUntil(t, "the other is in flight", func() bool { return c.Stats().InFlight == 1 })
 		cancelCall(t, c, write, func() bool { return c.Stats().Waiting == 1 }, context.Canceled)
 	})
-	t.Run("writing", func(t *testing.T) { cancelWhileWriting(t, write, patient) })
+	t.Run("writing", func(t *testing.T) { cancelWhileWriting(t, write, longTimeouts) })
 	t.Run("answer", func(t *testing.T) {
-		c, ns := newTestClient(t, 1, patient, always(scriptednode.Hang))
+		c, ns := newTestClient(t, 1, longTimeouts, always(scriptednode.Hang))
 		cancelCall(t, c, write, func() bool { return len(ns.Requests()) == 1 }, ErrUnknown)
 		cancelCall(t, c, Request{Key: "k"}, func() bool { return c.Stats().InFlight == 1 }, context.Canceled)
 	})
 	t.Run("backoff", func(t *testing.T) {
-		c, ns := newTestClient(t, 1, patient, always(scriptednode.BusyRetryAfter))
+		c, ns := newTestClient(t, 1, longTimeouts, always(scriptednode.BusyRetryAfter))
 		inBackoff := func() bool { return len(ns.Requests()) == 1 && c.Stats().InFlight == 0 }
 		cancelCall(t, c, write, inBackoff, context.Canceled)
 	})
 }
 
-// An empty list is not put into force; a proxy that leaves the list gets nothing new.
+// An empty list does not take effect; a proxy that leaves the list gets no new requests.
 func TestEmptyListIsIgnored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "proxies")
 	var lists, emptyLists atomic.Int64
@@ -154,7 +154,7 @@
 	}
 }
 
-// Close ends active calls, a write as unknown; Shutdown waits for them.
+// Close ends active calls, a write with ErrUnknown; Shutdown waits for them.
 func TestCloseEndsCallsAndShutdownWaits(t *testing.T) {
 	for _, c := range []struct {
 		set  bool
@@ -190,23 +190,23 @@
 	}
 }
 
-// The hooks report all that happens to a call, and an answer that came too late.
+// The hooks report each step of a call, and an answer that arrives after its attempt was given up.
 func TestHooksReportEachStep(t *testing.T) {
 	var mu sync.Mutex
 	var seen []string
-	note := func(format string, a ...any) {
+	record := func(format string, a ...any) {
 		mu.Lock()
 		defer mu.Unlock()
 		seen = append(seen, fmt.Sprintf(format, a...))
 	}
 	c, _ := newTestClient(t, 1, Options{Conns: 1, Trace: Trace{
-		DialStart:    func(string) { note("dial") },
-		DialDone:     func(_ string, _ time.Duration, err error) { note("dialed %v", err) },
-		TryStart:     func(i TryInfo) { note("try %s %s %v", i.Op, i.Key, i.Repeat) },
-		TryDone:      func(i TryInfo) { note("tried %s", i.Outcome) },
-		LateAnswer:   func(i TryInfo) { note("late %s", i.Outcome) },
-		CallDone:     func(i CallInfo) { note("call %s %s %d %v", i.Op, i.Key, i.Tries, i.Err) },
-		Disconnected: func(_ string, err error) { note("gone %v", err) },
+		DialStart:    func(string) { record("dial") },
+		DialDone:     func(_ string, _ time.Duration, err error) { record("dialed %v", err) },
+		TryStart:     func(i TryInfo) { record("try %s %s %v", i.Op, i.Key, i.Repeat) },
+		TryDone:      func(i TryInfo) { record("tried %s", i.Outcome) },
+		LateAnswer:   func(i TryInfo) { record("late %s", i.Outcome) },
+		CallDone:     func(i CallInfo) { record("call %s %s %d %v", i.Op, i.Key, i.Tries, i.Err) },
+		Disconnected: func(_ string, err error) { record("gone %v", err) },
 	}}, func(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if number == 0 {
 			return scriptednode.Busy
--- a/client/command.go
+++ b/client/command.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxIDLength bounds an id in bytes: a prefix of 18 and the digits of the serial.
+	// maxIDLength bounds the length of an id in bytes: a prefix of 18 and serialDigits digits.
 	maxIDLength = 32
-	// serialDigits is the number of hexadecimal digits of a serial in an id: ids repeat after 2^40 attempts.
+	// serialDigits is the number of hexadecimal digits of the serial in an id: ids repeat after 2^40 attempts.
 	serialDigits = 10
 	bitsPerDigit = 4
 	hexDigits    = "0123456789abcdef"
 )
 
-// appendID appends the id of an attempt.
+// appendID appends the id of an attempt: the client's prefix and the serial.
 func appendID(dst []byte, prefix string, serial uint64) []byte {
 	dst = append(dst, prefix...)
 	for shift := bitsPerDigit * (serialDigits - 1); shift >= 0; shift -= bitsPerDigit {
@@ -25,7 +25,7 @@
 	return dst
 }
 
-// isID reports whether an id is the one of an attempt.
+// isID reports whether id is what appendID makes of prefix and serial.
 func isID(id []byte, prefix string, serial uint64) bool {
 	if len(id) != len(prefix)+serialDigits || string(id[:len(prefix)]) != prefix {
 		return false
@@ -44,19 +44,19 @@
 	return n == serial
 }
 
-// maxAnswerTravel bounds the time that is kept for an answer's way back to the client.
-const maxAnswerTravel = 20 * time.Millisecond
+// maxAnswerTransit bounds the part of a timeout that is reserved for the answer's way back to the client.
+const maxAnswerTransit = 20 * time.Millisecond
 
-// answerTravelDivisor gives the part of a timeout that is kept for that way, up to maxAnswerTravel.
-const answerTravelDivisor = 20
+// answerTransitDivisor determines that part: the timeout divided by it, at most maxAnswerTransit.
+const answerTransitDivisor = 20
 
-// announcedTimeout is the timeout that a request carries: an answer that the proxy sends at its end still has to come
-// back before the attempt times out.
+// announcedTimeout returns the timeout that a request carries. It is shorter than the attempt's own timeout, so that an
+// answer that the proxy sends at the last moment still arrives in time.
 func announcedTimeout(timeout time.Duration) time.Duration {
-	return timeout - min(timeout/answerTravelDivisor, maxAnswerTravel)
+	return timeout - min(timeout/answerTransitDivisor, maxAnswerTransit)
 }
 
-// appendCommand appends a request as it is sent to proxies.
+// appendCommand appends a request in the meta protocol, with the value of a write.
 func appendCommand(dst []byte, idPrefix string, t *attempt, r *request.Request) []byte {
 	var id [maxIDLength]byte
 	millis := max(announcedTimeout(t.timeout).Milliseconds(), 1)
--- a/client/connection.go
+++ b/client/connection.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// lingerTimeout is how long a connection on which an attempt timed out is watched for late answers after its last
-	// attempt was abandoned. It takes no more requests.
+	// lingerTimeout is how long a connection on which an attempt timed out stays open for late answers after the last
+	// caller has stopped waiting. It takes no more requests.
 	lingerTimeout = time.Second
-	// maxDirectBytes bounds the unanswered bytes up to which a caller writes itself: the kernel buffers that much, and
-	// a caller could not give up a write that blocks.
+	// maxDirectBytes is the number of unanswered bytes up to which callers write to the socket themselves. The kernel
+	// buffers that much, so that the write does not block: a caller could not abandon a blocked write.
 	maxDirectBytes = 8 << 10
-	// freshTime is how long after a request a connection is taken to be open without a check.
-	freshTime = time.Millisecond
-	// minCompactLength is how many answered attempts the list of pending ones may contain before it is compacted.
+	// assumedOpenTime is the time after a request in which a connection is assumed to be open without a check.
+	assumedOpenTime = time.Millisecond
+	// minCompactLength is the number of answered attempts that pending may contain before it is compacted.
 	minCompactLength = 64
 )
 
@@ -38,43 +38,44 @@
 
 // connection is a connection to a proxy. The caller of the only request on it writes the request and reads the answer
 // itself, which saves a switch to another goroutine. Two goroutines, writeLoop and readLoop, do the rest until the
-// connection ends: they write where a write could block, and read for the other callers.
+// connection ends: they do the writes that could block, and read for the other callers.
 //
-// One goroutine at a time reads (the holder of reading) and one writes (the holder of writing).
+// One goroutine at a time reads (the holder of reading) and one writes (the holder of writing); reading and writing are
+// flags that mu guards.
 type connection struct {
 	client      *Client
 	proxy       *balance.Proxy
 	socket      net.Conn
-	checkAlive  func() error  // an error if the peer has closed the connection or sent unrequested bytes
-	writeWanted chan struct{} // holds one: there is something to write, or the connection has ended
-	readWanted  chan struct{} // holds one: there is something to read, or the connection has ended
-	answers     atomic.Int64  // received
+	checkAlive  func() error  // returns an error if the peer has closed the connection or sent unrequested bytes
+	writeWanted chan struct{} // capacity 1; there is something to write, or the connection has ended
+	readWanted  chan struct{} // capacity 1; there is something to read, or the connection has ended
+	answers     atomic.Int64  // number of answers received
 
 	// Owned by the holder of reading.
 	reader       *bufio.Reader
-	readDeadline time.Duration // set last, 0 for none; a cancelled context may have changed it on the socket
-	partial      answer        // what has come of an answer
-	inValue      bool          // partial has its first line
-	valueRead    int           // bytes of partial's value
+	readDeadline time.Duration // last value set, 0 for none; a cancelled context may have changed it on the socket
+	partial      answer        // the part of the current answer that was received
+	inValue      bool          // the first line of partial is complete
+	valueRead    int           // bytes of partial's value that were read
 
-	// Guarded by the client's lock.
-	inFlight  int // requests on it, including those that were abandoned
-	awaited   int // requests on it whose callers wait
+	// Guarded by the client's mu.
+	inFlight  int // requests on it, including abandoned ones
+	awaited   int // requests on it whose callers still wait
 	draining  bool
 	idleSince time.Duration // when the last caller stopped waiting
 
 	mu            sync.Mutex
-	outgoing      []byte // queued and not yet written
+	outgoing      []byte // queued but not yet written
 	spareBuffer   []byte
-	queuedBytes   int64      // put into outgoing so far
-	writtenBytes  int64      // of these, given to the socket
+	queuedBytes   int64      // appended to outgoing so far
+	writtenBytes  int64      // of these, passed to the socket
 	answeredBytes int64      // of these, up to the end of the last request that was answered
-	pending       []*attempt // in the order of their answers, from firstPending on
+	pending       []*attempt // from firstPending on, in the order in which their answers arrive
 	firstPending  int
 	lastSentAt    time.Duration
 	reading       bool
 	writing       bool
-	err           error // why it ended; nil while it is open
+	err           error // why the connection ended; nil while it is open
 	pendingEnded  bool  // all pending attempts have their outcome
 	ended         chan struct{}
 }
@@ -93,7 +94,7 @@
 	}
 }
 
-// signal sends to a channel that holds one, unless it is full.
+// signal sends to a channel of capacity 1 unless it is full.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -119,17 +120,17 @@
 			signal(c.readWanted)
 		}
 	}
-	// A proxy that has closed the connection meanwhile is noticed before anything is written to it. Nobody else may
-	// write until then: an answer would look like unrequested bytes. A read soon after another request needs no
-	// check, because it can be repeated.
-	check := readsOwn && !c.writing && !(t.isRead && t.sentAt-c.lastSentAt < freshTime)
+	// Before the write, check whether the proxy has closed the connection meanwhile. Nobody else may write during the
+	// check, because an answer would look like unrequested bytes. A read soon after another request needs no check,
+	// because it can be retried.
+	check := readsOwn && !c.writing && !(t.isRead && t.sentAt-c.lastSentAt < assumedOpenTime)
 	c.lastSentAt = t.sentAt
 	c.writing = c.writing || check
 	c.mu.Unlock()
 	deadline := t.sentAt + t.timeout
 	if readsOwn && !(c.readDeadline > t.sentAt+t.timeout/4 && c.readDeadline <= deadline) {
-		// A read deadline somewhat before the attempt's end is good enough and saves a system call: the reader checks
-		// the time and goes on.
+		// A read deadline somewhat before the attempt's end is good enough and saves a system call: when it expires,
+		// the reader checks the time and continues.
 		c.setReadDeadline(deadline)
 	}
 	if check && !c.checkBeforeWrite(deadline) {
@@ -139,7 +140,7 @@
 	return readsOwn, true
 }
 
-// enqueueLocked puts a request behind the pending ones. c.mu is held.
+// enqueueLocked queues a request behind the pending ones. c.mu is held.
 func (c *connection) enqueueLocked(t *attempt, r *request.Request) {
 	before := len(c.outgoing)
 	c.outgoing = appendCommand(c.outgoing, c.client.idPrefix, t, r)
@@ -152,10 +153,11 @@
 	c.pending = append(c.pending, t)
 }
 
-// checkBeforeWrite ends the connection, and returns false, if the peer has closed it. The caller holds writing.
+// checkBeforeWrite ends the connection and returns false if the peer has closed it. The caller holds reading and
+// writing.
 func (c *connection) checkBeforeWrite(deadline time.Duration) bool {
 	err := c.checkAlive()
-	if isTimeout(err) { // a caller before this one was cancelled at that moment
+	if isTimeout(err) { // the context of an earlier caller was cancelled at that moment
 		c.setReadDeadline(deadline)
 		err = c.checkAlive()
 	}
@@ -167,7 +169,7 @@
 	return true
 }
 
-// checkIdle ends the connection if its peer has closed it, while no request is on it.
+// checkIdle ends a connection without requests if the peer has closed it.
 func (c *connection) checkIdle() {
 	c.mu.Lock()
 	if c.reading || c.writing || c.err != nil || c.firstPending < len(c.pending) {
@@ -188,7 +190,7 @@
 	c.yieldReading()
 }
 
-// finishCheck ends the writing that a check has claimed.
+// finishCheck releases writing after a check. If the connection has ended meanwhile, it ends the pending attempts.
 func (c *connection) finishCheck() {
 	c.mu.Lock()
 	c.writing = false
@@ -199,7 +201,8 @@
 	}
 }
 
-// deliver gives an attempt its outcome. A caller that still waits accounts for it.
+// deliver sets the outcome of an attempt. A caller that still waits counts the end of the attempt itself; for an
+// abandoned one deliver does.
 func (c *connection) deliver(t *attempt, a *answer) {
 	if t.state.Load() == attemptWaiting {
 		t.outcome = a.outcome
@@ -222,7 +225,7 @@
 	c.client.abandonedEnded(c)
 }
 
-// fail ends the connection. A goroutine that is writing ends the pending attempts after its write, because only then
+// fail ends the connection. If a goroutine is writing, it ends the pending attempts after its write, because only then
 // is it known what was written.
 func (c *connection) fail(err error) {
 	c.mu.Lock()
@@ -241,7 +244,7 @@
 	}
 }
 
-// endPending gives all pending attempts of a connection that has ended their outcome. It does so once.
+// endPending sets the outcome of all pending attempts of a connection that has ended. Only the first call does so.
 func (c *connection) endPending() {
 	c.mu.Lock()
 	if c.pendingEnded {
@@ -266,7 +269,7 @@
 			a.outcome = retry.NotSent
 		case t.sentAt+t.timeout <= now:
 			a.outcome = retry.TimedOut
-		case i == 0 && malformed: // those behind it have had no answer
+		case i == 0 && malformed: // the others have received no answer
 			a.outcome = retry.MalformedAnswer
 		}
 		c.deliver(t, &a)
--- a/client/connection_test.go
+++ b/client/connection_test.go
@@ -13,7 +13,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// A proxy that accepts connections and answers nothing: reads are retried at the other one, and soon go there at once.
+// One proxy accepts connections but never answers: reads are retried at the other one, and soon go there directly.
 func TestSilentProxy(t *testing.T) {
 	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: time.Second}, RetryRatio: 1}
 	c, ns := newTestClient(t, 2, o, func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
@@ -38,7 +38,7 @@
 	}
 }
 
-// All proxies are gone for a while: calls end by their deadline, and are served again once the proxies are back.
+// All proxies are down for a while: calls end by their deadline, and are served again once the proxies are back.
 func TestAllProxiesGoneAndBack(t *testing.T) {
 	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: 500 * ms}}
 	c, ns := newTestClient(t, 2, o, always(scriptednode.Serve))
@@ -67,13 +67,13 @@
 			t.Fatal(err)
 		}
 	}
-	testutil.WaitUntil(t, "served again", func() bool {
+	testutil.WaitUntil(t, "a call is served again", func() bool {
 		_, err := c.Get(context.Background(), "k")
 		return err == nil
 	})
 }
 
-// A proxy that half closes idle connections makes no call fail, not even an unsafe one.
+// No call fails because a proxy half-closes idle connections, not even an unsafe write.
 func TestHalfClosedConnectionsFailNoCall(t *testing.T) {
 	c, ns := newTestClient(t, 2, Options{Write: Plain, Spread: ms}, always(scriptednode.Serve))
 	for range 20 {
@@ -86,19 +86,19 @@
 	}
 }
 
-// Idle connections are closed, and nothing wakes up for them.
+// Idle connections are closed, and calls after that are served on new ones.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	c, _ := newTestClient(t, 2, Options{Idle: 20 * ms}, always(scriptednode.Serve))
 	for range 3 {
 		if _, err := c.Get(context.Background(), "k"); err != nil {
 			t.Fatal(err)
 		}
-		testutil.WaitUntil(t, "closed", func() bool { return c.Stats().Conns == 0 })
+		testutil.WaitUntil(t, "the connections are closed", func() bool { return c.Stats().Conns == 0 })
 	}
 }
 
-// A proxy that has closed an idle connection is noticed before an unsafe write is sent on it, however soon: no sweep
-// runs in between.
+// An unsafe write is not sent on an idle connection that the proxy has closed, even if no sweep has noticed the close
+// before.
 func TestClosedConnectionIsNoticedBeforeAWrite(t *testing.T) {
 	for range 20 {
 		c, ns := newTestClient(t, 1, Options{Write: Plain, Spread: ms, Idle: time.Hour}, always(scriptednode.Serve))
@@ -106,17 +106,17 @@
 			t.Fatal(err)
 		}
 		ns.HalfClose(0)
-		time.Sleep(5 * ms) // the close crosses the loopback
+		time.Sleep(5 * ms) // until the close has arrived
 		if _, err := c.Set(context.Background(), "k", nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// A request that was not written when its connection ended never ran: such an unsafe write is sent again, one that was
-// written is not.
+// A request that was not written when its connection ended never ran: an unsafe write is sent again then, but not if it
+// was written.
 func TestUnwrittenRequestIsSentAgain(t *testing.T) {
-	near, far := net.Pipe() // a write blocks until it is read
+	clientEnd, proxyEnd := net.Pipe() // a write blocks until it is read
 	var dials atomic.Int64
 	ns, err := scriptednode.Start(scriptednode.Meta, 1, always(scriptednode.Serve))
 	if err != nil {
@@ -131,7 +131,7 @@
 		Tries:   2,
 		Dial: func(ctx context.Context, network, _ string) (net.Conn, error) {
 			if dials.Add(1) == 1 {
-				return near, nil
+				return clientEnd, nil
 			}
 			return (&net.Dialer{}).DialContext(ctx, network, ns.Address(0))
 		},
@@ -143,18 +143,18 @@
 	}
 	go set("first")
 	testutil.WaitUntil(t, "the first is in flight", func() bool { return c.Stats().InFlight == 1 })
-	go set("second") // behind the first, which nobody reads
+	go set("second") // queued behind the first, which nobody reads
 	testutil.WaitUntil(t, "the second is in flight", func() bool { return c.Stats().InFlight == 2 })
 	buf := make([]byte, 1024)
-	n, err := far.Read(buf)
+	n, err := proxyEnd.Read(buf)
 	written := string(buf[:n])
 	if err != nil || !strings.HasPrefix(written, "ms first ") || strings.Contains(written, "second") {
 		t.Fatalf("%q, %v", written, err)
 	}
-	far.Close()
+	proxyEnd.Close()
 	var unknown, served int
 	for range 2 {
-		switch err := testutil.Receive(t, "an end", ended); {
+		switch err := testutil.Receive(t, "the end of a call", ended); {
 		case err == nil:
 			served++
 		case errors.Is(err, ErrUnknown):
@@ -168,7 +168,7 @@
 	}
 }
 
-// A connection on which a try timed out takes no more requests, because they would wait behind it.
+// A connection on which an attempt timed out takes no more requests, because they would wait behind it.
 func TestNoRequestsAfterATimeout(t *testing.T) {
 	o := Options{Conns: 2, Read: Class{Name: "read", Effect: Safe, Wait: 300 * ms}, RetryRatio: -1}
 	c, ns := newTestClient(t, 1, o, first(scriptednode.Hang))
--- a/client/connread.go
+++ b/client/connread.go
@@ -16,7 +16,7 @@
 
 const lineEnd = "\r\n"
 
-// popAnswered removes the attempt that was answered from the pending ones; false if the connection has ended.
+// popAnswered removes the first pending attempt, which was answered. It returns false if the connection has ended.
 func (c *connection) popAnswered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,7 +34,7 @@
 	return true
 }
 
-// yieldReading gives up reading, to readLoop if there is more to read.
+// yieldReading releases reading, or hands it to readLoop if requests are pending.
 func (c *connection) yieldReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// setReadDeadline sets the read deadline by the client's clock, 0 for none. The caller holds reading.
+// setReadDeadline sets the read deadline as a time on the client's clock, 0 for none. The caller holds reading.
 func (c *connection) setReadDeadline(at time.Duration) {
 	c.readDeadline = at
 	if at == 0 {
@@ -55,10 +55,11 @@
 	c.socket.SetReadDeadline(time.Now().Add(at - c.client.options.clock().Monotonic))
 }
 
-// longPast is a read deadline that ends a read at once.
+// longPast is a read deadline that makes a read return at once.
 var longPast = time.Unix(1, 0)
 
-// readOwnAnswer reads the answer to the only request on the connection for its caller, until that gives up.
+// readOwnAnswer reads the answer to the first pending request in the goroutine of its caller, until the attempt times
+// out or ctx ends.
 func (c *connection) readOwnAnswer(ctx context.Context, t *attempt) (a answer) {
 	if ctx.Done() != nil {
 		stop := context.AfterFunc(ctx, func() { c.socket.SetReadDeadline(longPast) })
@@ -74,7 +75,7 @@
 				c.yieldReading()
 				return a
 			}
-			<-t.done // the connection ended at the same moment; the answer is complete all the same
+			<-t.done // the connection ended at the same moment, but the answer is complete
 			return a
 		}
 		if !isTimeout(err) {
@@ -87,7 +88,7 @@
 			a = contextAnswer(ctx)
 		case deadline <= c.client.options.clock().Monotonic:
 			a = answer{outcome: retry.TimedOut, cause: context.DeadlineExceeded}
-		default: // it was the deadline of a reader before this one
+		default: // the deadline of an earlier reader
 			c.setReadDeadline(deadline)
 			continue
 		}
@@ -95,19 +96,19 @@
 	}
 }
 
-// abandonReading gives up waiting for an answer, with the outcome a unless the connection had another one first.
+// abandonReading gives up waiting for an answer. The outcome is a, unless the connection has set another one before.
 func (c *connection) abandonReading(t *attempt, a answer) answer {
-	// The state changes before reading is given up: the next reader may find the answer at once.
+	// Change the state before releasing reading, because the next reader may find the answer at once.
 	if !t.state.CompareAndSwap(attemptWaiting, attemptAbandoned) {
 		<-t.done
 		return t.answer()
 	}
-	a.mayFollow = true
+	a.abandoned = true
 	c.yieldReading()
 	return a
 }
 
-// contextAnswer is the outcome of an attempt whose caller's context has ended.
+// contextAnswer returns the outcome of an attempt whose caller's context has ended.
 func contextAnswer(ctx context.Context) answer {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return answer{outcome: retry.TimedOut, cause: ctx.Err()}
@@ -124,11 +125,11 @@
 	}
 }
 
-// readPending reads answers until no request is pending; false if the connection has ended.
+// readPending reads answers until no request is pending. It returns false if the connection has ended.
 func (c *connection) readPending() bool {
 	for first := true; ; first = false {
 		c.mu.Lock()
-		if c.err != nil { // another goroutine may be reading still
+		if c.err != nil { // another goroutine may still be reading
 			c.mu.Unlock()
 			return false
 		}
@@ -143,7 +144,7 @@
 			c.setReadDeadline(0)
 		}
 		err := c.readAnswer(t)
-		if isTimeout(err) { // the deadline of a caller that read before
+		if isTimeout(err) { // the deadline of an earlier reader
 			c.setReadDeadline(0)
 			continue
 		}
@@ -160,7 +161,7 @@
 	}
 }
 
-// readAnswer reads the answer to an attempt into c.partial. After a timeout it can be called again, and goes on where
+// readAnswer reads the answer to an attempt into c.partial. After a timeout it can be called again and continues where
 // it stopped.
 func (c *connection) readAnswer(t *attempt) error {
 	a := &c.partial
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// readLine returns the next line without its end, and leaves it in the buffer.
+// readLine returns the next line without its line end. The line stays in the buffer.
 func (c *connection) readLine() ([]byte, error) {
 	for n := 1; ; {
 		if _, err := c.reader.Peek(n); err != nil {
--- a/client/connwrite.go
+++ b/client/connwrite.go
@@ -3,13 +3,15 @@
 import "time"
 
 const (
-	// writeTimeout is how long a peer may read nothing before its connection is given up.
+	// writeTimeout is how long writeLoop may take to write one batch. A peer that does not read for so long loses its
+	// connection.
 	writeTimeout = 5 * time.Second
-	// maxKeptBufferBytes bounds the buffer that a connection keeps while nothing is to be written.
+	// maxKeptBufferBytes is the largest write buffer that a connection keeps while there is nothing to write.
 	maxKeptBufferBytes = 64 << 10
 )
 
-// takeBatchLocked returns what is to be written next and claims writing for the caller, or nil. c.mu is held.
+// takeBatchLocked acquires writing for the caller and returns the bytes to write next. It returns nil if there are
+// none, another goroutine holds writing or the connection has ended. c.mu is held.
 func (c *connection) takeBatchLocked() []byte {
 	if c.err != nil || c.writing || len(c.outgoing) == 0 {
 		return nil
@@ -22,7 +24,7 @@
 	return batch
 }
 
-// batchWritten gives up writing after a batch of which n bytes were written.
+// batchWritten releases writing after n bytes of a batch were written.
 func (c *connection) batchWritten(batch []byte, n int, err error) {
 	c.mu.Lock()
 	c.writing = false
@@ -44,7 +46,8 @@
 	}
 }
 
-// flush writes what is queued, unless that could block or another goroutine writes.
+// flush writes the queued requests, unless that could block or another goroutine is writing; writeLoop writes them
+// then.
 func (c *connection) flush() {
 	c.mu.Lock()
 	if c.queuedBytes-c.answeredBytes > maxDirectBytes {
@@ -60,7 +63,7 @@
 	}
 }
 
-// writeLoop writes what callers leave to it, until the connection ends.
+// writeLoop writes what callers do not write themselves, until the connection ends.
 func (c *connection) writeLoop() {
 	for range c.writeWanted {
 		c.mu.Lock()
--- a/client/defaults.go
+++ b/client/defaults.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/meta"
 )
 
-// The bounds of options.
+// Upper bounds of options.
 const (
 	maxTries   = 100
 	maxConns   = 64
@@ -22,7 +22,7 @@
 	maxIdle    = 24 * time.Hour
 )
 
-// The defaults of options that the retry policy has not.
+// Defaults of options that [retry.DefaultPolicy] does not define.
 const (
 	defaultRetryRatio = 0.1
 	defaultRetryBurst = 3
@@ -35,14 +35,14 @@
 	dialTimeout       = time.Second
 )
 
-// optionErrors collects what is wrong with options.
+// optionErrors collects the errors in options.
 type optionErrors []error
 
 func (e *optionErrors) add(format string, a ...any) {
 	*e = append(*e, fmt.Errorf("mulleinpier: options: "+format, a...))
 }
 
-// count sets a count that is 0 to its default, and checks that it lies between 1 and highest.
+// count replaces 0 by the default and checks that the value lies between 1 and highest.
 func (e *optionErrors) count(name string, n *int, def, highest int) {
 	if *n == 0 {
 		*n = def
@@ -52,7 +52,7 @@
 	}
 }
 
-// duration sets a duration that is 0 to its default, and checks its bounds.
+// duration replaces 0 by the default and checks that the value lies between lowest and highest.
 func (e *optionErrors) duration(name string, d *time.Duration, def, lowest, highest time.Duration) {
 	if *d == 0 {
 		*d = def
@@ -62,7 +62,7 @@
 	}
 }
 
-// class sets a class that is empty to its default, and checks it.
+// class replaces an empty class by the default and checks the class.
 func (e *optionErrors) class(name string, c *Class, def Class) {
 	if *c == (Class{}) {
 		*c = def
@@ -72,7 +72,7 @@
 	}
 }
 
-// applyDefaults puts defaults in place of zeros, and returns everything that is wrong with the options.
+// applyDefaults replaces zero values by defaults and returns all errors in the options together.
 func (o *Options) applyDefaults() error {
 	var errs optionErrors
 	if o.Proxies == nil {
@@ -105,7 +105,7 @@
 	return errors.Join(errs...)
 }
 
-// applyBudgetDefaults sets the retry budget; a negative ratio or burst stands for none.
+// applyBudgetDefaults sets the retry budget. Negative values mean 0; a negative ratio sets the burst to 0 as well.
 func (o *Options) applyBudgetDefaults() {
 	if o.RetryRatio < 0 {
 		o.RetryRatio = 0
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -11,10 +11,10 @@
 	"mulleinpier/internal/fake/scriptednode"
 )
 
-// reaction is what the example proxies do with a request.
+// reaction decides what the example proxies do with a request.
 type reaction = func(number int, r scriptednode.ReceivedRequest) scriptednode.Reaction
 
-// startProxies starts two scripted proxies, so that the examples run.
+// startProxies starts two scripted proxies for an example.
 func startProxies(react reaction) (addresses []string, done func()) {
 	ns, err := scriptednode.Start(scriptednode.Meta, 2, react)
 	if err != nil {
@@ -45,7 +45,7 @@
 	// 7 <nil>
 }
 
-// What the caller does after each error.
+// The caller reacts to each kind of error.
 func ExampleClient_Set() {
 	addresses, done := startProxies(func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
 		return scriptednode.BusyRetryAfter
@@ -75,7 +75,7 @@
 	// not recorded; again in 1s
 }
 
-// A write with an unknown outcome is looked up before it is repeated.
+// The caller resolves a write with an unknown outcome before it sends the write again.
 func ExampleClient_Resolve() {
 	addresses, done := startProxies(func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if r.Value != "" {
--- a/client/fuzz_test.go
+++ b/client/fuzz_test.go
@@ -13,7 +13,7 @@
 	"mulleinpier/internal/meta"
 )
 
-// answerSeeds are answers to start from; %s is the id of the request.
+// answerSeeds is the seed corpus of answers; %s stands for the id of the request.
 var answerSeeds = []string{
 	"VA 2 O%s h1\r\nab\r\n", "HD O%s c7\r\n", "EN\r\n", "SERVER_ERROR busy 10\r\n", "SERVER_ERROR busy\r\n",
 	"SERVER_ERROR failed\r\n", "CLIENT_ERROR bad class\r\n", "VA 2 O%s\r\nabcd", "VA 99999999 O%s\r\n",
@@ -22,7 +22,7 @@
 	"\x81\x00",
 }
 
-// answerOnce reads one request, and writes the answer with the request's id put in. It returns what it wrote.
+// answerOnce reads one request and writes the answer with the request's id in place of %s. It returns what it wrote.
 func answerOnce(socket net.Conn, answer []byte) (wire []byte) {
 	defer socket.Close()
 	buf := make([]byte, 4096)
@@ -38,7 +38,7 @@
 	return wire
 }
 
-// checkServed checks a value that a read returned by the protocol's own parser.
+// checkServed checks the value that a read returned against the protocol's own parser.
 func checkServed(t *testing.T, wire, value []byte) {
 	t.Helper()
 	line, rest, complete := bytes.Cut(wire, []byte("\r\n"))
@@ -50,18 +50,18 @@
 	}
 }
 
-// FuzzAnswers has a proxy answer a read or a write with arbitrary bytes: each call ends, what is served is what a
-// complete answer to this try contained, and a connection with unrequested bytes on it is not used again.
+// FuzzAnswers has a proxy answer a read or a write with arbitrary bytes: each call ends, a value that is served is the
+// one in a complete answer to this attempt, and a write that was stored is not reported as refused.
 func FuzzAnswers(f *testing.F) {
 	for _, s := range answerSeeds {
 		f.Add([]byte(s), true)
 		f.Add([]byte(s), false)
 	}
 	f.Fuzz(func(t *testing.T, answer []byte, set bool) {
-		near, far := net.Pipe()
+		clientEnd, proxyEnd := net.Pipe()
 		var peer sync.WaitGroup
 		var wire []byte
-		peer.Go(func() { wire = answerOnce(far, answer) })
+		peer.Go(func() { wire = answerOnce(proxyEnd, answer) })
 		dials := 0
 		c, err := New(Options{
 			Proxies:    Static("a:1"),
@@ -75,7 +75,7 @@
 				if dials > 1 {
 					return nil, errors.New("gone")
 				}
-				return near, nil
+				return clientEnd, nil
 			},
 		})
 		if err != nil {
--- a/client/helpers_test.go
+++ b/client/helpers_test.go
@@ -14,10 +14,10 @@
 
 const ms = time.Millisecond
 
-// reaction is what scripted proxies do with a request, by its number over all of them.
+// reaction decides what the scripted proxies do with a request. number counts the requests of all proxies, from 0.
 type reaction = func(number int, r scriptednode.ReceivedRequest) scriptednode.Reaction
 
-// newTestClient starts scripted proxies, and a client of them that must leave nothing behind.
+// newTestClient starts scripted proxies and returns a client of them, see open.
 func newTestClient(t *testing.T, count int, o Options, react reaction) (*Client, *scriptednode.Nodes) {
 	t.Helper()
 	ns, err := scriptednode.Start(scriptednode.Meta, count, react)
@@ -35,10 +35,10 @@
 	return open(t, o), ns
 }
 
-// openClients counts the clients that are not closed yet.
+// openClients is the number of clients that are not closed yet.
 var openClients atomic.Int64
 
-// open returns a client that must leave nothing behind.
+// open returns a client. The test fails if goroutines, connections or requests are left after the client is closed.
 func open(t *testing.T, o Options) *Client {
 	t.Helper()
 	openClients.Add(1)
@@ -48,7 +48,7 @@
 	}
 	t.Cleanup(func() {
 		c.Close()
-		if openClients.Add(-1) == 0 { // Close waits for all of them
+		if openClients.Add(-1) == 0 { // Close has waited for the goroutines of each client
 			if stacks := clientGoroutines(); stacks != "" {
 				t.Errorf("left after Close:\n%s", stacks)
 			}
@@ -75,7 +75,7 @@
 	return found
 }
 
-// always reacts to every request alike.
+// always reacts to every request in the same way.
 func always(r scriptednode.Reaction) reaction {
 	return func(int, scriptednode.ReceivedRequest) scriptednode.Reaction { return r }
 }
@@ -98,7 +98,7 @@
 	return ctx.Err()
 }
 
-// blockedDial never comes up.
+// blockedDial never connects.
 func blockedDial(ctx context.Context, _, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
--- a/client/internal/balance/balancer.go
+++ b/client/internal/balance/balancer.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Balancer decides for one client. It is not safe for concurrent use.
+// Balancer makes the decisions for one client. It is not safe for concurrent use.
 type Balancer struct {
 	settings    Settings
 	rng         *rand.Rand
-	seed        uint64   // of the client's own order of proxies
-	failedDials int      // since the last one that succeeded
-	proxies     []*Proxy // by rank
+	seed        uint64   // determines the client's own order of proxies
+	failedDials int      // since the last dial that succeeded
+	proxies     []*Proxy // sorted by rank
 	candidates  []*Proxy // scratch space of Choose
 }
 
@@ -30,8 +30,8 @@
 	return time.Duration(b.rng.Int64N(int64(span)))
 }
 
-// Update puts a list into force and reports whether anything changed. An empty list changes nothing, because no client
-// is better off without any proxy. A proxy that is no longer in the list gets nothing new.
+// Update replaces the list of proxies and reports whether anything changed. An empty list is ignored, because a client
+// is never better off without any proxy. A proxy that is no longer in the list gets no new requests.
 func (b *Balancer) Update(now time.Duration, addresses []string) bool {
 	if len(addresses) == 0 {
 		return false
@@ -55,7 +55,8 @@
 	return changed
 }
 
-// markRemoved marks the proxies that a list lacks, and reports whether any mark changed.
+// markRemoved marks the proxies that are missing from addresses, unmarks the others and reports whether any mark
+// changed.
 func (b *Balancer) markRemoved(addresses []string) (changed bool) {
 	for _, p := range b.proxies {
 		removed := !slices.Contains(addresses, p.Address)
@@ -67,20 +68,20 @@
 	return changed
 }
 
-// RequestSent counts a request that is sent to a proxy.
+// RequestSent records that a request is sent to a proxy.
 func (b *Balancer) RequestSent(p *Proxy) { p.inFlight++ }
 
-// Outcome is how a request at a proxy ended, as far as the choice of proxies depends on it.
+// Outcome is how a request to a proxy ended, as far as it matters for the choice of proxies.
 type Outcome uint8
 
-// The outcomes.
+// Values of [Outcome].
 const (
 	Answered Outcome = iota
-	Failed           // no usable answer came
-	Rejected         // the proxy shed it
+	Failed           // no usable answer arrived
+	Rejected         // the proxy rejected the request
 )
 
-// RequestEnded counts the end of a request at a proxy. retryAfter is a rejection's advice, 0 for none.
+// RequestEnded records the end of a request to a proxy. retryAfter is a rejection's Retry-After, 0 if it had none.
 func (b *Balancer) RequestEnded(p *Proxy, now time.Duration, outcome Outcome, retryAfter time.Duration) {
 	p.inFlight--
 	switch outcome {
--- a/client/internal/balance/balancer_test.go
+++ b/client/internal/balance/balancer_test.go
@@ -18,8 +18,7 @@
 	MaxReconnectSpread: 4 * time.Second,
 }
 
-// newBalancer returns a balancer with so many proxies.
-
+// newBalancer returns a balancer with the given number of proxies.
 func newBalancer(settings Settings, seed uint64, proxies int) *Balancer {
 	b := New(settings, rand.New(rand.NewPCG(seed, 1)))
 	var list []string
@@ -30,7 +29,7 @@
 	return b
 }
 
-// addresses returns the list in force.
+// addresses returns the current list.
 func addresses(b *Balancer) (list []string) {
 	for _, p := range b.proxies {
 		if !p.removed {
@@ -58,7 +57,7 @@
 	}
 }
 
-// Invariant 1: many clients with three proxies each use forty evenly, and a proxy that joins moves few.
+// Invariant 1: many clients with three proxies each use forty proxies evenly, and a proxy that joins moves few of them.
 func TestSubsetsAreEvenAndStable(t *testing.T) {
 	uses := map[string]int{}
 	moved := 0
@@ -77,7 +76,7 @@
 		}
 	}
 	for _, n := range uses {
-		if n < 100 || n > 200 { // 150, give or take four deviations
+		if n < 100 || n > 200 { // 150 expected, plus or minus four standard deviations
 			t.Fatalf("uses of a proxy: %d, want about 150", n)
 		}
 	}
@@ -86,7 +85,7 @@
 	}
 }
 
-// Invariant 2.
+// Invariant 2: the choice between two proxies depends on the requests in flight and on recent failures.
 func TestChoiceByRequestsInFlightAndFailures(t *testing.T) {
 	settings := Settings{SubsetSize: 2, MaxConns: 1, PipelineDepth: 1000, ReconnectSpread: ms, MaxReconnectSpread: ms}
 	b := newBalancer(settings, 1, 2)
@@ -101,22 +100,22 @@
 	b.RequestEnded(p, 0, Failed, 0)
 	for range 50 {
 		if got := b.Choose(ms, nil).Proxy; got != q {
-			t.Fatal("the one that failed just now was chosen")
+			t.Fatal("the proxy that has just failed was chosen")
 		}
 	}
 	for range 10 {
 		b.RequestSent(q)
 	}
 	if got := b.Choose(10*time.Second, nil).Proxy; got != p {
-		t.Fatal("a failure is remembered for ten seconds")
+		t.Fatal("a failure still counts after ten seconds")
 	}
 	if got := b.Choose(10*time.Second, p).Proxy; got != q {
-		t.Fatal("the one to avoid was chosen")
+		t.Fatal("the proxy to avoid was chosen")
 	}
 }
 
-// lose has a proxy close all its connections.
-func lose(b *Balancer, p *Proxy, now time.Duration) {
+// loseConnections simulates that a proxy closes all its connections.
+func loseConnections(b *Balancer, p *Proxy, now time.Duration) {
 	for p.conns > 0 {
 		b.ConnDraining(p)
 		b.ConnLost(p, now)
@@ -145,7 +144,7 @@
 	}
 }
 
-// busiest returns how many of some times lie within the busiest span, and how many on average.
+// busiest returns the largest number of times that lie within one span, and the average number.
 func busiest(times []time.Duration, span, total time.Duration) (highest int, mean float64) {
 	slices.Sort(times)
 	for i, j := 0, 0; j < len(times); j++ {
@@ -157,7 +156,7 @@
 	return highest, float64(len(times)) * float64(span) / float64(total)
 }
 
-// firstDial returns when a client that has a request all the time opens its next connection.
+// firstDial returns when a client that always has a request to send opens its next connection.
 func firstDial(t *testing.T, b *Balancer, now time.Duration) time.Duration {
 	for range 1000 {
 		switch c := b.Choose(now, nil); c.Kind {
@@ -176,7 +175,7 @@
 	return 0
 }
 
-// Invariant 3: a thousand clients that lose their only proxy at the same moment, each with a request to send.
+// Invariant 3: a thousand clients that lose their only proxy, or start, at the same moment spread their dials.
 func TestReconnectsAreSpread(t *testing.T) {
 	for name, lost := range map[string]bool{"restart": true, "cold start": false} {
 		var times []time.Duration
@@ -188,7 +187,7 @@
 			if lost {
 				now = 10 * time.Second
 				connect(b, now)
-				lose(b, b.proxies[0], now)
+				loseConnections(b, b.proxies[0], now)
 			}
 			times = append(times, firstDial(t, b, now)-now)
 		}
@@ -223,8 +222,8 @@
 	}
 }
 
-// A proxy that is down at the start delays nothing: the others are dialed at once. After a failed dial of each, all
-// wait together.
+// A proxy that is down at the start does not delay the dials of the others. After one failed dial of each, all wait
+// together.
 func TestUnreachableProxyDelaysNothing(t *testing.T) {
 	b := newBalancer(usualSettings, 1, 3)
 	for i := range 3 {
@@ -256,17 +255,18 @@
 		now := 10 * time.Second
 		connect(b, now)
 		for _, p := range b.proxies {
-			lose(b, p, now)
+			loseConnections(b, p, now)
 		}
 		times = append(times, firstDial(t, b, now)-now)
 	}
-	// The first of four uniform times: most of them come early, by twice to four times the mean.
+	// Each is the first of four uniform times, so most are early: the busiest span has two to four times the mean.
 	if highest, mean := busiest(times, 50*ms, time.Second); float64(highest) > 5*mean {
 		t.Fatalf("%d in the busiest 50 ms, %.1f on average", highest, mean)
 	}
 }
 
-// Invariant 4.
+// Invariant 4: a proxy that rejects three requests in a row is blocked until its Retry-After has passed, and then gets
+// a single request first.
 func TestRejectingProxyIsBlocked(t *testing.T) {
 	settings := Settings{SubsetSize: 1, MaxConns: 1, PipelineDepth: 32, ReconnectSpread: ms, MaxReconnectSpread: ms}
 	b := newBalancer(settings, 1, 1)
@@ -304,7 +304,7 @@
 	}
 }
 
-// An empty list changes nothing; one that shrinks stops new requests at once.
+// An empty list changes nothing; a proxy that leaves the list gets no new requests from then on.
 func TestListChangesAreFollowed(t *testing.T) {
 	b := newBalancer(usualSettings, 1, 3)
 	connect(b, 0)
@@ -321,9 +321,9 @@
 			t.Fatal("a removed proxy was chosen")
 		}
 	}
-	lose(b, removed, 0)
+	loseConnections(b, removed, 0)
 	b.Update(0, keep)
 	if len(b.proxies) != 2 {
-		t.Fatal("a removed proxy is never forgotten")
+		t.Fatal("a removed proxy without connections is still known")
 	}
 }
--- a/client/internal/balance/choice.go
+++ b/client/internal/balance/choice.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Kind says what to do with a request.
+// Kind is the kind of a [Choice].
 type Kind uint8
 
-// What to do with a request.
+// Kinds of choices.
 const (
-	Send         Kind = iota // to Proxy, on a connection that is open
+	Send         Kind = iota // send the request to Proxy on an open connection
 	Dial                     // open a connection to Proxy, and choose again
-	Wait                     // choose again at RetryAt, or when anything changed
+	Wait                     // choose again at RetryAt, or after any change
 	AllRejecting             // all proxies reject requests; the first may be tried again at RetryAt
-	NoProxy                  // the list is empty
+	NoProxy                  // the list of proxies is empty
 )
 
-// Choice is what to do with a request.
+// Choice says what to do with a request.
 type Choice struct {
 	Kind    Kind
-	Proxy   *Proxy        // of Send and Dial
-	RetryAt time.Duration // of Wait and AllRejecting
+	Proxy   *Proxy        // set for Send and Dial
+	RetryAt time.Duration // set for Wait and AllRejecting
 }
 
-// never is when only a change can make a proxy usable.
+// never is the time at which a proxy becomes usable if only a change can make it so.
 const never = time.Duration(math.MaxInt64)
 
-// Choose says where the next request goes. avoid, if not nil, is chosen only where there is no other proxy: the last
-// attempt failed there.
+// Choose decides where the next request goes. avoid, if not nil, is the proxy at which the last attempt failed; it is
+// chosen only if there is no other candidate.
 func (b *Balancer) Choose(now time.Duration, avoid *Proxy) Choice {
 	subset := b.findCandidates(now)
 	if len(b.candidates) > 1 && avoid != nil {
@@ -52,15 +52,15 @@
 	return Choice{Kind: Wait, RetryAt: subset.nextUsable}
 }
 
-// subset describes the client's proxies of which none may be a candidate.
+// subset summarises the proxies that findCandidates has examined. Choose needs it if none of them is a candidate.
 type subset struct {
-	listed     bool // there is any proxy in the list
-	size       int  // proxies that are reachable or soon will be
+	listed     bool // the list contains a proxy
+	size       int  // proxies that have a connection, are being dialed or may be dialed now
 	blocked    int  // proxies that reject requests
 	nextUsable time.Duration
 }
 
-// findCandidates collects the proxies of the client's subset to which a request could go at now.
+// findCandidates collects the proxies of the client's subset that can take a request at now.
 func (b *Balancer) findCandidates(now time.Duration) subset {
 	b.candidates = b.candidates[:0]
 	found := subset{nextUsable: never}
@@ -72,7 +72,7 @@
 		if found.size >= b.settings.SubsetSize {
 			break
 		}
-		// A proxy that can't be reached now gives its place to the next one in the order.
+		// If a proxy can't be reached now, the next one by rank takes its place.
 		if p.conns > 0 || p.dialNotBefore <= now || p.dialing > 0 {
 			found.size++
 		}
@@ -89,14 +89,14 @@
 	return found
 }
 
-// usable reports whether a request could go to a proxy at now, or else from when on; never if only a change could
-// make it so.
+// usable reports whether a proxy can take a request at now. If not, from is the time from which on it can, or never if
+// only a change could make it usable.
 func (b *Balancer) usable(p *Proxy, now time.Duration) (ok bool, from time.Duration) {
 	switch {
 	case p.isBlocked(now):
 		return false, p.blockedUntil
 	case p.rejections >= rejectionsToBlock && p.inFlight > 0:
-		return false, never // a single request finds out whether it still rejects
+		return false, never // a single request tests whether it still rejects
 	case p.hasCapacity(&b.settings):
 		return true, 0
 	case p.conns+p.draining+p.dialing >= b.settings.MaxConns || p.dialing > 0:
@@ -107,8 +107,8 @@
 	return true, 0
 }
 
-// preferIdle leaves only candidates with idle connections, if there are any: so a client with few requests needs few
-// connections.
+// preferIdle keeps only the candidates with idle connections, if there are any, so that a client with few requests
+// needs few connections.
 func (b *Balancer) preferIdle(now time.Duration) {
 	idle := func(p *Proxy) bool { return p.isIdle(now) }
 	if slices.ContainsFunc(b.candidates, idle) {
@@ -116,7 +116,7 @@
 	}
 }
 
-// drawCandidate draws two of the candidates and returns the cheaper one.
+// drawCandidate draws two different candidates and returns the one with the lower cost.
 func (b *Balancer) drawCandidate(now time.Duration) *Proxy {
 	n := len(b.candidates)
 	p := b.candidates[b.rng.IntN(n)]
--- a/client/internal/balance/connections.go
+++ b/client/internal/balance/connections.go
@@ -15,20 +15,20 @@
 	return slices.ContainsFunc(b.proxies, func(p *Proxy) bool { return p.dialing > 0 })
 }
 
-// DialStarted counts a connection that is being opened.
+// DialStarted records that a connection is being opened.
 func (b *Balancer) DialStarted(p *Proxy) { p.dialing++ }
 
-// DialSucceeded counts a connection that came up.
+// DialSucceeded records that a connection was opened.
 func (b *Balancer) DialSucceeded(p *Proxy) {
 	p.dialing--
 	p.conns++
 	b.failedDials = 0
 }
 
-// maxSpreadDoublings keeps the shift of the span from overflowing.
+// maxSpreadDoublings prevents an overflow of the shift in DialFailed.
 const maxSpreadDoublings = 16
 
-// DialFailed counts a connection that did not come up, and postpones the next dial.
+// DialFailed records that a connection could not be opened, and postpones the next dial.
 func (b *Balancer) DialFailed(p *Proxy, now time.Duration) {
 	p.dialing--
 	round := b.subsetSize()
@@ -36,7 +36,7 @@
 	span := min(b.settings.ReconnectSpread<<rounds, b.settings.MaxReconnectSpread)
 	b.failedDials++
 	p.dialNotBefore = now + b.drawTime(span)
-	// After a whole round of failures all proxies are probably gone together, so the others wait as long.
+	// After a whole round of failed dials all proxies are probably down together, so the others wait as long.
 	if b.failedDials >= round && !b.hasConnection() {
 		for _, q := range b.proxies {
 			q.dialNotBefore = max(q.dialNotBefore, p.dialNotBefore)
@@ -44,7 +44,7 @@
 	}
 }
 
-// subsetSize is the number of proxies in use; a dial of each of them makes a round.
+// subsetSize returns the number of proxies in use. One dial of each of them makes a round.
 func (b *Balancer) subsetSize() int {
 	listed := 0
 	for _, p := range b.proxies {
@@ -59,25 +59,26 @@
 	return slices.ContainsFunc(b.proxies, func(p *Proxy) bool { return p.conns > 0 })
 }
 
-// ConnDraining counts a connection that takes no more requests.
+// ConnDraining records that a connection takes no more requests.
 func (b *Balancer) ConnDraining(p *Proxy) {
 	p.conns--
 	p.draining++
 }
 
-// ConnClosed counts a draining connection that the client closed, or the proxy because it was idle.
+// ConnClosed records the end of a draining connection that the client closed, or that the proxy closed because it was
+// idle.
 func (b *Balancer) ConnClosed(p *Proxy) { p.draining-- }
 
-// ConnLost counts a draining connection that the proxy closed in use.
+// ConnLost records the end of a draining connection that the proxy closed while it was in use.
 func (b *Balancer) ConnLost(p *Proxy, now time.Duration) {
 	p.draining--
-	// Also while other connections are left: they may be about to end for the same reason. One time is drawn for all
-	// of them, because the latest of several would not be uniform.
+	// Postpone the dial even if other connections are left, because they may be about to end for the same reason. One
+	// time is drawn for all of them, because the latest of several draws would not be uniform.
 	b.postponeDial(p, now)
 	if p.conns > 0 {
 		return
 	}
-	// The proxies that replace it are not all dialed at once either.
+	// The proxies that replace it must not all be dialed at once either.
 	for _, q := range b.proxies {
 		if q != p && q.conns+q.dialing == 0 {
 			b.postponeDial(q, now)
@@ -85,7 +86,7 @@
 	}
 }
 
-// postponeDial draws a time before which a proxy is not dialed, unless it has one already.
+// postponeDial draws the time before which a proxy is not dialed, unless one in the future is set already.
 func (b *Balancer) postponeDial(p *Proxy, now time.Duration) {
 	if p.dialNotBefore <= now {
 		p.dialNotBefore = now + b.drawTime(b.settings.ReconnectSpread)
--- a/client/internal/balance/random_test.go
+++ b/client/internal/balance/random_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// randomHistory plays random calls on a balancer, and checks it after each.
+// randomHistory makes random calls to a balancer and checks its counts after each.
 type randomHistory struct {
 	*testing.T
 	seed uint64
@@ -17,8 +17,8 @@
 	now  time.Duration
 }
 
-// Random histories: counts never go below zero nor over their bounds, nothing is sent to a proxy without capacity or
-// off the list, and a request that waits has a time or an event to wait for.
+// In random histories counts are never negative or above their bounds, nothing is sent to a proxy that has no capacity
+// or is not in the list, and a request that waits has a time or an event to wait for.
 func TestRandomHistories(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -39,7 +39,7 @@
 	}
 }
 
-// step makes one random call, about p if it concerns a proxy.
+// step makes one random call. It concerns p, unless it changes the list.
 func (h *randomHistory) step(p *Proxy) {
 	switch h.rng.IntN(8) {
 	case 0, 1, 2:
--- a/client/internal/retry/budget.go
+++ b/client/internal/retry/budget.go
@@ -1,10 +1,10 @@
 package retry
 
-// Budget bounds the retries of a process by its successes: in the long run there are at most 1+Ratio attempts per
-// request, however badly the service does. A keyed request may overdraw the budget by up to Burst; until successes have
+// Budget limits the retries of a process in proportion to its successes: in the long run there are at most 1+Ratio
+// attempts per request, however many fail. A keyed request may overdraw the budget by up to Burst; until successes have
 // paid that back, safe requests get no retry. It is not safe for concurrent use.
 type Budget struct {
-	Ratio float64 // retries that each success pays for
+	Ratio float64 // retries that each success adds
 	Burst float64 // retries that can be saved up at most
 	saved float64 // retries; negative while overdrawn
 }
@@ -15,7 +15,7 @@
 	return &Budget{Ratio: ratio, Burst: burst, saved: min(burst, 1)}
 }
 
-// RecordSuccess adds the share of a retry that a served request pays for.
+// RecordSuccess adds Ratio to the saved retries after a served request, up to Burst.
 func (b *Budget) RecordSuccess() { b.saved = min(b.saved+b.Ratio, b.Burst) }
 
 // CanAfford reports whether a request with this effect could get a retry now.
@@ -26,7 +26,7 @@
 	return b.saved >= 1
 }
 
-// spend pays for one retry, and reports whether the budget could afford it.
+// spend pays for one retry and reports whether the budget could afford it.
 func (b *Budget) spend(e Effect) bool {
 	if !b.CanAfford(e) {
 		return false
--- a/client/internal/retry/linearizability_test.go
+++ b/client/internal/retry/linearizability_test.go
@@ -12,24 +12,24 @@
 
 var histories = flag.Int("histories", 10000, "random histories of writes to check")
 
-// simulation is a service under virtual time: nodes that drop repeats of a key for a window, one record whose effects
-// are counted, and attempts that fail in every way.
+// simulation simulates a service in virtual time: nodes that drop duplicates of a key for a dedup window, one record
+// whose effects are counted, and attempts that fail in every way.
 type simulation struct {
 	rng         *rand.Rand
 	now         time.Duration
 	queue       eventQueue
-	writes      map[int]*writeInProgress // by idempotency key
+	writes      map[int]*trackedWrite // by idempotency key
 	effects     int
 	effectsByID map[int]int
 	dedupWindow time.Duration
 	operations  []porcupine.Operation
 }
 
-// writeInProgress is what nodes remember of a write.
-type writeInProgress struct {
+// trackedWrite is what nodes remember of a write.
+type trackedWrite struct {
 	startedAt time.Duration
 	done      bool
-	waiting   []func() // repeats that wait for its end
+	waiting   []func() // called when it takes effect; those after the first are of duplicates
 }
 
 type event struct {
@@ -56,8 +56,8 @@
 	return time.Duration(s.rng.Int64N(int64(d) + 1))
 }
 
-// startWrite is a write that a node starts. done is called once its effect has happened, by it or by the one that it
-// repeats.
+// startWrite has a node start a write. It calls done once the write, or the one of which it is a duplicate, has taken
+// effect.
 func (s *simulation) startWrite(key int, done func()) {
 	if w := s.writes[key]; w != nil && s.now-w.startedAt < s.dedupWindow {
 		if w.done {
@@ -67,7 +67,7 @@
 		}
 		return
 	}
-	w := &writeInProgress{startedAt: s.now, waiting: []func(){done}}
+	w := &trackedWrite{startedAt: s.now, waiting: []func(){done}}
 	s.writes[key] = w
 	work := s.upTo(300 * ms)
 	if s.rng.IntN(4) == 0 {
@@ -75,7 +75,7 @@
 	}
 	fails := s.rng.IntN(10) == 0
 	s.after(work, func() {
-		if fails { // no effect, and forgotten
+		if fails { // no effect, and nodes forget the write
 			if s.writes[key] == w {
 				delete(s.writes, key)
 			}
@@ -90,45 +90,45 @@
 	})
 }
 
-// attempt is one attempt at a proxy; ended is called with its outcome once.
+// attempt simulates one attempt at a proxy. It calls ended once, with the outcome.
 func (s *simulation) attempt(key int, wait time.Duration, ended func(Outcome, time.Duration)) {
-	over := false
-	end := func(o Outcome, advice time.Duration) {
-		if !over {
-			over = true
-			ended(o, advice)
+	reported := false
+	end := func(o Outcome, retryAfter time.Duration) {
+		if !reported {
+			reported = true
+			ended(o, retryAfter)
 		}
 	}
 	s.after(wait, func() { end(TimedOut, 0) })
-	fate := s.rng.IntN(10)
-	switch fate {
+	failureMode := s.rng.IntN(10)
+	switch failureMode {
 	case 0:
-		advice := time.Duration(0)
+		retryAfter := time.Duration(0)
 		if s.rng.IntN(2) == 0 {
-			advice = s.upTo(1000 * ms)
+			retryAfter = s.upTo(1000 * ms)
 		}
-		s.after(s.upTo(wait), func() { end(Rejected, advice) })
+		s.after(s.upTo(wait), func() { end(Rejected, retryAfter) })
 		return
 	case 1:
 		s.after(s.upTo(20*ms), func() { end(NotSent, 0) })
 		return
-	case 2: // the answer is lost, at any time
+	case 2: // the connection is lost at any time
 		s.after(s.upTo(wait), func() { end(ConnectionLost, 0) })
 	case 3:
 		s.after(s.upTo(wait), func() { end(Failed, 0) })
-	case 4: // lost at once, while the node is still to start it
+	case 4: // the connection is lost at once, before a node starts the write
 		s.after(s.upTo(ms), func() { end(ConnectionLost, 0) })
 	case 5:
 		s.after(s.upTo(wait), func() { end(MalformedAnswer, 0) })
 	}
-	// The proxy may have several nodes start it, the last one just before it gives up, over a network that delays by
-	// less than the safety margin.
+	// The proxy may have two nodes start the write, the second one just before it gives up, over a network whose delay
+	// is less than the safety margin.
 	for range 1 + s.rng.IntN(2) {
-		late := s.upTo(min(wait, 100*ms))
-		if fate >= 2 && fate <= 6 {
-			late = s.upTo(wait + 90*ms)
+		delay := s.upTo(min(wait, 100*ms))
+		if failureMode >= 2 && failureMode <= 6 {
+			delay = s.upTo(wait + 90*ms)
 		}
-		s.after(late, func() {
+		s.after(delay, func() {
 			s.startWrite(key, func() { s.after(s.upTo(5*ms), func() { end(Served, 0) }) })
 		})
 	}
@@ -139,18 +139,18 @@
 	opWrite
 )
 
-// output is what a client saw: how its write ended, or the count that it read.
+// output is what a client observed: how its write ended, or the count that it read.
 type output struct {
 	result Result
 	count  int
 }
 
-// simulatedClient writes and reads the record by turns.
+// simulatedClient writes and reads the record in random order.
 type simulatedClient struct {
 	*simulation
 	id      int
 	budget  *Budget
-	left    int // operations
+	left    int // operations that are left
 	policy  *Policy
 	nextKey func() int
 	request Request // the write in progress
@@ -163,7 +163,7 @@
 		return
 	}
 	start := c.now
-	if c.rng.IntN(3) == 0 { // a read, which sees the truth at once
+	if c.rng.IntN(3) == 0 { // a read, which returns the current count at once
 		c.operations = append(c.operations, porcupine.Operation{
 			ClientId: c.id,
 			Input:    opRead,
@@ -187,8 +187,8 @@
 		c.finish(start, r.GiveUp(NotSent, 0).Result)
 		return
 	}
-	c.attempt(key, wait, func(o Outcome, advice time.Duration) {
-		d := r.AttemptEnded(at(c.now), o, advice, c.budget, c.rng)
+	c.attempt(key, wait, func(o Outcome, retryAfter time.Duration) {
+		d := r.AttemptEnded(at(c.now), o, retryAfter, c.budget, c.rng)
 		if d.Result != ResultPending {
 			c.finish(start, d.Result)
 			return
@@ -197,7 +197,7 @@
 	})
 }
 
-// finish notes the end of a write.
+// finish records the end of a write.
 func (c *simulatedClient) finish(start time.Duration, result Result) {
 	end := c.now
 	if result == ResultUnknown {
@@ -216,11 +216,11 @@
 	c.after(c.upTo(800*ms)+2, c.next)
 }
 
-// simulate plays some clients that write and read one record, and returns what they saw.
+// simulate runs two or three clients that write and read one record, and returns the simulation with their operations.
 func simulate(seed uint64, policy *Policy) *simulation {
 	s := &simulation{
 		rng:         rand.New(rand.NewPCG(seed, 9)),
-		writes:      make(map[int]*writeInProgress),
+		writes:      make(map[int]*trackedWrite),
 		effectsByID: make(map[int]int),
 		dedupWindow: 1500 * ms,
 	}
@@ -248,8 +248,8 @@
 	return s
 }
 
-// recordModel is what one record does: served writes count once, rejected ones not at all, unknown ones perhaps; reads
-// see the count.
+// recordModel is the model of one record: a served write counts once, one with an unknown outcome may count, any other
+// does not; reads return the count.
 var recordModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, out any) []any {
@@ -268,14 +268,14 @@
 	},
 }
 
-// violations counts what is wrong in many histories, and what is unknown.
+// violations counts what breaks the guarantees in many histories, and the writes with an unknown outcome.
 type violations struct {
 	notLinearizable int // histories that no order explains
 	duplicates      int // writes that took effect twice
 	unknown         int // writes that ended unknown
 }
 
-// checkHistories plays so many histories and checks each.
+// checkHistories simulates count histories and checks each.
 func checkHistories(t *testing.T, count int, policy *Policy) (found violations) {
 	t.Helper()
 	model := recordModel.ToModel()
@@ -301,28 +301,28 @@
 	return found
 }
 
-// Writes whose attempts fail in every way: none takes effect twice, and each history has an order that explains it.
+// Attempts of writes fail in every way: no write takes effect twice, and each history has an order that explains it.
 func TestWritesAreLinearizable(t *testing.T) {
 	found := checkHistories(t, *histories, &DefaultPolicy)
 	if found.notLinearizable+found.duplicates > 0 {
 		t.Fatalf("of %d histories: %+v", *histories, found)
 	}
 	if found.unknown == 0 {
-		t.Fatal("no write ended unknown: the faults are too mild")
+		t.Fatal("no write ended unknown: the simulation has too few faults")
 	}
 }
 
-// The check finds what it looks for: when the deduplication window is believed to be longer than it is, or without a
-// safety margin for the network, writes take effect twice.
+// The check detects duplicate writes: they occur if the dedup window is believed to be longer than it is, or if there
+// is no safety margin for the network.
 func TestCheckDetectsDuplicateWrites(t *testing.T) {
-	long := DefaultPolicy
-	long.DedupWindow = 3 * time.Second
-	if found := checkHistories(t, 500, &long); found.duplicates == 0 || found.notLinearizable == 0 {
+	longWindow := DefaultPolicy
+	longWindow.DedupWindow = 3 * time.Second
+	if found := checkHistories(t, 500, &longWindow); found.duplicates == 0 || found.notLinearizable == 0 {
 		t.Fatalf("with a window of 3 s: %+v", found)
 	}
-	bare := DefaultPolicy
-	bare.SafetyMargin = 0
-	if found := checkHistories(t, 5000, &bare); found.duplicates == 0 {
+	noMargin := DefaultPolicy
+	noMargin.SafetyMargin = 0
+	if found := checkHistories(t, 5000, &noMargin); found.duplicates == 0 {
 		t.Fatal("no duplicates without a safety margin")
 	}
 }
--- a/client/internal/retry/outcome.go
+++ b/client/internal/retry/outcome.go
@@ -3,27 +3,27 @@
 // Effect says what a request does if it is carried out more than once.
 type Effect uint8
 
-// The effects.
+// Values of [Effect].
 const (
-	Safe   Effect = iota // no harm: the request is idempotent
-	Keyed                // a repeat is dropped within the deduplication window, by its idempotency key
-	Unsafe               // it takes effect again
+	Safe   Effect = iota // idempotent: running it again does no harm
+	Keyed                // idempotent with key: nodes drop duplicates by it within the dedup window
+	Unsafe               // not idempotent: it takes effect again
 )
 
 // Outcome is how an attempt ended.
 type Outcome uint8
 
-// The outcomes.
+// Values of [Outcome].
 const (
 	Served          Outcome = iota
 	NotFound                // served: there is no such key
-	Rejected                // the service shed it: it never ran
+	Rejected                // the service rejected it: it never ran
 	NotSent                 // its last byte was never written: it never ran
-	Invalid                 // the service called it malformed: it never ran
+	Invalid                 // the service reported it as malformed: it never ran
 	Failed                  // the service reported a failure: it may have run
-	TimedOut                // no answer in the attempt's time: it may have run
+	TimedOut                // no answer before the attempt's timeout: it may have run
 	ConnectionLost          // the connection ended after the last byte was written: it may have run
-	MalformedAnswer         // what came does not answer this request: it may have run
+	MalformedAnswer         // the answer is malformed or not one to this request: it may have run
 	Canceled                // the caller's context ended: it may have run
 	outcomeCount
 )
@@ -49,15 +49,15 @@
 // Result is how a request ends.
 type Result uint8
 
-// The results.
+// Values of [Result].
 const (
 	ResultPending          Result = iota // it has not ended: another attempt follows
-	ResultServed                         // or there is no such key
-	ResultRejected                       // a repeat is harmless, not before the advised time
+	ResultServed                         // it was served, or there is no such key
+	ResultRejected                       // repeating it is safe once Retry-After has passed
 	ResultFailed                         // a safe request failed; no time, attempt or budget was left for another
 	ResultDeadlineExceeded               // a safe request had no answer in time
 	ResultUnknown                        // it may have run; the caller has to find out
-	ResultInvalid                        // the service called it malformed
+	ResultInvalid                        // the service reported it as malformed
 	ResultNotSent                        // it was never sent
 	ResultCanceled                       // the caller's context ended; nothing was sent, or the request was safe
 )
--- a/client/internal/retry/policy.go
+++ b/client/internal/retry/policy.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Policy bounds retries. Every field is needed; see [DefaultPolicy].
+// Policy configures retries. Every field must be set; see [DefaultPolicy].
 type Policy struct {
-	MaxAttempts  int           // of one request
-	DedupWindow  time.Duration // how long nodes drop repeats of a keyed request
-	SafetyMargin time.Duration // part of DedupWindow that is left for clocks and networks
-	MinWait      time.Duration // an attempt that could wait for less than this is not sent
-	AttemptShare float64       // of the time left that an attempt waits while another could follow
-	BaseBackoff  time.Duration // backoff is uniform from 0 to BaseBackoff, doubled by each attempt
-	MaxBackoff   time.Duration // upper bound of the backoff
+	MaxAttempts  int           // attempts of one request, including the first
+	DedupWindow  time.Duration // how long nodes drop duplicates of a keyed request
+	SafetyMargin time.Duration // part of DedupWindow that is reserved for clock error and network delay
+	MinWait      time.Duration // an attempt with a shorter timeout than this is not sent
+	AttemptShare float64       // share of the time left that an attempt may take while another could follow
+	BaseBackoff  time.Duration // the first backoff is uniform from 0 to BaseBackoff; each attempt doubles that bound
+	MaxBackoff   time.Duration // limit of that bound
 }
 
-// DefaultPolicy suits a service whose nodes drop repeats for 1.5 s.
+// DefaultPolicy suits a service whose nodes drop duplicates for 1.5 s.
 var DefaultPolicy = Policy{
 	MaxAttempts:  4,
 	DedupWindow:  1500 * time.Millisecond,
@@ -28,13 +28,12 @@
 // while the machine is suspended; Wall may step but advances during suspension.
 type Timestamp struct{ Monotonic, Wall time.Duration }
 
-// since returns the time from earlier to t, the longer one of both clocks: taking a deduplication window for closed
-// too early costs an answer, taking it for open too long costs a duplicate effect.
+// since returns the time from earlier to t, by the clock on which it is longer: taking a dedup window for closed too
+// early costs an answer, taking it for open too long causes a duplicate effect.
 func (t Timestamp) since(earlier Timestamp) time.Duration {
 	return max(t.Monotonic-earlier.Monotonic, t.Wall-earlier.Wall)
 }
 
-// add returns the moment d after t.
 func (t Timestamp) add(d time.Duration) Timestamp {
 	return Timestamp{Monotonic: t.Monotonic + d, Wall: t.Wall + d}
 }
--- a/client/internal/retry/request.go
+++ b/client/internal/retry/request.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Decision says what follows an attempt.
+// Decision says what follows after an attempt.
 type Decision struct {
-	Result     Result        // ResultPending: another attempt
+	Result     Result        // ResultPending if another attempt follows
 	Backoff    time.Duration // before that attempt
-	RetryAfter time.Duration // of ResultRejected: not to be repeated before; 0 for no advice
+	RetryAfter time.Duration // with ResultRejected, the time to wait before a repetition; 0 if none is known
 }
 
-// Request tracks one request over its attempts. Make it with [NewRequest]; it is not safe for concurrent use.
+// Request tracks one request over its attempts. Create it with [NewRequest]; it is not safe for concurrent use.
 type Request struct {
 	policy           *Policy
 	effect           Effect
@@ -20,22 +20,22 @@
 	latencyObjective time.Duration // on the monotonic clock; 0 for none
 
 	attempts           int // that were sent
-	freeRetries        int // that the budget did not pay for
+	freeRetries        int // retries that were not paid from the budget
 	mayHaveRun         bool
 	firstPossibleRun   Timestamp     // when the first attempt that may have run was sent
 	settledAt          time.Duration // on the monotonic clock
 	lastSent           Timestamp
-	lastWait           time.Duration // that the last attempt was given
+	lastWait           time.Duration // timeout of the last attempt
 	lostConnectionOnce bool
 }
 
-// maxFreeRetries bounds the retries of a request that the budget does not pay for: after connections that did not come
-// up or were lost.
+// maxFreeRetries bounds the retries of a request that are not paid from the budget: those after attempts that were
+// never sent or whose connection was lost.
 const maxFreeRetries = 16
 
-// NewRequest returns a request that ends by a deadline on the monotonic clock. Once it was rejected it is not sent
-// again after latencyObjective, unless that is 0: a service without capacity would answer it late in place of another
-// request in time.
+// NewRequest returns a request that ends by deadline. Once it was rejected it is not sent again after latencyObjective,
+// unless that is 0: a service without capacity would answer it late in place of another request that is in time. Both
+// are times on the monotonic clock.
 func NewRequest(policy *Policy, effect Effect, latencyObjective, deadline time.Duration) Request {
 	return Request{policy: policy, effect: effect, latencyObjective: latencyObjective, deadline: deadline}
 }
@@ -43,17 +43,17 @@
 // Effect returns the effect that was given to [NewRequest].
 func (r *Request) Effect() Effect { return r.effect }
 
-// Attempts counts the attempts that were sent.
+// Attempts returns the number of attempts that were sent.
 func (r *Request) Attempts() int { return r.attempts }
 
 // MayHaveRun reports whether any attempt may have been carried out.
 func (r *Request) MayHaveRun() bool { return r.mayHaveRun }
 
-// SettledAt is when the last of the attempts that may have run can no longer start, on the monotonic clock: from then
-// on a read shows whether one did. It is 0 if none may have run.
+// SettledAt returns the time on the monotonic clock after which none of the attempts that may have run can start any
+// more: from then on a read shows whether one did. It is 0 if none may have run.
 func (r *Request) SettledAt() time.Duration { return r.settledAt }
 
-// timeLeft is the longest time that an attempt sent at now may take.
+// timeLeft returns the longest time that an attempt sent at now may take.
 func (r *Request) timeLeft(now Timestamp) time.Duration {
 	left := r.deadline - now.Monotonic
 	if r.effect != Keyed {
@@ -63,16 +63,16 @@
 	if r.mayHaveRun {
 		window -= now.since(r.firstPossibleRun)
 	}
-	// The first attempt ends within the window as well: if it could start at a node after the window, every repeat
-	// would be a second effect.
+	// The first attempt must also end within the window: if it could start at a node after the window, every retry
+	// would have a second effect.
 	return min(left, window)
 }
 
-// CanSend reports whether an attempt sent at now would have enough time.
+// CanSend reports whether an attempt sent at now would have at least MinWait.
 func (r *Request) CanSend(now Timestamp) bool { return r.timeLeft(now) >= r.policy.MinWait }
 
-// StartAttempt starts an attempt and returns how long it may wait; false if that would be too short. An attempt is cut
-// short only in favour of the next one: if the budget could pay for that.
+// StartAttempt records an attempt that is sent at now and returns its timeout. ok is false if less than MinWait is
+// left. The timeout is shorter than the time left only if another attempt could follow and the budget could pay for it.
 func (r *Request) StartAttempt(now Timestamp, budget *Budget) (wait time.Duration, ok bool) {
 	left := r.timeLeft(now)
 	if left < r.policy.MinWait {
@@ -91,12 +91,13 @@
 	return wait, true
 }
 
-// GiveUp ends a request for which no attempt can be sent: there is no connection or no time. outcome is the reason.
+// GiveUp ends a request for which no attempt can be sent because there is no connection or no time. outcome is the
+// reason.
 func (r *Request) GiveUp(outcome Outcome, retryAfter time.Duration) Decision {
 	return Decision{Result: r.result(outcome), RetryAfter: retryAfter}
 }
 
-// result is how the request ends if its last attempt had this outcome.
+// result returns how the request ends if its last attempt had this outcome.
 func (r *Request) result(outcome Outcome) Result {
 	switch {
 	case outcome == Served || outcome == NotFound:
@@ -117,7 +118,8 @@
 	return ResultFailed
 }
 
-// AttemptEnded decides what follows the attempt that was started last. retryAfter is a rejection's advice, 0 for none.
+// AttemptEnded decides what follows after the last attempt that was started. retryAfter is a rejection's Retry-After, 0
+// if it had none.
 func (r *Request) AttemptEnded(
 	now Timestamp, outcome Outcome, retryAfter time.Duration, budget *Budget, rng *rand.Rand,
 ) Decision {
@@ -149,7 +151,7 @@
 	return Decision{Backoff: backoff}
 }
 
-// recordOutcome updates the request's state by the outcome of its last attempt.
+// recordOutcome updates the state with the outcome of the last attempt.
 func (r *Request) recordOutcome(outcome Outcome) {
 	if outcome.MayHaveRun() {
 		if !r.mayHaveRun {
@@ -163,8 +165,8 @@
 	}
 }
 
-// mayRetry reports whether a further attempt is allowed at all, whatever time and budget are left. free is whether the
-// budget would not have to pay for it.
+// mayRetry reports whether another attempt is allowed, regardless of the time and budget left. free reports whether the
+// retry would not be paid from the budget.
 func (r *Request) mayRetry(outcome Outcome, free bool) bool {
 	switch {
 	case outcome == Invalid || outcome == Canceled:
@@ -179,8 +181,8 @@
 	return true
 }
 
-// timeForRetry reports whether an attempt at a time would have enough time and, after a rejection, would still meet
-// the latency objective.
+// timeForRetry reports whether an attempt sent at the given time would have enough time and, after a rejection, would
+// still meet the latency objective.
 func (r *Request) timeForRetry(at Timestamp, outcome Outcome) bool {
 	if !r.CanSend(at) {
 		return false
@@ -191,12 +193,12 @@
 	return true
 }
 
-// maxBackoffDoublings keeps the shift of the backoff from overflowing.
+// maxBackoffDoublings prevents an overflow of the shift in backoff.
 const maxBackoffDoublings = 20
 
-// backoff is the time before the next attempt. After advice it is that time and up to a quarter more, so that clients
-// with the same advice do not return together; otherwise it is exponential with full jitter. What was never sent needs
-// none, because new connections are spread already.
+// backoff returns the time before the next attempt. After a Retry-After it is that time plus up to a quarter, so that
+// clients with the same Retry-After do not return together; otherwise it is exponential with full jitter. An attempt
+// that was never sent needs none, because new connections are already spread over time.
 func (r *Request) backoff(outcome Outcome, retryAfter time.Duration, rng *rand.Rand) time.Duration {
 	if outcome == NotSent {
 		return 0
--- a/client/internal/retry/retry_test.go
+++ b/client/internal/retry/retry_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// at returns a moment that both clocks agree on.
+// at returns a time at which both clocks agree.
 func at(d time.Duration) Timestamp { return Timestamp{d, d} }
 
 // fullBudget returns a budget that no test exhausts.
@@ -17,21 +17,21 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// attemptCase is an outcome of a first attempt, under one set of circumstances.
+// attemptCase is an outcome of a first attempt, with the effect, deadline and timing of the request.
 type attemptCase struct {
-	outcome  Outcome
-	effect   Effect
-	deadline time.Duration
-	took     time.Duration // until the attempt ended
-	advice   time.Duration
+	outcome    Outcome
+	effect     Effect
+	deadline   time.Duration
+	took       time.Duration // until the attempt ended
+	retryAfter time.Duration
 }
 
 func (c attemptCase) String() string {
-	return fmt.Sprintf("outcome %d, effect %d, at %v of %v, advice %v",
-		c.outcome, c.effect, c.took, c.deadline, c.advice)
+	return fmt.Sprintf("outcome %d, effect %d, at %v of %v, Retry-After %v",
+		c.outcome, c.effect, c.took, c.deadline, c.retryAfter)
 }
 
-// attemptCases returns the whole table that is possible.
+// attemptCases returns all combinations that can occur.
 func attemptCases() (cases []attemptCase) {
 	deadlines := []time.Duration{60 * ms, 300 * ms, 1400 * ms, 1450 * ms, 2500 * ms, 10000 * ms}
 	durations := []time.Duration{
@@ -41,11 +41,11 @@
 		for _, effect := range []Effect{Safe, Keyed, Unsafe} {
 			for _, deadline := range deadlines {
 				for _, took := range durations {
-					for _, advice := range []time.Duration{0, 200 * ms, 1000 * ms} {
-						if took > deadline || advice > 0 && outcome != Rejected {
+					for _, retryAfter := range []time.Duration{0, 200 * ms, 1000 * ms} {
+						if took > deadline || retryAfter > 0 && outcome != Rejected {
 							continue
 						}
-						cases = append(cases, attemptCase{outcome, effect, deadline, took, advice})
+						cases = append(cases, attemptCase{outcome, effect, deadline, took, retryAfter})
 					}
 				}
 			}
@@ -87,14 +87,14 @@
 	if _, ok := r.StartAttempt(at(0), fullBudget()); !ok {
 		t.Fatalf("%v: no first attempt", c)
 	}
-	d := r.AttemptEnded(at(c.took), c.outcome, c.advice, fullBudget(), rng())
+	d := r.AttemptEnded(at(c.took), c.outcome, c.retryAfter, fullBudget(), rng())
 	c.checkDecision(t, &r, d)
 	if d.Result == ResultPending {
 		c.checkSecond(t, &r, at(c.took+d.Backoff))
 	}
 }
 
-// expected is the result of a request that gets no second attempt.
+// expected returns the result of a request that gets no second attempt.
 func (c attemptCase) expected() Result {
 	if c.mayHaveRun() && c.effect != Safe {
 		return ResultUnknown
@@ -111,7 +111,7 @@
 	return c.mayHaveRun() && c.effect == Unsafe
 }
 
-// timeLeft is the time in which a second attempt would have to end.
+// timeLeft returns the time in which a second attempt would have to end.
 func (c attemptCase) timeLeft() time.Duration {
 	left := c.deadline - c.took
 	if c.mayHaveRun() && c.effect == Keyed {
@@ -126,18 +126,18 @@
 	switch {
 	case c.final() && d.Result != want:
 		t.Fatalf("%v: %v, want %v", c, d.Result, want)
-	case !c.final() && left < c.advice+50*ms && d.Result != want:
+	case !c.final() && left < c.retryAfter+50*ms && d.Result != want:
 		t.Fatalf("%v: %v though only %v is left", c, d.Result, left)
-	case !c.final() && left > c.advice*5/4+50*ms+20*ms && d.Result != ResultPending:
+	case !c.final() && left > c.retryAfter*5/4+50*ms+20*ms && d.Result != ResultPending:
 		t.Fatalf("%v: ended as %v though %v is left", c, d.Result, left)
-	case d.Result == ResultPending && d.Backoff < c.advice:
+	case d.Result == ResultPending && d.Backoff < c.retryAfter:
 		t.Fatalf("%v: a backoff of %v", c, d.Backoff)
 	case d.Result == ResultRejected && r.MayHaveRun():
 		t.Fatalf("%v: rejected after it may have run", c)
 	}
 }
 
-// checkSecond starts the second attempt at a time and checks that it ends within its bounds.
+// checkSecond starts the second attempt at the given time and checks that it ends within its bounds.
 func (c attemptCase) checkSecond(t *testing.T, r *Request, again Timestamp) {
 	t.Helper()
 	wait, ok := r.StartAttempt(again, &Budget{})
@@ -150,7 +150,7 @@
 	}
 }
 
-// Each outcome of a first attempt, for each effect, at each time left.
+// The decision for each outcome of a first attempt, each effect and each time left.
 func TestDecisionForEachOutcomeEffectAndTime(t *testing.T) {
 	cases := attemptCases()
 	for _, c := range cases {
@@ -161,7 +161,7 @@
 	}
 }
 
-// Invariant 3, over two attempts: a rejection of the second does not undo the first.
+// Invariant 3 over two attempts: a rejection of the second does not change that the first may have run.
 func TestRejectionAfterPossibleRunIsUnknown(t *testing.T) {
 	r := NewRequest(&DefaultPolicy, Keyed, 0, 2500*ms)
 	r.StartAttempt(at(0), fullBudget())
@@ -177,8 +177,8 @@
 	}
 }
 
-// The first attempt of a keyed request ends within the window too: otherwise its own late start at a node would be the
-// second effect.
+// The first attempt of a keyed request must end within the dedup window too: otherwise its own late start at a node
+// would be the second effect.
 func TestFirstKeyedAttemptEndsWithinDedupWindow(t *testing.T) {
 	r := NewRequest(&DefaultPolicy, Keyed, 0, 10*time.Second)
 	if wait, _ := r.StartAttempt(at(0), &Budget{}); wait != 1400*ms {
@@ -189,9 +189,9 @@
 // A rejected request is not sent again where that would miss its latency objective; a failed one is.
 func TestNoRetryOfRejectionPastLatencyObjective(t *testing.T) {
 	for _, c := range []struct {
-		outcome Outcome
-		advice  time.Duration
-		want    Result
+		outcome    Outcome
+		retryAfter time.Duration
+		want       Result
 	}{
 		{Rejected, 100 * ms, ResultPending},
 		{Rejected, 400 * ms, ResultRejected},
@@ -199,7 +199,7 @@
 	} {
 		r := NewRequest(&DefaultPolicy, Safe, 500*ms, 2000*ms)
 		r.StartAttempt(at(0), fullBudget())
-		if d := r.AttemptEnded(at(200*ms), c.outcome, c.advice, fullBudget(), rng()); d.Result != c.want {
+		if d := r.AttemptEnded(at(200*ms), c.outcome, c.retryAfter, fullBudget(), rng()); d.Result != c.want {
 			t.Fatalf("%+v: %+v", c, d)
 		}
 	}
@@ -231,7 +231,7 @@
 	}
 }
 
-// However badly a service does, attempts stay below 1+Ratio for each request.
+// However many attempts fail, the average number of attempts per request stays below 1+Ratio.
 func TestBudgetBoundsAttempts(t *testing.T) {
 	b, rng := NewBudget(0.1, 3), rng()
 	requests, attempts := 0, 0
@@ -295,7 +295,7 @@
 	}
 }
 
-// A request that can never be sent is not retried for ever.
+// A request that can never be sent is not retried forever.
 func TestUnsentAttemptsAreBounded(t *testing.T) {
 	r, n := NewRequest(&DefaultPolicy, Safe, 0, time.Hour), 0
 	for ; n < 1000; n++ {
@@ -309,12 +309,12 @@
 	}
 }
 
-// A throttle lets everything through while less than half is rejected, holds most back while all is, and recovers
-// within seconds.
+// Throttle allows all requests while less than half are rejected, rejects most of them while all are rejected, and
+// recovers within seconds.
 func TestThrottleFollowsRejections(t *testing.T) {
 	var throttle Throttle
 	rng := rng()
-	play := func(from, to time.Duration, rejected float64) (sent, all int) {
+	sendRequests := func(from, to time.Duration, rejected float64) (sent, all int) {
 		for now := from; now < to; now += 5 * ms {
 			all++
 			if throttle.Allow(now, rng) {
@@ -328,15 +328,15 @@
 		}
 		return sent, all
 	}
-	if n, all := play(0, 5*time.Second, 0.3); n != all {
+	if n, all := sendRequests(0, 5*time.Second, 0.3); n != all {
 		t.Fatalf("%d of %d while three in ten were rejected", n, all)
 	}
-	play(5*time.Second, 7*time.Second, 1)
-	if n, all := play(7*time.Second, 12*time.Second, 1); float64(n) > 0.2*float64(all) || n == 0 {
+	sendRequests(5*time.Second, 7*time.Second, 1)
+	if n, all := sendRequests(7*time.Second, 12*time.Second, 1); float64(n) > 0.2*float64(all) || n == 0 {
 		t.Fatalf("%d of %d while all were rejected", n, all)
 	}
-	play(12*time.Second, 15*time.Second, 0)
-	if n, all := play(15*time.Second, 16*time.Second, 0); n != all {
+	sendRequests(12*time.Second, 15*time.Second, 0)
+	if n, all := sendRequests(15*time.Second, 16*time.Second, 0); n != all {
 		t.Fatalf("%d of %d three seconds after", n, all)
 	}
 }
--- a/client/liveness_unix.go
+++ b/client/liveness_unix.go
@@ -9,9 +9,9 @@
 	"syscall"
 )
 
-// newLivenessCheck returns a function that reports, without waiting, whether a connection without pending requests can
+// newLivenessCheck returns a function that checks, without blocking, whether a connection without pending requests can
 // be written to. It returns an error if the peer has closed the connection or has sent unrequested bytes. Only the
-// reader of the connection may call it.
+// holder of reading may call it.
 func newLivenessCheck(socket net.Conn) func() error {
 	withDescriptor, ok := socket.(syscall.Conn)
 	if !ok {
@@ -21,7 +21,7 @@
 	if err != nil {
 		return func() error { return err }
 	}
-	// These variables and the closure are made once, so that a check allocates nothing.
+	// These variables and the closure are created once, so that a check does not allocate.
 	var buffer [1]byte
 	var n int
 	var peekErr error
--- a/client/options.go
+++ b/client/options.go
@@ -12,59 +12,63 @@
 // Effect says what a request does if it is carried out more than once.
 type Effect = retry.Effect
 
-// The effects.
+// Values of [Effect].
 const (
-	Safe   = retry.Safe   // no harm: the request is idempotent
-	Keyed  = retry.Keyed  // nodes drop repeats within a window, by an idempotency key
-	Unsafe = retry.Unsafe // it takes effect again, so it is never repeated once it may have run
+	Safe   = retry.Safe   // idempotent: running it again does no harm
+	Keyed  = retry.Keyed  // idempotent with key: nodes drop duplicates by it within the dedup window
+	Unsafe = retry.Unsafe // not idempotent: it takes effect again, so it is never retried once it may have run
 )
 
-// Class is a class of requests, as the proxies' configuration has it.
+// Class describes a class of requests, as it is defined in the proxies' configuration.
 type Class struct {
 	Name   string
 	Effect Effect
-	Wait   time.Duration // how long a call lasts at most
-	// LatencyObjective, if not 0, is when an answer is worth little: a call that was refused is not sent again after
-	// it, because its answer would take the place of another one in time.
+	Wait   time.Duration // upper bound of the duration of a call
+	// LatencyObjective, if not 0, is the time from the start of a call after which an answer is worth little. A call
+	// that was rejected is not retried after it, because its answer would take the place of another one that is still
+	// in time.
 	LatencyObjective time.Duration
 }
 
-// The classes of a proxy's configuration that defines none.
+// The classes of a proxy whose configuration defines none.
 var (
 	Read  = Class{Name: "read", Effect: Safe, Wait: 2 * time.Second, LatencyObjective: 500 * time.Millisecond}
 	Write = Class{Name: "write", Effect: Keyed, Wait: 2500 * time.Millisecond}
 	Plain = Class{Name: "plain", Effect: Unsafe, Wait: 2500 * time.Millisecond}
 )
 
-// Options configure a client. Only Proxies is needed; a zero field has the default that is given with it.
+// Options configure a client. Only Proxies is required; the comments give the defaults that stand for zero values.
 type Options struct {
 	Proxies Source
-	Read    Class  // of Get; [Read]
-	Write   Class  // of Set; [Write]
-	Tenant  string // ""
+	Read    Class  // class of Get; default [Read]
+	Write   Class  // class of Set; default [Write]
+	Tenant  string // tenant of requests that name none; default ""
 
-	// Window is how long nodes drop repeats of a keyed write, 1.5 s; Margin is the part of it that is left for clocks
-	// and networks, 100 ms.
+	// Window is the dedup window, during which nodes drop duplicates of a keyed write; default 1.5 s. Margin is the
+	// part of it that is reserved for clock error and network delay; default 100 ms, or half of Window if that is less.
 	Window, Margin time.Duration
-	// Tries bounds the tries of one call, 4.
+	// Tries is the maximum number of attempts per call; default 4.
 	Tries int
-	// RetryRatio is how many retries each success pays for, 0.1; RetryBurst how many can be saved up, 3. Keyed writes
-	// may overdraw by RetryBurst. A negative RetryRatio allows no retries but for a connection that ended.
+	// RetryRatio is the number of retries that each success adds to the retry budget; default 0.1. RetryBurst is the
+	// number of retries that can be saved up; default 3. Keyed writes may overdraw the budget by RetryBurst. A negative
+	// RetryRatio allows no retries except of a call whose connection ended.
 	RetryRatio, RetryBurst float64
 
-	// Subset is how many proxies are in use at a time, 3.
+	// Subset is the number of proxies that the client uses at a time; default 3.
 	Subset int
-	// Conns bounds the connections to one proxy, 4; Depth the requests on one connection at a time, 32.
+	// Conns is the maximum number of connections to one proxy, default 4; Depth that of requests on one connection at a
+	// time, default 32.
 	Conns, Depth int
-	// MaxWaiting bounds the calls that wait for a connection, 16384; more are refused.
+	// MaxWaiting is the maximum number of calls that wait for a connection; default 16384. Further calls are refused.
 	MaxWaiting int
-	// Spread is the span over which clients that lost a proxy together reconnect, 1 s; twice as long after failed
-	// dials. StartSpread is the span of the first connections, 0; set it for clients that start together.
+	// Spread is the span over which clients that lost a proxy at the same time spread their reconnects; default 1 s, up
+	// to twice as long after failed dials. StartSpread is the span of the first connections; default 0. Set it for
+	// clients that start at the same time.
 	Spread, StartSpread time.Duration
-	// Idle is how long a connection without a request is kept, 1.5 s. A proxy closes its own after 2 s, so that with
-	// a longer time requests may cross that close.
+	// Idle is how long a connection without requests is kept; default 1.5 s. A proxy closes its idle connections after
+	// 2 s, so with a longer time a request may cross with that close.
 	Idle time.Duration
-	// Dial opens connections; a [net.Dialer] with a timeout of 1 s.
+	// Dial opens connections; default a [net.Dialer] with a timeout of 1 s.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	Trace Trace
@@ -72,8 +76,8 @@
 	clock func() retry.Timestamp
 }
 
-// systemClock returns the two clocks, both counted from now. The monotonic one is the time package's; it does not
-// advance while the machine is suspended.
+// systemClock returns a function that reads the monotonic and the wall clock, both counted from the call of
+// systemClock. The monotonic clock is that of package time; it does not advance while the machine is suspended.
 func systemClock() func() retry.Timestamp {
 	start := time.Now()
 	wall := start.UnixNano()
--- a/client/overload_test.go
+++ b/client/overload_test.go
@@ -13,8 +13,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// A proxy that answers busy 1000 to everything for three seconds gets few requests, however many calls there are; and
-// once it serves again, so do the calls.
+// A proxy that rejects everything with a Retry-After of 1 s for three seconds gets few requests, however many calls
+// there are. Once it serves again, calls are served.
 func TestRetryAfterHoldsForTheProcess(t *testing.T) {
 	var recovered atomic.Bool
 	c, ns := newTestClient(t, 1, Options{}, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
@@ -38,21 +38,21 @@
 		}
 		refused++
 	}
-	if n := len(ns.Requests()); n > 10 || refused < 30 { // three at first, then one a second
+	if n := len(ns.Requests()); n > 10 || refused < 30 { // three at first, then one per second
 		t.Fatalf("%d requests for %d calls", n, refused)
 	}
 	recovered.Store(true)
-	testutil.WaitUntil(t, "served again", func() bool {
+	testutil.WaitUntil(t, "a call is served again", func() bool {
 		_, err := c.Get(context.Background(), "k")
 		return err == nil
 	})
 }
 
-// A call with enough time waits as long as it was advised.
+// A call with enough time waits for the Retry-After and is served.
 func TestRetryAfterHoldsForTheCall(t *testing.T) {
 	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: 2 * time.Second}, RetryRatio: 1}
 	c, ns := newTestClient(t, 1, o, first(scriptednode.Serve, scriptednode.BusyRetryAfter))
-	if _, err := c.Get(context.Background(), "k"); err != nil { // pays for the retry
+	if _, err := c.Get(context.Background(), "k"); err != nil { // adds a retry to the budget
 		t.Fatal(err)
 	}
 	if _, err := c.Get(context.Background(), "k"); err != nil {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Proxies that refuse nine in ten requests without advice are spared most of the requests that they would refuse; once
-// they accept everything, everything is sent.
+// If a proxy rejects nine in ten requests without a Retry-After, the client rejects at least a third of the calls
+// itself. Once the proxy accepts everything, everything is sent.
 func TestThrottleSparesAnOverloadedService(t *testing.T) {
 	var recovered atomic.Bool
 	o := Options{Tries: 1, Conns: 1}
@@ -99,7 +99,7 @@
 	})
 }
 
-// Ten thousand goroutines on one client: the connections are bounded, and each call gets its own answer.
+// Ten thousand goroutines use one client: the connections are bounded, and each call gets its own answer.
 func TestTenThousandGoroutines(t *testing.T) {
 	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: time.Minute}}
 	c, ns := newTestClient(t, 3, o, always(scriptednode.Serve))
--- a/client/pool.go
+++ b/client/pool.go
@@ -7,7 +7,7 @@
 	"mulleinpier/client/internal/balance"
 )
 
-// sweepPeriodically closes connections that are not needed any more, until the client is closed.
+// sweepPeriodically calls sweep until the client is closed.
 func (c *Client) sweepPeriodically() {
 	const sweepsPerTimeout = 4
 	ticker := time.NewTicker(max(min(c.options.Idle, lingerTimeout)/sweepsPerTimeout, time.Millisecond))
@@ -22,7 +22,7 @@
 	}
 }
 
-// sweep closes connections that are not needed any more, and those that their proxies have closed.
+// sweep closes connections that are no longer needed, and those that their proxies have closed.
 func (c *Client) sweep() {
 	type closing struct {
 		conn   *connection
@@ -59,7 +59,7 @@
 	}
 }
 
-// drainLocked has a connection take no more requests. c.mu is held.
+// drainLocked marks a connection as draining: it takes no more requests. c.mu is held.
 func (c *Client) drainLocked(conn *connection) {
 	if !conn.draining {
 		conn.draining = true
@@ -67,14 +67,14 @@
 	}
 }
 
-// dialLocked starts to open a connection to a proxy. c.mu is held.
+// dialLocked starts opening a connection to a proxy. c.mu is held.
 func (c *Client) dialLocked(proxy *balance.Proxy) {
 	c.balancer.DialStarted(proxy)
 	c.counters.dials.Add(1)
 	c.tasks.Go(func() { c.dial(proxy) })
 }
 
-// dial opens a connection to a proxy.
+// dial opens a connection to a proxy and wakes the calls that wait for one.
 func (c *Client) dial(proxy *balance.Proxy) {
 	trace := &c.options.Trace
 	if trace.DialStart != nil {
@@ -106,15 +106,16 @@
 	c.mu.Unlock()
 }
 
-// growthThreshold is how many requests there are on each connection before one more is opened: answers come in the
-// order of the requests, so a slow one delays those behind it.
+// growthThreshold is the number of requests on each connection to a proxy from which on another one is opened. Answers
+// come in the order of the requests, so a slow one delays those behind it.
 const growthThreshold = 2
 
-// pickConnLocked returns the connection to a proxy with the fewest requests, and opens one more if all are in use. It
-// returns nil if none has capacity. c.mu is held.
+// pickConnLocked returns the connection to a proxy with the fewest requests, or nil if none has capacity. It starts to
+// open another one if there is none or all have growthThreshold requests or more, and the balancer allows it. c.mu is
+// held.
 func (c *Client) pickConnLocked(proxy *balance.Proxy, now time.Duration) (best *connection) {
 	for _, conn := range c.conns[proxy] {
-		// Abandoned requests may fill a connection to twice its depth.
+		// Including abandoned requests, a connection may hold twice its depth.
 		if conn.draining || conn.inFlight >= 2*c.options.Depth {
 			continue
 		}
@@ -128,11 +129,11 @@
 	return best
 }
 
-// recentUse is how long a connection may have been idle whose end shows that its proxy is gone: after a longer time the
-// proxy may have closed it because it had too many idle ones.
+// recentUse is the longest idle time after which the end of a connection still counts as the loss of its proxy. After a
+// longer idle time the proxy may have closed it only because it had too many idle connections.
 const recentUse = 100 * time.Millisecond
 
-// closedByClient reports whether a connection ended for a reason of the client's own.
+// closedByClient reports whether the client itself ended a connection for this reason.
 func closedByClient(reason error) bool {
 	for _, own := range []error{errIdle, errDrained, errNoAnswer, ErrClosed} {
 		if errors.Is(reason, own) {
@@ -142,8 +143,8 @@
 	return false
 }
 
-// connEnded removes a connection from the client, once. unanswered counts the requests that were written to it and not
-// answered.
+// connEnded removes a connection that has ended from the client; it is called once per connection. unanswered is the
+// number of requests that were written to it and not answered.
 func (c *Client) connEnded(conn *connection, unanswered int, reason error) {
 	own := closedByClient(reason)
 	c.mu.Lock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// removeLocked takes a connection out of its proxy's list. c.mu is held.
+// removeLocked removes a connection from the client's list for its proxy. c.mu is held.
 func (c *Client) removeLocked(conn *connection) {
 	list := c.conns[conn.proxy]
 	for i := range list {
@@ -184,7 +185,7 @@
 	c.conns[conn.proxy] = list
 }
 
-// abandonedEnded counts the end of a request whose caller did not wait for its answer any more.
+// abandonedEnded counts the end of a request whose caller no longer waited for the answer.
 func (c *Client) abandonedEnded(conn *connection) {
 	c.mu.Lock()
 	conn.inFlight--
--- a/client/source.go
+++ b/client/source.go
@@ -14,15 +14,15 @@
 
 // Source provides the list of proxies.
 type Source interface {
-	// Follow calls update with the complete list, host:port each, first and after each change, until ctx ends or an
-	// error occurs; the client calls it again after a delay then. An empty list is not put into force: the last one
-	// stays.
+	// Follow calls update with the complete list of host:port addresses, first at once and then after each change,
+	// until ctx ends or an error occurs; after an error the client calls it again with a delay. An empty list does not
+	// take effect: the previous one stays in use.
 	Follow(ctx context.Context, update func(addresses []string)) error
 }
 
 type staticSource []string
 
-// Static returns a list that does not change.
+// Static returns a source whose list does not change.
 func Static(addresses ...string) Source { return staticSource(addresses) }
 
 func (s staticSource) Follow(ctx context.Context, update func([]string)) error {
@@ -38,7 +38,7 @@
 // maxProxies bounds the length of a list.
 const maxProxies = 4096
 
-// validateAddresses returns a sorted list without duplicates, or what is wrong with it.
+// validateAddresses returns the list sorted and without duplicates, or an error if it is invalid.
 func validateAddresses(addresses []string) ([]string, error) {
 	list := slices.Clone(addresses)
 	slices.Sort(list)
@@ -62,8 +62,9 @@
 // filePollInterval is how often a file is read.
 const filePollInterval = time.Second
 
-// File returns the list in a file, an address a line, with comments from # on. The file is read again each second. A
-// change is put into force once it was read twice, because the first read may have met a half-written file.
+// File returns a source that reads its list from a file: one address per line, with comments from # on. The file is
+// read again each second. A change takes effect once two reads in a row have returned it, because the first one may
+// have met a half-written file.
 func File(path string) Source { return fileSource{path, filePollInterval} }
 
 const maxFileBytes = 1 << 20
--- a/client/sourcewatch.go
+++ b/client/sourcewatch.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// minSourceRetryDelay is the shortest time before a source that failed is followed again; the longest is twice that.
+// minSourceRetryDelay is the shortest delay before a source that failed is followed again; the longest is twice that.
 const minSourceRetryDelay = 500 * time.Millisecond
 
-// followSource puts the lists of the source into force until the client is closed.
+// followSource applies the lists of the source until the client is closed.
 func (c *Client) followSource() {
 	for c.ctx.Err() == nil {
 		err := c.options.Proxies.Follow(c.ctx, c.applyList)
@@ -23,7 +23,7 @@
 	}
 }
 
-// applyList puts a list into force, unless it is empty.
+// applyList replaces the list of proxies, unless the new one is empty.
 func (c *Client) applyList(addresses []string) {
 	if len(addresses) == 0 {
 		c.traceList(nil, ErrUnavailable)
--- a/client/stats.go
+++ b/client/stats.go
@@ -2,27 +2,27 @@
 
 import "sync/atomic"
 
-// Stats are counts since the client was made, and what there is now. Failed includes calls whose context was
+// Stats holds counts since the client was created, and some current values. Failed includes calls whose context was
 // cancelled.
 type Stats struct {
 	Calls, Served, Missing, Refused, Failed, Deadline, Unknown, Unavailable, Invalid, Closed int64
 
-	Tries     int64 // that were sent
-	Retries   int64 // tries but for the first of each call
-	Throttled int64 // calls that were refused without asking a proxy, because proxies had refused others
+	Tries     int64 // attempts that were sent
+	Retries   int64 // attempts except the first of each call
+	Throttled int64 // calls that the client rejected itself, because proxies had rejected earlier requests
 	Dials     int64
 	DialFails int64
-	Conns     int // open now
-	InFlight  int // requests on connections now
+	Conns     int // connections that are open now
+	InFlight  int // requests on connections now, except abandoned ones
 	Waiting   int // calls that wait for a connection now
 }
 
-// endedCalls counts the calls that have ended.
+// endedCalls returns the number of calls that have ended.
 func (s *Stats) endedCalls() int64 {
 	return s.Served + s.Missing + s.Refused + s.Failed + s.Deadline + s.Unknown + s.Unavailable + s.Invalid + s.Closed
 }
 
-// Stats returns the counts so far.
+// Stats returns the counts so far and the current values.
 func (c *Client) Stats() Stats {
 	s := c.counters.snapshot()
 	c.mu.Lock()
@@ -35,7 +35,7 @@
 	return s
 }
 
-// counters are the counts of [Stats].
+// counters holds the counts of [Stats] that are updated without holding Client.mu.
 type counters struct {
 	calls, served, missing, refused, failed, deadline, unknown, unavailable, invalid, closed atomic.Int64
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// forError returns the counter of calls that ended with an error, nil for served ones.
+// forError returns the counter for a call that ended with e, or was served if e is nil.
 func (n *counters) forError(e *Error) *atomic.Int64 {
 	if e == nil {
 		return &n.served
