--- a/client/client.go
+++ b/client/client.go
@@ -70,7 +70,7 @@
 	return c, nil
 }
 
-// Request describes one call of [Client.Do].
+// Request describes a call of [Client.Do].
 type Request struct {
 	Key   string
 	Value []byte
@@ -84,7 +84,7 @@
 	Idempotency string
 }
 
-// Answer is the result of a call of [Client.Do].
+// Answer is the result of [Client.Do].
 type Answer struct {
 	Value   []byte // the value that was read; the caller may modify it
 	Receipt string // the receipt of a write
--- a/client/connection.go
+++ b/client/connection.go
@@ -17,12 +17,13 @@
 
 const (
 	// lingerTimeout is how long a connection on which an attempt timed out stays open for late answers after the last
-	// caller has stopped waiting. It takes no more requests.
+	// caller has stopped waiting. The connection takes no more requests.
 	lingerTimeout = time.Second
 	// maxDirectBytes is the number of unanswered bytes up to which callers write to the socket themselves. The kernel
 	// buffers that much, so that the write does not block: a caller could not abandon a blocked write.
 	maxDirectBytes = 8 << 10
-	// assumedOpenTime is the time after a request in which a connection is assumed to be open without a check.
+	// assumedOpenTime is the time after a request in which a connection is assumed to be open: a read is sent on it
+	// without a check.
 	assumedOpenTime = time.Millisecond
 	// minCompactLength is the number of answered attempts that pending may contain before it is compacted.
 	minCompactLength = 64
@@ -70,7 +71,7 @@
 	queuedBytes   int64      // appended to outgoing so far
 	writtenBytes  int64      // of these, passed to the socket
 	answeredBytes int64      // of these, up to the end of the last request that was answered
-	pending       []*attempt // from firstPending on, in the order in which their answers arrive
+	pending       []*attempt // without an outcome from firstPending on, in the order in which answers arrive
 	firstPending  int
 	lastSentAt    time.Duration
 	reading       bool
@@ -225,8 +226,8 @@
 	c.client.abandonedEnded(c)
 }
 
-// fail ends the connection. If a goroutine is writing, it ends the pending attempts after its write, because only then
-// is it known what was written.
+// fail ends the connection because of err. If a goroutine is writing, that goroutine ends the pending attempts after
+// its write, because only then is it known what was written.
 func (c *connection) fail(err error) {
 	c.mu.Lock()
 	if c.err != nil {
