--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,40 +8,41 @@
 const (
 	admissionDecayTime = 2 * time.Second
 
-	// admissionMinRetention bounds how much one sample lets a gate forget: a gate of the fleet remembers some twenty
-	// events, however few the requests are.
+	// admissionMinRetention is the least share of its counts that a gate for all servers keeps at each sample, so that
+	// it remembers about twenty events even at a low request rate.
 	admissionMinRetention = 0.95
 
-	// The priors are completions in time that are assumed besides those seen. admissionPrior is small, or a proxy of
-	// few requests would never shed. A single server's counts are small, and chance must not shut its gate.
+	// The priors are completions in time that are assumed in addition to those observed. admissionPrior is small so
+	// that a proxy with few requests can shed load. serverAdmissionPrior is larger because a single server's counts are
+	// small and chance must not close its gate.
 	admissionPrior       = 1.25
 	serverAdmissionPrior = 5
 
 	admissionSlack = 1.1
-	recoveryBoost  = 6.0  // additional share when all completes in time, so that a gate reopens within seconds
-	minAdmitShare  = 0.03 // always passes, so that a recovery is seen
+	recoveryBoost  = 6.0  // additional multiple of the share while all is in time, so that gates reopen within seconds
+	minAdmitShare  = 0.03 // always admitted, so that a recovery is noticed
 
-	// Shares of the time left and of the latency objective that an answer may be expected to take. Both are under 1
-	// since latencies scatter around what is expected.
+	// The longest expected latency that is accepted, as shares of the time until the deadline and of the latency
+	// objective. Both are below 1 because latencies vary around the expected value.
 	maxExpectedShare  = 0.8
 	maxObjectiveShare = 0.5
 
-	minSamples = 5 // answers after which a server's expected latency may count against a request
+	minSamples = 5 // answers needed before a server's expected latency can cause a rejection
 
-	maxShelterFetchShare = 0.25 // of reads that are likely misses, at LevelShelter
+	maxShelterFetchShare = 0.25 // highest share of likely misses that is admitted at LevelShelter
 
 	weightBuckets   = 16
-	weightRetention = 0.995 // of a histogram at each sample: it remembers some two hundred
+	weightRetention = 0.995 // share of a histogram that is kept at each sample: it remembers about 200 samples
 )
 
-// admissionGate counts what was offered, what completed and what completed in time, all decaying.
+// admissionGate holds decaying counts of the requests offered, completed and completed in time.
 type admissionGate struct {
 	offered, completed, inTime float64
 	updated                    time.Duration
-	minRetention               float64 // share of the counts that one sample keeps at least
+	minRetention               float64 // lowest share of the counts that is kept at each sample
 }
 
-// gateSample is what one observation adds to a gate. Negative counts take back earlier ones.
+// gateSample is what one observation adds to a gate. Negative counts undo earlier ones.
 type gateSample struct{ offered, completed, inTime float64 }
 
 func (g *admissionGate) observe(now time.Duration, sample gateSample) {
@@ -52,15 +53,15 @@
 	g.updated = now
 }
 
-// admitShare is the share of requests to admit: admissionSlack times what completes in time, since clients that retry
-// keep a queue full of work that nobody waits for; more when nearly all that is sent completes in time, as the queue
-// is empty again.
+// admitShare returns the share of requests to admit. It is admissionSlack times the share that completes in time, since
+// clients that retry would otherwise keep queues full of requests that nobody waits for. It is higher when nearly
+// everything that is sent completes in time, because the queue is empty again.
 func (g *admissionGate) admitShare(prior float64) float64 {
 	boost := admissionSlack * (1 + recoveryBoost*g.inTimeMargin(prior))
 	return max(minAdmitShare, min(1, boost*(g.inTime+prior)/(g.offered+prior)))
 }
 
-// inTimeMargin is 1 when all that completed was in time, and falls to 0 at four in five.
+// inTimeMargin is 1 if everything that completed was in time, and falls linearly to 0 at four in five.
 func (g *admissionGate) inTimeMargin(prior float64) float64 {
 	return max(0, 5*(g.inTime+prior)/(g.completed+prior)-4)
 }
@@ -69,33 +70,33 @@
 type servingPath uint8
 
 const (
-	fetchPath servingPath = iota // by a fetch from the origin, or by a server for a request without a key
-	hitPath                      // from a cache: the chosen server's filter names the key
+	fetchPath servingPath = iota // by a fetch from the origin; also for writes and requests without a key
+	hitPath                      // from a cache: the chosen server's filter contains the key
 	pathCount
 )
 
-// admissionPath is the state of load shedding on one path. The paths are kept apart: a slow origin must not shut the
-// gate of what caches hold.
+// admissionPath is the load shedding state of one path. The paths are separate so that a slow origin does not close the
+// gate for keys that caches hold.
 type admissionPath struct {
 	gate    admissionGate
 	weights weightHistogram
 }
 
-// AdmissionShares returns the shares of requests that are admitted now: of those whose key the chosen server is
-// expected to hold, and of the others.
+// AdmissionShares returns the shares of requests that the gates of the two paths admit now: hits for requests whose key
+// the chosen server is expected to hold, fetches for all others.
 func (b *Balancer) AdmissionShares() (hits, fetches float64) {
 	return b.paths[hitPath].gate.admitShare(admissionPrior), b.paths[fetchPath].gate.admitShare(admissionPrior)
 }
 
-// isShedding reports whether either gate rejects requests.
+// isShedding reports whether the gate of either path rejects requests.
 func (b *Balancer) isShedding() bool {
 	hits, fetches := b.AdmissionShares()
 	return hits < 1 || fetches < 1
 }
 
-// passesGate reports whether a request passes the gates of its path and server. Requests of the highest weight pass;
-// among those of the weight at the edge chance decides, and the minimum share passes by chance alone, so that a wrong
-// weight shuts out nobody completely.
+// passesGate reports whether a request passes the gates of its path and server. Requests with the highest weights pass,
+// and chance decides at the threshold weight. In addition a random minAdmitShare of all requests passes, so that no
+// request is excluded completely because of a wrong weight.
 func (b *Balancer) passesGate(r *request, s *server, path servingPath) bool {
 	admission := &b.paths[path]
 	share := min(admission.gate.admitShare(admissionPrior), s.gate.admitShare(serverAdmissionPrior))
@@ -109,17 +110,17 @@
 	return b.rng.Float64()*similar < smaller+similar-(1-share)*all
 }
 
-// shed rejects a request at the gates.
+// shed rejects a request and counts it at the gates.
 func (b *Balancer) shed(r *request, s *server, path servingPath, reason Reason) {
 	b.counters.Rejected++
-	// What is shed counts as offered: sends then settle at admissionSlack times what completes in time.
+	// Shed requests count as offered, so sends settle at admissionSlack times what completes in time.
 	s.gate.observe(b.now, gateSample{offered: 1})
 	b.paths[path].gate.observe(b.now, gateSample{offered: 1})
 	b.endUnserved(r, reason)
 }
 
-// requestWeight is the weight of answering a request in time: small over its tenant's quota, and reduced for a retry,
-// which is late for its client already.
+// requestWeight is the weight of answering a request in time. It is reduced for a tenant over its quota, and for a
+// retry, whose answer is already late for its client.
 func (b *Balancer) requestWeight(r *request) float64 {
 	weight := r.class.PriorityWeight
 	if r.overQuota {
@@ -131,10 +132,10 @@
 	return weight
 }
 
-// weightHistogram counts requests by weight, decaying. Two buckets are a factor of two.
+// weightHistogram holds decaying counts of requests by weight. Two buckets span a factor of two.
 type weightHistogram [weightBuckets]float64
 
-// observe counts a weight and returns how many were smaller, how many were about as large, and the sum of all.
+// observe counts a weight and returns the counts of smaller weights, of the same bucket and of all weights.
 func (h *weightHistogram) observe(weight float64) (smaller, similar, all float64) {
 	bucket := 0
 	if weight > 0 {
@@ -157,9 +158,9 @@
 	return r.class.Idempotency == IdempotentWithKey || b.rng.Float64() <= b.fetchAdmitShare()
 }
 
-// fetchAdmitShare is the share of likely cache misses that the degradation level admits. They and handovers meet at the
-// origin, and a queue there makes both late: from LevelHandovers on only as many reads fetch as leave nearly all
-// handovers in time. Handovers that are late for another reason than the origin reduce it as well.
+// fetchAdmitShare returns the share of likely cache misses that the degradation level admits. Misses and handovers both
+// use the origin, and a queue there delays both. From LevelHandovers on only as many reads may fetch as keep nearly all
+// handovers in time. Handovers that are late for a reason other than the origin reduce the share too.
 func (b *Balancer) fetchAdmitShare() float64 {
 	if b.level < LevelHandovers {
 		return 1
@@ -172,11 +173,12 @@
 	return max(minAdmitShare, share)
 }
 
-// isUnattainable reports whether s can hardly answer a request before its client gives up. Such a request is rejected
-// at once: its work would go on with nobody waiting, and clients that retry for want of an answer fill servers with
-// such work. The time of a miss is left out, since a fetch that is too late for one attempt fills the cache for the
-// next. As estimates may be too high, a server with nothing in flight gets a request all the same, which corrects
-// them, and a server that has answered little is not judged by what is assumed of it.
+// isUnattainable reports whether s is unlikely to answer a request before its client gives up or, unless it is a
+// handover from LevelHandovers on, within maxObjectiveShare of its latency objective. Such a request is rejected at
+// once: the server would work on it with nobody waiting, and clients that retry after a timeout would fill servers with
+// such work. The miss penalty is not included, since a fetch that is too late for one attempt fills the cache for the
+// next. Estimates may be too high, so a server with nothing in flight still gets a request, which corrects them. A
+// server with fewer than minSamples answers is not judged by assumed values.
 func (b *Balancer) isUnattainable(r *request, s *server) bool {
 	limit := maxExpectedShare * (r.Deadline - b.now).Seconds()
 	if b.level < LevelHandovers || r.class.Idempotency != IdempotentWithKey {
@@ -185,10 +187,10 @@
 	return s.samples >= minSamples && s.inFlight > 0 && b.expectedHitTime(s) > limit
 }
 
-// RetryAfter returns when a rejected request of a class is to be retried, at random since clients that are rejected
-// together must not come back together. The mean is half a latency objective, and a quarter more with each degradation
-// level: a queue that can be answered in time is gone within a latency objective. Two thirds of the limit are the
-// largest mean that jitter does not carry over the limit.
+// RetryAfter returns the delay after which a rejected request of a class should be retried. It is random so that
+// clients that are rejected together do not come back together. Its mean is half a latency objective, plus a quarter
+// for each degradation level: a queue that can be answered in time is empty within a latency objective. The mean is at
+// most two thirds of the limit, the highest value that jitter does not carry over the limit.
 func (b *Balancer) RetryAfter(class int) time.Duration {
 	limit := b.settings.Limits.MaxRetryAfter
 	if class < 0 || class >= len(b.settings.Classes) {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -56,23 +56,23 @@
 		a.Deadline = now + 2*time.Second
 		for _, server := range sendTargets(b.Handle(now, a, nil)) {
 			sends++
-			// A reset says nothing of load.
+			// A reset says nothing about load.
 			b.Handle(now, Outcome{ID: a.ID, Server: server, Result: Reset, Final: true}, nil)
 		}
 	}
 	return float64(sends) / float64(n)
 }
 
-// TestAdmissionIsByWeight guards against gates that shed by chance: handovers, and tenants within their quota, go
-// before the rest, and the share that is admitted in all stays what it was.
+// TestAdmissionIsByWeight guards against gates that shed at random: handovers, and tenants within their quota, must be
+// admitted before other requests, and the total share admitted must not change.
 func TestAdmissionIsByWeight(t *testing.T) {
-	const open = 0.5
-	b, now := newSheddingBalancer(t, open)
+	const gateShare = 0.5
+	b, now := newSheddingBalancer(t, gateShare)
 	kinds := []struct {
-		name           string
-		arrival        Arrival
-		every          int // rounds
-		offered, admit float64
+		name              string
+		arrival           Arrival
+		every             int // in rounds
+		offered, admitted float64
 	}{
 		{
 			name:    "handovers",
@@ -102,22 +102,22 @@
 			a := kind.arrival
 			a.ID = id
 			kind.offered++
-			kind.admit += admittedShare(b, now, open, 1, func(int) Arrival { return a })
+			kind.admitted += admittedShare(b, now, gateShare, 1, func(int) Arrival { return a })
 		}
 	}
-	share := func(i int) float64 { return kinds[i].admit / kinds[i].offered }
+	share := func(i int) float64 { return kinds[i].admitted / kinds[i].offered }
 	if share(0) < 0.99 || share(1) < 0.5 || share(2) > 0.3 || share(2) == 0 {
 		t.Errorf("admitted: handovers %.2f, reads %.2f, reads over quota %.2f", share(0), share(1), share(2))
 	}
-	admitted := kinds[0].admit + kinds[1].admit + kinds[2].admit
+	admitted := kinds[0].admitted + kinds[1].admitted + kinds[2].admitted
 	offered := kinds[0].offered + kinds[1].offered + kinds[2].offered
 	if total := admitted / offered; total < 0.45 || total > 0.6 {
-		t.Errorf("in all %.2f passed gates that admit half", total)
+		t.Errorf("%.2f of all requests passed gates that admit half", total)
 	}
 }
 
-// TestAdmissionWithoutWeights guards against settings that give no weights: all requests are alike then, and chance
-// decides.
+// TestAdmissionWithoutWeights guards against settings without weights: all requests are equal then, and are shed at
+// random.
 func TestAdmissionWithoutWeights(t *testing.T) {
 	b, now := newSheddingBalancer(t, 0.5)
 	for i := range b.settings.Classes {
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestQuotasRefill guards the tenants' quotas: what is used comes back with time, no more than a burst of it, and a
-// clock that stands still grants nothing.
+// TestQuotasRefill guards the tenants' quotas: they refill with time, up to one burst, and not while the clock stands
+// still.
 func TestQuotasRefill(t *testing.T) {
 	b, now := newSheddingBalancer(t, 1)
 	charge := func(tenant int) (over bool) {
@@ -152,11 +152,11 @@
 	}
 	now += 100 * time.Millisecond
 	if chargeMany() != 5 {
-		t.Error("a tenth of a second did not bring a tenth of the quota")
+		t.Error("0.1 s did not refill a tenth of the quota")
 	}
 	now += time.Hour
 	if chargeMany() != 50 {
-		t.Error("an hour did not bring one burst")
+		t.Error("an hour did not refill exactly one burst")
 	}
 	const noTenant = 7
 	if charge(tenantWithoutQuota) || charge(noTenant) {
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestGateClosesAndReopens guards against queues that retries keep full, and against rejections that outlast their
-// cause.
+// TestGateClosesAndReopens guards against gates that stay open while retries keep the queues full, and against gates
+// that stay closed after the cause has ended.
 func TestGateClosesAndReopens(t *testing.T) {
 	b, now := newTestBalancer(t)
 	id := uint64(0)
@@ -195,9 +195,9 @@
 	}
 }
 
-// runSlowly gives a balancer n requests, two a second, whose attempts all end with a result. It returns the share of
-// the second half that was sent.
-func runSlowly(b *Balancer, now time.Duration, n int, result Result) float64 {
+// runAtLowRate gives a balancer n requests, two a second, whose attempts all end with the same result. It returns the
+// share of the second half that was sent.
+func runAtLowRate(b *Balancer, now time.Duration, n int, result Result) float64 {
 	sends := 0
 	for i := range n {
 		now += 500 * time.Millisecond
@@ -215,41 +215,41 @@
 	return float64(sends) / float64((n+1)/2)
 }
 
-// TestGateOfFewRequestsCloses guards against many proxies of few requests each, none of which sees enough within the
-// gate's memory to shut it on a failed origin.
+// TestGateOfFewRequestsCloses guards against many proxies with few requests each, none of which sees enough requests
+// within the gate's decay time to close the gate when the origin fails.
 func TestGateOfFewRequestsCloses(t *testing.T) {
 	b, now := newTestBalancer(t)
-	if share := runSlowly(b, now, 200, Errored); share > 0.25 {
+	if share := runAtLowRate(b, now, 200, Errored); share > 0.25 {
 		t.Errorf("%.2f still sent when every fetch fails", share)
 	}
 }
 
-// TestFailedConnectionsKeepTheGateOpen guards against sites that are cut off: no result from there says anything about
-// the load elsewhere.
+// TestFailedConnectionsKeepTheGateOpen guards against gates that close because a site is cut off: results from there
+// say nothing about the load elsewhere.
 func TestFailedConnectionsKeepTheGateOpen(t *testing.T) {
 	b, now := newTestBalancer(t)
-	if share := runSlowly(b, now, 200, ConnectFailed); share < 0.9 {
+	if share := runAtLowRate(b, now, 200, ConnectFailed); share < 0.9 {
 		t.Errorf("%.2f sent when connections fail", share)
 	}
 }
 
-// TestLostAnswersAreNoOverload guards against a server that takes requests and never answers: the gates would shut for
-// all, though nothing is busy.
+// TestLostAnswersAreNoOverload guards against a server that accepts requests and never answers: it must not close the
+// gates for all servers although none is busy.
 func TestLostAnswersAreNoOverload(t *testing.T) {
 	b, now := newTestBalancer(t)
 	const (
-		interval = 5 * time.Millisecond
-		patience = 700 * time.Millisecond
+		interval      = 5 * time.Millisecond
+		clientTimeout = 700 * time.Millisecond
 	)
 	lost, shed := map[uint64]bool{}, 0
 	for i := range uint64(2000) {
 		now += interval
-		if id := i + 1 - uint64(patience/interval); lost[id] {
+		if id := i + 1 - uint64(clientTimeout/interval); lost[id] {
 			b.Handle(now, TimerFired{Token: id<<timerKindBits | timerDeadline}, nil)
-			b.Handle(now, Outcome{ID: id, Server: "a", Result: Cancelled, Took: patience, Final: true}, nil)
+			b.Handle(now, Outcome{ID: id, Server: "a", Result: Cancelled, Took: clientTimeout, Final: true}, nil)
 		}
 		id := i + 1
-		deadline := now + patience + time.Millisecond
+		deadline := now + clientTimeout + time.Millisecond
 		actions := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint(i % 50), Deadline: deadline}, nil)
 		switch servers := sendTargets(actions); {
 		case len(servers) == 0:
@@ -266,12 +266,12 @@
 	}
 }
 
-// TestGatesSpareOnlyEjectedServers guards the gates in an overload: a queue that stays full for a second makes its
-// server look faulty. It must shut the gates all the same, and is not made up for at another server, whose queue it
-// would fill.
+// TestGatesSpareOnlyEjectedServers guards the gates in an overload. A queue that stays full for a second makes its
+// server look faulty. It must close the gates all the same, and its requests must not be retried at another server,
+// whose queue they would fill.
 func TestGatesSpareOnlyEjectedServers(t *testing.T) {
 	for _, c := range []struct {
-		logOdds float64 // before the failure; the probabilities after it are about 0.27, 0.73 and 0.95
+		logOdds float64 // before the failure; the fault probabilities after it are about 0.27, 0.73 and 0.95
 		spared  bool
 	}{
 		{0, false},
--- a/policy/api.go
+++ b/policy/api.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is an input of a Balancer: one of the types below.
+// Event is an input of a [Balancer]: one of the event types below.
 type Event interface{ event() }
 
 // EndpointUpdateKind says what an EndpointUpdate holds.
@@ -31,48 +31,48 @@
 	Server          string
 	Zone            int // index into Settings.Zones
 	MachineKind     int // index into Settings.MachineKinds
-	Cell            int // the servers of one cell drop each other's repeats with DedupScopeCell
+	Cell            int // with DedupScopeCell the servers of one cell deduplicate together
 	State           EndpointState
 	Weight          float64       // registered size, used with Settings.RegisteredWeights
-	StartedAt       time.Duration // time of its last start, 0 for long ago
-	NoDeduplication bool          // it does not deduplicate by key, so it gets no request that relies on it
+	StartedAt       time.Duration // time of its last start; 0 if that was long ago
+	NoDeduplication bool          // it does not deduplicate by idempotency key, so it gets no keyed request
 }
 
-// DegradationLevel says how far service is reduced. Package overload decides the level from what the proxy as a
-// whole sees; this package decides what it means for a request.
+// DegradationLevel says how far service is reduced. Package overload decides the level from the signals of the whole
+// proxy; this package decides what the level means for a request.
 type DegradationLevel uint8
 
-// The levels of degradation. Each keeps the measures of the ones before it, except that from LevelHandovers on a late
-// fetch no longer counts as served in time: late fetches are what delays handovers.
+// The levels of degradation. Each keeps the measures of the levels before it, with one exception: from LevelHandovers
+// on a late fetch no longer counts as served in time, because late fetches are what delays handovers.
 const (
 	LevelFull      DegradationLevel = iota
-	LevelEconomy                    // no hedged requests; each retry is paid from the retry budget
-	LevelLate                       // a read that is likely a cache miss may exceed its latency objective
-	LevelHandovers                  // keyed requests pass all gates; reads fetch only as far as those stay in time
-	LevelShelter                    // of the other requests only those whose key a cache is expected to hold
+	LevelEconomy                    // no hedged requests; retries need the budget, but for failures unrelated to load
+	LevelLate                       // likely cache misses may exceed their latency objective
+	LevelHandovers                  // keyed requests pass all gates; reads fetch only while those are in time
+	LevelShelter                    // at most a quarter of other likely cache misses are admitted
 )
 
-// ProcessPaused reports that the process was paused until now. What was in flight meanwhile says nothing about
-// servers, and estimates that decay with time have not decayed.
+// ProcessPaused reports that this process was paused for Duration and has just resumed. Latencies of attempts that were
+// in flight say nothing about servers, and the counts of the admission gates do not decay by the pause.
 type ProcessPaused struct{ Duration time.Duration }
 
-// LevelChange puts a level of degradation into force.
+// LevelChange sets the degradation level.
 type LevelChange struct{ Level DegradationLevel }
 
-// EndpointUpdate brings a change of the endpoint list.
+// EndpointUpdate reports a change of the endpoint list, or that the list is unavailable.
 type EndpointUpdate struct {
 	Version   uint64
 	Kind      EndpointUpdateKind
 	Endpoints []Endpoint // shared; must not be modified
 }
 
-// Arrival is a new request; the Balancer owes it one final answer.
+// Arrival is a new request. The Balancer ends each exactly once: see guarantee 2 of the package.
 type Arrival struct {
 	ID       uint64
 	Class    int           // index into Settings.Classes
 	Tenant   int           // index into Settings.Tenants; any other value for none
 	Key      string        // "" for none
-	Deadline time.Duration // time at which the client gives up on this attempt
+	Deadline time.Duration // time at which the client stops waiting; its retry is a new Arrival
 	Write    bool
 	IsRetry  bool // marked by the client as a retry
 }
@@ -98,12 +98,12 @@
 	Reset
 	Cancelled
 	NotSent
-	NotFound               // no value is stored there
+	NotFound               // the server stores no value for the key
 	Malformed              // the answer cannot be parsed; the request may have run
-	ConnectionLimitReached // no further connection was accepted; the request did not run
+	ConnectionLimitReached // the server accepted no further connection; the request did not run
 )
 
-// CacheStatus is what a server reported about how it found its answer.
+// CacheStatus says whether a server answered from its cache, as it reported it.
 type CacheStatus uint8
 
 // The cache statuses.
@@ -114,18 +114,18 @@
 	CacheMissCoalesced // a miss that waited for a fetch of the same key already in flight
 )
 
-// LoadReport is a server's load report; a negative value was not reported. No decision uses it.
+// LoadReport is a server's report of its load; a negative value was not reported. No decision uses it.
 type LoadReport struct {
 	InFlight    float64 // requests
-	Queue       float64 // requests that wait
+	Queue       float64 // requests waiting
 	Utilization float64
 	Rate        float64 // requests a second
 	ErrorRate   float64 // errors a second
-	X0, X1      float64 // without a meaning that the protocol defines
+	X0, X1      float64 // the protocol defines no meaning for them
 	Latency     time.Duration
 }
 
-// Outcome ends an attempt; each Send gets exactly one.
+// Outcome reports the end of an attempt. The caller reports exactly one for each Send.
 type Outcome struct {
 	ID          uint64
 	Attempt     int
@@ -140,10 +140,10 @@
 // ClientLeft reports that a request's client has disconnected or given up.
 type ClientLeft struct{ ID uint64 }
 
-// TimerFired is the return of a SetTimer.
+// TimerFired reports that the timer set by the SetTimer with this Token has expired.
 type TimerFired struct{ Token uint64 }
 
-// HealthCheckResult ends a health check.
+// HealthCheckResult reports the end of a health check. No decision uses it.
 type HealthCheckResult struct {
 	Server     string
 	Result     Result
@@ -151,7 +151,8 @@
 	LoadReport *LoadReport
 }
 
-// PeerMessage is a message of another proxy. It is ignored: the simulator's wire has such messages.
+// PeerMessage is a message from another proxy. It is ignored, and exists because the simulator's protocol has such
+// messages.
 type PeerMessage struct {
 	From int
 	Data []byte
@@ -178,13 +179,13 @@
 	Reject                           // ID, After as Retry-After for the client
 	Fail                             // ID
 	SetTimer                         // Token, After
-	Subscribe                        // to changes of the endpoint list
-	FetchEndpoints                   // once
+	Subscribe                        // subscribe to changes of the endpoint list
+	FetchEndpoints                   // fetch the endpoint list once
 	HealthCheck                      // Server
 	CloseIdle                        // Server: close the idle connections to it
 )
 
-// Action is something that a Balancer wants done, at once and in order.
+// Action is an instruction of a Balancer to its caller, who carries actions out at once and in order.
 type Action struct {
 	Kind    ActionKind
 	ID      uint64
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -10,29 +10,29 @@
 
 // Balancer decides for one proxy. It is not safe for concurrent use.
 type Balancer struct {
-	settings *Settings // in force for what arrives now
+	settings *Settings // in force for requests that arrive now
 	rng      *rand.Rand
 	now      time.Duration
 	actions  []Action
 	requests map[uint64]*request
 	level    DegradationLevel
-	counters Counters // since they were last taken
+	counters Counters // since the last TakeCounters
 
 	// The endpoint list and the subscription to it: endpoints.go.
 	servers           map[string]*server
-	serving           []*server // all that are listed as serving, in order of name
+	serving           []*server // all servers listed as serving, sorted by name
 	listReceived      bool
-	subscribing       bool // a call for the list is in flight or subscribed
-	subscribeFailures int  // in a row, as far as they lengthen the backoff
+	subscribing       bool // a call for the list is in flight, or a subscription is open
+	subscribeFailures int  // consecutive, up to maxSubscribeDoublings
 
-	// The choice of a server: ranking.go, rendezvous.go.
-	zonalHomes             bool      // keys have a home in each zone
+	// The selection of a server: ranking.go, rendezvous.go.
+	zonalHomes             bool      // keys have a home server in each zone
 	rendezvousWeightByKind []float64 // by machine kind
 	lastMaintenance        time.Duration
 
 	// Estimates over all servers, in seconds: estimator.go.
-	missPenalty          float64 // smoothed extra time of a miss
-	baselineMissPenalty  float64 // the lowest that it has been lately
+	missPenalty          float64 // smoothed extra latency of a miss
+	baselineMissPenalty  float64 // recent minimum of missPenalty
 	processingTime       float64 // mean of server.processingTime
 	minLatency           float64 // mean of server.minLatency
 	processingTimeByKind []float64
@@ -45,12 +45,12 @@
 
 	// Outlier detection: outlier.go.
 	failureRates        []outlier.FailureRate // of all servers, by class
-	healthyFailureRates []outlier.FailureRate // by class, of successes and of failures that one followed at the server
-	zoneSuspicions      []outlier.Suspicion   // that a zone cannot be reached
-	connectionFailures  outlier.FailureRate   // of attempts at all servers, failed where their connection ended
+	healthyFailureRates []outlier.FailureRate // by class: successes, and failures followed by one at the server
+	zoneSuspicions      []outlier.Suspicion   // by zone: whether it is unreachable
+	connectionFailures  outlier.FailureRate   // of attempts at all servers; a failure is one whose connection failed
 }
 
-// Assumptions of a Balancer that has seen no answer yet, in seconds.
+// Initial estimates of a Balancer that has seen no answer yet, in seconds.
 const (
 	initialMissPenalty    = 0.1
 	initialProcessingTime = 0.05
@@ -85,7 +85,7 @@
 	return b, nil
 }
 
-// Handle takes one event at time now and appends the resulting actions to actions.
+// Handle handles one event at time now, appends the resulting actions to actions and returns the extended slice.
 func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
 	b.now, b.actions = now, actions
 	b.maintain()
@@ -110,12 +110,12 @@
 	return b.actions
 }
 
-// maintenancePeriod is the time between two rounds of upkeep. A cache keeps an unused key for some seconds; a filter
-// that forgets within two periods names about what is still there.
+// maintenancePeriod is the time between two rounds of maintenance. A cache keeps an unused key for some seconds, so a
+// filter that forgets keys within two periods contains roughly the keys that are still cached.
 const maintenancePeriod = 6 * time.Second
 
-// maintain does the periodic upkeep that is due: two rounds at most, however much time has passed, as these empty both
-// generations of the filters.
+// maintain runs the periodic maintenance that is due. It runs at most two rounds, however much time has passed, because
+// two rounds empty both generations of the filters.
 func (b *Balancer) maintain() {
 	for b.now-b.lastMaintenance >= maintenancePeriod {
 		b.lastMaintenance = max(b.lastMaintenance+maintenancePeriod, b.now-maintenancePeriod)
@@ -125,7 +125,7 @@
 	}
 }
 
-// The kinds of timers, in the low bits of a token; the other bits are a request's ID.
+// The kinds of timers, in the low bits of a token; the other bits are the request ID.
 const (
 	timerSubscribe = iota
 	timerDeadline
@@ -164,7 +164,7 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// jitter returns a random duration between a half and three halves of d.
+// jitter returns a random duration between 0.5 and 1.5 times d.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(b.rng.Float64()*float64(d))
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkDecision is one request through the module: its arrival, its attempt's outcome and the timers that it set,
-// with some thousand live keys at so many servers.
+// BenchmarkDecision handles one request per iteration: its arrival, its attempt's outcome and the timers that it set,
+// with 4096 keys and the number of servers in the name.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{20, 80, 320, 1280} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// benchmarkRun gives a balancer one request after the other.
+// benchmarkRun gives a balancer one request after another.
 type benchmarkRun struct {
 	balancer *Balancer
 	now      time.Duration
@@ -73,7 +73,7 @@
 		}
 	}
 	if server == "" {
-		b.Fatalf("nothing is sent: %+v", r.actions)
+		b.Fatalf("no attempt was sent: %+v", r.actions)
 	}
 	r.actions = r.balancer.Handle(r.now+time.Millisecond, Outcome{
 		ID:          r.id,
--- a/policy/counters.go
+++ b/policy/counters.go
@@ -1,28 +1,29 @@
 package policy
 
-// Counters count what became of requests and attempts. Package overload decides the degradation level from them.
+// Counters count how requests and attempts ended. Package overload decides the degradation level from them.
 type Counters struct {
-	// Requests that were sent and ended, and of them those not served within their latency objective. Handovers are
-	// the requests of classes that are IdempotentWithKey, Reads all others.
+	// Requests that were sent and have ended, and those of them not served within their latency objective. Handovers
+	// are the requests of IdempotentWithKey classes, Reads are all others.
 	Reads, LateReads         int
 	Handovers, LateHandovers int
 
-	// Requests that reached a gate, and of them those rejected there. Neither counts what the degradation level
-	// rejected: Offered does, Rejected does not.
+	// Requests that reached the gates, and those of them that were shed there, including DeadlineRejections. Requests
+	// that the degradation level rejects count as Offered but not as Rejected.
 	Offered, Rejected int
 
-	// Writes, and reads that no filter named, that ended; of them those that ended in an error or without an answer.
+	// Writes that were served, reads that missed the cache, and attempts on the fetch path that failed; FailedFetches
+	// are those that ended in an error or a timeout.
 	Fetches, FailedFetches int
 
-	TimedFetches int     // fetches and writes that were served and measured
-	FetchTimeSum float64 // what the origin added to them, in latency objectives of their classes
+	TimedFetches int     // fetches and writes whose latency was measured
+	FetchTimeSum float64 // latency that the origin added to them, in latency objectives of their classes
 
-	Servers, Ejected   int // listed now, and of them those not chosen for the time being
-	DeadlineRejections int // rejected since the chosen server could hardly answer in time
+	Servers, Ejected   int // servers listed now, and those of them that serve but are in backoff
+	DeadlineRejections int // requests rejected because the chosen server was unlikely to answer in time
 	WaitsForServer     int
 }
 
-// TakeCounters returns what has been counted since it was last called.
+// TakeCounters returns the counts since its last call and resets them. Servers and Ejected are the present values.
 func (b *Balancer) TakeCounters() Counters {
 	counters := b.counters
 	b.counters = Counters{}
@@ -38,8 +39,8 @@
 	return counters
 }
 
-// countRequest counts a request that ends. A client that left before the latency objective says something about its
-// patience, not about load; a request that was never sent has been counted at the gates.
+// countRequest counts a request that ends. It skips a request whose client left before the latency objective, which
+// says nothing about load, a request that was never sent, which was counted at the gates, and one that spanned a pause.
 func (b *Balancer) countRequest(r *request) {
 	if r.spannedPause || len(r.attempts) == 0 {
 		return
@@ -62,7 +63,7 @@
 	b.counters.LateReads += late
 }
 
-// countFetch counts an attempt that had to ask the origin, as far as its outcome shows that.
+// countFetch counts an attempt whose outcome shows that it had to ask the origin.
 func (b *Balancer) countFetch(r *request, a *attempt, e Outcome) {
 	if r.Key == "" || a.path == hitPath {
 		return
--- a/policy/degradation_test.go
+++ b/policy/degradation_test.go
@@ -12,7 +12,7 @@
 	b.Handle(now, LevelChange{Level: level}, nil)
 }
 
-// fillFilters has every server's filter name a key.
+// fillFilters adds a key to the filters of all servers.
 func fillFilters(b *Balancer, key string) {
 	positions := bloom.PositionsOf(bloom.Hash(key))
 	for _, s := range b.servers {
@@ -20,11 +20,11 @@
 	}
 }
 
-// allInTime is a gate share at which all completes in time.
+// allInTime is a gate share at which everything completes in time.
 const allInTime = 1000
 
-// TestEconomySendsNoHedgedRequests guards against hedged requests and unpaid retries that add load where there is a
-// fault, for every level from economy on.
+// TestEconomySendsNoHedgedRequests guards against hedged requests, and retries without a budget, that add load during a
+// fault, at every level from LevelEconomy on.
 func TestEconomySendsNoHedgedRequests(t *testing.T) {
 	for level := LevelFull; level <= LevelShelter; level++ {
 		t.Run(fmt.Sprint(level), func(t *testing.T) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestLateReadsCountAsInTime guards the level at which reads may be late: gates must not shut for answers that clients
-// still wait for, nor reject for expected times over the latency objective.
+// TestLateReadsCountAsInTime guards the level at which reads may be late: gates must not close because of late answers
+// that clients still wait for, nor reject requests whose expected latency exceeds the objective.
 func TestLateReadsCountAsInTime(t *testing.T) {
 	for _, level := range []DegradationLevel{LevelEconomy, LevelLate} {
 		b, now := newSheddingBalancer(t, 1)
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestLateFetchesDoNotCountInAQueue guards against servers whose queue makes all late: a late fetch does not count as
-// in time then, not even at LevelLate.
+// TestLateFetchesDoNotCountInAQueue guards against a queue at the servers that makes everything late: a late fetch must
+// not count as in time then, not even at LevelLate.
 func TestLateFetchesDoNotCountInAQueue(t *testing.T) {
 	b, now := newSheddingBalancer(t, 1)
 	setLevel(b, now, LevelLate)
@@ -131,37 +131,37 @@
 	}
 }
 
-// TestHandoversPassGatesAndKeepARetryReserve guards the levels from handovers on: a gate that is nearly shut admits all
-// keyed requests, and a part of the retry budget is reserved for them.
+// TestHandoversPassGatesAndKeepARetryReserve guards the levels from LevelHandovers on: a gate that is nearly closed
+// admits all keyed requests, and a part of the retry budget is reserved for them.
 func TestHandoversPassGatesAndKeepARetryReserve(t *testing.T) {
-	const nearlyShut = 0.01
-	b, now := newSheddingBalancer(t, nearlyShut)
+	const nearlyClosed = 0.01
+	b, now := newSheddingBalancer(t, nearlyClosed)
 	handover := func(i int) Arrival {
 		return Arrival{ID: uint64(i + 1), Class: handoverClass, Tenant: tenantWithoutQuota, Key: "h", Write: true}
 	}
-	if share := admittedShare(b, now, nearlyShut, 500, handover); share > 0.2 {
-		t.Errorf("at full service %.2f passed a gate that is nearly shut, where all are handovers", share)
+	if share := admittedShare(b, now, nearlyClosed, 500, handover); share > 0.2 {
+		t.Errorf("at LevelFull %.2f of the handovers passed a gate that is nearly closed", share)
 	}
 	setLevel(b, now, LevelHandovers)
-	if share := admittedShare(b, now, nearlyShut, 500, handover); share < 0.99 {
+	if share := admittedShare(b, now, nearlyClosed, 500, handover); share < 0.99 {
 		t.Errorf("%.2f of the handovers passed", share)
 	}
 	b.retryTokens = handoverRetryReserve
-	if b.payForRetry(&request{class: &b.settings.Classes[readClass]}, Rejected) {
-		t.Error("a read spent what is reserved for handovers")
+	if b.allowRetry(&request{class: &b.settings.Classes[readClass]}, Rejected) {
+		t.Error("a read was allowed a retry from the reserve for handovers")
 	}
-	if !b.payForRetry(&request{class: &b.settings.Classes[handoverClass]}, Rejected) {
-		t.Error("a handover may not spend what is reserved for it")
+	if !b.allowRetry(&request{class: &b.settings.Classes[handoverClass]}, Rejected) {
+		t.Error("a handover was not allowed a retry from the reserve for handovers")
 	}
 }
 
-// TestFetchesLeaveCapacityForHandovers guards the level at which handovers go first: reads that fetch are held back as
-// soon as handovers are late, and only then, and only there.
+// TestFetchesLeaveCapacityForHandovers guards the levels that give priority to handovers: reads that fetch must be held
+// back as soon as handovers are late, but not before, and not at lower levels.
 func TestFetchesLeaveCapacityForHandovers(t *testing.T) {
 	for _, c := range []struct {
 		level           DegradationLevel
 		handoversInTime float64 // share
-		minReads        float64 // share that is admitted
+		minReads        float64 // lowest share that is admitted
 		maxReads        float64
 	}{
 		{LevelLate, 0.5, 1, 1},
@@ -190,9 +190,9 @@
 	}
 }
 
-// TestShelterServesCachedKeys guards the last level: reads that would fetch are rejected but for a few that show a
-// recovery; reads of keys that a filter names and handovers are not. What the level rejects is no sign of an overload
-// that would keep it in force.
+// TestShelterServesCachedKeys guards LevelShelter: reads that would fetch are rejected, but for a few that show a
+// recovery. Handovers, and reads of keys that a filter contains, are admitted. Requests that the level rejects must not
+// count as a sign of overload, which would keep the level in force.
 func TestShelterServesCachedKeys(t *testing.T) {
 	b, now := newSheddingBalancer(t, 1)
 	setGates(b, now, allInTime)
@@ -220,8 +220,8 @@
 	}
 }
 
-// TestLevelChangesBetweenArrivalAndRetry guards requests that are in flight as a level comes into force: each gets its
-// one answer, and a keyed one that may have run keeps its deduplication window.
+// TestLevelChangesBetweenArrivalAndRetry guards requests that are in flight when the level changes: each gets exactly
+// one answer, and a keyed request that may have run is not repeated after its dedup window.
 func TestLevelChangesBetweenArrivalAndRetry(t *testing.T) {
 	for level := LevelEconomy; level <= LevelShelter; level++ {
 		t.Run(fmt.Sprint(level), func(t *testing.T) {
@@ -245,15 +245,15 @@
 			setLevel(b, now, LevelFull)
 			second := Outcome{ID: 1, Attempt: 1, Server: retries[0], Result: Reset}
 			actions = b.Handle(now+1500*time.Millisecond, second, nil)
-			if len(actions) != 1 || actions[0].Kind != Fail { // a repeat is no longer dropped, so it is not harmless
-				t.Errorf("beyond the window: %+v", actions)
+			if len(actions) != 1 || actions[0].Kind != Fail { // not safe: the repeat would no longer be dropped
+				t.Errorf("after the dedup window: %+v, want one Fail", actions)
 			}
 		})
 	}
 }
 
-// TestRetryAfterGrowsAndIsSpread guards against clients that are rejected together and come back together, also where
-// the limit bounds the wait.
+// TestRetryAfterGrowsAndIsSpread guards against clients that are rejected together and return together, also where the
+// limit bounds the wait.
 func TestRetryAfterGrowsAndIsSpread(t *testing.T) {
 	for _, limit := range []time.Duration{10 * time.Second, 300 * time.Millisecond} {
 		b, now := newSheddingBalancer(t, 1)
@@ -281,8 +281,8 @@
 	}
 }
 
-// TestCountersCountRequests guards the signals of package overload: what was served late or not at all, by kind, once
-// each, and nothing of clients that left early.
+// TestCountersCountRequests guards the signals of package overload: each request that was served late or not at all is
+// counted once under its kind, and requests whose clients left early are not counted.
 func TestCountersCountRequests(t *testing.T) {
 	b, now := newSheddingBalancer(t, 1)
 	setGates(b, now, allInTime)
@@ -313,8 +313,8 @@
 	b.Handle(now+time.Millisecond, ClientLeft{ID: 5}, nil)
 	b.Handle(now+time.Millisecond, Outcome{ID: 5, Server: servers[0], Result: Cancelled, Final: true}, nil)
 	got := b.TakeCounters()
-	if got.TimedFetches != 0 || got.FetchTimeSum != 0 { // no server has answered a hit, which would show its own time
-		t.Errorf("measured %d fetches as %v", got.TimedFetches, got.FetchTimeSum)
+	if got.TimedFetches != 0 || got.FetchTimeSum != 0 { // no server has answered a hit, so their own latency is unknown
+		t.Errorf("measured %d fetches with a sum of %v objectives", got.TimedFetches, got.FetchTimeSum)
 	}
 	want := Counters{
 		Reads:         2,
@@ -336,9 +336,10 @@
 	run(7, handoverClass, 1100*time.Millisecond, Served, CacheUnknown)
 	got = b.TakeCounters()
 	if got.TimedFetches != 2 || got.FetchTimeSum < 1.49 || got.FetchTimeSum > 1.51 {
-		t.Errorf("of 0.5 and 1 s more: %d fetches as %v objectives", got.TimedFetches, got.FetchTimeSum)
+		t.Errorf("for fetches that took 0.5 s and 1 s longer: counted %d with a sum of %v objectives",
+			got.TimedFetches, got.FetchTimeSum)
 	}
 	if again := b.TakeCounters(); again != (Counters{Servers: 4}) {
-		t.Errorf("counted again: %+v", again)
+		t.Errorf("counts were not reset: %+v", again)
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -15,36 +15,36 @@
 	nameHash      uint64
 	listed        bool
 	unlistedSince time.Duration
-	filter        bloom.Filter // of the keys that it was seen to hold
+	filter        bloom.Filter // of the keys that it is known to hold
 
 	// Connections and attempts of this proxy.
 	inFlight    float64
-	abandoned   float64 // attempts given up whose work may go on, decaying
+	abandoned   float64 // decaying count of abandoned attempts that it may still work on
 	abandonedAt time.Duration
-	lastSend    time.Duration // over a connection that is still open
+	lastSend    time.Duration // 0 after its idle connections were closed
 
 	// Estimates: estimator.go.
-	meanLoad        float64 // smoothed inFlight + abandoned
-	minLatency      float64 // lowest recent latency, seconds
-	processingTime  float64 // smoothed latency above that, seconds
-	promisedHitRate float64 // share of hits when the filter named the key
-	lastSample      time.Duration
-	samples         int // answers measured since its start
+	meanLoad       float64 // smoothed inFlight + abandoned
+	minLatency     float64 // lowest recent latency, seconds
+	processingTime float64 // smoothed latency above minLatency, seconds
+	filterHitRate  float64 // share of hits among reads whose key the filter contained
+	lastSample     time.Duration
+	samples        int // answers measured since its start
 
 	// Failures: outcome.go and outlier.go.
 	consecutiveFailures int
-	lastFailure         time.Duration       // of a connection
-	lastHealthFailure   time.Duration       // the last failure that counted for its health, 0 after a success
-	backoffUntil        time.Duration       // not chosen before, if others are left
+	lastFailure         time.Duration       // time of the last failure of a connection
+	lastHealthFailure   time.Duration       // time of the last failure that counted for its health, 0 after a success
+	backoffUntil        time.Duration       // not chosen before this time, if others are left
 	suspicions          []outlier.Suspicion // by class
-	lastResponse        time.Duration       // of any kind
+	lastResponse        time.Duration       // time of the last response of any kind
 
-	slowStartTokens float64 // sends that it may get while it warms up
+	slowStartTokens float64 // sends that it may get while it is warming up
 	gate            admissionGate
 }
 
-// The backoff between calls for the endpoint list. What a broken subscription misses counts as known 6 s later: half as
-// much again as maxSubscribeBackoff and a call of 3 s stay under that.
+// The backoff between calls for the endpoint list. Changes that a broken subscription misses count as known to the
+// proxy after 6 s: 1.5 times maxSubscribeBackoff, the longest wait with jitter, and a call of 3 s stay within that.
 const (
 	firstSubscribeBackoff = 1600 * time.Millisecond // after a first failure
 	maxSubscribeBackoff   = 2 * time.Second         // after further ones
@@ -52,7 +52,8 @@
 	maxSubscribeDoublings = 3
 )
 
-// updateEndpoints applies an update of the endpoint list and keeps one subscription alive.
+// updateEndpoints applies an update of the endpoint list and, with Settings.EndpointsOnRequest, keeps one subscription
+// open.
 func (b *Balancer) updateEndpoints(u EndpointUpdate) {
 	if b.settings.EndpointsOnRequest && !b.scheduleSubscribe(u.Kind) {
 		return
@@ -70,12 +71,12 @@
 	b.zonalHomes = b.prefersZonalHomes()
 }
 
-// scheduleSubscribe sets the timer for the next call for the list, where there is to be one, and reports whether the
-// update has endpoints to apply.
+// scheduleSubscribe sets a timer for the next call for the list if one is needed, and reports whether the update has
+// endpoints to apply.
 func (b *Balancer) scheduleSubscribe(kind EndpointUpdateKind) bool {
 	poll := b.settings.Rules.MaxPollInterval
 	switch {
-	case !b.listReceived: // all proxies start at once, and the registry is small
+	case !b.listReceived: // spread the calls: all proxies start at once, and the registry is small
 		b.setTimer(timerSubscribe, 0, b.jitter(poll/4))
 	case kind == EndpointsUnavailable:
 		b.subscribing = false
@@ -99,8 +100,8 @@
 	}
 }
 
-// rebuildServing brings the servers that may be chosen in order of name, so that decisions do not depend on the order
-// of a map.
+// rebuildServing rebuilds the list of serving servers. It is sorted by name so that decisions do not depend on the
+// order of a map.
 func (b *Balancer) rebuildServing() {
 	clear(b.serving)
 	b.serving = b.serving[:0]
@@ -134,21 +135,22 @@
 	}
 }
 
-// resetServer drops what a restart made void. The slow-start allowance begins at a random part of one send: the proxies
-// must not all send their first at once.
+// resetServer discards the estimates of a server that is new or has restarted. Its slow-start allowance begins at a
+// random fraction of one send, so that the proxies do not all send their first request at once.
 func (b *Balancer) resetServer(s *server) {
 	s.filter = bloom.Filter{}
 	s.minLatency, s.processingTime, s.lastSample, s.samples = 0, 0, 0, 0
 	s.meanLoad = s.inFlight
-	s.promisedHitRate = 1
+	s.filterHitRate = 1
 	s.consecutiveFailures, s.backoffUntil, s.lastHealthFailure = 0, 0, 0
 	s.slowStartTokens = b.rng.Float64()
 	s.gate = admissionGate{}
 	s.suspicions = make([]outlier.Suspicion, len(b.failureRates))
 }
 
-// rotateFilters lets filters forget keys that have not been used lately, and forgets servers that are gone for good:
-// where names are ever new, the map would grow with each server replaced.
+// rotateFilters makes filters forget keys that were not used recently. It also deletes servers that have not been
+// listed for longer than a maintenancePeriod and have nothing in flight: if each replacement has a new name, the map
+// would grow with every server replaced.
 func (b *Balancer) rotateFilters() {
 	for name, s := range b.servers {
 		s.filter.Rotate()
@@ -158,7 +160,8 @@
 	}
 }
 
-// closeIdleConnections closes connections that are seldom used: servers accept few, and other proxies need them.
+// closeIdleConnections closes the connections to servers that got no request for half a maintenancePeriod, because
+// servers accept few connections and other proxies need them.
 func (b *Balancer) closeIdleConnections() {
 	for _, s := range b.serving {
 		if s.inFlight == 0 && s.lastSend > 0 && b.now-s.lastSend > maintenancePeriod/2 {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -8,7 +8,7 @@
 	"mulleinpier/internal/bloom"
 )
 
-// TestDrainingServerGetsNothing guards the drain rule at the change itself.
+// TestDrainingServerGetsNothing guards against requests to a draining or removed server right after the update.
 func TestDrainingServerGetsNothing(t *testing.T) {
 	b, now := newTestBalancer(t)
 	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestRestartEmptiesTheFilter guards against hits expected from a cache that has started anew.
+// TestRestartEmptiesTheFilter guards against expecting hits from a cache that was emptied by a restart.
 func TestRestartEmptiesTheFilter(t *testing.T) {
 	b, now := newTestBalancer(t)
 	s := b.servers["a"]
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestRemovedServersAreForgotten guards against a map that grows with each server replaced, where names are ever new.
+// TestRemovedServersAreForgotten guards against a map that grows with every server replaced, if each replacement has a
+// new name.
 func TestRemovedServersAreForgotten(t *testing.T) {
 	b, now := newTestBalancer(t)
 	for i := range 200 {
@@ -54,9 +55,10 @@
 	}
 }
 
-// TestSubscribeBackoffLeavesTimeForDrains: a subscription counts as silent 3 s after its last message, and what it
-// missed counts as known 6 s after it fell silent. The wait before the next call must leave a good part of the rest,
-// whatever interval the settings give for polling. Failures in a row wait longer, and calls are spread.
+// TestSubscribeBackoffLeavesTimeForDrains guards against a proxy that learns of a drain too late. A subscription counts
+// as silent 3 s after its last message, and changes that it missed count as known 6 s after it fell silent. The wait
+// before the next call must leave a good part of the remaining time, whatever the polling interval in the settings.
+// Waits grow with consecutive failures, and calls are spread.
 func TestSubscribeBackoffLeavesTimeForDrains(t *testing.T) {
 	const (
 		silentAfter = 3 * time.Second
@@ -70,10 +72,10 @@
 				waits := subscribeBackoffs(t, poll, seed)
 				shortest, longest = min(shortest, waits[0]), max(longest, waits[0])
 				longestSecond = max(longestSecond, waits[1])
-				// However many calls have failed, one more that takes its time is over before a change counts.
+				// However many calls have failed, another slow call must end before a change counts as known.
 				for _, wait := range waits[2:] {
 					if wait > knownAfter-callTimeout {
-						t.Fatalf("a further wait is %v", wait)
+						t.Fatalf("the wait after further failures is %v", wait)
 					}
 				}
 			}
@@ -87,7 +89,7 @@
 	}
 }
 
-// subscribeBackoffs returns the waits after six calls for the endpoint list that fail in a row.
+// subscribeBackoffs returns the waits after six consecutive failed calls for the endpoint list.
 func subscribeBackoffs(t *testing.T, poll time.Duration, seed uint64) (waits [6]time.Duration) {
 	t.Helper()
 	b, err := New(Settings{
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// estimateDecayTime is the time within which an estimate without new samples fades into the fleet's mean.
+	// estimateDecayTime is the time constant with which an estimate without new samples decays to the fleet's mean.
 	estimateDecayTime = 8 * time.Second
 
 	// Weights of a new sample in exponentially weighted moving averages.
@@ -14,19 +14,19 @@
 	loadSampleWeight     = 0.05
 	fleetSampleWeight    = 0.01
 	kindSampleWeight     = 0.02
-	minLatencyRiseWeight = 0.002 // so that one fast answer does not count for ever
+	minLatencyRiseWeight = 0.002 // raises the minimum again, so that one fast answer does not count for ever
 	baselineSampleWeight = 0.002
 
-	// baselineTolerance times the baseline is no queue at the origin yet.
+	// baselineTolerance is the multiple of the baseline up to which the miss penalty shows no queue at the origin.
 	baselineTolerance = 1.3
 
-	// originQueueCostFactor is what a fetch that joins a queue costs all that wait behind it, as a multiple of the
-	// queue.
+	// originQueueCostFactor is the delay that a fetch which joins a queue at the origin adds for all fetches behind it,
+	// as a multiple of the queueing time.
 	originQueueCostFactor = 3.0
 )
 
-// expectedHitTime is the expected response time of a hit in seconds: the lowest latency, and the processing time
-// scaled by current over mean load. An estimate without recent samples fades into the fleet's.
+// expectedHitTime returns the expected response time of a hit in seconds: the lowest latency, plus the processing time
+// scaled by current over mean load. Without recent samples the processing time decays to the fleet's mean.
 func (b *Balancer) expectedHitTime(s *server) float64 {
 	minLatency, processingTime := b.minLatency, b.processingTime
 	if s.lastSample > 0 {
@@ -37,8 +37,8 @@
 	return minLatency + processingTime*(b.currentLoad(s)+1)/(s.meanLoad+1)
 }
 
-// currentLoad counts the attempts that a server works at for this proxy: those in flight, and abandoned ones, whose
-// work goes on for about as long as an answer would have taken.
+// currentLoad returns the number of this proxy's attempts that a server is working on: those in flight, and abandoned
+// ones, which it works on for about as long as an answer would have taken.
 func (b *Balancer) currentLoad(s *server) float64 {
 	if s.abandoned > 0 {
 		decayTime := max(s.minLatency+s.processingTime, b.minLatency+b.processingTime)
@@ -48,8 +48,8 @@
 	return s.inFlight + s.abandoned
 }
 
-// missCost is what a miss costs in seconds. Where keys have several homes, a miss penalty above its baseline means a
-// queue at the origin, which each further fetch makes longer for all behind it. So requests go to the one home that
+// missCost returns the cost of a miss in seconds. With zonal homes, a miss penalty above its baseline means a queue at
+// the origin, and each further fetch delays all fetches behind it. The added cost moves requests to the one home that
 // all proxies share before the origin is full.
 func (b *Balancer) missCost() float64 {
 	if !b.zonalHomes {
@@ -61,7 +61,7 @@
 
 // updateLoad updates a server's load estimates when an attempt ends.
 func (b *Balancer) updateLoad(s *server, result Result) {
-	if s.samples == 0 { // a mean load of zero would make all that is in flight look slow
+	if s.samples == 0 { // a mean load of zero would make any attempt in flight look slow
 		s.meanLoad = max(s.meanLoad, b.currentLoad(s))
 	}
 	s.meanLoad += (b.currentLoad(s) - s.meanLoad) * loadSampleWeight
@@ -71,7 +71,7 @@
 	}
 }
 
-// updateLatencies updates the estimates of a server, its kind of machine and the fleet from a measured latency.
+// updateLatencies updates the estimates of a server, its machine kind and the fleet from a measured latency.
 func (b *Balancer) updateLatencies(s *server, a *attempt, r *request, e Outcome) {
 	latency := e.Took.Seconds()
 	if a.path == hitPath && e.CacheStatus != CacheUnknown {
@@ -79,7 +79,7 @@
 		if e.CacheStatus == CacheHit {
 			hit = 1
 		}
-		s.promisedHitRate += (hit - s.promisedHitRate) * loadSampleWeight
+		s.filterHitRate += (hit - s.filterHitRate) * loadSampleWeight
 	}
 	if e.isMiss() || r.Write {
 		b.updateMissPenalty(s, r, e)
@@ -108,7 +108,8 @@
 	return e.CacheStatus == CacheMiss || e.CacheStatus == CacheMissCoalesced
 }
 
-// updateMissPenalty learns what the origin adds to a miss; a write is counted but not learnt from.
+// updateMissPenalty updates the miss penalty from the latency that the origin added. A write is counted, but does not
+// change the estimate.
 func (b *Balancer) updateMissPenalty(s *server, r *request, e Outcome) {
 	if s.lastSample == 0 {
 		return
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"mulleinpier/policy"
 )
 
-// One proxy routes one request to the only server of its list.
+// A proxy sends one request to the only server in its endpoint list.
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Classes: []policy.Class{{
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// hedgeLatencyMultiple times the expected latency without an answer, the answer is lost rather than late.
+	// After hedgeLatencyMultiple times the expected latency, an answer is considered lost rather than late.
 	hedgeLatencyMultiple = 5.0
 
-	// The bounds of the delay of a hedged request, as shares of the latency objective: sooner, a short pause of the
-	// server would do; later, the hedged request would be too late.
+	// The bounds of the delay before a hedged request, as shares of the latency objective. With a shorter delay a short
+	// pause of the server would cause one; with a longer one the hedged request would be too late.
 	minHedgeDelayShare = 0.2
 	maxHedgeDelayShare = 0.6
 
-	// slowHitMultiple times the expected latency of a hit is exceeded by a healthy server only rarely.
+	// slowHitMultiple times the expected latency of a hit is rarely exceeded by a healthy server.
 	slowHitMultiple = 3.0
 )
 
-// overdueTimes returns until when an attempt that is sent now should have been answered: hedgeAt, after which a hedged
-// request may be sent, and slowAt, after which the server counts as slow even if it answers others.
+// overdueTimes returns the times at which an attempt that is sent now is overdue: after hedgeAt a hedged request may be
+// sent, and after slowAt the server counts as slow even if it answers other requests.
 func (b *Balancer) overdueTimes(r *request, s *server, path servingPath) (hedgeAt, slowAt time.Duration) {
 	expected, objective := b.expectedHitTime(s), r.class.LatencyObjective.Seconds()
 	slow := slowHitMultiple * expected
-	if path == fetchPath { // fetches scatter little compared with queues
+	if path == fetchPath { // fetch times vary little compared with queueing times
 		expected += b.missPenalty
 		slow += b.missPenalty
 	}
@@ -30,8 +30,8 @@
 	return hedgeAt, slowAt
 }
 
-// handleHedgeTimer sends a hedged request for a read that has long had no answer: the answer may be lost, or the server
-// stalled or gone. It only hedges what another cache is expected to hold.
+// handleHedgeTimer sends a hedged request for a read that has waited long for its answer: the answer may be lost, or
+// the server stalled or down. It hedges only if another server's cache is expected to hold the key.
 func (b *Balancer) handleHedgeTimer(r *request) {
 	a := &r.attempts[len(r.attempts)-1]
 	b.recordOverdue(r, a)
@@ -44,8 +44,8 @@
 	}
 }
 
-// recordOverdue counts the only attempt of a request that has no answer against its server if it is slow, now rather
-// than when its client has left. If it may still become slow the timer is set again for that.
+// recordOverdue counts the only open attempt of a request against its server if it is slow, without waiting for the
+// client to give up. If the attempt can still become slow before the deadline, the timer is set again for that time.
 func (b *Balancer) recordOverdue(r *request, a *attempt) {
 	switch {
 	case r.openAttempts != 1 || a.done:
@@ -56,9 +56,9 @@
 	}
 }
 
-// mayHedge reports whether a request whose latest attempt is overdue may have a second one beside it. A server that
-// answers others and is not taken for faulty is waited for. Under overload, when all is slow, hedging would do harm: so
-// it is paid from the retry budget, and not done while the gates shed.
+// mayHedge reports whether a second attempt may be sent beside an overdue one. If the server answers other requests and
+// does not count as faulty, the request waits for it. In an overload all servers are slow and hedging would add load,
+// so a hedged request uses the retry budget, and none is sent while the gates shed load or from LevelEconomy on.
 func (b *Balancer) mayHedge(r *request, a *attempt) bool {
 	answersOthers := a.server.lastResponse > a.sentAt
 	if answersOthers && b.faultProbability(a.server, r.Class) < ejectionProbability {
@@ -67,10 +67,10 @@
 	return r.openAttempts == 1 && b.level < LevelEconomy && b.retryTokens >= 1 && !b.isShedding()
 }
 
-// isSlow reports whether an attempt without an answer counts against its server: a server that has not responded to
-// anything since is silent after a part of the latency objective; one that answers others is slow only far beyond the
-// expected latency, or fetches that take no longer than usual would make busy servers look faulty wherever an
-// objective is short.
+// isSlow reports whether an unanswered attempt counts against its server. A server that has not responded to anything
+// since the attempt was sent is slow after a part of the latency objective. A server that answers others is slow only
+// far beyond the expected latency; otherwise fetches of the usual duration would make busy servers look faulty wherever
+// an objective is short.
 func (b *Balancer) isSlow(a *attempt) bool {
 	silent := a.server.lastResponse <= a.sentAt
 	return b.now >= a.slowAt || b.now >= a.hedgeAt && silent
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -6,7 +6,8 @@
 	"mulleinpier/internal/bloom"
 )
 
-// TestSilentServerIsHedgedElsewhere guards against lost answers: the client's time would run out with the attempt's.
+// TestSilentServerIsHedgedElsewhere guards against lost answers: without a hedged request the client would time out
+// with the attempt.
 func TestSilentServerIsHedgedElsewhere(t *testing.T) {
 	b, now := newTestBalancer(t)
 	b.settings.Limits.AllowHedging = true
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// newTestBalancer returns a balancer with the servers a to d, and the time. Those named have just started.
+// newTestBalancer returns a balancer with the servers a to d, and the current time. The servers in warmingUp have just
+// started.
 func newTestBalancer(t *testing.T, warmingUp ...string) (*Balancer, time.Duration) {
 	t.Helper()
 	now := time.Hour
@@ -33,7 +34,7 @@
 	return b, now
 }
 
-// newFleetBalancer returns a balancer as one of many proxies over sixty servers in four zones.
+// newFleetBalancer returns a balancer for one of 80 proxies with sixty servers in four zones.
 func newFleetBalancer(t *testing.T, seed uint64) *Balancer {
 	t.Helper()
 	b, err := New(Settings{
@@ -53,7 +54,7 @@
 	return b
 }
 
-// sendTargets returns the servers that actions send to.
+// sendTargets returns the servers to which actions send.
 func sendTargets(actions []Action) (servers []string) {
 	for _, a := range actions {
 		if a.Kind == Send {
@@ -63,8 +64,8 @@
 	return servers
 }
 
-// runRequests gives a balancer n requests for new keys, 50 ms apart, and ends each attempt as result says. It returns
-// how many first attempts each server got, and the time after the last.
+// runRequests gives a balancer n requests for new keys, 50 ms apart, and ends each attempt with the result that result
+// returns for its server. It returns the number of first attempts by server, and the time after the last request.
 func runRequests(b *Balancer, now time.Duration, id uint64, n int, result func(server string) Result) (
 	firstAttempts map[string]int, end time.Duration) {
 	firstAttempts = make(map[string]int)
@@ -89,7 +90,7 @@
 	return firstAttempts, now
 }
 
-// sumWhere sums up the attempts at the servers that match.
+// sumWhere returns the number of attempts at the servers that match.
 func sumWhere(attempts map[string]int, match func(server string) bool) (sum int) {
 	for server, n := range attempts {
 		if match(server) {
@@ -99,7 +100,7 @@
 	return sum
 }
 
-// resultWhere ends attempts at the servers that match with a result; others serve.
+// resultWhere returns a function that gives attempts at matching servers a result; others are served.
 func resultWhere(result Result, match func(server string) bool) func(server string) Result {
 	return func(server string) Result {
 		if match(server) {
@@ -109,14 +110,14 @@
 	}
 }
 
-func noServer(string) bool { return false }
+func matchNone(string) bool { return false }
 
 // gates returns the gates of both paths.
 func gates(b *Balancer) []*admissionGate {
 	return []*admissionGate{&b.paths[hitPath].gate, &b.paths[fetchPath].gate}
 }
 
-// setGates sets the gates of both paths to a share as if many requests had been offered.
+// setGates makes the gates of both paths admit a share, as if after many requests, and resets the servers' gates.
 func setGates(b *Balancer, now time.Duration, share float64) {
 	for _, g := range gates(b) {
 		*g = admissionGate{
--- a/policy/history_test.go
+++ b/policy/history_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// testSettings are those of a small deployment with all kinds of classes.
+// testSettings returns the settings of a small deployment with all kinds of classes.
 func testSettings() policy.Settings {
 	class := policy.Class{LatencyObjective: 200 * ms, Deadline: 1000 * ms, PriorityWeight: 1}
 	read, once, stream := class, class, class
@@ -76,7 +76,7 @@
 	token uint64
 }
 
-// history feeds a balancer legal events and checks each action against the rules, by records of its own.
+// history feeds valid random events to a balancer and checks each action against the rules, using its own records.
 type history struct {
 	t           testing.TB
 	settings    policy.Settings
@@ -124,7 +124,7 @@
 	switch a.Kind {
 	case policy.Send, policy.Reject, policy.Fail, policy.Cancel:
 		if r == nil {
-			h.t.Fatalf("action %+v for no request", a)
+			h.t.Fatalf("action %+v for an unknown request", a)
 		}
 	}
 	switch a.Kind {
@@ -137,7 +137,7 @@
 		r.ended = true
 	case policy.Cancel:
 		if a.Attempt >= len(r.attempts) {
-			h.t.Fatalf("cancel of an attempt never made: %+v", a)
+			h.t.Fatalf("cancel of an attempt that was never sent: %+v", a)
 		}
 	case policy.SetTimer:
 		h.timers = append(h.timers, trackedTimer{h.now + max(a.After, h.settings.EventInterval), a.Token})
@@ -168,7 +168,7 @@
 	}
 }
 
-// isDeduplicated reports whether a repeat at a server is dropped after an earlier attempt.
+// isDeduplicated reports whether a server drops a repeat after an earlier attempt.
 func (h *history) isDeduplicated(class *policy.Class, earlier trackedAttempt, target policy.Endpoint) bool {
 	if class.Idempotency != policy.IdempotentWithKey || h.now-earlier.sentAt >= class.DedupWindow {
 		return false
@@ -192,19 +192,19 @@
 	}
 	for _, attempt := range r.attempts {
 		if attempt.inFlight || attempt.mayHaveRun {
-			h.t.Fatalf("rejected what may have run: %+v", r)
+			h.t.Fatalf("rejected a request that may have run: %+v", r)
 		}
 	}
 }
 
 func (h *history) arrive() {
 	h.lastID++
-	patience := time.Duration(50+h.rng.IntN(900)) * ms
+	clientTimeout := time.Duration(50+h.rng.IntN(900)) * ms
 	a := policy.Arrival{
 		ID:       h.lastID,
 		Class:    h.rng.IntN(len(h.settings.Classes)),
 		Tenant:   h.rng.IntN(2),
-		Deadline: h.now + patience,
+		Deadline: h.now + clientTimeout,
 		Write:    h.rng.IntN(10) == 0,
 	}
 	if h.rng.IntN(8) > 0 {
@@ -315,7 +315,7 @@
 	return changed
 }
 
-// completeList returns all endpoints, each twice, without some that are dropped at random.
+// completeList returns all endpoints, each twice, except for some that are dropped at random.
 func (h *history) completeList() (list []policy.Endpoint) {
 	for _, name := range h.names {
 		endpoint := h.endpoints[name]
@@ -341,7 +341,7 @@
 	}
 }
 
-// checkAnswered checks that no request is left unanswered after its deadline.
+// checkAnswered checks that no request is unanswered after its deadline.
 func (h *history) checkAnswered() {
 	for _, id := range h.ids {
 		r := h.requests[id]
@@ -354,7 +354,7 @@
 	}
 }
 
-// reconfigure puts other classes, in another order, and other limits into force.
+// reconfigure applies settings with other limits and with other classes in another order.
 func (h *history) reconfigure() {
 	next := testSettings()
 	next.EndpointsOnRequest = h.settings.EndpointsOnRequest
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The bounds of the time for which a server whose connections fail is not chosen.
+// The bounds of the backoff of a server whose connections fail.
 const (
 	minServerBackoff = 250 * time.Millisecond
 	maxServerBackoff = 4 * time.Second
@@ -10,7 +10,8 @@
 	maxBackoffDoublings = 8 // more would exceed maxServerBackoff in any case
 )
 
-// outcomeEffect is what an outcome says about its server and about load. The numbers are 0 or 1, to be added to counts.
+// outcomeEffect is what an outcome says about its server and about load. Its numbers are 0 or 1 and are added to
+// counts.
 type outcomeEffect struct {
 	inTime           float64
 	failed           float64
@@ -23,13 +24,13 @@
 	s := a.server
 	b.updateLoad(s, e.Result)
 	switch {
-	case e.Result == NotSent: // its server has not seen it, and nothing follows from that
+	case e.Result == NotSent: // the server has not received it, so it says nothing about the server
 		b.observeGates(a, gateSample{offered: -1})
 		return
 	case a.sentAt < s.StartedAt: // sent before the server's restart
 		return
 	case a.spannedPause:
-		b.learnAcrossPause(r, s, e.Result)
+		b.learnFromOutcomeAcrossPause(r, s, e.Result)
 		return
 	}
 	if e.Result != Cancelled && e.Result != TimedOut && e.Result != ConnectFailed {
@@ -37,16 +38,17 @@
 	}
 	b.countFetch(r, a, e)
 	effect := b.applyResult(r, a, e)
-	b.learnHealth(r, a, e.Result, effect)
-	if b.saysNothingOfLoad(r, s, e, effect) {
+	b.recordOutcomeHealth(r, a, e.Result, effect)
+	if b.isUnrelatedToLoad(r, s, e, effect) {
 		b.observeGates(a, gateSample{offered: -1, inTime: effect.inTime})
 	} else {
 		b.observeGates(a, gateSample{completed: 1, inTime: effect.inTime})
 	}
 }
 
-// learnHealth counts an outcome for the health of its server and for the connections of all.
-func (b *Balancer) learnHealth(r *request, a *attempt, result Result, effect outcomeEffect) {
+// recordOutcomeHealth counts an outcome for the health of its server and for the connection failure rate of all
+// servers.
+func (b *Balancer) recordOutcomeHealth(r *request, a *attempt, result Result, effect outcomeEffect) {
 	if result == ConnectionLimitReached {
 		return
 	}
@@ -68,7 +70,7 @@
 	b.paths[a.path].gate.observe(b.now, sample)
 }
 
-// applyResult updates what depends on the kind of result.
+// applyResult makes the updates that depend on the kind of result.
 func (b *Balancer) applyResult(r *request, a *attempt, e Outcome) (effect outcomeEffect) {
 	s := a.server
 	switch e.Result {
@@ -77,7 +79,7 @@
 		if b.countsAsInTime(r, a) {
 			effect.inTime = 1
 		}
-		b.earnRetry()
+		b.refillRetryBudget()
 		r.served = true
 		if r.cacheable {
 			s.filter.Add(&r.filterPositions)
@@ -91,21 +93,21 @@
 		effect.failed, effect.maybeFaulty = 1, true
 	case Malformed:
 		effect.failed = 1
-	case Cancelled: // its time was up, or a hedged request was faster
+	case Cancelled: // its request ended first: at the deadline, by its client or by a faster hedged request
 		if b.isSlow(a) {
 			effect.failed, effect.maybeFaulty = 1, true
 		}
 	case ConnectFailed, Reset:
 		b.countBrokenConnection(s, a, e.Result)
 		effect.failed, effect.connectionFailed = 1, 1
-	case ConnectionLimitReached: // a healthy server whose connections other proxies use
+	case ConnectionLimitReached: // a healthy server whose connections are all used by other proxies
 		s.backoffUntil = b.now + b.jitter(minServerBackoff)
 	}
 	return effect
 }
 
-// countsAsInTime reports whether an answer that arrives now is in time for the gates. At LevelLate a slow origin makes
-// fetches late, which is accepted; a queue at the servers, which shows in what was expected to be a hit, is not.
+// countsAsInTime reports whether an answer that arrives now is in time for the gates. At LevelLate fetches that a slow
+// origin delays count as in time, but not while there is a queue at the servers, which shows in late hits.
 func (b *Balancer) countsAsInTime(r *request, a *attempt) bool {
 	if b.now-r.arrivedAt <= r.class.LatencyObjective {
 		return true
@@ -114,30 +116,31 @@
 		b.paths[hitPath].gate.admitShare(admissionPrior) == 1
 }
 
-// countBrokenConnection ejects a server for a while if its connections break more often than by chance. The end of one
-// connection is one failure, whatever waited on it, and does not show that the server has gone as long as others come
-// up.
+// countBrokenConnection puts a server into backoff if its connections break more often than by chance. One broken
+// connection is one failure, however many attempts waited on it, and does not show that the server is down as long as
+// other connections can be opened.
 func (b *Balancer) countBrokenConnection(s *server, a *attempt, result Result) {
 	if a.sentAt < s.lastFailure {
 		return
 	}
 	s.consecutiveFailures++
 	s.lastFailure = b.now
-	mayBeGone := result == ConnectFailed || s.consecutiveFailures > 1
-	if mayBeGone && b.unlikelyByChance(s.consecutiveFailures) {
+	mayBeDown := result == ConnectFailed || s.consecutiveFailures > 1
+	if mayBeDown && b.unlikelyByChance(s.consecutiveFailures) {
 		backoff := min(minServerBackoff<<min(s.consecutiveFailures, maxBackoffDoublings), maxServerBackoff)
 		s.backoffUntil = b.now + b.jitter(backoff)
 	}
 }
 
-// saysNothingOfLoad reports whether an outcome must not count at the gates.
-func (b *Balancer) saysNothingOfLoad(r *request, s *server, e Outcome, effect outcomeEffect) bool {
+// isUnrelatedToLoad reports whether an outcome says nothing about load and must not count as completed at the gates.
+func (b *Balancer) isUnrelatedToLoad(r *request, s *server, e Outcome, effect outcomeEffect) bool {
 	switch e.Result {
 	case ConnectFailed, ConnectionLimitReached, Reset, Malformed:
 		return true
 	case Cancelled:
-		// After another attempt has served the request that one counts. A client that gives up before the latency
-		// objective shows its patience, not load: gates that shut for it would reject what idle servers could answer.
+		// If another attempt has served the request, that attempt counts. A client that gives up before the latency
+		// objective says nothing about load: gates that close because of it would reject requests that idle servers
+		// could answer.
 		if r.served || b.now-r.arrivedAt < r.class.LatencyObjective {
 			return true
 		}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,42 +7,44 @@
 	"mulleinpier/internal/outlier"
 )
 
-// This file tells faulty servers from failures that affect all.
+// This file distinguishes faulty servers from failures that affect all servers.
 //
-// A proxy of a large fleet meets a server once in some seconds, and cannot wait for a dozen failures of it. So each
-// server is taken for one of two kinds, healthy or faulty. How often healthy ones fail is learnt from all together,
-// and what is seen of one server moves the odds between the two: two failures in a row mean much where others hardly
-// fail, and nothing where all do. Zones are judged in the same way by attempts that could not reach their servers.
+// In a large fleet a proxy sends to one server only every few seconds, and cannot wait for a dozen failures of it. So
+// each server is modelled as either healthy or faulty. The failure rate of healthy servers is estimated from all
+// servers together, and each attempt at one server moves the odds between the two: two failures in a row are strong
+// evidence if other servers rarely fail, and none if all do. Zones are judged in the same way, by attempts that could
+// not reach their servers.
 
 const (
-	maxHealthDecayTime = 20 * time.Second // where servers are met too seldom for minHealthSamples
+	maxHealthDecayTime = 20 * time.Second // if a server gets too few attempts for minHealthSamples
 
-	// minHealthSamples of a server are to be remembered, if they take no longer than maxHealthDecayTime.
+	// minHealthSamples is how many samples of a server are remembered, if they arrive within maxHealthDecayTime.
 	minHealthSamples = 6.0
 
-	// minAttemptsPerSecond of a server keeps the decay time finite.
+	// minAttemptsPerSecond is the lowest rate that is assumed for a server. It keeps the decay time finite.
 	minAttemptsPerSecond = 1e-3
 
 	singleFailureProbability = 0.35 // the highest fault probability after one failure
 
-	// maxChanceFailures is how many failures in a row may be chance; more count as none.
+	// maxChanceFailures is how many failures in a row before a success count as chance; further ones do not.
 	maxChanceFailures = 3.0
 
 	// ejectionProbability is the fault probability from which a server's failures say nothing about load. It is high
-	// since a queue that stays full for a second looks like a fault, too.
+	// because a queue that stays full for a second also looks like a fault.
 	ejectionProbability = 0.9
 
-	// maxFaultyShare of all servers may be faulty; beyond it the failures affect all.
+	// maxFaultyShare is the share of all servers that may be faulty. Beyond it failures increasingly count as affecting
+	// all servers.
 	maxFaultyShare = 0.2
 
-	// recentResponseTime is how long after its last response a server counts as one that can be reached.
+	// recentResponseTime is how long after its last response a server counts as reachable.
 	recentResponseTime = outlier.DecayTime / 8
 
-	// chanceProbability is the probability under which something is not taken for chance.
-	chanceProbability = 0.01
+	// significanceLevel is the probability below which failures are not attributed to chance.
+	significanceLevel = 0.01
 )
 
-// healthDecayTime is how long what is seen of one server counts: long enough for some samples.
+// healthDecayTime returns the decay time of one server's health: long enough for some samples.
 func (b *Balancer) healthDecayTime() time.Duration {
 	b.connectionFailures.Decay(b.now, outlier.DecayTime)
 	servers := float64(max(len(b.serving), 1))
@@ -51,7 +53,8 @@
 	return max(outlier.DecayTime, min(maxHealthDecayTime, needed))
 }
 
-// baselineFailureRate is the share of a class's attempts that fails at healthy servers.
+// baselineFailureRate returns the share of a class's attempts that fails at healthy servers. If too many servers look
+// faulty, it rises towards the share that fails at all servers.
 func (b *Balancer) baselineFailureRate(class int) float64 {
 	all, healthy := &b.failureRates[class], &b.healthyFailureRates[class]
 	all.Decay(b.now, outlier.DecayTime)
@@ -67,9 +70,10 @@
 	return healthy.Rate() + max(all.Rate()-healthy.Rate(), 0)*affectsAll
 }
 
-// faultProbability is the probability that a server is faulty for a class: it answers with errors, with nothing or
-// with noise, for all classes or for one. What an overload or a failed origin makes fail, fails at all servers and
-// counts against none. Where the misses of a warming server fail before those of others do, it is suspected wrongly.
+// faultProbability returns the probability, above the prior, that a server is faulty for a class: it answers with
+// errors or malformed data, or not at all, for one class or for all. Failures due to an overload or a failed origin
+// occur at all servers and count against none. If the misses of a warming server fail before those of others do, the
+// server is suspected wrongly.
 func (b *Balancer) faultProbability(s *server, class int) float64 {
 	probability := 0.0
 	if own := &s.suspicions[class]; own.LogOdds > 0 {
@@ -83,9 +87,9 @@
 	return probability
 }
 
-// suspectedZone returns the suspicion against a server's zone, nil for none. The servers of a lost zone are each met
-// seldom; together they show the loss within some requests. A server that has responded lately is left out: it can be
-// reached all the same.
+// suspectedZone returns the suspicion against a server's zone, nil for none. Each server of an unreachable zone gets
+// few requests, but together they show the loss within some requests. A server that has responded recently is left out
+// because it can be reached.
 func (b *Balancer) suspectedZone(s *server) *outlier.Suspicion {
 	if s.Zone < 0 || s.Zone >= len(b.zoneSuspicions) || len(b.zoneSuspicions) == 1 {
 		return nil
@@ -97,10 +101,10 @@
 	return zone
 }
 
-// avoidanceCost is what is added to the cost of a server that may be faulty, in latency objectives. A
-// single failure moves no key, as that would cost a fetch at another server. Where servers are met often, some more
-// requests tell the faulty from those that pause, and only servers at ejectionProbability are avoided: moving the keys
-// of servers that pause in turn could overload the origin with fetches.
+// avoidanceCost returns the cost that is added for a server that may be faulty, in latency objectives. A single failure
+// moves no key, because a move costs a fetch at another server. Where servers get many requests, a few more of them
+// tell a faulty server from one that pauses, so only servers from ejectionProbability on are avoided: if servers pause
+// in turn, moving their keys could overload the origin with fetches.
 func (b *Balancer) avoidanceCost(s *server, class int) float64 {
 	probability := b.faultProbability(s, class)
 	if probability <= singleFailureProbability {
@@ -113,21 +117,22 @@
 	return max(probability-threshold, 0) / (1 - threshold)
 }
 
-// healthSample is how an attempt ended for its server's health; each value is 0 or 1.
+// healthSample is what an attempt says about its server's health; each value is 0 or 1.
 type healthSample struct {
 	failed    float64
 	unreached float64 // it did not reach its server
 }
 
-// recordHealth counts how an attempt ended for its server's health, once.
+// recordHealth counts an attempt for the health of its server and zone, once.
 func (b *Balancer) recordHealth(s *server, a *attempt, class int, sample healthSample) {
 	if a.healthRecorded {
 		return
 	}
 	a.healthRecorded = true
 	if sample.failed > 0 {
-		// What was in flight together fails together: a pause, or a connection's end, is one failure until something
-		// is answered again. Nor is a warming server faulty because it is slow and asks the origin.
+		// Attempts in flight together fail together: a pause, or the end of a connection, counts as one failure until
+		// something is answered again. A warming server is slow and asks the origin, which does not make it faulty
+		// either.
 		if a.sentAt < s.lastHealthFailure || b.capacityShare(s) < 1 {
 			return
 		}
@@ -135,7 +140,7 @@
 	} else {
 		s.lastHealthFailure = 0
 	}
-	b.recordOwnHealth(s, class, sample.failed)
+	b.countConsecutiveFailures(s, class, sample.failed)
 	baseline := b.baselineFailureRate(class)
 	s.suspicions[class].Observe(b.now, b.healthDecayTime(), sample.failed, baseline)
 	b.failureRates[class].Observe(b.now, 1, sample.failed)
@@ -144,9 +149,9 @@
 	}
 }
 
-// recordOwnHealth counts a server's failures in a row. A success shows that they were chance: then they count among the
-// failures of healthy servers.
-func (b *Balancer) recordOwnHealth(s *server, class int, failed float64) {
+// countConsecutiveFailures counts a server's failures in a row. A success shows that they were chance, so they then
+// count among the failures of healthy servers.
+func (b *Balancer) countConsecutiveFailures(s *server, class int, failed float64) {
 	own := &s.suspicions[class]
 	own.ConsecutiveFailures += failed
 	if failed > 0 || b.capacityShare(s) < 1 {
@@ -157,12 +162,12 @@
 	own.ConsecutiveFailures = 0
 }
 
-// unlikelyByChance reports whether so many connections in a row would seldom break by chance, as often as they break
-// at all servers together. A server must not be ejected, and its keys moved, for what affects all: networks that reset
-// or drop idle connections, proxies or nodes short of descriptors. Where most of a fleet fails at once, the first
-// failures at each server are taken for the network's, and cost a retry each.
+// unlikelyByChance reports whether this many connections in a row are unlikely to break by chance, given how often they
+// break at all servers together. A server must not be ejected, and its keys moved, for causes that affect all: networks
+// that reset or drop idle connections, or proxies or servers that run out of descriptors. If most of a fleet fails at
+// once, the first failures at each server are attributed to the network and cost a retry each.
 func (b *Balancer) unlikelyByChance(failures int) bool {
 	b.connectionFailures.Observe(b.now, 0, 0)
 	rate := b.connectionFailures.Rate()
-	return math.Pow(rate, float64(failures)) < chanceProbability
+	return math.Pow(rate, float64(failures)) < significanceLevel
 }
--- a/policy/outlier_baseline_test.go
+++ b/policy/outlier_baseline_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// TestBaselineCountsFailuresThatPass guards the failure rate of healthy servers: a fifth of all servers failing at all
-// times must not be taken for a fifth of all requests failing anywhere, or it takes minutes to eject them.
+// TestBaselineCountsFailuresThatPass guards the failure rate of healthy servers. If a fifth of all servers fails
+// permanently, that must not count as a failure rate of a fifth at all servers, or ejecting the faulty ones takes
+// minutes.
 func TestBaselineCountsFailuresThatPass(t *testing.T) {
 	b := newFleetBalancer(t, 4)
-	_, now := runRequests(b, time.Hour, 0, 600, resultWhere(Served, noServer))
+	_, now := runRequests(b, time.Hour, 0, 600, resultWhere(Served, matchNone))
 	isFaulty := func(server string) bool { return server[2] == '3' || server[2] == '7' }
 	_, now = runRequests(b, now, 1000, 300, resultWhere(Errored, isFaulty))
 	if rate := b.baselineFailureRate(0); rate > 0.05 {
-		t.Errorf("%.2f of attempts at healthy servers seem to fail, none does", rate)
+		t.Errorf("%.2f of attempts at healthy servers count as failed, although none fails", rate)
 	}
 	b = newFleetBalancer(t, 4)
 	n := 0
@@ -25,12 +26,12 @@
 		return Served
 	})
 	if rate := b.baselineFailureRate(0); rate < 0.1 || rate > 0.3 {
-		t.Errorf("%.2f of attempts at healthy servers seem to fail, a fifth does", rate)
+		t.Errorf("%.2f of attempts at healthy servers count as failed, although a fifth fails", rate)
 	}
 }
 
-// TestFailuresBeforeASuccessCountAsChance guards what counts as chance: all failures in a row that a success follows,
-// but not of a long row; and none of a row that goes on.
+// TestFailuresBeforeASuccessCountAsChance guards which failures count as chance: consecutive failures before a success,
+// up to maxChanceFailures, and none in a sequence without a success.
 func TestFailuresBeforeASuccessCountAsChance(t *testing.T) {
 	b := newFleetBalancer(t, 6)
 	s, now := b.serving[0], time.Hour
@@ -53,16 +54,16 @@
 		record(1)
 	}
 	if rate := b.baselineFailureRate(0); rate != 0 {
-		t.Errorf("of a row that goes on %.2f counts as chance", rate)
+		t.Errorf("%.2f counts as chance in a sequence of failures without a success", rate)
 	}
 	record(0)
 	if failures := b.healthyFailureRates[0].Failures; failures != maxChanceFailures {
-		t.Errorf("of a row of fifty that ended %v count as chance, want %v", failures, maxChanceFailures)
+		t.Errorf("of fifty failures before a success %v count as chance, want %v", failures, maxChanceFailures)
 	}
 }
 
-// TestManyFaultyServersAreEjected guards a fault of a third of all servers, as of one kind of machine: the others serve
-// all that they are asked, so the failures do not affect all.
+// TestManyFaultyServersAreEjected guards a fault of a third of all servers, for example of one machine kind: the other
+// servers answer all their requests, so the failures do not affect all servers.
 func TestManyFaultyServersAreEjected(t *testing.T) {
 	b := newFleetBalancer(t, 7)
 	isFaulty := func(server string) bool {
@@ -71,13 +72,13 @@
 	result := resultWhere(Errored, isFaulty)
 	_, now := runRequests(b, time.Hour, 0, 1200, result)
 	firstAttempts, _ := runRequests(b, now, 2000, 600, result)
-	if got := sumWhere(firstAttempts, isFaulty); got > 100 { // 200 are their share
+	if got := sumWhere(firstAttempts, isFaulty); got > 100 { // their fair share is 200
 		t.Errorf("%d of 600 requests still go to twenty faulty servers of sixty", got)
 	}
 }
 
-// TestFailuresEverywhereOfOneClass guards the classes against each other: what fails everywhere for one is no reason to
-// take another's faulty server for chance.
+// TestFailuresEverywhereOfOneClass guards against mixing up classes: failures of one class at all servers must not make
+// a faulty server of another class look like chance.
 func TestFailuresEverywhereOfOneClass(t *testing.T) {
 	b := newFleetBalancer(t, 8)
 	settings := *b.settings
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -9,36 +9,36 @@
 	"mulleinpier/internal/outlier"
 )
 
-// TestFaultyServersAreLearntFromFewRequests guards a proxy that meets a server once in three seconds: what fails time
-// and again gets little within half a minute, however healthy it was before.
+// TestFaultyServersAreLearntFromFewRequests guards a proxy that sends to each server once in three seconds: servers
+// that fail permanently must get few requests within half a minute, however healthy they were before.
 func TestFaultyServersAreLearntFromFewRequests(t *testing.T) {
 	b := newFleetBalancer(t, 1)
 	isFaulty := func(s string) bool { return s == "s03" || s == "s17" || s == "s31" || s == "s44" }
-	_, now := runRequests(b, time.Hour, 0, 600, resultWhere(Served, noServer))
+	_, now := runRequests(b, time.Hour, 0, 600, resultWhere(Served, matchNone))
 	_, now = runRequests(b, now, 1000, 600, resultWhere(Errored, isFaulty))
 	firstAttempts, _ := runRequests(b, now, 2000, 600, resultWhere(Errored, isFaulty))
 	got := sumWhere(firstAttempts, isFaulty)
-	if got > 20 { // 40 are their share
+	if got > 20 { // their fair share is 40
 		t.Errorf("%d of 600 requests still go to four faulty servers of sixty", got)
 	}
 	if got == 0 {
-		t.Error("nothing goes to them any more: their recovery would not be seen")
+		t.Error("no request goes to the faulty servers any more: their recovery would not be noticed")
 	}
 }
 
-// TestLostZoneIsLearntAsOne guards against a proxy that has to learn about each server of a lost zone by itself.
+// TestLostZoneIsLearntAsOne guards against a proxy that has to detect each server of a lost zone separately.
 func TestLostZoneIsLearntAsOne(t *testing.T) {
 	b := newFleetBalancer(t, 2)
 	isLost := func(server string) bool { return b.servers[server].Zone == 2 }
-	_, now := runRequests(b, time.Hour, 0, 200, resultWhere(Served, noServer))
+	_, now := runRequests(b, time.Hour, 0, 200, resultWhere(Served, matchNone))
 	_, now = runRequests(b, now, 1000, 20, resultWhere(ConnectFailed, isLost))
 	firstAttempts, _ := runRequests(b, now, 2000, 100, resultWhere(ConnectFailed, isLost))
-	if got := sumWhere(firstAttempts, isLost); got > 2 { // 25 are its share
+	if got := sumWhere(firstAttempts, isLost); got > 2 { // its fair share is 25
 		t.Errorf("a second after a zone was lost %d of 100 requests still go there", got)
 	}
 }
 
-// TestFailuresEverywhereEjectNoServer guards the gates: failures at all servers are load, and must count.
+// TestFailuresEverywhereEjectNoServer guards the gates: failures at all servers are due to load, and must count.
 func TestFailuresEverywhereEjectNoServer(t *testing.T) {
 	b := newFleetBalancer(t, 3)
 	now, n := time.Hour, 0
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestAttemptsInFlightTogetherFailOnce guards healthy servers that pause, or lose a connection, under many requests:
-// each such moment would move all keys of a server for seconds.
+// TestAttemptsInFlightTogetherFailOnce guards healthy servers that pause, or lose a connection, with many requests in
+// flight: each such event would otherwise move all keys of a server for seconds.
 func TestAttemptsInFlightTogetherFailOnce(t *testing.T) {
 	b := newFleetBalancer(t, 4)
 	now := time.Hour + time.Second
@@ -84,13 +84,13 @@
 	}
 	b.now = now + latency
 	if p := b.faultProbability(server, 0); p >= 0.5 || p == 0 {
-		t.Errorf("one connection's end under twenty requests gives a fault probability of %.2f", p)
+		t.Errorf("one broken connection with twenty requests in flight gives a fault probability of %.2f", p)
 	}
 }
 
-// faultAfter records thirty attempts a second for some seconds at one server. Those that fail do so after half a
-// second, the others are answered at once. It returns the fault probability at the end.
-func faultAfter(t *testing.T, seconds int, fails func(i int) bool) float64 {
+// faultProbabilityAfter records thirty attempts a second at one server, for a number of seconds. Attempts that fail do
+// so after half a second, the others are answered after 50 ms. It returns the fault probability at the end.
+func faultProbabilityAfter(t *testing.T, seconds int, fails func(i int) bool) float64 {
 	b := newFleetBalancer(t, 5)
 	type completion struct {
 		at      time.Duration
@@ -111,25 +111,25 @@
 	for _, c := range completions {
 		b.now = c.at
 		b.recordHealth(s, c.attempt, 0, c.sample)
-		for _, other := range b.serving[1:] { // which are healthy
+		for _, other := range b.serving[1:] { // the others are healthy
 			b.recordHealth(other, &attempt{server: other, sentAt: b.now}, 0, healthSample{})
 		}
 	}
 	return b.faultProbability(s, 0)
 }
 
-// TestSlowServerOfManyRequestsIsEjected guards a busy proxy: most of what it sends to a server is late and the rest is
-// answered, so a failure that was in flight with another must count again once something was answered between them.
+// TestSlowServerOfManyRequestsIsEjected guards a busy proxy: most answers of a server are late and the rest are not, so
+// of two failures that were in flight together the later must count if something was answered between them.
 func TestSlowServerOfManyRequestsIsEjected(t *testing.T) {
-	p := faultAfter(t, 4, func(i int) bool { return i*7%10 < 7 })
+	p := faultProbabilityAfter(t, 4, func(i int) bool { return i*7%10 < 7 })
 	if p < ejectionProbability-outlier.PriorProbability {
 		t.Errorf("a server that fails seven in ten of thirty requests a second has a fault probability of %.2f", p)
 	}
-	if p := faultAfter(t, 4, func(i int) bool { return i%12 == 0 }); p > singleFailureProbability {
+	if p := faultProbabilityAfter(t, 4, func(i int) bool { return i%12 == 0 }); p > singleFailureProbability {
 		t.Errorf("a server that fails one in twelve has a fault probability of %.2f", p)
 	}
-	// A pause of 0.3 s: all that is sent in it is late, and nothing is answered meanwhile.
-	if p := faultAfter(t, 1, func(i int) bool { return i >= 21 }); p > singleFailureProbability {
+	// A pause of 0.3 s: all requests sent during the pause are late, and nothing is answered meanwhile.
+	if p := faultProbabilityAfter(t, 1, func(i int) bool { return i >= 21 }); p > singleFailureProbability {
 		t.Errorf("a server that paused once has a fault probability of %.2f", p)
 	}
 }
@@ -140,15 +140,15 @@
 	status  CacheStatus
 }
 
-// runShortObjective plays requests at twelve servers, one each 5 ms, of a class whose latency objective is little more
-// than a fetch takes. Timers fire at their time. It returns the balancer.
+// runShortObjective sends requests to twelve servers, one every 5 ms, of a class whose latency objective is little more
+// than a fetch takes. Timers fire on time. It returns the balancer.
 func runShortObjective(t *testing.T, length time.Duration, answers func(server string, request int) answer) *Balancer {
 	t.Helper()
-	const patience = 670 * time.Millisecond
+	const clientTimeout = 670 * time.Millisecond
 	b, err := New(Settings{
 		Classes: []Class{{
 			LatencyObjective: 150 * time.Millisecond,
-			Deadline:         patience,
+			Deadline:         clientTimeout,
 			PriorityWeight:   1,
 			LateWeightShare:  0.3,
 		}},
@@ -168,7 +168,7 @@
 	events := eventQueue{attempts: make(map[uint64]int)}
 	for i, now := 0, start; now < start+length; i, now = i+1, now+5*time.Millisecond {
 		key := fmt.Sprint("k", i%997)
-		events.add(now, Arrival{ID: uint64(i + 1), Tenant: -1, Key: key, Deadline: now + patience})
+		events.add(now, Arrival{ID: uint64(i + 1), Tenant: -1, Key: key, Deadline: now + clientTimeout})
 		for events.isDue(now) {
 			event := events.take()
 			for _, a := range b.Handle(event.at, event.event, nil) {
@@ -179,7 +179,7 @@
 	return b
 }
 
-// eventQueue holds events that are still to come, and how many attempts each request has had.
+// eventQueue holds pending events, and the number of attempts of each request.
 type eventQueue struct {
 	events   []timedEvent
 	attempts map[uint64]int
@@ -194,7 +194,7 @@
 	q.events = append(q.events, timedEvent{at, event})
 }
 
-// isDue reports whether an event is due at now, and brings the earliest to the front.
+// isDue reports whether an event is due at now, and moves the earliest event to the front.
 func (q *eventQueue) isDue(now time.Duration) bool {
 	slices.SortStableFunc(q.events, func(x, y timedEvent) int { return int(x.at - y.at) })
 	return len(q.events) > 0 && q.events[0].at <= now
@@ -206,7 +206,7 @@
 	return first
 }
 
-// carryOut adds the events that follow an action.
+// carryOut queues the events that result from an action.
 func (q *eventQueue) carryOut(now time.Duration, a Action, answers func(server string) answer) {
 	switch a.Kind {
 	case Send:
@@ -231,8 +231,8 @@
 }
 
 // TestFetchesOfAShortObjectiveAreNoFailures guards healthy fleets whose latency objective is little more than a fetch
-// takes: a fetch that takes as long as usual must not count as a failure, or healthy servers would be avoided and their
-// keys fetched elsewhere.
+// takes: a fetch of the usual duration must not count as a failure, or healthy servers would be avoided and their keys
+// fetched at other servers.
 func TestFetchesOfAShortObjectiveAreNoFailures(t *testing.T) {
 	usual := func(_ string, i int) answer {
 		switch {
@@ -254,7 +254,7 @@
 	}
 	b = runShortObjective(t, 6*time.Second, func(server string, i int) answer {
 		if server == "s03" && i > 400 {
-			return answer{} // silent from then on
+			return answer{} // it does not answer from then on
 		}
 		return usual(server, i)
 	})
@@ -263,9 +263,9 @@
 	}
 }
 
-// TestSuspectsAreAvoidedWhereMetSeldom guards the origin: a server that pauses may look faulty for seconds, and each
-// of its keys that is asked elsewhere meanwhile is a fetch. A busy proxy knows soon enough; one that meets a server
-// once in seconds cannot wait.
+// TestSuspectsAreAvoidedWhereMetSeldom guards the origin: a server that pauses may look faulty for seconds, and each of
+// its keys that another server is asked for meanwhile costs a fetch. A busy proxy can wait for more evidence; one that
+// sends to a server only every few seconds cannot.
 func TestSuspectsAreAvoidedWhereMetSeldom(t *testing.T) {
 	const often, seldom = time.Millisecond, 50 * time.Millisecond // between two requests of the proxy
 	for _, c := range []struct {
--- a/policy/pause.go
+++ b/policy/pause.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// handlePause keeps a pause of this process that has just ended out of all that is learnt. After a pause all servers
-// look slow at once, and all gates as if nothing had been offered for long. The duration of what was in flight says
-// nothing any more, and the gates remember what was before: a proxy that resumes must not send as if its servers had
-// become idle. Where a gate was shut for a fault that ended meanwhile, it opens as fast as it would have done then.
+// handlePause excludes a pause of this process that has just ended from the estimates. After a pause all servers look
+// slow at once, and all gates look as if nothing had been offered for a long time. So the durations of attempts that
+// were in flight are ignored, and the gates keep their counts: a proxy that resumes must not send as if its servers had
+// become idle. A gate that was closed for a fault that ended during the pause reopens as fast as it would have without
+// the pause.
 func (b *Balancer) handlePause(pause time.Duration) {
 	for _, r := range b.requests {
 		r.spannedPause = true
@@ -28,9 +29,9 @@
 	b.handoverGate.updated += pause
 }
 
-// learnAcrossPause learns from an attempt that was in flight in a pause what does not depend on time: that its server
-// answered, and holds the key now.
-func (b *Balancer) learnAcrossPause(r *request, s *server, result Result) {
+// learnFromOutcomeAcrossPause records what an attempt that was in flight during a pause shows regardless of time: that
+// its server answered, and holds the key now.
+func (b *Balancer) learnFromOutcomeAcrossPause(r *request, s *server, result Result) {
 	if result != Served {
 		return
 	}
--- a/policy/pause_test.go
+++ b/policy/pause_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestPauseSaysNothingOfServers guards what a proxy has learnt against a pause of its own: what was in flight completes
-// late, all at once; no server is worse for it, no gate opens by it and no filter forgets.
+// TestPauseSaysNothingOfServers guards a proxy's estimates against a pause of its own process. Attempts in flight
+// complete late and all at once: this must not count against any server, or let a gate forget what was offered.
 func TestPauseSaysNothingOfServers(t *testing.T) {
 	t.Run("notified", func(t *testing.T) {
 		p := newPausedProxy(t)
@@ -23,17 +23,17 @@
 		p.pause()
 		p.completeAll()
 		if !p.hasChangedEstimates() {
-			t.Error("nothing was changed without the notification: the test shows nothing")
+			t.Error("no estimate changed without the notification, so the test has no effect to detect")
 		}
 	})
 }
 
-// pausedProxy is a balancer that has served some requests, with more in flight as its process is paused.
+// pausedProxy is a balancer that has served some requests and has more in flight when its process is paused.
 type pausedProxy struct {
 	balancer *Balancer
 	now      time.Duration
 	lastID   uint64
-	inFlight map[uint64]string // server by request
+	inFlight map[uint64]string // server by request ID
 
 	processingTimeBefore, offeredBefore float64
 }
@@ -99,7 +99,7 @@
 
 func (p *pausedProxy) pause() { p.now += pauseLength }
 
-// completeAll ends what was in flight in the pause: half of it timed out, the rest was answered.
+// completeAll ends the attempts that were in flight during the pause: half of them timed out, the rest were answered.
 func (p *pausedProxy) completeAll() {
 	for id, server := range p.inFlight {
 		if id%2 == 0 {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestRulesHoldThroughReconfigurations guards guarantee 6: a reload must not put a request under other rules than those
-// that it arrived under.
+// TestRulesHoldThroughReconfigurations guards guarantee 6: after a reload, open requests must keep the rules that they
+// arrived under.
 func TestRulesHoldThroughReconfigurations(t *testing.T) {
 	for seed := range uint64(40) {
 		h := newHistory(t, testSettings(), seed)
@@ -47,7 +47,7 @@
 // TestSameEventsGiveSameActions guards guarantee 1.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	a, b := newHistory(t, testSettings(), 9), newHistory(t, testSettings(), 9)
-	for range 2000 { // stepped in turn, so that anything shared would show
+	for range 2000 { // alternately, so that any shared state would show
 		a.step()
 		b.step()
 	}
@@ -56,6 +56,6 @@
 		c.step()
 	}
 	if !reflect.DeepEqual(a.trace, b.trace) || !reflect.DeepEqual(a.trace, c.trace) {
-		t.Error("the same events gave other actions")
+		t.Error("the same events gave different actions")
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// quotaBurstSeconds is how many seconds of a quota may be used at once.
+// quotaBurstSeconds is how many seconds of its quota a tenant may use at once.
 const quotaBurstSeconds = 1.0
 
-// tokenBucket is what a tenant has left of its quota, in requests.
+// tokenBucket holds what is left of a tenant's quota, in requests.
 type tokenBucket struct {
 	tokens   float64
 	refilled time.Duration
 }
 
-// chargeQuota charges a request to its tenant's quota and reports whether the tenant is over it. Each proxy grants its
-// part of the quota, and a burst of quotaBurstSeconds.
+// chargeQuota charges a request to its tenant's quota and reports whether the tenant is over it. Each proxy grants an
+// equal part of the quota, with a burst of quotaBurstSeconds.
 func (b *Balancer) chargeQuota(r *request) (over bool) {
 	if r.Tenant < 0 || r.Tenant >= len(b.settings.Tenants) {
 		return false
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -9,7 +9,7 @@
 type choice struct {
 	server *server
 	path   servingPath
-	cost   float64 // expected response time with costs, in seconds
+	cost   float64 // expected response time plus costs, in seconds
 }
 
 // candidates says which servers may be chosen.
@@ -21,7 +21,8 @@
 )
 
 // chooseServer returns the server with the lowest expected response time for a request, and the path on which it would
-// be served. Ejection must not empty the choice: if all servers are ejected or tried, these are considered as well.
+// be served. If all servers are ejected or were tried, it considers these as well: ejection alone must not leave a
+// request without a server.
 func (b *Balancer) chooseServer(r *request) (*server, servingPath) {
 	best := b.bestServer(r, preferredCandidates)
 	if best.server == nil {
@@ -40,7 +41,7 @@
 		}
 		if r.cacheable && s.filter.Contains(&r.filterPositions) {
 			keyIsCached = true
-			hit := (1 - s.filter.FalsePositiveRate()) * s.promisedHitRate
+			hit := (1 - s.filter.FalsePositiveRate()) * s.filterHitRate
 			b.consider(&best, r, s, 1-hit)
 			continue
 		}
@@ -74,8 +75,8 @@
 
 // consider makes s the best choice if its expected cost is the lowest so far.
 func (b *Balancer) consider(best *choice, r *request, s *server, missProbability float64) {
-	// A cost is a share of the request's weight, and a time as long as the latency objective loses all of it: so the
-	// two are comparable in units of the objective.
+	// Costs are shares of the request's weight, and a response time of one latency objective loses all of the weight.
+	// So costs are converted to seconds by multiplying them by the objective.
 	objective := r.class.LatencyObjective.Seconds()
 	cost := b.expectedHitTime(s) +
 		missProbability*(b.missCost()+b.settings.Costs.OriginFetch*objective) +
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestKeyStaysWithItsServer guards against scattered copies of a key.
+// TestKeyStaysWithItsServer guards against copies of a key at several servers.
 func TestKeyStaysWithItsServer(t *testing.T) {
 	b, now := newTestBalancer(t)
 	servers := map[string]bool{}
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestNoServerIsRejectedInTime guards against a request that is lost while no server is listed.
+// TestNoServerIsRejectedInTime guards against requests that are lost while no server is listed.
 func TestNoServerIsRejectedInTime(t *testing.T) {
 	b, now := newTestBalancer(t)
 	b.Handle(now, EndpointUpdate{Kind: EndpointsFull}, nil)
@@ -51,10 +51,11 @@
 	t.Error("never rejected")
 }
 
-// TestErrorKeepsKeysAtTheirServer guards against keys that a slow origin's errors drive to servers that lack them.
+// TestErrorKeepsKeysAtTheirServer guards against keys that move to servers without them because a slow origin causes
+// errors.
 func TestErrorKeepsKeysAtTheirServer(t *testing.T) {
 	b, now := newTestBalancer(t)
-	for i := range uint64(10) { // enough that one error does not shut a gate
+	for i := range uint64(10) { // enough that one error does not close a gate
 		id := 10 + i
 		actions := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint("other", i), Deadline: now + time.Second}, nil)
 		for _, server := range sendTargets(actions) {
@@ -69,7 +70,8 @@
 	}
 }
 
-// TestAbandonedWorkCounts guards against clients that give up soon: the server works on, and must not look idle.
+// TestAbandonedWorkCounts guards against servers that look idle after clients have given up: they are still working on
+// the abandoned attempts.
 func TestAbandonedWorkCounts(t *testing.T) {
 	b, now := newTestBalancer(t)
 	s := b.servers["a"]
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -7,14 +7,14 @@
 const (
 	ReasonNone         Reason = iota
 	ReasonFirst               // the first attempt of a request
-	ReasonRetry               // the attempt before has ended without an answer
-	ReasonHedge               // the attempt before has long had no answer
-	ReasonUnattainable        // no server is expected to answer in time
-	ReasonAdmission           // overload: too little of what is sent completes in time
-	ReasonDegraded            // the degradation level does not serve it
-	ReasonNoServer            // no server may get it
-	ReasonNoRetry             // an attempt has failed, and no further one is made
-	ReasonDeadline            // its deadline has come
+	ReasonRetry               // the previous attempt ended without an answer
+	ReasonHedge               // the previous attempt is overdue
+	ReasonUnattainable        // the chosen server is not expected to answer in time
+	ReasonAdmission           // overload: too few requests complete in time
+	ReasonDegraded            // the degradation level rejects it
+	ReasonNoServer            // it may be sent to no server
+	ReasonNoRetry             // an attempt failed, and no further one is made
+	ReasonDeadline            // its deadline was reached
 )
 
 var reasonNames = [...]string{
@@ -30,7 +30,7 @@
 	ReasonDeadline:     "deadline",
 }
 
-// String returns the reason as logs have it.
+// String returns the reason's name in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
 var resultNames = [...]string{
@@ -47,5 +47,5 @@
 	ConnectionLimitReached: "connection limit",
 }
 
-// String returns the result as logs have it.
+// String returns the result's name in logs.
 func (r Result) String() string { return resultNames[r] }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -5,15 +5,14 @@
 	"slices"
 )
 
-// ErrImmutableSetting is returned for settings that would change what a Balancer is bound to.
+// ErrImmutableSetting is returned for settings that change a field that is fixed when a Balancer is created.
 var ErrImmutableSetting = errors.New("settings: Zones, Zone, MachineKinds, EndpointsOnRequest, CacheAside, OriginKind" +
-	" and LoadReports cannot change in service")
+	" and LoadReports cannot be changed while in use")
 
-// Reconfigure puts other settings into force for what arrives from now on. A request that arrived before ends under
-// the settings that it arrived under: its class, its limits on attempts, its deduplication window. What has been
-// learnt about servers stays; what was learnt by class follows the class's name. It returns an error, and changes
-// nothing, where the settings are invalid or would change what the indices of servers refer to
-// ([ErrImmutableSetting]).
+// Reconfigure applies other settings to requests that arrive from now on. An open request keeps the settings that it
+// arrived under: its class, its limits on attempts and its dedup window. Estimates of servers are kept; estimates by
+// class are matched by the class's name. If the settings are invalid, or would change what the indices of servers refer
+// to ([ErrImmutableSetting]), it returns an error and changes nothing.
 func (b *Balancer) Reconfigure(next Settings) error {
 	if err := next.validate(); err != nil {
 		return err
@@ -21,10 +20,10 @@
 	if next.changesImmutable(b.settings) {
 		return ErrImmutableSetting
 	}
-	// The last index is for classes that are gone while requests of them are open.
-	goneClass := len(next.Classes)
-	oldIndexes := slices.Repeat([]int{-1}, goneClass+1) // by new index
-	newIndexes := slices.Repeat([]int{goneClass}, len(b.failureRates))
+	// The last index is for classes that were removed while requests of them are open.
+	removedClass := len(next.Classes)
+	oldIndexes := slices.Repeat([]int{-1}, removedClass+1) // by new index
+	newIndexes := slices.Repeat([]int{removedClass}, len(b.failureRates))
 	for i := range next.Classes {
 		hasSameName := func(c Class) bool { return c.Name == next.Classes[i].Name }
 		oldIndexes[i] = slices.IndexFunc(b.settings.Classes, hasSameName)
@@ -45,7 +44,7 @@
 	return nil
 }
 
-// changesImmutable reports whether s differs from the settings in force in a field that is fixed at start.
+// changesImmutable reports whether s differs from old in a field that is fixed when a Balancer is created.
 func (s *Settings) changesImmutable(old *Settings) bool {
 	return !slices.Equal(s.Zones, old.Zones) ||
 		s.Zone != old.Zone ||
@@ -56,7 +55,7 @@
 		s.LoadReports != old.LoadReports
 }
 
-// reorderByClass returns per-class values in the order of other classes: oldIndexes has the old index of each class,
+// reorderByClass returns per-class values in the order of the new classes: oldIndexes has the old index of each class,
 // -1 for a new one.
 func reorderByClass[T any](values []T, oldIndexes []int) []T {
 	out := make([]T, len(oldIndexes))
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// rendezvousCandidates is how many servers are considered for a key besides those whose filters name it: the
-	// first by rendezvous hash. More would scatter copies where many proxies see few requests each.
+	// rendezvousCandidates is how many servers, the first by rendezvous hash, are considered for a key besides those
+	// whose filters contain it. More would scatter copies where many proxies see few requests each.
 	rendezvousCandidates = 4
 
-	// zonalHomeMissShare is the share of reads that miss in addition at a home that only its own zone asks.
+	// zonalHomeMissShare is the additional share of reads that miss at a home that only its own zone uses.
 	zonalHomeMissShare = 0.22
 
-	// maxKindWeight bounds the rendezvous weight of a fast kind of machine, in means of the fleet.
+	// maxKindWeight bounds the rendezvous weight of a fast machine kind, as a multiple of the fleet's mean.
 	maxKindWeight = 8
 )
 
-// The groups of home servers: with zonal homes the two are kept apart, otherwise all are in the first.
+// The groups of home servers. With zonal homes there are two, otherwise all homes are in the first.
 const (
 	homesInOwnZone = iota
 	homesElsewhere
@@ -31,9 +31,9 @@
 	scores  [homeGroups][rendezvousCandidates]float64
 }
 
-// insert adds a server to a group, as far as it is among its first limit.
+// insert adds a server to a group if it is among the first limit servers by score.
 func (h *homeServers) insert(group, limit int, s *server, score float64) {
-	if score <= h.scores[group][limit-1] { // scores are in descending order: so it is for most servers
+	if score <= h.scores[group][limit-1] { // scores are in descending order, so most servers are discarded here
 		return
 	}
 	for i := range limit {
@@ -44,7 +44,7 @@
 	}
 }
 
-// firstMissProbability is the probability that the first server of a group does not hold a key that no filter names.
+// firstMissProbability is the probability that the first server of a group does not hold a key that no filter contains.
 func (h *homeServers) firstMissProbability(group int) float64 {
 	miss := h.servers[group][0].filter.FalsePositiveRate()
 	isHomeOfOneZone := h.scores[group][0] < h.scores[1-group][0] // the key's first home of all is in the other group
@@ -54,7 +54,7 @@
 	return miss
 }
 
-// addHome enters a server among the homes of a request's key.
+// addHome adds a server to the homes of a request's key if its score is high enough.
 func (b *Balancer) addHome(homes *homeServers, r *request, s *server) {
 	score := b.rendezvousWeight(s) / -math.Log(bloom.UnitInterval(bloom.Mix(r.keyHash^s.nameHash)))
 	group, limit := homesInOwnZone, rendezvousCandidates
@@ -67,10 +67,10 @@
 	homes.insert(group, limit, s, score)
 }
 
-// prefersZonalHomes reports whether keys have a home in each zone rather than one in all. One home keeps fetches
-// fewest, but a proxy of a large fleet has connections to few servers, so that most requests cost a handshake and a
-// zone crossing; it can keep connections to the homes in its own zone. Where clients' zones are very unequal the
-// estimate of misses is too low, and requests go to other zones.
+// prefersZonalHomes reports whether keys should have a home in each zone instead of a single one. A single home needs
+// the fewest fetches, but a proxy of a large fleet has connections to few servers, so that most requests would cost a
+// handshake and a zone crossing. With zonal homes the proxy can keep connections to the homes in its own zone. If
+// clients are spread very unequally over the zones, the estimate of misses is too low, and requests go to other zones.
 func (b *Balancer) prefersZonalHomes() bool {
 	zones := float64(len(b.settings.Zones))
 	connections := b.settings.ConnectionsPerServer
@@ -82,9 +82,9 @@
 	return saved > costs.OriginFetch*zonalHomeMissShare
 }
 
-// rendezvousWeight is a server's weight in the rendezvous hash: its registered size, or how fast its kind of machine
-// has been. With equal weights the slow kinds would always be full, and what overflows from them would load the
-// origin.
+// rendezvousWeight returns a server's weight in the rendezvous hash: its registered size, or the estimated speed of its
+// machine kind. With equal weights the slow kinds would always be full, and the requests that overflow from them would
+// load the origin.
 func (b *Balancer) rendezvousWeight(s *server) float64 {
 	if b.settings.RegisteredWeights && s.Weight > 0 {
 		return s.Weight
@@ -95,8 +95,8 @@
 	return 1
 }
 
-// updateRendezvousWeights takes over what has been learnt of kinds of machines. It is part of the periodic upkeep
-// since each change of a weight moves keys.
+// updateRendezvousWeights sets the weights of the machine kinds from their estimated processing times. It runs only as
+// part of the periodic maintenance because each change of a weight moves keys.
 func (b *Balancer) updateRendezvousWeights() {
 	for kind, time := range b.processingTimeByKind {
 		b.rendezvousWeightByKind[kind] = b.processingTime / max(time, b.processingTime/maxKindWeight)
--- a/policy/rendezvous_test.go
+++ b/policy/rendezvous_test.go
@@ -7,8 +7,8 @@
 
 const testZones = 4
 
-// newZonalBalancer returns a balancer as one of eighty proxies over sixty servers in four zones, to which each server
-// keeps so many connections.
+// newZonalBalancer returns a balancer for one of eighty proxies with sixty servers in four zones, each of which keeps
+// the given number of connections to it.
 func newZonalBalancer(t *testing.T, connections float64) *Balancer {
 	t.Helper()
 	b := newFleetBalancer(t, 1)
@@ -26,7 +26,7 @@
 	return b
 }
 
-// requestsByZone gives a balancer n requests for new keys and returns how many go to each zone, its own one first.
+// requestsByZone gives a balancer n requests for new keys and returns how many go to each zone, starting with its own.
 func requestsByZone(b *Balancer, n int) (zones [testZones]int) {
 	firstAttempts, _ := runRequests(b, time.Hour, 0, n, func(string) Result { return Served })
 	for server, got := range firstAttempts {
@@ -35,11 +35,12 @@
 	return zones
 }
 
-// TestZonalHomesFollowConnections guards few connections, and the origin where they are many: keys have a home in each
-// zone only where a handshake and a zone crossing saved weigh more than the fetches that it costs.
+// TestZonalHomesFollowConnections guards against unnecessary handshakes where connections are few, and unnecessary
+// fetches where they are many: keys have a home in each zone only if the handshakes and zone crossings saved outweigh
+// the additional fetches.
 func TestZonalHomesFollowConnections(t *testing.T) {
 	if got := requestsByZone(newZonalBalancer(t, 0.2), 400); got[0] < 350 {
-		t.Errorf("with a connection to a fifth of the servers %v requests go to the zones", got)
+		t.Errorf("with connections to a fifth of the servers the zones get %v requests", got)
 	}
 	for _, connections := range []float64{0, 1, 5} { // 0: no bound
 		for zone, n := range requestsByZone(newZonalBalancer(t, connections), 400) {
@@ -55,15 +56,15 @@
 		t.Fatal(err)
 	}
 	if b.zonalHomes {
-		t.Error("homes in each zone stay after handshakes cost nothing any more")
+		t.Error("keys still have a home in each zone after handshakes cost nothing")
 	}
 	if got := requestsByZone(b, 400); got[0] > 140 {
-		t.Errorf("where handshakes cost nothing %v requests go to the zones", got)
+		t.Errorf("if handshakes cost nothing the zones get %v requests", got)
 	}
 }
 
-// TestLostZoneOfZonalHomesIsAvoided guards the proxies of a zone whose servers cannot be reached: they must not go on
-// asking there, nor reject what others could serve.
+// TestLostZoneOfZonalHomesIsAvoided guards the proxies of a zone whose servers cannot be reached: they must not keep
+// sending there, nor reject requests that other zones could serve.
 func TestLostZoneOfZonalHomesIsAvoided(t *testing.T) {
 	b := newZonalBalancer(t, 0.2)
 	isOwnZone := func(server string) bool { return b.servers[server].Zone == 0 }
@@ -77,12 +78,12 @@
 	}
 }
 
-// TestQueueAtOriginMovesKeysToOneHome guards the origin: while a fetch takes much longer than the baseline, keys go to
+// TestQueueAtOriginMovesKeysToOneHome guards the origin: while fetches take much longer than the baseline, keys go to
 // the home that all proxies share.
 func TestQueueAtOriginMovesKeysToOneHome(t *testing.T) {
 	b := newZonalBalancer(t, 0.2)
 	b.missPenalty, b.baselineMissPenalty = 0.4, 0.1
 	if got := requestsByZone(b, 200); got[0] > 100 {
-		t.Errorf("with a queue at the origin %v of 200 requests go to the zones", got)
+		t.Errorf("with a queue at the origin the zones get %v of 200 requests", got)
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -12,10 +12,10 @@
 	sentAt         time.Duration
 	done           bool
 	mayHaveRun     bool
-	path           servingPath   // on which it was admitted
-	hedgeAt        time.Duration // without an answer until then, a hedged request may be sent
-	slowAt         time.Duration // without an answer until then, its server is slow even if it answers others
-	healthRecorded bool          // it has counted for its server's health
+	path           servingPath   // the path on which it was admitted
+	hedgeAt        time.Duration // if it is unanswered by then, a hedged request may be sent
+	slowAt         time.Duration // if it is unanswered by then, its server is slow even if it answers others
+	healthRecorded bool          // it has been counted for its server's health
 	spannedPause   bool          // the process was paused while it was in flight
 }
 
@@ -24,10 +24,10 @@
 	Arrival
 	arrivedAt       time.Duration
 	class           *Class
-	settings        *Settings // in force when it arrived; it ends under them
+	settings        *Settings // in force when it arrived; they apply until it ends
 	keyHash         uint64
 	filterPositions bloom.Positions
-	cacheable       bool // it has a key whose copies in caches count
+	cacheable       bool // it is a read with a key, which caches may hold
 	overQuota       bool // its tenant is over its quota
 	ended           bool
 	streaming       bool
@@ -48,7 +48,7 @@
 	a.Class = max(min(a.Class, len(b.settings.Classes)-1), 0)
 	r := &request{Arrival: a, arrivedAt: b.now, settings: b.settings, class: &b.settings.Classes[a.Class]}
 	b.requests[a.ID] = r
-	// A write leaves no copy and needs none: it goes to the server that is expected to answer first.
+	// A write neither uses nor leaves a cached copy, so it goes to the server that is expected to answer first.
 	r.cacheable = a.Key != "" && !a.Write
 	if r.cacheable {
 		r.keyHash = bloom.Hash(a.Key)
@@ -92,15 +92,15 @@
 	}
 }
 
-// serverWaitInterval is how long a request waits for a server before the next look: well under any latency
-// objective, well over Settings.EventInterval.
+// serverWaitInterval is how long a request without a server waits before it looks for one again: well below any latency
+// objective, well above Settings.EventInterval.
 const serverWaitInterval = 25 * time.Millisecond
 
-// minServerWait is the time before its deadline from which a request no longer waits for a server: one that comes later
-// could hardly answer.
+// minServerWait is the time before its deadline from which a request no longer waits for a server, because one that
+// becomes available later could hardly answer in time.
 const minServerWait = 3 * serverWaitInterval
 
-// handleNoServer keeps a request that has no server now until one may have come.
+// handleNoServer makes a request without a server wait for one, or ends it if waiting cannot help.
 func (b *Balancer) handleNoServer(r *request) {
 	if b.noServerCanRun(r) || r.Deadline-b.now <= minServerWait {
 		b.endUnserved(r, ReasonNoServer)
@@ -161,7 +161,7 @@
 	}
 }
 
-// endUnserved is the one place that ends a request without an answer from a server.
+// endUnserved rejects or fails a request that gets no answer from a server. No other function does so.
 func (b *Balancer) endUnserved(r *request, reason Reason) {
 	switch {
 	case r.ended || r.streaming:
@@ -174,7 +174,7 @@
 	b.endRequest(r)
 }
 
-// endRequest drops a request once no attempt of it is in flight.
+// endRequest ends a request, and drops it once no attempt of it is in flight.
 func (b *Balancer) endRequest(r *request) {
 	if !r.ended {
 		b.countRequest(r)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,22 +1,22 @@
 package policy
 
 const (
-	// retryTokensPerSuccess is small since retries multiply an overload.
+	// retryTokensPerSuccess is small because retries amplify an overload.
 	retryTokensPerSuccess = 0.1
 	maxRetryTokens        = 10.0
 
 	// retryMargin is how many event intervals before its deadline a request is no longer retried.
 	retryMargin = 4
 
-	// handoverRetryReserve is the part of the budget that is reserved for keyed requests from LevelHandovers on.
+	// handoverRetryReserve is the part of the retry budget that is reserved for keyed requests from LevelHandovers on.
 	handoverRetryReserve = maxRetryTokens / 4
 )
 
-// retryOrEnd decides what follows an attempt that served nothing.
+// retryOrEnd retries or ends a request after an attempt that did not answer it.
 func (b *Balancer) retryOrEnd(r *request, e Outcome) {
 	originFailed := b.originFailed(r, e)
 	hasTime := b.now < r.Deadline-retryMargin*r.settings.EventInterval
-	if hasTime && !originFailed && b.payForRetry(r, e.Result) {
+	if hasTime && !originFailed && b.allowRetry(r, e.Result) {
 		if s, path := b.chooseServer(r); s != nil {
 			b.send(r, s, path, ReasonRetry)
 			return
@@ -25,9 +25,8 @@
 	b.endUnserved(r, ReasonNoRetry)
 }
 
-// originFailed reports whether an outcome is taken for a failure of the origin. For a request with a key, a rejection
-// or an error mostly means that its fetch failed: another server would ask the same origin, and keep it from
-// recovering.
+// originFailed reports whether an outcome is attributed to the origin. For a request with a key, a rejection or an
+// error usually means that its fetch failed: another server would ask the same origin, and keep it from recovering.
 func (b *Balancer) originFailed(r *request, e Outcome) bool {
 	if r.Key == "" || e.Result != Rejected && e.Result != Errored {
 		return false
@@ -35,15 +34,16 @@
 	return b.faultProbability(r.attempts[e.Attempt].server, r.Class) < ejectionProbability
 }
 
-// payForRetry reports whether one more attempt of a request may be made. Retries multiply an overload, so they are
-// paid from the retry budget, which successes fill, once the gates shed. Until then only the limit of attempts bounds
-// them: networks that break more connections than a budget foresees must not fail requests that idle servers could
-// answer, since their clients retry all the same. Where service is degraded only failures that say nothing about load
-// are retried that freely. The rule assumes that failing takes a server no more work than answering.
-func (b *Balancer) payForRetry(r *request, result Result) bool {
-	saysNothingOfLoad := result == Reset || result == ConnectFailed || result == Malformed ||
+// allowRetry reports whether a request may be retried, and takes a token from the retry budget if that needs one.
+// Retries amplify an overload, so they need the budget, which successes refill, once the gates shed load. Until then
+// only the limit on attempts bounds them: if a network breaks more connections than the budget allows for, requests
+// that idle servers could answer must not fail, since their clients would retry anyway. From LevelEconomy on only
+// failures that say nothing about load are retried without the budget. The rule assumes that a failure costs a server
+// no more work than an answer.
+func (b *Balancer) allowRetry(r *request, result Result) bool {
+	unrelatedToLoad := result == Reset || result == ConnectFailed || result == Malformed ||
 		result == ConnectionLimitReached
-	if (b.level < LevelEconomy || saysNothingOfLoad) && !b.isShedding() {
+	if (b.level < LevelEconomy || unrelatedToLoad) && !b.isShedding() {
 		return true
 	}
 	reserve := 0.0
@@ -57,7 +57,7 @@
 	return true
 }
 
-// earnRetry fills the retry budget after a success.
-func (b *Balancer) earnRetry() {
+// refillRetryBudget adds to the retry budget after a success.
+func (b *Balancer) refillRetryBudget() {
 	b.retryTokens = min(b.retryTokens+retryTokensPerSuccess, maxRetryTokens)
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFailedFetchIsNotRetried guards against retries that load a full origin; without a key, or without a connection,
-// another server is tried.
+// TestFailedFetchIsNotRetried guards against retries that load a full origin. After a failure without a key or without
+// a connection another server is tried.
 func TestFailedFetchIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestConnectionLimitSaysNothingOfLoad guards against gates that shut, and keys that fail, because other proxies use
-// all connections of some servers.
+// TestConnectionLimitSaysNothingOfLoad guards against gates that close, and requests that fail, because other proxies
+// use all connections of some servers.
 func TestConnectionLimitSaysNothingOfLoad(t *testing.T) {
 	b, now := newTestBalancer(t)
 	for id := uint64(1); id <= 200; id++ {
--- a/policy/safety.go
+++ b/policy/safety.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maySendTo is the one check of the rules before an attempt.
+// maySendTo reports whether the rules allow an attempt of a request at a server. Each send passes this check.
 func (b *Balancer) maySendTo(r *request, s *server) bool {
 	switch {
 	case r.ended || r.streaming:
@@ -17,11 +17,11 @@
 	case len(r.attempts) >= r.settings.Limits.MaxAttempts || b.now >= r.Deadline:
 		return false
 	}
-	return b.repeatIsHarmless(r, s, noAttempt)
+	return b.isRepeatSafe(r, s, noAttempt)
 }
 
-// mayReject reports whether a request may be rejected. A rejection promises the client that a repeat is harmless,
-// however late it comes, so it is not given once an attempt may have run, except to requests that are idempotent.
+// mayReject reports whether a request may be rejected. A rejection tells the client that a repeat is safe, however late
+// it comes. So once an attempt may have run, only idempotent requests may be rejected.
 func (b *Balancer) mayReject(r *request) bool {
 	if r.ended || r.streaming {
 		return false
@@ -32,8 +32,8 @@
 	return !slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 }
 
-// MaySend reports whether the first byte of an attempt may still be written at time now: the attempt may have waited
-// for a connection since it was decided.
+// MaySend reports whether the first byte of an attempt may still be written at time now. Callers check it right before
+// the write, because the attempt may have waited for a connection since it was decided.
 func (b *Balancer) MaySend(now time.Duration, id uint64, number int) bool {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) {
@@ -47,27 +47,27 @@
 	case !a.server.listed || a.server.State != Serving:
 		return false
 	}
-	return r.canRunOn(a.server) && b.repeatIsHarmless(r, a.server, number)
+	return r.canRunOn(a.server) && b.isRepeatSafe(r, a.server, number)
 }
 
-// canRunOn reports whether a server can keep what the request's class promises. A client may repeat a request with an
-// idempotency key, here or at another proxy, and relies on deduplication. So where some servers do not deduplicate,
-// not even the first attempt goes to one of them.
+// canRunOn reports whether a server supports what the request's class promises. A client may repeat a request with an
+// idempotency key, through this proxy or another one, and relies on deduplication. So not even the first attempt goes
+// to a server that does not deduplicate.
 func (r *request) canRunOn(s *server) bool {
 	return r.class.Idempotency != IdempotentWithKey || !s.NoDeduplication
 }
 
-// noServerCanRun reports whether servers are listed, but none that can keep what the request's class promises:
-// waiting brings no other.
+// noServerCanRun reports whether servers are listed but none supports what the request's class promises, so that
+// waiting does not help.
 func (b *Balancer) noServerCanRun(r *request) bool {
 	return len(b.serving) > 0 && !slices.ContainsFunc(b.serving, r.canRunOn)
 }
 
-// noAttempt is passed to repeatIsHarmless where no attempt is to be skipped.
+// noAttempt is passed to isRepeatSafe where no attempt is to be skipped.
 const noAttempt = -1
 
-// repeatIsHarmless reports whether a send to s is harmless after the attempts other than the one numbered skip.
-func (b *Balancer) repeatIsHarmless(r *request, s *server, skip int) bool {
+// isRepeatSafe reports whether a send to s is safe after the request's earlier attempts, except the one numbered skip.
+func (b *Balancer) isRepeatSafe(r *request, s *server, skip int) bool {
 	if r.class.Idempotency == Idempotent {
 		return true
 	}
@@ -89,7 +89,7 @@
 	return true
 }
 
-// shareDedupScope reports whether two servers drop each other's repeats.
+// shareDedupScope reports whether two servers deduplicate the class's requests together.
 func (c *Class) shareDedupScope(s, other *server) bool {
 	switch c.DedupScope {
 	case DedupScopeZone:
@@ -100,8 +100,7 @@
 	return true
 }
 
-// MayHaveRun reports whether an attempt with this result can have had an effect. A result that is not known here may
-// have had one.
+// MayHaveRun reports whether an attempt with this result may have had an effect. It is true for unknown results.
 func MayHaveRun(r Result) bool {
 	switch r {
 	case Rejected, ConnectFailed, NotSent, NotFound, ConnectionLimitReached:
--- a/policy/safety_test.go
+++ b/policy/safety_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestServersWithoutDeduplicationGetNoKeyedRequest guards the promise that a repeat of a keyed request is dropped.
-// Where no server can keep it, the client is rejected at once, and other requests are served.
+// TestServersWithoutDeduplicationGetNoKeyedRequest guards the promise that a repeat of a keyed request is dropped. If
+// no server supports that, the client is rejected at once; other requests are still served.
 func TestServersWithoutDeduplicationGetNoKeyedRequest(t *testing.T) {
 	const keyed = 1
 	b, err := New(Settings{
@@ -45,13 +45,13 @@
 		t.Errorf("an idempotent request: %+v", actions)
 	}
 	update(EndpointsDelta, Endpoint{Server: "c"})
-	for id := uint64(3); id < 10; id++ { // few: a server that answers nothing yet is soon avoided
+	for id := uint64(3); id < 10; id++ { // few, because a server that never answers is soon avoided
 		actions = b.Handle(now, Arrival{ID: id, Class: keyed, Write: true, Deadline: now + time.Second}, nil)
 		if to := sendTargets(actions); len(to) != 1 || to[0] != "c" {
 			t.Errorf("sent to %v: %+v", to, actions)
 		}
 	}
-	// An attempt that waits for its connection while the server stops deduplicating is not written.
+	// An attempt must not be written if its server stops deduplicating while the attempt waits for a connection.
 	update(EndpointsDelta, Endpoint{Server: "c", NoDeduplication: true})
 	if b.MaySend(now, 3, 0) {
 		t.Error("the attempt's first byte may still be written")
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -12,11 +12,11 @@
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may be repeated freely
-	IdempotentWithKey                    // servers of one scope drop a repeat within the class's window
+	IdempotentWithKey                    // servers in the same dedup scope drop repeats within the class's window
 	NotIdempotent                        // must never run twice
 )
 
-// DedupScope names the servers that together drop repeats of a request with an idempotency key.
+// DedupScope says which servers deduplicate keyed requests together.
 type DedupScope uint8
 
 // The scopes of deduplication.
@@ -34,8 +34,8 @@
 	DedupWindow      time.Duration // for IdempotentWithKey: how long repeats are dropped
 	LatencyObjective time.Duration // an answer within it earns the full PriorityWeight
 	Deadline         time.Duration // how long a client waits across all its attempts
-	PriorityWeight   float64       // decides who is rejected first when load is shed
-	LateWeightShare  float64       // share of PriorityWeight after LatencyObjective and before Deadline
+	PriorityWeight   float64       // requests with a low weight are rejected first when load is shed
+	LateWeightShare  float64       // share of PriorityWeight for an answer after LatencyObjective and before Deadline
 	Streamed         bool
 }
 
@@ -55,7 +55,7 @@
 	LoadReportByHealthCheck
 )
 
-// Limits are what a deployment permits.
+// Limits restrict what a Balancer may do.
 type Limits struct {
 	MaxAttempts       int
 	AllowHedging      bool // a request may have two attempts in flight at once
@@ -64,19 +64,19 @@
 	MaxRetryAfter     time.Duration // 0: rejected clients get no Retry-After
 }
 
-// Rules are the bounds that no decision may cross. ResponseGrace, DrainGrace and OverloadWindow enter no decision, as
+// Rules are bounds that no decision may violate. No decision uses ResponseGrace, DrainGrace and OverloadWindow, because
 // requests end by their deadline and draining servers get none; tests and simulations check them.
 type Rules struct {
 	ResponseGrace    time.Duration // how long after its deadline a final answer may still be given
-	MaxPollInterval  time.Duration // changes of a list that was not requested for this long count as known
-	DrainGrace       time.Duration // how long a draining server may still be sent to
+	MaxPollInterval  time.Duration // after this long without a request, the list's changes count as known to the proxy
+	DrainGrace       time.Duration // how long requests may still be sent to a draining server
 	SlowStartShare   float64       // capacity of a server that has just started, as a share of its full capacity
 	SlowStartWindow  time.Duration // time after which a started server has its full capacity
-	OverloadMultiple float64       // of its present capacity: a warming server that gets more collapses
-	OverloadWindow   time.Duration // over which OverloadMultiple is counted
+	OverloadMultiple float64       // a warming server given more than this multiple of its present capacity collapses
+	OverloadWindow   time.Duration // time over which OverloadMultiple is measured
 }
 
-// Costs are what a request's service is charged, as shares of its priority weight.
+// Costs are the costs of serving a request, as shares of its priority weight.
 type Costs struct {
 	OriginFetch float64 // a fetch from the origin
 	CrossZone   float64 // an attempt in another zone
@@ -84,8 +84,8 @@
 	HealthCheck float64
 }
 
-// Settings configure a Balancer for one proxy of a deployment. LoadReports, OriginKind, CacheAside, Class.Streamed,
-// Limits.AllowHealthChecks and Costs.HealthCheck describe the deployment and enter no decision.
+// Settings configure a Balancer for one proxy of a deployment. No decision uses LoadReports, OriginKind, CacheAside,
+// Class.Streamed, Limits.AllowHealthChecks and Costs.HealthCheck, which only describe the deployment.
 type Settings struct {
 	ProxyCount           int // proxies in this tier
 	ProxyIndex           int // index of this one
@@ -126,7 +126,7 @@
 	}
 	for i, t := range s.Tenants {
 		if slices.ContainsFunc(s.Tenants[:i], func(o Tenant) bool { return o.Name == t.Name }) {
-			return fmt.Errorf("settings: Tenants[%d] is a second %q", i, t.Name)
+			return fmt.Errorf("settings: Tenants[%d] has the name %q of another tenant", i, t.Name)
 		}
 	}
 	return nil
@@ -141,7 +141,7 @@
 		case c.Deadline == 0:
 			return fmt.Errorf("settings: Classes[%d] has no deadline", i)
 		case c.Name != "" && slices.ContainsFunc(s.Classes[:i], isSame):
-			return fmt.Errorf("settings: Classes[%d] is a second %q", i, c.Name)
+			return fmt.Errorf("settings: Classes[%d] has the name %q of another class", i, c.Name)
 		}
 	}
 	return nil
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -11,7 +11,7 @@
 	if _, err := New(good, 1); err != nil {
 		t.Fatal(err)
 	}
-	for want, spoil := range map[string]func(*Settings){
+	for want, invalidate := range map[string]func(*Settings){
 		"Classes is":    func(s *Settings) { s.Classes = nil },
 		"Zone 1":        func(s *Settings) { s.Zone = 1 },
 		"Rules":         func(s *Settings) { s.Rules.SlowStartWindow = -1 },
@@ -19,22 +19,22 @@
 		"Classes[0]":    func(s *Settings) { s.Classes = []Class{{LatencyObjective: -time.Second}} },
 	} {
 		bad := good
-		spoil(&bad)
+		invalidate(&bad)
 		if _, err := New(bad, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v", want, err)
 		}
 	}
 }
 
-// TestReconfigureRejectsImmutableSettings guards against a reload that changes what indices refer to, or that is put
-// into force in part.
+// TestReconfigureRejectsImmutableSettings guards against a reload that changes what indices refer to, or that is
+// applied in part.
 func TestReconfigureRejectsImmutableSettings(t *testing.T) {
 	settings := Settings{
 		Classes:      []Class{{Name: "x", LatencyObjective: 1, Deadline: 1}},
 		Zones:        []string{"a", "b"},
 		MachineKinds: []string{"k"},
 	}
-	for name, spoil := range map[string]func(*Settings){
+	for name, change := range map[string]func(*Settings){
 		"zones":         func(s *Settings) { s.Zones = []string{"b", "a"} },
 		"zone":          func(s *Settings) { s.Zone = 1 },
 		"machine kinds": func(s *Settings) { s.MachineKinds = nil },
@@ -48,18 +48,18 @@
 				t.Fatal(err)
 			}
 			bad := settings
-			spoil(&bad)
+			change(&bad)
 			if err := b.Reconfigure(bad); err == nil {
-				t.Error("accepted")
+				t.Error("the settings were accepted")
 			}
 			if b.settings.Classes[0].Name != "x" || b.settings.EndpointsOnRequest || b.settings.Zone != 0 {
-				t.Errorf("partly in force: %+v", b.settings)
+				t.Errorf("rejected settings are partly in force: %+v", b.settings)
 			}
 		})
 	}
 }
 
-// TestReconfigureKeepsEstimatesByClass guards against a class's failures that a reload assigns to another.
+// TestReconfigureKeepsEstimatesByClass guards against a reload that assigns one class's failures to another.
 func TestReconfigureKeepsEstimatesByClass(t *testing.T) {
 	b, now := newTestBalancer(t)
 	b.settings.Classes[0].Name = "x"
@@ -76,7 +76,7 @@
 	}
 	suspicions := b.servers["a"].suspicions
 	if b.failureRates[0].Failures != 0 || b.failureRates[1].Failures != 7 || suspicions[1].LogOdds != 5 {
-		t.Errorf("after the change of order: %v, %v", b.failureRates, suspicions)
+		t.Errorf("after the classes were reordered: failure rates %v, suspicions %v", b.failureRates, suspicions)
 	}
 	if r := b.requests[1]; r.Class != 1 || r.class.LatencyObjective != time.Second {
 		t.Errorf("the open request is of class %d with objective %v", r.Class, r.class.LatencyObjective)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,14 +1,15 @@
 package policy
 
 const (
-	// slowStartMargin exceeds a warming server's due share: where most servers warm up, the warm ones overflow first.
+	// slowStartMargin is the multiple of its fair share that a warming server may get. It is above 1 because the warm
+	// servers are overloaded first where most servers are warming up.
 	slowStartMargin = 1.4
 
-	// maxSlowStartTokens is how many sends an unused allowance may grow to.
+	// maxSlowStartTokens is how many sends an unused allowance may accumulate.
 	maxSlowStartTokens = 2.0
 )
 
-// capacityShare is the share of its full capacity that a server has at least: less than 1 while it warms up.
+// capacityShare returns the lowest share of its full capacity that a server has: less than 1 while it is warming up.
 func (b *Balancer) capacityShare(s *server) float64 {
 	age, window := b.now-s.StartedAt, b.settings.Rules.SlowStartWindow
 	if s.StartedAt <= 0 || age >= window {
@@ -18,8 +19,9 @@
 	return initial + (1-initial)*max(float64(age), 0)/float64(window)
 }
 
-// grantSlowStartTokens gives each warming server its due share of a request that arrives: its capacity over the
-// fleet's. As every proxy does so, no warming server gets more of its present capacity than the fleet as a whole.
+// grantSlowStartTokens grants each server its fair share of an arriving request, which is its capacity divided by the
+// fleet's, times slowStartMargin. Since every proxy does so, no warming server gets more of its present capacity than
+// the fleet as a whole, but for the margin.
 func (b *Balancer) grantSlowStartTokens() {
 	fleet, anyWarmingUp := 0.0, false
 	for _, s := range b.serving {
@@ -31,14 +33,15 @@
 		return
 	}
 	for _, s := range b.serving {
-		granted := slowStartMargin * b.slowStartPart(s) * b.capacityShare(s) / fleet
+		granted := slowStartMargin * b.slowStartMultiple(s) * b.capacityShare(s) / fleet
 		s.slowStartTokens = min(s.slowStartTokens+granted, maxSlowStartTokens)
 	}
 }
 
-// slowStartPart is the part of a server's due share that this proxy grants. With zonal homes the proxies of the
-// server's own zone grant all of it, as far as that pushes no server over if all clients come to one zone.
-func (b *Balancer) slowStartPart(s *server) float64 {
+// slowStartMultiple returns the multiple of a server's fair share that this proxy grants. With zonal homes only proxies
+// in the server's own zone grant tokens, so they grant the other zones' part as well, limited so that the server is not
+// overloaded if all clients are in one zone.
+func (b *Balancer) slowStartMultiple(s *server) float64 {
 	if !b.zonalHomes {
 		return 1
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestWarmingServerGetsItsShare guards against a start's burst: a server that warms up looks idle and fast, and would
-// be sent everything.
+// TestWarmingServerGetsItsShare guards against a burst of requests to a server that has just started: it looks idle and
+// fast, and would get all requests.
 func TestWarmingServerGetsItsShare(t *testing.T) {
 	b, now := newTestBalancer(t, "d")
 	toWarming, all := 0, 0
@@ -24,13 +24,13 @@
 			b.Handle(now, outcome, nil)
 		}
 	}
-	// 2 s at a fifth of a warm server's hundred or so, slowStartMargin times, and one more by chance.
+	// 2 s at a fifth of a warm server's hundred or so requests, times slowStartMargin, plus one by chance.
 	if all != 400 || toWarming > 30 || toWarming == 0 {
 		t.Errorf("the warming server got %d of %d", toWarming, all)
 	}
 }
 
-// TestWarmingServerIsNotFaulty guards new servers: they are slow and ask the origin since they are not warm yet.
+// TestWarmingServerIsNotFaulty guards new servers: they are slow and fetch from the origin because they are cold.
 func TestWarmingServerIsNotFaulty(t *testing.T) {
 	b, now := newTestBalancer(t, "d")
 	s := b.servers["d"]
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestMostServersWarmingUp guards the warm servers: where six in ten have just started, what those may not take
-// overflows the others. It guards the warming ones too: no window of the rule's length may bring one of them more than
-// the multiple of its share.
+// TestMostServersWarmingUp guards the warm servers: if six in ten servers have just started, the requests that these
+// may not get go to the others. It also guards the warming ones: in no window of requests may one of them get more than
+// overloadMultiple times its fair share.
 func TestMostServersWarmingUp(t *testing.T) {
 	const (
 		warming = 36
@@ -63,7 +63,7 @@
 		started = append(started, Endpoint{Server: fmt.Sprintf("s%02d", i), Zone: i % 4, StartedAt: now})
 	}
 	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: started}, nil)
-	dueEach := share / (warm + warming*share)
+	fairShareEach := share / (warm + warming*share)
 	all, toWarming := 0, 0
 	inWindow := make(map[string]int)
 	for id := uint64(1); id <= 5*window; id++ {
@@ -74,7 +74,7 @@
 			if b.capacityShare(b.servers[server]) < 1 {
 				toWarming++
 				inWindow[server]++
-				if float64(inWindow[server]) > overloadMultiple*dueEach*window {
+				if float64(inWindow[server]) > overloadMultiple*fairShareEach*window {
 					t.Fatalf("%s got %d of %d requests", server, inWindow[server], window)
 				}
 			}
@@ -84,47 +84,48 @@
 			clear(inWindow)
 		}
 	}
-	// A part of the tokens is never used: the keys of a warming server do not come when it has some.
-	due := warming * dueEach
-	if got := float64(toWarming) / float64(all); got < due/2 || got > 1.5*due {
-		t.Errorf("%.2f of all sends go to warming servers, due are %.2f and half of them at least", got, due)
+	// Some tokens are never used, because no request for a key of the warming server arrives while it has them.
+	fairShare := warming * fairShareEach
+	if got := float64(toWarming) / float64(all); got < fairShare/2 || got > 1.5*fairShare {
+		t.Errorf("%.2f of all sends go to warming servers, want 0.5 to 1.5 times their share of %.2f", got, fairShare)
 	}
 }
 
-// TestWarmingServerGetsItsShareOfFewRequests guards a warming server among sixty, met by proxies that see twenty
-// requests a second each: all together send it some of its due share from the first seconds on, and no more. The rest
-// is lost, as a proxy that has tokens left seldom has a key of the server.
+// TestWarmingServerGetsItsShareOfFewRequests guards a warming server among sixty, with proxies that get twenty requests
+// a second each: together they must send it some of its fair share from the first seconds on, but no more than that.
+// The rest is unused, because a proxy that has tokens left seldom gets a request for a key of the server.
 func TestWarmingServerGetsItsShareOfFewRequests(t *testing.T) {
-	const requests = 100 // of each proxy, in 5 s
+	const requests = 100 // per proxy, in 5 s
 	toNew, all := 0, 0
 	for seed := range uint64(80) {
 		b := newFleetBalancer(t, seed)
 		b.settings.Rules = Rules{SlowStartShare: 0.2, SlowStartWindow: 8 * time.Second}
 		started := []Endpoint{{Server: "new", StartedAt: time.Hour}}
 		b.Handle(time.Hour, EndpointUpdate{Kind: EndpointsDelta, Endpoints: started}, nil)
-		firstAttempts, _ := runRequests(b, time.Hour, 0, requests, resultWhere(Served, noServer))
+		firstAttempts, _ := runRequests(b, time.Hour, 0, requests, resultWhere(Served, matchNone))
 		toNew += firstAttempts["new"]
 		all += requests
 	}
-	const meanCapacity = 0.45 // in these 5 s
-	due := slowStartMargin * float64(all) * meanCapacity / (60 + meanCapacity)
-	if got := float64(toNew); got < due/6 || got > due*1.25 {
-		t.Errorf("a warming server got %d of %d, due are %.0f", toNew, all, due)
+	const meanCapacity = 0.45 // during these 5 s
+	allowance := slowStartMargin * float64(all) * meanCapacity / (60 + meanCapacity)
+	if got := float64(toNew); got < allowance/6 || got > allowance*1.25 {
+		t.Errorf("a warming server got %d of %d, its allowance is %.0f", toNew, all, allowance)
 	}
 }
 
-// TestZonalHomesGrantSlowStartTokens guards warming servers whose requests come from the proxies of their own zone
-// alone: these grant what the others do not, but never so much that all clients at one zone push a server over.
+// TestZonalHomesGrantSlowStartTokens guards warming servers that get requests only from the proxies of their own zone:
+// these proxies also grant what the others do not, but never so much that the server is overloaded if all clients are
+// in one zone.
 func TestZonalHomesGrantSlowStartTokens(t *testing.T) {
 	const (
-		requests = 100
-		due      = 0.2 / 60.8 * requests // the capacity of one warming server over the fleet's
+		requests  = 100
+		fairShare = 0.2 / 60.8 * requests // the capacity of one warming server divided by the fleet's
 	)
 	for _, c := range []struct {
 		name             string
 		connections      float64
 		overloadMultiple float64
-		own, others      float64 // in due shares
+		own, others      float64 // in fair shares
 	}{
 		{"no zonal homes", 0, 3, slowStartMargin, slowStartMargin},
 		{"four zones", 0.2, 9, 4 * slowStartMargin, 0},
@@ -152,13 +153,13 @@
 				b.grantSlowStartTokens()
 			}
 			for zone, endpoint := range started {
-				want := c.others * due
+				want := c.others * fairShare
 				if zone == 0 {
-					want = c.own * due
+					want = c.own * fairShare
 				}
 				want = min(want, maxSlowStartTokens)
 				if got := b.servers[endpoint.Server].slowStartTokens; math.Abs(got-want) > 0.01 {
-					t.Errorf("the server of zone %d is granted %.2f sends, not %.2f", zone, got, want)
+					t.Errorf("the server of zone %d is granted %.2f sends, want %.2f", zone, got, want)
 				}
 			}
 		})
