--- a/policy/api.go
+++ b/policy/api.go
@@ -88,7 +88,7 @@
 // Result is how an attempt or a health check ended.
 type Result uint8
 
-// The results.
+// The results of attempts and health checks.
 const (
 	Served Result = iota
 	Errored
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -85,7 +85,7 @@
 	return b, nil
 }
 
-// Handle handles one event at time now, appends the resulting actions to actions and returns the extended slice.
+// Handle processes one event at time now, appends the resulting actions to actions and returns the extended slice.
 func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
 	b.now, b.actions = now, actions
 	b.maintain()
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -112,7 +112,6 @@
 
 func matchNone(string) bool { return false }
 
-// gates returns the gates of both paths.
 func gates(b *Balancer) []*admissionGate {
 	return []*admissionGate{&b.paths[hitPath].gate, &b.paths[fetchPath].gate}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -120,7 +120,7 @@
 // healthSample is what an attempt says about its server's health; each value is 0 or 1.
 type healthSample struct {
 	failed    float64
-	unreached float64 // it did not reach its server
+	unreached float64 // the attempt did not reach its server
 }
 
 // recordHealth counts an attempt for the health of its server and zone, once.
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -62,7 +62,6 @@
 	return best
 }
 
-// isCandidate reports whether a server may be chosen for a request.
 func (b *Balancer) isCandidate(r *request, s *server, from candidates) bool {
 	if from == preferredCandidates && (s.backoffUntil > b.now || wasTried(r, s)) {
 		return false
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -47,7 +47,7 @@
 // firstMissProbability is the probability that the first server of a group does not hold a key that no filter contains.
 func (h *homeServers) firstMissProbability(group int) float64 {
 	miss := h.servers[group][0].filter.FalsePositiveRate()
-	isHomeOfOneZone := h.scores[group][0] < h.scores[1-group][0] // the key's first home of all is in the other group
+	isHomeOfOneZone := h.scores[group][0] < h.scores[1-group][0] // the key's best home overall is in the other group
 	if isHomeOfOneZone {
 		miss += (1 - miss) * zonalHomeMissShare
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -28,7 +28,7 @@
 	keyHash         uint64
 	filterPositions bloom.Positions
 	cacheable       bool // it is a read with a key, which caches may hold
-	overQuota       bool // its tenant is over its quota
+	overQuota       bool
 	ended           bool
 	streaming       bool
 	served          bool
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -19,7 +19,7 @@
 // DedupScope says which servers deduplicate keyed requests together.
 type DedupScope uint8
 
-// The scopes of deduplication.
+// The scopes in which servers deduplicate.
 const (
 	DedupScopeAll DedupScope = iota
 	DedupScopeZone
@@ -68,7 +68,7 @@
 // requests end by their deadline and draining servers get none; tests and simulations check them.
 type Rules struct {
 	ResponseGrace    time.Duration // how long after its deadline a final answer may still be given
-	MaxPollInterval  time.Duration // after this long without a request, the list's changes count as known to the proxy
+	MaxPollInterval  time.Duration // after this long without a call for the list, its changes count as known
 	DrainGrace       time.Duration // how long requests may still be sent to a draining server
 	SlowStartShare   float64       // capacity of a server that has just started, as a share of its full capacity
 	SlowStartWindow  time.Duration // time after which a started server has its full capacity
