--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -1,71 +1,75 @@
-// Package connlimit decides how many connections a proxy keeps to all cache nodes together, where each node accepts few
-// and many proxies share them.
+// Package connlimit decides how many connections a proxy keeps to all cache nodes together, for nodes that accept few
+// connections and share them among many proxies.
 //
 // Guarantees:
 //
-//  1. Where nodes bound their connections the budget is at least [MinConnections], and otherwise never above
-//     [Capacity.PerProxy] connections to each node.
-//  2. Proxies that follow it, and are as many as configured, use [TargetFill] of each node's connections.
-//  3. Where more proxies or fewer connections than configured make nodes reject, the budget falls by half within some
-//     rejections, from what is really open, however much was configured; it rises by a connection to each node within
-//     [RecoveryTime] without one.
+//  1. If nodes limit their connections, the budget is at most [Capacity.PerProxy] connections per node, but never less
+//     than [MinConnections] in total.
+//  2. If the number of proxies is configured correctly and all of them keep to their budgets, together they use
+//     [TargetFill] of each node's connections.
+//  3. If nodes reject connections because there are more proxies or fewer connections than configured, a few
+//     rejections halve the budget, starting from the number of open connections however large the configured share
+//     is. Without rejections the budget grows by one connection per node within [RecoveryTime].
 //
-// The package does no I/O, reads no clock and starts no goroutine; a [Budget] belongs to the caller. It does not say
-// which connections are kept: package upstream keeps the most recently used.
+// The package does no I/O, reads no clock and starts no goroutines. A [Budget] is not safe for concurrent use. The
+// package does not choose which connections to keep: package upstream keeps the most recently used.
 package connlimit
 
 import "time"
 
 const (
-	// TargetFill is the share of a node's connections that proxies aim to use together. Which proxies have a
-	// connection to a node is chance: with eighty proxies, of which 18 have one, their number scatters by about a
-	// fifth, and some capacity must be left for those that need one now. A node with no connection left is also slow.
+	// TargetFill is the fraction of a node's connections that all proxies together aim to use. Which proxies have a
+	// connection to a node is random: with eighty proxies, of which 18 have one on average, the number varies by about
+	// a fifth, and some capacity must remain for proxies that need a connection now. A node without free connections
+	// is also slow.
 	TargetFill = 0.6
 
-	// MinConnections are kept by any proxy: with fewer each request would wait for a handshake.
+	// MinConnections is the minimum budget of a proxy: with fewer connections each request would wait for a handshake.
 	MinConnections = 4
 
-	// RecoveryTime is how long it takes to regain the full share, or a connection to each node where that is less.
+	// RecoveryTime is the time in which the budget regains the full share, or one connection per node if that is less.
 	RecoveryTime = 30 * time.Second
 
-	// rejectionFactor is what remains of the budget after a rejection.
+	// rejectionFactor is the factor by which a rejection reduces the budget.
 	rejectionFactor = 0.85
 
-	// quietPeriod is the time after a rejection in which others do not count: they have the same cause.
+	// quietPeriod is the time after a rejection during which further rejections are ignored: they have the same cause.
 	quietPeriod = 250 * time.Millisecond
 
-	// minPart is the part of the share, or of a connection to each node where that is less, that any number of
-	// rejections leaves: a node that rejects for another reason must not take the other nodes' connections as well.
-	minPart = 0.25
+	// minFraction is the fraction of the share, or of one connection per node if that is less, that remains after any
+	// number of rejections: a node that rejects for another reason must not cost the connections to other nodes too.
+	minFraction = 0.25
 
-	// unboundedPerNode is the limit for each node where nodes have no bound: more than is ever opened.
+	// unboundedPerNode is the budget per node if nodes have no known limit; a proxy never opens that many.
 	unboundedPerNode = 1 << 10
 )
 
-// Capacity is what is known of the nodes' connections.
+// Capacity describes the connections that nodes accept and the proxies that share them.
 type Capacity struct {
-	ConnectionsPerNode int // that a node accepts from all proxies, 0 for unknown or no bound
-	Proxies            int // that share them, 0 for unknown: one
+	ConnectionsPerNode int // connections that a node accepts from all proxies, 0 for unknown or unlimited
+	Proxies            int // number of proxies that share them; 0 for unknown, which counts as 1
 }
 
-// PerProxy is how many connections a node keeps for each proxy, 0 for no bound.
+// PerProxy returns each proxy's share of a node's connections, 0 for unlimited.
 func (c Capacity) PerProxy() float64 {
 	return float64(c.ConnectionsPerNode) * TargetFill / float64(max(c.Proxies, 1))
 }
 
-// Budget is how many connections to keep. The zero Budget has no bound.
+// Budget limits the number of connections that a proxy keeps. The zero Budget is unlimited. Its methods take the time
+// now as the duration since a fixed start.
 type Budget struct {
 	capacity      Capacity
-	part          float64 // of the share, 1 at first
+	fraction      float64 // of the share, initially 1
 	updated       time.Duration
 	lastRejection time.Duration
 	started       bool
 }
 
-// SetCapacity puts what is known of the nodes' connections into force. What rejections have taught stays.
+// SetCapacity sets the capacity. It keeps the reductions caused by earlier rejections.
 func (b *Budget) SetCapacity(c Capacity) { b.capacity = c }
 
-// Rejected reports that a node accepted no further connection, with so many open to so many nodes in all.
+// Rejected reduces the budget after a node at its limit rejected a connection. open is the number of the proxy's open
+// connections to all nodes, and nodes is the number of nodes.
 func (b *Budget) Rejected(now time.Duration, open, nodes int) {
 	if b.capacity.ConnectionsPerNode <= 0 || nodes <= 0 {
 		return
@@ -75,35 +79,37 @@
 		return
 	}
 	b.lastRejection = now
-	// A share far above what is open, from a wrong number of proxies, would take minutes to fall to where it bites.
+	// Start from the number of open connections: if too few proxies are configured, the share is far above that number
+	// and would take minutes to fall to a value that limits anything.
 	share := b.share(nodes)
-	limit := min(share*b.part, max(float64(open), b.step(nodes)))
-	b.part = max(limit*rejectionFactor/share, minPart*b.step(nodes)/share)
+	limit := min(share*b.fraction, max(float64(open), b.step(nodes)))
+	b.fraction = max(limit*rejectionFactor/share, minFraction*b.step(nodes)/share)
 }
 
-// Limit returns how many connections may stay open to so many nodes. Idle ones beyond it are to be closed; those in use
-// never count against a request.
+// Limit returns the number of connections to all nodes that may stay open. Callers close idle connections in excess of
+// it, but must not delay or reject a request because of it.
 func (b *Budget) Limit(now time.Duration, nodes int) int {
 	if b.capacity.ConnectionsPerNode <= 0 {
 		return max(nodes, 1) * unboundedPerNode
 	}
 	b.regain(now, nodes)
-	return max(int(b.share(nodes)*b.part), MinConnections)
+	return max(int(b.share(nodes)*b.fraction), MinConnections)
 }
 
-// share is this proxy's share of the connections of so many nodes.
+// share returns this proxy's share of the connections of all nodes.
 func (b *Budget) share(nodes int) float64 { return float64(nodes) * b.capacity.PerProxy() }
 
-// step is the unit of falls and rises: the share, or a connection to each node where that is less.
+// step returns the share, or one connection per node if that is less. The budget recovers by one step per
+// RecoveryTime, and minFraction of a step is its minimum.
 func (b *Budget) step(nodes int) float64 { return min(b.share(nodes), float64(nodes)) }
 
-// regain takes back evenly what rejections took.
+// regain increases the budget linearly up to the full share, by one step per RecoveryTime.
 func (b *Budget) regain(now time.Duration, nodes int) {
 	if !b.started {
-		b.started, b.part = true, 1
+		b.started, b.fraction = true, 1
 	} else if now > b.updated && nodes > 0 {
 		gained := float64(now-b.updated) / float64(RecoveryTime) * b.step(nodes) / b.share(nodes)
-		b.part = min(b.part+gained, 1)
+		b.fraction = min(b.fraction+gained, 1)
 	}
 	b.updated = max(b.updated, now)
 }
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestProxiesLeaveCapacityAtEachNode guards invariant 2: what eighty proxies keep to sixty nodes, wherever each keeps
-// it, leaves connections free at each node.
+// TestProxiesLeaveCapacityAtEachNode checks guarantee 2: eighty proxies that each keep their budget of connections to a
+// random choice of sixty nodes do not exceed the limit of any node.
 func TestProxiesLeaveCapacityAtEachNode(t *testing.T) {
 	const proxies, nodes, perNode = 80, 60, 30
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -29,21 +29,21 @@
 	}
 }
 
-// TestBudgetFallsToWhatNodesAccept guards invariant 3: proxies that are configured with a wrong number of themselves,
-// or meet nodes that accept fewer connections, come down to what there is.
+// TestBudgetFallsToWhatNodesAccept checks guarantee 3: if the configured number of proxies is wrong, or nodes accept
+// fewer connections than configured, the budgets fall to what the nodes accept.
 func TestBudgetFallsToWhatNodesAccept(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		configuredProxies int
 		accepted          int     // connections at each node
-		maxRejected       float64 // share of connections after five seconds
+		maxRejected       float64 // maximum share of connections rejected after five seconds
 	}{
 		{"as configured", 80, 30, 0.05},
 		{"half of the proxies configured", 40, 30, 0.05},
 		{"twice as many configured", 160, 30, 0.05},
 		{"fewer connections", 80, 18, 0.05},
 		{"half of the proxies and fewer connections", 40, 18, 0.05},
-		// A proxy that dials first is never rejected and keeps all; the others come down.
+		// A proxy that dials first is never rejected and keeps its budget; those of the others fall.
 		{"one proxy configured", 1, 30, 0.25},
 		{"none configured", 0, 30, 0.25},
 	} {
@@ -56,8 +56,8 @@
 	}
 }
 
-// rejectedShare is the share of the connections of eighty proxies to sixty nodes that is rejected from the fifth to the
-// twentieth second, in all that are opened.
+// rejectedShare simulates eighty proxies that connect to sixty nodes for twenty seconds. It returns the number of
+// connections rejected after the fifth second, relative to all that are opened.
 func rejectedShare(configured Capacity, accepted int) float64 {
 	const proxies, nodes = 80, 60
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -86,8 +86,8 @@
 	return float64(rejected) / float64(opened)
 }
 
-// TestBudgetRecovers guards invariant 3: the budget keeps its minimum through rejections, and is full RecoveryTime
-// after the last.
+// TestBudgetRecovers checks guarantee 3: the budget keeps its minimum through any number of rejections, and is full
+// again RecoveryTime after the last one.
 func TestBudgetRecovers(t *testing.T) {
 	var b Budget
 	b.SetCapacity(Capacity{ConnectionsPerNode: 30, Proxies: 20})
@@ -97,7 +97,7 @@
 		b.Rejected(now, full, 60)
 		now += time.Second / 2
 	}
-	if low := b.Limit(now, 60); low < int(float64(full)*minPart) || low > full/2 {
+	if low := b.Limit(now, 60); low < int(float64(full)*minFraction) || low > full/2 {
 		t.Errorf("after a hundred rejections %d of %d are kept", low, full)
 	}
 	if got := b.Limit(now+RecoveryTime, 60); got != full {
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestRejectionsTogetherCountOnce guards against a burst that closes most of a proxy's connections.
+// TestRejectionsTogetherCountOnce guards against a burst of rejections that closes most of a proxy's connections.
 func TestRejectionsTogetherCountOnce(t *testing.T) {
 	var b Budget
 	b.SetCapacity(Capacity{ConnectionsPerNode: 30, Proxies: 10})
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestInvalidCapacities guards invariant 1.
+// TestInvalidCapacities checks guarantee 1 for missing, negative and extreme values.
 func TestInvalidCapacities(t *testing.T) {
 	for _, capacity := range []Capacity{
 		{},
@@ -135,7 +135,7 @@
 			for _, nodes := range []int{0, 1, 60, 2000} {
 				got := b.Limit(time.Hour, nodes)
 				if got < MinConnections || perNode > 0 && got > max(perNode*nodes, MinConnections) {
-					t.Errorf("%d at %d nodes", got, nodes)
+					t.Errorf("limit of %d for %d nodes is out of range", got, nodes)
 				}
 			}
 		})
