--- a/internal/upstream/answers_test.go
+++ b/internal/upstream/answers_test.go
@@ -11,7 +11,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestAbandonedAttemptDelaysNobody guards guarantee 4 against lost answers and stuck nodes.
+// TestAbandonedAttemptDelaysNobody checks guarantee 4 for a node that never answers the abandoned attempt.
 func TestAbandonedAttemptDelaysNobody(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	pool, handler := startPool(t, func(id string, connection net.Conn) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestMalformedAnswerCostsOneAttempt guards guarantee 3: the attempt may have been executed, and the next one
-// goes over a clean connection.
+// TestMalformedAnswerCostsOneAttempt checks guarantee 3: a malformed answer ends its attempt as Malformed, since the
+// node may have executed it, and the next attempt uses a new connection.
 func TestMalformedAnswerCostsOneAttempt(t *testing.T) {
 	for name, answer := range map[string]string{
 		"noise":           "\x00\x17\xff\r\n",
@@ -73,9 +73,8 @@
 	}
 }
 
-// TestBytesAfterAnAnswerAreNotBelieved guards guarantee 3 against a second copy or noise after a good answer,
-// and against a load report that can't be read: the answer counts, and what is sent next does not get the rest
-// for its own.
+// TestBytesAfterAnAnswerAreNotBelieved checks guarantee 3 for a valid answer that contains a malformed load report and
+// is followed by a second copy or garbage: the answer counts, and the next attempt is not answered with the rest.
 func TestBytesAfterAnAnswerAreNotBelieved(t *testing.T) {
 	for name, more := range map[string]string{
 		"second copy": "VA 2 Ogood h1\r\nhi\r\n",
@@ -97,8 +96,8 @@
 	}
 }
 
-// TestErrorLineKeepsTheConnection guards against an error in other words, which is a complete answer, taking
-// its neighbours with it; and against taking an error for a rejection.
+// TestErrorLineKeepsTheConnection checks that an error line with an unusual text, which is a complete answer, does not
+// end the connection and with it other attempts, and that it is not taken for a busy rejection.
 func TestErrorLineKeepsTheConnection(t *testing.T) {
 	for line, want := range map[string]Result{
 		"CLIENT_ERROR Odd thing":        Failed,
@@ -111,7 +110,7 @@
 			t.Parallel()
 			accepted := map[net.Conn]bool{}
 			pool, handler := startPool(t, func(id string, connection net.Conn) {
-				accepted[connection] = true // only the goroutine of the one connection runs this
+				accepted[connection] = true // no lock: with one connection only its goroutine runs this
 				if id == "bad" {
 					fmt.Fprintf(connection, "%s\r\n", line)
 					return
@@ -130,8 +129,8 @@
 	}
 }
 
-// TestConnectionLimitIsNotOverload guards against many proxies that take nodes at their connection limit for
-// overloaded ones, and shed load for it.
+// TestConnectionLimitIsNotOverload guards against a fleet of proxies that takes nodes at their connection limit for
+// overloaded nodes, and sheds load.
 func TestConnectionLimitIsNotOverload(t *testing.T) {
 	pool, handler := startPool(t, func(id string, connection net.Conn) {
 		switch id {
@@ -145,13 +144,13 @@
 		}
 	})
 	pool.mu.Lock()
-	pool.closeCheckTimeout = patience // so that the end of the connection is always seen
+	pool.closeCheckTimeout = testTimeout // so that the end of the connection is always seen
 	pool.mu.Unlock()
 	sendRead(t, pool, "limit")
 	if got := handler.next(t); got.result != ConnectionLimitReached {
 		t.Errorf("a connection that was refused ended with %d, want %d", got.result, ConnectionLimitReached)
 	}
-	// Busy on a connection that has served, or that stays open, is about the node's queue.
+	// A busy answer on a connection that has served requests, or that stays open, means that the node's queue is full.
 	handler.expectServed(t, sendRead(t, pool, "first"))
 	sendRead(t, pool, "queue")
 	if got := handler.next(t); got.result != Busy {
@@ -162,15 +161,15 @@
 	}
 }
 
-// TestIdleConnectionsBeyondTheShareAreClosed guards against a fleet that uses up the connections of all nodes
-// with idle ones.
+// TestIdleConnectionsBeyondTheShareAreClosed guards against a fleet of proxies whose idle connections use up the
+// connection limits of all nodes.
 func TestIdleConnectionsBeyondTheShareAreClosed(t *testing.T) {
 	pool, handler := startPool(t, serve)
 	pool.mu.Lock()
 	address := pool.nodes["n"].Address
 	pool.mu.Unlock()
 	limits := pool.limits
-	limits.FleetShare = connlimit.Capacity{ConnectionsPerNode: 1, Proxies: 1000} // so little that the minimum holds
+	limits.FleetShare = connlimit.Capacity{ConnectionsPerNode: 1, Proxies: 1000} // a share below MinConnections
 	limits.MaxConnections = 100
 	pool.SetLimits(limits)
 	var nodes []Node
@@ -181,7 +180,7 @@
 	for _, n := range nodes {
 		first := sendRead(t, pool, "x")
 		handler.expectServed(t, first)
-		second := &Attempt{Request: first.Request, Deadline: time.Now().Add(patience)}
+		second := &Attempt{Request: first.Request, Deadline: time.Now().Add(testTimeout)}
 		if !pool.Send(n.Name, second) {
 			t.Fatalf("no connection to %s", n.Name)
 		}
@@ -197,10 +196,10 @@
 	}
 }
 
-// slowCheck is a Handler whose process seems to be paused between the check and the write.
+// slowCheck is a Handler that delays each check by lateWriteThreshold, like a pause between the check and the write.
 type slowCheck struct {
 	ends
-	late chan int // attempts that were written late
+	late chan int // size of each batch that was written late
 }
 
 func (s slowCheck) BeforeWrite(batch []*Attempt) []*Attempt {
@@ -210,8 +209,8 @@
 
 func (s slowCheck) WrittenLate(batch []*Attempt, _ time.Duration) { s.late <- len(batch) }
 
-// TestLateWriteIsReported guards the count of what a pause between the check and the write lets through: that
-// can't be prevented, but must not go unnoticed.
+// TestLateWriteIsReported checks that attempts that were written long after their check, because of a pause in between,
+// are reported. Such writes can't be prevented, but must be counted.
 func TestLateWriteIsReported(t *testing.T) {
 	pool, handler := startPool(t, func(id string, connection net.Conn) {
 		fmt.Fprintf(connection, "VA 2 O%s\r\nhi\r\n", id)
@@ -225,8 +224,8 @@
 	slow.expectServed(t, a)
 }
 
-// TestLateSecondAnswerIsNotBelieved guards guarantee 3: the copy of an answer comes when the next request has
-// been sent already. The request must not be answered by it, and the connection is not used again.
+// TestLateSecondAnswerIsNotBelieved checks guarantee 3 for a copy of an answer that arrives after the next request has
+// been sent: the request must not be answered with it, and the connection must not be used again.
 func TestLateSecondAnswerIsNotBelieved(t *testing.T) {
 	pool, handler := startPool(t, func(id string, connection net.Conn) {
 		if id == "b" {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,54 +10,56 @@
 // Result is how an attempt ended without a served answer.
 type Result uint8
 
-// The results.
+// The results of attempts. The node may have executed the attempt only after Failed, ConnectionLost and Malformed.
 const (
-	Busy                   Result = iota // rejected by the node
-	Failed                               // the node reported an error, and may have executed it
-	NotWritten                           // its last byte was never written
-	ConnectionLost                       // the connection ended after that
-	Malformed                            // what came instead of its answer can't be read
-	ConnectionLimitReached               // the node accepts no further connection, and has not executed it
+	Busy                   Result = iota // the node rejected the attempt
+	Failed                               // the node answered with an error
+	NotWritten                           // the last byte of the attempt was never written
+	ConnectionLost                       // the connection ended after the last byte was written
+	Malformed                            // the node's answer can't be parsed
+	ConnectionLimitReached               // the node rejected the connection because it is at its limit
 )
 
-// Attempt is one sending of a request. It is written at most once and has exactly one end, reported to the
-// Handler, unless it was withdrawn.
+// Attempt sends a request to a node once. It is written at most once, and its end is reported to the Handler
+// exactly once unless the attempt was withdrawn.
 type Attempt struct {
-	ID           uint64           // of the request, chosen by the handler
-	Number       int              // among the attempts of the request, chosen by the handler
-	Request      *request.Request // not to be changed any more
-	Deadline     time.Time        // when the proxy stops waiting
-	HandlerState any              // not used by this package
-
-	// Guarded by Pool.mu, except for endOffset, which belongs to the writer of the connection.
-	node      string
-	endOffset int  // where its bytes end among those of the batch that is written
-	requeued  bool // it was moved from a connection that ended
-	abandoned bool // nobody waits for its answer
+	ID           uint64           // the request's id, chosen by the handler
+	Number       int              // the attempt's number within its request, chosen by the handler
+	Request      *request.Request // must not be changed after Pool.Send
+	Deadline     time.Time        // when the proxy stops waiting for the answer
+	HandlerState any              // for the handler; not used by this package
+
+	// Guarded by Pool.mu, except for endOffset, which only the connection's writer uses.
+	node      string // name of the node
+	endOffset int    // offset of the end of its bytes in the batch being written
+	requeued  bool   // already moved once from a connection that ended
+	abandoned bool   // nobody waits for the answer
 }
 
-// Handler is notified of what becomes of attempts. No lock of this package is held during its calls.
+// Handler checks attempts before they are written and is told how they end. The package holds no lock while it
+// calls the handler.
 type Handler interface {
-	// BeforeWrite drops the attempts of a batch whose first byte must not be written any more, and returns
-	// the others. Those that are dropped have ended. It may reuse the batch's memory.
+	// BeforeWrite returns the attempts of a batch that may still be written. The handler drops the others,
+	// which thereby end without a call of Ended. It may reuse the batch's memory.
 	BeforeWrite(batch []*Attempt) []*Attempt
-	// WrittenLate reports that attempts were written a long time after BeforeWrite let them: the process
-	// was paused in between, or the node accepted no data.
+	// WrittenLate reports that the first bytes of a batch were written long after BeforeWrite had returned it,
+	// because the process was paused in between or the node accepted no data.
 	WrittenLate(batch []*Attempt, delay time.Duration)
-	// Answered ends an attempt with a served answer, which belongs to the handler from then on.
+	// Answered ends an attempt with a served answer. The handler owns the answer from then on.
 	Answered(a *Attempt, answer *request.Answer)
-	// Ended ends an attempt without a served answer; answer is nil where none came.
+	// Ended ends an attempt that was not served. answer is the node's busy or error answer, nil if there is none.
 	Ended(a *Attempt, answer *request.Answer, result Result)
 }
 
-// Dialect is how requests are written to nodes, and their answers read. It has no state, and is comparable.
+// Dialect formats requests for nodes and parses their answers. Implementations are stateless and comparable with ==.
 type Dialect interface {
-	// AppendHead appends a request up to its value; timeout is how long the proxy will wait.
+	// AppendHead appends the part of a request before its value. timeout is how long the proxy will wait for
+	// the answer.
 	AppendHead(dst []byte, r *request.Request, timeout time.Duration) []byte
-	// AppendTail appends what follows the value.
+	// AppendTail appends the part of a request after its value.
 	AppendTail(dst []byte, r *request.Request) []byte
-	// ReadAnswer reads the next answer, which must be that to r. After an error the start of the next
-	// answer is not known. Errors of the network are *net.OpError, io.EOF or io.ErrUnexpectedEOF; all
-	// others are of the answer.
+	// ReadAnswer reads the next answer, which must be the answer to r. After an error the position in the
+	// stream is undefined. Network errors are *net.OpError, io.EOF or io.ErrUnexpectedEOF; any other error means
+	// that the answer is malformed.
 	ReadAnswer(in *bufio.Reader, r *request.Request) (request.Answer, error)
 }
--- a/internal/upstream/blocked_test.go
+++ b/internal/upstream/blocked_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// These tests have a node stop reading in the middle of a batch.
+// In these tests a node stops reading in the middle of a batch.
 
 const (
-	// bigWrites is the number of writes of a batch, more than all buffers on the way hold.
+	// bigWrites is the number of writes in a batch; all buffers between pool and node together hold fewer.
 	bigWrites = 40
-	// bigSize is the size of each of their values in bytes.
+	// bigSize is the size in bytes of the value of each of these writes.
 	bigSize = 60000
 )
 
@@ -23,12 +23,12 @@
 	*gatedPool
 	node        *net.TCPConn
 	first       *Attempt   // a read that has been written
-	bigAttempts []*Attempt // writes, some of which have been written
-	reads       []*Attempt // after them
+	bigAttempts []*Attempt // the writes of the batch, some of which have been written
+	reads       []*Attempt // the reads of the batch, which follow the writes
 }
 
-// startBlocked has the writes and the reads with these ids in one batch, and waits until the part of it that was
-// not started waits again.
+// startBlocked sends the writes, and reads with the given ids, in one batch to a node that does not read, and waits
+// until the attempts that could not be started are queued again.
 func startBlocked(t *testing.T, readIDs ...string) *blockedPool {
 	t.Helper()
 	b := &blockedPool{gatedPool: startGated(t, testLimits)}
@@ -49,7 +49,7 @@
 	if batch := b.nextCheck(t, "the check of the others"); len(batch) != want {
 		t.Fatalf("%d in the batch, want %d", len(batch), want)
 	}
-	// This check lets all start, as if the reason against one came a moment later.
+	// This check keeps all attempts, as if a reason to drop one arose just after it.
 	b.proceed <- struct{}{}
 	b.waitLocked(t, "what was not started to wait again", func() bool {
 		return len(b.connection().queued) > 0 || len(b.checks) > 0
@@ -57,7 +57,7 @@
 	return b
 }
 
-// serveAll answers all requests on a connection, and sends their ids, until the connection ends.
+// serveAll answers all requests on a connection until it ends, and sends the requests' ids on the channel.
 func serveAll(connection net.Conn) <-chan string {
 	ids := make(chan string, 100)
 	go func() {
@@ -83,7 +83,7 @@
 	return ids
 }
 
-// countAll counts equal ids until there are no more.
+// countAll returns how often each id is received until the channel is closed.
 func countAll(ids <-chan string) map[string]int {
 	times := map[string]int{}
 	for id := range ids {
@@ -92,8 +92,8 @@
 	return times
 }
 
-// TestUnstartedPartOfABatchIsCheckedAgain guards guarantee 2: what a node did not accept of a batch must not be
-// sent after the rest once the node reads again, unless it still may.
+// TestUnstartedPartOfABatchIsCheckedAgain checks guarantee 2: when a node that had stopped reading reads again, the
+// attempts of a batch that it had not accepted are sent only if they pass another check.
 func TestUnstartedPartOfABatchIsCheckedAgain(t *testing.T) {
 	for _, mayStart := range []bool{false, true} {
 		t.Run(fmt.Sprint("may start ", mayStart), func(t *testing.T) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// served waits for all attempts to end, and returns those that were served. Only those that the handler drops
-// may end otherwise.
+// served waits for all attempts to end, and returns those that were served. It fails the test if any other attempt
+// than those that the handler drops was not served.
 func (b *blockedPool) served(t *testing.T) map[*Attempt]bool {
 	t.Helper()
 	served := map[*Attempt]bool{}
@@ -142,9 +142,10 @@
 	return served
 }
 
-// TestResetInTheMiddleOfABatch guards guarantee 1: when the connection is reset some attempts of a batch have
-// been written, one in part and others not. Each has one end, by what can have been executed: those that were
-// written may have been, and those that were not started move to another connection, once.
+// TestResetInTheMiddleOfABatch checks guarantee 1: when the connection is reset, some attempts of a batch have been
+// written, one in part, and others not at all. Each must end exactly once, with a result that says whether the node
+// may have executed it: ConnectionLost for those that were written, NotWritten for the partial one. Those that were
+// not started move to another connection, at most once.
 func TestResetInTheMiddleOfABatch(t *testing.T) {
 	b := startBlocked(t)
 	b.mu.Lock()
@@ -167,19 +168,19 @@
 		ended[id] = true
 		counts[got.result]++
 	}
-	// Served ones have the zero result, Busy, which no node answers here.
+	// Served attempts have the zero result, Busy, which the node does not answer in this test.
 	served := counts[Busy]
 	all := counts[ConnectionLost] + counts[NotWritten] + served
 	if counts[ConnectionLost] == 0 || served == 0 || all != bigWrites+1 {
 		t.Errorf("ends by result: %v", counts)
 	}
 	if len(b.ends) > 0 {
-		t.Errorf("%d ends too many", len(b.ends))
+		t.Errorf("%d attempts ended more than once", len(b.ends))
 	}
 }
 
-// TestEndBetweenCheckAndWrite guards guarantees 1 and 2: a connection ends after the check of an attempt and
-// before its first byte. The attempt moves to another connection, after another check, once.
+// TestEndBetweenCheckAndWrite checks guarantees 1 and 2 for a connection that ends after the check of an attempt and
+// before its first byte is written. The attempt moves to another connection once, where it is checked again.
 func TestEndBetweenCheckAndWrite(t *testing.T) {
 	g := startGated(t, testLimits)
 	a := sendRead(t, g.Pool, "a")
@@ -194,7 +195,7 @@
 	}
 	g.proceed <- struct{}{}
 	second := g.nextConnection(t)
-	second.SetReadDeadline(time.Now().Add(patience))
+	second.SetReadDeadline(time.Now().Add(testTimeout))
 	line, err := bufio.NewReader(second).ReadString('\n')
 	if err != nil || requestID(line) != "a" {
 		t.Fatalf("the node received %q, %v", line, err)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -16,23 +16,23 @@
 	socket     *net.TCPConn
 	dialect    Dialect
 	openedAt   time.Time
-	lastActive time.Time // when anything last came, or an attempt began to wait
+	lastActive time.Time // when an answer last began or ended, or an idle connection got an attempt
 
-	queued       []*Attempt // not written yet
-	beingChecked int        // attempts that the writer has and the handler checks
-	inFlight     []*Attempt // written or being written, in the order of their answers
-	incomplete   int        // attempts at the end of inFlight that have not been written completely
-	writing      bool       // the writer has a batch
+	queued       []*Attempt // no byte written yet
+	beingChecked int        // number of attempts that the writer has taken and the handler is checking
+	inFlight     []*Attempt // written or being written, in the order in which their answers come
+	incomplete   int        // number of attempts at the end of inFlight whose last byte has not been written
+	writing      bool       // the writer is checking or writing a batch
 	writerWake   sync.Cond
 
-	retired     bool // it gets no new attempts, and is closed once nobody waits for it
-	writeFailed bool // answers that came before the failure are still read
-	malformed   bool // what came for the first of inFlight can't be read
+	retired     bool // gets no new attempts, and is closed once nobody waits for an attempt on it
+	writeFailed bool // nothing more is written; answers that came before the failure are still read
+	malformed   bool // the answer to the first attempt of inFlight can't be parsed
 	closed      bool
-	hasServed   bool // an answer other than busy has come; belongs to the reader
+	hasServed   bool // an answer other than busy has come; used by the reader only, without the lock
 }
 
-// newConn starts the reader and the writer of a connection. p.mu is held.
+// newConn wraps an established connection and starts its reader and writer. p.mu is held.
 func newConn(p *Pool, n *node, socket *net.TCPConn) *conn {
 	now := time.Now()
 	dialect := n.Dialect
@@ -53,18 +53,18 @@
 	return c
 }
 
-// outstanding returns the number of attempts that have been given to the connection and have not ended.
+// outstanding returns the number of attempts assigned to the connection that have not ended.
 func (c *conn) outstanding() int { return len(c.queued) + c.beingChecked + len(c.inFlight) }
 
-// hasWaiters reports whether anybody waits for an attempt on the connection.
+// hasWaiters reports whether the connection has queued attempts, or attempts in flight that were not abandoned.
 func (c *conn) hasWaiters() bool {
 	return len(c.queued) > 0 || slices.ContainsFunc(c.inFlight, func(a *Attempt) bool { return !a.abandoned })
 }
 
-// inUse reports whether the connection must stay open: it is being written to, or somebody waits for it.
+// inUse reports whether the connection must stay open because it is being written to or has waiters.
 func (c *conn) inUse() bool { return c.writing || c.hasWaiters() }
 
-// enqueue gives an attempt to the writer.
+// enqueue adds an attempt to the writer's queue.
 func (c *conn) enqueue(a *Attempt) {
 	if c.outstanding() == 0 {
 		c.lastActive = time.Now()
@@ -73,7 +73,8 @@
 	c.writerWake.Signal()
 }
 
-// retire lets a connection finish what somebody waits for, and then close. The reason is for the event log.
+// retire stops assigning attempts to the connection, and closes it once it is no longer in use. The reason is
+// for the event log if the connection closes now.
 func (c *conn) retire(reason string) {
 	c.retired = true
 	if !c.inUse() {
@@ -81,8 +82,8 @@
 	}
 }
 
-// close ends the connection. Its reader and writer notice, and the last of them ends its attempts. The reason
-// is for the event log.
+// close closes the connection. Its reader and writer then stop and end its attempts. The reason is for the event
+// log.
 func (c *conn) close(reason string) {
 	if c.closed {
 		return
@@ -106,27 +107,28 @@
 	c.writerWake.Signal()
 }
 
-// discardUndelivered has the close discard what the kernel has not delivered yet, if any of it has side
-// effects: once a cut link is restored the kernel would deliver it, long after the window in which nodes drop
-// repeats. The price is that a node that would have answered just then sees a reset.
+// discardUndelivered makes the kernel reset the connection on close, and discard the data that it has not
+// delivered, if an attempt in flight has side effects. Otherwise the kernel would deliver that data once a broken
+// network link is restored, long after the window in which nodes drop repeats. The drawback is that a node that
+// was just about to answer sees a reset.
 func (c *conn) discardUndelivered() {
 	if slices.ContainsFunc(c.inFlight, func(a *Attempt) bool { return a.Request.SideEffects }) {
 		c.socket.SetLinger(0)
 	}
 }
 
-// endAttempts ends the attempts of a closed connection, once no write can change what is known of them. What
-// was not written moves to another connection, once: the end of a connection says little about its node, but a
-// node that accepts and resets must not keep an attempt moving for ever. It is entered with Pool.mu held, and
-// releases it.
+// endAttempts ends the attempts of a closed connection, once no write is under way that could change how they
+// end. Queued attempts move to another connection, each at most once: the end of a connection says little about
+// its node, but a node that accepts and resets connections must not keep an attempt moving forever. The caller
+// holds Pool.mu; endAttempts releases it.
 func (c *conn) endAttempts() {
-	if c.writing { // the writer calls it again
+	if c.writing { // the writer calls endAttempts when it is done
 		c.pool.mu.Unlock()
 		return
 	}
 	inFlight := c.inFlight
 	complete := len(inFlight) - min(c.incomplete, len(inFlight))
-	lost := c.requeue()
+	unsent := c.requeue()
 	c.queued, c.inFlight = nil, nil
 	c.pool.mu.Unlock()
 	for i, a := range inFlight {
@@ -139,19 +141,19 @@
 		}
 		c.pool.handler.Ended(a, nil, result)
 	}
-	for _, a := range lost {
+	for _, a := range unsent {
 		c.pool.handler.Ended(a, nil, NotWritten)
 	}
 }
 
 // requeue moves queued attempts to other connections, and returns those that can't be moved. Pool.mu is held.
-func (c *conn) requeue() (lost []*Attempt) {
+func (c *conn) requeue() (unsent []*Attempt) {
 	for _, a := range c.queued {
 		mayMove := !a.requeued && c.node.listed
 		a.requeued = true
 		if !mayMove || !c.pool.enqueue(c.node, a) {
-			lost = append(lost, a)
+			unsent = append(unsent, a)
 		}
 	}
-	return lost
+	return unsent
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -7,9 +7,10 @@
 	"mulleinpier/internal/eventlog"
 )
 
-// The waits before a node that refused a connection is dialed again. The first refusal causes none: networks
-// reset single connections, and on the few that are left attempts would wait for one another and end
-// together. A node that is at its limit sees as many dials as it takes to double the wait.
+// Bounds of the backoff after a failed dial to a node. The first failure causes no backoff: networks reset single
+// connections, and on the few connections that are left attempts would wait for one another and end together.
+// The backoff doubles with each further failure, so a node at its connection limit still sees a few dials before
+// the backoff is long.
 const (
 	minDialBackoff = 50 * time.Millisecond
 	maxDialBackoff = 4 * time.Second
@@ -18,15 +19,15 @@
 // node is the state of the connections to one node. It is guarded by Pool.mu.
 type node struct {
 	Node
-	listed      bool          // it has been added and not removed
+	listed      bool          // added and not removed
 	connections []*conn       // in order of opening
-	dialing     int           // connections that are being established
-	waiting     []*Attempt    // for one of these
-	dialBackoff time.Duration // after the next failure
-	nextDialAt  time.Time     // no dial before, unless the node has no connection
+	dialing     int           // number of connections being established
+	waiting     []*Attempt    // attempts that wait for a connection being established
+	dialBackoff time.Duration // applies after the next failed dial
+	nextDialAt  time.Time     // earliest next dial, unless the node has no usable connection
 }
 
-// openConnections returns the number of connections that take new attempts.
+// openConnections returns the number of connections that are not retired.
 func (n *node) openConnections() int {
 	open := 0
 	for _, c := range n.connections {
@@ -37,8 +38,8 @@
 	return open
 }
 
-// leastLoaded returns the connection with the fewest attempts, nil if all have limit or more. Of equal ones it
-// returns the one that was used last, so that the others become idle and can be closed.
+// leastLoaded returns the connection with the fewest outstanding attempts, or nil if all have limit or more.
+// Among equals it returns the most recently used one, so that the others become idle and can be closed.
 func (n *node) leastLoaded(limit int) *conn {
 	var best *conn
 	for _, c := range n.connections {
@@ -65,14 +66,14 @@
 	}
 }
 
-// mayDial reports whether another connection to a node may be established. One without a usable connection
-// is dialed without backoff, as nothing else can help it. p.mu is held.
+// mayDial reports whether another connection to a node may be established. A node without a usable connection is
+// dialed regardless of the backoff, since its attempts can't be sent otherwise. p.mu is held.
 func (p *Pool) mayDial(n *node, usable *conn) bool {
 	return n.openConnections()+n.dialing < p.limits.MaxPerNode &&
 		(usable == nil || !time.Now().Before(n.nextDialAt))
 }
 
-// dial establishes one more connection to a node. p.mu is held.
+// dial starts to establish one more connection to a node. p.mu is held.
 func (p *Pool) dial(n *node) {
 	n.dialing++
 	p.connections++
@@ -80,7 +81,7 @@
 	address, name, started := n.Address, n.Name, time.Now()
 	dialer := net.Dialer{Timeout: p.limits.ConnectTimeout, KeepAlive: -1}
 	p.tasks.Go(func() {
-		socket, err := dialer.DialContext(p.dials, "tcp", address)
+		socket, err := dialer.DialContext(p.dialContext, "tcp", address)
 		duration := time.Since(started)
 		if err != nil {
 			p.recorder.Record(eventlog.NodeDialFailed{Node: name, Duration: duration, Err: err})
@@ -91,7 +92,8 @@
 	})
 }
 
-// dialFinished takes the result of a dial of a node's address.
+// dialFinished handles the result of a dial to a node at the given address: it adds the connection to the node, or
+// sets the backoff after a failure.
 func (p *Pool) dialFinished(n *node, address string, socket net.Conn, err error) {
 	p.mu.Lock()
 	n.dialing--
@@ -109,28 +111,28 @@
 		n.connections = append(n.connections, newConn(p, n, socket.(*net.TCPConn)))
 		n.assignWaiting()
 	}
-	lost := n.reassignWaiting(p.limits.MaxPipelined)
+	unsent := n.reassignWaiting(p.limits.MaxPipelined)
 	p.removeIfUnused(n)
 	p.mu.Unlock()
-	for _, a := range lost {
+	for _, a := range unsent {
 		p.handler.Ended(a, nil, NotWritten)
 	}
 }
 
-// reassignWaiting gives attempts that waited for a dial that has ended to other connections, at most
-// maxPipelined on each. It returns those that can't be sent: no connection is left, nor being established.
-func (n *node) reassignWaiting(maxPipelined int) (lost []*Attempt) {
+// reassignWaiting gives the attempts in excess of the dials under way to open connections, at most maxPipelined
+// on each. It returns those that can't be sent because no connection has capacity and none is being established.
+func (n *node) reassignWaiting(maxPipelined int) (unsent []*Attempt) {
 	for len(n.waiting) > n.dialing {
 		best := n.leastLoaded(maxPipelined)
 		switch {
 		case best != nil:
 			best.enqueue(n.waiting[0])
 		case n.dialing == 0:
-			lost = append(lost, n.waiting[0])
+			unsent = append(unsent, n.waiting[0])
 		default:
-			return lost
+			return unsent
 		}
 		n.waiting = n.waiting[1:]
 	}
-	return lost
+	return unsent
 }
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -16,10 +16,10 @@
 	"mulleinpier/internal/testutil"
 )
 
-// These tests have connections end while something on them is still to be done.
+// In these tests connections end while attempts on them are unfinished.
 
-// TestConnectionDuringCheckIsNotIdle guards that a connection does not count as idle while what it writes next
-// is being checked, when another node needs a connection just then.
+// TestConnectionDuringCheckIsNotIdle checks that a connection does not count as idle while its next attempt is being
+// checked, so that it is not closed for a connection to another node.
 func TestConnectionDuringCheckIsNotIdle(t *testing.T) {
 	limits := testLimits
 	limits.MaxConnections = 1
@@ -32,13 +32,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.Send("other", &Attempt{Request: &command.Request, Deadline: time.Now().Add(patience)}) {
+	if g.Send("other", &Attempt{Request: &command.Request, Deadline: time.Now().Add(testTimeout)}) {
 		t.Error("a connection to another node was allowed")
 	}
 	g.CloseIdle("n")
 	g.proceed <- struct{}{}
 	in := bufio.NewReader(node)
-	node.SetReadDeadline(time.Now().Add(patience))
+	node.SetReadDeadline(time.Now().Add(testTimeout))
 	if line, err := in.ReadString('\n'); err != nil || !strings.Contains(line, "Oa") {
 		t.Fatalf("the node received %q, %v", line, err)
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestAnswerBeforeAResetCounts guards that a request gets its answer that has arrived completely, with the
-// reset of the connection right after it, when a write to that connection fails.
+// TestAnswerBeforeAResetCounts checks that a request is served if its complete answer arrived right before a reset of
+// the connection, although a write to the connection fails before the answer is read.
 func TestAnswerBeforeAResetCounts(t *testing.T) {
 	g := startGated(t, testLimits)
 	g.answered = make(chan struct{}, 100)
@@ -65,7 +65,7 @@
 	g.proceed <- struct{}{}
 	in.ReadString('\n')
 	in.ReadString('\n')
-	serve("first", node) // its handler waits for the test, so that the next answer is not read
+	serve("first", node) // the handler blocks in Answered, so that the next answer is not read
 	g.expectServed(t, first)
 	third := sendRead(t, g.Pool, "third")
 	g.nextCheck(t, "its check")
@@ -92,14 +92,13 @@
 	}
 }
 
-// TestDialsEndWithThePool guards that connections that are being established, to a node that does not answer,
-// don't delay the end.
+// TestDialsEndWithThePool checks that a dial to a node that does not answer does not delay the end of Pool.Run.
 func TestDialsEndWithThePool(t *testing.T) {
 	silent, err := unresponsive.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(silent.Close) // after the end of all connections
+	t.Cleanup(silent.Close) // runs after the pool's cleanup, so when all connections have ended
 	limits := testLimits
 	limits.ConnectTimeout = time.Hour
 	g := startGated(t, limits)
@@ -112,8 +111,8 @@
 	}
 }
 
-// TestAbandonedSideEffectsEndWithAReset guards that the kernel does not deliver later what nobody waits for any
-// more, if it has side effects. Whether it has is decided by the class, not by the verb.
+// TestAbandonedSideEffectsEndWithAReset checks that the kernel does not deliver an abandoned request with side effects
+// later. The class decides whether a request has side effects, not the verb.
 func TestAbandonedSideEffectsEndWithAReset(t *testing.T) {
 	for _, sideEffects := range []bool{false, true} {
 		for name, send := range map[string]func(*testing.T, *Pool) *Attempt{
@@ -127,7 +126,7 @@
 				a.Request.SideEffects = sideEffects
 				g.proceed <- struct{}{}
 				node := g.nextConnection(t)
-				node.SetReadDeadline(time.Now().Add(patience))
+				node.SetReadDeadline(time.Now().Add(testTimeout))
 				in := bufio.NewReader(node)
 				if line, err := in.ReadString('\n'); err != nil || !strings.Contains(line, "Ox") {
 					t.Fatalf("the node received %q, %v", line, err)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -16,27 +16,27 @@
 	"mulleinpier/internal/testutil"
 )
 
-// patience bounds each wait of these tests; none of them depends on its length.
-const patience = 30 * time.Second
+// testTimeout bounds each wait in these tests; its length does not affect their results.
+const testTimeout = 30 * time.Second
 
-// testLimits allow one connection to a node, and no timeout within a test.
+// testLimits allow one connection to a node, with timeouts that no test reaches.
 var testLimits = Limits{
 	MaxPerNode:     1,
 	MaxConnections: 4,
 	MaxPipelined:   128,
-	ConnectTimeout: patience,
+	ConnectTimeout: testTimeout,
 	IdleTimeout:    time.Hour,
 	SilenceTimeout: time.Hour,
 }
 
-// attemptEnd is how an attempt ended, with the value that came for it if it was served.
+// attemptEnd is the end of an attempt as reported to the handler.
 type attemptEnd struct {
 	attempt *Attempt
-	text    string
+	text    string // the value if the attempt was served
 	result  Result // the zero value, Busy, for a served attempt
 }
 
-// ends is a Handler that lets all attempts start, and passes on how they ended.
+// ends is a Handler that keeps all attempts, and sends their ends on the channel.
 type ends chan attemptEnd
 
 func (e ends) BeforeWrite(batch []*Attempt) []*Attempt { return batch }
@@ -57,13 +57,13 @@
 	select {
 	case got := <-e:
 		return got
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no attempt ended")
 		return attemptEnd{}
 	}
 }
 
-// expectServed checks that the next end is that of an attempt that was served what serve sends.
+// expectServed checks that the next attempt to end is a, served with the value that serve sends.
 func (e ends) expectServed(t *testing.T, a *Attempt) {
 	t.Helper()
 	const want = "hi"
@@ -83,7 +83,7 @@
 	return id
 }
 
-// runPool runs a pool with one node until the test ends. beforeEnd is called then, before the pool must end.
+// runPool runs a pool with one node, "n", until the test ends. It calls beforeEnd before it stops the pool.
 func runPool(t *testing.T, limits Limits, handler Handler, address string, beforeEnd func()) *Pool {
 	t.Helper()
 	pool := New(limits, meta.NodeDialect{}, handler, slog.New(slog.DiscardHandler))
@@ -102,7 +102,7 @@
 	return pool
 }
 
-// startPool returns a pool with one connection at most to a node that runs script for each request.
+// startPool returns a pool with at most one connection to a node that runs script for each request.
 func startPool(t *testing.T, script func(id string, connection net.Conn)) (*Pool, ends) {
 	t.Helper()
 	address := testutil.ServeConnections(t, func(connection net.Conn) {
@@ -125,7 +125,7 @@
 	return send(t, pool, &command.Request)
 }
 
-// sendWrite sends a write of a value of so many bytes to the node.
+// sendWrite sends a write of a value of size bytes to the node.
 func sendWrite(t *testing.T, pool *Pool, id string, size int) *Attempt {
 	t.Helper()
 	command, err := meta.ParseCommand(fmt.Sprintf("ms k %d O%s Pc=put", size, id))
@@ -138,24 +138,24 @@
 
 func send(t *testing.T, pool *Pool, r *request.Request) *Attempt {
 	t.Helper()
-	a := &Attempt{Request: r, Deadline: time.Now().Add(patience)}
+	a := &Attempt{Request: r, Deadline: time.Now().Add(testTimeout)}
 	if !pool.Send("n", a) {
 		t.Fatalf("no connection for %s", r.ID)
 	}
 	return a
 }
 
-// gated is a Handler whose checks before a write, and whose answers, wait for the test.
+// gated is a Handler whose BeforeWrite and, optionally, Answered block until the test lets them proceed.
 type gated struct {
 	ends
-	checks   chan []*Attempt       // each batch, as its check starts
-	proceed  chan struct{}         // one for each check, closed for all
-	answered chan struct{}         // nil, or one for each answer
-	keep     func(a *Attempt) bool // what may start, nil for all; set between checks
+	checks   chan []*Attempt       // receives each batch when its check starts
+	proceed  chan struct{}         // each check takes a value from it; closed to let all proceed
+	answered chan struct{}         // if not nil, each call of Answered takes a value from it
+	keep     func(a *Attempt) bool // which attempts a check keeps, nil for all; set between checks
 	opened   sync.Once
 }
 
-// open lets all checks go on.
+// open lets the current check and all later ones proceed.
 func (g *gated) open() { g.opened.Do(func() { close(g.proceed) }) }
 
 func (g *gated) BeforeWrite(batch []*Attempt) []*Attempt {
@@ -179,12 +179,12 @@
 	}
 }
 
-// gatedPool is a pool with a gated handler, and one node whose connections the test gets.
+// gatedPool is a pool with a gated handler, and one node that the test plays.
 type gatedPool struct {
 	*Pool
 	*gated
-	accepted chan *net.TCPConn
-	address  string // of the node
+	accepted chan *net.TCPConn // the connections that the node accepted
+	address  string            // of the node
 }
 
 func startGated(t *testing.T, limits Limits) *gatedPool {
@@ -217,13 +217,13 @@
 	return g
 }
 
-// nextCheck waits for the check of a batch.
+// nextCheck waits for the next check to start, and returns its batch.
 func (g *gatedPool) nextCheck(t *testing.T, what string) []*Attempt {
 	t.Helper()
 	return testutil.Receive(t, what, g.checks)
 }
 
-// nextConnection waits for the node to accept a connection.
+// nextConnection returns the next connection that the node accepts.
 func (g *gatedPool) nextConnection(t *testing.T) *net.TCPConn {
 	t.Helper()
 	return testutil.Receive(t, "a connection", g.accepted)
@@ -232,7 +232,7 @@
 // connection returns the first connection to the node. g.mu is held.
 func (g *gatedPool) connection() *conn { return g.nodes["n"].connections[0] }
 
-// waitLocked waits until a condition holds, which is checked with the pool's lock held.
+// waitLocked waits until condition returns true. It calls condition with the pool's lock held.
 func (g *gatedPool) waitLocked(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	testutil.WaitUntil(t, what, func() bool {
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -9,21 +9,21 @@
 	"mulleinpier/internal/socket"
 )
 
-// This file closes connections that are idle, silent or beyond what may be kept.
+// This file closes connections that are idle, silent or in excess of the connection budget.
 
 const (
-	// sweepsPerTimeout is how often connections are checked within the shorter of their timeouts.
+	// sweepsPerTimeout is the number of sweeps within the shorter of the idle and silence timeouts.
 	sweepsPerTimeout = 8
-	// minSweepInterval bounds the rate of these checks.
+	// minSweepInterval is the minimum time between two sweeps.
 	minSweepInterval = time.Millisecond
-	// warningInterval is the shortest time between two warnings about malformed answers: a node that sends
-	// noise must not flood the log.
+	// warningInterval is the minimum time between two warnings about malformed answers, so that a node that
+	// sends garbage does not flood the log.
 	warningInterval = time.Second
 )
 
-// Run closes connections that were idle for long, before the node does so in the middle of a request, and
-// those whose node has fallen silent: a machine that vanished sends no end. When ctx ends it closes all
-// connections and waits for the end of every goroutine that the package has started.
+// Run closes connections that have been idle for too long, before the node closes them in the middle of a request,
+// and connections with attempts whose node has been silent for too long, since a machine that fails may not close
+// them. When ctx ends it closes all connections and waits until every goroutine of the pool has ended.
 func (p *Pool) Run(ctx context.Context) {
 	tick := time.NewTicker(p.sweepInterval())
 	defer tick.Stop()
@@ -47,7 +47,7 @@
 	return max(shorter/sweepsPerTimeout, minSweepInterval)
 }
 
-// sweep closes the connections whose timeout is over.
+// sweep closes connections whose idle or silence timeout has expired.
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// CloseIdle closes the idle connections to a node.
+// CloseIdle closes the connections to a node that have no attempts. It ignores unknown nodes.
 func (p *Pool) CloseIdle(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,9 +79,10 @@
 	}
 }
 
-// CloseStale closes the idle connections that their nodes have closed, or may close because they were idle
-// for long: after a pause of the process neither has been noticed. No lock is held while the state
-// of the sockets is read.
+// CloseStale is called after a pause of the process, during which the pool noticed neither closed connections nor
+// expired timeouts. It closes the idle connections that their nodes have closed or sent data on, and then sweeps,
+// since nodes may close connections that have been idle for long. No lock is held while the state of the sockets is
+// read.
 func (p *Pool) CloseStale() {
 	p.mu.Lock()
 	idle := p.idleConnections()
@@ -102,7 +103,7 @@
 	}
 }
 
-// idleConnections returns all connections without attempts. p.mu is held.
+// idleConnections returns all connections without outstanding attempts. p.mu is held.
 func (p *Pool) idleConnections() (idle []*conn) {
 	for _, n := range p.nodes {
 		for _, c := range n.connections {
@@ -114,7 +115,7 @@
 	return idle
 }
 
-// closeOldest closes the connection that has been idle for longest, and reports whether there was one. p.mu
+// closeOldest closes the connection that has been idle longest, and reports whether there was an idle one. p.mu
 // is held.
 func (p *Pool) closeOldest(reason string) bool {
 	var oldest *conn
@@ -132,14 +133,14 @@
 	return true
 }
 
-// makeCapacity reports whether one more connection is within the limit, after closing an idle one if need be.
-// p.mu is held.
+// makeCapacity reports whether the limit allows one more connection. At the limit it closes an idle one, if there
+// is any. p.mu is held.
 func (p *Pool) makeCapacity() bool {
 	return p.connections < p.limits.MaxConnections || p.closeOldest("connection limit")
 }
 
-// closeExcess closes the connections that have been idle for longest while there are more than the budget
-// allows. p.mu is held.
+// closeExcess closes idle connections, the longest idle first, while there are more than the budget allows. p.mu
+// is held.
 func (p *Pool) closeExcess() {
 	if p.connections <= connlimit.MinConnections {
 		return
@@ -150,8 +151,9 @@
 	}
 }
 
-// handleConnectionLimit notes that a node does not take a further connection. The node is well, and its
-// connections to other proxies are in use: this proxy keeps fewer itself, as all do that meet such nodes.
+// handleConnectionLimit retires a connection that was rejected by a node at its connection limit, and reduces the
+// connection budget. The node is healthy, but other proxies use its connections; every proxy that meets such
+// nodes keeps fewer connections.
 func (p *Pool) handleConnectionLimit(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,7 +162,7 @@
 	c.retired = true
 }
 
-// warnMalformed logs that a node's answer can't be read. p.mu is held.
+// warnMalformed logs a malformed answer, at most once per warningInterval. p.mu is held.
 func (p *Pool) warnMalformed(name string, err error) {
 	now := time.Now()
 	if now.Sub(p.lastWarning) < warningInterval {
@@ -171,7 +173,7 @@
 	p.lastWarning, p.suppressedWarnings = now, 0
 }
 
-// closeAll closes all connections, for good.
+// closeAll closes all connections and stops the pool from sending and dialing.
 func (p *Pool) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,19 +1,19 @@
-// Package upstream keeps the connections to cache nodes. It sends attempts over them and reports how each
-// ended. It does not decide which node an attempt goes to, or whether another follows.
+// Package upstream manages the connections to cache nodes. It sends attempts over them and reports how each attempt
+// ended. Its caller decides which node an attempt goes to and whether to retry.
 //
 // Guarantees:
 //
 //  1. An attempt is written at most once, and its end is reported exactly once unless it was withdrawn.
-//  2. The handler checks an attempt right before its first byte is written, and again if the node did not
-//     accept data in the meantime.
-//  3. An answer is that of its attempt, or the connection ends: from the first unexpected byte on, nothing
-//     that comes over a connection is believed.
-//  4. No attempt waits behind one that was abandoned: its connection gets no new ones.
-//  5. No lock is held during I/O of the network or calls of the handler. Warnings about malformed answers are
-//     logged under it, one a second at most.
+//  2. The handler checks an attempt right before its first byte is written, and again if the node accepted no
+//     data in the meantime.
+//  3. An answer is matched to the right attempt, or the connection ends: after the first unexpected byte,
+//     everything that arrives on a connection is ignored.
+//  4. No new attempt waits behind an abandoned one: a connection with an abandoned attempt gets no new ones.
+//  5. No lock is held during network I/O or calls of the handler. Warnings about malformed answers are logged
+//     with the lock held, at most one per second.
 //
-// Goroutines and state: each dial has a goroutine, each connection a reader and a writer; [Pool.Run] waits
-// for all of them. Pool.mu guards the state of all connections.
+// Concurrency: each dial runs in its own goroutine, and each connection has a reader and a writer goroutine;
+// [Pool.Run] waits for all of them. Pool.mu guards the state of all connections.
 package upstream
 
 import (
@@ -27,59 +27,59 @@
 	"mulleinpier/internal/eventlog"
 )
 
-// Limits bound the connections.
+// Limits are the limits and timeouts of connections.
 type Limits struct {
 	MaxPerNode     int                // connections to one node
 	MaxConnections int                // connections to all nodes
-	MaxPipelined   int                // attempts in flight on one connection
+	MaxPipelined   int                // attempts outstanding on one connection
 	ConnectTimeout time.Duration      // for establishing a connection
-	IdleTimeout    time.Duration      // of a connection without attempts
-	SilenceTimeout time.Duration      // of a connection with attempts over which nothing comes
-	FleetShare     connlimit.Capacity // that all proxies together may use; zero for no bound
+	IdleTimeout    time.Duration      // for a connection without attempts
+	SilenceTimeout time.Duration      // for a connection with attempts on which no answer arrives
+	FleetShare     connlimit.Capacity // what the nodes offer to all proxies together; zero for no limit
 }
 
 // Node is a cache node.
 type Node struct {
 	Name, Address string
-	Started       time.Time // of its latest start, zero for long ago
-	Dialect       Dialect   // nil for the pool's
+	Started       time.Time // time of the latest start; the zero time keeps all open connections
+	Dialect       Dialect   // nil for the pool's dialect
 }
 
 // Pool holds the connections to all cache nodes. It is safe for concurrent use.
 type Pool struct {
-	dialect  Dialect // of nodes without one of their own
+	dialect  Dialect // for nodes whose Dialect is nil
 	handler  Handler
 	log      *slog.Logger
 	recorder *eventlog.Recorder // nil for none
 
-	// Dials end with Run: one to a node that does not answer would delay the end of the process.
-	dials     context.Context
-	stopDials context.CancelFunc
-	tasks     sync.WaitGroup // dials, readers and writers
-	startedAt time.Time
+	// dialContext is cancelled when the pool closes: a dial to a node that does not answer would delay process exit.
+	dialContext context.Context
+	stopDials   context.CancelFunc
+	tasks       sync.WaitGroup // dials, readers and writers
+	startedAt   time.Time
 
-	mu                 sync.Mutex // guards what follows
+	mu                 sync.Mutex // guards the fields below
 	limits             Limits
 	budget             connlimit.Budget
 	nodes              map[string]*node
 	connections        int  // open or being established, to all nodes
 	closed             bool // Run is ending: nothing is sent or dialed any more
 	counts             Counts
-	lastWarning        time.Time
-	suppressedWarnings int           // since then
-	closeCheckTimeout  time.Duration // the constant of this name; longer in tests
+	lastWarning        time.Time     // of a malformed answer
+	suppressedWarnings int           // since lastWarning
+	closeCheckTimeout  time.Duration // the constant closeCheckTimeout, except in tests, which need longer
 }
 
-// Counts are what became of connections since they were last taken.
+// Counts are statistics of connections since the previous call of [Pool.TakeCounts].
 type Counts struct {
 	Dials                  int
-	DialFailures           int // of them, connections that were not established
-	ConnectionLimitReached int // of them, connections that a node was at its limit for
-	IdleClosed             int // idle connections closed in favour of other proxies
+	DialFailures           int // dials that established no connection
+	ConnectionLimitReached int // connections that a node rejected because it was at its limit
+	IdleClosed             int // idle connections closed to leave capacity to other proxies
 	Connections            int // open or being established now
 }
 
-// New returns a pool without nodes. It works while [Pool.Run] runs.
+// New returns a pool without nodes. [Pool.Run] must run while the pool is used.
 func New(limits Limits, dialect Dialect, handler Handler, log *slog.Logger) *Pool {
 	p := &Pool{
 		limits:            limits,
@@ -90,16 +90,16 @@
 		startedAt:         time.Now(),
 		closeCheckTimeout: closeCheckTimeout,
 	}
-	p.dials, p.stopDials = context.WithCancel(context.Background())
+	p.dialContext, p.stopDials = context.WithCancel(context.Background())
 	p.budget.SetCapacity(limits.FleetShare)
 	return p
 }
 
-// SetRecorder has the events of connections recorded. It is called before anything is sent.
+// SetRecorder sets the event log for connection events. It must be called before the first attempt is sent.
 func (p *Pool) SetRecorder(recorder *eventlog.Recorder) { p.recorder = recorder }
 
-// SetLimits puts other limits into force. Connections beyond them are not closed at once, but as they become
-// idle.
+// SetLimits replaces the limits. Connections in excess of the new limits are closed when they become idle, not at
+// once.
 func (p *Pool) SetLimits(limits Limits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +107,7 @@
 	p.budget.SetCapacity(limits.FleetShare)
 }
 
-// TakeCounts returns what was counted since it was last called.
+// TakeCounts returns the statistics since its previous call, and resets them.
 func (p *Pool) TakeCounts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,8 +117,8 @@
 	return counts
 }
 
-// UpdateNodes adds nodes or changes what is known of them. Connections to a former address, in another
-// dialect or from before a restart get no new attempts.
+// UpdateNodes adds nodes, or updates the ones it already has. Connections to a previous address, in a previous
+// dialect or opened before the node's latest start get no new attempts.
 func (p *Pool) UpdateNodes(nodes []Node) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +138,8 @@
 	}
 }
 
-// RemoveNodes removes nodes. They are forgotten when their last attempt has ended.
+// RemoveNodes removes nodes and ignores unknown names. Attempts already sent to a node still end as usual; its state
+// is kept until its last connection and dial have ended.
 func (p *Pool) RemoveNodes(names []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,15 +156,15 @@
 	}
 }
 
-// removeIfUnused forgets a removed node that has nothing left, or the map would grow with each machine that
-// is replaced. p.mu is held.
+// removeIfUnused deletes a removed node once it has neither connections nor dials. Otherwise the map would grow
+// with each machine that is replaced. p.mu is held.
 func (p *Pool) removeIfUnused(n *node) {
 	if !n.listed && len(n.connections) == 0 && n.dialing == 0 {
 		delete(p.nodes, n.Name)
 	}
 }
 
-// NodeNames returns the names of the nodes that have been added and not removed.
+// NodeNames returns the names of the nodes that have been added and not removed, in no particular order.
 func (p *Pool) NodeNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,8 +177,8 @@
 	return names
 }
 
-// Send sends an attempt to a node as soon as a connection takes it. It returns false, and does nothing, where
-// the node is not known or no connection to it can be had.
+// Send queues an attempt for a node; it is written once a connection is available. Send returns false, and the
+// attempt is not queued, if the node is unknown, no connection can take the attempt, or the pool is closed.
 func (p *Pool) Send(name string, a *Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,9 +186,9 @@
 	return p.enqueue(p.nodes[name], a)
 }
 
-// enqueue gives an attempt to a connection, or has it wait for one. It prefers an idle connection, then a new
-// one, since answers come in order and a slow one delays those behind it. Nodes take few connections, and all
-// proxies share them: where no more can be had, attempts are pipelined. p.mu is held.
+// enqueue gives an attempt to a connection, or lets it wait for a dial. It prefers an idle connection, then a new
+// one, since answers come in order and a slow one delays those behind it. Nodes accept few connections, and all
+// proxies share them, so attempts are pipelined when no further connection may be opened. p.mu is held.
 func (p *Pool) enqueue(n *node, a *Attempt) bool {
 	if n == nil || p.closed {
 		return false
@@ -209,13 +210,13 @@
 	return true
 }
 
-// Abandon reports that nobody waits for an attempt any more. It returns true if no byte of it has been
-// written, and none will be.
+// Abandon tells the pool that nobody waits for an attempt any more. It returns true if no byte of the attempt has
+// been written and none will be.
 //
-// An abandoned attempt that has been written delays all that follow it on its connection, forever where its
-// answer is lost, the node is stuck or its machine has vanished. So the connection gets no new attempts, and
-// is closed once nobody waits for anything on it. Under overload, when many attempts are abandoned, that
-// costs the nodes handshakes, which are a fraction of the abandoned work.
+// An abandoned attempt that has been written delays all attempts behind it on its connection, forever if its
+// answer is lost, the node hangs or its machine has failed. Therefore the connection gets no new attempts, and is
+// closed once it has no waiters. Under overload, when many attempts are abandoned, this costs the nodes extra
+// handshakes, which are a fraction of the abandoned work.
 func (p *Pool) Abandon(a *Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -236,15 +237,16 @@
 	return false
 }
 
-// Withdraw takes back an attempt of which no byte has been written, and reports whether it could. One that is
-// being written or was written goes on.
+// Withdraw removes an attempt of which no byte has been written, and reports whether it did. It does not affect an
+// attempt that is being checked or written, or has been written.
 func (p *Pool) Withdraw(a *Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dequeue(a)
 }
 
-// dequeue removes an attempt that waits to be written, and reports whether it did. p.mu is held.
+// dequeue removes an attempt that waits for a connection or in a connection's queue, and reports whether it did.
+// p.mu is held.
 func (p *Pool) dequeue(a *Attempt) bool {
 	n := p.nodes[a.node]
 	if n == nil {
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -13,19 +13,20 @@
 
 const (
 	readBufferSize = 4 << 10
-	// answerTimeout is how long the rest of an answer may take after its first byte: nodes write answers
-	// at once, and pause for 0.4 s at most. It ends lines and values that never end.
+	// answerTimeout bounds the time from the first byte of an answer to its last. Nodes write an answer without
+	// delay and pause for 0.4 s at most, so a longer wait means a line or value that never ends.
 	answerTimeout = 500 * time.Millisecond
-	// closeCheckTimeout is how long the end of a connection may follow its first answer. A node at its
-	// limit of connections answers busy and closes, which arrive together but not always at once.
+	// closeCheckTimeout is how long the reader waits for a connection to be closed after its first answer, if that
+	// is busy. A node at its connection limit answers busy and closes; the two usually arrive together, but not
+	// always at the same moment.
 	closeCheckTimeout = 2 * time.Millisecond
 )
 
-// errUnexpectedAnswer is the error of an answer to no attempt.
-var errUnexpectedAnswer = errors.New("answer without a request")
+// errUnexpectedAnswer is the error for data that arrives while no attempt is in flight.
+var errUnexpectedAnswer = errors.New("node sent data while no request was in flight")
 
-// runReader reads answers until the connection ends. It ends it at the first byte that is not part of the
-// answer that is due: where the next answer starts is not known then.
+// runReader reads answers until the connection ends. It closes the connection at the first byte that is not part of
+// the expected answer, since it can't find the start of the next answer from there.
 func (c *conn) runReader() {
 	err := c.readAnswers(bufio.NewReaderSize(c.socket, readBufferSize))
 	c.pool.mu.Lock()
@@ -37,8 +38,8 @@
 	c.endAttempts()
 }
 
-// isMalformed reports whether an error of reading is the answer's, not the connection's. An answer that is
-// not complete in time is malformed.
+// isMalformed reports whether a read error is caused by a malformed answer rather than by the connection. An
+// answer that is not complete within answerTimeout is malformed.
 func isMalformed(err error) bool {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return false
@@ -47,7 +48,7 @@
 	return !errors.As(err, &networkError) || networkError.Timeout()
 }
 
-// readAnswers reads answers until an error.
+// readAnswers reads answers and reports them to the handler until an error occurs, which it returns.
 func (c *conn) readAnswers(in *bufio.Reader) error {
 	for {
 		if _, err := in.Peek(1); err != nil {
@@ -62,33 +63,34 @@
 		if err != nil {
 			return err
 		}
-		busyMeans := Busy // what a busy answer says of the node
+		busyResult := Busy // the result if the answer is busy
 		switch {
 		case answer.Kind != request.Busy:
 			c.hasServed = true
-		case !c.hasServed && c.endsNow(in):
-			busyMeans = ConnectionLimitReached
+		case !c.hasServed && c.closedByNode(in):
+			busyResult = ConnectionLimitReached
 			c.pool.handleConnectionLimit(c)
 		}
 		c.completeFirst(in)
-		c.reportAnswer(a, &answer, busyMeans)
+		c.reportAnswer(a, &answer, busyResult)
 	}
 }
 
-// reportAnswer reports an answer to the handler, one that says busy by the result that it means.
-func (c *conn) reportAnswer(a *Attempt, answer *request.Answer, busyMeans Result) {
+// reportAnswer reports an answer to the handler. busyResult is the result to report for a busy answer.
+func (c *conn) reportAnswer(a *Attempt, answer *request.Answer, busyResult Result) {
 	handler := c.pool.handler
 	switch answer.Kind {
 	case request.Value, request.Stored, request.NotFound:
 		handler.Answered(a, answer)
 	case request.Busy:
-		handler.Ended(a, answer, busyMeans)
+		handler.Ended(a, answer, busyResult)
 	default:
 		handler.Ended(a, answer, Failed)
 	}
 }
 
-// firstInFlight returns the attempt whose answer is due.
+// firstInFlight returns the oldest attempt in flight, which the next answer belongs to. It fails if there is none or
+// the connection is closed.
 func (c *conn) firstInFlight() (*Attempt, error) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -102,9 +104,8 @@
 	return c.inFlight[0], nil
 }
 
-// completeFirst removes the attempt that was just answered. If more has arrived than its answer and nothing
-// else is in flight, the connection gets no new attempts: what has arrived could pass for the answer to the
-// next.
+// completeFirst removes the attempt that was just answered. If data beyond its answer has arrived and nothing else
+// is in flight, the connection gets no new attempts, since the data could be taken for the answer to the next one.
 func (c *conn) completeFirst(in *bufio.Reader) {
 	moreArrived := in.Buffered() > 0 || socket.Readable(c.socket)
 	c.pool.mu.Lock()
@@ -113,7 +114,7 @@
 		c.socket.SetReadDeadline(time.Time{})
 	}
 	if len(c.inFlight) == 0 {
-		return // the connection was closed meanwhile, and the attempt has ended as lost
+		return // the connection was closed in the meantime, and the attempt has ended with ConnectionLost
 	}
 	c.inFlight[0] = nil
 	c.inFlight = c.inFlight[1:]
@@ -130,8 +131,8 @@
 	c.pool.closeExcess()
 }
 
-// endsNow reports whether the connection ends right after what was read of it.
-func (c *conn) endsNow(in *bufio.Reader) bool {
+// closedByNode reports whether the connection ends within closeCheckTimeout without further data.
+func (c *conn) closedByNode(in *bufio.Reader) bool {
 	c.socket.SetReadDeadline(time.Now().Add(c.pool.closeCheckTimeout))
 	_, err := in.Peek(1)
 	return err != nil && !socket.IsTimeout(err)
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -9,16 +9,19 @@
 )
 
 const (
-	// maxCopiedBody is the size up to which bodies are copied behind their line, which saves a write.
+	// maxCopiedBody is the size in bytes up to which values are copied into the buffer of the request heads, which
+	// saves a separate buffer in the vectored write.
 	maxCopiedBody = 8 << 10
-	// writeTimeout is how long a node may accept no data until what has not been started is checked anew
-	// before it is written: meanwhile its client may have disconnected, or its node have begun to drain.
+	// writeTimeout bounds each write of a batch. When it expires, the attempts that have not been started are
+	// queued again and checked again before they are written: in the meantime the client may have disconnected or
+	// the node may have begun to drain.
 	writeTimeout = 100 * time.Millisecond
-	// lateWriteThreshold is how long after the check of a batch its write is reported as late.
+	// lateWriteThreshold is the delay after the check of a batch from which on the write of its first bytes is
+	// reported as late.
 	lateWriteThreshold = 300 * time.Millisecond
 )
 
-// runWriter writes queued attempts until the connection is closed, as many at a time as there are.
+// runWriter writes queued attempts until the connection is closed, all that are queued in one batch.
 func (c *conn) runWriter() {
 	var buffer []byte // reused between batches
 	c.pool.mu.Lock()
@@ -28,8 +31,8 @@
 	c.endAttempts()
 }
 
-// waitQueued waits for queued attempts. It returns false once the connection is closed. Pool.mu is held,
-// except while it waits.
+// waitQueued waits until attempts are queued, and returns false once the connection is closed. After a failed write
+// it only waits for the connection to be closed. Pool.mu is held, except while it waits.
 func (c *conn) waitQueued() bool {
 	for (len(c.queued) == 0 || c.writeFailed) && !c.closed {
 		c.writerWake.Wait()
@@ -37,7 +40,7 @@
 	return !c.closed
 }
 
-// writeQueued has the handler check all queued attempts and writes those that remain. It returns the buffer
+// writeQueued lets the handler check all queued attempts, and writes those that it keeps. It returns the buffer
 // for reuse. Pool.mu is held, except during the check and the write.
 func (c *conn) writeQueued(buffer []byte) []byte {
 	batch := c.queued
@@ -64,8 +67,8 @@
 	return buffer
 }
 
-// writeBatch writes a batch, and returns those of its attempts that were started. Those that were not when the
-// node accepted no data for writeTimeout are queued again. Pool.mu is held, except during writes.
+// writeBatch writes a batch, and returns it without the attempts that were queued again: those of which no byte
+// was written when a write timed out. Pool.mu is held, except during writes.
 func (c *conn) writeBatch(parts net.Buffers, batch []*Attempt, checkedAt time.Time) []*Attempt {
 	for written := 0; written < batchSize(batch); {
 		c.pool.mu.Unlock()
@@ -80,7 +83,7 @@
 		if timedOut && !c.closed {
 			batch = c.requeueNotStarted(batch, written)
 			parts = firstBytes(parts, batchSize(batch)-written)
-			if c.retired && !c.hasWaiters() { // the rest would be for nobody
+			if c.retired && !c.hasWaiters() { // nobody waits for the rest
 				c.close("attempt abandoned while written")
 			}
 		}
@@ -93,15 +96,16 @@
 	return batch
 }
 
-// writeParts writes as much of parts as the node accepts within writeTimeout, and removes that from parts.
+// writeParts writes as much of parts as the node accepts within writeTimeout, and removes the written bytes from
+// parts.
 func (c *conn) writeParts(parts *net.Buffers) (int, error) {
 	c.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := parts.WriteTo(c.socket)
 	return int(n), err
 }
 
-// requeueNotStarted queues those attempts of a batch again of which nothing is among the bytes written, and
-// returns the others. Pool.mu is held.
+// requeueNotStarted queues the attempts of a batch again of which no byte has been written, and returns the others.
+// written is the number of bytes of the batch that have been written. Pool.mu is held.
 func (c *conn) requeueNotStarted(batch []*Attempt, written int) (started []*Attempt) {
 	count, start := 0, 0
 	for count < len(batch) && start < written {
@@ -109,14 +113,14 @@
 		count++
 	}
 	notStarted := batch[count:]
-	// At most the batch is in flight: an answer can't have come to what was not written.
+	// The attempts that were not started are the last in flight: no answer can have come to them.
 	c.inFlight = c.inFlight[:max(len(c.inFlight)-len(notStarted), 0)]
 	c.queued = append(slices.Clone(notStarted), c.queued...)
 	return batch[:count]
 }
 
-// failWrites retires a connection that can't be written to. Answers that came before the failure may be
-// unread: the reader gets them and then the end, soon. Pool.mu is held.
+// failWrites retires a connection that can't be written to. Answers that came before the failure may be unread, so
+// the reader may read on for answerTimeout until it meets the end. Pool.mu is held.
 func (c *conn) failWrites() {
 	c.writeFailed, c.retired = true, true
 	if !c.closed {
@@ -124,8 +128,8 @@
 	}
 }
 
-// encodeBatch returns a batch as parts to write, and the buffer that most of them lie in. It sets where each
-// attempt ends.
+// encodeBatch encodes a batch into parts for a vectored write, and sets the endOffset of each attempt. It also
+// returns the grown buffer for reuse; values above maxCopiedBody are not copied into it.
 func encodeBatch(dialect Dialect, batch []*Attempt, buffer []byte) (net.Buffers, []byte) {
 	var parts net.Buffers
 	now := time.Now()
@@ -147,7 +151,7 @@
 	return append(parts, buffer[partStart:]), buffer
 }
 
-// batchSize returns the length of a batch in bytes.
+// batchSize returns the size of an encoded batch in bytes.
 func batchSize(batch []*Attempt) int {
 	if len(batch) == 0 {
 		return 0
@@ -155,7 +159,7 @@
 	return batch[len(batch)-1].endOffset
 }
 
-// countIncomplete returns how many attempts of a batch end beyond the bytes written.
+// countIncomplete returns the number of attempts of a batch whose last byte is not among the first written bytes.
 func countIncomplete(batch []*Attempt, written int) (count int) {
 	for _, a := range batch {
 		if a.endOffset > written {
