--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -10,34 +10,35 @@
 	"mulleinpier/internal/socket"
 )
 
-// timedReader reads a client's socket, and keeps what is needed to estimate when the bytes arrived. It belongs to
-// the connection's reader. Times are by the core's clock.
+// timedReader reads a client's socket, and records the times needed to estimate when the bytes arrived. Only the
+// connection's reader goroutine uses it. Times are by the core's clock.
 type timedReader struct {
-	conn      *Conn
-	core      *core.Core
-	lastRead  pause.ReadTiming // the latest call that returned bytes
-	drainedAt time.Duration    // when everything that had arrived was last read, zero for never
-	// unreadInterval is when nothing was read because too many commands were in flight, or the connection
-	// waited to be accepted.
+	conn          *Conn
+	core          *core.Core
+	lastRead      pause.ReadTiming // of the latest Read that returned bytes
+	bufferEmptyAt time.Duration    // when the receive buffer was last known to be empty, zero for never
+	// unreadInterval is the latest interval in which nothing was read because too many commands were in flight, or
+	// because the connection waited to be accepted.
 	unreadInterval pause.Interval
 }
 
-// init takes a connection that may have waited to be accepted since a time.
+// init prepares the reader for a connection that may have waited to be accepted since waitedSince.
 func (r *timedReader) init(c *Conn, waitedSince time.Duration) {
 	r.conn, r.core = c, c.host.Core
 	now := r.core.Now()
 	r.noteUnread(waitedSince)
-	r.drainedAt = pause.DrainedAtAccept(now, r.unreadInterval, r.core.LastPause(), r.core.LastStall())
+	r.bufferEmptyAt = pause.DrainedAtAccept(now, r.unreadInterval, r.core.LastPause(), r.core.LastStall())
 }
 
-// noteUnread notes that nothing was read since a time.
+// noteUnread records that nothing was read from start until now, unless that is shorter than a stall.
 func (r *timedReader) noteUnread(start time.Duration) {
 	if end := r.core.Now(); end-start >= pause.MinStall {
 		r.unreadInterval = pause.Interval{Start: start, End: end}
 	}
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. If it times out because the process was paused, it extends the command's deadline and
+// continues.
 func (r *timedReader) Read(p []byte) (int, error) {
 	for {
 		started := r.core.Now()
@@ -47,15 +48,15 @@
 			continue
 		}
 		if n > 0 {
-			r.lastRead = pause.ReadTiming{DrainedAt: r.drainedAt, Started: started, Ended: ended}
-			r.drainedAt = r.lastRead.DrainedAfter(n < len(p), r.core.LastPause(), r.core.LastStall())
+			r.lastRead = pause.ReadTiming{DrainedAt: r.bufferEmptyAt, Started: started, Ended: ended}
+			r.bufferEmptyAt = r.lastRead.DrainedAfter(n < len(p), r.core.LastPause(), r.core.LastStall())
 		}
 		return n, err
 	}
 }
 
-// CommandArrival returns when the last byte of the command that was just read may have arrived. It is for
-// sessions, before the next command is read.
+// CommandArrival estimates when the last byte of the command that was just read arrived. Sessions call it before they
+// read the next command.
 func (c *Conn) CommandArrival() pause.Arrival {
 	r := &c.reader
 	arrival := r.core.EstimateArrival(r.lastRead, c.kernelInfo)
@@ -67,7 +68,7 @@
 	return arrival
 }
 
-// kernelInfo returns what the kernel knows of the arrival of bytes.
+// kernelInfo returns the kernel's information on when bytes last arrived.
 func (c *Conn) kernelInfo() pause.KernelInfo {
 	info, ok := c.tcpInfo()
 	if !ok {
@@ -91,8 +92,8 @@
 	return info, err == nil && info != nil && info.State > 0
 }
 
-// extendAfterPause restarts the time for the command that is being read if a pause of the process took it, and
-// reports whether it did.
+// extendAfterPause restarts commandTimeout for the command that is being read if the process resumed from a pause
+// since the command began, and reports whether it did. It does not extend commands of draining connections.
 func (c *Conn) extendAfterPause() bool {
 	lastPause := c.host.Core.LastPause()
 	if lastPause.End == 0 {
--- a/internal/frontend/binary/binary.go
+++ b/internal/frontend/binary/binary.go
@@ -1,18 +1,19 @@
-// Package binary serves clients that speak the memcached binary protocol. What such a client can't say (class,
-// tenant, timeout, id, idempotency key) comes from the routing table and, for writes, from the ticket that its
-// last read returned.
+// Package binary serves clients that speak the memcached binary protocol. The protocol has no fields for class,
+// tenant, timeout, id and idempotency key. The routing table supplies the class, tenant and timeout, and the proxy
+// generates the id. The idempotency key of a keyed write is derived from the ticket that the client's last read
+// returned.
 //
 // Invariants:
 //
-//  1. Answers come in the order of the commands. The success of a quiet command (of a get: its miss) is not
-//     answered, all else is.
-//  2. A write reaches a keyed class only with a valid ticket, under a key made of it; so its repeat through any
-//     proxy is dropped or rejected.
-//  3. Where users are configured, nothing but SASL, VERSION, NOOP and QUIT is carried out for a client that has
-//     not authenticated as one of them, as the users' file in force has them.
-//  4. No length is used before the codec has checked it, and a body is read only within the budget.
+//  1. Answers are sent in the order of the commands. A quiet command is not answered if it succeeds, a quiet get if it
+//     misses; everything else is answered.
+//  2. A write reaches a keyed class only with a valid ticket, and with an idempotency key derived from it, so its
+//     repeat through any proxy is dropped or rejected.
+//  3. If users are configured, clients that have not authenticated as a user in the current users file can only
+//     execute SASL, VERSION, NOOP and QUIT commands.
+//  4. No length is used before the codec has validated it, and bodies are read only within the budget.
 //
-// A session belongs to its connection's reader. The package starts no goroutine; a [Frontend] is safe for
+// A session is used only by its connection's reader. The package starts no goroutines; a [Frontend] is safe for
 // concurrent use.
 package binary
 
@@ -32,35 +33,35 @@
 	"mulleinpier/internal/sasl"
 )
 
-// protocolVersion is the answer to VERSION: clients deduce from it what the server supports.
+// protocolVersion is the answer to VERSION, from which clients infer the features of the server.
 const protocolVersion = "1.6.0"
 
 // saslMechanisms is the answer to SASL LIST MECHS.
 const saslMechanisms = "PLAIN"
 
-// Rules are the configuration of binary clients. They are replaced as a whole.
+// Rules are the settings for binary clients. A Rules must not be changed after [Frontend.SetRules].
 type Rules struct {
 	Routes       *route.Table
-	DedupWindows map[string]time.Duration // of keyed classes, by name
-	Users        *sasl.Users              // nil where clients need not authenticate
+	DedupWindows map[string]time.Duration // dedup windows of the keyed classes, by class name
+	Users        *sasl.Users              // nil if clients need not authenticate
 }
 
-// Frontend is what all binary clients of a proxy have in common.
+// Frontend is the state that all binary clients of a proxy share.
 type Frontend struct {
-	rules    atomic.Pointer[Rules] // nil while the frontend is off
-	idPrefix string                // of request ids; no other run of any proxy has it
+	rules    atomic.Pointer[Rules] // nil while the frontend is disabled
+	idPrefix string                // of request ids; random, so that it differs between proxies and their restarts
 	lastID   atomic.Uint64
 	stats    func(kind string) []core.Stat
 
 	mu      sync.Mutex
 	guesses *sasl.GuessLimiter // guarded by mu
 
-	loginSlot     chan struct{} // one login is checked at a time
-	waitingLogins atomic.Int32  // the one being checked included
+	loginSlot     chan struct{} // held while a login is checked, so that only one is checked at a time
+	waitingLogins atomic.Int32  // including the login being checked
 }
 
-// New returns a Frontend without rules, which serves nobody yet. stats returns the statistics of a kind, as
-// [frontend.Host.Stats] does.
+// New returns a Frontend without rules, which is disabled until [Frontend.SetRules] is called. stats returns the
+// statistics of a kind, as [frontend.Host.Stats] does.
 func New(stats func(kind string) []core.Stat) *Frontend {
 	var random [8]byte
 	crand.Read(random[:])
@@ -72,10 +73,10 @@
 	}
 }
 
-// SetRules puts rules into force for what comes from now on; nil turns the frontend off.
+// SetRules replaces the rules for commands read from now on; nil disables the frontend.
 func (f *Frontend) SetRules(rules *Rules) { f.rules.Store(rules) }
 
-// Enabled reports whether the frontend serves anybody.
+// Enabled reports whether the frontend has rules and so serves clients.
 func (f *Frontend) Enabled() bool { return f.rules.Load() != nil }
 
 // session is the dialect on one connection.
@@ -88,16 +89,16 @@
 	failedLogins int
 }
 
-// NewSession starts the dialect on a connection to a listener.
+// NewSession returns the session of a connection that was accepted by the named listener.
 func (f *Frontend) NewSession(host *frontend.Host, c *frontend.Conn, listener string) frontend.Session {
 	return &session{frontend: f, host: host, conn: c, listener: listener}
 }
 
-// TimeoutAnswer implements frontend.Session. A command that is not complete has no opaque to answer with.
+// TimeoutAnswer implements frontend.Session. It returns nil: an incomplete command has no opaque to answer with.
 func (s *session) TimeoutAnswer() []byte { return nil }
 
 // ServeCommand implements frontend.Session.
-func (s *session) ServeCommand() (lost bool, err error) {
+func (s *session) ServeCommand() (stop bool, err error) {
 	h, err := s.readHeader()
 	switch {
 	case errors.Is(err, codec.ErrBadLength):
@@ -107,13 +108,13 @@
 		}
 		s.answerStatus(&h, status)
 		return true, nil
-	case errors.Is(err, codec.ErrBadMagic): // no command, and nothing to answer with
+	case errors.Is(err, codec.ErrBadMagic): // not a command, so there is no opaque to answer with
 		return true, nil
 	case err != nil:
 		return false, err
 	}
 	rules := s.frontend.rules.Load()
-	if rules == nil { // it was turned off since the connection was opened
+	if rules == nil { // the frontend was disabled after the connection was opened
 		return true, s.skipAndAnswer(&h, codec.NotSupported)
 	}
 	if !s.mayUse(h.Opcode, rules) {
@@ -125,7 +126,7 @@
 	return s.handleCommand(&h, rules)
 }
 
-// readHeader reads a command's header. It returns codec.ErrBadMagic for what is none.
+// readHeader reads a command's header. It returns codec.ErrBadMagic if the first byte is not that of a request.
 func (s *session) readHeader() (codec.Header, error) {
 	in := s.conn.In
 	first, err := in.Peek(1)
@@ -144,8 +145,8 @@
 	return h, err
 }
 
-// handleCommand carries out a command whose header is valid.
-func (s *session) handleCommand(h *codec.Header, rules *Rules) (lost bool, err error) {
+// handleCommand executes a command whose header is valid.
+func (s *session) handleCommand(h *codec.Header, rules *Rules) (stop bool, err error) {
 	switch h.Opcode {
 	case codec.Get, codec.GetQ, codec.GetK, codec.GetKQ:
 		return false, s.handleGet(h, rules)
@@ -169,15 +170,15 @@
 	return s.handleLogin(h, rules)
 }
 
-// answer answers a command that is no request.
+// answer sends the answer to a command that was not submitted to the core.
 func (s *session) answer(text []byte) { s.conn.AddSlot(new(frontend.Slot)).Finish(text) }
 
-// answerStatus answers a command by a status.
+// answerStatus answers a command with a status.
 func (s *session) answerStatus(h *codec.Header, status codec.Status) {
 	s.answer(codec.AppendStatus(nil, h, status, 0))
 }
 
-// skipAndAnswer skips a command's body and answers by a status.
+// skipAndAnswer skips a command's body and answers with a status.
 func (s *session) skipAndAnswer(h *codec.Header, status codec.Status) error {
 	if _, err := s.conn.In.Discard(h.BodyLen); err != nil {
 		return err
@@ -186,13 +187,14 @@
 	return nil
 }
 
-// answerText answers a command by a text.
+// answerText answers a command with a text as its body.
 func (s *session) answerText(h *codec.Header, text string) {
 	head := codec.Header{Opcode: h.Opcode, BodyLen: len(text), Opaque: h.Opaque}
 	s.answer(append(head.Append(nil, codec.ResponseMagic), text...))
 }
 
-// handleStat answers by one response for each statistic, and an empty one. The key names their kind.
+// handleStat answers a stat command with one response per statistic and an empty one at the end. The command's key is
+// the kind of statistics.
 func (s *session) handleStat(h *codec.Header) error {
 	if h.BodyLen > codec.MaxKey {
 		return s.skipAndAnswer(h, codec.NotFound)
--- a/internal/frontend/binary/login.go
+++ b/internal/frontend/binary/login.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// maxPlainResponse is the largest response of mechanism PLAIN: two names, a secret and two separators.
+	// maxPlainResponse is the maximum size in bytes of a response for mechanism PLAIN: two names, a secret and two
+	// separators.
 	maxPlainResponse = 2*sasl.MaxName + sasl.MaxSecret + 2
-	// maxFailedLogins is the number of failed logins that closes a connection.
+	// maxFailedLogins is the number of failed logins after which a connection is closed.
 	maxFailedLogins = 3
-	// maxWaitingLogins bounds the logins that wait, the one being checked included. A check costs milliseconds
-	// of the proxy's processor: guessers must not keep it from requests.
+	// maxWaitingLogins limits the waiting logins, including the one being checked. A check takes milliseconds of CPU
+	// time, and clients that guess secrets must not starve requests.
 	maxWaitingLogins = 16
-	// loginRetryDelay is the advice to a client whose login was rejected because too many wait.
+	// loginRetryDelay is the retry delay sent to a client whose login was rejected because too many are waiting.
 	loginRetryDelay = 200 * time.Millisecond
 )
 
-// mayUse reports whether a command is carried out for the session's client: users must have authenticated, and
-// their secrets be the same still, except for commands that everybody may use.
+// mayUse reports whether the session's client may execute a command. Unless the command is allowed for everybody, the
+// client must have authenticated, and its user's secret must not have changed since.
 func (s *session) mayUse(opcode codec.Opcode, rules *Rules) bool {
 	if rules.Users == nil || allowedUnauthenticated(opcode) {
 		return true
@@ -32,7 +33,7 @@
 	return s.user != nil
 }
 
-// allowedUnauthenticated reports whether a command is carried out for everybody.
+// allowedUnauthenticated reports whether clients may execute a command without having authenticated.
 func allowedUnauthenticated(opcode codec.Opcode) bool {
 	switch opcode {
 	case codec.SASLList, codec.SASLAuth, codec.SASLStep, codec.Version, codec.Noop, codec.Quit, codec.QuitQ:
@@ -41,9 +42,9 @@
 	return false
 }
 
-// handleLogin checks a client's response to mechanism PLAIN. Too many failed ones end the connection, and how
-// many are checked is bounded for each source.
-func (s *session) handleLogin(h *codec.Header, rules *Rules) (lost bool, err error) {
+// handleLogin handles a login with mechanism PLAIN; a login of any other kind fails. It returns stop after
+// maxFailedLogins failures on the connection.
+func (s *session) handleLogin(h *codec.Header, rules *Rules) (stop bool, err error) {
 	if h.ValueLen() > maxPlainResponse {
 		return false, s.skipAndAnswer(h, codec.AuthError)
 	}
@@ -68,7 +69,8 @@
 	return s.failedLogins >= maxFailedLogins, nil
 }
 
-// authenticate makes the session that of a user, if the secret is the user's. One login is checked at a time.
+// authenticate sets the session's user if the secret is correct. Only one login is checked at a time, and the guesses
+// of each source address are limited.
 func (s *session) authenticate(users *sasl.Users, name, secret string) codec.Status {
 	f, source := s.frontend, s.conn.RemoteHost()
 	s.user = nil
@@ -76,7 +78,7 @@
 		f.waitingLogins.Add(-1)
 		return codec.Busy
 	}
-	f.loginSlot <- struct{}{} // bounded: each check before it takes one derivation
+	f.loginSlot <- struct{}{} // bounded wait: each login ahead takes one key derivation at most
 	defer func() {
 		<-f.loginSlot
 		f.waitingLogins.Add(-1)
--- a/internal/frontend/binary/reply.go
+++ b/internal/frontend/binary/reply.go
@@ -13,13 +13,13 @@
 	"mulleinpier/internal/ticket"
 )
 
-// reply is where the answer to a request goes.
+// reply receives the answer to a request, and formats it for the client.
 type reply struct {
 	frontend.Slot
 	host    *frontend.Host
 	header  codec.Header // of the command
-	key     string       // of a get whose answer contains it
-	bodyLen int          // bytes of the body budget that the request uses
+	key     string       // the key to return in the answer, "" for none
+	bodyLen int          // bytes of the body budget held by the request
 }
 
 // Release implements core.Reply.
@@ -53,7 +53,7 @@
 	}
 }
 
-// finishValue answers a get by its value, with a new ticket as its CAS.
+// finishValue answers a get with its value, and with a new ticket as the CAS.
 func (r *reply) finishValue(answer *request.Answer) {
 	var buffer [codec.HeaderLen + codec.FlagsLen + codec.MaxKey]byte
 	header := codec.Header{
@@ -72,7 +72,7 @@
 	})
 }
 
-// finishNotFound answers a get of a key that does not exist.
+// finishNotFound answers a get that missed.
 func (r *reply) finishNotFound() {
 	if r.key == "" {
 		r.finishStatus(codec.NotFound, 0)
@@ -92,7 +92,7 @@
 	r.Slot.Finish(codec.AppendStatus(nil, &r.header, status, retryAfterMillis(retryAfter)))
 }
 
-// retryAfterMillis returns a wait in whole milliseconds, at least one, or 0 for none.
+// retryAfterMillis converts a retry delay to whole milliseconds: at least 1 for a positive delay, and 0 for none.
 func retryAfterMillis(retryAfter time.Duration) int64 {
 	if retryAfter <= 0 {
 		return 0
@@ -100,7 +100,7 @@
 	return max(retryAfter.Milliseconds(), 1)
 }
 
-// receiptCAS returns a receipt as a CAS: its number if it is one, else a hash.
+// receiptCAS converts a receipt to a CAS: its value if it is a decimal number, else a hash of it.
 func receiptCAS(receipt string) uint64 {
 	if number, err := strconv.ParseUint(receipt, 10, 64); err == nil {
 		return number
--- a/internal/frontend/binary/requests.go
+++ b/internal/frontend/binary/requests.go
@@ -13,7 +13,7 @@
 	"mulleinpier/internal/ticket"
 )
 
-// handleGet reads a get and gives it to the core.
+// handleGet reads a get and submits it to the core.
 func (s *session) handleGet(h *codec.Header, rules *Rules) error {
 	var buffer [codec.MaxKey]byte
 	key := buffer[:h.KeyLen]
@@ -30,7 +30,7 @@
 		s.answerStatus(h, codec.InvalidArguments)
 		return nil
 	}
-	if !rules.Routes.Route(in, false, s.origin()) {
+	if !rules.Routes.Route(in, false, s.routeClient()) {
 		s.answerStatus(h, codec.NotSupported)
 		return nil
 	}
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// handleSet reads a set and gives it to the core. It has no class before its key is read, so it may use the part of the
-// body budget that is reserved for keyed writes, keyed or not.
+// handleSet reads a set and submits it to the core. Its class is unknown until its key has been read, so even a set
+// that is not keyed may use the part of the body budget that is reserved for keyed writes.
 func (s *session) handleSet(h *codec.Header, rules *Rules) error {
 	if !s.host.BodyBudget.TryAcquire(h.BodyLen) {
 		return s.skipAndAnswer(h, codec.Busy)
@@ -61,36 +61,38 @@
 	return nil
 }
 
-// routeSet sets the class of a write, and its idempotency key if it has a ticket. It returns another status than
-// OK for a write that can't be carried out.
+// routeSet sets the class, tenant and timeout of a write from the routing table. For a keyed class it also sets the
+// idempotency key, and limits the timeout to the remaining validity of the ticket. It returns a status other than OK
+// if the write can't be executed.
 func (s *session) routeSet(in *request.Request, cas uint64, rules *Rules) codec.Status {
 	hasTicket := cas != 0
 	if !validKey(in.Key) {
 		return codec.InvalidArguments
 	}
-	if !rules.Routes.Route(in, hasTicket, s.origin()) {
+	if !rules.Routes.Route(in, hasTicket, s.routeClient()) {
 		return codec.NotSupported
 	}
 	window := rules.DedupWindows[in.Class]
 	isKeyed := window > 0
 	switch {
 	case !isKeyed && hasTicket:
-		return codec.NotSupported // it is a real CAS, which no node has
+		return codec.NotSupported // a compare-and-swap, which nodes do not support
 	case !isKeyed:
 		return codec.OK
 	case !hasTicket:
-		return codec.InvalidArguments // no node could drop its repeats
+		return codec.InvalidArguments // without a ticket nodes could not drop repeats
 	}
 	remaining := ticket.Remaining(cas, time.Now(), window)
 	if remaining <= 0 {
-		return codec.Exists // it may be a late repeat: the client is to read again
+		return codec.Exists // may be a late repeat; the client has to read again for a new ticket
 	}
 	in.Timeout = min(in.Timeout, remaining)
 	in.IdempotencyKey = ticket.IdempotencyKey(cas, in.Key, in.Value)
 	return codec.OK
 }
 
-// submit gives a request to the core.
+// submit sets the request's id and submits it to the core. If the core does not accept it, submit releases the
+// request's body budget.
 func (s *session) submit(in *request.Request, r *reply) {
 	in.ID = s.frontend.idPrefix + strconv.FormatUint(s.frontend.lastID.Add(1), 36)
 	s.conn.Submit(in, &r.Slot, r)
@@ -99,8 +101,8 @@
 	}
 }
 
-// origin returns where the session's requests come from.
-func (s *session) origin() route.Client {
+// routeClient returns the listener and user that the routing table matches for the session's requests.
+func (s *session) routeClient() route.Client {
 	client := route.Client{Listener: s.listener}
 	if s.user != nil {
 		client.User = s.user.Name
@@ -108,7 +110,7 @@
 	return client
 }
 
-// validKey reports whether a key can be written in every dialect of nodes.
+// validKey reports whether a key can be sent to nodes in any dialect.
 func validKey(key string) bool {
 	const del = 0x7f
 	for i := range len(key) {
--- a/internal/frontend/budget.go
+++ b/internal/frontend/budget.go
@@ -2,20 +2,20 @@
 
 import "sync/atomic"
 
-// Budget bounds the bytes of one kind that are in use at a time. It is safe for concurrent use.
+// Budget limits the memory used for one purpose, in bytes. It is safe for concurrent use.
 type Budget struct {
 	total     int64
-	available atomic.Int64 // negative after Acquire beyond the total
+	available atomic.Int64 // negative if Acquire exceeded the total
 }
 
-// NewBudget returns a budget of so many bytes.
+// NewBudget returns a budget of the given number of bytes.
 func NewBudget(bytes int) *Budget {
 	b := &Budget{total: int64(bytes)}
 	b.available.Store(b.total)
 	return b
 }
 
-// Acquire takes n bytes, whether they are available or not.
+// Acquire takes n bytes even if fewer are available.
 func (b *Budget) Acquire(n int) { b.available.Add(-int64(n)) }
 
 // TryAcquire takes n bytes if they are available, and reports whether it did.
@@ -27,8 +27,8 @@
 	return false
 }
 
-// TryAcquireUnreserved takes n bytes if that leaves the reserved part of the total available, one in
-// reservedDivisor. It reports whether it did.
+// TryAcquireUnreserved takes n bytes if at least the reserved part of the budget, total/reservedDivisor, remains
+// available afterwards. It reports whether it did.
 func (b *Budget) TryAcquireUnreserved(n, reservedDivisor int) bool {
 	if b.available.Add(-int64(n)) >= b.total/int64(reservedDivisor) {
 		return true
@@ -37,8 +37,8 @@
 	return false
 }
 
-// Release gives n bytes back.
+// Release returns n bytes to the budget.
 func (b *Budget) Release(n int) { b.available.Add(int64(n)) }
 
-// Available returns how many bytes are available.
+// Available returns the number of available bytes, negative if [Budget.Acquire] exceeded the total.
 func (b *Budget) Available() int { return int(b.available.Load()) }
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -12,22 +12,22 @@
 	"mulleinpier/internal/socket"
 )
 
-// readBufferSize is the size of the buffer of what is read from a client, in bytes.
+// readBufferSize is the size in bytes of a connection's read buffer.
 const readBufferSize = 4 << 10
 
-// Host is what the connections of a listener have in common.
+// Host is the state that the connections of a listener share.
 type Host struct {
 	Core         *core.Core
 	BodyBudget   *Budget // for the bodies of writes that are being read or are in flight
-	AnswerBudget *Budget // for the values that clients have yet to take
+	AnswerBudget *Budget // for answers that have not been written to their clients
 	// Stats returns the statistics of a kind, "" for the general ones. It returns nil for an unknown kind.
 	Stats func(kind string) []core.Stat
-	// NewSession starts the dialect of a connection whose client sent this byte first.
+	// NewSession creates the session of a connection. first is the first byte that the client sent.
 	NewSession func(c *Conn, first byte) Session
 }
 
-// ReserveBody reserves budget for the body of a write of a class, and reports whether there was enough. From level
-// overload.Handovers on a part of the budget is reserved for keyed writes.
+// ReserveBody reserves size bytes of BodyBudget for the body of a write in the given class, and reports whether the
+// budget sufficed. From degradation level overload.Handovers on, part of the budget is reserved for keyed writes.
 func (h *Host) ReserveBody(size int, class string) bool {
 	if !h.Core.IsKeyed(class) && h.Core.OverloadLevel() >= overload.Handovers {
 		return h.BodyBudget.TryAcquireUnreserved(size, core.ReservedDivisor)
@@ -35,11 +35,11 @@
 	return h.BodyBudget.TryAcquire(size)
 }
 
-// Session is a dialect on one connection. Its methods are called by the connection's reader only.
+// Session implements a dialect on one connection. Only the connection's reader calls its methods.
 type Session interface {
-	// ServeCommand carries out one command, whose first byte has arrived. It returns true when what follows
-	// can't be read as commands, or is not to be.
-	ServeCommand() (lost bool, err error)
+	// ServeCommand reads and executes one command, whose first byte has arrived. It returns stop if no further
+	// commands are to be read, for example because the start of the next one can't be found.
+	ServeCommand() (stop bool, err error)
 	// TimeoutAnswer returns the answer to a command that did not arrive completely in time, nil for none.
 	TimeoutAnswer() []byte
 }
@@ -47,45 +47,45 @@
 // Conn is a client's connection.
 type Conn struct {
 	In      *bufio.Reader // for the session only
-	reader  timedReader   // belongs to the reader
+	reader  timedReader   // for the reader only
 	host    *Host
 	socket  *net.TCPConn
-	session Session // belongs to the reader; nil until the first command
+	session Session // for the reader only; nil until the first command
 
 	openedAt time.Time
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	changed sync.Cond  // signals changes of slots, gone and writingSince
 
-	slots           []*Slot   // of commands that are not answered, in the order of the commands
-	inCommand       bool      // the reader is within a command
-	commandDeadline time.Time // for the rest of that command; zero between commands
-	hasReceived     bool      // a command has begun on the connection, ever
-	readerBlocked   bool      // the reader waits for something else than the client
+	slots           []*Slot   // of the commands whose answers have not been taken for writing, in command order
+	inCommand       bool      // the reader is reading or executing a command
+	commandDeadline time.Time // for reading the rest of that command; zero between commands
+	hasReceived     bool      // the first byte of a command has been received
+	readerBlocked   bool      // the reader waits for something other than the client
 
 	lastAnswerAt time.Time
-	writingSince time.Time // of the write that is under way, zero for none
-	// silentSince is when a command was answered by silence that no answer has followed yet, zero for none.
-	silentSince time.Time
-
-	closeIfIdle           bool      // close the connection if it is still idle
-	draining              bool      // close the connection between requests
-	drainDeadline         time.Time // when draining: no command is taken after it, see cutoff
-	rejectedWhileDraining int       // commands that arrived after it
-	halfClosed            bool      // nothing more is answered
+	writingSince time.Time // start of the write that is under way, zero for none
+	// quietSince is when the first quiet command since the last answer completed without an answer, zero for none.
+	quietSince time.Time
+
+	closeIfIdle           bool      // the reader closes the connection if it is still idle
+	draining              bool      // the reader closes the connection between commands
+	drainDeadline         time.Time // when draining: end of accepting commands, which cutoff may extend
+	rejectedWhileDraining int       // requests rejected after the cutoff
+	halfClosed            bool      // the sending side is closed, or about to be: nothing more is answered
 	gone                  bool      // nothing can be written any more
-	closeReason           string    // for the event log; the first that is known
+	closeReason           string    // for the event log; the first one noted
 }
 
-// Slot is the place of one command's answer among those of its connection.
+// Slot holds the position of one command's answer in the order of its connection's answers.
 type Slot struct {
-	InFlight *core.InFlightRequest // of a command that became a request; set by the reader
+	InFlight *core.InFlightRequest // nil unless the core accepted the command's request; set by the reader
 	conn     *Conn
-	text     []byte // nil until the command is answered; guarded by conn.mu
+	text     []byte // the answer, nil until the command is answered; guarded by conn.mu
 }
 
-// New returns a connection that is to be served by [Conn.Serve], and that may have waited to be accepted since a
-// time by the core's clock.
+// New returns a connection to be served by [Conn.Serve]. waitedSince is the time, by the core's clock, since which it
+// may have waited to be accepted.
 func New(host *Host, connection *net.TCPConn, waitedSince time.Duration) *Conn {
 	now := time.Now()
 	c := &Conn{host: host, socket: connection, lastAnswerAt: now, openedAt: now}
@@ -95,10 +95,10 @@
 	return c
 }
 
-// Address returns the address that the client's connection comes from.
+// Address returns the client's address and port.
 func (c *Conn) Address() string { return c.socket.RemoteAddr().String() }
 
-// RemoteHost returns the host of that address.
+// RemoteHost returns the client's address without the port.
 func (c *Conn) RemoteHost() string {
 	host, _, _ := net.SplitHostPort(c.Address())
 	return host
@@ -107,7 +107,7 @@
 // Address implements core.Addressed.
 func (s *Slot) Address() string { return s.conn.Address() }
 
-// Serve serves a connection to its end.
+// Serve serves the connection until it ends, closes the socket, and tells the core which requests are unanswered.
 func (c *Conn) Serve() {
 	c.recordConnected()
 	var writer sync.WaitGroup
@@ -134,7 +134,7 @@
 	c.host.Core.ClientDisconnected(unanswered)
 }
 
-// Close closes the connection, whatever is under way on it. The reason is for the event log.
+// Close closes the connection at once, even if commands are in flight. The reason is for the event log.
 func (c *Conn) Close(reason string) {
 	c.mu.Lock()
 	c.noteReason(reason)
@@ -145,8 +145,8 @@
 // Disconnected implements core.DisconnectChecker.
 func (s *Slot) Disconnected() bool { return s.conn.Disconnected() }
 
-// Disconnected reports whether the client has closed, half closed or reset its connection, even if some of what
-// it sent is unread. If so the connection is closed here too, with all that is under way on it.
+// Disconnected reports whether the client has closed, half closed or reset its connection, even if some of the data
+// that it sent is unread. If so, Disconnected also closes the connection, even if commands are in flight.
 func (c *Conn) Disconnected() bool {
 	if !socket.PeerClosed(c.socket) {
 		return false
@@ -158,14 +158,14 @@
 	return true
 }
 
-// markGone notes that nothing can be written any more. c.mu is held.
+// markGone records that nothing can be written any more, and why. c.mu is held.
 func (c *Conn) markGone(reason string) {
 	c.noteReason(reason)
 	c.gone = true
 	c.changed.Broadcast()
 }
 
-// noteReason notes why the connection ends, for the event log. c.mu is held.
+// noteReason records why the connection ends, for the event log; the first reason counts. c.mu is held.
 func (c *Conn) noteReason(reason string) {
 	if c.closeReason == "" {
 		c.closeReason = reason
--- a/internal/frontend/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -14,7 +14,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// upperEcho is a dialect whose commands are lines, each answered at once by itself in upper case.
+// upperEcho is a dialect whose commands are lines, each answered at once with the same line in upper case.
 type upperEcho struct{ conn *Conn }
 
 func (e upperEcho) ServeCommand() (bool, error) {
@@ -27,7 +27,7 @@
 
 func (e upperEcho) TimeoutAnswer() []byte { return nil }
 
-// connectedClient returns a client's connection that is not served yet, and the client's end of it.
+// connectedClient returns a client connection that is not served yet, and the client's end of it.
 func connectedClient(t *testing.T) (*Conn, *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,14 +54,14 @@
 	return New(host, accepted.(*net.TCPConn), host.Core.Now()), client.(*net.TCPConn)
 }
 
-// markGoneForTest ends the writer of a connection that is not served.
+// markGoneForTest stops the writer of a connection on which Serve does not run.
 func markGoneForTest(c *Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.markGone("test ends")
 }
 
-// TestUnreadCommandIsNotIdle guards invariant 1 for a proxy that was without a processor: a connection whose
+// TestUnreadCommandIsNotIdle checks invariant 1 for a process that was not scheduled for a while: a connection whose
 // command has arrived but is unread must not be closed.
 func TestUnreadCommandIsNotIdle(t *testing.T) {
 	c, client := connectedClient(t)
@@ -77,15 +77,16 @@
 	}
 }
 
-// TestCommandBeingReadIsNotIdle guards invariant 1 for a command that the reader has read while it waits for the
-// connection's lock, or for the core: the connection must not be closed.
+// TestCommandBeingReadIsNotIdle checks invariant 1 for a command that the reader has read from the socket just before
+// the connection is closed as idle or drained, while the reader waits for the connection's lock or for the core:
+// the command must still be answered.
 func TestCommandBeingReadIsNotIdle(t *testing.T) {
 	for name, end := range map[string]func(*Conn){"idle": (*Conn).CloseIdle, "drain": (*Conn).Drain} {
 		t.Run(name, func(t *testing.T) { testCommandBeingRead(t, end) })
 	}
 }
 
-// testCommandBeingRead sends commands until the reader has read one just before the connection is ended.
+// testCommandBeingRead sends commands until the reader has read one just before end is applied to the connection.
 func testCommandBeingRead(t *testing.T, end func(*Conn)) {
 	c, client := connectedClient(t)
 	served, ended := make(chan bool, 1), make(chan bool, 1)
@@ -118,7 +119,7 @@
 		c.mu.Unlock()
 		expectAnswer()
 		testutil.Receive(t, "the end to be requested", ended)
-		if c.draining { // that can be tried only once
+		if c.draining { // a drain can't be undone for another try
 			break
 		}
 	}
@@ -126,11 +127,11 @@
 	testutil.Receive(t, "the end of the connection", served)
 }
 
-// TestFirstCommandInDrainIsAnswered guards a client that is slow to send its first command on a connection that was
-// accepted in a drain: a close that crosses the command would leave it without an answer.
+// TestFirstCommandInDrainIsAnswered checks that a client that is slow to send its first command on a connection
+// accepted during a drain gets an answer. Closing the connection while the command is on its way would lose it.
 func TestFirstCommandInDrainIsAnswered(t *testing.T) {
 	c, client := connectedClient(t)
-	c.openedAt = time.Now().Add(testutil.Timeout) // the outcome does not depend on how busy the machine is
+	c.openedAt = time.Now().Add(testutil.Timeout) // extends firstCommandGrace, so that a busy machine can't exceed it
 	served := make(chan bool, 1)
 	go func() {
 		c.Serve()
@@ -151,8 +152,8 @@
 	testutil.Receive(t, "the end of the connection", served)
 }
 
-// TestAnswerBeingWrittenIsNotIdle guards that a connection whose answer is being written is not closed as idle, if
-// it had been idle for long before the command.
+// TestAnswerBeingWrittenIsNotIdle checks that a connection whose answer is being written is not closed as idle, even
+// if it had been idle for long before the command.
 func TestAnswerBeingWrittenIsNotIdle(t *testing.T) {
 	c, client := connectedClient(t)
 	c.lastAnswerAt = time.Now().Add(-time.Hour)
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// IdleTimeout is how long a connection without a command is kept. It ends those of clients that connect
-	// and send nothing, or send one command and stay; whoever comes back later pays for a new connection.
+	// IdleTimeout is how long a connection without commands is kept. It closes the connections of clients that
+	// connect and send nothing, or send one command and stay connected; a client that returns later has the cost of
+	// a new connection.
 	IdleTimeout = 2100 * time.Millisecond
-	// LingerTimeout and lingerBytes bound what is read from a client after its connection was half closed:
-	// closing with unread bytes would reset the connection, and the reset can overtake the last answer. A
-	// client that sends without end is reset all the same, after it was answered.
+	// LingerTimeout and lingerBytes limit how long and how much is read from a client after its connection was
+	// half closed. Closing a socket with unread data resets the connection, and the reset can overtake the last
+	// answer. A client that keeps sending is reset anyway, but after it was answered.
 	LingerTimeout = 300 * time.Millisecond
 	lingerBytes   = 256 << 10
-	// drainGrace is how long a draining connection takes further commands.
+	// drainGrace is how long a draining connection accepts further commands.
 	drainGrace = LingerTimeout / 3
-	// firstCommandGrace is how long after its opening a connection in a drain waits for its first command: its client
-	// could not tell what became of that if the connection had been closed as it was sent.
+	// firstCommandGrace is how long after it was opened a draining connection waits for its first command. If the
+	// connection were closed while that command is being sent, the client could not tell whether it was executed.
 	firstCommandGrace = 500 * time.Millisecond
-	// silentAnswerTimeout bounds the wait for a command after one that was answered by silence: the client
-	// has its answer only with the next one, also in a drain.
-	silentAnswerTimeout = 2500 * time.Millisecond
+	// quietAnswerTimeout bounds the wait for the next command after a quiet command that completed without an
+	// answer, also in a drain: only the next answer confirms the quiet command to the client.
+	quietAnswerTimeout = 2500 * time.Millisecond
 )
 
-// Drain closes the connection as soon as nothing is in flight on it. As a client that always has a command in
-// flight would never let it come to that, what it sends after a moment more is not carried out.
+// Drain closes the connection as soon as nothing is in flight on it. Commands that arrive after the cutoff, normally
+// drainGrace later, are rejected: a client that always has a command in flight would otherwise keep the connection
+// open.
 func (c *Conn) Drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,46 +36,46 @@
 	}
 }
 
-// DrainNow closes the connection as soon as nothing is in flight on it, and takes no further command.
+// DrainNow closes the connection as soon as nothing is in flight on it. Unlike [Conn.Drain] it allows
+// no drainGrace for further commands.
 func (c *Conn) DrainNow() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drainBy(time.Now())
 }
 
-// drainBy starts a drain that takes commands until a deadline. c.mu is held.
+// drainBy starts a drain that accepts commands until the deadline. c.mu is held.
 func (c *Conn) drainBy(deadline time.Time) {
 	c.draining, c.drainDeadline = true, deadline
-	if c.inCommand && !c.halfClosed { // a part of a command has arrived
+	if c.inCommand && !c.halfClosed { // the rest of the current command must arrive before the cutoff
 		c.socket.SetReadDeadline(c.cutoff())
 	}
 	c.wakeReader()
 }
 
-// RejectsCommands reports whether commands arrive too late to be carried out.
+// RejectsCommands reports whether the connection is draining and commands that arrive now are rejected.
 func (c *Conn) RejectsCommands() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pastCutoff()
 }
 
-// pastCutoff reports whether a draining connection takes no more commands. c.mu is held.
+// pastCutoff reports whether the connection is draining and accepts no more commands. c.mu is held.
 func (c *Conn) pastCutoff() bool { return c.draining && !time.Now().Before(c.cutoff()) }
 
-// cutoff returns when a draining connection takes no more commands: at its deadline, or when the wait for its first
-// command or after an answer by silence is over, whichever is later. c.mu is held.
+// cutoff returns the time from which a draining connection accepts no more commands: its drain deadline, or the end of
+// firstCommandGrace or quietAnswerTimeout where one applies and is later. c.mu is held.
 func (c *Conn) cutoff() time.Time {
 	cutoff := c.drainDeadline
 	if !c.hasReceived {
 		cutoff = later(cutoff, c.openedAt.Add(firstCommandGrace))
 	}
-	if c.owesAnswer(time.Now()) {
-		cutoff = later(cutoff, c.silentSince.Add(silentAnswerTimeout))
+	if c.quietUnconfirmed(time.Now()) {
+		cutoff = later(cutoff, c.quietSince.Add(quietAnswerTimeout))
 	}
 	return cutoff
 }
 
-// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
@@ -81,14 +83,15 @@
 	return a
 }
 
-// owesAnswer reports whether the client waits for a sign that what was answered by silence is done: closing now
-// would leave it without any answer. c.mu is held.
-func (c *Conn) owesAnswer(now time.Time) bool {
-	return !c.silentSince.IsZero() && now.Sub(c.silentSince) < silentAnswerTimeout
+// quietUnconfirmed reports whether a quiet command completed without an answer and the client may still send another
+// command, whose answer would confirm it. Closing the connection now would leave the client without any answer. c.mu
+// is held.
+func (c *Conn) quietUnconfirmed(now time.Time) bool {
+	return !c.quietSince.IsZero() && now.Sub(c.quietSince) < quietAnswerTimeout
 }
 
-// linger waits until everything is answered, half closes the connection, and reads on until the client closes
-// too.
+// linger waits until all commands are answered, half closes the connection, and discards what the client sends until
+// it closes too, within LingerTimeout and lingerBytes.
 func (c *Conn) linger() {
 	c.mu.Lock()
 	c.inCommand = false
@@ -100,24 +103,25 @@
 	io.CopyN(io.Discard, c.In, lingerBytes)
 }
 
-// allAnswered reports whether all commands that were read are answered, and the answers written. c.mu is held.
+// allAnswered reports whether the answers to all commands that were read have been written. c.mu is held.
 func (c *Conn) allAnswered() bool { return len(c.slots) == 0 && c.writingSince.IsZero() }
 
-// IdleSince reports whether the connection may be closed as idle, and since when it has been idle.
+// IdleSince returns the time of the last answer, or of the opening before there is one, and whether the connection is
+// idle and may be closed.
 func (c *Conn) IdleSince() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastAnswerAt, c.isIdle()
 }
 
-// isIdle reports whether nothing is under way on the connection, nor is it about to end. An answer that is being
-// written is under way: the writer may wait for its client, or for the core. c.mu is held.
+// isIdle reports whether the connection has no commands in flight and is not about to be closed. A command whose
+// answer is being written is in flight: the writer may be waiting for the client, or for the core. c.mu is held.
 func (c *Conn) isIdle() bool {
 	aboutToEnd := c.draining || c.closeIfIdle
-	return !c.inCommand && c.allAnswered() && !aboutToEnd && !c.owesAnswer(time.Now())
+	return !c.inCommand && c.allAnswered() && !aboutToEnd && !c.quietUnconfirmed(time.Now())
 }
 
-// CloseIdle closes an idle connection, if the reader finds that it is still idle.
+// CloseIdle closes the connection if it is idle and the reader finds it still idle.
 func (c *Conn) CloseIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/lockorder_test.go
+++ b/internal/frontend/lockorder_test.go
@@ -14,8 +14,8 @@
 	"mulleinpier/policy"
 )
 
-// lockedReply is a reply that, with the core's lock held, waits until a connection's reader has had time to come
-// to a lock of its own, and then answers one of the connection's commands.
+// lockedReply is a reply whose Finish, which the core calls with its lock held, gives a connection's reader time to
+// take the connection's lock, and then answers one of the connection's commands.
 type lockedReply struct {
 	conn    *Conn
 	started chan bool
@@ -24,7 +24,7 @@
 func (r *lockedReply) Finish(*request.Answer) {
 	r.started <- true
 	for deadline := time.Now().Add(200 * time.Millisecond); time.Now().Before(deadline); {
-		if !r.conn.mu.TryLock() { // its reader holds it
+		if !r.conn.mu.TryLock() { // the connection's reader holds it
 			break
 		}
 		r.conn.mu.Unlock()
@@ -36,7 +36,7 @@
 
 func (r *lockedReply) Release() {}
 
-// newCore returns a core that knows a node, and does not run.
+// newCore returns a core with one node, on which Run is not called.
 func newCore(t *testing.T) *core.Core {
 	t.Helper()
 	const node = "127.0.0.1:9"
@@ -57,9 +57,9 @@
 	return c
 }
 
-// TestFullPipelineDuringAStallDoesNotDeadlock guards the order of locks: a reader that waits for a slot asks the
-// core's clock, which takes the core's lock after a stall, while the core answers one of the connection's
-// commands.
+// TestFullPipelineDuringAStallDoesNotDeadlock guards against a deadlock by lock order: a reader that waits for a slot
+// reads the core's clock, which takes the core's lock after a stall, while the core, with its lock held, answers one
+// of the connection's commands, which takes the connection's lock.
 func TestFullPipelineDuringAStallDoesNotDeadlock(t *testing.T) {
 	proxy := newCore(t)
 	c, client := connectedClient(t)
@@ -67,7 +67,7 @@
 	for range maxPipelined {
 		c.AddSlot(new(Slot))
 	}
-	time.Sleep(pause.MinStall + 10*time.Millisecond) // nobody checks the clocks meanwhile
+	time.Sleep(pause.MinStall + 10*time.Millisecond) // the core's clock is not read in the meantime: it sees a stall
 	reply := &lockedReply{c, make(chan bool, 1)}
 	answered, added := make(chan bool, 1), make(chan bool, 1)
 	go func() {
--- a/internal/frontend/meta/meta.go
+++ b/internal/frontend/meta/meta.go
@@ -1,7 +1,7 @@
-// Package meta serves clients that speak the meta commands of the memcache text protocol.
+// Package meta serves clients that use the meta commands of the memcache text protocol.
 //
-// It reads commands, gives requests to the core and formats their answers. What connections have in common
-// (order of answers, pipelining, draining) is package frontend's. A session belongs to its connection's reader.
+// It reads commands, submits requests to the core and formats their answers. Package frontend implements what all
+// dialects share: order of answers, pipelining and draining. A session is used only by its connection's reader.
 package meta
 
 import (
@@ -17,9 +17,10 @@
 )
 
 const (
-	// maxBadCommands is how many invalid commands in a row a connection may send: more is noise, and ends it.
+	// maxBadCommands is the number of consecutive invalid commands after which a connection is closed, since it
+	// probably carries garbage.
 	maxBadCommands = 8
-	// lineEnd ends each line and each value.
+	// lineEnd terminates each line and each value.
 	lineEnd = "\r\n"
 )
 
@@ -27,21 +28,21 @@
 type session struct {
 	host        *frontend.Host
 	conn        *frontend.Conn
-	badCommands int // invalid commands in a row
+	badCommands int // number of consecutive invalid commands
 }
 
-// NewSession starts the dialect on a connection.
+// NewSession returns the session of a connection.
 func NewSession(host *frontend.Host, c *frontend.Conn) frontend.Session {
 	return &session{host: host, conn: c}
 }
 
-// reply is where the answer to a request goes.
+// reply receives the answer to a request, and formats it for the client.
 type reply struct {
 	frontend.Slot
 	host    *frontend.Host
 	id      string
-	bodyLen int                // bytes of the body budget that the request uses
-	kind    request.AnswerKind // of its answer
+	bodyLen int                // bytes of the body budget held by the request
+	kind    request.AnswerKind // kind of the answer
 }
 
 // Finish implements core.Reply.
@@ -53,7 +54,7 @@
 // Release implements core.Reply.
 func (r *reply) Release() { r.host.BodyBudget.Release(r.bodyLen) }
 
-// outOfMemory returns the answer in place of one for which there is no budget.
+// outOfMemory returns the answer to send if the answer budget does not suffice for the value.
 func outOfMemory() []byte { return []byte("SERVER_ERROR out of memory" + lineEnd) }
 
 // TimeoutAnswer implements frontend.Session.
@@ -61,38 +62,39 @@
 	return []byte("CLIENT_ERROR command took too long" + lineEnd)
 }
 
-// answer answers a command that is no request.
+// answer sends the answer to a command that was not submitted to the core.
 func (s *session) answer(text string) { s.conn.AddSlot(new(frontend.Slot)).Finish([]byte(text)) }
 
-// answerAndStop answers a command after which nothing can be read. It returns true, for ServeCommand.
+// answerAndStop answers the last command that is read from the connection. It returns true, the stop result of
+// ServeCommand.
 func (s *session) answerAndStop(text string) bool {
 	s.answer(text)
 	return true
 }
 
-// answerBad answers an invalid command.
-func (s *session) answerBad(text string) {
+// answerInvalid answers and counts an invalid command.
+func (s *session) answerInvalid(text string) {
 	s.badCommands++
 	s.answer(text)
 }
 
-// answerGood answers a valid command that is no request.
-func (s *session) answerGood(text string) {
+// answerValid answers a valid command that is not a request for the core.
+func (s *session) answerValid(text string) {
 	s.badCommands = 0
 	s.answer(text)
 }
 
 // ServeCommand implements frontend.Session.
-func (s *session) ServeCommand() (lost bool, err error) {
-	lost, err = s.handleCommand()
-	if lost || err != nil || s.badCommands < maxBadCommands {
-		return lost, err
+func (s *session) ServeCommand() (stop bool, err error) {
+	stop, err = s.handleCommand()
+	if stop || err != nil || s.badCommands < maxBadCommands {
+		return stop, err
 	}
 	return s.answerAndStop("CLIENT_ERROR too many bad commands" + lineEnd), nil
 }
 
-// handleCommand carries out one command.
-func (s *session) handleCommand() (lost bool, err error) {
+// handleCommand reads and executes one command.
+func (s *session) handleCommand() (stop bool, err error) {
 	text, err := s.conn.In.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || err == nil && len(text) > meta.MaxLine {
 		return s.answerAndStop("CLIENT_ERROR line too long" + lineEnd), nil
@@ -110,10 +112,10 @@
 	case errors.As(err, &invalid):
 		return s.handleInvalid(invalid)
 	case err != nil:
-		s.answerBad("ERROR" + lineEnd)
+		s.answerInvalid("ERROR" + lineEnd)
 		return false, nil
 	case command.Noop:
-		s.answerGood("MN" + lineEnd)
+		s.answerValid("MN" + lineEnd)
 		return false, nil
 	case command.Stats:
 		s.answerStats(command.Key)
@@ -122,34 +124,34 @@
 	return s.handleRequest(&command)
 }
 
-// handleInvalid answers an invalid command, and skips its value if that can be told from commands.
-func (s *session) handleInvalid(invalid *meta.ClientError) (lost bool, err error) {
+// handleInvalid answers an invalid command and skips its value. It returns stop if the length of the value is unknown.
+func (s *session) handleInvalid(invalid *meta.ClientError) (stop bool, err error) {
 	if invalid.SkipBytes > 0 {
 		if _, err := s.conn.In.Discard(invalid.SkipBytes); err != nil {
 			return false, err
 		}
 	}
-	s.answerBad("CLIENT_ERROR " + invalid.Reason + lineEnd)
+	s.answerInvalid("CLIENT_ERROR " + invalid.Reason + lineEnd)
 	return invalid.SkipBytes < 0, nil
 }
 
-// answerStats answers by one line for each statistic of a kind. To an unknown kind it answers ERROR, as to any
-// unknown command.
+// answerStats answers with one line per statistic of a kind. It answers an unknown kind with ERROR, like any unknown
+// command.
 func (s *session) answerStats(kind string) {
 	stats := s.host.Stats(kind)
 	if stats == nil {
-		s.answerBad("ERROR" + lineEnd)
+		s.answerInvalid("ERROR" + lineEnd)
 		return
 	}
 	var text strings.Builder
 	for _, stat := range stats {
 		text.WriteString("STAT " + stat.Name + " " + stat.Value + lineEnd)
 	}
-	s.answerGood(text.String() + "END" + lineEnd)
+	s.answerValid(text.String() + "END" + lineEnd)
 }
 
-// handleRequest reads a request's value, if it has one, and gives the request to the core.
-func (s *session) handleRequest(command *meta.Command) (lost bool, err error) {
+// handleRequest reads a request's value, if it has one, and submits the request to the core.
+func (s *session) handleRequest(command *meta.Command) (stop bool, err error) {
 	bodyLen := 0
 	if command.Verb == request.Set {
 		bodyLen = command.ValueLen + len(lineEnd)
@@ -181,7 +183,7 @@
 	return false, nil
 }
 
-// rejectBody skips a body for which there is no budget, and rejects its command.
+// rejectBody skips a body that the body budget has no room for, and answers its command with busy.
 func (s *session) rejectBody(bodyLen int) error {
 	if _, err := s.conn.In.Discard(bodyLen); err != nil {
 		return err
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// maxPipelined bounds the commands of one connection that are in flight; further ones wait unread.
+	// maxPipelined limits the commands of one connection in flight; further ones are not read until one is answered.
 	maxPipelined = 32
-	// commandTimeout bounds the time from the first byte of a command to its last: one that stops half way
-	// must not occupy capacity, and its client is answered within 3 s.
+	// commandTimeout bounds the time from the first byte of a command to its last. A command that never completes
+	// must not occupy capacity, and its client must be answered within 3 s.
 	commandTimeout = 2500 * time.Millisecond
-	// rejectedReadTimeout is the same for a command that will be rejected.
+	// rejectedReadTimeout replaces commandTimeout for a command that will be rejected in a drain.
 	rejectedReadTimeout = LingerTimeout / 3
 )
 
-// readEnd is why the reader stops.
+// readEnd is the reason why the reader stops.
 type readEnd uint8
 
 const (
-	connectionEnded readEnd = iota // the client has left, or the connection was drained or closed
-	framingLost                    // what follows can't be read as commands
+	connectionEnded readEnd = iota // the client disconnected, or the connection was drained or closed
+	framingLost                    // the session stopped or a command timed out; answers are still written
 )
 
-// readCommands reads commands until the connection ends or its framing is lost.
+// readCommands reads and executes commands until the connection ends or the session stops, and returns which.
 func (c *Conn) readCommands() readEnd {
 	for {
 		if !c.awaitCommand() {
 			return connectionEnded
 		}
-		c.limitCommand()
+		c.setCommandDeadline()
 		if c.session == nil {
 			first, err := c.In.Peek(1)
 			if err != nil {
@@ -41,14 +41,14 @@
 			}
 			c.session = c.host.NewSession(c, first[0])
 		}
-		lost, err := c.session.ServeCommand()
+		stop, err := c.session.ServeCommand()
 		switch {
 		case socket.IsTimeout(err):
 			if text := c.session.TimeoutAnswer(); text != nil {
 				c.AddSlot(new(Slot)).Finish(text)
 			}
 			return framingLost
-		case lost:
+		case stop:
 			return framingLost
 		case err != nil:
 			return connectionEnded
@@ -56,10 +56,10 @@
 	}
 }
 
-// awaitCommand waits for the first byte of a command, and reports whether there is one to carry out.
+// awaitCommand waits for the first byte of a command. It returns false if the connection has ended instead.
 //
-// Only the reader ends a connection between commands. Whoever else wants it closed marks it and wakes the
-// reader: it may have read a command that nobody else knows of yet, and closing would lose it.
+// Only the reader closes a connection between commands. Other goroutines set a flag and wake the reader: it may have
+// read a command that they don't know of yet, and closing the connection would lose that command.
 func (c *Conn) awaitCommand() bool {
 	for {
 		switch c.prepareNextCommand() {
@@ -83,26 +83,27 @@
 	}
 }
 
-// betweenCommands is what becomes of a connection between two commands.
-type betweenCommands uint8
+// readDecision is the decision whether a connection is read on between two commands.
+type readDecision uint8
 
 const (
-	keepReading     betweenCommands = iota
-	lastCommandRead                 // no more are taken; it is closed once all are answered
-	closed                          // it has been closed
+	keepReading     readDecision = iota
+	lastCommandRead              // read no more commands, and close the connection once all are answered
+	closed                       // the connection has been closed
 )
 
-// prepareNextCommand decides on the connection as the reader comes to its next command. One that has arrived
-// already but is unread is taken first, as far as time allows: the process may have been without a processor
-// for a while. What arrives later in a drain, while others are in flight, is rejected: a close would lose it.
-func (c *Conn) prepareNextCommand() betweenCommands {
+// prepareNextCommand decides, before the next command is read, whether the connection is closed, and otherwise sets
+// the read deadline. A command that has arrived but is unread is still read, unless the cutoff of a drain has passed
+// and enough commands have been rejected: the process may not have been scheduled for a while. Commands that are read
+// after the cutoff are rejected, as closing the connection would lose them.
+func (c *Conn) prepareNextCommand() readDecision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inCommand, c.commandDeadline = false, time.Time{}
 	deadline := time.Time{}
 	switch {
 	case c.pastCutoff():
-		if c.mayCloseLate() {
+		if c.mayCloseAfterCutoff() {
 			c.noteReason("drain, late")
 			return lastCommandRead
 		}
@@ -120,45 +121,45 @@
 	return keepReading
 }
 
-// hasCommand reports whether anything has arrived or is in flight on the connection. c.mu is held.
+// hasCommand reports whether unread data has arrived or a command is in flight on the connection. c.mu is held.
 func (c *Conn) hasCommand() bool {
 	return c.In.Buffered() > 0 || socket.Readable(c.socket) || !c.allAnswered()
 }
 
-// mayCloseLate reports whether a connection that rejects commands has none to reject any more, or has rejected
-// enough. Otherwise the writer wakes the reader when all is answered. c.mu is held.
-func (c *Conn) mayCloseLate() bool {
+// mayCloseAfterCutoff reports whether a connection that rejects commands has no unread or unanswered ones, or has
+// rejected maxPipelined of them. If not, the writer wakes the reader once everything is answered. c.mu is held.
+func (c *Conn) mayCloseAfterCutoff() bool {
 	return !c.hasCommand() || c.rejectedWhileDraining >= maxPipelined
 }
 
 // decideClose decides whether an idle or draining connection is closed now. c.mu is held.
-func (c *Conn) decideClose() betweenCommands {
+func (c *Conn) decideClose() readDecision {
 	switch {
-	case c.hasCommand() || c.owesAnswer(time.Now()):
+	case c.hasCommand() || c.quietUnconfirmed(time.Now()):
 		return keepReading
 	case c.closeIfIdle:
 		c.noteReason("idle")
-		c.socket.Close() // without lingering: its last answer has long been received
+		c.socket.Close() // no linger: the client received the last answer long ago
 		return closed
 	case c.draining && c.hasReceived:
 		c.noteReason("drain")
 		return lastCommandRead
 	}
-	// A connection that was just opened is kept for a moment: its first command is on its way, and a client
-	// whose new connection closes at once can't tell what became of it.
+	// A draining connection without a command yet is kept for firstCommandGrace: its first command may be on its
+	// way, and a client whose new connection is closed can't tell whether that command was executed.
 	return keepReading
 }
 
-// limitCommand sets the time in which a command that has begun must arrive completely. In a drain that is short:
-// one that is taken late could not be answered before the end.
-func (c *Conn) limitCommand() {
+// setCommandDeadline sets the deadline for reading the rest of a command that has begun. In a drain the deadline is
+// the cutoff at the latest, since a command accepted later could not be answered before the connection is closed.
+func (c *Conn) setCommandDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	deadline := now.Add(commandTimeout)
 	if c.draining {
 		deadline = earlier(deadline, c.cutoff())
-		if c.pastCutoff() { // it will be rejected, and must still be read
+		if c.pastCutoff() { // the command will be rejected, but must still be read
 			deadline = now.Add(rejectedReadTimeout)
 		}
 	}
@@ -166,7 +167,6 @@
 	c.socket.SetReadDeadline(deadline)
 }
 
-// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
@@ -174,8 +174,8 @@
 	return a
 }
 
-// AddSlot makes slot the place of the next answer. It waits while too many commands are in flight. It is for
-// sessions.
+// AddSlot appends slot to the connection's answers, and returns it. It blocks while maxPipelined commands are in
+// flight. Only the connection's reader may call it, in the order of the commands.
 func (c *Conn) AddSlot(slot *Slot) *Slot {
 	slot.conn = c
 	if c.pipelineFull() {
@@ -187,16 +187,17 @@
 	return slot
 }
 
-// pipelineFull reports whether too many commands are in flight. Only the reader adds any, so that what it finds
-// free stays free.
+// pipelineFull reports whether maxPipelined commands are in flight. Only the reader adds commands, so a free slot that
+// it finds remains free.
 func (c *Conn) pipelineFull() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.slots) >= maxPipelined && !c.gone
 }
 
-// waitForSlot waits until one more command may be in flight. Nothing is read meanwhile. The core's clock is read
-// without c.mu: that may take the core's lock, under which the core answers commands of this connection.
+// waitForSlot waits until fewer than maxPipelined commands are in flight. The connection is not read in the meantime.
+// The core's clock must be read without c.mu: it may take the core's lock, under which the core answers commands of
+// this connection.
 func (c *Conn) waitForSlot() {
 	start := c.host.Core.Now()
 	c.mu.Lock()
@@ -205,7 +206,7 @@
 	c.reader.noteUnread(start)
 }
 
-// blockReader has the reader wait until done, or until the connection is gone. c.mu is held.
+// blockReader blocks the reader until done returns true or the connection is gone. c.mu is held, except while waiting.
 func (c *Conn) blockReader(done func() bool) {
 	c.readerBlocked = true
 	for !done() && !c.gone {
@@ -214,16 +215,17 @@
 	c.readerBlocked = false
 }
 
-// ReaderBlocked reports whether the reader would not notice that the client disconnects: then
-// [Conn.Disconnected] finds out.
+// ReaderBlocked reports whether the reader waits for something other than the client, and so would not notice that the
+// client disconnects. Callers then have to check [Conn.Disconnected].
 func (c *Conn) ReaderBlocked() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.readerBlocked
 }
 
-// Submit gives the core a request that has been read completely, with slot as the place of its answer. In a drain
-// it may be too late for that: then it is rejected, as a close would lose it. It is for sessions.
+// Submit gives a completely read request to the core and adds slot for its answer. After the cutoff of a drain the
+// request is rejected instead, since closing the connection would lose it. If the client is gone the request is
+// dropped. Sessions call Submit from the connection's reader.
 func (c *Conn) Submit(in *request.Request, slot *Slot, reply core.Reply) {
 	in.Arrival = c.CommandArrival()
 	c.AddSlot(slot)
@@ -247,9 +249,9 @@
 	}
 }
 
-// wakeReader has a reader that waits for a command decide on the connection again. c.mu is held.
+// wakeReader makes a reader that waits for a command run prepareNextCommand again. c.mu is held.
 func (c *Conn) wakeReader() {
 	if !c.inCommand && !c.halfClosed {
-		c.socket.SetReadDeadline(time.Unix(1, 0)) // long over
+		c.socket.SetReadDeadline(time.Unix(1, 0)) // in the past
 	}
 }
--- a/internal/frontend/writer.go
+++ b/internal/frontend/writer.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// maxWriteBytes is the size from which on no more answers are added to a write.
+	// maxWriteBytes is the size in bytes from which on no more answers are added to a write.
 	maxWriteBytes = 64 << 10
-	// maxUnbudgetedAnswer is the size in bytes up to which an answer is not counted against the budget.
+	// maxUnbudgetedAnswer is the size in bytes up to which an answer does not count against the answer budget.
 	maxUnbudgetedAnswer = 512
 )
 
-// FinishSilently answers a command by sending nothing.
+// FinishSilently completes a quiet command without sending an answer.
 func (s *Slot) FinishSilently() { s.Finish([]byte{}) }
 
-// Finish sets the answer of a command even if the budget is used up: it is for answers that are small or the
-// proxy's own.
+// Finish sets the answer to a command even if the answer budget is exhausted. It is for small answers and for those
+// that the proxy itself generates.
 func (s *Slot) Finish(text []byte) { s.FinishValue(text, nil) }
 
-// FinishValue sets the answer of a command. If the budget for answers that clients have yet to take is used up,
-// the result of overBudget is the answer instead; with a nil overBudget the answer is set all the same.
+// FinishValue sets the answer to a command. If the answer budget is exhausted it sets the result of overBudget
+// instead; if overBudget is nil it sets the answer regardless of the budget. It does nothing if the connection is gone.
 func (s *Slot) FinishValue(text []byte, overBudget func() []byte) {
 	c := s.conn
 	c.mu.Lock()
@@ -39,7 +39,7 @@
 	c.changed.Broadcast()
 }
 
-// releaseAnswers releases the budget of answers.
+// releaseAnswers returns the bytes of answers to the answer budget.
 func (h *Host) releaseAnswers(texts net.Buffers) {
 	budgeted := 0
 	for _, text := range texts {
@@ -50,7 +50,8 @@
 	h.AnswerBudget.Release(budgeted)
 }
 
-// WriteBlockedSince returns since when a write has been under way that the client has not taken, zero for none.
+// WriteBlockedSince returns the start of the write that is under way, zero for none. A write that started long ago is
+// blocked by a client that does not read.
 func (c *Conn) WriteBlockedSince() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +73,7 @@
 			return
 		case !taken:
 			c.changed.Wait()
-		case len(texts) == 0: // all that were taken are silent
+		case len(texts) == 0: // all completed commands are quiet
 			c.lastAnswerAt = time.Now()
 			c.answersWritten()
 		default:
@@ -82,7 +83,7 @@
 	}
 }
 
-// writeTexts writes answers. c.mu is held, except during the write.
+// writeTexts writes answers, and marks the connection gone if that fails. c.mu is held, except during the write.
 func (c *Conn) writeTexts(texts net.Buffers) {
 	c.writingSince = time.Now()
 	c.mu.Unlock()
@@ -98,7 +99,8 @@
 	}
 }
 
-// answersWritten wakes those who wait for answers to be written. c.mu is held.
+// answersWritten wakes goroutines that wait for answers to be written, and the reader of a draining connection once
+// everything is answered. c.mu is held.
 func (c *Conn) answersWritten() {
 	if c.draining && c.allAnswered() {
 		c.wakeReader()
@@ -106,8 +108,8 @@
 	c.changed.Broadcast()
 }
 
-// takeReady removes the answers that can be written now, and reports whether there were any, silent ones
-// included. c.mu is held.
+// takeReady removes the slots whose answers can be written now and returns the answers. taken reports whether it
+// removed any slots, including those of quiet commands, which have no answer to write. c.mu is held.
 func (c *Conn) takeReady() (texts net.Buffers, taken bool) {
 	size := 0
 	for len(c.slots) > 0 && c.slots[0].text != nil && size < maxWriteBytes {
@@ -115,9 +117,9 @@
 		if len(text) > 0 {
 			texts = append(texts, text)
 			size += len(text)
-			c.silentSince = time.Time{}
-		} else if c.silentSince.IsZero() {
-			c.silentSince = time.Now()
+			c.quietSince = time.Time{}
+		} else if c.quietSince.IsZero() {
+			c.quietSince = time.Now()
 		}
 		c.slots[0] = nil
 		c.slots = c.slots[1:]
