--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -1,16 +1,16 @@
-// Package consul follows the instances of a service in Consul's catalogue, and registers a proxy there, by the
+// Package consul watches the instances of a service in Consul's catalogue, and registers a proxy there, through the
 // published HTTP API (health, agent service and agent check endpoints, blocking queries, consistency modes, ACL
-// tokens). What it reports is whether a process runs; nothing of it is load.
+// tokens). The catalogue says only whether a process runs; it carries no load reports.
 //
 // Invariants:
 //
-//  1. A response is a list only if a leader was known, it was not too stale, no ACL has filtered it and it is
-//     complete. Everything else is a failure of the source, never a list.
-//  2. Memory is bounded by [MaxInstances] and one entry at a time; a body that goes on beyond them, or comes too
-//     slowly, ends in an error.
+//  1. A response is accepted as a list only if a leader was known, it was not too stale, no ACL has filtered it and it
+//     is complete. Everything else is a failure of the source.
+//  2. Memory is bounded by [MaxInstances] and one entry at a time; a body that has more, or arrives too slowly, ends
+//     in an error.
 //  3. Two queries are at least [MinQueryInterval] apart, whatever the index does.
 //
-// The package does not decide whether a list is believed; package membership does. Sources and registrars run in
+// The package does not decide whether a list takes effect; package membership does. Sources and registrars run in
 // the goroutine of their caller and start none of their own.
 package consul
 
@@ -30,28 +30,28 @@
 	"time"
 )
 
-// Agent is the address of a Consul agent, and how to authenticate. It is comparable.
+// Agent says how to reach a Consul agent and how to authenticate. It is comparable.
 type Agent struct {
 	Address   string // HOST:PORT
 	TLS       bool
-	CAFile    string // certificates to trust in place of the system's; "" for those
-	TokenFile string // of the ACL token, read for each call, as it may rotate; "" for none
+	CAFile    string // PEM certificates to trust in place of the system's; "" to trust the system's
+	TokenFile string // file with the ACL token, read for each call since the token may rotate; "" for none
 }
 
 const (
 	maxTokenBytes = 4 << 10
-	// maxReasonBytes is how much of the body of an error is reported.
+	// maxReasonBytes bounds how much of the body of an error response is reported.
 	maxReasonBytes = 512
 	maxHeaderBytes = 16 << 10
 	dialTimeout    = 3 * time.Second
-	// maxRetryAfter bounds a Retry-After that is obeyed.
+	// maxRetryAfter is the longest Retry-After that is obeyed.
 	maxRetryAfter = 30 * time.Second
 )
 
-// bodyTimeout bounds the time from the beginning of a response to its end. Tests shorten it.
+// bodyTimeout bounds the time from the start of a response to its end. Tests shorten it.
 var bodyTimeout = 10 * time.Second
 
-// StatusError is a response with a status other than success.
+// StatusError is a response with a status other than 200.
 type StatusError struct {
 	Status     int
 	Reason     string        // the first maxReasonBytes of the body
@@ -97,7 +97,7 @@
 	roots := x509.NewCertPool()
 	pem, err := os.ReadFile(path)
 	if err == nil && !roots.AppendCertsFromPEM(pem) {
-		err = fmt.Errorf("consul: %s holds no certificate", path)
+		err = fmt.Errorf("consul: %s contains no certificate", path)
 	}
 	return roots, err
 }
@@ -116,16 +116,15 @@
 	return strings.TrimSpace(string(text)), err
 }
 
-// call is a call of the HTTP API.
 type call struct {
 	method, path string
 	query        url.Values
 	body         io.Reader     // nil for none
-	timeout      time.Duration // for the response to begin
+	timeout      time.Duration // until the start of the response
 }
 
-// do makes a call and returns its response if it is a success. The caller closes the body, which ends by itself
-// when it takes longer than bodyTimeout, or ctx ends.
+// do makes a call and returns its response if the status is 200. The caller closes the body. Reading it fails after
+// bodyTimeout or when ctx ends.
 func (c *client) do(ctx context.Context, call call) (*http.Response, error) {
 	if c.err != nil {
 		return nil, c.err
@@ -135,7 +134,7 @@
 		return nil, fmt.Errorf("consul: token: %w", err)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(call.timeout, func() { cancel(errors.New("no answer in time")) })
+	timer := time.AfterFunc(call.timeout, func() { cancel(errors.New("no response within the timeout")) })
 	request, err := http.NewRequestWithContext(ctx, call.method, c.base+call.path+"?"+call.query.Encode(), call.body)
 	if err != nil {
 		cancel(nil)
@@ -166,7 +165,7 @@
 	return response, nil
 }
 
-// callBody is a body whose Close releases what its call holds.
+// callBody is a response body whose Close also releases the timer and context of its call.
 type callBody struct {
 	io.ReadCloser
 	release func()
@@ -188,7 +187,8 @@
 	}
 }
 
-// retryAfter returns the Retry-After of a response, 0 for none. Only seconds are understood.
+// retryAfter returns the Retry-After of a response, at most maxRetryAfter, 0 for none. Dates are ignored; only a number
+// of seconds is accepted.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || seconds < 0 {
@@ -197,7 +197,7 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// sleep waits for a time or the end of ctx.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/consul/instances.go
+++ b/internal/consul/instances.go
@@ -13,15 +13,14 @@
 )
 
 const (
-	// MaxInstances bounds the instances of a list.
-	MaxInstances = 8192
-	maxListBytes = 64 << 20
-	maxPort      = 1<<16 - 1
-	// maxStartedMillis bounds started_ms.
-	maxStartedMillis = 1e15
+	// MaxInstances is the largest number of instances in a list; a longer list is an error.
+	MaxInstances     = 8192
+	maxListBytes     = 64 << 20
+	maxPort          = 1<<16 - 1
+	maxStartedMillis = 1e15 // started_ms must be less
 )
 
-// entry is an instance with its checks, as /v1/health/service/NAME returns it: the fields that are used.
+// entry is an instance with its checks in a response of /v1/health/service/NAME. It has only the fields that are used.
 type entry struct {
 	Node    entryNode    `json:"Node"`
 	Service entryService `json:"Service"`
@@ -56,11 +55,11 @@
 	Output  string `json:"Output"`
 }
 
-// readInstances reads a list entry by entry.
+// readInstances decodes a list one entry at a time, to bound the memory that it takes.
 func (s *source) readInstances(body io.Reader) ([]discovery.Endpoint, error) {
 	in := json.NewDecoder(io.LimitReader(body, maxListBytes))
 	if t, err := in.Token(); err != nil || t != json.Delim('[') {
-		return nil, fmt.Errorf("not a list: %v, %w", t, errors.Join(err, io.ErrUnexpectedEOF))
+		return nil, fmt.Errorf("not a JSON list: %v, %w", t, errors.Join(err, io.ErrUnexpectedEOF))
 	}
 	list := []discovery.Endpoint{}
 	names := make(map[string]bool)
@@ -77,19 +76,19 @@
 			return nil, err
 		}
 		if names[endpoint.Name] {
-			return nil, fmt.Errorf("two instances are %s", endpoint.Name)
+			return nil, fmt.Errorf("two instances are named %s", endpoint.Name)
 		}
 		names[endpoint.Name] = true
 		list = append(list, endpoint)
 	}
-	if _, err := in.Token(); err != nil { // the end of the list, which half a body lacks
+	if _, err := in.Token(); err != nil { // the closing bracket, which a truncated body lacks
 		return nil, err
 	}
 	return list, nil
 }
 
-// endpoint returns an instance as an entry of the endpoint list. Its name is that of Consul's node and of the
-// service there, which together are its identity. Service meta can replace it (name), and give zone, type, group,
+// endpoint converts an instance to an entry of the endpoint list. Its name consists of the name of Consul's node and
+// the service ID, which together are its identity. Service meta can replace the name and set zone, type, group,
 // started_ms and instance.
 func (s *source) endpoint(e *entry) (discovery.Endpoint, error) {
 	service, meta := &e.Service, e.Service.Meta
@@ -107,7 +106,7 @@
 		Instance: strconv.FormatUint(service.CreateIndex, 10),
 	}
 	if service.ID == "" || host == "" || service.Port < 1 || service.Port > maxPort {
-		return endpoint, fmt.Errorf("instance %q has address %q and port %d", endpoint.Name, host, service.Port)
+		return endpoint, fmt.Errorf("instance %q: invalid ID, address %q or port %d", endpoint.Name, host, service.Port)
 	}
 	overrideText(&endpoint.Name, meta["name"])
 	overrideText(&endpoint.Zone, meta["zone"])
@@ -119,14 +118,14 @@
 	return endpoint, nil
 }
 
-// overrideText sets a text unless the other is empty.
+// overrideText sets *to to text unless text is empty.
 func overrideText(to *string, text string) {
 	if text != "" {
 		*to = text
 	}
 }
 
-// parseNumbers sets the fields of an endpoint whose meta are numbers.
+// parseNumbers sets the numeric fields of an endpoint from the service meta.
 func parseNumbers(endpoint *discovery.Endpoint, meta map[string]string) (err error) {
 	if text := meta["group"]; text != "" {
 		if endpoint.Group, err = strconv.Atoi(text); err != nil {
@@ -137,28 +136,28 @@
 		endpoint.StartedMillis, err = strconv.ParseFloat(text, 64)
 		inRange := endpoint.StartedMillis >= 0 && endpoint.StartedMillis < maxStartedMillis // NaN is not
 		if err != nil || !inRange {
-			return fmt.Errorf("instance %q: meta started_ms cannot be %q", endpoint.Name, text)
+			return fmt.Errorf("instance %q: invalid meta started_ms %q", endpoint.Name, text)
 		}
 	}
 	return nil
 }
 
-// severity is the status that a tag or a check gives an instance; the highest one counts.
+// severity is the status that a tag or a check gives an instance; the highest severity counts.
 type severity uint8
 
 const (
-	isUp severity = iota
-	isDraining
-	isRemoved
+	severityUp severity = iota
+	severityDraining
+	severityRemoved
 )
 
-// String returns the status in the endpoint list.
+// String returns the status as it stands in the endpoint list.
 func (s severity) String() string { return [...]string{"up", "draining", "removed"}[s] }
 
-// setStatus sets status, reason and weight by tags and checks. Maintenance is a drain although its check is
-// critical: it tells that the process runs.
+// setStatus sets status, reason and weight by tags and checks. Maintenance means draining although its check is
+// critical, since the process still runs.
 func (s *source) setStatus(endpoint *discovery.Endpoint, e *entry) {
-	worst, reason := isUp, ""
+	worst, reason := severityUp, ""
 	raise := func(to severity, why string) {
 		if to > worst {
 			worst, reason = to, why
@@ -166,18 +165,18 @@
 	}
 	for _, tag := range e.Service.Tags {
 		if s.DrainTag != "" && tag == s.DrainTag {
-			raise(isDraining, "tag "+tag)
+			raise(severityDraining, "tag "+tag)
 		}
 	}
 	for _, c := range e.Checks {
 		switch {
 		case c.Status == "passing":
 		case c.CheckID == "_node_maintenance", strings.HasPrefix(c.CheckID, "_service_maintenance"):
-			raise(isDraining, "in maintenance: "+c.Notes)
+			raise(severityDraining, "in maintenance: "+c.Notes)
 		case s.DrainCheck != "" && c.CheckID == s.DrainCheck:
-			raise(isDraining, "check "+c.CheckID+" is "+c.Status)
+			raise(severityDraining, "check "+c.CheckID+" is "+c.Status)
 		case c.Status == "critical":
-			raise(isRemoved, "check "+c.CheckID+" is critical")
+			raise(severityRemoved, "check "+c.CheckID+" is critical")
 		case c.Status == "warning":
 			endpoint.Weight = e.Service.Weights.Warning
 		}
--- a/internal/consul/registrar.go
+++ b/internal/consul/registrar.go
@@ -11,45 +11,45 @@
 	"time"
 )
 
-// Registration describes a proxy in the catalogue.
+// Registration is the entry of a proxy in the catalogue, and the agent that keeps it.
 type Registration struct {
 	Agent
 	Service string
 	ID      string // unique at the agent
 	Host    string
 	Port    int
-	TTL     time.Duration // of its check
+	TTL     time.Duration // of its check: the agent marks it critical unless it is passed within this time
 	Tags    []string
 	Meta    map[string]string
 }
 
 const (
-	// callTimeout bounds the calls of a registrar.
+	// callTimeout bounds the wait for the response to each call of a registrar.
 	callTimeout = 2 * time.Second
-	// firstRetryInterval is the wait after the first call that failed. It doubles up to the interval of the checks.
+	// firstRetryInterval is the wait after the first failed call. It doubles up to the interval of the checks.
 	firstRetryInterval = 200 * time.Millisecond
-	// checksPerTTL is how often the check is passed within its TTL.
+	// checksPerTTL is the number of times that the check is passed within its TTL.
 	checksPerTTL = 3
 	// deregisterAfter is the time after which the agent removes an instance whose check fails.
 	deregisterAfter = "10m"
 )
 
-// Registrar keeps a proxy registered.
+// Registrar registers a proxy and keeps it registered while Run runs.
 type Registrar struct {
 	Registration
 	client *client
 	log    *slog.Logger
 }
 
-// NewRegistrar returns a Registrar. It does no I/O.
+// NewRegistrar returns a Registrar that logs to log. It does no I/O.
 func NewRegistrar(r Registration, log *slog.Logger) *Registrar {
 	return &Registrar{Registration: r, client: newClient(r.Agent), log: log}
 }
 
-// checkID returns the id of the TTL check.
+// checkID returns the ID of the TTL check.
 func (r *Registrar) checkID() string { return "service:" + r.ID }
 
-// put calls an endpoint of the agent with a body, nil for none.
+// put calls an endpoint of the agent with body encoded as JSON, nil for none.
 func (r *Registrar) put(ctx context.Context, path string, query url.Values, body any) error {
 	var text bytes.Buffer
 	if body != nil {
@@ -66,8 +66,8 @@
 	return response.Body.Close()
 }
 
-// register registers the proxy with a check that fails unless it is passed within the TTL. A registration of the
-// same ID is replaced, and its maintenance ended.
+// register registers the proxy with a check that fails unless it is passed within the TTL. It replaces a registration
+// with the same ID and ends its maintenance.
 func (r *Registrar) register(ctx context.Context) error {
 	query := url.Values{"replace-existing-checks": {"true"}}
 	err := r.put(ctx, "/v1/agent/service/register", query, map[string]any{
@@ -94,13 +94,13 @@
 	return r.put(ctx, "/v1/agent/service/maintenance/"+url.PathEscape(r.ID), query, nil)
 }
 
-// passCheck passes the TTL check.
+// passCheck reports the TTL check as passing.
 func (r *Registrar) passCheck(ctx context.Context) error {
 	return r.put(ctx, "/v1/agent/check/pass/"+url.PathEscape(r.checkID()), nil, nil)
 }
 
 // Run registers the proxy and passes its check while canServe reports true, until ctx ends; then it starts
-// maintenance. A proxy that its agent has forgotten, as one does that was restarted, is registered again.
+// maintenance. It registers the proxy again if the agent has lost the registration, for example by a restart.
 func (r *Registrar) Run(ctx context.Context, canServe func() bool) {
 	s := registrationState{retryInterval: firstRetryInterval}
 	for ctx.Err() == nil {
@@ -121,14 +121,14 @@
 	}
 }
 
-// registrationState is what Run knows of the registration.
+// registrationState is the state of Run.
 type registrationState struct {
 	registered    bool
-	loggedError   string // of the failure that was last logged, "" once there was a success
+	loggedError   string // the last logged error, "" after a success
 	retryInterval time.Duration
 }
 
-// update registers the proxy unless it is, and passes its check if it can serve.
+// update registers the proxy if it is not registered, and passes its check if it can serve.
 func (r *Registrar) update(ctx context.Context, s *registrationState, canServe func() bool) error {
 	if !s.registered {
 		if err := r.register(ctx); err != nil {
@@ -141,7 +141,7 @@
 	return r.passCheck(ctx)
 }
 
-// noteSuccess logs a success that follows a failure or the start.
+// noteSuccess logs the registration at the start and after a failure, and resets the state.
 func (r *Registrar) noteSuccess(s *registrationState) {
 	if !s.registered || s.loggedError != "" {
 		r.log.Info("service registered", "service", r.Service, "id", r.ID, "agent", r.Address)
@@ -149,8 +149,8 @@
 	*s = registrationState{registered: true, retryInterval: firstRetryInterval}
 }
 
-// noteFailure logs a failure unless it is the same as before, and returns the wait before the next call. The agent
-// may have forgotten the proxy: registering it again does no harm.
+// noteFailure logs a failure unless it is the same as before, and returns the wait before the next call. It marks the
+// proxy as not registered: the agent may have lost the registration, and registering again does no harm.
 func (r *Registrar) noteFailure(s *registrationState, err error, interval time.Duration) time.Duration {
 	if text := err.Error(); text != s.loggedError {
 		r.log.Warn("service registration failed", "service", r.Service, "id", r.ID, "error", err)
@@ -165,7 +165,7 @@
 	return interval
 }
 
-// Deregister removes the proxy from the catalogue.
+// Deregister removes the proxy from the catalogue, in callTimeout at most. It only logs a failure.
 func (r *Registrar) Deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/consul/source.go
+++ b/internal/consul/source.go
@@ -17,32 +17,32 @@
 	// MinQueryInterval is the shortest time between two queries: each returns the complete list, however many changes a
 	// second the catalogue has.
 	MinQueryInterval = 50 * time.Millisecond
-	// idlePerReadTime times the time that reading a list took is the wait before the next query: so reading takes a
-	// tenth of all time at most, up to maxQueryInterval.
+	// idlePerReadTime is the wait before the next query, as a multiple of the time that reading the last list took. So
+	// reading takes at most a tenth of all time, unless maxQueryInterval cuts the wait short.
 	idlePerReadTime = 9
-	// maxQueryInterval bounds that wait: a drain must be noticed within half a second of its entry.
+	// maxQueryInterval bounds that wait, since a drain must be noticed within half a second of its entry.
 	maxQueryInterval = 400 * time.Millisecond
-	// pollInterval is the wait between queries of an agent that returns no index, or zero.
+	// pollInterval is the wait between queries of an agent that returns no index, or index 0.
 	pollInterval = 400 * time.Millisecond
 	// maxStaleness bounds the time since the server last heard of the leader.
 	maxStaleness = 10 * time.Second
-	// waitSlack is added to the timeout of a blocking query, beside the sixteenth of the wait that the agent may add.
+	// waitSlack is added to the timeout of a blocking query, besides the 1/16 of the wait that the agent may add.
 	waitSlack = 5 * time.Second
 	// fetchTimeout bounds a query that does not block.
 	fetchTimeout = 3 * time.Second
 )
 
-// SourceConfig configures a service in one datacenter, as one agent reports it, as a source of the endpoint list.
-// It is comparable.
+// SourceConfig configures a source of the endpoint list: a service in one datacenter, as reported by one agent. It is
+// comparable.
 type SourceConfig struct {
 	Agent
 	Service    string
-	Datacenter string // "" for the agent's own
-	Tag        string // instances must have it; "" for any
-	DrainTag   string // instances with it drain
-	DrainCheck string // instances drain while this check does not pass
-	AllowStale bool   // any server may respond, if it has heard of the leader lately
-	WaitTime   time.Duration
+	Datacenter string        // "" for the agent's own
+	Tag        string        // instances must have it; "" for any
+	DrainTag   string        // instances with this tag are draining; "" for none
+	DrainCheck string        // ID of a check; instances are draining while it does not pass; "" for none
+	AllowStale bool          // any Consul server may respond, not only the leader, if it is within maxStaleness
+	WaitTime   time.Duration // the longest wait of a blocking query
 }
 
 // String returns the name of the source.
@@ -65,17 +65,17 @@
 	client *client
 }
 
-// queryResult is a list and its index.
 type queryResult struct {
 	list     discovery.List
 	index    uint64
-	readTime time.Duration // that reading the list took
+	readTime time.Duration // time taken to read the list
 }
 
-// fetchQuery is a query for the current list, which the leader answers after confirming that it still leads.
+// fetchQuery returns the query for the current list, which the leader answers after confirming that it still leads.
 func fetchQuery() (url.Values, time.Duration) { return url.Values{"consistent": {""}}, fetchTimeout }
 
-// watchQuery is a query for the list once it has changed since an index, or the current one for 0.
+// watchQuery returns the query that blocks until the list has changed since index. For index 0 it returns a query for
+// the current list.
 func (s *source) watchQuery(index uint64) (query url.Values, timeout time.Duration) {
 	query = url.Values{}
 	if s.AllowStale {
@@ -84,14 +84,14 @@
 	if index == 0 {
 		return query, fetchTimeout
 	}
-	// Proxies that started together must not all query together.
+	// The wait is random so that proxies that started together do not all query at the same time.
 	wait := s.WaitTime/2 + rand.N(s.WaitTime/2+1)
 	query.Set("index", strconv.FormatUint(index, 10))
 	query.Set("wait", strconv.FormatInt(wait.Milliseconds(), 10)+"ms")
 	return query, wait + wait/16 + waitSlack
 }
 
-// query queries the list.
+// query sends a query and returns the list if the response meets invariant 1.
 func (s *source) query(ctx context.Context, query url.Values, timeout time.Duration) (queryResult, error) {
 	if s.Datacenter != "" {
 		query.Set("dc", s.Datacenter)
@@ -109,7 +109,7 @@
 		return queryResult{}, err
 	}
 	result := queryResult{list: discovery.List{Snapshot: true}}
-	result.index, _ = strconv.ParseUint(response.Header.Get("X-Consul-Index"), 10, 64) // 0 for none, or no number
+	result.index, _ = strconv.ParseUint(response.Header.Get("X-Consul-Index"), 10, 64) // 0 if missing or not a number
 	result.list.Index = result.index
 	start := time.Now()
 	if result.list.Endpoints, err = s.readInstances(response.Body); err != nil {
@@ -117,32 +117,32 @@
 	}
 	result.readTime = time.Since(start)
 	if response.Header.Get("X-Consul-Results-Filtered-By-ACLs") == "true" {
-		return queryResult{}, errors.New("consul: the token does not allow to see all of the list")
+		return queryResult{}, errors.New("consul: list is incomplete: the ACL token lacks permissions")
 	}
 	return result, nil
 }
 
-// checkConsistency returns an error if a response is that of a server without a leader, or is too stale.
+// checkConsistency returns an error if the responding server knew no leader or its response is too stale.
 func checkConsistency(h http.Header) error {
 	if h.Get("X-Consul-KnownLeader") == "false" {
 		return errors.New("consul: no leader is known")
 	}
 	millis, err := strconv.ParseInt(h.Get("X-Consul-LastContact"), 10, 64)
 	if err == nil && time.Duration(millis)*time.Millisecond > maxStaleness {
-		return fmt.Errorf("consul: the answer is %d ms stale", millis)
+		return fmt.Errorf("consul: the response is stale by %d ms", millis)
 	}
 	return nil
 }
 
-// Fetch implements discovery.Source. It bypasses whatever the agent may have cached.
+// Fetch implements discovery.Source. It bypasses any cache of the agent.
 func (s *source) Fetch(ctx context.Context) (discovery.List, error) {
 	query, timeout := fetchQuery()
 	result, err := s.query(ctx, query, timeout)
 	return result.list, err
 }
 
-// Watch implements discovery.Source. An index counts for one agent only, so it begins with the complete list
-// whatever from is. It waits before it returns an error with a Retry-After.
+// Watch implements discovery.Source. An index is valid for one agent only, so Watch ignores from and begins with the
+// complete list. It waits before it returns an error with a Retry-After.
 func (s *source) Watch(ctx context.Context, _ uint64, deliver func(discovery.List)) error {
 	index, delivered := uint64(0), false
 	for {
@@ -156,8 +156,8 @@
 			return err
 		}
 		start := time.Now()
-		// An index that goes backwards is that of another server, or of an agent that was restarted: this list is
-		// complete nevertheless, and the next query continues from the new index.
+		// An index that goes backwards is from another server or a restarted agent. The list is complete nevertheless,
+		// and the next query continues from the new index.
 		changed := !delivered || result.index != index || result.index == 0
 		index = result.index
 		if changed {
@@ -171,7 +171,7 @@
 	}
 }
 
-// queryInterval returns the wait after a query whose list took a time to read and deliver.
+// queryInterval returns the wait after a query whose list took readTime to read and deliver.
 func queryInterval(index uint64, readTime time.Duration) time.Duration {
 	if index == 0 {
 		return pollInterval
--- a/internal/consul/source_test.go
+++ b/internal/consul/source_test.go
@@ -51,10 +51,10 @@
 
 // failures are the faults of an agent that end a watch, and a part of the error.
 var failures = map[fakeconsul.FaultKind]string{
-	fakeconsul.ACLFiltered:   "token does not allow",
+	fakeconsul.ACLFiltered:   "the ACL token lacks permissions",
 	fakeconsul.Leaderless:    "no leader",
 	fakeconsul.StaleLeader:   "stale",
-	fakeconsul.MalformedBody: "not a list",
+	fakeconsul.MalformedBody: "not a JSON list",
 	fakeconsul.TruncatedBody: "EOF",
 	fakeconsul.HugeList:      "more than 8192 instances",
 	fakeconsul.RateLimited:   "status 429",
@@ -103,4 +103,4 @@
 }
 
 // noAnswer is the error of a call that takes too long.
-const noAnswer = "no answer in time"
+const noAnswer = "no response within the timeout"
--- a/internal/discovery/arrival.go
+++ b/internal/discovery/arrival.go
@@ -5,28 +5,28 @@
 	"sync/atomic"
 )
 
-// arrivalKey finds the counter of WithArrivals in a context.
+// arrivalKey is the context key of the counter that WithArrivals sets.
 type arrivalKey struct{}
 
-// WithArrivals has the watches under the context count the lists of which a part has come and that have not been
-// delivered yet.
+// WithArrivals returns a context whose watches count in arriving the lists that have been received in part and have
+// not been delivered yet.
 func WithArrivals(ctx context.Context, arriving *atomic.Int32) context.Context {
 	return context.WithValue(ctx, arrivalKey{}, arriving)
 }
 
-// arrival counts the lists of one watch, each from its first part to its delivery.
+// arrival counts the list that one watch is receiving, from its first part to its delivery.
 type arrival struct {
-	arriving *atomic.Int32 // nil where nobody asks
+	arriving *atomic.Int32 // nil if the context has no counter
 	begun    bool
 }
 
-// arrivalOf returns the arrivals that the context of a watch asks for.
+// arrivalOf returns the arrival for a watch with this context.
 func arrivalOf(ctx context.Context) *arrival {
 	arriving, _ := ctx.Value(arrivalKey{}).(*atomic.Int32)
 	return &arrival{arriving: arriving}
 }
 
-// begin notes that a part of a list has come.
+// begin records that a part of a list has been received.
 func (a *arrival) begin() {
 	if a.arriving != nil && !a.begun {
 		a.begun = true
@@ -34,7 +34,7 @@
 	}
 }
 
-// end notes that the list was delivered, or will never be.
+// end records that the list was delivered, or that the watch ended before.
 func (a *arrival) end() {
 	if a.begun {
 		a.begun = false
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,21 +13,19 @@
 )
 
 const (
-	// dialTimeout is well under the 4 s after which a new address of the service counts as known.
+	// dialTimeout is well below the 4 s after which a proxy is expected to know a new address of the service.
 	dialTimeout = 1500 * time.Millisecond
-	// responseTimeout bounds the wait for the beginning of a response; the service may queue calls.
+	// responseTimeout bounds the wait for the start of a response; the service may queue calls.
 	responseTimeout = 6 * time.Second
-	// silenceTimeout ends a silent watch. An idle watch sends a line every 2 s. A change that a silent watch did not
-	// deliver counts as known 6 s after it: that leaves time for the wait before a new call, which spreads the calls
-	// of all proxies, and for that call.
-	silenceTimeout = 3 * time.Second
-	// maxHeaderBytes bounds the header of a response.
-	maxHeaderBytes = 16 << 10
-	// watchBufferBytes is the size of the buffers of a watch.
+	// silenceTimeout is the silence after which a watch ends. The service sends a line every 2 s on an idle watch. A
+	// proxy is expected to know a change that a silent watch did not deliver 6 s after the change. This leaves time for
+	// the wait before the next call, which spreads the calls of all proxies, and for the call itself.
+	silenceTimeout   = 3 * time.Second
+	maxHeaderBytes   = 16 << 10
 	watchBufferBytes = 16 << 10
 )
 
-// Client is a client of a discovery service that speaks the platform's protocol.
+// Client is the Source for a discovery service that speaks the platform's protocol.
 type Client struct {
 	base string
 	http http.Client
@@ -65,11 +63,11 @@
 	return l, err
 }
 
-// Watch implements Source. Any byte is a sign of life.
+// Watch implements Source. Any received byte counts as a sign that the watch is alive.
 func (c *Client) Watch(ctx context.Context, from uint64, deliver func(List)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(responseTimeout, func() { cancel(errors.New("silent for too long")) })
+	silence := time.AfterFunc(responseTimeout, func() { cancel(errors.New("no data received within the timeout")) })
 	defer silence.Stop()
 	body, err := c.get(ctx, "?watch=1&from="+strconv.FormatUint(from, 10))
 	if err != nil {
@@ -94,7 +92,7 @@
 	}
 }
 
-// notifyingReader calls a function after each read that brings something.
+// notifyingReader calls notify after each read that returns data.
 type notifyingReader struct {
 	io.Reader
 	notify func()
@@ -109,7 +107,8 @@
 	return n, err
 }
 
-// get returns the body of a successful response.
+// get sends a request and returns the body of the response, which the caller closes. A status other than 200 is an
+// error.
 func (c *Client) get(ctx context.Context, query string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+query, nil)
 	if err != nil {
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -10,22 +10,21 @@
 	"github.com/BurntSushi/toml"
 )
 
-// fileReadInterval is how often a node file is read: well under the 500 ms within which a drain must be noticed, at
-// the cost of five reads a second.
+// fileReadInterval is the time between reads of a node file. It is well below the 500 ms within which a drain must be
+// noticed, and costs five reads a second.
 const fileReadInterval = 200 * time.Millisecond
 
-// defaultWeight is that of a node without a weight in the file.
+// defaultWeight is the weight of a static address, and of a node without a weight in the file.
 const defaultWeight = 1
 
-// fileSource is a node file in TOML, watched by reading it: that works on every file system, for a file that is
-// overwritten and for one that is renamed into place, and keeps no descriptor open.
+// fileSource is a node file in TOML. It is watched by reading it periodically: that works on every file system, both
+// for a file that is overwritten and for one that is renamed into place, and keeps no descriptor open.
 type fileSource struct {
 	path string
-	// lastError is the error that the last watch ended with, "" for none. It belongs to the one watch that is on.
+	// lastError is the error that the last watch ended with, "" for none. Only one watch may run at a time.
 	lastError string
 }
 
-// nodeFile is the content of a node file.
 type nodeFile struct {
 	Nodes []nodeEntry `toml:"node"`
 }
@@ -41,7 +40,7 @@
 	StartedMillis float64  `toml:"since_ms"`
 }
 
-// endpoint returns the entry with its defaults.
+// endpoint returns the entry as an Endpoint, with defaults for missing values.
 func (n *nodeEntry) endpoint() Endpoint {
 	e := Endpoint{
 		Name:          n.Name,
@@ -66,14 +65,14 @@
 }
 
 // ReadFile reads a node file: tables [[node]] with name (by default the address), address, zone, type, group,
-// status, weight and since_ms as in the platform's form. A file that is invalid in any part is an error, and so is
-// one without a node: that is being written, or an accident.
+// status, weight and since_ms as in the platform's format. A file with any invalid part is an error, and so is one
+// without a node: it is still being written, or is a mistake.
 func ReadFile(path string) (List, error) {
 	l, _, err := readWithText(path)
 	return l, err
 }
 
-// readWithText reads a node file and also returns its text.
+// readWithText is ReadFile and also returns the text of the file.
 func readWithText(path string) (List, string, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -112,7 +111,7 @@
 		l.Endpoints = append(l.Endpoints, e)
 	}
 	if len(l.Endpoints) == 0 {
-		return List{}, fmt.Errorf("endpoint list: %s: names no node", path)
+		return List{}, fmt.Errorf("endpoint list: %s: contains no node", path)
 	}
 	if err := l.validate(); err != nil {
 		return List{}, fmt.Errorf("%w (%s)", err, path)
@@ -123,11 +122,12 @@
 // Fetch implements Source.
 func (s *fileSource) Fetch(context.Context) (List, error) { return ReadFile(s.path) }
 
-// fileReads is what successive reads of a file have found. A text is used once two reads in a row have found it:
-// half of a file that is being overwritten may be valid, and name fewer nodes.
+// fileReads tracks the results of successive reads of a file. A text is used once two consecutive reads have returned
+// it: half of a file that is being overwritten may be valid and contain fewer nodes.
 type fileReads struct{ last, delivered string }
 
-// isStableChange takes the result of a read, and reports whether it is stable and new.
+// isStableChange records the result of a read, and reports whether it equals the previous one and has not been
+// delivered yet.
 func (r *fileReads) isStableChange(text string) bool {
 	stable := text == r.last
 	r.last = text
@@ -138,8 +138,8 @@
 	return true
 }
 
-// Watch implements Source. A file that cannot be read or is invalid changes nothing: its error ends the watch, once
-// until the file changes, and the former list stays in force.
+// Watch implements Source. If the file cannot be read or is invalid, the watch ends with the error and the previous
+// list stays in force. Later watches do not return the same error again until the file or the error changes.
 func (s *fileSource) Watch(ctx context.Context, from uint64, deliver func(List)) error {
 	ticks := time.NewTicker(fileReadInterval)
 	defer ticks.Stop()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -18,14 +18,14 @@
 // maxStartedMillis is the latest start in milliseconds that a time.Duration can hold.
 const maxStartedMillis = math.MaxInt64 / 1e6
 
-// List is the list of nodes, or its changes, in the platform's form.
+// List is a complete list of nodes, or the changes of one, in the platform's format.
 type List struct {
 	Index     uint64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"` // the list is complete
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Endpoint is the entry of a node.
+// Endpoint is the entry of a node in a List.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"` // HOST:PORT
@@ -38,11 +38,11 @@
 	StartedMillis float64 `json:"since_ms"`
 	// Instance changes with each start of the node, "" where the source cannot tell.
 	Instance string `json:"-"`
-	// Reason tells why the node is not up, where the source can.
+	// Reason says why the node is not up, "" where the source cannot tell.
 	Reason string `json:"-"`
 }
 
-// The statuses in the platform's form.
+// The statuses in the platform's format.
 const (
 	statusUp       = "up"
 	statusDraining = "draining"
@@ -55,15 +55,15 @@
 	statusRemoved:  membership.Gone,
 }
 
-// Parse parses a list. One that is invalid in any part is an error.
+// Parse parses a list in the platform's JSON format. A list with any invalid part is an error.
 func Parse(text []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, fmt.Errorf("endpoint list: %w", err)
 	}
-	// A response that is no list, such as an error in JSON, would remove every node.
+	// Without this check, a JSON response that is not a list, such as an error, would remove every node.
 	if l.Endpoints == nil {
-		return l, errors.New("endpoint list: no endpoints")
+		return l, errors.New("endpoint list: field endpoints is missing")
 	}
 	return l, l.validate()
 }
@@ -74,7 +74,7 @@
 			return errors.New("endpoint list: entry without a name")
 		}
 		if _, ok := statuses[e.Status]; !ok {
-			return fmt.Errorf("endpoint list: status of %s cannot be %q", e.Name, e.Status)
+			return fmt.Errorf("endpoint list: %s has unknown status %q", e.Name, e.Status)
 		}
 		if _, _, err := net.SplitHostPort(e.Address); err != nil && e.Status != statusRemoved {
 			return fmt.Errorf("endpoint list: address of %s: %w", e.Name, err)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Nodes returns the list in the terms of membership.
+// Nodes converts the list to nodes of package membership.
 func (l *List) Nodes() []membership.Node {
 	nodes := make([]membership.Node, 0, len(l.Endpoints))
 	for i := range l.Endpoints {
@@ -107,14 +107,15 @@
 	return nodes
 }
 
-// CheckAddress returns an error unless a text is a HOST:PORT that a node may have.
+// CheckAddress returns an error unless address is HOST:PORT with neither part empty. It rejects commas, which separate
+// static addresses.
 func CheckAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
 	if host == "" || port == "" || strings.Contains(address, ",") {
-		return fmt.Errorf("address %s: host or port is missing", address)
+		return fmt.Errorf("address %s: want HOST:PORT without commas", address)
 	}
 	return nil
 }
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -6,13 +6,13 @@
 )
 
 var (
-	errNoObject = errors.New("endpoint list: not an object")
-	errTooLong  = errors.New("endpoint list: too long")
+	errNoObject = errors.New("endpoint list: not a JSON object")
+	errTooLong  = errors.New("endpoint list: exceeds the size limit")
 )
 
-// appendObject appends the next JSON object of a stream to text, however it is broken into lines, and skips white
-// space before it. It only finds where the object ends; whether it is valid is for Parse. It calls begun once a part
-// of the object has come.
+// appendObject appends the next JSON object of a stream to text. It skips white space before the object, which may
+// span lines. It only finds the end of the object; Parse checks whether it is valid. It calls begun once the first
+// part of the object has been received.
 func appendObject(in *bufio.Reader, text []byte, begun func()) ([]byte, error) {
 	var s objectScanner
 	for {
@@ -31,20 +31,21 @@
 			begun()
 		}
 		text = append(text, buffered[start:end]...)
-		in.Discard(end) // does not fail: these bytes are buffered
+		in.Discard(end) // cannot fail: these bytes are buffered
 		if complete {
 			return text, nil
 		}
 	}
 }
 
-// objectScanner finds the end of a JSON object that comes in pieces.
+// objectScanner finds the end of a JSON object that is received in pieces.
 type objectScanner struct {
-	depth           int // of objects and lists that are open
+	depth           int // number of open objects and arrays
 	quoted, escaped bool
 }
 
-// scan scans a piece. It returns which part of it belongs to the object, and whether that is complete.
+// scan scans the next piece. It returns the range of the piece that belongs to the object, and whether the object is
+// complete.
 func (s *objectScanner) scan(piece []byte) (start, end int, complete bool, err error) {
 	for i, b := range piece {
 		if s.depth == 0 {
@@ -63,7 +64,7 @@
 	return start, len(piece), false, nil
 }
 
-// next takes a byte of the object and reports whether it is the last.
+// next scans one byte of the object and reports whether it is the last.
 func (s *objectScanner) next(b byte) bool {
 	switch {
 	case s.escaped:
--- a/internal/discovery/static.go
+++ b/internal/discovery/static.go
@@ -8,7 +8,8 @@
 // staticSource is a list that never changes.
 type staticSource struct{ list List }
 
-// StaticList returns the list of nodes at addresses that are separated by commas. Each is named by its address.
+// StaticList returns the list of the nodes at addresses, which are separated by commas. The name of each node is its
+// address.
 func StaticList(addresses string) List {
 	l := List{Index: 1, Snapshot: true}
 	for address := range strings.SplitSeq(addresses, ",") {
--- a/internal/membership/confirm.go
+++ b/internal/membership/confirm.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// This file decides whether nodes that a complete list lacks are gone, or the list has collapsed and the source has to
-// confirm it (rules 2 and 3).
+// This file decides whether nodes missing from a complete list are gone, or the list has collapsed and the source has
+// to confirm the loss (rules 2 and 3).
 
-// refetchInterval is the time between a failed refetch and the next.
+// refetchInterval is the shortest time between the request of a refetch that failed and the next.
 const refetchInterval = 250 * time.Millisecond
 
-// pendingRemovals are the nodes missing from a collapsed list. Their last reports stay in force.
+// pendingRemovals are the unconfirmed nodes of a source: they are missing from its collapsed list, and their last
+// reports stay in force.
 type pendingRemovals struct {
 	since         time.Duration
 	until         time.Duration
@@ -21,14 +22,13 @@
 	refetchFailed bool
 }
 
-// add makes further nodes unconfirmed.
 func (p *pendingRemovals) add(names []string) {
 	for _, name := range names {
 		p.names[name] = true
 	}
 }
 
-// handleMissing decides on the nodes that a complete list lacks.
+// handleMissing removes the nodes that a complete list lacks, or makes them unconfirmed if the list has collapsed.
 func (r *Reconciler) handleMissing(s *source, e ListReceived, missing []string) {
 	if len(missing) == 0 {
 		return
@@ -61,7 +61,7 @@
 	return count
 }
 
-// startConfirmation makes the missing nodes of a collapsed list unconfirmed, and has the list fetched again.
+// startConfirmation makes the missing nodes of a collapsed list unconfirmed, and requests a refetch.
 func (r *Reconciler) startConfirmation(s *source, remaining int, missing []string) {
 	limits := &r.settings.Limits
 	p := &pendingRemovals{
@@ -79,10 +79,11 @@
 	r.setTimer(p.until - r.now)
 }
 
-// extendConfirmation handles a further list during a confirmation: it shows the same collapse, or lacks more nodes.
+// extendConfirmation handles another list during a confirmation that does not confirm the loss: it shows the same
+// collapse, or lacks more nodes.
 func (r *Reconciler) extendConfirmation(s *source, remaining int, missing []string) {
 	p := s.pending
-	if remaining > 0 && p.listEmpty { // no longer empty: what is still missing is a loss like any other
+	if remaining > 0 && p.listEmpty { // no longer empty: the ordinary ConfirmTimeout applies to what is still missing
 		p.listEmpty = false
 		p.until = min(p.until, r.now+r.settings.Limits.ConfirmTimeout)
 		r.refetch(s)
@@ -92,7 +93,7 @@
 	p.add(missing)
 }
 
-// confirmPresent ends the confirmation of nodes that a list contains.
+// confirmPresent ends the confirmation of the nodes that a list contains.
 func (s *source) confirmPresent(names map[string]bool) {
 	if s.pending == nil {
 		return
@@ -105,13 +106,14 @@
 	}
 }
 
-// refetch has the list of a source fetched again.
+// refetch requests the list of a source again. A confirmation must be pending.
 func (r *Reconciler) refetch(s *source) {
 	s.pending.lastRefetch = r.now
 	r.actions = append(r.actions, Refetch{s.Name})
 }
 
-// refetchFailed extends the confirmation of a source, nil for an unknown one.
+// refetchFailed extends the pending confirmation of a source to FailedConfirmTimeout and schedules the next refetch. s
+// is nil for an unknown source.
 func (r *Reconciler) refetchFailed(s *source) {
 	if s == nil || s.pending == nil {
 		return
@@ -124,7 +126,8 @@
 	r.setTimer(refetchInterval)
 }
 
-// retryRefetches fetches lists again whose last refetch has failed.
+// retryRefetches requests another refetch from each source whose refetch has failed, refetchInterval after the last
+// request.
 func (r *Reconciler) retryRefetches() {
 	for _, s := range r.sources {
 		if s.pending != nil && s.pending.refetchFailed && r.now-s.pending.lastRefetch >= refetchInterval {
@@ -133,7 +136,8 @@
 	}
 }
 
-// hasCollapsed reports whether too little of a list is left. A single loss is none, even that of the last node.
+// hasCollapsed reports whether less than MinRemainingShare of a list is left. A single loss within CollapseWindow is
+// never a collapse, even if it is the last node.
 func (r *Reconciler) hasCollapsed(s *source, remaining, missing int) bool {
 	window := r.settings.Limits.CollapseWindow
 	maps.DeleteFunc(s.losses, func(_ string, lostAt time.Duration) bool { return r.now-lostAt > window })
@@ -144,7 +148,7 @@
 	return float64(remaining) < r.settings.Limits.MinRemainingShare*float64(sizeBefore)
 }
 
-// expirePending removes the nodes whose time for confirmation is over.
+// expirePending removes the nodes whose confirmation has timed out.
 func (r *Reconciler) expirePending() {
 	for _, s := range r.sources {
 		p := s.pending
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// forgetTimerSlack makes the timer fire when the time to forget a node has passed, not just when it ends.
+// forgetTimerSlack delays the timer beyond ForgetAfter, since a node is forgotten only once more than that has passed.
 const forgetTimerSlack = time.Millisecond
 
-// merge returns what all sources together report of a node, and the source that decided it.
+// merge combines the reports of all sources on a node, and returns the result and the source that decided it.
 func (r *Reconciler) merge(name string) (merged Node, from string) {
 	merged = Node{Name: name, Status: Gone}
 	listed := false
@@ -22,7 +22,7 @@
 			listed = true
 			merged, from = *n, s.Name
 		}
-		// The last report of a retired source that a node leaves counts as long as its list does.
+		// A retired source's last report that a node is draining or gone counts as long as the source's list does.
 		if n.Status > worst {
 			worst, worstReason, worstSource = n.Status, n.Reason, s.Name
 		}
@@ -40,7 +40,7 @@
 	return merged, worstSource
 }
 
-// publishAll publishes what has changed of all nodes.
+// publishAll publishes all nodes that have changed, then releases hold-downs if no node serves.
 func (r *Reconciler) publishAll() {
 	ordered := r.orderedNames()
 	for _, name := range ordered {
@@ -50,7 +50,7 @@
 	r.sweep()
 }
 
-// orderedNames returns in order the names of all nodes that are published or reported.
+// orderedNames returns the sorted names of all nodes that are published or reported.
 func (r *Reconciler) orderedNames() []string {
 	names := make(map[string]bool, len(r.nodes))
 	for _, s := range r.sources {
@@ -69,7 +69,7 @@
 	return ordered
 }
 
-// publishNode publishes a node if it has changed, with a reason where its sources report none.
+// publishNode publishes a node if it has changed. reason is used if its sources report none.
 func (r *Reconciler) publishNode(name, reason string) {
 	merged, from := r.merge(name)
 	n := r.nodes[name]
@@ -91,7 +91,7 @@
 	r.publish(n, merged, from)
 }
 
-// publish publishes a node as its sources have it, if that differs from what is published.
+// publish publishes the merged state of a node if it differs from the published one.
 func (r *Reconciler) publish(n *node, merged Node, from string) {
 	previous := n.published.Status
 	if !n.differs(&merged) {
@@ -101,7 +101,7 @@
 		n.leftAt = r.now
 		n.wasGone = merged.Status == Gone
 	}
-	if merged.Status == Gone { // also after a drain: the absence counts from here
+	if merged.Status == Gone { // after a drain, the absence starts only now
 		n.wasGone = true
 		if previous == Draining {
 			n.leftAt = r.now
@@ -115,7 +115,8 @@
 	r.actions = append(r.actions, Change{Node: merged, Source: from, Previous: previous})
 }
 
-// differs reports whether a node differs from what is published. Another reason for serving is no difference.
+// differs reports whether the merged state of a node differs from the published one. For a node that is up, a
+// different reason alone does not count.
 func (n *node) differs(merged *Node) bool {
 	if !n.everPublished {
 		return merged.Status != Gone
@@ -127,7 +128,7 @@
 	return same != *merged
 }
 
-// sweep forgets reports of nodes that left, once no source lists them.
+// sweep deletes reports of nodes that left and that no source lists any more.
 func (r *Reconciler) sweep() {
 	for _, s := range r.sources {
 		for name, n := range s.nodes {
@@ -139,14 +140,14 @@
 	if r.settings.InferRestarts {
 		return
 	}
-	for name, n := range r.nodes { // nothing has to be remembered of nodes that left
+	for name, n := range r.nodes { // without inferred restarts, nodes that left need no state
 		if n.published.Status == Gone {
 			delete(r.nodes, name)
 		}
 	}
 }
 
-// isListed reports whether a source lists a node that is not gone.
+// isListed reports whether any source lists a node as not gone.
 func (r *Reconciler) isListed(name string) bool {
 	return slices.ContainsFunc(r.sources, func(s *source) bool {
 		n := s.nodes[name]
--- a/internal/membership/restarts.go
+++ b/internal/membership/restarts.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// This file derives restarts of nodes, and holds flapping nodes down (rule 4).
+// This file infers restarts of nodes, and holds flapping nodes down (rule 4).
 
-// minFailureInterval is the shortest time between two failures that count separately: the requests that wait on one
-// connection fail together with it.
+// minFailureInterval is the shortest time between two failures that count separately: when a connection fails, all
+// requests in flight on it fail together.
 const minFailureInterval = 50 * time.Millisecond
 
-// holdDownThreshold is the decayed count of returns from which a return is held down: the second one shortly after the
-// first, which counts a little under two.
+// holdDownThreshold is the decayed count of returns from which on a returning node is held down. A second return
+// shortly after the first exceeds it, as the decayed count is then a little under 2.
 const holdDownThreshold = 1.5
 
-// node is what is known and published of a node.
+// node is the state of a node: what is published, and what was inferred from its connections and returns.
 type node struct {
 	everPublished bool // as other than Gone; the node is forgotten ForgetAfter after it left
 	published     Node
-	leftAt        time.Duration // when it last stopped serving, or was gone after a drain
-	wasGone       bool          // since it last served: it did not merely drain
+	leftAt        time.Duration // when it last stopped serving, or became Gone after a drain
+	wasGone       bool          // it has been Gone, not only Draining, since it last served
 	returns       float64       // decaying count
 	returnsAt     time.Duration // of the last return
 	heldUntil     time.Duration // end of the hold-down, 0 for none
 	failures      int           // consecutive failures of connections
 	lastFailure   time.Duration
-	processEnded  bool // since it last answered
+	processEnded  bool // FailureThreshold was reached, and it has not answered or returned from Gone since
 	instance      string
 	inferredStart time.Duration // 0 for none
 }
@@ -45,7 +45,8 @@
 	}
 }
 
-// nodeAnswered takes a node whose connections failed repeatedly, and that now answers, for restarted.
+// nodeAnswered resets the failure count. If the node's process was assumed to have ended, the node now counts as
+// restarted.
 func (r *Reconciler) nodeAnswered(name string, n *node) {
 	n.failures = 0
 	if n.processEnded {
@@ -55,8 +56,8 @@
 	}
 }
 
-// connectionFailed counts a failure. After FailureThreshold of them an unconfirmed node is gone: its absence from the
-// list is now confirmed by its connections.
+// connectionFailed counts a failure. After FailureThreshold consecutive failures an unconfirmed node is removed: its
+// connections confirm its absence from the list.
 func (r *Reconciler) connectionFailed(name string, n *node) {
 	if n.lastFailure > 0 && r.now-n.lastFailure < minFailureInterval {
 		return
@@ -75,11 +76,11 @@
 	}
 }
 
-// infer sets the start time, and a hold-down if there is one, in what is about to be published of a node. It returns
-// the reason for a change, "" for none.
+// infer applies the inferred start time and any hold-down to the state of a node that is about to be published. It
+// returns the reason for a new start time, "" if there is none.
 func (r *Reconciler) infer(n *node, merged *Node) (reason string) {
 	if merged.Status != Up {
-		n.heldUntil = 0 // it left again: the next return starts another
+		n.heldUntil = 0 // it left again: the next return may start another hold-down
 	}
 	if merged.Status == Gone {
 		return ""
@@ -98,7 +99,7 @@
 	return reason
 }
 
-// inferStart derives the start time of a node that is listed. It returns the reason for a change, "" for none.
+// inferStart infers the start time of a listed node. It returns the reason for a new start time, "" if there is none.
 func (r *Reconciler) inferStart(n *node, merged *Node) (reason string) {
 	if !n.everPublished && !r.firstList && n.inferredStart == 0 {
 		n.inferredStart = r.now
@@ -115,9 +116,9 @@
 	return reason
 }
 
-// nodeReturned counts a return, and starts a hold-down if there were too many. The node counts as restarted unless it
-// is the same instance, was away for a short time only, and no end of its process was observed. It returns the reason
-// for a change of its start time, "" for none.
+// nodeReturned counts a return, and starts a hold-down if there were too many. The node counts as restarted if it was
+// Gone and either stayed away for longer than CacheRetention or its process was seen to end. It returns the reason for
+// a new start time, "" if there is none.
 func (r *Reconciler) nodeReturned(n *node) (reason string) {
 	limits := &r.settings.Limits
 	if n.wasGone && (r.now-n.leftAt > limits.CacheRetention || n.processEnded) {
@@ -139,7 +140,7 @@
 	return reason
 }
 
-// releaseHolds ends all hold-downs where no node serves: suspicion must not empty the list (invariant 3).
+// releaseHolds ends all hold-downs if no node serves: hold-downs must not empty the list (invariant 3).
 func (r *Reconciler) releaseHolds(ordered []string) {
 	var held []string
 	for _, name := range ordered {
--- a/internal/membership/sources.go
+++ b/internal/membership/sources.go
@@ -9,10 +9,10 @@
 // source is the state of one source.
 type source struct {
 	Source
-	retired     bool // no longer configured, but others have not delivered their lists yet
+	retired     bool // no longer configured, but kept until the configured sources have delivered their lists
 	hasReported bool
-	hasComplete bool                     // a complete list was among its reports
-	nodes       map[string]*Node         // its latest reports; Gone ones as long as other sources list the node
+	hasComplete bool                     // it has delivered a complete list
+	nodes       map[string]*Node         // its latest reports; Gone ones are kept while another source lists the node
 	losses      map[string]time.Duration // nodes that left within CollapseWindow, and when
 	pending     *pendingRemovals         // nil for none
 }
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// setSources puts sources into their order. Those that are no longer configured are retired: their reports count
-// until the others have delivered a list, since a drain that they announce must not be missed.
+// setSources replaces the configured sources. Sources that are no longer configured are retired: their reports count
+// until the others have delivered a complete list, so that no drain that they announce is missed.
 func (r *Reconciler) setSources(configured []Source) {
 	var next []*source
 	for _, c := range configured {
@@ -49,8 +49,8 @@
 }
 
 // dropRetired drops retired sources once all others have delivered a complete list. Until then a report of the others
-// replaces what retired ones reported of the same node: a source may begin with what has changed since a list that
-// it takes to be known.
+// replaces what retired ones reported of the same node: a source may begin with changes since a list that it assumes
+// the proxy already has.
 func (r *Reconciler) dropRetired() {
 	for _, s := range r.sources {
 		if !s.retired && !s.hasComplete {
@@ -60,7 +60,7 @@
 	r.sources = slices.DeleteFunc(r.sources, func(s *source) bool { return s.retired })
 }
 
-// listReceived stores a list, decides on the nodes that it lacks, and publishes what follows.
+// listReceived stores a list, handles the nodes that it lacks, and publishes the resulting changes.
 func (r *Reconciler) listReceived(s *source, e ListReceived) {
 	r.expirePending()
 	names := s.update(e.Nodes, r.now)
@@ -82,7 +82,7 @@
 	r.firstList = false
 }
 
-// update stores the reports of a list, and returns the names in it.
+// update stores the reports of a list, records which nodes it reports as newly gone, and returns the names in it.
 func (s *source) update(nodes []Node, now time.Duration) (names map[string]bool) {
 	names = make(map[string]bool, len(nodes))
 	for i := range nodes {
@@ -98,7 +98,7 @@
 	return names
 }
 
-// overrideRetired removes the reports of retired sources on nodes of which another source has reported.
+// overrideRetired removes the retired sources' reports on the named nodes, which a configured source has reported.
 func (r *Reconciler) overrideRetired(names map[string]bool) {
 	for _, other := range r.sources {
 		if other.retired {
@@ -107,7 +107,7 @@
 	}
 }
 
-// missing returns in order the nodes that were there and are not among names.
+// missing returns the sorted names of the nodes that the source listed and that are not among names.
 func (s *source) missing(names map[string]bool) (missing []string) {
 	for name, n := range s.nodes {
 		if !names[name] && n.Status != Gone {
@@ -118,7 +118,7 @@
 	return missing
 }
 
-// remove records a node as if the source had reported it gone.
+// remove records that a node is gone, as if the source had reported it.
 func (s *source) remove(name string, now time.Duration, reason string) {
 	s.nodes[name] = &Node{Name: name, Status: Gone, Reason: reason}
 	s.losses[name] = now
