--- a/internal/bloom/filter_test.go
+++ b/internal/bloom/filter_test.go
@@ -33,8 +33,8 @@
 			falsePositives++
 		}
 	}
-	seen, estimated := float64(falsePositives)/probes, f.FalsePositiveRate()
-	if estimated < seen/2 || estimated > 2*seen+0.01 {
-		t.Errorf("false positives %.3f, estimated %.3f", seen, estimated)
+	measured, estimated := float64(falsePositives)/probes, f.FalsePositiveRate()
+	if estimated < measured/2 || estimated > 2*measured+0.01 {
+		t.Errorf("false positive rate %.3f, estimated %.3f", measured, estimated)
 	}
 }
--- a/internal/bloom/hash.go
+++ b/internal/bloom/hash.go
@@ -5,7 +5,8 @@
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 
-	// goldenGamma separates the hashes of one key: 2^64 divided by the golden ratio, as in SplitMix64.
+	// goldenGamma is the distance between the inputs of a key's hashes: 2^64 divided by the golden ratio, as in
+	// SplitMix64.
 	goldenGamma = 0x9e3779b97f4a7c15
 )
 
@@ -17,7 +18,7 @@
 	return p
 }
 
-// Hash returns the hash of a key: FNV-1a, mixed.
+// Hash returns the hash of a key: 64-bit FNV-1a, followed by Mix.
 func Hash(text string) uint64 {
 	h := uint64(fnvOffset)
 	for i := range len(text) {
@@ -26,14 +27,14 @@
 	return Mix(h)
 }
 
-// Mix spreads the bits of a number over its whole word: the finalizer of SplitMix64.
+// Mix makes each bit of the result depend on all bits of x: it is the finalizer of SplitMix64.
 func Mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// UnitInterval maps a number to the interval between 0 and 1, both excluded.
+// UnitInterval maps x to the open interval (0, 1).
 func UnitInterval(x uint64) float64 {
 	const mantissaBits = 53
 	return (float64(x>>(64-mantissaBits)) + 0.5) / (1 << mantissaBits)
--- a/internal/consul/client_test.go
+++ b/internal/consul/client_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// TestTokenIsReadForEachCall guards a token that rotates.
+// TestTokenIsReadForEachCall guards against the use of an old token after the token was rotated.
 func TestTokenIsReadForEachCall(t *testing.T) {
 	_, agent := startAgent(t, "second")
 	file := filepath.Join(t.TempDir(), "token")
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestCertificatesAreChecked guards which agents are trusted.
+// TestCertificatesAreChecked checks that only agents with a certificate from the configured CA are trusted.
 func TestCertificatesAreChecked(t *testing.T) {
 	emptyList := func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "[]") }
 	server := httptest.NewTLSServer(http.HandlerFunc(emptyList))
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -10,7 +10,7 @@
 	fakeconsul "mulleinpier/internal/fake/consul"
 )
 
-// startAgent starts an agent of a new catalogue, which needs an ACL token; "" for none.
+// startAgent starts an agent of a new catalogue. The agent requires token as ACL token, "" for none.
 func startAgent(t *testing.T, token string) (*fakeconsul.Catalogue, *fakeconsul.Agent) {
 	t.Helper()
 	catalogue := fakeconsul.New()
@@ -22,12 +22,12 @@
 	return catalogue, agent
 }
 
-// instance returns an instance of the service that the tests follow.
+// instance returns an instance of the service that the tests watch.
 func instance(id string) fakeconsul.Instance {
 	return fakeconsul.Instance{Node: "n1", ID: id, Service: "cache", Address: "10.0.0.1", Port: 1000 + len(id)}
 }
 
-// watch watches a source. It returns the lists that it delivers and the error that it ends with.
+// watch watches a source. It returns the lists that the watch delivers and the error that it ends with.
 func watch(t *testing.T, c SourceConfig) (<-chan discovery.List, <-chan error) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -37,7 +37,7 @@
 	return lists, ended
 }
 
-// statusesOf returns names and statuses of a list in one text.
+// statusesOf returns the names and statuses of a list as NAME=STATUS, separated by spaces.
 func statusesOf(l discovery.List) string {
 	var text []string
 	for _, e := range l.Endpoints {
--- a/internal/consul/instances_test.go
+++ b/internal/consul/instances_test.go
@@ -21,7 +21,7 @@
 	return l.Endpoints[0]
 }
 
-// cacheSource is the source that the tests follow.
+// cacheSource returns the source that the tests read.
 func cacheSource(agent *fakeconsul.Agent) SourceConfig {
 	return SourceConfig{
 		Agent: Agent{Address: agent.Address()}, Service: "cache", WaitTime: time.Minute,
@@ -86,21 +86,21 @@
 	c := cacheSource(agent)
 	c.Datacenter = "dc2"
 	if e := fetchOne(t, c); e.Name != "n1/far" || e.Status != "up" || e.Zone != "dc2" {
-		t.Errorf("of the other datacenter %+v", e)
+		t.Errorf("from the other datacenter: %+v", e)
 	}
 	c = cacheSource(agent)
 	c.Tag = "prod"
 	if l, err := c.Open().Fetch(t.Context()); err != nil || statusesOf(l) != "" {
-		t.Errorf("with a tag that no instance has %+v, %v", l, err)
+		t.Errorf("with a tag that no instance has: %+v, %v", l, err)
 	}
 }
 
-// checks returns a change that gives an instance checks.
+// checks returns a function that sets the checks of an instance.
 func checks(list ...fakeconsul.Check) func(*fakeconsul.Instance) {
 	return func(i *fakeconsul.Instance) { i.Checks = list }
 }
 
-// meta returns a change that gives an instance meta.
+// meta returns a function that sets the service meta of an instance.
 func meta(key, value string) func(*fakeconsul.Instance) {
 	return func(i *fakeconsul.Instance) { i.Meta = map[string]string{key: value} }
 }
@@ -152,8 +152,7 @@
 	}
 }
 
-// TestHalfListIsNoList guards against a body that ends between two entries: what is there would be read as a list
-// that has lost the rest.
+// TestHalfListIsNoList guards against a body that ends between two entries and is read as a shorter list.
 func TestHalfListIsNoList(t *testing.T) {
 	const one = `{"Node":{"Node":"n","Address":"10.0.0.1"},"Service":{"ID":"a","Port":1000}}`
 	for text, valid := range map[string]bool{
@@ -171,7 +170,7 @@
 	}
 }
 
-// FuzzEntries guards against what an agent may send in place of a list.
+// FuzzEntries checks that any body is either an error or a list of valid entries with unique names.
 func FuzzEntries(f *testing.F) {
 	text, err := json.Marshal([]entry{{}})
 	if err != nil {
--- a/internal/consul/registrar_test.go
+++ b/internal/consul/registrar_test.go
@@ -12,7 +12,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// registration is a registrar and the catalogue that it registers in.
+// registration is a registrar with the catalogue in which it registers.
 type registration struct {
 	t         *testing.T
 	catalogue *fakeconsul.Catalogue
@@ -21,7 +21,7 @@
 	ended     chan struct{}
 }
 
-// statuses returns the statuses of the checks of the proxy, "gone" where it is not registered.
+// statuses returns the statuses of the proxy's checks, separated by spaces, or "gone" if it is not registered.
 func (r *registration) statuses() string {
 	list := r.catalogue.Instances("proxy")
 	if len(list) == 0 {
@@ -59,16 +59,16 @@
 	ctx, drain := context.WithCancel(context.Background())
 	go r.run(ctx)
 	r.expect("passing")
-	time.Sleep(3 * r.registrar.TTL) // it is passed again and again
+	time.Sleep(3 * r.registrar.TTL) // the check is passed repeatedly
 	r.expect("passing")
 	agent.DropRegistrations()
-	r.expect("passing") // it is registered again
+	r.expect("passing") // the proxy is registered again
 	agent.SetFault(fakeconsul.ServerError)
-	r.expect("critical") // no call passes the check: the TTL ends
+	r.expect("critical") // all calls fail, and the TTL expires
 	agent.SetFault(fakeconsul.NoFault)
 	r.expect("passing")
 	r.canServe.Store(false)
-	r.expect("critical") // it is registered, and cannot serve
+	r.expect("critical") // the proxy is registered but cannot serve
 	r.canServe.Store(true)
 	r.expect("passing")
 	drain()
@@ -76,7 +76,7 @@
 	r.expect("passing critical") // in maintenance
 	r.registrar.Deregister()
 	r.expect("gone")
-	// A crash: no call is made any more.
+	// A crash: the agent gets no more calls.
 	crash, kill := context.WithCancel(context.Background())
 	go r.run(crash)
 	r.expect("passing")
--- a/internal/consul/source_test.go
+++ b/internal/consul/source_test.go
@@ -11,7 +11,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestChangesAreFollowed goes through what a blocking query can meet that is no failure.
+// TestChangesAreFollowed checks that a watch delivers each change, also after the index went backwards and without an
+// index, and delivers nothing without a change.
 func TestChangesAreFollowed(t *testing.T) {
 	catalogue, agent := startAgent(t, "")
 	catalogue.Set(instance("a"))
@@ -43,13 +44,13 @@
 	for len(lists) > 0 {
 		<-lists
 	}
-	time.Sleep(time.Second) // some waits that end without a change
+	time.Sleep(time.Second) // long enough for some blocking queries that end without a change
 	if len(lists) > 0 || len(ended) > 0 {
-		t.Errorf("%d lists delivered without a change, %d ends", len(lists), len(ended))
+		t.Errorf("without a change, %d lists were delivered and %d watches ended", len(lists), len(ended))
 	}
 }
 
-// failures are the faults of an agent that end a watch, and a part of the error.
+// failures are the faults of an agent that end a watch, each with a part of the error that it ends with.
 var failures = map[fakeconsul.FaultKind]string{
 	fakeconsul.ACLFiltered:   "the ACL token lacks permissions",
 	fakeconsul.Leaderless:    "no leader",
@@ -60,22 +61,22 @@
 	fakeconsul.RateLimited:   "status 429",
 	fakeconsul.Forbidden:     "status 403",
 	fakeconsul.ServerError:   "status 500",
-	fakeconsul.SlowBody:      noAnswer,
-	fakeconsul.NoResponse:    noAnswer,
+	fakeconsul.SlowBody:      noResponse,
+	fakeconsul.NoResponse:    noResponse,
 }
 
-// TestFailuresDeliverNoList guards invariant 1, and that each failure ends in its time.
+// TestFailuresDeliverNoList checks invariant 1, and that each failure ends the watch in time.
 func TestFailuresDeliverNoList(t *testing.T) {
 	for kind, want := range failures {
 		expectFailure(t, kind, want)
 	}
 }
 
-// expectFailure has an agent fail by kind and holds that the watch ends with an error that contains want. Only a fault
-// that ends by the time-out of a body gets a shorter one: reading a huge list takes seconds under the race detector.
+// expectFailure checks that a fault of the agent ends the watch with an error that contains want. It shortens
+// bodyTimeout only for faults that end by a timeout: reading a huge list takes seconds under the race detector.
 func expectFailure(t *testing.T, kind fakeconsul.FaultKind, want string) {
 	t.Helper()
-	if want == noAnswer {
+	if want == noResponse {
 		usual := bodyTimeout
 		bodyTimeout = 2 * time.Second
 		defer func() { bodyTimeout = usual }()
@@ -90,8 +91,8 @@
 	agent.SetFault(kind)
 	catalogue.Set(instance("b"))
 	err := testutil.Receive(t, string(kind), ended)
-	// The end of a context shows under several names, the cause among them.
-	isTimeout := want == noAnswer && errors.Is(err, context.Canceled)
+	// An expired timeout cancels the context, which is reported either by its cause or as context.Canceled.
+	isTimeout := want == noResponse && errors.Is(err, context.Canceled)
 	if !strings.Contains(err.Error(), want) && !isTimeout {
 		t.Errorf("%s: ended with %v, want %q", kind, err, want)
 	}
@@ -102,5 +103,5 @@
 	}
 }
 
-// noAnswer is the error of a call that takes too long.
-const noAnswer = "no response within the timeout"
+// noResponse is the error of a call that takes too long.
+const noResponse = "no response within the timeout"
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,7 +16,8 @@
 const completeList = `{"index":7,"snapshot":true,"endpoints":[{"name":"n1","address":"127.0.0.1:1","status":"up"},` +
 	`{"name":"n2","address":"127.0.0.1:2","status":"draining","since_ms":5}]}`
 
-// startService starts a service that answers each call with the next response, and closes the connection.
+// startService starts a service that answers each call with the next of responses and closes the connection, and
+// returns a client of it.
 func startService(t *testing.T, responses <-chan string) *Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -32,20 +33,20 @@
 	return NewClient(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// noLists are texts that are no list.
-var noLists = []string{
+// invalidLists are responses that are not a list.
+var invalidLists = []string{
 	"null", "{}", "[]", `""`, `{"error":"later"}`, `{"index":8,"snapshot":true}`, `{"endpoints":null}`,
 	"<html>", "\x00\xff",
 }
 
-// TestInvalidListsDeliverNothing guards against lists made of a broken response: cut at any length, or not a list at
-// all, it is an error and delivers nothing. An empty list would remove every node.
+// TestInvalidListsDeliverNothing guards against an invalid response that is accepted as an empty or short list, which
+// would remove nodes. A response that is not a list, or is truncated at any length, is an error and delivers nothing.
 func TestInvalidListsDeliverNothing(t *testing.T) {
 	responses := make(chan string, 1)
 	c := startService(t, responses)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	invalid := noLists
+	invalid := invalidLists
 	for n := range len(completeList) {
 		invalid = append(invalid, completeList[:n])
 	}
@@ -64,16 +65,16 @@
 	if l, err := c.Fetch(ctx); err != nil || len(l.Endpoints) != 2 || l.Index != 7 {
 		t.Errorf("the complete list: %+v, %v", l, err)
 	}
-	// What came before the break counts.
+	// A complete list before a truncated one is delivered.
 	responses <- completeList + "\n" + completeList[:40]
 	delivered := 0
 	if err := c.Watch(ctx, 0, func(List) { delivered++ }); err == nil || delivered != 1 {
-		t.Errorf("a complete line and half of one: %d delivered, error %v", delivered, err)
+		t.Errorf("a complete list and a part of one: %d delivered, error %v", delivered, err)
 	}
 }
 
-// TestIndentedLists guards against a service that breaks its objects into lines, has braces in its texts, and lets
-// them come in pieces: each is delivered once, complete.
+// TestIndentedLists checks that lists that span lines and have braces in their strings are each delivered once,
+// complete.
 func TestIndentedLists(t *testing.T) {
 	const indented = "\n\n{\n  \"index\": 7,\n  \"snapshot\": true,\n\n  \"endpoints\": [\n" +
 		"    {\"name\": \"}n\\\"{1\", \"address\": \"127.0.0.1:1\", \"status\": \"up\"}\n  ]\n}\n"
@@ -93,24 +94,24 @@
 	}
 }
 
-// TestObjectsAreBounded guards against an object that never ends, and white space that never does: the one is an
-// error once it is too long, the other takes no memory.
+// TestObjectsAreBounded guards against unbounded memory for an object or white space that does not end: the object is
+// an error once it is too long, and white space is not stored.
 func TestObjectsAreBounded(t *testing.T) {
 	whiteSpace := strings.Repeat("\n", 3*maxListBytes)
 	endless := `{"a":"` + strings.Repeat("x", 2*maxListBytes)
 	in := bufio.NewReader(io.MultiReader(strings.NewReader(whiteSpace), strings.NewReader(completeList+endless)))
 	text, err := appendObject(in, nil, func() {})
 	if err != nil || string(text) != completeList {
-		t.Errorf("behind white space: %d bytes, %v", len(text), err)
+		t.Errorf("an object after white space: %d bytes, %v", len(text), err)
 	}
 	if text, err = appendObject(in, nil, func() {}); !errors.Is(err, errTooLong) || len(text) > maxListBytes {
-		t.Errorf("of an endless object: %d bytes, %v", len(text), err)
+		t.Errorf("an endless object: %d bytes, %v", len(text), err)
 	}
 }
 
-// TestSilenceLeavesTimeForDrain checks the timeout of a silent watch against the drain rule: what it misses counts
-// as notified 6 s after it fell silent, and a drain has to be obeyed half a second later. The wait of the decision
-// module is tested there.
+// TestSilenceLeavesTimeForDrain checks the timeout of a silent watch against the drain rule: a drain that it misses
+// counts as notified 6 s after the watch fell silent, and must be obeyed half a second later. The wait before the next
+// call is tested in the package that decides on it.
 func TestSilenceLeavesTimeForDrain(t *testing.T) {
 	const heartbeatInterval, countsAsNotified = 2 * time.Second, 6 * time.Second
 	if silenceTimeout <= heartbeatInterval || silenceTimeout > countsAsNotified/2 {
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -10,8 +10,9 @@
 	"mulleinpier/internal/testutil"
 )
 
-// follow watches a node file as the core does: again each time that a watch ends.
-func follow(t *testing.T, path string) (<-chan List, <-chan error) {
+// watchFile watches a node file as package core does: it starts a new watch each time that one ends. It returns the
+// delivered lists and the errors with which watches end.
+func watchFile(t *testing.T, path string) (<-chan List, <-chan error) {
 	ctx, stop := context.WithCancel(context.Background())
 	lists, errs := make(chan List, 100), make(chan error, 100)
 	done := make(chan struct{})
@@ -47,7 +48,7 @@
 func TestFileChangesAreDelivered(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes.toml")
 	writeFile(t, path, oneNode)
-	lists, errs := follow(t, path)
+	lists, errs := watchFile(t, path)
 	l := testutil.Receive(t, "the list", lists)
 	if !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Weight != 1 {
 		t.Errorf("delivered %+v", l)
@@ -60,7 +61,7 @@
 	}
 	writeFile(t, path, "[[node")
 	if err := testutil.Receive(t, "the error of an invalid file", errs); err == nil {
-		t.Error("an invalid file without an error")
+		t.Error("an invalid file returned no error")
 	}
 	os.Remove(path)
 	if err := testutil.Receive(t, "the error of a missing file", errs); !errors.Is(err, os.ErrNotExist) {
@@ -75,8 +76,8 @@
 	}
 }
 
-// TestHalfWrittenFileIsNotUsed guards against a file that is being overwritten: its first half is valid, and names
-// fewer nodes.
+// TestHalfWrittenFileIsNotUsed guards against the use of a file while it is being overwritten: its first half may be
+// valid and contain fewer nodes.
 func TestHalfWrittenFileIsNotUsed(t *testing.T) {
 	var r fileReads
 	for i, read := range []struct {
@@ -89,7 +90,7 @@
 		{twoNodes, false}, {twoNodes, true},
 	} {
 		if got := r.isStableChange(read.text); got != read.isChange {
-			t.Errorf("read %d: %v", i, got)
+			t.Errorf("read %d: reported as a stable change: %v", i, got)
 		}
 	}
 }
--- a/internal/membership/confirm_test.go
+++ b/internal/membership/confirm_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// allNodes are the nodes before each case of collapseCases.
+// allNodes are the nodes that the source lists before each case of collapseCases.
 const allNodes = "abcdefgh"
 
-// collapseCases are ways in which a list may collapse, correctly or by a failure of its source.
+// collapseCases are lists that shrink, with or without a collapse, because nodes left or because the source fails.
 var collapseCases = []struct {
 	name string
 	play func(*harness)
@@ -55,7 +55,7 @@
 		h.handle(completeList("c", "abc"))
 		h.handle(RefetchFailed{"c"})
 		h.pass(DefaultLimits.FailedConfirmTimeout + ms)
-		h.expect("abc", "effective after all")
+		h.expect("abc", "FailedConfirmTimeout has passed")
 	}},
 	{"node by node, quickly", func(h *harness) {
 		for n := 7; n > 3; n-- {
@@ -64,9 +64,9 @@
 		}
 		h.expect("abcd", "half are left")
 		h.handle(completeList("c", "abc"))
-		h.expect("abcd", "one more is a collapse")
+		h.expect("abcd", "the loss of one more is a collapse")
 		h.handle(refetchedList("c", "abc"))
-		h.expect("abc", "which is confirmed")
+		h.expect("abc", "the loss is confirmed")
 	}},
 	{"one by one, slowly", func(h *harness) {
 		for n := 7; n >= 0; n-- {
@@ -82,7 +82,7 @@
 		h.expect(allNodes, "empty")
 		h.handle(completeList("c", allNodes))
 		h.pass(time.Minute)
-		h.expect(allNodes, "back")
+		h.expect(allNodes, "all nodes are listed again")
 	}},
 	{"empty for good, nodes answer", func(h *harness) {
 		h.handle(completeList("c", ""))
@@ -90,7 +90,7 @@
 		h.pass(10 * time.Second)
 		h.expect(allNodes, "ten seconds")
 		h.pass(DefaultLimits.FailedConfirmTimeout)
-		h.expect("", "effective after all")
+		h.expect("", "FailedConfirmTimeout has passed")
 	}},
 	{"empty, and half of the nodes are really gone", func(h *harness) {
 		h.handle(completeList("c", ""))
@@ -109,7 +109,7 @@
 		h.expect(allNodes, "the others are unconfirmed")
 		h.pass(100 * ms)
 		h.handle(refetchedList("c", "abc"))
-		h.expect("abc", "which is confirmed")
+		h.expect("abc", "the loss is confirmed")
 	}},
 	{"nodes reported as draining in a collapse", func(h *harness) {
 		h.handle(completeList("c", "abcDEFGH"))
@@ -117,7 +117,7 @@
 	}},
 }
 
-// TestCollapsedLists guards rules 2 and 3.
+// TestCollapsedLists checks rules 2 and 3.
 func TestCollapsedLists(t *testing.T) {
 	for _, c := range collapseCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -10,14 +10,14 @@
 
 const ms = time.Millisecond
 
-// harness is a Reconciler, what it has published, and a clock that obeys its timers.
+// harness runs a Reconciler with a simulated clock and timers, and applies the changes that it publishes.
 type harness struct {
 	t          testing.TB
 	reconciler *Reconciler
-	twin       *Reconciler // gets the same events, and must do the same
+	twin       *Reconciler // gets the same events, and must return the same actions
 	now        time.Duration
-	published  map[string]Node // the changes, replayed
-	timers     []time.Duration
+	published  map[string]Node // the published changes, applied in order
+	timers     []time.Duration // times at which requested timers fire
 	refetches  int
 }
 
@@ -28,7 +28,7 @@
 func (h *harness) handle(e Event) {
 	out := h.reconciler.Handle(h.now, e, nil)
 	if again := h.twin.Handle(h.now, e, nil); !reflect.DeepEqual(out, again) {
-		h.t.Fatalf("%+v yields %+v, and then %+v", e, out, again)
+		h.t.Fatalf("event %+v yields %+v, but %+v from a second reconciler", e, out, again)
 	}
 	for _, a := range out {
 		switch a := a.(type) {
@@ -38,7 +38,7 @@
 				before.Status = Gone
 			}
 			if before.Status != a.Previous {
-				h.t.Fatalf("invariant 4: %+v published where %v was", a, before.Status)
+				h.t.Fatalf("invariant 4: %+v published for a node that was %v", a, before.Status)
 			}
 			if a.Status == Gone {
 				delete(h.published, a.Name)
@@ -53,7 +53,7 @@
 	}
 }
 
-// pass lets time pass, with the timers that were requested.
+// pass advances the clock by d, and fires the requested timers.
 func (h *harness) pass(d time.Duration) {
 	for end := h.now + d; ; {
 		slices.Sort(h.timers)
@@ -66,7 +66,7 @@
 	}
 }
 
-// servingNames returns the names of the serving nodes, joined.
+// servingNames returns the sorted names of the serving nodes, joined.
 func (h *harness) servingNames() string {
 	var names []string
 	for name, n := range h.published {
@@ -85,7 +85,8 @@
 	}
 }
 
-// completeList is a list of nodes named by letters; an upper-case one drains.
+// completeList returns a complete list of nodes that are named by lower-case letters. An upper-case letter stands for
+// a node that is draining.
 func completeList(source, letters string) ListReceived {
 	e := ListReceived{Source: source, Complete: true}
 	for _, c := range letters {
@@ -98,7 +99,7 @@
 	return e
 }
 
-// refetchedList is a completeList in response to a Refetch.
+// refetchedList returns a completeList in response to a Refetch.
 func refetchedList(source, letters string) ListReceived {
 	e := completeList(source, letters)
 	e.Refetched = true
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestReportsPassUnchangedWithoutInference guards the platform's list: no confirmation, no hold-down, no start time but
-// its own.
+// TestReportsPassUnchangedWithoutInference checks that lists of the platform take effect as reported: without
+// confirmations, hold-downs and inferred start times.
 func TestReportsPassUnchangedWithoutInference(t *testing.T) {
 	h := newHarness(t, Settings{Limits: DefaultLimits, Sources: []Source{{Name: "p"}}})
 	h.handle(completeList("p", "abcd"))
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestSilentSourceChangesNothing guards rule 5.
+// TestSilentSourceChangesNothing checks rule 5.
 func TestSilentSourceChangesNothing(t *testing.T) {
 	h := newHarness(t, consulSettings())
 	h.handle(completeList("c", "abC"))
@@ -32,7 +32,7 @@
 	h.expect("ab", "after ten minutes of silence")
 }
 
-// TestMemoryIsBounded guards invariant 5: ever new names leave nothing behind.
+// TestMemoryIsBounded checks invariant 5 with a source that lists new names all the time.
 func TestMemoryIsBounded(t *testing.T) {
 	h := newHarness(t, consulSettings())
 	for i := range 5000 {
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// sequences is the number that the model test plays; 100,000 take a minute without -race.
+// sequences is the number of random sequences in the model test; 100,000 take a minute without -race.
 var sequences = flag.Int("sequences", 10000, "random sequences of source events")
 
-// modelReport is what a source reported last of a node, as the reference model keeps it.
+// modelReport is the last report of a source on a node in the reference model.
 type modelReport struct {
 	status Status
-	listed bool
+	listed bool // the list contained the node; otherwise status is Gone because a complete list lacked it
 }
 
 // modelReports are the latest reports by source and node.
 type modelReports map[string]map[string]modelReport
 
-// coverage counts the states that the random sequences have reached.
+// coverage counts the states that the random sequences have reached, so that the test can show that it covers them.
 type coverage struct{ serving, draining, unconfirmed int }
 
 func (c *coverage) add(h *harness, sources []string) {
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestAgreesWithReferenceModel plays random events of several sources against a model that consists of nothing but the
-// latest reports of the sources, evaluated from scratch each time. Hold-downs and confirmations may only delay what it
-// says, by as much as the invariants allow.
+// TestAgreesWithReferenceModel compares the Reconciler, under random events of several sources, with a model that keeps
+// only the latest reports of the sources and evaluates them from scratch each time. Hold-downs and confirmations may
+// delay what the model says by as much as the invariants allow.
 func TestAgreesWithReferenceModel(t *testing.T) {
 	var reached coverage
 	for seed := range *sequences {
@@ -61,7 +61,7 @@
 	for _, name := range sources {
 		reports[name] = map[string]modelReport{}
 	}
-	lastChange := map[string]time.Duration{} // of a node, when a source's report on it last changed
+	lastChange := map[string]time.Duration{} // by node, the time when a source's report on it last changed
 	for range 4 + rng.IntN(24) {
 		e := randomEvent(rng, h, sources)
 		h.handle(e)
@@ -71,7 +71,7 @@
 		checkAgainstModel(t, h, settings, reports, lastChange)
 		reached.add(h, sources)
 	}
-	h.pass(10 * time.Minute) // hold-downs and confirmations are over: what is left is the model's
+	h.pass(10 * time.Minute) // all hold-downs and confirmations have ended: the result must equal the model's
 	h.handle(TimerFired{})
 	for name, want := range evaluateModel(reports, nil) {
 		got, ok := h.published[name]
@@ -81,7 +81,7 @@
 	}
 }
 
-// randomEvent draws an event. Before a timer it lets time pass.
+// randomEvent returns a random event. It advances the clock before it returns a TimerFired.
 func randomEvent(rng *rand.Rand, h *harness, sources []string) Event {
 	name := sources[rng.IntN(len(sources))]
 	switch k := rng.IntN(20); {
@@ -118,7 +118,7 @@
 	return e
 }
 
-// takeIntoModel takes a list into the reports of its source.
+// takeIntoModel applies a list to the reports of its source.
 func takeIntoModel(
 	reports map[string]modelReport, e ListReceived, lastChange map[string]time.Duration, now time.Duration,
 ) {
@@ -157,7 +157,7 @@
 			continue
 		}
 		statuses[name] = Gone
-		for _, ofSource := range reports { // once no source lists it, a node that left is forgotten
+		for _, ofSource := range reports { // a node that left is forgotten once no source lists it
 			if !unconfirmed[name] {
 				delete(ofSource, name)
 			}
@@ -201,15 +201,15 @@
 	}
 }
 
-// checkMayServe checks that a node may serve which the model does not have up.
+// checkMayServe checks that a node which is not up in the model serves only because it is unconfirmed.
 func checkMayServe(t *testing.T, name string, reports modelReports, unconfirmed map[string]bool) {
 	t.Helper()
 	for _, ofSource := range reports {
 		if report := ofSource[name]; report.listed && report.status != Up {
-			t.Fatalf("invariant 1: %s serves, which a source explicitly reported as %v", name, report.status)
+			t.Fatalf("invariant 1: %s serves although a source explicitly reported it as %v", name, report.status)
 		}
 	}
 	if !unconfirmed[name] {
-		t.Fatalf("invariant 2: %s serves, which no list contains and which is not unconfirmed", name)
+		t.Fatalf("invariant 2: %s serves although no list contains it and it is not unconfirmed", name)
 	}
 }
--- a/internal/membership/restarts_test.go
+++ b/internal/membership/restarts_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// TestFlappingNodesAreHeldDown guards rule 4: a node leaves at once, returns later each time, and never are all nodes
-// held down.
+// TestFlappingNodesAreHeldDown checks rule 4: a node leaves at once and returns later each time, and not all nodes are
+// held down at the same time.
 func TestFlappingNodesAreHeldDown(t *testing.T) {
 	h := newHarness(t, consulSettings())
 	h.handle(completeList("c", "abcd"))
 	up, last := time.Duration(0), 0
-	for i := range 150 { // every 200 ms, half of it gone
+	for i := range 150 { // for a minute: 200 ms gone, 200 ms back
 		h.handle(completeList("c", "bcd"))
 		if strings.Contains(h.servingNames(), "a") {
 			t.Fatal("a node that is gone serves")
@@ -28,9 +28,9 @@
 		t.Errorf("a flapping node served %v of a minute, last at its flap %d", up, last)
 	}
 	h.pass(DefaultLimits.MaxHoldDown)
-	h.expect("abcd", "steady for as long as a hold-down may last")
+	h.expect("abcd", "steady for the longest hold-down")
 	if got := h.published["a"]; got.Started != 0 {
-		t.Errorf("the same instance, absent for moments only, counts as started at %v", got.Started)
+		t.Errorf("the same instance counts as started at %v after short absences", got.Started)
 	}
 	for range 10 {
 		h.handle(completeList("c", "ABCD"))
@@ -43,7 +43,7 @@
 	}
 }
 
-// restartCases are what may happen to node a, and whether it counts as started anew behind that.
+// restartCases are sequences of events for node a, and whether it counts as restarted after them.
 var restartCases = []struct {
 	name      string
 	restarted bool
@@ -118,7 +118,7 @@
 			t.Errorf("%s: counts as started at %v of %v; %s serve", c.name, got, h.now, serving)
 		}
 		if h.published["b"].Started != 0 {
-			t.Errorf("%s: another counts as started", c.name)
+			t.Errorf("%s: node b counts as restarted", c.name)
 		}
 	}
 }
--- a/internal/membership/sources_test.go
+++ b/internal/membership/sources_test.go
@@ -15,22 +15,22 @@
 	if got := h.published["b"]; got.Status != Up {
 		t.Errorf("b is %+v", got)
 	}
-	h.handle(completeList("c", "aBc")) // draining in one, up in the other
-	h.expect("acd", "b drains in one")
-	h.handle(completeList("c", "ac")) // gone in one, up in the other
-	h.expect("acd", "b is gone in one")
+	h.handle(completeList("c", "aBc")) // b is draining in c, up in file
+	h.expect("acd", "b is draining in c")
+	h.handle(completeList("c", "ac")) // b is gone in c, up in file
+	h.expect("acd", "b is gone in c")
 	if reason := h.published["b"].Reason; !strings.Contains(reason, "gone in c") {
 		t.Errorf("b's reason is %q", reason)
 	}
-	h.handle(completeList("file", "cd")) // now in none
-	if _, there := h.published["b"]; there {
-		t.Error("b is still there")
+	h.handle(completeList("file", "cd")) // b is in neither list
+	if _, published := h.published["b"]; published {
+		t.Error("b is still published although no source lists it")
 	}
-	h.handle(completeList("file", "bcd")) // c's report on b has been forgotten with it
+	h.handle(completeList("file", "bcd")) // c's report on b was deleted when b left both lists
 	h.handle(completeList("c", "abc"))
 	h.expect("abcd", "b is back in both")
 	h.handle(ListReceived{Source: "file", Nodes: []Node{{Name: "a", Status: Gone}}})
-	h.expect("bcd", "a left by the report of a source that had never listed it")
+	h.expect("bcd", "a is reported gone by a source that never listed it")
 }
 
 func TestReloadKeepsOldListUntilNewOneArrives(t *testing.T) {
@@ -39,16 +39,16 @@
 	h.handle(SourcesChanged{Sources: []Source{{Name: "c", NeedsConfirmation: true}}})
 	h.expect("ab", "the new source has reported nothing")
 	h.handle(completeList("platform", "aBC"))
-	h.expect("a", "the old source counts until then")
+	h.expect("a", "the old source counts until the new one has reported")
 	h.handle(completeList("c", "bcd"))
 	h.expect("bcd", "the new one has reported")
 	h.handle(SourcesChanged{Sources: []Source{{Name: "platform"}}})
 	h.handle(completeList("platform", "a"))
-	h.expect("a", "and back")
+	h.expect("a", "back to the first source")
 }
 
-// TestNewSourceMayBeginWithChanges guards a move to a discovery service that takes what the old one reported for known:
-// it once left a proxy with the few nodes that had changed.
+// TestNewSourceMayBeginWithChanges guards against a proxy that keeps only the few changed nodes when it moves to
+// another discovery service, which may begin with changes to the list of the old one.
 func TestNewSourceMayBeginWithChanges(t *testing.T) {
 	h := newHarness(t, Settings{Limits: DefaultLimits, Sources: []Source{{Name: "old"}}})
 	h.handle(completeList("old", "abCd"))
--- a/internal/outlier/failure_rate.go
+++ b/internal/outlier/failure_rate.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// DecayTime is the time in which counts of failures fall to 1/e: a server that has recovered gets its share of requests
-// back within some of it.
+// DecayTime is the time in which counts of failures decay to 1/e: a server that has recovered gets its share of
+// requests back within a few times this.
 const DecayTime = 3 * time.Second
 
-// FailureRate counts attempts that ended, and of them those that failed. Both decay.
+// FailureRate counts the attempts that ended and those of them that failed. Both counts decay.
 type FailureRate struct {
 	Attempts, Failures float64
 	updated            time.Duration
 }
 
-// Observe counts attempts that ended, and of them those that failed.
+// Observe decays the counts until now with DecayTime, then adds attempts that ended, and the failures among them.
 func (r *FailureRate) Observe(now time.Duration, attempts, failures float64) {
 	r.Decay(now, DecayTime)
 	r.Attempts += attempts
 	r.Failures += failures
 }
 
-// Decay lets the counts decay until now, to 1/e of them within decayTime.
+// Decay decays the counts until now, to 1/e within decayTime.
 func (r *FailureRate) Decay(now, decayTime time.Duration) {
 	if now == r.updated {
 		return
@@ -33,5 +33,6 @@
 	r.updated = now
 }
 
-// Rate is the share that failed; of few attempts it is estimated lower.
+// Rate returns the share of attempts that failed. It adds one success to the counts, so that few attempts give a lower
+// estimate.
 func (r *FailureRate) Rate() float64 { return r.Failures / (r.Attempts + 1) }
--- a/internal/outlier/suspicion_test.go
+++ b/internal/outlier/suspicion_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSuspicionIsBoundedAndDecays guards the formula: never under the prior, bounded, decaying, and one failure is not
-// enough to move a key.
+// TestSuspicionIsBoundedAndDecays checks that the log odds never fall below the prior, are bounded and decay, and that
+// one failure is not enough to move a key.
 func TestSuspicionIsBoundedAndDecays(t *testing.T) {
 	observe := func(s *Suspicion, n int, failed, baseline float64) {
 		for range n {
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -7,15 +7,15 @@
 
 // Timings are the durations of a Controller.
 type Timings struct {
-	ConfirmFor    time.Duration // for which a signal is over an entry before that counts
-	MinStay       time.Duration // in a level
-	ReentryWindow time.Duration // a level entered again within it stays for longer
+	ConfirmFor    time.Duration // how long a signal must stay at or above an entry threshold
+	MinStay       time.Duration // minimum time in a level before it may improve
+	ReentryWindow time.Duration // a level entered again within this time of being left has its minimum stay doubled
 	MaxStay       time.Duration // the longest minimum stay
-	SignalTimeout time.Duration // for which a signal that is missing counts as its last value
-	MaxStep       time.Duration // time that counts between two events at most; two samples must confirm nothing
+	SignalTimeout time.Duration // how long a missing signal keeps its last value
+	MaxStep       time.Duration // the most time that counts between two events; two samples alone must confirm nothing
 }
 
-// DefaultTimings are the timings of a proxy that has none configured.
+// DefaultTimings apply to a proxy without configured timings.
 var DefaultTimings = Timings{
 	ConfirmFor:    time.Second,
 	MinStay:       10 * time.Second,
@@ -28,43 +28,43 @@
 // Event is an input of a Controller: one of the types below.
 type Event interface{ event() }
 
-// Sample brings the signals, several times a second.
+// Sample delivers the current signals. It is expected several times a second.
 type Sample struct{ Signals Signals }
 
-// Pin has an operator's level in force for a while; nothing else changes it.
+// Pin puts a level chosen by an operator into force for Duration. Signals do not change it.
 type Pin struct {
 	Level    Level
 	Duration time.Duration
 }
 
-// Unpin ends a pin.
+// Unpin ends a pin early.
 type Unpin struct{}
 
 func (Sample) event() {}
 func (Pin) event()    {}
 func (Unpin) event()  {}
 
-// Controller decides the level. It is not safe for concurrent use.
+// Controller decides the level of one proxy. It is not safe for concurrent use.
 type Controller struct {
 	timings   Timings
-	lastEvent time.Duration // of the events' clock
+	lastEvent time.Duration // on the events' clock
 	started   bool
-	now       time.Duration // own clock, which never jumps; all times below are of it
+	now       time.Duration // the controller's own clock, which never jumps; all times below are on it
 	signals   [signalCount]signalState
 
-	level           Level // that the signals call for, after minimum stays
-	noDescentBefore time.Duration
-	minStays        [levelCount]time.Duration
-	leftAt          [levelCount]time.Duration // when service last improved from a level
-	pinned          bool
-	pinnedLevel     Level
-	pinEnds         time.Duration
+	level       Level         // that the signals require, after minimum stays; a pin does not affect it
+	minStayEnds time.Duration // level does not improve before
+	minStays    [levelCount]time.Duration
+	leftAt      [levelCount]time.Duration // when service last improved from a level
+	pinned      bool
+	pinnedLevel Level
+	pinEnds     time.Duration
 }
 
-// longAgo is a time on a controller's clock before any event.
+// longAgo is a time on a controller's clock that lies before any event.
 const longAgo time.Duration = math.MinInt64 / 2
 
-// New returns a controller at full service.
+// New returns a controller at level Full.
 func New(timings Timings) *Controller {
 	c := &Controller{timings: timings}
 	for i := range c.signals {
@@ -77,7 +77,7 @@
 	return c
 }
 
-// SetTimings puts other timings into force. The level stays.
+// SetTimings replaces the timings. The level stays, but minimum stays that grew by re-entry are reset to MinStay.
 func (c *Controller) SetTimings(timings Timings) {
 	if timings == c.timings {
 		return
@@ -86,7 +86,7 @@
 	for i := range c.minStays {
 		c.minStays[i] = timings.MinStay
 	}
-	c.noDescentBefore = min(c.noDescentBefore, c.now+timings.MaxStay)
+	c.minStayEnds = min(c.minStayEnds, c.now+timings.MaxStay)
 }
 
 // Level returns the level in force.
@@ -97,12 +97,12 @@
 	return c.level
 }
 
-// Pinned reports whether an operator's level is in force, and for how much longer.
+// Pinned reports whether a pin is in force, and how long it still lasts.
 func (c *Controller) Pinned() (remaining time.Duration, pinned bool) {
 	return max(c.pinEnds-c.now, 0), c.pinned
 }
 
-// Signals returns the last values, Unknown where there are none.
+// Signals returns the last value of each signal, Unknown for those without one.
 func (c *Controller) Signals() Signals {
 	out := UnknownSignals()
 	for i := range c.signals {
@@ -113,7 +113,7 @@
 	return out
 }
 
-// Handle takes one event at time now and appends a transition for each change of the level in force to transitions.
+// Handle handles an event that occurs at now. If the level in force changes, it appends the transition to transitions.
 func (c *Controller) Handle(now time.Duration, event Event, transitions []Transition) []Transition {
 	c.advance(now)
 	before := c.Level()
@@ -142,7 +142,8 @@
 	return append(transitions, transition)
 }
 
-// advance moves the controller's own clock, which a jump of the events' clock moves by MaxStep at most.
+// advance moves the controller's own clock by the time since the last event, MaxStep at most. If the events' clock goes
+// back, the controller's clock does not move.
 func (c *Controller) advance(now time.Duration) {
 	if c.started {
 		c.now += min(max(now-c.lastEvent, 0), c.timings.MaxStep)
@@ -158,19 +159,19 @@
 	}
 }
 
-// decide moves the level to what the signals call for, as far as minimum stays allow.
+// decide moves the level to the one that the signals require, as far as minimum stays allow.
 func (c *Controller) decide(transition *Transition) {
-	worst, signal := c.worstCall()
+	worst, signal := c.worstRequired()
 	switch {
 	case worst > c.level:
-		c.ascend(worst)
+		c.raise(worst)
 		if transition.Cause == "" {
 			transition.Cause = signal.String()
 			transition.Value = c.signals[signal].value
 			transition.Threshold = Thresholds[signal].Enter[worst-1]
 		}
-	case worst < c.level && c.now >= c.noDescentBefore:
-		c.descend(worst)
+	case worst < c.level && c.now >= c.minStayEnds:
+		c.improve(worst)
 		if transition.Cause == "" {
 			transition.Cause = causeNoSignal
 			transition.Value, transition.Threshold = c.largestExitShare(), 1
@@ -178,21 +179,22 @@
 	}
 }
 
-// worstCall returns the worst level that a signal calls for, and the first signal that does.
-func (c *Controller) worstCall() (worst Level, signal Signal) {
+// worstRequired returns the worst level that a signal requires, and the first signal that requires it; signalCount if
+// none requires more than Full.
+func (c *Controller) worstRequired() (worst Level, signal Signal) {
 	worst, signal = Full, signalCount
 	for i := range c.signals {
-		if calls := c.signals[i].calls; calls > worst {
-			worst, signal = calls, Signal(i)
+		if required := c.signals[i].required; required > worst {
+			worst, signal = required, Signal(i)
 		}
 	}
 	return worst, signal
 }
 
-func (c *Controller) ascend(to Level) {
+func (c *Controller) raise(to Level) {
 	c.minStays[to] = c.nextMinStay(to)
 	c.level = to
-	c.noDescentBefore = c.now + c.minStays[to]
+	c.minStayEnds = c.now + c.minStays[to]
 }
 
 func (c *Controller) nextMinStay(level Level) time.Duration {
@@ -202,16 +204,17 @@
 	return c.timings.MinStay
 }
 
-func (c *Controller) descend(to Level) {
+func (c *Controller) improve(to Level) {
 	from := c.level
-	c.level = max(to, from-min(from, maxDescent))
+	c.level = max(to, from-min(from, maxImprovement))
 	for level := c.level + 1; level <= from; level++ {
 		c.leftAt[level] = c.now
 	}
-	c.noDescentBefore = c.now + c.minStays[from]/descentStayDivisor
+	c.minStayEnds = c.now + c.minStays[from]/recoveryStayDivisor
 }
 
-// largestExitShare returns the largest signal as a share of its exit threshold from the next worse level.
+// largestExitShare returns the largest ratio of a known signal to its exit threshold from the level next worse than
+// the present one.
 func (c *Controller) largestExitShare() (share float64) {
 	for i := range c.signals {
 		s, threshold := &c.signals[i], &Thresholds[i]
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -12,10 +12,10 @@
 	second         = time.Second
 )
 
-// values are those of some signals at one time; the others are unknown.
+// values are the values of some signals at one time; the other signals are unknown.
 type values map[Signal]float64
 
-// run feeds a controller the values that signals have over time, and returns the transitions.
+// run samples at at each sampleInterval in [from, to), passes the values to a controller, and returns the transitions.
 func run(t *testing.T, c *Controller, from, to time.Duration, at func(now time.Duration) values) (
 	transitions []Transition) {
 	t.Helper()
@@ -33,7 +33,7 @@
 	return func(time.Duration) values { return values{signal: value} }
 }
 
-// changesPerMinute is the largest number of changes within any sixty seconds.
+// changesPerMinute returns the largest number of changes within any sixty seconds.
 func changesPerMinute(transitions []Transition) (largest int) {
 	for i := range transitions {
 		n := 0
@@ -47,7 +47,8 @@
 	return largest
 }
 
-// checkTransitions guards invariant 7: each change follows from the one before and has a cause.
+// checkTransitions checks invariant 7: each transition starts at the level that the one before ended at, and has a
+// cause.
 func checkTransitions(t *testing.T, transitions []Transition) {
 	t.Helper()
 	level := Full
@@ -56,11 +57,11 @@
 			t.Fatalf("transition %+v after level %v", x, level)
 		}
 		if _, known := ParseLevel(x.To); !known || x.Cause == "" || x.Cause == causeUnknown {
-			t.Fatalf("transition without a cause: %+v", x)
+			t.Fatalf("transition without a cause or to an unknown level: %+v", x)
 		}
-		byStatedSignal := x.Level > level && !x.Pinned && x.Cause != causePinEnded
-		if byStatedSignal && (x.Value < x.Threshold || x.Threshold <= 0) {
-			t.Fatalf("raised by a value under its threshold: %+v", x)
+		raisedBySignal := x.Level > level && !x.Pinned && x.Cause != causePinEnded
+		if raisedBySignal && (x.Value < x.Threshold || x.Threshold <= 0) {
+			t.Fatalf("raised by a value below its threshold: %+v", x)
 		}
 		level = x.Level
 	}
@@ -77,8 +78,8 @@
 	}
 }
 
-// TestSwingsAroundAThresholdChangeLittle guards invariant 3: ten minutes of 5% around each entry and exit, in squares
-// and sines, at periods from 0.2 to 60 s.
+// TestSwingsAroundAThresholdChangeLittle checks invariant 3: ten minutes of load that swings by 5% around each entry
+// and exit threshold, as square and sine waves with periods from 0.2 to 60 s.
 func TestSwingsAroundAThresholdChangeLittle(t *testing.T) {
 	sine := func(phase float64) float64 { return math.Sin(phase) }
 	square := func(phase float64) float64 { return math.Copysign(1, math.Sin(phase)) }
@@ -113,11 +114,12 @@
 		}
 	})
 	if changes == 0 {
-		t.Error("no level was ever entered: nothing was shown")
+		t.Error("no level was ever entered: the test has checked nothing")
 	}
 }
 
-// runSwing runs ten minutes of a swing after some seconds over the entry, so that exits are met from within the level.
+// runSwing runs ten minutes of a swing after 5 s above the entry threshold, so that the swing starts within the level
+// and also tests its exit.
 func runSwing(t *testing.T, signal Signal, enter float64, value func(now time.Duration) float64) []Transition {
 	t.Helper()
 	c := New(DefaultTimings)
@@ -127,8 +129,8 @@
 	})...)
 }
 
-// TestSwingsOverAllLevelsAreSlowedDown guards invariant 3 for what swings between nothing and everything: minimum stays
-// grow until two changes a minute are left on average.
+// TestSwingsOverAllLevelsAreSlowedDown checks invariant 3 for load that swings between none and full overload: minimum
+// stays grow until the level changes at most twice a minute on average.
 func TestSwingsOverAllLevelsAreSlowedDown(t *testing.T) {
 	for _, seconds := range []int{2, 5, 10, 20, 30, 45, 60} {
 		period := time.Duration(seconds) * second
@@ -146,7 +148,7 @@
 	}
 }
 
-// TestLevelsAreEnteredAndLeft guards invariants 1 and 2 for each signal and level.
+// TestLevelsAreEnteredAndLeft checks invariants 1 and 2 for each signal and level.
 func TestLevelsAreEnteredAndLeft(t *testing.T) {
 	eachEntry(func(signal Signal, level Level, enter float64) {
 		c := New(DefaultTimings)
@@ -163,18 +165,18 @@
 		}
 		left := run(t, c, 60*second, 120*second, steady(signal, 0))
 		if c.Level() != Full {
-			t.Errorf("%v: still at %v a minute after its end", signal, c.Level())
+			t.Errorf("%v: still at %v a minute after the signal fell to 0", signal, c.Level())
 		}
 		for _, x := range left {
 			if x.PreviousLevel-x.Level > 2 || x.Cause != causeNoSignal {
-				t.Errorf("%v: left by %+v", signal, x)
+				t.Errorf("%v: left by %+v, want two levels at most, without a signal", signal, x)
 			}
 		}
 		checkTransitions(t, append(entered, left...))
 	})
 }
 
-// TestShortPeakRaisesNoLevel guards the confirmation of invariant 1.
+// TestShortPeakRaisesNoLevel checks the ConfirmFor of invariant 1.
 func TestShortPeakRaisesNoLevel(t *testing.T) {
 	c := New(DefaultTimings)
 	transitions := run(t, c, 0, 60*second, func(now time.Duration) values {
@@ -184,16 +186,16 @@
 		return values{LateReads: 0}
 	})
 	if len(transitions) > 0 {
-		t.Errorf("%+v", transitions)
+		t.Errorf("peaks of 300 ms changed the level: %+v", transitions)
 	}
 }
 
-// TestLevelStaysForTheFaultThatLasts guards against a level that is left with the first of two faults.
+// TestLevelStaysForTheFaultThatLasts guards against leaving a level when the first of two faults ends.
 func TestLevelStaysForTheFaultThatLasts(t *testing.T) {
 	for _, test := range []struct {
 		name              string
-		originEnds        time.Duration // calls for shelter until then
-		ejectionsEnd      time.Duration // call for economy until then
+		originEnds        time.Duration // the origin's errors require Shelter until then
+		ejectionsEnd      time.Duration // the ejected nodes require Economy until then
 		levelWithOneFault Level
 	}{
 		{"the worse ends first", 30 * second, 90 * second, Economy},
@@ -218,31 +220,31 @@
 			}
 			transitions = append(transitions, run(t, c, 20*second, 80*second, at)...)
 			if c.Level() != test.levelWithOneFault {
-				t.Errorf("at %v with one of the two left, want %v", c.Level(), test.levelWithOneFault)
+				t.Errorf("at %v with one fault left, want %v", c.Level(), test.levelWithOneFault)
 			}
 			transitions = append(transitions, run(t, c, 80*second, 160*second, at)...)
 			if c.Level() != Full {
-				t.Errorf("at %v after both", c.Level())
+				t.Errorf("at %v after both faults, want full", c.Level())
 			}
 			checkTransitions(t, transitions)
 		})
 	}
 }
 
-// TestReturningClientsDoNotMakeTheLevelSwing guards recovery: clients that all return as a level is left must make it
-// stay for longer, not swing.
+// TestReturningClientsDoNotMakeTheLevelSwing guards against a level that swings during recovery: if all waiting
+// clients return as soon as a level is left, the level must stay for longer the next time.
 func TestReturningClientsDoNotMakeTheLevelSwing(t *testing.T) {
 	c := New(DefaultTimings)
-	backlog := 30.0 // of clients that wait to be admitted
+	backlog := 30.0 // clients that wait to be admitted
 	signals, transitions := UnknownSignals(), []Transition(nil)
 	for now := time.Duration(0); now < 300*second; now += sampleInterval {
 		switch {
 		case now < 10*second:
 			signals[Rejections] = 0.9
-		case c.Level() < Handovers: // those admitted are served, if all are late meanwhile
+		case c.Level() < Handovers: // the backlog shrinks quickly, but causes rejections
 			backlog = max(backlog-0.2, 0)
 			signals[Rejections] = min(0.9, backlog/10)
-		default: // few are admitted
+		default: // few clients are admitted, without rejections
 			backlog = max(backlog-0.05, 0)
 			signals[Rejections] = 0
 		}
@@ -254,13 +256,13 @@
 	checkTransitions(t, transitions)
 }
 
-// TestMissingSignalsRaiseNoLevel guards invariant 4.
+// TestMissingSignalsRaiseNoLevel checks invariant 4.
 func TestMissingSignalsRaiseNoLevel(t *testing.T) {
 	for _, invalid := range []float64{Unknown, math.Inf(1), math.Inf(-1), -1} {
 		t.Run(fmt.Sprint(invalid), func(t *testing.T) {
 			c := New(DefaultTimings)
 			if got := run(t, c, 0, 60*second, steady(Memory, invalid)); len(got) > 0 {
-				t.Errorf("%+v", got)
+				t.Errorf("an invalid signal changed the level: %+v", got)
 			}
 			run(t, c, 60*second, 80*second, steady(Memory, 0.99))
 			if c.Level() != Handovers {
@@ -268,18 +270,18 @@
 			}
 			beforeTimeout := 80*second + DefaultTimings.SignalTimeout - second
 			if got := run(t, c, 80*second, beforeTimeout, steady(Memory, invalid)); len(got) > 0 {
-				t.Errorf("left as soon as the signal was missing: %+v", got)
+				t.Errorf("left before SignalTimeout: %+v", got)
 			}
 			run(t, c, 90*second, 130*second, steady(Memory, invalid))
 			if c.Level() != Full {
-				t.Errorf("held at %v by a signal that is long missing", c.Level())
+				t.Errorf("still at %v after SignalTimeout", c.Level())
 			}
 		})
 	}
 }
 
-// TestClockJumpsEndNoStay guards invariant 5: an hour forward ends no stay and confirms nothing, an hour back holds
-// nothing for an hour.
+// TestClockJumpsEndNoStay checks invariant 5: a jump of an hour forward ends no minimum stay and confirms no signal,
+// and a jump of an hour back does not hold a level for an hour.
 func TestClockJumpsEndNoStay(t *testing.T) {
 	for _, jump := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(jump.String(), func(t *testing.T) {
@@ -306,7 +308,7 @@
 	}
 }
 
-// TestPinRulesAndEndsDuringAFault guards invariant 6.
+// TestPinRulesAndEndsDuringAFault checks invariant 6.
 func TestPinRulesAndEndsDuringAFault(t *testing.T) {
 	c := New(DefaultTimings)
 	transitions := c.Handle(0, Pin{Level: Economy, Duration: 30 * second}, nil)
--- a/internal/overload/level.go
+++ b/internal/overload/level.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// Level says how far service is degraded; a higher one is worse.
+// Level is a degradation level; a higher one is worse.
 type Level uint8
 
-// The levels. What each does is decided in package policy, for its limits in package core.
+// The levels. Package policy decides what each means for a request, and package core what it means for limits.
 const (
 	Full      Level = iota // no degradation
-	Economy                // no hedged requests, retries are rationed
-	Late                   // reads that have to be fetched may be late
+	Economy                // no hedged requests, and each retry is paid from the retry budget
+	Late                   // reads that have to be fetched from the origin may be late
 	Handovers              // a part of every limit is reserved for keyed writes
-	Shelter                // only keys that caches are expected to hold, and handovers
+	Shelter                // serves only keys that caches are expected to hold, and handovers
 	levelCount
 )
 
 const (
-	// maxDescent is how many levels service improves at once at most.
-	maxDescent = 2
+	// maxImprovement is the largest number of levels by which service improves at once.
+	maxImprovement = 2
 
-	// descentStayDivisor is the part, one in so many, of the minimum stay of a level that was left for which service
-	// stays at the level that it improved to.
-	descentStayDivisor = 4
+	// recoveryStayDivisor divides the minimum stay of the level that was left; the result is the minimum stay in the
+	// level that service improved to.
+	recoveryStayDivisor = 4
 )
 
 var levelNames = [levelCount]string{"full", "economy", "late", "handovers", "shelter"}
 
-// String returns the level's name, as configurations and transitions have it.
+// String returns the level's name, as used in configurations and transitions.
 func (l Level) String() string {
 	if l < levelCount {
 		return levelNames[l]
@@ -40,7 +40,7 @@
 // LevelNames returns the names of all levels, the best first.
 func LevelNames() []string { return slices.Clone(levelNames[:]) }
 
-// ParseLevel returns the level with a name.
+// ParseLevel returns the level with the given name; ok is false if there is none.
 func ParseLevel(name string) (level Level, ok bool) {
 	i := slices.Index(levelNames[:], name)
 	if i < 0 {
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Counts are what has happened since they were last reported. They may be any finite numbers; invalid ones make their
-// share unknown.
+// Counts are the events since the last report. Invalid counts (negative, not finite, or with more bad events than
+// events) are ignored, and their share becomes unknown.
 type Counts struct {
-	// Requests other than keyed writes that ended, and of them those not in time. Handovers are keyed writes.
+	// Reads are the requests other than keyed writes that ended, Handovers the keyed writes that ended. The late ones
+	// among them were not answered in time.
 	Reads, LateReads         float64
 	Handovers, LateHandovers float64
 
-	Offered, Rejected      float64 // requests that reached the gates, and of them those rejected there
-	Fetches, FailedFetches float64 // misses and writes that ended, and of them those that failed or got no answer
+	Offered, Rejected      float64 // requests that reached admission, and those rejected there
+	Fetches, FailedFetches float64 // misses and writes that ended, and those that failed or got no response
 
-	// Fetches that were measured, and the sum of what the origin added to them, in latency objectives.
+	// Fetches whose time was measured, and the sum of the times that the origin added to them, in latency objectives.
 	TimedFetches, FetchTimeSum float64
 }
 
 const (
-	// meterDecayTime is long enough for a proxy of a few requests a second.
+	// meterDecayTime is the time in which counts decay to 1/e: long enough for a proxy with a few requests a second.
 	meterDecayTime = 3 * time.Second
 
-	// The priors are good outcomes that are assumed besides those seen: at a proxy of few requests a single late one
-	// must be no overload. The second is for handovers and times, of which there are few: a third of them late must
-	// not take until it is over to show.
+	// The priors are good outcomes that are added to the observed ones, so that a single late request is no overload
+	// at a proxy with few requests. handoverPrior applies to handovers and origin times, of which there are few: a
+	// third of them being late must show before the fault is over.
 	meterPrior    = 20.0
 	handoverPrior = 5.0
 
-	// minMeterCount is the number of events under which a share is unknown.
+	// minMeterCount is the number of events below which a share is unknown.
 	minMeterCount = 0.5
 )
 
@@ -42,7 +43,7 @@
 
 type share struct{ all, bad float64 }
 
-// meteredSignals are the signals that a meter measures, in the order of its shares.
+// meteredSignals are the signals that a Meter measures, in the order of Meter.shares.
 var meteredSignals = [...]Signal{LateReads, LateHandovers, Rejections, OriginErrors, OriginLatency}
 
 func (c *Counts) shares() [len(meteredSignals)]share {
@@ -55,7 +56,7 @@
 	}
 }
 
-// Add counts what has happened until now. A clock that goes back counts as stopped.
+// Add decays the counts until now and adds c. If the clock goes back, nothing decays.
 func (m *Meter) Add(now time.Duration, c Counts) {
 	retention := 1.0
 	if m.started {
@@ -77,11 +78,11 @@
 	if !(s.all >= 0 && s.bad >= 0) || math.IsInf(s.all, 0) || math.IsInf(s.bad, 0) {
 		return false
 	}
-	isMean := signal == OriginLatency // not a share: the sum may exceed the count
+	isMean := signal == OriginLatency // a mean, not a share: its sum may exceed the count
 	return isMean || s.bad <= s.all
 }
 
-// Fill enters the shares among signals. A share of which nothing has happened lately is unknown.
+// Fill sets the metered signals to their shares. A share without recent events is Unknown.
 func (m *Meter) Fill(signals *Signals) {
 	for i, signal := range meteredSignals {
 		signals[signal] = Unknown
--- a/internal/overload/property_test.go
+++ b/internal/overload/property_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestRandomHistoriesKeepTheInvariants plays random signals, gaps, jumps and pins against the rules, each history to a
-// second controller as well: the same events must give the same transitions.
+// TestRandomHistoriesKeepTheInvariants checks the rules under random signals, gaps, clock jumps and pins. A second
+// controller gets the same events and must give the same transitions.
 func TestRandomHistoriesKeepTheInvariants(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := newHistory(t, seed)
@@ -36,9 +36,9 @@
 	controller, twin             *Controller
 	transitions, twinTransitions []Transition
 
-	now      time.Duration // of the events' clock
-	elapsed  time.Duration // as the controller counts it
-	raisedAt time.Duration // of elapsed
+	now      time.Duration // on the events' clock
+	elapsed  time.Duration // time as the controller counts it
+	raisedAt time.Duration // value of elapsed when the level was last raised
 	signals  Signals
 }
 
@@ -87,7 +87,7 @@
 func (h *history) event() Event {
 	switch h.rng.IntN(200) {
 	case 0:
-		level := Level(h.rng.IntN(7)) // some are beyond the worst
+		level := Level(h.rng.IntN(7)) // may be higher than the worst level
 		return Pin{Level: level, Duration: time.Duration(h.rng.Int64N(int64(time.Minute)))}
 	case 1:
 		return Unpin{}
@@ -95,7 +95,7 @@
 	return Sample{h.signals}
 }
 
-// checkLevel checks a change of the level that signals call for, whatever a pin has in force.
+// checkLevel checks a change of the level that the signals require, which a pin does not affect.
 func (h *history) checkLevel(before Level) {
 	if level := h.controller.Level(); level >= levelCount {
 		h.t.Fatalf("seed %d: level %v", h.seed, level)
@@ -106,7 +106,7 @@
 		h.raisedAt = h.elapsed
 	case after < before && h.elapsed-h.raisedAt < DefaultTimings.MinStay:
 		h.t.Fatalf("seed %d: %v left %v after it was entered", h.seed, before, h.elapsed-h.raisedAt)
-	case after < before && before-after > maxDescent:
+	case after < before && before-after > maxImprovement:
 		h.t.Fatalf("seed %d: from %v to %v at once", h.seed, before, after)
 	}
 }
--- a/internal/overload/signal.go
+++ b/internal/overload/signal.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Signal is a measured quantity that may call for a level.
+// Signal is a measured quantity that may require a level.
 type Signal uint8
 
 // The signals.
 const (
-	LateReads       Signal = iota // share of the requests that ended, other than keyed writes, that were not in time
-	LateHandovers                 // the same of keyed writes
-	Rejections                    // share of the requests offered that were rejected
+	LateReads       Signal = iota // share of the ended requests other than keyed writes that were not in time
+	LateHandovers                 // share of the ended keyed writes that were not in time
+	Rejections                    // share of the offered requests that were rejected
 	OriginErrors                  // share of the misses and writes that failed
-	OriginLatency                 // what the origin adds to fetches and writes, in latency objectives of their classes
-	TimerLag                      // seconds by which timers fired late, at most
-	Memory                        // share of the limit that is in use
+	OriginLatency                 // mean time that the origin adds, in latency objectives of the requests' classes
+	TimerLag                      // largest delay of a timer in seconds
+	Memory                        // share of the memory limit that is in use
 	Sockets                       // share of the client connections that are in use
 	EjectedNodes                  // share of the listed nodes that get no requests
 	EndpointListAge               // seconds since the sources of the endpoint list last responded
 	signalCount
 )
 
-// Threshold says at which values of a signal levels are entered, by level from Economy on; 0 where it never calls for
-// one. A level is left under Exit times its entry.
+// Threshold says at which values of a signal levels are entered and left.
 type Threshold struct {
-	Name  string // of the signal, in transitions and statistics
-	Enter [levelCount - 1]float64
-	Exit  float64 // share of an entry
+	Name  string                  // of the signal, in transitions and statistics
+	Enter [levelCount - 1]float64 // entry thresholds by level, from Economy on; 0 if it never requires the level
+	Exit  float64                 // exit threshold as a share of the entry threshold
 }
 
-// Thresholds are the conditions of entry and exit. The origin's latency is among the signals since it shows a brown-out
-// before anything has failed. The shares of late and rejected requests begin where the service's promise does (a tenth
-// late). Memory ends where the garbage collector can no longer keep under the limit, and shelter frees none. Ejected
-// nodes call for no shelter before three quarters are, as the rest still serve their keys.
+// Thresholds are the conditions of entry and exit, by signal. Origin latency is a signal because it shows a brown-out
+// before anything has failed. The thresholds for late and rejected requests start around the service objective (a
+// tenth late). Those for memory end where the garbage collector can no longer stay below the limit; none requires
+// Shelter, which frees no memory. Ejected nodes require Shelter only from three quarters on, as the other nodes still
+// serve their keys.
 var Thresholds = [signalCount]Threshold{
 	LateReads:       {"late_reads", [...]float64{0.10, 0.25, 0.45, 0.75}, 0.6},
 	LateHandovers:   {"late_handovers", [...]float64{0.12, 0.18, 0.25, 0.40}, 0.6},
@@ -48,7 +48,7 @@
 	EndpointListAge: {"list_age_s", [...]float64{60, 0, 0, 0}, 0.5},
 }
 
-// String returns the signal's name, as transitions have it.
+// String returns the signal's name, as used in transitions.
 func (s Signal) String() string {
 	if s < signalCount {
 		return Thresholds[s].Name
@@ -59,10 +59,10 @@
 // Unknown is the value of a signal that is not available.
 var Unknown = math.NaN()
 
-// Signals are the values at one time, by Signal. One that is not finite, or negative, is unknown.
+// Signals are the values at one time, by Signal. A value that is negative or not finite counts as unknown.
 type Signals [signalCount]float64
 
-// UnknownSignals returns signals of which none is known.
+// UnknownSignals returns Signals with all values Unknown.
 func UnknownSignals() (s Signals) {
 	for i := range s {
 		s[i] = Unknown
@@ -70,16 +70,16 @@
 	return s
 }
 
-// notOver is the time of signalState.overSince for a signal that is under a level's entry.
+// notOver is the value of signalState.overSince while the signal is below the level's entry threshold.
 const notOver = -1
 
-// signalState is what is known of one signal. Its times are of the controller's own clock.
+// signalState is the state of one signal. Its times are on the controller's own clock.
 type signalState struct {
-	value      float64 // the last one
+	value      float64 // the last known value
 	known      bool
 	receivedAt time.Duration
-	calls      Level                     // the level that it calls for
-	overSince  [levelCount]time.Duration // by level, since when it has been at or over the entry; notOver if it is not
+	required   Level                     // the level that the signal requires
+	overSince  [levelCount]time.Duration // by level, since when it has been at or above the entry threshold, or notOver
 }
 
 func (s *signalState) reset() {
@@ -89,7 +89,7 @@
 	}
 }
 
-// update takes a new value, which may be unknown.
+// update sets a new value, which may be unknown. After SignalTimeout without a known value the state is reset.
 func (s *signalState) update(threshold *Threshold, value float64, now time.Duration, timings *Timings) {
 	if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 		if s.known && now-s.receivedAt > timings.SignalTimeout {
@@ -98,7 +98,7 @@
 		return
 	}
 	s.known, s.receivedAt, s.value = true, now, value
-	calls := Full
+	required := Full
 	for level := Economy; level < levelCount; level++ {
 		enter := threshold.Enter[level-1]
 		switch {
@@ -110,10 +110,10 @@
 			s.overSince[level] = now
 		}
 		entered := s.overSince[level] != notOver && now-s.overSince[level] >= timings.ConfirmFor
-		stays := s.calls >= level && s.value >= threshold.Exit*enter
+		stays := s.required >= level && s.value >= threshold.Exit*enter
 		if entered || stays {
-			calls = level
+			required = level
 		}
 	}
-	s.calls = calls
+	s.required = required
 }
--- a/internal/pause/arrival.go
+++ b/internal/pause/arrival.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// This file estimates when the bytes that were read from a client arrived, and decides what becomes of a
-// request of that age.
+// This file estimates when the bytes that were read from a client arrived, and decides whether a request of
+// that age may still be sent.
 
 const (
-	// acceptDelay is how long after a pause or a stall all connections that waited have been accepted.
+	// acceptDelay is the time after a pause or a stall within which all waiting connections are accepted.
 	acceptDelay = time.Second
-	// kernelResolution is how coarsely the kernel counts the time since the last byte.
+	// kernelResolution is the resolution of the kernel's time since the last byte.
 	kernelResolution = 10 * time.Millisecond
-	// windowMargin is kept of a window for queues, and for clocks that differ.
+	// windowMargin is subtracted from a dedup window to allow for queueing and clock differences.
 	windowMargin = 100 * time.Millisecond
 )
 
-// ReadTiming is how bytes were read from a client's connection. All times are by the monotonic clock.
+// ReadTiming is the timing of a read from a client's connection. All times are on the monotonic clock.
 type ReadTiming struct {
-	DrainedAt time.Duration // when everything that had arrived was last read, zero for never
-	Started   time.Duration // of the call that read the bytes
-	Ended     time.Duration
+	DrainedAt time.Duration // last time before the read when everything that had arrived had been read, 0 for never
+	Started   time.Duration // start of the call that read the bytes
+	Ended     time.Duration // end of that call
 }
 
-// DrainedAfter returns when everything that had arrived was last read, after this read. A short one has read
-// all that there was at its end, or, if a pause lies within it, at its start at the latest. A stall within it
-// may have followed the read itself.
+// DrainedAfter returns the DrainedAt that applies after this read. A short read, which did not fill its buffer,
+// has read everything that had arrived when it ended. If a pause lies within the read, this is certain only of
+// what had arrived when the read started; if a stall does, only of what had arrived when the stall started, since
+// the stall may have followed the actual read.
 func (r ReadTiming) DrainedAfter(short bool, lastPause, lastStall Interval) time.Duration {
 	switch {
 	case !short:
@@ -37,8 +38,8 @@
 }
 
 // DrainedAtAccept returns the time before which no bytes can have arrived on a connection that was accepted
-// now, zero for unknown: it may have waited for that during the interval waited, or through the latest pause
-// or stall.
+// now, zero for unknown. The connection may have waited to be accepted during the interval waited, or through
+// the latest pause or stall.
 func DrainedAtAccept(now time.Duration, waited, lastPause, lastStall Interval) time.Duration {
 	switch {
 	case lastPause.End > 0 && now-lastPause.End <= acceptDelay:
@@ -51,26 +52,27 @@
 	return now
 }
 
-// KernelInfo is what the kernel reports of a connection right after a read.
+// KernelInfo is what the kernel reports about a connection right after a read. The zero value stands for no
+// information.
 type KernelInfo struct {
 	Known         bool
-	SinceLastByte time.Duration // since the last byte arrived
+	SinceLastByte time.Duration // time since the last byte arrived
 	SingleCommand bool          // what was read is one complete command, and nothing more has arrived
 }
 
-// Arrival is when the last byte of a command may have arrived. A process that runs reads at once, so what it
-// reads has just arrived, unless a pause lies between. Then it may have arrived at any time since the pause
-// began, or since the connection was last drained if that was later. Only the kernel can know more, and it
-// knows of the latest byte alone.
+// Arrival is the range of times when the last byte of a command may have arrived. A running process reads at
+// once, so what it reads has just arrived, unless there was a pause in between. After a pause it may have
+// arrived at any time since the pause began, or since the connection was last drained if that was later. Only
+// the kernel knows more, and only about the latest byte.
 type Arrival struct {
-	Earliest, Latest time.Duration // by the monotonic clock
+	Earliest, Latest time.Duration // on the monotonic clock
 }
 
-// Exact reports whether the time of arrival is known.
+// Exact reports whether the time of arrival is known to within kernelResolution.
 func (a Arrival) Exact() bool { return a.Latest-a.Earliest <= kernelResolution }
 
-// EstimateArrival estimates when the bytes of a read arrived, given the latest pause. The machine's sleep is
-// not on the clock that everything is measured by: what arrived before it is older by as much.
+// EstimateArrival estimates when the bytes of a read arrived, given the latest pause. The monotonic clock does
+// not count the time that the machine slept: bytes that arrived before the sleep are older by that time.
 func EstimateArrival(read ReadTiming, lastPause Interval, kernel KernelInfo) Arrival {
 	if lastPause.End == 0 || read.DrainedAt >= lastPause.End {
 		return Arrival{read.Ended, read.Ended}
@@ -89,29 +91,29 @@
 	return arrival
 }
 
-// Idempotency is what executing a request twice would do.
+// Idempotency says whether a request may be executed twice.
 type Idempotency uint8
 
 // The kinds of requests.
 const (
-	Idempotent        Idempotency = iota // it changes nothing
-	IdempotentWithKey                    // nothing within the window in which nodes drop its repeats
-	NotIdempotent                        // harm
+	Idempotent        Idempotency = iota // a second execution has no further effect
+	IdempotentWithKey                    // nodes drop repeats with the same key within the dedup window
+	NotIdempotent                        // a second execution does harm
 )
 
-// AgeDecision is what becomes of a request because of its age.
+// AgeDecision says whether a request may be sent, given its age.
 type AgeDecision struct {
-	Reject     bool          // as busy, at once: it was never sent, and a retry is harmless
-	SendBefore time.Duration // else it may be sent until then, by the monotonic clock
+	Reject     bool          // reject as busy at once: the request was never sent, so a retry is harmless
+	SendBefore time.Duration // otherwise it may be sent before this time on the monotonic clock
 }
 
-// DecideByAge decides on a request that may have arrived at a time, whose client waits for timeout. window is
-// the time in which nodes drop its repeats, if it has a key.
+// DecideByAge decides whether a request may be sent whose client waits for timeout. window is the dedup window
+// in which nodes drop repeats of a request with a key.
 //
-// A request with side effects counts as old as it may be: its client may have retried elsewhere as soon as
-// its timeout was over. If its age is not known, it must not be sent either when a repeat that was started at
-// once elsewhere would be forgotten. Idempotent requests count as young as they may be: a second one harms
-// nobody.
+// A request with side effects is assumed to be as old as it can be: its client may have retried elsewhere as
+// soon as its timeout was over. If it has a key and its age is not known, it must also be sent before the nodes
+// could forget a repeat that was sent elsewhere right after its arrival. An idempotent request is assumed to be
+// as young as it can be, as a second execution does no harm.
 func DecideByAge(
 	now time.Duration, idempotency Idempotency, timeout, window time.Duration, arrival Arrival,
 ) AgeDecision {
--- a/internal/pause/arrival_test.go
+++ b/internal/pause/arrival_test.go
@@ -8,7 +8,7 @@
 func TestEstimateArrival(t *testing.T) {
 	pause := Interval{Start: 1000 * ms, End: 7000 * ms}
 	slept := Interval{Start: 1000 * ms, End: 1040 * ms, Slept: 300 * ms}
-	unread := ReadTiming{900 * ms, 900 * ms, 7001 * ms} // when the process paused
+	unread := ReadTiming{900 * ms, 900 * ms, 7001 * ms} // not read yet when the process paused
 	unknown := KernelInfo{}
 	singleCommand := func(sinceLastByte time.Duration) KernelInfo {
 		return KernelInfo{Known: true, SinceLastByte: sinceLastByte, SingleCommand: true}
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestDrainedAtAccept guards that what a connection may have waited through counts, and that an old pause does
-// not.
+// TestDrainedAtAccept checks that a pause, a stall or a wait during which a connection may have waited to be
+// accepted counts, and that an old one does not.
 func TestDrainedAtAccept(t *testing.T) {
 	const now = 100 * time.Second
 	longAgo := Interval{Start: 10 * time.Second, End: 16 * time.Second}
@@ -95,7 +95,7 @@
 
 func TestDecideByAge(t *testing.T) {
 	const timeout, window = 2500 * ms, 1500 * ms
-	exact, vague := Arrival{5000 * ms, 5000 * ms}, Arrival{1000 * ms, 5000 * ms}
+	exact, uncertain := Arrival{5000 * ms, 5000 * ms}, Arrival{1000 * ms, 5000 * ms}
 	for _, test := range []struct {
 		name        string
 		now         time.Duration
@@ -106,13 +106,13 @@
 		{"just read", 5000 * ms, IdempotentWithKey, exact, AgeDecision{false, 7500 * ms}},
 		{"its client still waits", 7400 * ms, IdempotentWithKey, exact, AgeDecision{false, 7500 * ms}},
 		{"its client waits no more", 7500 * ms, IdempotentWithKey, exact, AgeDecision{true, 7500 * ms}},
-		{"a keyed one that may be old", 5000 * ms, IdempotentWithKey, vague, AgeDecision{true, 2400 * ms}},
+		{"a keyed one that may be old", 5000 * ms, IdempotentWithKey, uncertain, AgeDecision{true, 2400 * ms}},
 		{"a keyed one that can't be so old", 2000 * ms, IdempotentWithKey, Arrival{1000 * ms, 2000 * ms},
 			AgeDecision{false, 2400 * ms}},
-		{"one without a key that may be old", 5000 * ms, NotIdempotent, vague, AgeDecision{true, 3500 * ms}},
+		{"one without a key that may be old", 5000 * ms, NotIdempotent, uncertain, AgeDecision{true, 3500 * ms}},
 		{"one without a key within its timeout", 3000 * ms, NotIdempotent, Arrival{1000 * ms, 3000 * ms},
 			AgeDecision{false, 3500 * ms}},
-		{"a read that may be young", 5000 * ms, Idempotent, vague, AgeDecision{false, 7500 * ms}},
+		{"a read that may be young", 5000 * ms, Idempotent, uncertain, AgeDecision{false, 7500 * ms}},
 		{"a read that is certainly old", 5000 * ms, Idempotent, Arrival{1000 * ms, 2000 * ms},
 			AgeDecision{true, 4500 * ms}},
 	} {
--- a/internal/pause/detector_test.go
+++ b/internal/pause/detector_test.go
@@ -10,18 +10,17 @@
 
 const ms = time.Millisecond
 
-// step is one event and the actions that it must cause.
+// step is an event and the actions that it must cause.
 type step struct {
 	at       time.Duration
 	event    Event
-	deferred int // sends that are deferred then
+	deferred int // number of sends that are deferred at that time
 	want     []Action
 }
 
-// checked is a check of the clocks of a machine that has not slept.
+// checked is a check of the clocks on a machine that has not slept.
 var checked = ClockChecked{}
 
-// refreshed reports that the lists have been fetched.
 var refreshed = ListsRefreshed{}
 
 // paused returns the actions that report a pause.
@@ -32,7 +31,6 @@
 	}
 }
 
-// detectorRuns are the steps of TestDetector, by name.
 var detectorRuns = map[string][]step{
 	"checks in time report nothing": {
 		{50 * ms, checked, 0, nil},
@@ -100,8 +98,8 @@
 	}
 }
 
-// TestArrivingListExtendsDeferral guards guarantee 4: nothing is released while a list arrives, even after another was
-// fetched, until it is in force or MaxArrival has passed.
+// TestArrivingListExtendsDeferral checks guarantee 4: nothing is released while a list is arriving, even after another
+// list was fetched, until the list is in force or MaxArrival has passed.
 func TestArrivingListExtendsDeferral(t *testing.T) {
 	for name, steps := range map[string][]struct {
 		at       time.Duration
@@ -142,11 +140,11 @@
 	}
 }
 
-// randomGap is what happens between two checks of the clocks in a random run.
+// randomGap is the time between two checks of the clocks in a random run.
 type randomGap struct {
-	jitter time.Duration // by which the check is late, within its interval
-	stop   time.Duration // of the process
-	sleep  time.Duration // of the machine
+	jitter time.Duration // time that passes while the process runs, less than one check interval
+	stop   time.Duration // time during which the process does not run
+	sleep  time.Duration // time during which the machine sleeps
 }
 
 func drawGap(random *rand.Rand) (gap randomGap) {
@@ -160,7 +158,7 @@
 	return gap
 }
 
-// check fails the test if a pause that was reported at a time, or none, is not what the gap calls for.
+// check fails the test unless the pause reported at now, nil for none, matches the gap, which began at start.
 func (g *randomGap) check(t *testing.T, start, now time.Duration, reported *Interval) {
 	t.Helper()
 	paused := g.stop + g.sleep
@@ -176,7 +174,7 @@
 	}
 }
 
-// reportedPause returns the pause that actions report, nil for none.
+// reportedPause returns the interval of the Paused among actions, nil if there is none.
 func reportedPause(actions []Action) *Interval {
 	for _, action := range actions {
 		if paused, ok := action.(Paused); ok {
@@ -186,8 +184,8 @@
 	return nil
 }
 
-// TestPausesAreReported guards guarantees 1 to 4 in random runs: periodic checks that are late within bounds,
-// checks by others between them, and pauses anywhere.
+// TestPausesAreReported checks guarantees 1 to 4 in random runs: checks of the clocks at random times, at most
+// one check interval apart, with pauses and sleeps of the machine between them.
 func TestPausesAreReported(t *testing.T) {
 	for seed := range uint64(2000) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/pause/exhaustive_test.go
+++ b/internal/pause/exhaustive_test.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// This file exhausts a small model: a client that sends a write to proxy A and, unanswered, to proxy B under
-// the same key, one node that drops repeats within a window, and one pause of A at any time. A reads, decides,
-// checks and writes, with time between; B serves at once. Time is counted in steps.
+// This file checks all states of a small model: a client sends a write to proxy A and, if it gets no response, to
+// proxy B with the same key. One node drops repeats within a window. A pauses once, at any time. A reads, decides,
+// checks and writes, with time in between; B serves at once. Time advances in steps.
 
 const (
 	timeStep    = 50 * ms
 	modelWindow = 1500 * ms
 )
 
-// modelRules are the rules that A follows. Each is left out once, to see that the model then finds a repeat.
+// modelRules are the rules that A follows. The test leaves out each of them once, to show that the model then finds
+// a repeat.
 type modelRules struct {
-	age       bool // it decides by age
-	lastCheck bool // it checks once more right before the write
+	age       bool // A rejects by age
+	lastCheck bool // A checks once more right before the write
 }
 
-// modelRun is one course of the model.
+// modelRun is one run of the model.
 type modelRun struct {
-	timeout          time.Duration // of the client for A
-	closes           bool          // the client closes when it has given up; A sees that when it reads
-	busy             time.Duration // A is at work elsewhere before it reads
-	queued           time.Duration // between A's decision and its last check
-	retryDelay       time.Duration // from the client's timeout to the send through B
-	pauseAt, pause   time.Duration
-	kernelKnown      bool // A's kernel knows ages
-	checkedJustPrior bool // A had checked the clocks right before the pause
+	timeout            time.Duration // of the client for A
+	closes             bool          // the client closes its connection after the timeout; A notices when it reads
+	busy               time.Duration // A is busy with other work before it reads
+	queued             time.Duration // between A's decision and its last check
+	retryDelay         time.Duration // from the client's timeout to the send through B
+	pauseAt, pause     time.Duration // start and length of A's pause
+	kernelKnown        bool          // A's kernel reports the time since the last byte
+	checkedBeforePause bool          // A checked the clocks right before the pause
 }
 
-// modelOutcome is how a run ends.
+// modelOutcome is the outcome of a run.
 type modelOutcome struct {
-	effects    int
+	effects    int  // number of times that the write took effect
 	undetected bool // the pause was between the last check and the write
-	rejected   bool
-	answered   bool // by A, in time
+	rejected   bool // A did not send the write
+	answered   bool // A answered in time
 }
 
-// sentAt is when the client sends its write to A.
+// sentAt is the time when the client sends its write to A.
 const sentAt = 1000 * ms
 
-// advance returns the time after a step of A, which a pause within it delays.
+// advance returns the end of a step of A. A pause that begins within the step delays the end.
 func (r *modelRun) advance(start, duration time.Duration) time.Duration {
 	end := start + duration
 	if start <= r.pauseAt && r.pauseAt < end {
@@ -52,19 +53,19 @@
 	return end
 }
 
-// detected returns the pause that A has detected at a time.
+// detected returns the pause that A has detected by now, the zero Interval for none.
 func (r *modelRun) detected(now time.Duration) Interval {
 	if now < r.pauseAt+r.pause || r.pause < DefaultLimits.MinPause {
 		return Interval{}
 	}
 	interval := Interval{Start: r.pauseAt, End: r.pauseAt + r.pause}
-	if !r.checkedJustPrior {
+	if !r.checkedBeforePause {
 		interval.Start -= DefaultLimits.CheckInterval
 	}
 	return interval
 }
 
-// countEffects returns how many writes under one key take effect at a node, in the order in which they come.
+// countEffects returns how many writes with one key take effect at the node. The writes are in order of arrival.
 func countEffects(writes ...time.Duration) int {
 	var effects []time.Duration
 	for _, write := range writes {
@@ -79,7 +80,7 @@
 	return len(effects)
 }
 
-// run plays a run.
+// run simulates the run under rules.
 func (r *modelRun) run(rules modelRules) (outcome modelOutcome) {
 	const never = -1
 	read := r.advance(sentAt, r.busy)
@@ -104,7 +105,7 @@
 	}
 	outcome.rejected = write == never
 	outcome.answered = write != never && write < sentAt+r.timeout
-	// The client sends to B unless A has answered when it gives up.
+	// The client retries through B unless A has answered within the timeout.
 	retry := sentAt + r.timeout + r.retryDelay
 	switch {
 	case outcome.answered:
@@ -122,8 +123,8 @@
 // modelCounts counts runs by their outcomes.
 type modelCounts struct {
 	runs, rejected, answered int
-	doubled                  int // an effect twice, by a pause that could be detected
-	doubledUndetected        int // an effect twice, by one that could not
+	doubled                  int // runs with a repeated effect after a pause that could be detected
+	doubledUndetected        int // runs with a repeated effect after a pause that could not be detected
 }
 
 func (c *modelCounts) add(outcome modelOutcome) {
@@ -143,7 +144,7 @@
 	}
 }
 
-// exhaust plays all runs and counts their outcomes.
+// exhaust simulates all runs and counts their outcomes.
 func exhaust(rules modelRules) (counts modelCounts) {
 	for timeout := 500 * ms; timeout <= 2500*ms; timeout += 500 * ms {
 		for busy := time.Duration(0); busy <= 200*ms; busy += 100 * ms {
@@ -158,7 +159,8 @@
 	return counts
 }
 
-// exhaustPauses plays a run with every pause, and with everything that A and its client may do otherwise.
+// exhaustPauses simulates a run with every pause and every combination of closes, kernelKnown and
+// checkedBeforePause.
 func exhaustPauses(run modelRun, rules modelRules, counts *modelCounts) {
 	pauses := []time.Duration{
 		0, 200 * ms, 250 * ms, 300 * ms, 1000 * ms, 1600 * ms, 3000 * ms, 6000 * ms, 30000 * ms,
@@ -168,15 +170,15 @@
 			for choice := range 8 {
 				run.closes = choice&1 != 0
 				run.kernelKnown = choice&2 != 0
-				run.checkedJustPrior = choice&4 != 0
+				run.checkedBeforePause = choice&4 != 0
 				counts.add(run.run(rules))
 			}
 		}
 	}
 }
 
-// TestNoPauseRepeatsAnEffect guards guarantee 5: no pause at any time makes an effect happen twice, except for
-// one between the last check and the write; and each rule is missed when it is left out.
+// TestNoPauseRepeatsAnEffect checks guarantee 5: no pause makes a write take effect twice, except for a pause
+// between the last check and the write. Without either rule, some pause does.
 func TestNoPauseRepeatsAnEffect(t *testing.T) {
 	counts := exhaust(modelRules{age: true, lastCheck: true})
 	t.Logf("%+v", counts)
@@ -189,7 +191,7 @@
 		"no last check": {age: true},
 	} {
 		if exhaust(rules).doubled == 0 {
-			t.Errorf("%s: nothing doubled, so the rule guards nothing", name)
+			t.Errorf("%s: no effect was repeated, so the model does not show that the rule is needed", name)
 		}
 	}
 }
--- a/internal/pause/stall.go
+++ b/internal/pause/stall.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// This file remembers stalls: a host that is short of processors causes them time and again. They make
-// answers late, so while there have been some answers are due earlier.
+// This file tracks stalls. A host that is short of processors causes them repeatedly, and each makes responses
+// late. After recent stalls, responses are therefore due earlier by a safety margin.
 
 const (
 	// MinStall is the shortest time between two checks that counts as a stall. Periodic checks alone are
 	// DefaultLimits.CheckInterval apart.
 	MinStall = 65 * time.Millisecond
-	// readDelay is how long after a stall everything that arrived in it has been read.
+	// readDelay is the time after a stall within which everything that arrived during it is read.
 	readDelay = 30 * time.Millisecond
-	// stallMemory is how long the worst stall counts at least; it is forgotten within twice as long.
+	// stallMemory is the shortest time for which the worst stall counts; it is forgotten after twice as long at most.
 	stallMemory = 20 * time.Second
-	// minExpectedStall is the shortest stall to expect once there has been any.
+	// minExpectedStall is the shortest stall to expect after any recent one.
 	minExpectedStall = 150 * time.Millisecond
-	// lateTolerance is how late an answer may be: clients wait for a moment longer than they say.
+	// lateTolerance is how late a response may be: clients wait slightly longer than their stated timeout.
 	lateTolerance = 40 * time.Millisecond
-	// maxMarginShare is the largest share of a client's timeout that is given up for expected stalls.
+	// maxMarginShare is the largest share of a client's timeout that the safety margin may take.
 	maxMarginShare = 0.6
 )
 
-// StallTracker remembers the stalls of a process. The zero value has seen none.
+// StallTracker tracks the stalls of a process. The zero value is ready for use and has observed none.
 type StallTracker struct {
 	latest        Interval
-	currentWorst  time.Duration // in the present span of stallMemory
-	previousWorst time.Duration // in the span before
-	windowStart   time.Duration // of the present span
+	currentWorst  time.Duration // longest stall in the present span of stallMemory
+	previousWorst time.Duration // longest stall in the span before
+	spanStart     time.Duration // start of the present span
 }
 
-// Observe takes the times of two consecutive checks, and reports whether there was a stall between them. What
-// is long enough for a [Detector] to report as a pause is not a stall.
+// Observe records the times of two consecutive checks, and reports whether there was a stall between them. A
+// time that is long enough for a [Detector] to report it as a pause is not a stall.
 func (t *StallTracker) Observe(last, now time.Duration) bool {
 	duration := now - last
 	if duration < MinStall || duration >= DefaultLimits.MinPause {
@@ -42,9 +42,9 @@
 	return true
 }
 
-// rotate begins a new span of stallMemory if the present one is over.
+// rotate starts a new span of stallMemory if the present one is over.
 func (t *StallTracker) rotate(now time.Duration) {
-	switch spans := (now - t.windowStart) / stallMemory; {
+	switch spans := (now - t.spanStart) / stallMemory; {
 	case spans == 0:
 		return
 	case spans == 1:
@@ -52,7 +52,7 @@
 	default:
 		t.previousWorst = 0
 	}
-	t.currentWorst, t.windowStart = 0, now
+	t.currentWorst, t.spanStart = 0, now
 }
 
 // Latest returns the latest stall, the zero Interval for none.
@@ -65,8 +65,8 @@
 }
 
 // SafetyMargin returns how long before its client's timeout a request must be answered so that one more stall
-// of the recently observed length does not make the answer late. It is zero without recent stalls, as it
-// costs answers that would have come right before the end.
+// of the longest recent length does not make the response late. It is zero without recent stalls, as a margin
+// loses responses that would have arrived just before the timeout.
 func (t *StallTracker) SafetyMargin(now, timeout time.Duration) time.Duration {
 	worst := t.Worst(now)
 	if worst == 0 {
@@ -75,8 +75,8 @@
 	return min(max(worst, minExpectedStall)-lateTolerance, time.Duration(maxMarginShare*float64(timeout)))
 }
 
-// DelayedByStall reports whether what was read may have arrived in a stall and waited for its end, and since
-// when. If the connection was drained after the stall, nothing had arrived in it.
+// DelayedByStall reports whether the bytes of a read may have arrived during a stall and waited for its end, and
+// since when they may have waited. If the connection was drained after the stall, no bytes have.
 func DelayedByStall(read ReadTiming, stall Interval) (since time.Duration, delayed bool) {
 	readInOrRightAfter := read.Ended >= stall.Start && read.Ended <= stall.End+readDelay
 	if stall.End == 0 || !readInOrRightAfter || read.DrainedAt >= stall.End {
--- a/internal/pause/stall_test.go
+++ b/internal/pause/stall_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestStallsAreReported guards that what is longer than the interval of checks is a stall, and that what is
-// long enough for a pause is none.
+// TestStallsAreReported checks that a time from MinStall on between two checks is a stall, unless it is long enough
+// for a pause.
 func TestStallsAreReported(t *testing.T) {
 	for duration, want := range map[time.Duration]bool{
 		DefaultLimits.CheckInterval: false,
@@ -26,9 +26,8 @@
 	}
 }
 
-// TestSafetyMarginCoversRecentStalls guards in random runs that an answer that is due earlier by the margin is
-// late by no more than is tolerated, whatever stall hits it that is no longer than those before, and that no
-// stall is remembered for ever.
+// TestSafetyMarginCoversRecentStalls checks in random runs that a response that is due earlier by the margin is
+// late by lateTolerance at most after a stall no longer than recent ones, and that no stall is remembered forever.
 func TestSafetyMarginCoversRecentStalls(t *testing.T) {
 	for seed := range uint64(500) {
 		random := rand.New(rand.NewPCG(seed, 1))
