--- a/internal/membership/restarts.go
+++ b/internal/membership/restarts.go
@@ -117,8 +117,8 @@
 }
 
 // nodeReturned counts a return, and starts a hold-down if there were too many. The node counts as restarted if it was
-// Gone and either stayed away for longer than CacheRetention or its process was seen to end. It returns the reason for
-// a new start time, "" if there is none.
+// Gone and either stayed away for longer than CacheRetention or its process is assumed to have ended. It returns the
+// reason for a new start time, "" if there is none.
 func (r *Reconciler) nodeReturned(n *node) (reason string) {
 	limits := &r.settings.Limits
 	if n.wasGone && (r.now-n.leftAt > limits.CacheRetention || n.processEnded) {
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -15,7 +15,7 @@
 // values are the values of some signals at one time; the other signals are unknown.
 type values map[Signal]float64
 
-// run samples at at each sampleInterval in [from, to), passes the values to a controller, and returns the transitions.
+// run calls at for each sampleInterval in [from, to), passes the values to a controller, and returns the transitions.
 func run(t *testing.T, c *Controller, from, to time.Duration, at func(now time.Duration) values) (
 	transitions []Transition) {
 	t.Helper()
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -6,7 +6,7 @@
 )
 
 // Counts are the events since the last report. Invalid counts (negative, not finite, or with more bad events than
-// events) are ignored, and their share becomes unknown.
+// events) are ignored, so that their share becomes unknown once earlier counts have decayed.
 type Counts struct {
 	// Reads are the requests other than keyed writes that ended, Handovers the keyed writes that ended. The late ones
 	// among them were not answered in time.
--- a/internal/pause/arrival_test.go
+++ b/internal/pause/arrival_test.go
@@ -27,9 +27,9 @@
 		{"unread when it paused", unread, pause, unknown, Arrival{1000 * ms, 7001 * ms}},
 		{"drained within the pause", ReadTiming{1100 * ms, 1100 * ms, 7001 * ms}, pause, unknown,
 			Arrival{1100 * ms, 7001 * ms}},
-		{"the kernel knows, one command", unread, pause, singleCommand(2000 * ms),
+		{"the kernel reports the age of one command", unread, pause, singleCommand(2000 * ms),
 			Arrival{4991 * ms, 5001 * ms}},
-		{"the kernel knows of the last of several", unread, pause, severalCommands,
+		{"the kernel reports the age of the last of several commands", unread, pause, severalCommands,
 			Arrival{1000 * ms, 5001 * ms}},
 		{"the kernel's age is from before the pause", ReadTiming{0, 900 * ms, 7001 * ms}, pause,
 			singleCommand(6500 * ms), Arrival{1000 * ms, 1000 * ms}},
@@ -104,8 +104,8 @@
 		want        AgeDecision
 	}{
 		{"just read", 5000 * ms, IdempotentWithKey, exact, AgeDecision{false, 7500 * ms}},
-		{"its client still waits", 7400 * ms, IdempotentWithKey, exact, AgeDecision{false, 7500 * ms}},
-		{"its client waits no more", 7500 * ms, IdempotentWithKey, exact, AgeDecision{true, 7500 * ms}},
+		{"shortly before its client's timeout", 7400 * ms, IdempotentWithKey, exact, AgeDecision{false, 7500 * ms}},
+		{"at its client's timeout", 7500 * ms, IdempotentWithKey, exact, AgeDecision{true, 7500 * ms}},
 		{"a keyed one that may be old", 5000 * ms, IdempotentWithKey, uncertain, AgeDecision{true, 2400 * ms}},
 		{"a keyed one that can't be so old", 2000 * ms, IdempotentWithKey, Arrival{1000 * ms, 2000 * ms},
 			AgeDecision{false, 2400 * ms}},
