--- a/internal/pause/arrival_test.go
+++ b/internal/pause/arrival_test.go
@@ -8,7 +8,7 @@
 func TestEstimateArrival(t *testing.T) {
 	pause := Interval{Start: 1000 * ms, End: 7000 * ms}
 	slept := Interval{Start: 1000 * ms, End: 1040 * ms, Slept: 300 * ms}
-	unread := ReadTiming{900 * ms, 900 * ms, 7001 * ms} // when the process paused
+	unread := ReadTiming{900 * ms, 900 * ms, 7001 * ms} // not read yet when the process paused
 	unknown := KernelInfo{}
 	singleCommand := func(sinceLastByte time.Duration) KernelInfo {
 		return KernelInfo{Known: true, SinceLastByte: sinceLastByte, SingleCommand: true}
@@ -27,9 +27,9 @@
 		{"unread when it paused", unread, pause, unknown, Arrival{1000 * ms, 7001 * ms}},
 		{"drained within the pause", ReadTiming{1100 * ms, 1100 * ms, 7001 * ms}, pause, unknown,
 			Arrival{1100 * ms, 7001 * ms}},
-		{"the kernel knows, one command", unread, pause, singleCommand(2000 * ms),
+		{"the kernel reports the age of one command", unread, pause, singleCommand(2000 * ms),
 			Arrival{4991 * ms, 5001 * ms}},
-		{"the kernel knows of the last of several", unread, pause, severalCommands,
+		{"the kernel reports the age of the last of several commands", unread, pause, severalCommands,
 			Arrival{1000 * ms, 5001 * ms}},
 		{"the kernel's age is from before the pause", ReadTiming{0, 900 * ms, 7001 * ms}, pause,
 			singleCommand(6500 * ms), Arrival{1000 * ms, 1000 * ms}},
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestDrainedAtAccept guards that what a connection may have waited through counts, and that an old pause does
-// not.
+// TestDrainedAtAccept checks that a pause, a stall or a wait during which a connection may have waited to be
+// accepted counts, and that an old one does not.
 func TestDrainedAtAccept(t *testing.T) {
 	const now = 100 * time.Second
 	longAgo := Interval{Start: 10 * time.Second, End: 16 * time.Second}
@@ -95,7 +95,7 @@
 
 func TestDecideByAge(t *testing.T) {
 	const timeout, window = 2500 * ms, 1500 * ms
-	exact, vague := Arrival{5000 * ms, 5000 * ms}, Arrival{1000 * ms, 5000 * ms}
+	exact, uncertain := Arrival{5000 * ms, 5000 * ms}, Arrival{1000 * ms, 5000 * ms}
 	for _, test := range []struct {
 		name        string
 		now         time.Duration
@@ -104,15 +104,15 @@
 		want        AgeDecision
 	}{
 		{"just read", 5000 * ms, IdempotentWithKey, exact, AgeDecision{false, 7500 * ms}},
-		{"its client still waits", 7400 * ms, IdempotentWithKey, exact, AgeDecision{false, 7500 * ms}},
-		{"its client waits no more", 7500 * ms, IdempotentWithKey, exact, AgeDecision{true, 7500 * ms}},
-		{"a keyed one that may be old", 5000 * ms, IdempotentWithKey, vague, AgeDecision{true, 2400 * ms}},
+		{"shortly before its client's timeout", 7400 * ms, IdempotentWithKey, exact, AgeDecision{false, 7500 * ms}},
+		{"at its client's timeout", 7500 * ms, IdempotentWithKey, exact, AgeDecision{true, 7500 * ms}},
+		{"a keyed one that may be old", 5000 * ms, IdempotentWithKey, uncertain, AgeDecision{true, 2400 * ms}},
 		{"a keyed one that can't be so old", 2000 * ms, IdempotentWithKey, Arrival{1000 * ms, 2000 * ms},
 			AgeDecision{false, 2400 * ms}},
-		{"one without a key that may be old", 5000 * ms, NotIdempotent, vague, AgeDecision{true, 3500 * ms}},
+		{"one without a key that may be old", 5000 * ms, NotIdempotent, uncertain, AgeDecision{true, 3500 * ms}},
 		{"one without a key within its timeout", 3000 * ms, NotIdempotent, Arrival{1000 * ms, 3000 * ms},
 			AgeDecision{false, 3500 * ms}},
-		{"a read that may be young", 5000 * ms, Idempotent, vague, AgeDecision{false, 7500 * ms}},
+		{"a read that may be young", 5000 * ms, Idempotent, uncertain, AgeDecision{false, 7500 * ms}},
 		{"a read that is certainly old", 5000 * ms, Idempotent, Arrival{1000 * ms, 2000 * ms},
 			AgeDecision{true, 4500 * ms}},
 	} {
