--- a/internal/peer/detector.go
+++ b/internal/peer/detector.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// maxReplacedIncarnations bounds the incarnations of a member that are known to have been replaced.
+// maxReplacedIncarnations bounds the replaced incarnations that are remembered for a member.
 const maxReplacedIncarnations = 8
 
 // Event is an input of a [Detector].
 type Event interface{ event() }
 
 type (
-	// Heartbeat is a member's sign of life.
+	// Heartbeat reports that a member is alive.
 	Heartbeat struct {
 		Member       Member
-		ConnectionID uint64 // of the connection that it came on
+		ConnectionID uint64 // of the connection on which it arrived
 	}
-	// ConnectionLost says that a connection has ended.
+	// ConnectionLost reports that a connection has closed.
 	ConnectionLost struct{ ConnectionID uint64 }
-	// Tick has the silences checked. It must come at least every half of Parameters.PauseThreshold.
+	// Tick checks the timeouts. The caller sends it at least every half of Parameters.PauseThreshold.
 	Tick struct{}
 )
 
@@ -27,15 +27,15 @@
 func (ConnectionLost) event() {}
 func (Tick) event()           {}
 
-// HeartbeatResult is what a heartbeat came to. The numbers are sent between processes.
+// HeartbeatResult is a watcher's response to a heartbeat. The numeric values are sent between processes.
 type HeartbeatResult uint8
 
-// The results.
+// Every result but Accepted means that the heartbeat was rejected.
 const (
 	Accepted       HeartbeatResult = iota
-	Replaced                       // another process of that name has taken this one's place
-	NameTaken                      // another process of that name has it still
-	TooManyMembers                 // there is no room for the member
+	Replaced                       // another process with this name has replaced the sender
+	NameTaken                      // another process with this name is neither gone nor leaving
+	TooManyMembers                 // there are MaxMembers members already
 )
 
 var resultNames = [...]string{
@@ -45,7 +45,7 @@
 	TooManyMembers: "too many members",
 }
 
-// String returns the result as logs have it.
+// String returns the result's name in logs.
 func (r HeartbeatResult) String() string {
 	if int(r) < len(resultNames) {
 		return resultNames[r]
@@ -53,44 +53,45 @@
 	return "unknown"
 }
 
-// watchedMember is a member as a watcher knows it.
+// watchedMember is a watcher's record of a member.
 type watchedMember struct {
 	member         Member
 	state          State
 	stateSince     time.Duration
 	lastHeartbeat  time.Duration
 	connectionID   uint64        // of the last heartbeat
-	connectionLost time.Duration // when that connection ended, 0 while it is open
-	replaced       []uint64      // incarnations, the latest last
-	changedVersion uint64        // the version that last changed the member
+	connectionLost time.Duration // when that connection closed, 0 while it is open
+	replaced       []uint64      // replaced incarnations, oldest first
+	changedVersion uint64        // the version of the member's last change
 }
 
-// Detector is one watcher's opinion of all members. The zero value is not usable.
+// Detector is one watcher's opinion of all members. Use [NewDetector] to create one.
 type Detector struct {
 	parameters Parameters
 	members    map[string]*watchedMember // by name
 	version    uint64
-	// completeVersion is the version that last removed a member: a list of changes since an older one would lack that.
+	// completeVersion is the version that last removed a member. Changes since an older version can't be listed, as
+	// the removal would be missing.
 	completeVersion uint64
 	lastEvent       time.Duration
 }
 
-// NewDetector returns a watcher that knows nobody.
+// NewDetector returns a detector without members.
 func NewDetector(parameters Parameters, now time.Duration) *Detector {
 	return &Detector{parameters: parameters, members: make(map[string]*watchedMember), lastEvent: now}
 }
 
-// Version returns the version of the opinion, which rises with every change.
+// Version returns the version of the opinion, which increases with every change.
 func (d *Detector) Version() uint64 { return d.version }
 
-// Members returns what the watcher knows of all members, by name.
+// Members returns all members and their states, sorted by name.
 func (d *Detector) Members() []MemberState {
 	list, _ := d.ChangedSince(0)
 	return list
 }
 
-// ChangedSince returns what the watcher knows of the members that have changed since a version, or, if complete, of all
-// members.
+// ChangedSince returns the members that have changed since a version, sorted by name. It returns all members, and sets
+// complete, for version 0 and if the changes since that version can't be listed.
 func (d *Detector) ChangedSince(version uint64) (list []MemberState, complete bool) {
 	complete = version == 0 || version < d.completeVersion || version > d.version
 	for _, m := range d.members {
@@ -102,9 +103,9 @@
 	return list, complete
 }
 
-// Handle handles an event that occurs at now. The result is that of a heartbeat, and Accepted for other events.
+// Handle processes an event that occurs at now. The result is Accepted for all events but a rejected heartbeat.
 func (d *Detector) Handle(now time.Duration, event Event) HeartbeatResult {
-	d.excuseOwnPause(now)
+	d.extendTimeoutsAfterPause(now)
 	result := Accepted
 	switch e := event.(type) {
 	case Heartbeat:
@@ -122,7 +123,7 @@
 	return result
 }
 
-// updateState makes a member that is silent or disconnected suspect and then gone, and forgets it in the end.
+// updateState marks a silent or disconnected member as suspect and later as gone, and removes it after ForgetAfter.
 func (d *Detector) updateState(now time.Duration, name string, m *watchedMember) {
 	p := &d.parameters
 	silence := now - m.lastHeartbeat
@@ -140,8 +141,9 @@
 	}
 }
 
-// excuseOwnPause moves all start times of timeouts forward by a time in which this watcher was paused itself.
-func (d *Detector) excuseOwnPause(now time.Duration) {
+// extendTimeoutsAfterPause moves the start of every timeout forward by the time for which this watcher was paused: it
+// processed no heartbeats meanwhile.
+func (d *Detector) extendTimeoutsAfterPause(now time.Duration) {
 	if gap := now - d.lastEvent; gap >= d.parameters.PauseThreshold {
 		for _, m := range d.members {
 			m.lastHeartbeat += gap
@@ -166,7 +168,7 @@
 	m.changedVersion = d.version
 }
 
-// heartbeat records a member's sign of life, unless another process has its name.
+// heartbeat records a heartbeat, unless the member was replaced, its name is taken or there are too many members.
 func (d *Detector) heartbeat(now time.Duration, e *Heartbeat) HeartbeatResult {
 	m := d.members[e.Member.Name]
 	if m == nil {
@@ -181,7 +183,7 @@
 		if m.state != Gone && !m.member.Leaving {
 			return NameTaken
 		}
-		m.noteReplaced()
+		m.recordReplaced()
 	}
 	if m.member != e.Member {
 		d.markChanged(m)
@@ -194,15 +196,15 @@
 	return Accepted
 }
 
-// noteReplaced records that another process takes the place of the member's present one.
-func (m *watchedMember) noteReplaced() {
+// recordReplaced records that another process replaces the member's present one.
+func (m *watchedMember) recordReplaced() {
 	m.replaced = append(m.replaced, m.member.Incarnation)
 	if len(m.replaced) > maxReplacedIncarnations {
 		m.replaced = m.replaced[1:]
 	}
 }
 
-// NextTick returns when the next Tick is due at the latest.
+// NextTick returns the latest time at which the next Tick is due. It is not before now.
 func (d *Detector) NextTick(now time.Duration) time.Duration {
 	next := now + d.parameters.PauseThreshold/2
 	for _, m := range d.members {
--- a/internal/peer/member.go
+++ b/internal/peer/member.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Member is an instance as it describes itself.
+// Member is an instance's description of itself, sent with its heartbeats.
 type Member struct {
 	Name        string `cbor:"1,keyasint" json:"name"`
-	Incarnation uint64 `cbor:"2,keyasint" json:"run"` // of its process, drawn at its start
+	Incarnation uint64 `cbor:"2,keyasint" json:"run"` // random number of the process, chosen at its start
 	Address     string `cbor:"3,keyasint,omitempty" json:"address,omitempty"`
 	Zone        string `cbor:"4,keyasint,omitempty" json:"zone,omitempty"`
-	Leaving     bool   `cbor:"5,keyasint,omitempty" json:"leaving,omitempty"` // it drains
-	Version     int    `cbor:"6,keyasint,omitempty" json:"version,omitempty"` // of the protocol that it speaks
+	Leaving     bool   `cbor:"5,keyasint,omitempty" json:"leaving,omitempty"` // it is draining
+	Version     int    `cbor:"6,keyasint,omitempty" json:"version,omitempty"` // of the protocol, package rpc
 }
 
-// State is what is known of a member. The numbers are sent between processes.
+// State is the liveness of a member. The numeric values are sent between processes.
 type State uint8
 
-// The states, the better ones first. The zero State is that of a member which is not known.
+// The zero State is that of an unknown member.
 const (
 	Alive State = iota + 1
 	Suspect
@@ -27,7 +27,7 @@
 
 var stateNames = [...]string{Alive: "alive", Suspect: "suspect", Gone: "gone"}
 
-// String returns the state as logs and JSON have it.
+// String returns the state's name in logs and JSON.
 func (s State) String() string {
 	if int(s) < len(stateNames) && stateNames[s] != "" {
 		return stateNames[s]
@@ -35,10 +35,10 @@
 	return "unknown"
 }
 
-// MarshalText makes JSON have the state as a word.
+// MarshalText implements encoding.TextMarshaler, so that JSON has the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads the word; any other is the zero State.
+// UnmarshalText implements encoding.TextUnmarshaler. An unrecognized name gives the zero State, not an error.
 func (s *State) UnmarshalText(text []byte) error {
 	*s = 0
 	for state, name := range stateNames {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// MemberState is a member and what is known of it.
+// MemberState is a member with its state.
 type MemberState struct {
 	Member `cbor:"1,keyasint"`
 	State  State `cbor:"2,keyasint" json:"state"`
--- a/internal/peer/parameters.go
+++ b/internal/peer/parameters.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Parameters are the rules that watchers and instances must have in common.
+// Parameters are the settings that must be the same for all watchers and instances.
 type Parameters struct {
-	// HeartbeatInterval is the time between two heartbeats while nothing changes.
+	// HeartbeatInterval is the time between two heartbeats as long as nothing changes.
 	HeartbeatInterval time.Duration
-	// ReconnectGrace is how long after the end of its connection an instance may connect again without being gone.
+	// ReconnectGrace is how long an instance whose connection has closed may take to reconnect before it is gone.
 	ReconnectGrace time.Duration
-	// SuspectAfter and GoneAfter are the times without a heartbeat after which a member is suspect and gone.
+	// SuspectAfter and GoneAfter are the times since its last heartbeat after which a member is suspect or gone.
 	SuspectAfter time.Duration
 	GoneAfter    time.Duration
-	// PauseThreshold is the time between two events of a watcher from which it counts as paused itself.
+	// PauseThreshold is the time between two events at a watcher from which the watcher itself counts as paused.
 	PauseThreshold time.Duration
-	// ForgetAfter is how long a member that is gone is kept.
+	// ForgetAfter is how long a member that is gone stays listed.
 	ForgetAfter time.Duration
 	MaxMembers  int
 }
 
-// DefaultParameters are the parameters of all processes in service. An instance that is paused for 300 ms sends no
-// heartbeat for 450 ms at most, and a few milliseconds for the network: it is suspect, not gone.
+// DefaultParameters are the parameters in production. An instance that pauses for 300 ms sends no heartbeat for at most
+// 450 ms, plus a few milliseconds for the network, so it becomes suspect but not gone.
 var DefaultParameters = Parameters{
 	HeartbeatInterval: 150 * time.Millisecond,
 	ReconnectGrace:    60 * time.Millisecond,
--- a/internal/peer/rpc/http.go
+++ b/internal/peer/rpc/http.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// ExchangeTimeout bounds an exchange that is answered at once.
+	// ExchangeTimeout bounds a request that the server answers at once.
 	ExchangeTimeout = 500 * time.Millisecond
-	// IdleTimeout is how long a connection without a message is kept.
+	// IdleTimeout is how long an idle connection is kept open.
 	IdleTimeout = 30 * time.Second
 
 	readHeaderTimeout  = time.Second
@@ -18,7 +18,7 @@
 	maxIdleConnections = 2 // to each server
 )
 
-// NewServer returns a server of fleet messages. Its errors are not logged: they are those of its clients.
+// NewServer returns an HTTP server for fleet messages. Connection errors are caused by clients and are not logged.
 func NewServer(handler http.Handler, writeTimeout time.Duration) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -31,8 +31,8 @@
 	}
 }
 
-// NewClient returns a client for exchanges that are answered at once, with at most so many connections to each server,
-// 0 for no bound.
+// NewClient returns an HTTP client for requests that the server answers at once. maxConnections bounds the connections
+// to each server; 0 means no bound.
 func NewClient(maxConnections int) *http.Client {
 	return &http.Client{
 		Timeout: ExchangeTimeout,
--- a/internal/peer/rpc/rpc.go
+++ b/internal/peer/rpc/rpc.go
@@ -1,15 +1,14 @@
-// Package rpc is how instances of one fleet send one another messages: a body of CBOR over HTTP, with a header that
-// names the fleet and the version that the sender speaks. It does not interpret the rest of the messages.
+// Package rpc exchanges messages between the instances of a fleet. A message is a CBOR body over HTTP, with a header
+// that has the fleet's name and the sender's protocol version. The package does not interpret the rest of a message.
 //
 // Guarantees:
 //
-//  1. A message of another fleet, or of a version that does not fit, is rejected; its sender gets the reason in one
-//     line.
-//  2. A body holds at most [MaxBodyBytes].
-//  3. A later version is understood as far as its messages say so ([Header.MinVersion]): fleets are mixed while they
-//     are being replaced.
+//  1. A message from another fleet, or of an incompatible version, is rejected, and the sender gets a one-line reason.
+//  2. A body is at most [MaxBodyBytes] long.
+//  3. A message of a later version is accepted if its [Header.MinVersion] allows it, as a fleet runs mixed versions
+//     during an upgrade.
 //
-// Messages are neither encrypted nor signed. The package starts no goroutines; its only state is the traffic count.
+// Messages are neither encrypted nor signed. The package starts no goroutines; its only state is the traffic counters.
 package rpc
 
 import (
@@ -23,29 +22,29 @@
 )
 
 const (
-	// Version is the version that this program speaks.
+	// Version is the protocol version that this program speaks.
 	Version = 1
-	// MinVersion is the oldest version that this program understands.
+	// MinVersion is the oldest protocol version that this program understands.
 	MinVersion = 1
-	// MaxBodyBytes bounds the body of a message.
+	// MaxBodyBytes bounds the size of a message's body.
 	MaxBodyBytes = 1 << 20
 )
 
-// Header is embedded in every message.
+// Header is embedded in every request.
 type Header struct {
-	Version int    `cbor:"1,keyasint"` // that the sender speaks
+	Version int    `cbor:"1,keyasint"` // the protocol version that the sender speaks
 	Fleet   string `cbor:"2,keyasint"`
-	// MinVersion is the oldest version that understands the message.
+	// MinVersion is the oldest protocol version that understands the message; 0 if the sender did not set it.
 	MinVersion int `cbor:"30,keyasint,omitempty"`
 }
 
-// NewHeader returns the header of this program's messages in a fleet.
+// NewHeader returns the header for this program's messages to a fleet.
 func NewHeader(fleet string) Header {
 	return Header{Version: Version, Fleet: fleet, MinVersion: MinVersion}
 }
 
-// Compatible reports whether a program that speaks version, and understands nothing under minVersion, understands a
-// message.
+// Compatible reports whether a program that speaks version, and understands minVersion and later, understands a message
+// with the given header.
 func Compatible(h Header, version, minVersion int) bool {
 	if h.Version < minVersion {
 		return false
@@ -53,8 +52,8 @@
 	return h.Version <= version || h.MinVersion > 0 && h.MinVersion <= version
 }
 
-// Parse reads a message of a fleet. For a message that it rejects it returns an HTTP status and the reason, otherwise
-// StatusOK and "".
+// Parse decodes a message of a fleet. It returns StatusOK and "", or the HTTP status and the reason if it rejects the
+// message.
 func Parse(body []byte, fleet string, into any) (status int, reason string) {
 	var h Header
 	if cbor.Unmarshal(body, &h) != nil {
@@ -72,7 +71,8 @@
 	return http.StatusOK, ""
 }
 
-// ReadRequest reads the message of a request, or answers what is wrong with it and returns false.
+// ReadRequest decodes the message in a request. If it rejects the message, it writes the error response and returns
+// false.
 func ReadRequest(w http.ResponseWriter, r *http.Request, fleet string, into any) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
@@ -87,7 +87,7 @@
 	return true
 }
 
-// WriteResponse answers a request.
+// WriteResponse writes a response, encoded as CBOR.
 func WriteResponse(w http.ResponseWriter, response any) {
 	if body, err := cbor.Marshal(response); err == nil {
 		countMessage(len(body))
@@ -95,7 +95,8 @@
 	}
 }
 
-// Post sends a message and reads the response to it, unless into is nil.
+// Post sends a message and decodes the response into the last argument, unless that is nil. It returns an error for any
+// status but OK.
 func Post(ctx context.Context, client *http.Client, address, path string, message, into any) error {
 	body, err := cbor.Marshal(message)
 	if err != nil {
--- a/internal/peer/rpc/traffic.go
+++ b/internal/peer/rpc/traffic.go
@@ -2,15 +2,15 @@
 
 import "sync/atomic"
 
-// Traffic is what this process has sent and received since its start.
+// Traffic counts the messages that this process has sent and received since its start.
 type Traffic struct {
-	Messages int64 `json:"messages"` // responses among them
+	Messages int64 `json:"messages"` // requests and responses
 	Bytes    int64 `json:"bytes"`    // of their bodies
 }
 
 var messageCount, byteCount atomic.Int64
 
-// TrafficSoFar returns the traffic of this process.
+// TrafficSoFar returns a snapshot of the traffic counters.
 func TrafficSoFar() Traffic { return Traffic{messageCount.Load(), byteCount.Load()} }
 
 func countMessage(bytes int) {
--- a/internal/peer/transport/client.go
+++ b/internal/peer/transport/client.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// retryDelay is the time from a failed heartbeat to the next.
+	// retryDelay is the delay after a failed heartbeat.
 	retryDelay = 50 * time.Millisecond
-	// exchangeTimeout bounds one exchange: as a rule it is answered a heartbeat interval later.
+	// exchangeTimeout bounds one exchange. The watcher normally responds within a heartbeat interval.
 	exchangeTimeout = 2 * time.Second
-	// maxConnections bounds the connections to each watcher.
+	// maxConnections bounds the connections to each of the watchers.
 	maxConnections = 2
 )
 
-// errIncompleteReport says that a watcher reports changes of a list that this process has not received.
-var errIncompleteReport = errors.New("changes of a list that was not received")
+// errIncompleteReport means that a watcher reported changes to a list that this process has not received.
+var errIncompleteReport = errors.New("report has only changes to a list that was not received")
 
-// Watcher is the name of a watcher and where it takes heartbeats.
+// Watcher is the name and address of a watcher.
 type Watcher struct {
 	Name    string
 	Address string // HOST:PORT
 }
 
-// Client sends this process's heartbeats and receives the watchers' reports. It is safe for concurrent use.
+// Client sends this process's heartbeats to all watchers and receives their reports. It is safe for concurrent use.
 type Client struct {
 	fleet    string
 	watchers []Watcher
@@ -41,12 +41,12 @@
 	mu         sync.Mutex
 	self       peer.Member
 	view       *peer.View
-	isolated   bool                 // as it was logged last
-	lastResult peer.HeartbeatResult // of the latest report, whichever watcher sent it
-	changed    chan struct{}        // closed with the next change of the view
+	isolated   bool                 // as last logged
+	lastResult peer.HeartbeatResult // in the latest report of any watcher
+	changed    chan struct{}        // closed on the next change of the view
 }
 
-// NewClient returns a client that has received nothing.
+// NewClient returns a client that is isolated and knows no members until [Client.Run] is called.
 func NewClient(
 	fleet string, self peer.Member, watchers []Watcher, clock func() time.Duration, log *slog.Logger,
 ) *Client {
@@ -92,7 +92,7 @@
 	c.http.CloseIdleConnections()
 }
 
-// sendHeartbeats sends heartbeats to one watcher, each once the one before has been answered.
+// sendHeartbeats sends heartbeats to one watcher, each after the response to the previous one.
 func (c *Client) sendHeartbeats(ctx context.Context, w Watcher) {
 	var known reportID // 0 for none
 	for ctx.Err() == nil {
@@ -105,12 +105,12 @@
 		known = reportID{r.ServerIncarnation, r.Version}
 		c.merge(w, r)
 		if r.Result != peer.Accepted {
-			sleep(ctx, peer.DefaultParameters.HeartbeatInterval) // the watcher has answered at once
+			sleep(ctx, peer.DefaultParameters.HeartbeatInterval) // the watcher responds to a rejected heartbeat at once
 		}
 	}
 }
 
-// reportID names the last report of a watcher.
+// reportID identifies a report of a watcher.
 type reportID struct{ serverIncarnation, version uint64 }
 
 // exchange sends one heartbeat and returns the watcher's report.
@@ -153,11 +153,11 @@
 	}
 }
 
-// publish logs what has changed, and wakes the callers of Members that wait for a change. c.mu is held.
+// publish logs changes, and wakes the callers of Members that wait for one. c.mu is held.
 func (c *Client) publish(changes []peer.Change) {
 	if isolated, _ := c.view.Isolated(); isolated != c.isolated {
 		c.isolated = isolated
-		if isolated { // what is known of others may be outdated
+		if isolated { // the list of members may be outdated
 			c.log.Warn("watcher majority lost")
 		} else {
 			c.log.Info("watcher majority reached")
@@ -175,27 +175,27 @@
 	}
 }
 
-// isArrivalOrEnd reports whether a member is new, gone, or back.
+// isArrivalOrEnd reports whether a member is new, has become gone, or has come back.
 func isArrivalOrEnd(c peer.Change) bool {
 	return c.State != c.Previous && (c.State == peer.Gone || c.Previous == peer.Gone || c.Previous == 0)
 }
 
-// MarkLeaving announces that this process drains: from then on another of its name may take its place.
+// MarkLeaving announces, from the next heartbeat on, that this process is draining. Another process with its name may
+// then replace it.
 func (c *Client) MarkLeaving() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.self.Leaving = true
 }
 
-// IsReplaced reports whether another process of this one's name has taken its place, as the latest report says.
+// IsReplaced reports whether another process with this one's name has replaced it, according to the latest report.
 func (c *Client) IsReplaced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastResult == peer.Replaced
 }
 
-// Members returns all members that are known, whether they may be outdated, and a channel that is closed with the next
-// change.
+// Members returns all known members, whether the list may be outdated, and a channel that is closed on its next change.
 func (c *Client) Members() (list []peer.MemberState, isolated bool, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peer/transport/doc.go
+++ b/internal/peer/transport/doc.go
@@ -1,11 +1,10 @@
-// Package transport runs what package peer decides in real processes: instances that send heartbeats to the fleet's
-// watchers ([Client]), and watchers that report to them what they know of all members ([Server]). A heartbeat is a
-// request that is answered once something has changed, or a heartbeat interval later: so changes are known at once, and
-// one exchange is under way at a time between an instance and a watcher.
+// Package transport runs the protocol of package peer over HTTP. Instances send heartbeats to the fleet's watchers
+// ([Client]), and watchers respond with reports on all members ([Server]). A heartbeat is a long poll: the watcher
+// responds once something has changed, or after a heartbeat interval. So changes are reported at once, and at most one
+// exchange is in flight between an instance and a watcher.
 //
-// A watcher takes the end of a connection for a sign that the process behind it may have ended. So a server of
-// heartbeats must have the ConnContext and ConnState of its [Server].
+// A watcher treats the end of a connection as a sign that the process behind it may have ended. So the HTTP server that
+// receives the heartbeats must use the ConnContext and ConnState of its [Server].
 //
-// [Client.Run] and [Server.Run] own their goroutines; their state is guarded by one lock each, under which there is no
-// I/O.
+// [Client.Run] and [Server.Run] own their goroutines. One lock each guards their state; no I/O is done under it.
 package transport
--- a/internal/peer/transport/server.go
+++ b/internal/peer/transport/server.go
@@ -12,10 +12,10 @@
 	"mulleinpier/internal/peer/rpc"
 )
 
-// minTickWait is the shortest time between two ticks of a watcher.
+// minTickWait is the shortest wait for a watcher's next tick.
 const minTickWait = time.Millisecond
 
-// Server is a watcher. It is safe for concurrent use.
+// Server is a watcher. It is an [http.Handler] for heartbeats, and safe for concurrent use.
 type Server struct {
 	fleet       string
 	incarnation uint64
@@ -23,17 +23,18 @@
 
 	mu               sync.Mutex
 	detector         *peer.Detector
-	notifiedVersion  uint64        // the version for which changed was last closed
-	changed          chan struct{} // closed with the next change of the opinion
+	notifiedVersion  uint64        // the version at which changed was last closed
+	changed          chan struct{} // closed on the next change of the opinion
 	connections      map[net.Conn]uint64
 	lastConnectionID uint64
 	stopped          bool
 }
 
-// connectionKey finds a connection's ID in a request's context.
+// connectionKey is the context key of a connection's ID.
 type connectionKey struct{}
 
-// NewServer returns a watcher. Its HTTP server is to have its ConnContext and ConnState.
+// NewServer returns a watcher without members. The HTTP server that it handles requests of must use its ConnContext and
+// ConnState.
 func NewServer(fleet string, clock func() time.Duration) *Server {
 	return &Server{
 		fleet:       fleet,
@@ -45,7 +46,7 @@
 	}
 }
 
-// ConnContext gives a connection an ID.
+// ConnContext assigns an ID to a connection. It is used as [http.Server.ConnContext].
 func (s *Server) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +55,7 @@
 	return context.WithValue(ctx, connectionKey{}, s.lastConnectionID)
 }
 
-// ConnState notes a connection's end.
+// ConnState records the end of a connection. It is used as [http.Server.ConnState].
 func (s *Server) ConnState(c net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
@@ -67,7 +68,7 @@
 	}
 }
 
-// handle gives the detector an event, and wakes those who wait for a change. s.mu is held.
+// handle passes an event to the detector, and wakes the requests that wait for a change. s.mu is held.
 func (s *Server) handle(e peer.Event) peer.HeartbeatResult {
 	if s.stopped {
 		return peer.Accepted
@@ -81,15 +82,15 @@
 	return result
 }
 
-// Stop makes the watcher report no more changes. Otherwise, as the server closes its connections one after another, it
-// would take the first ones for ends of processes and report that on the others.
+// Stop makes the watcher ignore further events. It is called before the HTTP server is closed: otherwise the watcher
+// would treat the connections that close first as ended processes, and report that on the remaining ones.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
 }
 
-// Run gives the detector its ticks until ctx ends.
+// Run sends ticks to the detector until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	for {
 		s.mu.Lock()
@@ -101,13 +102,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-changed: // the next tick may be due sooner
+		case <-changed: // the next tick may be due earlier
 		case <-time.After(max(wait, minTickWait)):
 		}
 	}
 }
 
-// ServeHTTP handles a heartbeat, and answers it once something has changed or a heartbeat interval has passed.
+// ServeHTTP handles a heartbeat. It responds once something has changed or a heartbeat interval has passed, and at once
+// to a rejected heartbeat.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var in heartbeat
 	if !rpc.ReadRequest(w, r, s.fleet, &in) {
@@ -126,8 +128,8 @@
 	rpc.WriteResponse(w, s.report(result, &in))
 }
 
-// waitForChange waits until the opinion differs from what the sender knows, or for a heartbeat interval. It returns
-// false where the connection has ended meanwhile, or this server does.
+// waitForChange waits until the opinion differs from the version that the sender knows, or for a heartbeat interval. It
+// returns false if ctx ends first, as the connection or this server is closed.
 func (s *Server) waitForChange(ctx context.Context, in *heartbeat) bool {
 	timer := time.NewTimer(peer.DefaultParameters.HeartbeatInterval)
 	defer timer.Stop()
@@ -149,7 +151,7 @@
 	}
 }
 
-// report returns what has changed since the version that the sender knows.
+// report returns the report for the sender, with the changes since the version that it knows.
 func (s *Server) report(result peer.HeartbeatResult, in *heartbeat) report {
 	known := in.KnownVersion
 	if in.ServerIncarnation != s.incarnation {
@@ -162,7 +164,7 @@
 	return out
 }
 
-// Members returns what this watcher knows of all members.
+// Members returns all members and their states in this watcher's opinion, sorted by name.
 func (s *Server) Members() []peer.MemberState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// View is what one instance knows of all members, from the watchers' reports. The zero value is not usable.
+// View is one instance's view of all members, derived from the watchers' reports. Use [NewView] to create one.
 type View struct {
 	parameters    Parameters
 	watchers      int
-	opinions      map[string]*opinion // of the watchers, by name
+	opinions      map[string]*opinion // by watcher's name
 	members       map[string]MemberState
 	isolated      bool
 	isolatedSince time.Duration // when isolated last changed
 }
 
-// Report is what a watcher knows: of all members if it is complete, else of those that have changed since its last
-// report.
+// Report is a watcher's report on all members if it is complete, and otherwise on those that have changed since its
+// last report.
 type Report struct {
 	Complete bool
 	Members  []MemberState
 }
 
-// opinion is what a watcher knows of all members, as it has reported it.
+// opinion is a watcher's latest reported state of all members.
 type opinion struct {
-	updated time.Duration // when the last report came
+	updated time.Duration // when the last report arrived
 	members map[string]MemberState
 }
 
-// Change is a member whose state, or process, has changed. Previous is 0 for one that is new.
+// Change is a member that is new or has changed. Previous is the zero State for a new member.
 type Change struct {
 	MemberState
 	Previous State
 }
 
-// NewView returns the view of an instance that has received no report yet, with so many watchers.
+// NewView returns an isolated view without members, for the given number of watchers.
 func NewView(parameters Parameters, watchers int, now time.Duration) *View {
 	return &View{
 		parameters:    parameters,
@@ -47,15 +47,15 @@
 	}
 }
 
-// majority returns how many of the watchers have to agree.
+// majority returns the number of watchers that have to agree.
 func (v *View) majority() int { return v.watchers/2 + 1 }
 
-// Merge merges a watcher's report that came at now into the view, and returns what has changed.
+// Merge merges a watcher's report that arrived at now into the view, and returns the resulting changes.
 func (v *View) Merge(now time.Duration, watcher string, report Report) []Change {
 	r := v.opinions[watcher]
 	if r == nil {
 		if !report.Complete {
-			return nil // the rest was never received
+			return nil // changes to a list that was never received
 		}
 		r = &opinion{}
 		v.opinions[watcher] = r
@@ -72,7 +72,7 @@
 	return v.Tick(now)
 }
 
-// Tick checks what is due at a time and returns what has changed.
+// Tick recomputes the view at now, when reports may have expired, and returns the resulting changes.
 func (v *View) Tick(now time.Duration) (changes []Change) {
 	v.updateIsolated(now)
 	if v.isolated {
@@ -82,7 +82,7 @@
 		s, known := v.majorityState(now, name)
 		old := v.members[name]
 		switch {
-		case !known && old.Name != "": // forgotten by all
+		case !known && old.Name != "": // no watcher lists it any more
 			delete(v.members, name)
 		case known && (old.Name == "" || s.State != old.State || s.Member != old.Member):
 			v.members[name] = s
@@ -108,7 +108,7 @@
 	return now-r.updated < v.parameters.GoneAfter
 }
 
-// knownNames returns the names of all members in the view and in reports, in order.
+// knownNames returns the names of all members in the view and in reports, sorted.
 func (v *View) knownNames() (list []string) {
 	for name := range v.members {
 		list = append(list, name)
@@ -122,13 +122,14 @@
 	return slices.Compact(list)
 }
 
-// votes are what the fresh reports say of one process of a member.
+// votes count the fresh reports on one process of a member.
 type votes struct {
 	member       MemberState
 	alive, total int
 }
 
-// isBetter reports whether a process comes before another of its name: the one that more watchers see alive.
+// isBetter reports whether a process takes precedence over another with its name: more watchers report it as alive,
+// more watchers report it at all, or its incarnation is higher, in this order.
 func (r *votes) isBetter(than *votes) bool {
 	return cmp.Or(
 		cmp.Compare(r.alive, than.alive),
@@ -137,9 +138,9 @@
 	) > 0
 }
 
-// countVotes counts what the fresh reports say of a member, by its incarnations. It returns the votes of the best one.
-// A watcher that does not know the latest process yet reports the name as gone under an earlier incarnation, so gone
-// counts these votes of all incarnations.
+// countVotes counts the fresh reports on a member by incarnation, and returns the votes for the best one. A watcher
+// that does not know the latest process yet reports the name as gone under an earlier incarnation, so gone counts the
+// reports of Gone for all incarnations.
 func (v *View) countVotes(now time.Duration, name string) (best *votes, gone int) {
 	processes := make(map[uint64]*votes)
 	for _, r := range v.opinions {
@@ -169,7 +170,7 @@
 	return best, gone
 }
 
-// majorityState returns what a majority of the watchers knows of a member, and whether any of them knows it.
+// majorityState returns a member's state by majority of the watchers, and whether any fresh report has the member.
 func (v *View) majorityState(now time.Duration, name string) (MemberState, bool) {
 	best, gone := v.countVotes(now, name)
 	if best == nil {
@@ -182,7 +183,7 @@
 		s.State = Alive
 	case gone >= v.majority():
 		s.State = Gone
-	case known && old.Incarnation == s.Incarnation && old.State == Gone: // only a majority brings it back
+	case known && old.Incarnation == s.Incarnation && old.State == Gone: // only a majority of Alive brings it back
 		s.State = Gone
 	default:
 		s.State = Suspect
@@ -190,10 +191,11 @@
 	return s, true
 }
 
-// Isolated reports whether too few watchers send reports, and when that last changed.
+// Isolated reports whether fewer than a majority of the watchers have reported within GoneAfter, and when that last
+// changed.
 func (v *View) Isolated() (isolated bool, since time.Duration) { return v.isolated, v.isolatedSince }
 
-// Members returns all members that are known, by name.
+// Members returns all known members, sorted by name.
 func (v *View) Members() (list []MemberState) {
 	for _, s := range v.members {
 		list = append(list, s)
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Verdict is what an owner does with a write.
+// Verdict is the decision on an owner's claim to a write.
 type Verdict uint8
 
-// The verdicts.
+// Every verdict but Undecided is final.
 const (
-	Undecided           Verdict = iota // it waits for holders
-	Proceed                            // it sends the write until the permission ends, not a moment later
+	Undecided           Verdict = iota // holders have yet to respond
+	Proceed                            // the owner may send the write until the permission ends
 	ReturnReceipt                      // the write was served: Claim.Receipt
-	OutcomeUnknown                     // the write may have run, and may not be sent: a failure
-	Reject                             // as busy, at once: the write was not sent by this owner, nor will it be
-	KeyConflict                        // the key belongs to another write: an error of its own
-	ProceedUnreplicated                // it sends the write without holders, which the configuration allows
+	OutcomeUnknown                     // the write may have run and must not be sent; the request fails
+	Reject                             // answered as busy: this owner has not sent the write and won't
+	KeyConflict                        // the key was used for another write; it has an error of its own
+	ProceedUnreplicated                // the owner may send without holders, as configured
 )
 
 var verdictNames = [...]string{
@@ -26,23 +26,23 @@
 	ProceedUnreplicated: "proceed unreplicated",
 }
 
-// String returns the verdict as logs have it.
+// String returns the verdict's name in logs. It panics for a value that is none of the constants.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Options are the configuration of replicated writes.
+// Options configure the replication of keyed writes.
 type Options struct {
-	Replicas       int  // holders beside the owner: 1 or 2
-	RequireReplica bool // a write is rejected where none of them can be had
+	Replicas       int  // holders besides the owner: 1 or 2
+	RequireReplica bool // reject a write if no other holder grants it
 }
 
-// ClaimKind is why an owner claims a write.
+// ClaimKind is the reason for which an owner claims a write.
 type ClaimKind uint8
 
-// The kinds.
+// Kinds other than FirstAttempt are claims to writes that may have run before.
 const (
 	FirstAttempt ClaimKind = iota // a client's first request
-	ClientRetry                   // a request that the client marks as a repetition
-	TakenOver                     // a holder continues an orphaned write
+	ClientRetry                   // a request that the client marked as a retry
+	TakenOver                     // a holder takes over an orphaned write
 )
 
 // Claim is an owner's side of one write. The zero value is not usable.
@@ -54,22 +54,22 @@
 	requestedAt time.Duration // by the owner's clock
 
 	awaitedResponses   int
-	inProgress         bool     // another owner has the write
-	windowExpired      bool     // a holder says that it may not be sent any more
-	grants             int      // the first is that of the owner's own registry
-	unavailableHolders int      // others that had no room, or did not answer
-	uninformed         []string // holders that did not answer, or may have forgotten
-	previousOwner      string   // name of the owner that a holder knew
+	inProgress         bool     // a holder reported that another owner has the write in flight
+	windowExpired      bool     // a holder reported that the write must not be sent any more
+	grants             int      // including that of the owner's own registry, which comes first
+	unavailableHolders int      // holders that declined or timed out
+	uninformed         []string // holders that did not respond, or may lack earlier sends
+	previousOwner      string   // name of the owner that a holder reported
 	epoch              uint64
-	age                time.Duration // the most that any holder knows
+	age                time.Duration // since the first possible send: the longest that a holder reported, or 0
 
 	verdict  Verdict
 	deadline time.Duration // of the permission
 	receipt  string
 }
 
-// NewClaim returns the claim to a write at the owner's own registry and so many other holders. All of them that live
-// must grant it: so each of them knows of whatever was sent.
+// NewClaim returns a claim to a write at the owner's own registry and the given number of other holders. All of them
+// that are alive must grant it, so that each knows of every send.
 func NewClaim(
 	parameters Parameters, window, now time.Duration, others int, o Options, kind ClaimKind,
 ) *Claim {
@@ -83,19 +83,19 @@
 	}
 }
 
-// Verdict returns what is decided so far, and with Proceed when the permission ends, by the owner's clock.
+// Verdict returns the current verdict and, with Proceed, when the permission ends by the owner's clock.
 func (c *Claim) Verdict() (Verdict, time.Duration) { return c.verdict, c.deadline }
 
-// Receipt returns that of a write which was served, with ReturnReceipt.
+// Receipt returns the receipt of the served write, with ReturnReceipt.
 func (c *Claim) Receipt() string { return c.receipt }
 
-// Epoch returns the epoch that the owner completes the write under.
+// Epoch returns the highest epoch that a holder granted; 0 without a grant.
 func (c *Claim) Epoch() uint64 { return c.epoch }
 
-// IsInProgress reports whether a holder has said that another owner has the write: a further response of it follows.
+// IsInProgress reports whether a holder has responded with InProgress. Its final response follows later.
 func (c *Claim) IsInProgress() bool { return c.inProgress }
 
-// HandleResponse applies a holder's response.
+// HandleResponse processes a holder's response.
 func (c *Claim) HandleResponse(holder string, r ClaimResponse) {
 	if r.Decision == InProgress {
 		c.inProgress = true
@@ -108,7 +108,7 @@
 	switch r.Decision {
 	case AlreadyServed:
 		c.verdict, c.receipt = ReturnReceipt, r.Receipt
-	case WindowExpired: // no verdict yet: another holder may know that the write was served
+	case WindowExpired: // not final: another holder may know that the write was served
 		c.windowExpired = true
 	case Conflict:
 		c.verdict = KeyConflict
@@ -134,10 +134,10 @@
 	c.epoch = max(c.epoch, r.Epoch)
 }
 
-// ReplaceHolder says that another holder is asked in place of one that does not answer.
+// ReplaceHolder records that another holder is asked instead of the named one, which is gone or did not respond.
 func (c *Claim) ReplaceHolder(holder string) { c.uninformed = append(c.uninformed, holder) }
 
-// HolderTimedOut says that a holder has not answered, and that there is no other to ask.
+// HolderTimedOut records that a holder has not responded in time and that there is no other to ask.
 func (c *Claim) HolderTimedOut(holder string) {
 	if c.verdict == Undecided {
 		c.unavailableHolders++
@@ -145,7 +145,7 @@
 	c.HolderGone(holder)
 }
 
-// HolderGone says that a holder has ended, or can't be reached.
+// HolderGone records that a holder's process has ended or is unreachable.
 func (c *Claim) HolderGone(holder string) {
 	c.awaitedResponses--
 	c.uninformed = append(c.uninformed, holder)
@@ -154,7 +154,7 @@
 	}
 }
 
-// ClientTimedOut ends the waiting, as the client's time is over.
+// ClientTimedOut forces a verdict, as the client's deadline has passed.
 func (c *Claim) ClientTimedOut() {
 	switch {
 	case c.verdict != Undecided:
@@ -165,7 +165,7 @@
 	}
 }
 
-// decide reaches a verdict once all holders that can answer have: one of several may know that the write was served.
+// decide reaches a verdict once no response is awaited any more: any holder may know that the write was served.
 func (c *Claim) decide() {
 	switch {
 	case c.verdict != Undecided || c.awaitedResponses > 0:
@@ -178,13 +178,13 @@
 	default:
 		c.verdict = Proceed
 		c.deadline = c.requestedAt + c.parameters.atLeast(c.parameters.PermissionDuration)
-		if c.age > 0 { // it may have run: only while its repeats are dropped
+		if c.age > 0 { // it may have run: send it only while nodes drop repeats
 			c.deadline = min(c.deadline, c.requestedAt-c.age+c.parameters.atLeast(c.window))
 		}
 	}
 }
 
-// decideWithoutHolders decides where holders can't be had.
+// decideWithoutHolders decides when a holder is unavailable or, for a client's write, no other holder granted it.
 func (c *Claim) decideWithoutHolders() {
 	switch {
 	case c.kind != FirstAttempt || c.age > 0: // it may have run
@@ -196,8 +196,8 @@
 	}
 }
 
-// mayHaveRunEarlier reports whether a write that is not new may have run longer ago than the holders that answered
-// know. That is so once as many holders as there are replicas are uninformed: they may be all that knew.
+// mayHaveRunEarlier reports whether a retried or orphaned write may have run longer ago than the responding holders
+// know. This is the case once as many holders as there are replicas are uninformed: only these may have known of it.
 func (c *Claim) mayHaveRunEarlier() bool {
 	switch c.kind {
 	case ClientRetry:
@@ -208,7 +208,7 @@
 	return false
 }
 
-// countUninformed counts the uninformed holders but for the previous owner, which is known to be lost.
+// countUninformed counts the uninformed holders, without the previous owner, which is known to be lost.
 func (c *Claim) countUninformed() (n int) {
 	for _, holder := range c.uninformed {
 		if holder != c.previousOwner {
--- a/internal/takeover/coordinator/claims.go
+++ b/internal/takeover/coordinator/claims.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// responseTimeout is how long a holder's response is waited for.
+	// responseTimeout bounds the wait for a holder's response.
 	responseTimeout = 150 * time.Millisecond
-	// answerMargin is how long before its deadline a client is answered.
+	// answerMargin is how long before the client's deadline an undecided claim is ended.
 	answerMargin = 30 * time.Millisecond
 )
 
 // claim is this proxy's claim to a write.
 type claim struct {
 	*takeover.Claim
-	id              uint64 // among this proxy's claims
-	requestID       uint64 // the core's; 0 for a write that is taken over
+	id              uint64 // unique among this proxy's claims
+	requestID       uint64 // the core's; 0 for a write that was taken over
 	write           takeover.Write
 	kind            takeover.ClaimKind
-	completionEpoch uint64 // that the write is completed under
+	completionEpoch uint64 // the epoch in the write's completion
 	holders         []takeover.Owner
-	// awaited are the holders that have not answered, and until when they are waited for.
+	// awaited has the time at which each holder's response times out, by the holder's name.
 	awaited         map[string]time.Duration
-	deadline        time.Duration // when the client's time is over
+	deadline        time.Duration // when the claim is ended if still undecided
 	othersRequested bool
-	// What is sent to the other holders of a write that was taken over.
+	// The epoch and age that are sent to the other holders of a write that was taken over.
 	takeoverEpoch uint64
 	takeoverAge   time.Duration
 }
 
-// newClaim returns a claim at this proxy's registry and at the write's other holders.
+// newClaim adds a claim at this proxy's registry and the write's other holders, without sending requests.
 func (c *Coordinator) newClaim(write takeover.Write, kind takeover.ClaimKind, now time.Duration) *claim {
 	holders, gone := c.holdersOf(write.ID)
 	c.lastID++
@@ -55,7 +55,7 @@
 	return cl
 }
 
-// startClaim claims a client's write: at this proxy's own registry first.
+// startClaim starts the claim to a client's write at this proxy's own registry. Other holders are asked later.
 func (c *Coordinator) startClaim(w *writeArrived) {
 	c.count(func(n *Counts) { n.Claims++ })
 	kind := takeover.FirstAttempt
@@ -71,23 +71,23 @@
 		RequestID: cl.id,
 		Write:     w.write,
 		Owner:     c.options.Self,
-		Rank:      len(cl.holders), // after all other holders
+		Rank:      len(cl.holders), // the last to take over
 		Retry:     w.retry,
 	})
 }
 
-// holderAnswered applies a holder's response to a claim.
+// holderAnswered applies a holder's response to a claim. Late responses are ignored.
 func (c *Coordinator) holderAnswered(cl *claim, holder string, r takeover.ClaimResponse) {
 	if r.Decision == takeover.InProgress {
 		c.count(func(n *Counts) { n.InProgress++ })
 	}
 	isSelf := holder == c.options.Self.Name
 	if _, awaited := cl.awaited[holder]; !isSelf && !awaited && !cl.IsInProgress() {
-		return // it was given up already
+		return // the holder has timed out or is gone
 	}
 	delete(cl.awaited, holder)
 	if r.Decision == takeover.Granted && r.Age == 0 && c.wasAbsent(holder) {
-		r.MayHaveForgotten = true // it was passed over while it was absent, whatever it knows of that
+		r.MayHaveForgotten = true // others did not ask it while it was absent, even if it does not know that it was
 	}
 	cl.HandleResponse(holder, r)
 	othersMayKnow := r.Decision == takeover.Granted || r.Decision == takeover.WindowExpired
@@ -97,13 +97,13 @@
 	c.decide(cl)
 }
 
-// wasAbsent reports whether a holder was lost, or came back, not long ago.
+// wasAbsent reports whether a holder was lost or came back within the last recovery period.
 func (c *Coordinator) wasAbsent(holder string) bool {
 	at, ok := c.presenceChanged[holder]
 	return ok && c.options.Clock()-at < takeover.DefaultParameters.RecoveryPeriod
 }
 
-// requestFromOthers sends the claim to the other holders. One that has ended meanwhile counts as gone.
+// requestFromOthers sends the claim to the other holders. Those that have ended or are unreachable count as gone.
 func (c *Coordinator) requestFromOthers(cl *claim, epoch uint64, age time.Duration) {
 	cl.othersRequested = true
 	cl.takeoverEpoch, cl.takeoverAge = epoch, age
@@ -131,7 +131,7 @@
 	})
 }
 
-// replaceSilentHolders asks others in place of the holders that have not answered in time.
+// replaceSilentHolders replaces the holders that have not responded in time.
 func (c *Coordinator) replaceSilentHolders(cl *claim, now time.Duration) {
 	for holder, until := range cl.awaited {
 		if now < until {
@@ -145,8 +145,8 @@
 	}
 }
 
-// replaceHolder asks another proxy in place of a holder that has not answered: that one may be paused, which is known
-// only later. It reports whether there is another.
+// replaceHolder asks another proxy instead of a holder that has not responded. The holder may be paused, which the list
+// of members shows only later. It reports whether there was another proxy to ask.
 func (c *Coordinator) replaceHolder(cl *claim, holder string) bool {
 	maxHolders := 2*c.options.Replicas + 1
 	if len(cl.holders) >= maxHolders {
@@ -163,7 +163,7 @@
 	return false
 }
 
-// decide acts on a claim's verdict, once there is one.
+// decide acts on a claim's verdict once it is final.
 func (c *Coordinator) decide(cl *claim) {
 	verdict, deadline := cl.Verdict()
 	if verdict == takeover.Undecided || c.claims[cl.id] != cl {
@@ -178,7 +178,8 @@
 	c.decideForClient(cl, verdict, deadline)
 }
 
-// decideForClient permits the core to send, or has it answer the client and reports the outcome to the holders.
+// decideForClient either permits the core to send the write, or passes the verdict to the core and reports an outcome
+// to the holders.
 func (c *Coordinator) decideForClient(cl *claim, verdict takeover.Verdict, deadline time.Duration) {
 	switch verdict {
 	case takeover.Proceed:
@@ -187,7 +188,7 @@
 		return
 	case takeover.ProceedUnreplicated:
 		c.count(func(n *Counts) { n.Unreplicated++ })
-		// The outcome is reported later even so: to the own registry, and to the holders that know of the write.
+		// The outcome is still reported later, as this proxy's registry and some holders may know of the write.
 		c.permit(cl, takeover.DefaultParameters.PermissionDuration)
 		return
 	}
@@ -199,8 +200,8 @@
 		c.reportOutcome(cl, takeover.Served, cl.Receipt())
 	case takeover.OutcomeUnknown:
 		c.count(func(n *Counts) { n.OutcomeUnknown++ })
-		// Recorded as unknown: a later claim, made when the holders that may have forgotten are past their recovery
-		// period, must not take the write for a new one.
+		// Recorded as unknown, so that a later claim does not mistake the write for a new one once the holders that
+		// may have forgotten it are past their recovery period.
 		c.reportUnsent(cl, takeover.Unknown)
 	case takeover.KeyConflict:
 		c.count(func(n *Counts) { n.Rejected++ })
@@ -210,7 +211,8 @@
 	}
 }
 
-// permit has the core send a write, if its client still waits.
+// permit lets the core send a write for the time within. If its client no longer waits, the write counts as not
+// executed.
 func (c *Coordinator) permit(cl *claim, within time.Duration) {
 	cl.completionEpoch = max(cl.Epoch(), 1)
 	c.permittedClaims[cl.requestID] = cl
@@ -220,13 +222,13 @@
 	}
 }
 
-// reportUnsent reports the outcome of a write that this owner does not send.
+// reportUnsent reports the outcome of a write that this proxy does not send.
 func (c *Coordinator) reportUnsent(cl *claim, outcome takeover.Outcome) {
 	cl.completionEpoch = max(cl.Epoch(), 1)
 	c.reportOutcome(cl, outcome, "")
 }
 
-// reportOutcome reports the outcome of a write to all holders, this proxy's own registry first.
+// reportOutcome reports the outcome of a write to its holders, this proxy's own registry first.
 func (c *Coordinator) reportOutcome(cl *claim, outcome takeover.Outcome, receipt string) {
 	c.handleRegistryEvent(takeover.Completion{
 		ID:      cl.write.ID,
--- a/internal/takeover/coordinator/coordinator.go
+++ b/internal/takeover/coordinator/coordinator.go
@@ -15,44 +15,45 @@
 )
 
 const (
-	// maxQueuedInputs bounds the inbox but for writeFinished, which is always taken.
+	// maxQueuedInputs bounds the inbox. writeFinished is accepted even when it is full.
 	maxQueuedInputs = 16384
-	// tickInterval is the time between two ticks, at which timeouts are checked.
+	// tickInterval is the time between two checks of the timeouts.
 	tickInterval = 20 * time.Millisecond
-	// pauseThreshold is the time between two ticks that counts as a pause of this process, as in package pause.
+	// pauseThreshold is the time between two ticks from which this process counts as paused, as in package pause.
 	pauseThreshold = 300 * time.Millisecond
 	writeTimeout   = 2 * time.Second
-	// maxConnections bounds the connections to each other proxy.
+	// maxConnections bounds the connections to each of the other proxies.
 	maxConnections = 4
 )
 
-// Core is what a coordinator needs of the proxy that it belongs to.
+// Core is the part of the proxy that sends writes and answers clients.
 type Core interface {
-	// ClaimDecided passes on the verdict on a write; with Proceed the write may be sent for the time within. It reports
-	// whether the request was still waiting for it.
+	// ClaimDecided passes the verdict on a write to the core. With Proceed, the core may send the write for the time
+	// within. It reports whether the request was still waiting for the verdict.
 	ClaimDecided(requestID uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool
-	// ResumeWrite sends a write that another proxy had in flight, which may be sent for the time within.
+	// ResumeWrite has the core send a write that another proxy had in flight, for the time within. It returns the
+	// core's ID of the request, and whether the core accepted it.
 	ResumeWrite(in *request.Request, within time.Duration) (requestID uint64, ok bool)
 }
 
-// FleetMembers is who else is in the fleet.
+// FleetMembers provides the list of the fleet's members.
 type FleetMembers interface {
-	// Members returns the members, whether they may be outdated, and a channel that is closed with the next change.
+	// Members returns the members, whether the list may be outdated, and a channel that is closed on its next change.
 	Members() (list []peer.MemberState, isolated bool, changed <-chan struct{})
 }
 
-// Options configure a coordinator.
+// Options configure a [Coordinator].
 type Options struct {
 	Fleet          string
 	Self           takeover.Owner
 	Zone           string
-	Replicas       int  // holders beside this proxy
-	RequireReplica bool // writes are rejected where none can be had
+	Replicas       int  // holders besides this proxy
+	RequireReplica bool // reject writes that no other holder grants
 	Clock          func() time.Duration
 	Log            *slog.Logger
 }
 
-// Coordinator is this proxy's part in takeovers. It is safe for concurrent use.
+// Coordinator claims, holds and takes over writes on behalf of this proxy. It is safe for concurrent use.
 type Coordinator struct {
 	options Options
 	core    Core
@@ -63,26 +64,26 @@
 	wake   chan struct{}
 	counts Counts
 
-	// All else belongs to Run's goroutine.
+	// The fields below are used by Run's goroutine only.
 	registry        *takeover.Registry
 	claims          map[uint64]*claim    // undecided, by ID
-	lastID          uint64               // of a claim, or of another proxy's request
-	requesters      map[uint64]requester // of requests that the registry has not answered, by request ID
-	permittedClaims map[uint64]*claim    // whose write the core may send, by its request ID
+	lastID          uint64               // last ID given to a claim or to another proxy's request
+	requesters      map[uint64]requester // of requests without a final response from the registry, by request ID
+	permittedClaims map[uint64]*claim    // whose write the core may send, by the core's request ID
 	members         map[string]*member   // by name
 	gone            map[takeover.Owner]bool
-	// presenceChanged is when a member was lost, or returned, by name.
+	// presenceChanged is when a member was last lost or came back, by name.
 	presenceChanged map[string]time.Duration
-	selfGone        bool // the fleet's members list this process as gone
+	selfGone        bool // the fleet lists this process as gone
 	isolated        bool
-	resumedWrites   uint64 // writes so far
+	resumedWrites   uint64 // numbers the resumed writes, for their request IDs
 	lastTick        time.Duration
 }
 
-// input is an entry of the inbox, handled in the coordinator's goroutine.
+// input is an entry of the inbox. Run's goroutine handles it.
 type input interface{ handle(c *Coordinator) }
 
-// New returns a coordinator that does nothing until Run.
+// New returns a coordinator that handles no input until [Coordinator.Run] is called.
 func New(core Core, o Options) *Coordinator {
 	return &Coordinator{
 		options:         o,
@@ -99,7 +100,7 @@
 	}
 }
 
-// RequiresReplica reports whether a write is rejected where no holder can be had.
+// RequiresReplica reports whether a write is rejected if no other holder grants it.
 func (c *Coordinator) RequiresReplica() bool { return c.options.RequireReplica }
 
 // Claim implements core.TakeoverCoordinator.
@@ -111,15 +112,15 @@
 	return c.enqueue(writeArrived{requestID, write, in.Retry, expires})
 }
 
-// Complete implements core.TakeoverCoordinator. It always finds room: there are no more of these calls than writes that
-// were claimed.
+// Complete implements core.TakeoverCoordinator. It does not check the bound on the inbox, as there are at most as many
+// calls as claimed writes.
 func (c *Coordinator) Complete(requestID uint64, outcome takeover.Outcome, receipt string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.appendInput(writeFinished{requestID, outcome, receipt})
 }
 
-// enqueue hands something to the coordinator's goroutine, unless there is no room.
+// enqueue adds an input to the inbox, and reports whether there was room.
 func (c *Coordinator) enqueue(in input) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +131,7 @@
 	return true
 }
 
-// appendInput adds to the inbox and wakes the coordinator's goroutine. c.mu is held.
+// appendInput adds an input to the inbox and wakes Run's goroutine. c.mu is held.
 func (c *Coordinator) appendInput(in input) {
 	c.inbox = append(c.inbox, in)
 	select {
@@ -139,7 +140,7 @@
 	}
 }
 
-// takeInbox empties the inbox and returns what was in it.
+// takeInbox empties the inbox and returns its entries.
 func (c *Coordinator) takeInbox() []input {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +149,7 @@
 	return inputs
 }
 
-// Run runs the coordinator on a listener of its own until ctx ends.
+// Run runs the coordinator until ctx ends. It serves HTTP on the listener, which it closes.
 func (c *Coordinator) Run(ctx context.Context, listener net.Listener, fleet FleetMembers) {
 	var tasks sync.WaitGroup
 	server := rpc.NewServer(c.handler(), writeTimeout)
@@ -189,7 +190,7 @@
 	}
 }
 
-// endClaims answers all who wait, as the coordinator ends.
+// endClaims gives all pending claims a verdict when the coordinator stops.
 func (c *Coordinator) endClaims() {
 	for _, in := range c.takeInbox() {
 		if w, ok := in.(writeArrived); ok {
@@ -205,10 +206,10 @@
 	}
 }
 
-// tick checks what is due: in the registry, of holders that do not answer, and of clients whose time is over.
+// tick detects a pause of this process and checks the timeouts of the registry, of holders' responses and of claims.
 func (c *Coordinator) tick() {
 	now := c.options.Clock()
-	if now-c.lastTick >= pauseThreshold { // what the others sent meanwhile may be lost
+	if now-c.lastTick >= pauseThreshold { // messages from others may have been lost during the pause
 		c.handleRegistryEvent(takeover.Rejoined{})
 	}
 	c.lastTick = now
@@ -223,14 +224,14 @@
 	}
 }
 
-// requester is who a request to the registry came from.
+// requester is the sender of a request to the registry.
 type requester struct {
-	owner   takeover.Owner // another proxy
-	claimID uint64         // of that proxy's claim, or of one of this proxy's own
-	isSelf  bool
+	owner   takeover.Owner // another proxy; unset for this one
+	claimID uint64         // of the sender's claim
+	isSelf  bool           // the request belongs to this proxy's own claim
 }
 
-// handleRegistryEvent passes an event to the registry and carries out its actions, which may bring further events.
+// handleRegistryEvent passes an event to the registry and carries out its actions, which may cause further events.
 func (c *Coordinator) handleRegistryEvent(event takeover.Event) {
 	for _, action := range c.registry.Handle(c.options.Clock(), event, nil) {
 		switch a := action.(type) {
@@ -242,7 +243,7 @@
 	}
 }
 
-// registryAnswered passes the registry's response on to the requester.
+// registryAnswered passes the registry's response to the requester.
 func (c *Coordinator) registryAnswered(a takeover.ClaimResponse) {
 	to, ok := c.requesters[a.RequestID]
 	if !ok {
--- a/internal/takeover/coordinator/counts.go
+++ b/internal/takeover/coordinator/counts.go
@@ -1,22 +1,22 @@
 package coordinator
 
-// Counts count what a coordinator has done since its start.
+// Counts are a coordinator's counters since its start.
 type Counts struct {
-	Claims         int // of clients' writes
-	Proceeded      int // claims that were permitted
-	InProgress     int // responses that said so
-	Served         int // claims that a holder's receipt answered
-	OutcomeUnknown int // claims
-	Rejected       int // claims
-	Unreplicated   int // claims that went on without holders
-	TakenOver      int // writes that this proxy went on with
-	Abandoned      int // writes that were taken over, and whose outcome is unknown
-	HolderTimeouts int
-	Messages       int // to other proxies
-	MessageItems   int
+	Claims         int // for clients' writes
+	Proceeded      int // claims that were granted
+	InProgress     int // responses that another owner had the write in flight
+	Served         int // claims answered with a holder's receipt
+	OutcomeUnknown int // claims answered with an unknown outcome
+	Rejected       int // claims rejected, because of key conflicts too
+	Unreplicated   int // claims that proceeded without other holders
+	TakenOver      int // orphaned writes that this proxy resumed
+	Abandoned      int // orphaned writes that this proxy took over but did not resume: outcome unknown
+	HolderTimeouts int // holders that did not respond within responseTimeout
+	Messages       int // to other proxies, failed ones too
+	MessageItems   int // claims, completions and responses in those messages
 }
 
-// Counts returns what the coordinator has done so far.
+// Counts returns a snapshot of the counters.
 func (c *Coordinator) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/takeover/coordinator/inputs.go
+++ b/internal/takeover/coordinator/inputs.go
@@ -9,15 +9,15 @@
 	"mulleinpier/internal/takeover"
 )
 
-// maxListedWrites bounds what is listed of writes.
+// maxListedWrites bounds the list of writes.
 const maxListedWrites = 1000
 
-// writeArrived is a client's write that the core wants to send.
+// writeArrived is a claim by the core for a client's write.
 type writeArrived struct {
 	requestID uint64 // the core's
 	write     takeover.Write
 	retry     bool
-	expires   time.Time // when the client's time is over
+	expires   time.Time // the client's deadline
 }
 
 func (w writeArrived) handle(c *Coordinator) { c.startClaim(&w) }
@@ -36,14 +36,14 @@
 	}
 }
 
-// listRequest is an operator's request for the list of writes.
+// listRequest requests the list of writes for an operator.
 type listRequest struct{ reply chan []takeover.WriteStatus }
 
 func (l listRequest) handle(c *Coordinator) {
 	l.reply <- c.registry.List(c.options.Clock(), maxListedWrites)
 }
 
-// handle handles another proxy's message.
+// handle processes another proxy's message.
 func (m *message) handle(c *Coordinator) {
 	for _, r := range m.Claims {
 		c.lastID++
@@ -89,13 +89,13 @@
 	return mux
 }
 
-// serveMessage queues another proxy's message.
+// serveMessage queues a message from another proxy.
 func (c *Coordinator) serveMessage(w http.ResponseWriter, r *http.Request) {
 	var m message
 	if !rpc.ReadRequest(w, r, c.options.Fleet, &m) {
 		return
 	}
-	if m.To != c.options.Self { // for an earlier process at this address
+	if m.To != c.options.Self { // meant for an earlier process at this address
 		http.Error(w, "another process", http.StatusGone)
 		return
 	}
--- a/internal/takeover/coordinator/members.go
+++ b/internal/takeover/coordinator/members.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/takeover"
 )
 
-// updateMembers compares the fleet's members with those known, and handles what was lost, returned or is new.
+// updateMembers updates the known members from the fleet's list, and handles those that are lost, back or new.
 func (c *Coordinator) updateMembers(ctx context.Context, list []peer.MemberState, tasks *sync.WaitGroup) {
 	c.forgetMembers(list)
 	for _, s := range list {
@@ -22,11 +22,11 @@
 	}
 }
 
-// updateMember handles what is known of another process.
+// updateMember handles the current state of another proxy.
 func (c *Coordinator) updateMember(ctx context.Context, s peer.MemberState, tasks *sync.WaitGroup) {
 	owner := takeover.Owner{Name: s.Name, Incarnation: s.Incarnation}
 	m := c.members[s.Name]
-	if m != nil && m.Incarnation != s.Incarnation { // another process of that name: the one before is lost
+	if m != nil && m.Incarnation != s.Incarnation { // a new process with that name: the previous one is lost
 		c.ownerLost(m.Owner)
 		m.stop()
 		delete(c.members, s.Name)
@@ -47,7 +47,8 @@
 	}
 }
 
-// updateSelf notes whether the fleet lists this process as gone: until it returned, it was sent no writes.
+// updateSelf records whether the fleet lists this process as gone. While it did, others sent it no writes, so the
+// registry has to be told of the return.
 func (c *Coordinator) updateSelf(s peer.State) {
 	gone := s == peer.Gone
 	if c.selfGone && !gone {
@@ -56,7 +57,7 @@
 	c.selfGone = gone
 }
 
-// addMember adds another proxy, and starts the goroutine that sends it messages.
+// addMember adds another proxy and starts the goroutine that sends messages to it.
 func (c *Coordinator) addMember(ctx context.Context, s peer.MemberState, tasks *sync.WaitGroup) {
 	ctx, stop := context.WithCancel(ctx)
 	m := &member{
@@ -72,7 +73,7 @@
 	tasks.Go(func() { c.sendMessages(ctx, m) })
 }
 
-// forgetMembers removes the members that the fleet has forgotten, so that names that come and go don't pile up.
+// forgetMembers removes the members that the fleet no longer lists, so that short-lived names don't accumulate.
 func (c *Coordinator) forgetMembers(list []peer.MemberState) {
 	known := make(map[string]bool, len(list))
 	for _, s := range list {
@@ -91,7 +92,7 @@
 	})
 }
 
-// ownerLost handles the loss of a process: no response of it is waited for any more, and its writes are orphaned.
+// ownerLost handles the loss of a process: claims stop waiting for its responses, and its writes are orphaned.
 func (c *Coordinator) ownerLost(o takeover.Owner) {
 	for _, cl := range c.claims {
 		if _, awaited := cl.awaited[o.Name]; awaited {
@@ -103,8 +104,8 @@
 	c.handleRegistryEvent(takeover.OwnerLost{Owner: o})
 }
 
-// holdersOf returns a write's holders beside this proxy: the best ranked members that live; and the names of those
-// ranked before them that are gone, which might know more.
+// holdersOf returns a write's holders besides this proxy, which are the best ranked members that are not gone, and the
+// names of the gone members ranked before them, which might know more about the write.
 func (c *Coordinator) holdersOf(id string) (list []*member, gone []string) {
 	for _, m := range c.rankedMembers(id) {
 		switch {
@@ -119,7 +120,7 @@
 	return list, gone
 }
 
-// rankedMembers returns all other proxies, the best holders of a write first.
+// rankedMembers returns all other proxies, best holder of the write first.
 func (c *Coordinator) rankedMembers(id string) (list []*member) {
 	var candidates []takeover.Candidate
 	for _, m := range c.members {
--- a/internal/takeover/coordinator/orphans.go
+++ b/internal/takeover/coordinator/orphans.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/takeover"
 )
 
-// takeOver claims an orphaned write that this holder has taken over: the other holders are asked before it is sent.
+// takeOver claims an orphaned write, which the registry has taken over, at the other holders before it is sent.
 func (c *Coordinator) takeOver(a takeover.TakeOver) {
 	now := c.options.Clock()
 	cl := c.newClaim(a.Write, takeover.TakenOver, now)
@@ -26,7 +26,7 @@
 	c.decide(cl)
 }
 
-// decideTakenOver resumes a write that was taken over, or reports its outcome.
+// decideTakenOver acts on the verdict on a write that was taken over: it resumes the write or reports its outcome.
 func (c *Coordinator) decideTakenOver(cl *claim, verdict takeover.Verdict, deadline time.Duration) {
 	if verdict == takeover.ReturnReceipt {
 		c.reportOutcome(cl, takeover.Served, cl.Receipt())
@@ -40,7 +40,7 @@
 	c.reportOutcome(cl, takeover.Unknown, cl.Receipt())
 }
 
-// resume has the core send a write that was taken over, and reports whether it will.
+// resume passes a write that was taken over to the core, and reports whether the core accepted it.
 func (c *Coordinator) resume(cl *claim, deadline time.Duration) bool {
 	c.resumedWrites++
 	var p payload
@@ -55,7 +55,7 @@
 		Class:          p.Class,
 		Tenant:         p.Tenant,
 		IdempotencyKey: p.IdempotencyKey,
-		Timeout:        -1, // no client waits
+		Timeout:        -1, // no client is waiting
 		Retry:          true,
 		Flags:          p.Flags,
 	}
--- a/internal/takeover/coordinator/outbox.go
+++ b/internal/takeover/coordinator/outbox.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// maxQueued bounds the claims, and the responses, that are queued for another proxy. Further ones are dropped: the
-	// claim times out at that holder, and another is asked.
+	// maxQueued bounds the claims queued for another proxy, and the responses. Excess ones are dropped: the claim then
+	// times out at that holder, and another holder is asked.
 	maxQueued = 8192
-	// maxQueuedCompletions is higher, as completions are kept until they have been received.
+	// maxQueuedCompletions is higher than maxQueued, as completions stay queued until they have been received.
 	maxQueuedCompletions = 4 * maxQueued
 	// maxBatch bounds the items of each kind in one message.
 	maxBatch = 256
 	// completionTimeout is how long sending to a holder may fail before completions for it are dropped.
 	completionTimeout = 5 * time.Second
-	// retryDelay is the time from a failed message to the next.
+	// retryDelay is the delay after a failed message.
 	retryDelay = 20 * time.Millisecond
 )
 
-// outbox is what is to be sent to another proxy.
+// outbox holds the items to send to another proxy.
 type outbox struct {
 	claims      []claimRequest
 	completions []completion
@@ -41,7 +41,7 @@
 	outbox outbox
 }
 
-// queue changes what is to be sent, drops what has no room, and wakes the goroutine that sends.
+// queue applies a change to the outbox, drops the excess, and wakes the sending goroutine.
 func (m *member) queue(change func(o *outbox)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// takeBatch removes from the outbox what fits into one message.
+// takeBatch removes from the outbox, and returns, the items for one message.
 func (m *member) takeBatch() (batch outbox) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,10 +73,10 @@
 
 func (o *outbox) len() int { return len(o.claims) + len(o.responses) + len(o.completions) }
 
-// sendMessages sends what is queued for a member, in batches. Completions are sent until they have been received, or
-// for completionTimeout; claims and responses are sent once, as the claim's timeout makes up for a loss.
+// sendMessages sends the items queued for a member in batches, until ctx ends. Completions are retried until the member
+// has received them, or for completionTimeout. Claims and responses are sent once: the claim's timeout covers a loss.
 func (c *Coordinator) sendMessages(ctx context.Context, m *member) {
-	var failingSince time.Time // zero while messages arrive
+	var failingSince time.Time // zero after a successful message
 	for {
 		batch := m.takeBatch()
 		if batch.len() == 0 {
--- a/internal/takeover/coordinator/protocol.go
+++ b/internal/takeover/coordinator/protocol.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// messagePath is where a coordinator receives other proxies' messages.
+	// messagePath is the HTTP path for messages from other proxies.
 	messagePath = "/v1/work"
-	// WritesPath is where a coordinator lists its writes, as JSON.
+	// WritesPath is the HTTP path at which a coordinator lists its writes as JSON.
 	WritesPath = "/v1/works"
 )
 
-// message is what proxies send one another. All of it may be lost.
+// message is a batch of items from one proxy to another. It may be lost.
 type message struct {
 	rpc.Header
 	From        takeover.Owner  `cbor:"3,keyasint"`
@@ -28,9 +28,9 @@
 	Responses   []claimResponse `cbor:"7,keyasint,omitempty"`
 }
 
-// claimRequest asks a holder for a write, see [takeover.ClaimRequest].
+// claimRequest is the encoded form of a [takeover.ClaimRequest].
 type claimRequest struct {
-	ClaimID uint64         `cbor:"1,keyasint"` // of the sender's claim
+	ClaimID uint64         `cbor:"1,keyasint"` // of the sender's claim; returned in the response
 	Write   takeover.Write `cbor:"2,keyasint"`
 	Rank    int            `cbor:"3,keyasint,omitempty"`
 	Epoch   uint64         `cbor:"4,keyasint,omitempty"`
@@ -38,7 +38,7 @@
 	Retry   bool           `cbor:"6,keyasint,omitempty"`
 }
 
-// completion reports the outcome of a write, see [takeover.Completion].
+// completion is the encoded form of a [takeover.Completion].
 type completion struct {
 	ID      string           `cbor:"1,keyasint"`
 	Digest  uint64           `cbor:"2,keyasint"`
@@ -47,7 +47,7 @@
 	Receipt string           `cbor:"5,keyasint,omitempty"`
 }
 
-// claimResponse answers a claimRequest, see [takeover.ClaimResponse].
+// claimResponse is the encoded form of a [takeover.ClaimResponse].
 type claimResponse struct {
 	ClaimID          uint64            `cbor:"1,keyasint"`
 	Decision         takeover.Decision `cbor:"2,keyasint"`
@@ -58,7 +58,7 @@
 	PreviousOwner    takeover.Owner    `cbor:"7,keyasint,omitempty"`
 }
 
-// payload is a write as it can be sent again.
+// payload is the part of a request that another proxy needs to send the write again.
 type payload struct {
 	Key            string `cbor:"1,keyasint"`
 	Class          string `cbor:"2,keyasint"`
@@ -68,7 +68,7 @@
 	Flags          uint32 `cbor:"6,keyasint,omitempty"`
 }
 
-// newWrite returns a request as its holders know it. Every version must find the same ID and digest.
+// newWrite returns a request as its holders store it. Every version must derive the same ID and digest.
 func newWrite(in *request.Request, window time.Duration) (takeover.Write, error) {
 	data, err := cbor.Marshal(payload{in.Key, in.Class, in.Tenant, in.IdempotencyKey, in.Value, in.Flags})
 	if err != nil {
--- a/internal/takeover/holders.go
+++ b/internal/takeover/holders.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Candidate is an instance that may hold writes.
+// Candidate is an instance that can be chosen as a holder.
 type Candidate struct {
 	Owner
 	Zone string
 }
 
-// RankHolders ranks instances for a write by rendezvous hashing, from the write's ID alone: any proxy finds the same
-// order. The best of each zone come first, in the order of their ranks, and then all others in that order.
+// RankHolders orders candidates for a write by rendezvous hashing. The hash covers only the write's ID and the
+// candidates' names, so every proxy finds the same order. The best candidate of each zone comes first, then all others.
 func RankHolders(id string, candidates []Candidate) []Candidate {
 	type weighted struct {
 		Candidate
@@ -39,14 +39,14 @@
 	return append(firstOfZone, rest...)
 }
 
-// hashHolder is the same in every process and version.
+// hashHolder must return the same value in every process and version.
 func hashHolder(id, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	h.Write([]byte{0})
 	h.Write([]byte(name))
 	x := h.Sum64()
-	// The finalizer of MurmurHash3: the last bytes of FNV's input change too few bits of its sum.
+	// MurmurHash3's finalizer: the last bytes of the input change too few bits of an FNV hash.
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/internal/takeover/registry.go
+++ b/internal/takeover/registry.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// entry is a write as a holder knows it.
+// entry is a holder's record of a write.
 type entry struct {
 	write      Write
 	owner      Owner
 	epoch      uint64
-	ownerCount int           // owners so far that had permission
-	rank       int           // of this holder: the lower it is, the sooner it takes an orphaned write over
-	firstSend  time.Duration // when the write may have run first, by this registry's clock
-	orphaned   bool          // its owner is lost, or has given it up
-	takeoverAt time.Duration // when this holder takes an orphaned write over, if no other has
+	ownerCount int           // owners so far, including the present one
+	rank       int           // of this holder; a lower rank takes over an orphaned write sooner
+	firstSend  time.Duration // when the write may first have run, by this registry's clock
+	orphaned   bool          // its owner is lost or has given it up
+	takeoverAt time.Duration // when this holder takes over an orphaned write, unless another has
 	outcome    Outcome
 	receipt    string
-	since      time.Duration  // of the outcome, or of the entry
-	waiters    []ClaimRequest // of other owners, until there is an outcome or the write is orphaned
-	// uncertain marks a write that came as a retry in the registry's recovery period: it may have run longer ago than
-	// is known here.
+	since      time.Duration  // when the outcome was recorded, or the entry added
+	waiters    []ClaimRequest // claims that wait for an outcome or for the owner's loss
+	// uncertain is set for a write that first came as a retry during the recovery period: it may have run before
+	// firstSend.
 	uncertain bool
 }
 
-// Registry is a holder's table of writes. The zero value is not usable.
+// Registry is a holder's table of writes. Use [NewRegistry] to create one.
 type Registry struct {
 	parameters      Parameters
 	self            Owner
-	recoveringSince time.Duration // or when it returned
+	recoveringSince time.Duration // when the process started, or rejoined
 	entries         map[string]*entry
-	byArrival       []string // IDs in the order of arrival, for expireEntries
+	byArrival       []string // IDs in order of arrival, for expireEntries
 	payloadBytes    int
 	orphans         map[string]struct{} // IDs of orphaned writes
 }
 
-// NewRegistry returns an empty registry of a process that starts now.
+// NewRegistry returns an empty registry whose recovery period starts now.
 func NewRegistry(parameters Parameters, self Owner, now time.Duration) *Registry {
 	return &Registry{
 		parameters:      parameters,
@@ -47,11 +47,11 @@
 	}
 }
 
-// Len returns how many writes are known.
+// Len returns the number of writes in the registry.
 func (r *Registry) Len() int { return len(r.entries) }
 
-// List returns up to limit of the writes that are known: first those whose outcome is unknown, then the orphaned ones,
-// those in flight and those served.
+// List returns up to limit writes: first those whose outcome is unknown, then the orphaned ones, those in flight and
+// those served.
 func (r *Registry) List(now time.Duration, limit int) []WriteStatus {
 	ranks := map[State]int{StateUnknown: 0, StateOrphaned: 1, StateInFlight: 2, StateServed: 3}
 	var list []WriteStatus
@@ -84,7 +84,7 @@
 	return StateInFlight
 }
 
-// Handle handles an event that occurs at now, and appends the actions to out.
+// Handle processes an event that occurs at now. It appends the resulting actions to out.
 func (r *Registry) Handle(now time.Duration, event Event, out []Action) []Action {
 	switch e := event.(type) {
 	case ClaimRequest:
@@ -107,7 +107,7 @@
 	return out
 }
 
-// ownerLost orphans the writes in flight of a lost owner.
+// ownerLost marks a lost owner's writes in flight as orphaned.
 func (r *Registry) ownerLost(now time.Duration, owner Owner, out []Action) []Action {
 	for _, id := range r.byArrival {
 		e := r.entries[id]
@@ -118,7 +118,7 @@
 	return out
 }
 
-// orphan grants a write to the first that waits for it, or leaves it to the holders' turns.
+// orphan grants a write to its first waiter. Without one, the first holder whose takeoverAt comes takes it over.
 func (r *Registry) orphan(now time.Duration, e *entry, out []Action) []Action {
 	e.orphaned = true
 	e.takeoverAt = now + time.Duration(e.rank)*r.parameters.TakeoverInterval
@@ -140,13 +140,13 @@
 	}
 }
 
-// isWithinWindow reports whether nodes drop a repeat that is sent now. A permission that is granted now is cut to the
-// end of the window.
+// isWithinWindow reports whether nodes drop a repeat that is sent now. The owner cuts its permission to the end of the
+// window.
 func (r *Registry) isWithinWindow(now time.Duration, e *entry) bool {
 	return now-e.firstSend < r.parameters.atLeast(e.write.DedupWindow)
 }
 
-// finish gives a write its outcome, and answers all that wait for it.
+// finish records a write's outcome and responds to its waiters.
 func (r *Registry) finish(now time.Duration, e *entry, o Outcome, receipt string, out []Action) []Action {
 	e.outcome, e.receipt, e.since = o, receipt, now
 	r.payloadBytes -= len(e.write.Payload)
@@ -159,7 +159,7 @@
 	return out
 }
 
-// outcomeResponse answers a claim to a write that has an outcome.
+// outcomeResponse returns the response to a claim to a write that has an outcome.
 func (e *entry) outcomeResponse(requestID uint64) ClaimResponse {
 	if e.outcome == Served {
 		return ClaimResponse{RequestID: requestID, Decision: AlreadyServed, Receipt: e.receipt}
@@ -174,7 +174,7 @@
 	delete(r.orphans, id)
 }
 
-// takeOverOrphans takes over the orphaned writes for which it is this holder's turn.
+// takeOverOrphans takes over the orphaned writes whose takeover time for this holder has come.
 func (r *Registry) takeOverOrphans(now time.Duration, out []Action) []Action {
 	var due []string
 	for id := range r.orphans {
@@ -182,7 +182,7 @@
 			due = append(due, id)
 		}
 	}
-	slices.Sort(due) // the same events bring the same actions
+	slices.Sort(due) // makes the actions deterministic
 	for _, id := range due {
 		e := r.entries[id]
 		if !r.isWithinWindow(now, e) || e.uncertain {
@@ -200,8 +200,8 @@
 	return out
 }
 
-// expireEntries gives writes that nobody has completed in time the outcome Unknown, and removes outcomes that were kept
-// for long enough.
+// expireEntries records the outcome Unknown for writes in flight past MaxInFlightAge, and removes entries past
+// OutcomeRetention.
 func (r *Registry) expireEntries(now time.Duration, out []Action) []Action {
 	for len(r.byArrival) > 0 {
 		id := r.byArrival[0]
--- a/internal/takeover/registry_claims.go
+++ b/internal/takeover/registry_claims.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// claim answers an owner's request for a write.
+// claim responds to an owner's claim request.
 func (r *Registry) claim(now time.Duration, c ClaimRequest, out []Action) []Action {
 	e := r.entries[c.Write.ID]
 	if e == nil {
@@ -14,10 +14,10 @@
 	switch {
 	case e.outcome != InFlight:
 		return append(out, e.outcomeResponse(c.RequestID))
-	case c.Epoch > e.epoch: // it was taken over: the longer of the two ages counts
+	case c.Epoch > e.epoch: // the write was taken over: the longer of the two ages applies
 		e.firstSend = min(e.firstSend, now-r.parameters.atMost(c.Age))
 		return r.grantTo(now, e, c, c.Epoch, out)
-	case c.Epoch > 0 && c.Epoch < e.epoch: // another has taken it over since
+	case c.Epoch > 0 && c.Epoch < e.epoch: // a later owner has the write
 		return append(out, ClaimResponse{RequestID: c.RequestID, Decision: Declined})
 	case e.orphaned && c.Owner != e.owner:
 		return r.grantTo(now, e, c, e.epoch+1, out)
@@ -28,7 +28,7 @@
 	return append(out, ClaimResponse{RequestID: c.RequestID, Decision: InProgress})
 }
 
-// addClaimed adds a write that was not known, if there is room, and grants it.
+// addClaimed adds a new write and grants the claim, or declines it if the registry is full.
 func (r *Registry) addClaimed(now time.Duration, c ClaimRequest) ClaimResponse {
 	isFull := len(r.entries) >= r.parameters.MaxWrites ||
 		r.payloadBytes+len(c.Write.Payload) > r.parameters.MaxBytes
@@ -36,7 +36,7 @@
 		return ClaimResponse{RequestID: c.RequestID, Decision: Declined}
 	}
 	age := time.Duration(0)
-	if c.Epoch > 0 { // it was taken over
+	if c.Epoch > 0 { // the write was taken over
 		age = r.parameters.atMost(c.Age)
 	}
 	recovering := now-r.recoveringSince < r.parameters.RecoveryPeriod
@@ -62,7 +62,7 @@
 	}
 }
 
-// grantTo permits another owner, or the same anew, to send a write while its repeats are dropped.
+// grantTo makes the claimant the owner, with a permission to send, if nodes still drop repeats of the write.
 func (r *Registry) grantTo(now time.Duration, e *entry, c ClaimRequest, epoch uint64, out []Action) []Action {
 	if !r.isWithinWindow(now, e) {
 		out = r.finish(now, e, Unknown, "", out)
@@ -80,14 +80,14 @@
 		RequestID:        c.RequestID,
 		Decision:         Granted,
 		Epoch:            epoch,
-		Age:              max(now-e.firstSend, 1), // never 0: it may have run
+		Age:              max(now-e.firstSend, 1), // never 0, as the write may have run
 		MayHaveForgotten: e.uncertain,
 		PreviousOwner:    previous,
 	})
 }
 
-// complete records the outcome of a write. That it was served is accepted from any process, any other outcome from its
-// present owner alone.
+// complete records the outcome of a write. It accepts the outcome Served from any process, others only from the present
+// owner.
 func (r *Registry) complete(now time.Duration, c *Completion, out []Action) []Action {
 	e := r.entries[c.ID]
 	switch {
@@ -110,13 +110,13 @@
 			out = append(out, ClaimResponse{RequestID: w.RequestID, Decision: SafeToRetry})
 		}
 		r.remove(c.ID)
-	case c.Outcome == NotExecuted: // by this owner; an earlier one's may have run
+	case c.Outcome == NotExecuted: // not by this owner, but an earlier owner may have had it run
 		return r.orphan(now, e, out)
 	}
 	return out
 }
 
-// addServed adds a served write that this holder did not know, if there is room.
+// addServed adds a served write that is not in the registry, if there is room.
 func (r *Registry) addServed(now time.Duration, c *Completion) {
 	if c.Outcome != Served || len(r.entries) >= r.parameters.MaxWrites {
 		return
--- a/internal/takeover/registry_messages.go
+++ b/internal/takeover/registry_messages.go
@@ -6,16 +6,16 @@
 type Event interface{ event() }
 
 type (
-	// ClaimRequest asks for the permission to send a write, or for its outcome. An owner asks its own registry first,
-	// and other holders only once that has answered: so it has one claim to a write at a time.
+	// ClaimRequest asks for a permission to send a write, or for its outcome. An owner asks its own registry first and
+	// the other holders only after that has responded, so that it has one claim to a write at a time.
 	ClaimRequest struct {
-		RequestID uint64 // repeated in the ClaimResponse
+		RequestID uint64 // returned in the ClaimResponse
 		Write     Write
 		Owner     Owner
 		Rank      int           // of this holder among the write's holders
-		Epoch     uint64        // of a proxy that has taken the write over; 0 for a client's request
-		Age       time.Duration // since the write may have run first, with Epoch
-		Retry     bool          // the client marks its request as a repetition
+		Epoch     uint64        // of a write that the owner has taken over; 0 for a client's request
+		Age       time.Duration // since the write may first have run; only with Epoch
+		Retry     bool          // the client marked its request as a retry, or the write was taken over
 	}
 	// Completion reports the outcome of a write.
 	Completion struct {
@@ -26,18 +26,19 @@
 		Outcome Outcome
 		Receipt string
 	}
-	// OwnerLost says that a process is gone.
+	// OwnerLost reports that a process is gone.
 	OwnerLost struct{ Owner Owner }
-	// OwnerReturned says that a process that was taken for lost is alive.
+	// OwnerReturned reports that a process that was considered lost is alive.
 	OwnerReturned struct{ Owner Owner }
-	// WaiterLeft says that an owner does not wait for a write any more.
+	// WaiterLeft reports that an owner no longer waits for a write.
 	WaiterLeft struct {
 		ID        string // of the write
 		RequestID uint64
 	}
-	// Rejoined says that this process was out of the others' reach, or paused: it may lack what it was sent.
+	// Rejoined reports that this process was paused or unreachable, and may have missed messages. It starts a new
+	// recovery period.
 	Rejoined struct{}
-	// Tick has the deadlines checked.
+	// Tick checks the deadlines. The caller sends it at regular intervals.
 	Tick struct{}
 )
 
@@ -49,43 +50,43 @@
 func (Rejoined) event()      {}
 func (Tick) event()          {}
 
-// Decision is what a registry answers to a claim. The numbers are sent between proxies.
+// Decision is a registry's response to a claim. The numeric values are sent between proxies.
 type Decision uint8
 
-// The decisions.
+// InProgress is the only decision that another one follows.
 const (
-	Granted       Decision = iota + 1 // the write may be sent, for PermissionDuration from when the owner asked
-	AlreadyServed                     // with a receipt
-	WindowExpired                     // the write may have run, and its window is over
-	Conflict                          // the key belongs to another write
-	Declined                          // no permission: there is no room, or another took the write over since
-	SafeToRetry                       // the write surely has not run, and its owner gave it up
-	InProgress                        // another owner has it: one of the other decisions follows once that has ended
+	Granted       Decision = iota + 1 // the write may be sent for PermissionDuration, from when the owner asked
+	AlreadyServed                     // the response has the receipt
+	WindowExpired                     // the write may have run, and its window is over or its outcome unknown
+	Conflict                          // the key was used for another write
+	Declined                          // there is no room, or a later owner has the write
+	SafeToRetry                       // the write has not run, and its owner has given it up
+	InProgress                        // another owner has the write; a further response follows once that ends
 )
 
-// Action is what a [Registry] wants done.
+// Action is an output of a [Registry], which the caller carries out.
 type Action interface{ action() }
 
 type (
-	// ClaimResponse answers a ClaimRequest.
+	// ClaimResponse is the response to a ClaimRequest.
 	ClaimResponse struct {
 		RequestID uint64
 		Decision  Decision
 		Epoch     uint64        // with Granted
-		Age       time.Duration // with Granted: since the write may have run first; 0 for never
+		Age       time.Duration // with Granted: since the write may first have run; 0 if it is new
 		Receipt   string        // with AlreadyServed
-		// MayHaveForgotten, with Granted, says that the write may have run before unknown to this holder, which has
-		// started or come back lately.
+		// MayHaveForgotten, with Granted, reports that the write may have run without this holder's knowledge, which
+		// has recently started or rejoined.
 		MayHaveForgotten bool
-		// PreviousOwner, with Granted, is that of a write which the holder knew.
+		// PreviousOwner, with Granted, is the owner in the holder's entry. It is zero for a new write.
 		PreviousOwner Owner
 	}
-	// TakeOver makes this process the owner of an orphaned write that no owner waits for. The other holders must be
-	// asked before it is sent: one of them may know more.
+	// TakeOver makes this process the owner of an orphaned write without waiters. It must claim the write at the other
+	// holders before it sends it, as one of them may know more.
 	TakeOver struct {
 		Write         Write
 		Epoch         uint64
-		Age           time.Duration // since the write may have run first
+		Age           time.Duration // since the write may first have run
 		PreviousOwner Owner
 	}
 )
