--- a/internal/peer/detector_test.go
+++ b/internal/peer/detector_test.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
-// TestConnectionReplacedInTime guards against a connection reset that counts as a death.
+// TestConnectionReplacedInTime guards against a broken connection that counts as the end of a process: a member that
+// reconnects within ReconnectGrace stays alive, even if the end of the old connection is noticed after that.
 func TestConnectionReplacedInTime(t *testing.T) {
 	d := NewDetector(DefaultParameters, 0)
 	d.Handle(0, Heartbeat{Member{Name: "a", Incarnation: 1}, 7})
 	d.Handle(10*ms, ConnectionLost{7})
 	if d.Members()[0].State != Suspect {
-		t.Error("an end is not suspected")
+		t.Error("the member is not suspect although its connection is closed")
 	}
 	if next := d.NextTick(10 * ms); next > 70*ms {
-		t.Errorf("looks again at %v", next)
+		t.Errorf("the next tick is due at %v, want 70ms at the latest", next)
 	}
 	d.Handle(40*ms, Heartbeat{Member{Name: "a", Incarnation: 1}, 8})
-	d.Handle(60*ms, ConnectionLost{7}) // known late
+	d.Handle(60*ms, ConnectionLost{7}) // noticed late
 	d.Handle(120*ms, Tick{})
 	if s := d.Members()[0].State; s != Alive {
-		t.Errorf("with a new connection it is %v", s)
+		t.Errorf("after the reconnect the member is %v", s)
 	}
 }
 
-// TestMembersAreBounded guards against members without end, and that who is gone is forgotten.
+// TestMembersAreBounded guards against unbounded growth: members beyond MaxMembers are rejected, and members that are
+// gone are forgotten.
 func TestMembersAreBounded(t *testing.T) {
 	parameters := DefaultParameters
 	parameters.MaxMembers = 3
@@ -33,13 +35,13 @@
 	for i := range uint64(5) {
 		result := d.Handle(0, Heartbeat{Member{Name: fmt.Sprint(i), Incarnation: 1}, i})
 		if (result == TooManyMembers) != (i >= 3) {
-			t.Errorf("member %d is answered %v", i, result)
+			t.Errorf("member %d: the result is %v", i, result)
 		}
 	}
 	for at := time.Duration(0); at < parameters.ForgetAfter+time.Second; at += 50 * ms {
 		d.Handle(at, Tick{})
 	}
 	if n := len(d.Members()); n != 0 {
-		t.Errorf("%d are not forgotten", n)
+		t.Errorf("%d members that are gone are not forgotten", n)
 	}
 }
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// TestEndedAndSilentMembersAreGoneInTime guards guarantees 1 and 2.
+// TestEndedAndSilentMembersAreGoneInTime guards guarantees 1 and 2: how soon a member whose process ends, or that is
+// silent, is gone; and that a pause of 300 ms does not make it gone.
 func TestEndedAndSilentMembersAreGoneInTime(t *testing.T) {
 	f := newFleet(3, "a", "b", "c")
 	f.run(time.Second)
 	f.endProcess(f.members[0])
 	if d := f.timeUntil("a", Gone); d > 100*ms {
-		t.Errorf("the end of a process is known after %v", d)
+		t.Errorf("an ended process is gone after %v", d)
 	}
-	for offset := range 15 { // wherever between two heartbeats
+	for offset := range 15 { // at any time between two heartbeats
 		f := newFleet(3, "a", "b")
 		f.run(time.Second + time.Duration(offset)*10*ms)
 		f.members[0].silent = true
@@ -24,98 +25,98 @@
 		f.run(time.Second)
 		for _, c := range f.changes {
 			if c == "a gone" {
-				t.Errorf("offset %d: a pause of 300 ms counts as a death: %v", offset, f.changes)
+				t.Errorf("offset %d: a member is gone after a pause of 300 ms: %v", offset, f.changes)
 			}
 		}
 		f.members[0].silent = true
 		if d := f.timeUntil("a", Gone); d > 700*ms || d < 400*ms {
-			t.Errorf("offset %d: silence is known after %v", offset, d)
+			t.Errorf("offset %d: a silent member is gone after %v", offset, d)
 		}
 		f.members[0].silent = false
 		f.run(300 * ms)
 		if s := f.state("a"); s != Alive {
-			t.Errorf("offset %d: back, it is %v", offset, s)
+			t.Errorf("offset %d: after its return the member is %v", offset, s)
 		}
 	}
 }
 
-// TestPausedWatcherTakesNobodyForGone guards guarantee 3, at a watcher and at all of them.
+// TestPausedWatcherTakesNobodyForGone guards guarantee 3, with one, two and all three watchers paused.
 func TestPausedWatcherTakesNobodyForGone(t *testing.T) {
-	for _, stopped := range [][]int{{0}, {0, 1}, {0, 1, 2}} {
+	for _, paused := range [][]int{{0}, {0, 1}, {0, 1, 2}} {
 		f := newFleet(3, "a", "b")
 		f.run(time.Second)
-		for _, i := range stopped {
-			f.stoppedWatchers[i] = true
+		for _, i := range paused {
+			f.pausedWatchers[i] = true
 		}
 		f.run(3 * time.Second)
-		if isolated, _ := f.view.Isolated(); isolated != (len(stopped) > 1) {
-			t.Errorf("%d of three stopped, isolated %v", len(stopped), isolated)
+		if isolated, _ := f.view.Isolated(); isolated != (len(paused) > 1) {
+			t.Errorf("%d of three watchers paused: isolated %v", len(paused), isolated)
 		}
-		f.stoppedWatchers = map[int]bool{}
+		f.pausedWatchers = map[int]bool{}
 		f.changes = nil
 		f.run(2 * time.Second)
 		for _, name := range []string{"a", "b"} {
 			if s := f.state(name); s != Alive {
-				t.Errorf("%d stopped: %s is %v", len(stopped), name, s)
+				t.Errorf("%d paused: %s is %v", len(paused), name, s)
 			}
 		}
 		for _, c := range f.changes {
 			if c == "a gone" || c == "b gone" {
-				t.Errorf("%d stopped: %v", len(stopped), f.changes)
+				t.Errorf("%d paused: %v", len(paused), f.changes)
 			}
 		}
 	}
 }
 
-// TestStateFollowsMajority guards guarantee 5, and that one watcher's opinion is no verdict.
+// TestStateFollowsMajority guards guarantee 5, and that the opinion of a single watcher decides nothing.
 func TestStateFollowsMajority(t *testing.T) {
 	f := newFleet(3, "a", "b")
 	f.run(time.Second)
 	f.members[0].cutOffFrom[1] = true
 	f.run(time.Second)
 	if s := f.state("a"); s != Alive {
-		t.Errorf("cut off from one of three: %v", s)
+		t.Errorf("cut off from one of three watchers, a is %v", s)
 	}
 	f.members[0].cutOffFrom[2] = true
 	if f.timeUntil("a", Gone); f.state("a") != Gone {
-		t.Error("cut off from two of three it is not gone")
+		t.Error("cut off from two of three watchers, a is not gone")
 	}
 	f.members[0].cutOffFrom = map[int]bool{1: true}
 	f.run(time.Second)
 	if s := f.state("a"); s != Alive {
-		t.Errorf("back at two: %v", s)
+		t.Errorf("reaching two watchers again, a is %v", s)
 	}
 	f.unreachableWatchers = map[int]bool{0: true, 1: true}
 	f.endProcess(f.members[1])
 	f.run(2 * time.Second)
 	if isolated, _ := f.view.Isolated(); !isolated || f.state("b") != Alive {
-		t.Errorf("isolated %v, b %v: want what was known last", isolated, f.state("b"))
+		t.Errorf("isolated %v, b is %v: want the last known state", isolated, f.state("b"))
 	}
 	f.unreachableWatchers = map[int]bool{}
 	f.run(time.Second)
 	if s := f.state("b"); s != Gone {
-		t.Errorf("hearing the watchers again, b is %v", s)
+		t.Errorf("receiving reports again, b is %v", s)
 	}
 }
 
-// TestFirstProcessOfANameCounts guards guarantee 4.
+// TestFirstProcessOfANameCounts guards guarantee 4 with three processes of one name.
 func TestFirstProcessOfANameCounts(t *testing.T) {
 	f := newFleet(3, "a")
 	f.run(time.Second)
 	second := f.join("a", 2)
 	f.run(time.Second)
 	if second.result != NameTaken {
-		t.Errorf("the second is answered %v", second.result)
+		t.Errorf("the second process gets %v", second.result)
 	}
 	f.members[0].silent = true // it is paused
 	f.run(time.Second)
 	if second.result != Accepted || f.state("a") != Alive {
-		t.Errorf("the first is gone: the second is answered %v, the name is %v", second.result, f.state("a"))
+		t.Errorf("the first process is gone: the second gets %v, the member is %v", second.result, f.state("a"))
 	}
 	f.members[0].silent = false
 	f.run(time.Second)
 	if f.members[0].result != Replaced {
-		t.Errorf("the first is back and answered %v", f.members[0].result)
+		t.Errorf("the first process is back and gets %v", f.members[0].result)
 	}
 	second.Leaving = true
 	f.run(200 * ms)
@@ -124,29 +125,30 @@
 	f.endProcess(second)
 	f.run(time.Second)
 	if third.result != Accepted || f.state("a") != Alive {
-		t.Errorf("a leaving process keeps its name: %v, %v", third.result, f.state("a"))
+		t.Errorf("the second process is leaving: the third gets %v, the member is %v", third.result, f.state("a"))
 	}
 	if list := f.view.Members(); len(list) != 1 || list[0].Incarnation != 3 {
 		t.Errorf("%+v", list)
 	}
 }
 
-// TestRandomFaults has members end, pause, be cut off and come back under new incarnations, and watchers stop. Whatever
-// happened before: after a quiet time a member is alive if it runs and reaches a majority, and gone if not.
+// TestRandomFaults guards against a view that does not recover from faults. Members end, pause, are cut off and return
+// with new incarnations, and watchers pause. After two seconds without further faults, a member must be alive if it
+// runs and reaches a majority of the watchers, and gone otherwise.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := newFleet(3, "a", "b", "c", "d", "e")
 		f.run(time.Second)
 		for i := range uint64(30) {
-			f.causeFault(rng, 101+i)
+			f.injectFault(rng, 101+i)
 			f.run(time.Duration(rng.IntN(80)) * 10 * ms)
 		}
-		f.stoppedWatchers = map[int]bool{}
+		f.pausedWatchers = map[int]bool{}
 		f.run(2 * time.Second)
 		for _, m := range f.members {
 			want := Gone
-			if !m.silent && m.reachedWatchers() >= 2 {
+			if !m.silent && m.countReachedWatchers() >= 2 {
 				want = Alive
 			}
 			if s := f.state(m.Name); s != want {
@@ -157,8 +159,8 @@
 	}
 }
 
-// causeFault has something befall a member or a watcher. A process that comes back has the given incarnation.
-func (f *simulatedFleet) causeFault(rng *rand.Rand, incarnation uint64) {
+// injectFault injects a random fault at a member or a watcher. A process that restarts has the given incarnation.
+func (f *simulatedFleet) injectFault(rng *rand.Rand, incarnation uint64) {
 	m := f.members[rng.IntN(len(f.members))]
 	switch rng.IntN(6) {
 	case 0:
@@ -174,12 +176,12 @@
 	case 4:
 		m.cutOffFrom[rng.IntN(3)] = rng.IntN(2) == 0
 	case 5:
-		f.stoppedWatchers = map[int]bool{rng.IntN(3): rng.IntN(2) == 0}
+		f.pausedWatchers = map[int]bool{rng.IntN(3): rng.IntN(2) == 0}
 	}
 }
 
-// reachedWatchers counts the three watchers that a member reaches.
-func (m *simulatedMember) reachedWatchers() (n int) {
+// countReachedWatchers returns how many of the three watchers a member reaches.
+func (m *simulatedMember) countReachedWatchers() (n int) {
 	for i := range 3 {
 		if !m.cutOffFrom[i] {
 			n++
@@ -188,8 +190,8 @@
 	return n
 }
 
-// TestThreeHundredInstances has 300 instances at three watchers, of which a tenth end at once: all is known in its
-// time, and what is reported for it is bounded, as a watcher reports changes alone.
+// TestThreeHundredInstances guards the reaction time and the size of reports in a large fleet: 30 of 300 instances end
+// at once. They must be gone after 100 ms, the others alive, and the reports may have changed members only.
 func TestThreeHundredInstances(t *testing.T) {
 	var names []string
 	for i := range 300 {
@@ -200,7 +202,7 @@
 	f.reportedMembers, f.changes = 0, nil
 	f.run(time.Second)
 	if f.reportedMembers != 0 || len(f.changes) != 0 {
-		t.Errorf("at rest %d members are reported", f.reportedMembers)
+		t.Errorf("without changes %d members are reported", f.reportedMembers)
 	}
 	for i := range 30 {
 		f.endProcess(f.members[i])
@@ -216,6 +218,6 @@
 		}
 	}
 	if f.reportedMembers > 3*2*30 {
-		t.Errorf("%d members are reported for 30 that ended", f.reportedMembers)
+		t.Errorf("%d members are reported after 30 ended", f.reportedMembers)
 	}
 }
--- a/internal/peer/rpc/recorded_test.go
+++ b/internal/peer/rpc/recorded_test.go
@@ -8,8 +8,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestRecordedMessages guards fleets of mixed versions: the header of every message is read from and written for
-// earlier versions, and a message of a later one is understood as far as it says so.
+// TestRecordedMessages guards fleets of mixed versions. The header's encoding must match messages recorded from an
+// earlier version, and a message of a later version must be accepted if its MinVersion allows it.
 func TestRecordedMessages(t *testing.T) {
 	recordedHeader := Header{Version: 1, Fleet: "shop", MinVersion: 1}
 	testutil.CheckRecordedCBOR(t, "testdata/message.cbor", message{recordedHeader, "x"})
@@ -22,6 +22,6 @@
 	want := message{Header{Version: 9, Fleet: "shop", MinVersion: 1}, "y"}
 	status, reason := Parse(testutil.Recorded(t, "testdata/message-later.cbor"), "shop", &later)
 	if status != http.StatusOK || !reflect.DeepEqual(later, want) {
-		t.Errorf("a later version's message: %d %s, %+v", status, reason, later)
+		t.Errorf("message of a later version: %d %s, %+v", status, reason, later)
 	}
 }
--- a/internal/peer/rpc/rpc_test.go
+++ b/internal/peer/rpc/rpc_test.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestVersionsAreCompatible guards fleets that are mixed while they are being replaced: an older and a newer program
-// understand each other as far as the newer one says so.
+// TestVersionsAreCompatible guards fleets that run mixed versions during an upgrade: an older and a newer program
+// accept each other's messages as far as the newer one declares them compatible.
 func TestVersionsAreCompatible(t *testing.T) {
 	for _, c := range []struct {
 		name                string
@@ -16,12 +16,12 @@
 		version, minVersion int
 		want                bool
 	}{
-		{"the same version", Header{Version: 1}, 1, 1, true},
-		{"an older one's, at a newer", Header{Version: 1}, 3, 1, true},
-		{"an older one's, that the newer has given up", Header{Version: 1}, 3, 2, false},
-		{"a newer one's, at an older", Header{Version: 3, MinVersion: 1}, 1, 1, true},
-		{"a newer one's, too new for the older", Header{Version: 3, MinVersion: 2}, 1, 1, false},
-		{"a newer one's, that says nothing", Header{Version: 3}, 1, 1, false},
+		{"same version", Header{Version: 1}, 1, 1, true},
+		{"older message, newer receiver", Header{Version: 1}, 3, 1, true},
+		{"older message, no longer supported by the receiver", Header{Version: 1}, 3, 2, false},
+		{"newer message, compatible with an older receiver", Header{Version: 3, MinVersion: 1}, 1, 1, true},
+		{"newer message, too new for the receiver", Header{Version: 3, MinVersion: 2}, 1, 1, false},
+		{"newer message without a minimum version", Header{Version: 3}, 1, 1, false},
 		{"no version", Header{}, 1, 1, false},
 	} {
 		if got := Compatible(c.header, c.version, c.minVersion); got != c.want {
@@ -67,7 +67,8 @@
 	}
 }
 
-// FuzzParse guards what peers send: whatever comes is rejected with a reason or read, and what was read can be written.
+// FuzzParse guards against malformed messages from peers: any input is either rejected with a reason or decoded, and a
+// decoded message can be encoded again.
 func FuzzParse(f *testing.F) {
 	good, _ := cbor.Marshal(message{NewHeader("shop"), "x"})
 	f.Add(good)
@@ -76,7 +77,7 @@
 		var m message
 		status, reason := Parse(body, "shop", &m)
 		if (status == http.StatusOK) != (reason == "") {
-			t.Fatalf("%d and %q", status, reason)
+			t.Fatalf("status %d with reason %q", status, reason)
 		}
 		if status == http.StatusOK {
 			if _, err := cbor.Marshal(m); err != nil || m.Fleet != "shop" {
--- a/internal/peer/simulation_test.go
+++ b/internal/peer/simulation_test.go
@@ -7,24 +7,24 @@
 
 const ms = time.Millisecond
 
-// simulatedFleet is some members and watchers in virtual time: each member sends heartbeats to each watcher that it is
-// not cut off from.
+// simulatedFleet simulates members and watchers in virtual time. Each member sends heartbeats to each watcher that it
+// is not cut off from.
 type simulatedFleet struct {
 	now                 time.Duration
 	watchers            []*Detector
 	view                *View
-	knownVersions       []uint64     // of the watchers' reports, as the view has them
-	stoppedWatchers     map[int]bool // by place
-	unreachableWatchers map[int]bool // whose reports the view does not get
+	knownVersions       []uint64     // versions of the reports that the view last got, by watcher
+	pausedWatchers      map[int]bool // by index
+	unreachableWatchers map[int]bool // by index: the view does not get their reports
 	members             []*simulatedMember
-	changes             []string // of the view, as "name state"
-	reportedMembers     int      // in all reports
+	changes             []string // in the view, as "name state"
+	reportedMembers     int      // total over all reports
 }
 
 type simulatedMember struct {
 	Member
 	silent     bool
-	cutOffFrom map[int]bool // watchers that it does not reach
+	cutOffFrom map[int]bool // indexes of the watchers that it does not reach
 	result     HeartbeatResult
 }
 
@@ -32,7 +32,7 @@
 	f := &simulatedFleet{
 		view:                NewView(DefaultParameters, watchers, 0),
 		knownVersions:       make([]uint64, watchers),
-		stoppedWatchers:     map[int]bool{},
+		pausedWatchers:      map[int]bool{},
 		unreachableWatchers: map[int]bool{},
 	}
 	for range watchers {
@@ -50,11 +50,11 @@
 	return m
 }
 
-// run simulates a span in steps of 10 ms: heartbeats, ticks and reports.
+// run simulates heartbeats, ticks and reports for a duration, in steps of 10 ms.
 func (f *simulatedFleet) run(d time.Duration) {
 	for until := f.now + d; f.now < until; f.now += 10 * ms {
 		for i, w := range f.watchers {
-			if f.stoppedWatchers[i] {
+			if f.pausedWatchers[i] {
 				continue
 			}
 			for _, m := range f.members {
@@ -67,24 +67,24 @@
 				list, complete := w.ChangedSince(f.knownVersions[i])
 				f.knownVersions[i] = w.Version()
 				f.reportedMembers += len(list)
-				f.noteChanges(f.view.Merge(f.now, fmt.Sprint(i), Report{complete, list}))
+				f.recordChanges(f.view.Merge(f.now, fmt.Sprint(i), Report{complete, list}))
 			}
 		}
-		f.noteChanges(f.view.Tick(f.now))
+		f.recordChanges(f.view.Tick(f.now))
 	}
 }
 
-func (f *simulatedFleet) noteChanges(changes []Change) {
+func (f *simulatedFleet) recordChanges(changes []Change) {
 	for _, c := range changes {
 		f.changes = append(f.changes, fmt.Sprint(c.Name, " ", c.State))
 	}
 }
 
-// endProcess closes a member's connections, as the end of its process does.
+// endProcess ends a member's process, which closes its connections.
 func (f *simulatedFleet) endProcess(m *simulatedMember) {
 	m.silent = true
 	for i, w := range f.watchers {
-		if !f.stoppedWatchers[i] {
+		if !f.pausedWatchers[i] {
 			w.Handle(f.now, ConnectionLost{m.Incarnation})
 		}
 	}
@@ -99,7 +99,7 @@
 	return 0
 }
 
-// timeUntil returns how long it takes until a member is in a state, a second at the most.
+// timeUntil runs the simulation until a member is in a state, for a second at most, and returns how long that took.
 func (f *simulatedFleet) timeUntil(name string, s State) time.Duration {
 	from := f.now
 	for f.state(name) != s && f.now-from < time.Second {
--- a/internal/peer/transport/recorded_test.go
+++ b/internal/peer/transport/recorded_test.go
@@ -16,7 +16,7 @@
 	Name: "p1", Incarnation: 0xfedcba9876543211, Address: "10.0.0.1:7400", Zone: "a", Version: 1,
 }
 
-// recordedHeartbeats are heartbeats as an earlier version wrote them, by file.
+// recordedHeartbeats are heartbeats recorded from an earlier version, by file name.
 var recordedHeartbeats = map[string]heartbeat{
 	"heartbeat-first.cbor": {Header: recordedHeader, Member: recordedMember},
 	"heartbeat-next.cbor": {
@@ -29,7 +29,7 @@
 	},
 }
 
-// recordedReports are the answers to them.
+// recordedReports are reports recorded from an earlier version, by file name.
 var recordedReports = map[string]report{
 	"report-complete.cbor": {
 		Result: peer.Accepted, ServerIncarnation: recordedIncarnation, Version: 42, Complete: true,
@@ -53,8 +53,8 @@
 	"report-too-many-members.cbor": {Result: peer.TooManyMembers, ServerIncarnation: 5, Version: 2},
 }
 
-// TestRecordedHeartbeats guards fleets of mixed versions: heartbeats and their reports are read from and written for
-// earlier versions, on the same path.
+// TestRecordedHeartbeats guards fleets of mixed versions: the encoding of heartbeats and reports, and the HTTP path,
+// must match those of earlier versions.
 func TestRecordedHeartbeats(t *testing.T) {
 	for name, want := range recordedHeartbeats {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
@@ -63,6 +63,6 @@
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
 	}
 	if HeartbeatPath != "/v1/beat" {
-		t.Errorf("heartbeats go to %s", HeartbeatPath)
+		t.Errorf("heartbeats are sent to %s", HeartbeatPath)
 	}
 }
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -14,14 +14,14 @@
 	"mulleinpier/internal/testutil"
 )
 
-// watcherServer is a watcher with an HTTP server of its own.
+// watcherServer is a watcher with its HTTP server.
 type watcherServer struct {
 	Watcher
 	watcher *Server
 	server  *http.Server
 }
 
-// testFleet is watchers and instances in this process, each instance with connections of its own.
+// testFleet runs watchers and instances in this process. Each instance has its own connections.
 type testFleet struct {
 	t        *testing.T
 	servers  []*watcherServer
@@ -32,7 +32,7 @@
 
 func clock() time.Duration { return time.Since(testStart) }
 
-// newFleet starts three watchers.
+// newFleet starts a fleet of three watchers.
 func newFleet(t *testing.T) *testFleet {
 	f := &testFleet{t: t}
 	for i := range 3 {
@@ -65,7 +65,7 @@
 	return s
 }
 
-// join starts an instance, and returns what ends it as the end of its process does.
+// join starts an instance, and returns a function that ends it as the end of its process would.
 func (f *testFleet) join(name string, incarnation uint64) (c *Client, end func()) {
 	member := peer.Member{Name: name, Incarnation: incarnation}
 	c = NewClient("test", member, f.watchers, clock, slog.New(slog.DiscardHandler))
@@ -80,7 +80,7 @@
 	return c, end
 }
 
-// member returns what an instance knows of a member.
+// member returns a member's state in an instance's view, and whether the instance is isolated.
 func member(c *Client, name string) (s peer.MemberState, isolated bool) {
 	list, isolated, _ := c.Members()
 	for _, m := range list {
@@ -91,7 +91,7 @@
 	return s, isolated
 }
 
-// waitForState waits until an instance knows a member to be in a state.
+// waitForState waits until a member has a state in the view of an instance that is not isolated.
 func (f *testFleet) waitForState(c *Client, name string, want peer.State) {
 	f.t.Helper()
 	testutil.WaitUntil(f.t, name+" to be "+want.String(), func() bool {
@@ -100,7 +100,8 @@
 	})
 }
 
-// TestInstancesKnowEachOther has instances come, end and come back, and a watcher end and forget.
+// TestInstancesKnowEachOther guards the membership over real connections while instances start, end, return and are
+// replaced, and a watcher ends and restarts without its state.
 func TestInstancesKnowEachOther(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.join("a", 1)
@@ -110,11 +111,11 @@
 	f.servers[0].server.Close()
 	endB()
 	f.waitForState(a, "b", peer.Gone)
-	f.startWatcher("w0", f.watchers[0].Address) // it knows nobody
+	f.startWatcher("w0", f.watchers[0].Address) // it has no members yet
 	b, endB = f.join("b", 3)
 	f.waitForState(a, "b", peer.Alive)
 	b.MarkLeaving()
-	testutil.WaitUntil(t, "b to be known to leave", func() bool {
+	testutil.WaitUntil(t, "b to be listed as leaving", func() bool {
 		s, _ := member(a, "b")
 		return s.Leaving
 	})
@@ -125,7 +126,8 @@
 	f.waitForState(a, "b", peer.Alive)
 }
 
-// TestIsolatedWithoutMajority ends two of three watchers: what was known last is kept, and known to be outdated.
+// TestIsolatedWithoutMajority ends two of three watchers: the last known states are kept, and reported as possibly
+// outdated.
 func TestIsolatedWithoutMajority(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.join("a", 1)
@@ -146,20 +148,20 @@
 	}
 }
 
-// TestOtherFleetsAreIgnored has an instance of another fleet send heartbeats.
+// TestOtherFleetsAreIgnored guards against instances of another fleet that send heartbeats to this one's watchers.
 func TestOtherFleetsAreIgnored(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.join("a", 1)
-	stranger := NewClient(
+	foreign := NewClient(
 		"other", peer.Member{Name: "s", Incarnation: 9}, f.watchers, clock, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	stranger.Run(ctx)
+	foreign.Run(ctx)
 	f.waitForState(a, "a", peer.Alive)
 	if list, _, _ := a.Members(); len(list) != 1 {
 		t.Errorf("%+v", list)
 	}
-	if list, isolated, _ := stranger.Members(); len(list) != 0 || !isolated {
-		t.Errorf("the stranger knows %+v", list)
+	if list, isolated, _ := foreign.Members(); len(list) != 0 || !isolated {
+		t.Errorf("the other fleet's instance knows %+v", list)
 	}
 }
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -52,21 +52,21 @@
 
 // Merge merges a watcher's report that arrived at now into the view, and returns the resulting changes.
 func (v *View) Merge(now time.Duration, watcher string, report Report) []Change {
-	r := v.opinions[watcher]
-	if r == nil {
+	o := v.opinions[watcher]
+	if o == nil {
 		if !report.Complete {
 			return nil // changes to a list that was never received
 		}
-		r = &opinion{}
-		v.opinions[watcher] = r
+		o = &opinion{}
+		v.opinions[watcher] = o
 	}
-	r.updated = now
+	o.updated = now
 	if report.Complete {
-		r.members = make(map[string]MemberState, len(report.Members))
+		o.members = make(map[string]MemberState, len(report.Members))
 	}
 	for _, s := range report.Members {
-		if _, known := r.members[s.Name]; known || len(r.members) < v.parameters.MaxMembers {
-			r.members[s.Name] = s
+		if _, known := o.members[s.Name]; known || len(o.members) < v.parameters.MaxMembers {
+			o.members[s.Name] = s
 		}
 	}
 	return v.Tick(now)
@@ -94,8 +94,8 @@
 
 func (v *View) updateIsolated(now time.Duration) {
 	fresh := 0
-	for _, r := range v.opinions {
-		if v.isFresh(now, r) {
+	for _, o := range v.opinions {
+		if v.isFresh(now, o) {
 			fresh++
 		}
 	}
@@ -104,8 +104,8 @@
 	}
 }
 
-func (v *View) isFresh(now time.Duration, r *opinion) bool {
-	return now-r.updated < v.parameters.GoneAfter
+func (v *View) isFresh(now time.Duration, o *opinion) bool {
+	return now-o.updated < v.parameters.GoneAfter
 }
 
 // knownNames returns the names of all members in the view and in reports, sorted.
@@ -113,8 +113,8 @@
 	for name := range v.members {
 		list = append(list, name)
 	}
-	for _, r := range v.opinions {
-		for name := range r.members {
+	for _, o := range v.opinions {
+		for name := range o.members {
 			list = append(list, name)
 		}
 	}
@@ -130,11 +130,11 @@
 
 // isBetter reports whether a process takes precedence over another with its name: more watchers report it as alive,
 // more watchers report it at all, or its incarnation is higher, in this order.
-func (r *votes) isBetter(than *votes) bool {
+func (v *votes) isBetter(other *votes) bool {
 	return cmp.Or(
-		cmp.Compare(r.alive, than.alive),
-		cmp.Compare(r.total, than.total),
-		cmp.Compare(r.member.Incarnation, than.member.Incarnation),
+		cmp.Compare(v.alive, other.alive),
+		cmp.Compare(v.total, other.total),
+		cmp.Compare(v.member.Incarnation, other.member.Incarnation),
 	) > 0
 }
 
@@ -143,9 +143,9 @@
 // reports of Gone for all incarnations.
 func (v *View) countVotes(now time.Duration, name string) (best *votes, gone int) {
 	processes := make(map[uint64]*votes)
-	for _, r := range v.opinions {
-		s, ok := r.members[name]
-		if !ok || !v.isFresh(now, r) {
+	for _, o := range v.opinions {
+		s, ok := o.members[name]
+		if !ok || !v.isFresh(now, o) {
 			continue
 		}
 		p := processes[s.Incarnation]
--- a/internal/takeover/claim_test.go
+++ b/internal/takeover/claim_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// What a holder may answer, or why it does not.
+// Responses of a holder. timedOut and gone stand for a missing response.
 var (
 	granted   = ClaimResponse{Decision: Granted, Epoch: 1}
 	forgotten = ClaimResponse{Decision: Granted, Epoch: 1, MayHaveForgotten: true}
@@ -15,13 +15,13 @@
 	gone      = ClaimResponse{Decision: 99}
 )
 
-// TestClaimVerdicts has an owner decide by what holders answer.
+// TestClaimVerdicts guards the verdict for each combination of holders' responses, and the end of the permission.
 func TestClaimVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		kind           ClaimKind
 		requireReplica bool
-		own, y, x      ClaimResponse // of the owner's registry and of two holders
+		own, y, x      ClaimResponse // responses of the owner's registry and of two holders
 		want           Verdict
 	}{
 		{"all grant it", FirstAttempt, true, granted, granted, granted, Proceed},
@@ -64,7 +64,7 @@
 	}
 }
 
-// answer gives a claim a holder's response, or says why there is none.
+// answer passes a holder's response to a claim, or the reason why it is missing.
 func answer(claim *Claim, holder string, r ClaimResponse) {
 	switch r.Decision {
 	case timedOut.Decision:
@@ -76,11 +76,12 @@
 	}
 }
 
-// TestClaimWithoutOthers guards that the own registry is heard where there is no other holder.
+// TestClaimWithoutOthers guards a claim without other holders: it must wait for the own registry's response and use
+// it.
 func TestClaimWithoutOthers(t *testing.T) {
 	claim := NewClaim(DefaultParameters, window, 0, 0, Options{Replicas: 1, RequireReplica: true}, ClientRetry)
 	if v, _ := claim.Verdict(); v != Undecided {
-		t.Errorf("before the own registry has answered: %v", v)
+		t.Errorf("before the response of the own registry: %v", v)
 	}
 	claim.HandleResponse("own", served)
 	if claim.Receipt() != "r" {
@@ -88,16 +89,17 @@
 	}
 }
 
-// TestClaimInProgressElsewhere has the client's time end while another owner has the write.
+// TestClaimInProgressElsewhere guards that a client whose deadline passes while another owner has the write in flight
+// is told that the outcome is unknown.
 func TestClaimInProgressElsewhere(t *testing.T) {
 	claim := NewClaim(DefaultParameters, window, 0, 2, Options{Replicas: 2, RequireReplica: true}, ClientRetry)
 	claim.HandleResponse("own", granted)
 	claim.HandleResponse("y", ClaimResponse{Decision: InProgress})
 	claim.ClientTimedOut()
 	if !claim.IsInProgress() {
-		t.Error("it is not in progress")
+		t.Error("the claim is not in progress")
 	}
 	if v, _ := claim.Verdict(); v != OutcomeUnknown {
-		t.Errorf("its client's time is over: %v", v)
+		t.Errorf("after the client's deadline: %v", v)
 	}
 }
--- a/internal/takeover/coordinator/coordinator_test.go
+++ b/internal/takeover/coordinator/coordinator_test.go
@@ -12,7 +12,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// waitForReceipt waits until a proxy answers a write by its receipt: holders learn of outcomes after their owner.
+// waitForReceipt claims a write at a proxy until the verdict is its receipt: holders learn of an outcome later than the
+// owner.
 func (p *proxy) waitForReceipt(key, receipt string) {
 	p.t.Helper()
 	testutil.WaitUntil(p.t, "a receipt for "+key, func() bool {
@@ -21,8 +22,8 @@
 	})
 }
 
-// TestReceiptIsSharedByHolders has a write be served through one proxy: the others answer it by its receipt, and refuse
-// another write under its key.
+// TestReceiptIsSharedByHolders guards that, once a write was served by one proxy, the others return its receipt and
+// reject another write with its key.
 func TestReceiptIsSharedByHolders(t *testing.T) {
 	proxies := startProxies(t, Options{Replicas: 2, RequireReplica: true}, "a", "b", "c")
 	a, b, c := proxies[0], proxies[1], proxies[2]
@@ -34,15 +35,15 @@
 	b.waitForReceipt("k", "r")
 	c.waitForReceipt("k", "r")
 	if d := c.claim("k", "another"); d.verdict != takeover.KeyConflict {
-		t.Errorf("another write under the key: %v", d.verdict)
+		t.Errorf("another write with the key: %v", d.verdict)
 	}
 	if n := a.Counts(); n.Claims != 1 || n.Proceeded != 1 || n.Messages == 0 {
 		t.Errorf("%+v", n)
 	}
 }
 
-// TestOrphanedWriteIsTakenOver ends a proxy that was permitted to send a write: just one of the others goes on with it,
-// and its receipt answers who asks again.
+// TestOrphanedWriteIsTakenOver guards the takeover of a write whose owner ends while it has permission to send: exactly
+// one of the other proxies resumes the write, and later claims get its receipt.
 func TestOrphanedWriteIsTakenOver(t *testing.T) {
 	proxies := startProxies(t, Options{Replicas: 2, RequireReplica: true}, "a", "b", "c")
 	a, b, c := proxies[0], proxies[1], proxies[2]
@@ -53,35 +54,35 @@
 	for _, p := range proxies[1:] {
 		p.membership.setState("a", peer.Gone)
 	}
-	taker, other := b, c
+	newOwner, other := b, c
 	select {
 	case in := <-b.core.resumed:
 		checkResumed(t, in)
 	case in := <-c.core.resumed:
 		checkResumed(t, in)
-		taker, other = c, b
+		newOwner, other = c, b
 	case <-time.After(testutil.Timeout):
-		t.Fatal("nobody takes it over")
+		t.Fatal("no proxy has taken the write over")
 	}
-	taker.Complete(resumedID, takeover.Served, "r")
+	newOwner.Complete(resumedID, takeover.Served, "r")
 	other.waitForReceipt("k", "r")
 	if n := len(b.core.resumed) + len(c.core.resumed); n != 0 {
-		t.Errorf("taken over %d more times", n)
+		t.Errorf("the write was taken over %d more times", n)
 	}
-	if n := taker.Counts().TakenOver; n != 1 {
+	if n := newOwner.Counts().TakenOver; n != 1 {
 		t.Errorf("%d writes counted as taken over", n)
 	}
 }
 
-// checkResumed checks that a proxy goes on with the write that another sent.
+// checkResumed checks that a resumed write is the one that its owner claimed.
 func checkResumed(t *testing.T, in *request.Request) {
 	t.Helper()
 	if in.Key != "order" || in.IdempotencyKey != "k" || string(in.Value) != "v" || !in.Retry {
-		t.Errorf("goes on with %+v", in)
+		t.Errorf("resumed write: %+v", in)
 	}
 }
 
-// TestNotExecutedIsSafeToRetry gives a write up that was not sent: another proxy may send it.
+// TestNotExecutedIsSafeToRetry guards that another proxy may send a write after its owner gave it up unsent.
 func TestNotExecutedIsSafeToRetry(t *testing.T) {
 	proxies := startProxies(t, Options{Replicas: 1, RequireReplica: true}, "a", "b")
 	a, b := proxies[0], proxies[1]
@@ -89,18 +90,18 @@
 	if d.verdict != takeover.Proceed {
 		t.Fatalf("%+v", d)
 	}
-	b.send("k", "v") // waits for a
+	b.send("k", "v") // waits for the outcome at a
 	a.Complete(d.requestID, takeover.NotExecuted, "")
 	testutil.WaitUntil(t, "b to be permitted", func() bool {
 		d := testutil.Receive(t, "the decision", b.core.decisions)
-		if d.verdict != takeover.Proceed { // harmless to ask again
+		if d.verdict != takeover.Proceed { // a further claim does no harm
 			b.send("k", "v")
 		}
 		return d.verdict == takeover.Proceed
 	})
 }
 
-// TestVerdictsWithoutHolders has a proxy be alone.
+// TestVerdictsWithoutHolders guards the verdicts and counters of a proxy without other holders.
 func TestVerdictsWithoutHolders(t *testing.T) {
 	for _, c := range []struct {
 		requireReplica bool
@@ -114,14 +115,14 @@
 		if d := p.claim("k", "v"); d.verdict != c.want {
 			t.Errorf("replica required %v: %v, want %v", c.requireReplica, d.verdict, c.want)
 		}
-		p.stop() // a verdict is counted after the core was notified
+		p.stop() // the core may be notified before the verdict is counted
 		if n := p.Counts(); n != c.wantCounts {
 			t.Errorf("replica required %v: %+v, want %+v", c.requireReplica, n, c.wantCounts)
 		}
 	}
 }
 
-// TestWritesAreListed reads the list that operators see.
+// TestWritesAreListed guards the list of writes that operators request over HTTP.
 func TestWritesAreListed(t *testing.T) {
 	p := startProxies(t, Options{Replicas: 1}, "a")[0]
 	p.claim("k", "v")
@@ -142,14 +143,14 @@
 	}
 }
 
-// TestStopAnswersAllClaims stops a proxy while claims wait: each is answered once.
+// TestStopAnswersAllClaims guards that each pending claim is answered once when a coordinator stops.
 func TestStopAnswersAllClaims(t *testing.T) {
 	proxies := startProxies(t, Options{Replicas: 1, RequireReplica: true}, "a", "b")
 	a, b := proxies[0], proxies[1]
 	a.claim("k", "v")
 	const claims = 5
 	for range claims {
-		b.send("k", "v") // waits for a
+		b.send("k", "v") // waits for the outcome at a
 	}
 	b.stop()
 	if n := len(b.core.decisions); n != claims {
--- a/internal/takeover/coordinator/fleet_test.go
+++ b/internal/takeover/coordinator/fleet_test.go
@@ -15,7 +15,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// fakeMembership is a list of members that tests change.
+// fakeMembership implements FleetMembers with a list that tests change.
 type fakeMembership struct {
 	mu      sync.Mutex
 	list    []peer.MemberState
@@ -40,7 +40,7 @@
 	m.changed = make(chan struct{})
 }
 
-// decision is what a coordinator has its core do.
+// decision has the arguments of a call of Core.ClaimDecided.
 type decision struct {
 	requestID uint64
 	verdict   takeover.Verdict
@@ -48,10 +48,10 @@
 	receipt   string
 }
 
-// resumedID is the core's ID of a write that it goes on with.
+// resumedID is the request ID that fakeCore gives to a resumed write.
 const resumedID = 1000
 
-// fakeCore records what a coordinator asks of it.
+// fakeCore records the calls of a coordinator.
 type fakeCore struct {
 	decisions chan decision
 	resumed   chan *request.Request
@@ -67,7 +67,7 @@
 	return resumedID, true
 }
 
-// proxy is one coordinator with its core.
+// proxy is a coordinator with a fake core and membership.
 type proxy struct {
 	*Coordinator
 	t          *testing.T
@@ -80,7 +80,7 @@
 
 var testStart = time.Now()
 
-// startProxies starts coordinators that know each other, each with so many replicas.
+// startProxies starts a coordinator per name. All of them are members of one fleet and have the same options.
 func startProxies(t *testing.T, options Options, names ...string) (proxies []*proxy) {
 	t.Helper()
 	var members []peer.MemberState
@@ -121,18 +121,18 @@
 	return proxies
 }
 
-// claim claims a write, and returns what was decided.
+// claim claims a write and waits for the decision.
 func (p *proxy) claim(key, value string) decision {
 	p.t.Helper()
 	p.send(key, value)
 	d := testutil.Receive(p.t, "the decision on "+key, p.core.decisions)
 	if d.requestID != p.lastID {
-		p.t.Errorf("request %d is decided, want %d", d.requestID, p.lastID)
+		p.t.Errorf("decision on request %d, want %d", d.requestID, p.lastID)
 	}
 	return d
 }
 
-// send claims a write.
+// send claims a write without waiting for the decision.
 func (p *proxy) send(key, value string) {
 	p.t.Helper()
 	p.lastID++
--- a/internal/takeover/coordinator/recorded_test.go
+++ b/internal/takeover/coordinator/recorded_test.go
@@ -20,7 +20,7 @@
 	recordedP2     = takeover.Owner{Name: "p2", Incarnation: 7}
 )
 
-// recordedWrite is a write with all fields, as its holders know it.
+// recordedWrite returns a write with all fields set.
 func recordedWrite(t *testing.T) takeover.Write {
 	return takeover.Write{
 		ID:          "write\x00shop\x00k1",
@@ -30,8 +30,8 @@
 	}
 }
 
-// recordedMessages are messages between proxies as an earlier version wrote them, by file: claims of each kind,
-// completions with each outcome, and responses with each decision.
+// recordedMessages returns messages recorded from an earlier version, by file name: claims of each kind, completions
+// with each outcome, and responses with each decision.
 func recordedMessages(t *testing.T) map[string]message {
 	write := recordedWrite(t)
 	completions := message{Header: recordedHeader, From: recordedP1, To: recordedP2}
@@ -81,19 +81,19 @@
 	}
 }
 
-// TestRecordedMessages guards fleets of mixed versions: what proxies send one another is read from and written for
-// earlier versions, on the same paths.
+// TestRecordedMessages guards fleets of mixed versions: the encoding of messages between proxies, and the HTTP paths,
+// must match those of earlier versions.
 func TestRecordedMessages(t *testing.T) {
 	for name, want := range recordedMessages(t) {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
 	}
 	if messagePath != "/v1/work" || WritesPath != "/v1/works" {
-		t.Errorf("messages go to %s, writes are listed at %s", messagePath, WritesPath)
+		t.Errorf("messages are sent to %s, writes are listed at %s", messagePath, WritesPath)
 	}
 }
 
-// TestRecordedWrites guards that every version tells writes apart alike and sends the same on: a write's ID, its digest
-// and the payload that it can be sent again from.
+// TestRecordedWrites guards fleets of mixed versions: the ID, digest and payload of a write must match those of an
+// earlier version, so that all versions identify a write alike and can send it again.
 func TestRecordedWrites(t *testing.T) {
 	testutil.CheckRecordedCBOR(t, "testdata/write.cbor", payload{
 		Key: "order", Class: "write", Tenant: "shop", IdempotencyKey: "k1", Value: []byte("v\x00\xff"), Flags: 9,
--- a/internal/takeover/holders_test.go
+++ b/internal/takeover/holders_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestHolderRankingIsSharedAndStable guards that any proxy finds the same holders, in different zones, and that a loss
-// moves few writes.
+// TestHolderRankingIsSharedAndStable guards the ranking of holders: the first three are in different zones, the writes
+// are spread evenly, and the loss of an instance moves only the writes that it was the first holder of.
 func TestHolderRankingIsSharedAndStable(t *testing.T) {
 	var candidates []Candidate
 	for i := range 12 {
@@ -23,7 +23,7 @@
 		if without := RankHolders(id, candidates[1:]); without[0].Name != list[0].Name {
 			moved++
 			if list[0].Name != "p0" {
-				t.Errorf("%s moved from %s as p0 went", id, list[0].Name)
+				t.Errorf("%s moved from %s, but p0 was removed", id, list[0].Name)
 			}
 		}
 	}
@@ -33,6 +33,6 @@
 		}
 	}
 	if moved != firsts["p0"] {
-		t.Errorf("%d moved, p0 had %d", moved, firsts["p0"])
+		t.Errorf("%d writes moved, p0 was first for %d", moved, firsts["p0"])
 	}
 }
--- a/internal/takeover/interleaving_test.go
+++ b/internal/takeover/interleaving_test.go
@@ -12,34 +12,34 @@
 
 const (
 	simulationTicks = 200
-	// Process faults come every faultInterval, while the first two clients write.
+	// Process faults may come every faultInterval ticks until lastFaultTick, while the first two clients write.
 	faultInterval  = 4
 	lastFaultTick  = 60
 	clientTicks    = 24 // that a client waits
 	thirdWriteTick = 100
 )
 
-// run has a client ask, and ask again once or twice, at any proxy; then time passes until all is completed. It returns
-// which guarantee was violated, "" for none.
+// run simulates a client's write and two retries of it, each at any proxy, until all work is complete. It returns a
+// description of the violated guarantee, or "".
 func (s *simulation) run() (violation string) {
 	s.node.workTicks = []int{2, 36}[s.chooser.choose("work", 2)]
 	s.writeAt(0, "first")
-	second := []int{8, 16, 20, 24, 26, 40, 80}[s.chooser.choose("asks again", 7)]
+	second := []int{8, 16, 20, 24, 26, 40, 80}[s.chooser.choose("time of the retry", 7)]
 	s.writeAt(second, "second")
 	s.writeAt(thirdWriteTick, "third")
 	for ; s.now < simulationTicks; s.now++ {
 		if s.now%faultInterval == 0 && s.now < lastFaultTick {
-			s.causeProcessFault()
+			s.injectProcessFault()
 		}
 		s.runTick()
 	}
 	return s.violation()
 }
 
-// writeAt has a client come to a proxy that a choice names, if its process is up.
+// writeAt schedules a client's write at a chosen proxy. It is dropped if the proxy is down then.
 func (s *simulation) writeAt(ticks int, client string) {
 	s.after(ticks, func() {
-		p := s.proxies[s.chooser.choose("where", 3)]
+		p := s.proxies[s.chooser.choose("proxy", 3)]
 		if p.up {
 			p.whenRunning(func() { p.serve(client, clientTicks) })
 		}
@@ -51,39 +51,40 @@
 	case s.node.effects > 1:
 		violation = fmt.Sprintf("%d effects", s.node.effects)
 	case s.receipts > 0 && s.node.effects == 0:
-		violation = "a receipt of nothing"
+		violation = "a receipt without an effect"
 	}
 	clientSawUnknown := strings.Contains(strings.Join(s.answers, ","), "unknown")
 	for _, p := range s.proxies {
 		for _, e := range p.registry.entries {
 			if e.outcome == InFlight && e.orphaned {
-				violation += fmt.Sprintf(" %s leaves an orphaned write in flight", p.Name)
+				violation += fmt.Sprintf(" %s has an orphaned write in flight", p.Name)
 			}
 			if e.outcome == Unknown && s.receipts > 0 && !clientSawUnknown && s.processFaults == 0 {
-				violation += " unknown without a loss"
+				violation += " an unknown outcome without a process fault"
 			}
 		}
 	}
 	return violation
 }
 
-// scriptedChooser chooses 0 but at some places.
+// scriptedChooser makes the given choices, and chooses 0 at all other positions.
 type scriptedChooser struct {
-	choices map[int]int // by place
-	place   int
-	sizes   []int // of the choices that were made
+	choices map[int]int // by position
+	next    int         // position of the next choice
+	sizes   []int       // number of options, by position
 }
 
 func (c *scriptedChooser) choose(_ string, n int) int {
-	i := c.place
-	c.place++
+	i := c.next
+	c.next++
 	if i >= len(c.sizes) {
 		c.sizes = append(c.sizes, n)
 	}
 	return min(c.choices[i], n-1)
 }
 
-// explore runs all simulations with at most so many choices that are not 0, and returns how many there are.
+// explore runs all simulations with at most depth choices other than 0. It returns their number, the number of effects
+// and the first violation.
 func explore(depth int) (runs, effects int, violation string) {
 	var walk func(choices map[int]int, from, left int)
 	walk = func(choices map[int]int, from, left int) {
@@ -113,8 +114,8 @@
 	return runs, effects, violation
 }
 
-// TestInterleavings guards guarantee 1 over all simulations with up to two choices that are not the usual one, or with
-// as many as MULLEINPIER_DEPTH says.
+// TestInterleavings guards guarantee 1 in all simulations with at most two choices other than 0, or as many as
+// MULLEINPIER_DEPTH sets.
 func TestInterleavings(t *testing.T) {
 	depth := 2
 	if n, err := strconv.Atoi(os.Getenv("MULLEINPIER_DEPTH")); err == nil {
@@ -130,11 +131,11 @@
 	}
 }
 
-// randomChooser mostly chooses 0 where a fault may come.
+// randomChooser chooses at random, but mostly 0 where it decides about a fault.
 type randomChooser struct{ rng *rand.Rand }
 
 func (c randomChooser) choose(_ string, n int) int {
-	const processFaults, other = 10, 5 // sizes of choices
+	const processFaults, other = 10, 5 // numbers of options
 	if n == processFaults && c.rng.IntN(3) > 0 || n < other && c.rng.IntN(4) > 0 {
 		return 0
 	}
@@ -154,8 +155,8 @@
 	return "", seeds, receipts, effects
 }
 
-// TestRandomFaults has many faults together. MULLEINPIER_LIVES is how many simulations are run, 20,000 if it is not
-// set.
+// TestRandomFaults guards the guarantees under up to six random faults per simulation. MULLEINPIER_LIVES sets the
+// number of simulations, 20,000 by default.
 func TestRandomFaults(t *testing.T) {
 	seeds := 20_000
 	if n, err := strconv.Atoi(os.Getenv("MULLEINPIER_LIVES")); err == nil {
@@ -168,7 +169,7 @@
 	}
 }
 
-// TestPlantedDefectsAreFound plants one after the other.
+// TestPlantedDefectsAreFound guards against a simulation that detects nothing: it must find each planted defect.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for name, defects := range map[string]plantedDefects{
 		"permission after the window": {longWindow: true},
--- a/internal/takeover/recorded_test.go
+++ b/internal/takeover/recorded_test.go
@@ -20,7 +20,7 @@
 	return list
 }
 
-// rankingText is the ranking of the instances for some keys, a line each.
+// rankingText returns the ranking of the instances for 50 keys, one line each.
 func rankingText() string {
 	var text strings.Builder
 	for i := range 50 {
@@ -34,14 +34,14 @@
 	return text.String()
 }
 
-// TestRecordedRanking guards fleets of mixed versions: every version finds the same holders for a key.
+// TestRecordedRanking guards fleets of mixed versions: every version must rank the holders of a key alike.
 func TestRecordedRanking(t *testing.T) {
 	if got := rankingText(); got != string(testutil.Recorded(t, "testdata/holders.txt")) {
-		t.Errorf("holders are ranked otherwise than by an earlier version:\n%s", got)
+		t.Errorf("the ranking differs from that of an earlier version:\n%s", got)
 	}
 }
 
-// recordedList is a listing as an earlier version wrote it.
+// recordedList is a list recorded from an earlier version.
 var recordedList = []WriteStatus{
 	{ID: "order\x00shop\x00k1", Owner: "p1", Epoch: 2, OwnerCount: 2, State: StateUnknown, Age: 31 * time.Second},
 	{
@@ -50,7 +50,7 @@
 	},
 }
 
-// TestRecordedList guards the listing that operators' programs read: its JSON is as an earlier version wrote it.
+// TestRecordedList guards programs that read the list of writes: its JSON must match that of an earlier version.
 func TestRecordedList(t *testing.T) {
 	recorded := testutil.Recorded(t, "testdata/list.json")
 	var got []WriteStatus
--- a/internal/takeover/registry_test.go
+++ b/internal/takeover/registry_test.go
@@ -16,10 +16,10 @@
 	return Write{ID: id, Digest: 1, DedupWindow: window, Payload: make([]byte, 10)}
 }
 
-// newTestRegistry returns a registry that has run for long.
+// newTestRegistry returns a registry that is past its recovery period at time 0.
 func newTestRegistry() *Registry { return NewRegistry(DefaultParameters, holder, -time.Hour) }
 
-// only returns the one response among actions.
+// only returns the response that must be the only action.
 func only(t *testing.T, actions []Action) ClaimResponse {
 	t.Helper()
 	if len(actions) != 1 {
@@ -32,13 +32,13 @@
 	return r
 }
 
-// claimAt claims write k for an owner.
+// claimAt claims the write k for an owner, and returns the response.
 func claimAt(t *testing.T, r *Registry, now time.Duration, o Owner, requestID uint64) ClaimResponse {
 	t.Helper()
 	return only(t, r.Handle(now, ClaimRequest{RequestID: requestID, Write: write("k"), Owner: o}, nil))
 }
 
-// TestClaimsOfOneWrite has two owners claim one write, and one of them come with another write under its key.
+// TestClaimsOfOneWrite guards the responses to two owners that claim one write, and to another write with its key.
 func TestClaimsOfOneWrite(t *testing.T) {
 	r := newTestRegistry()
 	got := claimAt(t, r, 0, ownerA, 1)
@@ -50,16 +50,16 @@
 		t.Errorf("listed as %+v", list)
 	}
 	if got := claimAt(t, r, ms, ownerB, 2); got.Decision != InProgress {
-		t.Errorf("another owner has it: %+v", got)
+		t.Errorf("in flight at another owner: %+v", got)
 	}
 	other := ClaimRequest{RequestID: 3, Write: Write{ID: "k", Digest: 2}, Owner: ownerB}
 	if got := only(t, r.Handle(2*ms, other, nil)); got.Decision != Conflict {
-		t.Errorf("another write under the key: %+v", got)
+		t.Errorf("another write with the key: %+v", got)
 	}
 }
 
-// TestFormerOwnerGetsNoPermission guards guarantees 2 and 3: the write of a lost owner goes to the one who waits. What
-// the former owner says then counts only if the write was served.
+// TestFormerOwnerGetsNoPermission guards guarantees 2 and 3: the write of a lost owner is granted to its waiter. From
+// the former owner, only a completion with the outcome Served is accepted after that.
 func TestFormerOwnerGetsNoPermission(t *testing.T) {
 	r := newTestRegistry()
 	claimAt(t, r, 0, ownerA, 1)
@@ -67,7 +67,7 @@
 	got := only(t, r.Handle(100*ms, OwnerLost{ownerA}, nil))
 	want := ClaimResponse{RequestID: 2, Decision: Granted, Epoch: 2, Age: 100 * ms, PreviousOwner: ownerA}
 	if got != want {
-		t.Errorf("the owner is lost: %+v, want %+v", got, want)
+		t.Errorf("after the owner's loss: %+v, want %+v", got, want)
 	}
 	former := ClaimRequest{RequestID: 4, Write: write("k"), Owner: ownerA, Epoch: 1}
 	if got := only(t, r.Handle(110*ms, former, nil)); got.Decision == Granted {
@@ -75,7 +75,7 @@
 	}
 	unknown := Completion{ID: "k", Owner: ownerA, Epoch: 1, Outcome: Unknown}
 	if out := r.Handle(120*ms, unknown, nil); len(out) != 0 || r.entries["k"].outcome != InFlight {
-		t.Errorf("a former owner gives it up: %+v", out)
+		t.Errorf("a former owner has completed the write: %+v", out)
 	}
 	r.Handle(200*ms, Completion{ID: "k", Owner: ownerA, Epoch: 1, Outcome: Served, Receipt: "r"}, nil)
 	for _, o := range []Owner{ownerA, ownerB} {
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestHoldersTakeOverInTurn has holders take an orphaned write over in their order.
+// TestHoldersTakeOverInTurn guards the time at which each holder takes over an orphaned write, by its rank.
 func TestHoldersTakeOverInTurn(t *testing.T) {
 	for rank := range 3 {
 		r := newTestRegistry()
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestNoTakeoverAfterWindow has an owner be lost so late that repeats may not be dropped any more.
+// TestNoTakeoverAfterWindow guards against a takeover so late that nodes may no longer drop repeats.
 func TestNoTakeoverAfterWindow(t *testing.T) {
 	r := newTestRegistry()
 	r.Handle(0, ClaimRequest{RequestID: 1, Write: write("k"), Owner: ownerA}, nil)
@@ -128,12 +128,13 @@
 	}
 	again := ClaimRequest{RequestID: 2, Write: write("k"), Owner: ownerB}
 	if got := only(t, r.Handle(2*time.Second, again, nil)); got.Decision != WindowExpired {
-		t.Errorf("claimed then: %+v", got)
+		t.Errorf("claimed after its window: %+v", got)
 	}
 }
 
-// TestUncertaintyLasts has a retry fail that a registry in its recovery period can't judge: once that is over, and the
-// registry knows no more than before, who asks again is told the same.
+// TestUncertaintyLasts guards against a registry that forgets that a write may have run. In its recovery period it
+// can't tell whether a retried write has run before, so the owner records the outcome as unknown. Claims after the
+// recovery period must get WindowExpired, until the write is known as served.
 func TestUncertaintyLasts(t *testing.T) {
 	r := NewRegistry(DefaultParameters, holder, 0)
 	later := 2 * DefaultParameters.RecoveryPeriod
@@ -144,7 +145,7 @@
 	r.Handle(2*ms, Completion{ID: "k", Owner: ownerA, Epoch: 1, Outcome: Unknown}, nil)
 	retry = ClaimRequest{RequestID: 2, Write: write("k"), Owner: ownerB, Retry: true}
 	if got := only(t, r.Handle(later, retry, nil)); got.Decision != WindowExpired {
-		t.Errorf("claimed again after it: %+v", got)
+		t.Errorf("claimed again after the recovery period: %+v", got)
 	}
 	served := Completion{ID: "k", Owner: Owner{"c", 1}, Epoch: 1, Outcome: Served, Receipt: "r"}
 	r.Handle(later, served, nil)
@@ -154,7 +155,7 @@
 	}
 }
 
-// TestRegistryIsBounded guards guarantee 5.
+// TestRegistryIsBounded guards guarantee 5, and that all writes are removed in the end.
 func TestRegistryIsBounded(t *testing.T) {
 	parameters := DefaultParameters
 	parameters.MaxWrites, parameters.MaxBytes, parameters.MaxWaiters = 3, 25, 2
@@ -162,7 +163,7 @@
 	for i := range 4 {
 		claim := ClaimRequest{RequestID: 1, Write: write(fmt.Sprint(i)), Owner: ownerA}
 		got := only(t, r.Handle(0, claim, nil))
-		if (got.Decision == Declined) != (i >= 2) { // by its bytes
+		if (got.Decision == Declined) != (i >= 2) { // MaxBytes is reached first
 			t.Errorf("write %d: %+v", i, got)
 		}
 	}
@@ -176,6 +177,6 @@
 	r.Handle(parameters.MaxInFlightAge, Tick{}, nil)
 	r.Handle(parameters.MaxInFlightAge+parameters.OutcomeRetention, Tick{}, nil)
 	if r.Len() != 0 {
-		t.Errorf("%d are never forgotten", r.Len())
+		t.Errorf("%d writes are not removed", r.Len())
 	}
 }
--- a/internal/takeover/simulation_faults_test.go
+++ b/internal/takeover/simulation_faults_test.go
@@ -1,18 +1,18 @@
 package takeover
 
 const (
-	// faultTicks is how long a process is stopped or cut off: three seconds.
+	// faultTicks is how long a process is paused or cut off: three seconds.
 	faultTicks = 60
-	// restartTicks is after how long another process follows one that was killed: half a second.
-	restartTicks = 10
-	// Ticks until the others take a process for gone, and hear it again.
-	deathNoticedTicks   = 2
-	silenceNoticedTicks = 13
-	returnNoticedTicks  = 3
+	// restartDelayTicks is the delay until a killed process is restarted: half a second.
+	restartDelayTicks = 10
+	// Ticks until the others consider a process gone after a crash or in silence, or as returned.
+	crashDetectionTicks   = 2
+	silenceDetectionTicks = 13
+	returnDetectionTicks  = 3
 )
 
-// causeProcessFault may have a process crash, stop or be cut off.
-func (s *simulation) causeProcessFault() {
+// injectProcessFault lets the chooser crash, pause or cut off a process.
+func (s *simulation) injectProcessFault() {
 	if s.faultsLeft == 0 || s.processFaults >= s.maxProcessFaults {
 		return
 	}
@@ -27,28 +27,28 @@
 	case 0:
 		s.kill(p)
 	case 1:
-		s.stop(p)
+		s.pause(p)
 	case 2:
 		s.cutOff(p)
 	}
 }
 
-// kill ends a process, which another follows.
+// kill ends a process and schedules its restart with a new incarnation.
 func (s *simulation) kill(p *simulatedProxy) {
 	old := p.Owner
 	p.up = false
-	s.noticeGone(old, deathNoticedTicks)
-	s.after(restartTicks, func() { p.start(old.Incarnation + 10) })
+	s.reportGone(old, crashDetectionTicks)
+	s.after(restartDelayTicks, func() { p.start(old.Incarnation + 10) })
 }
 
-func (s *simulation) stop(p *simulatedProxy) {
-	p.stoppedUntil = s.now + faultTicks
-	s.noticeGone(p.Owner, silenceNoticedTicks)
+func (s *simulation) pause(p *simulatedProxy) {
+	p.pausedUntil = s.now + faultTicks
+	s.reportGone(p.Owner, silenceDetectionTicks)
 	s.after(faultTicks, func() {
 		deferred := p.deferred
 		p.deferred = nil
 		p.handle(Rejoined{})
-		s.noticeReturned(p.Owner)
+		s.reportReturned(p.Owner)
 		for _, do := range deferred {
 			do()
 		}
@@ -57,32 +57,32 @@
 
 func (s *simulation) cutOff(p *simulatedProxy) {
 	p.cutOff = true
-	s.noticeGone(p.Owner, silenceNoticedTicks)
+	s.reportGone(p.Owner, silenceDetectionTicks)
 	s.after(faultTicks, func() {
 		p.cutOff = false
 		p.whenRunning(func() { p.handle(Rejoined{}) })
-		s.noticeReturned(p.Owner)
+		s.reportReturned(p.Owner)
 	})
 }
 
-// noticeGone has the others take a process for gone after a while.
-func (s *simulation) noticeGone(o Owner, ticks int) {
-	s.notice(o, ticks, func(other *simulatedProxy) {
+// reportGone makes the others consider a process gone after a number of ticks.
+func (s *simulation) reportGone(o Owner, ticks int) {
+	s.atOthers(o, ticks, func(other *simulatedProxy) {
 		other.gone[o] = true
 		other.handle(OwnerLost{o})
 	})
 }
 
-// noticeReturned has the others hear a process again.
-func (s *simulation) noticeReturned(o Owner) {
-	s.notice(o, returnNoticedTicks, func(other *simulatedProxy) {
+// reportReturned makes the others consider a process returned.
+func (s *simulation) reportReturned(o Owner) {
+	s.atOthers(o, returnDetectionTicks, func(other *simulatedProxy) {
 		other.gone[o] = false
 		other.handle(OwnerReturned{o})
 	})
 }
 
-// notice has all others that are not cut off do something about a process after a while.
-func (s *simulation) notice(o Owner, ticks int, do func(other *simulatedProxy)) {
+// atOthers runs a function, after a number of ticks, at all other proxies that are not cut off.
+func (s *simulation) atOthers(o Owner, ticks int, do func(other *simulatedProxy)) {
 	s.after(ticks, func() {
 		for _, other := range s.proxies {
 			if other.Owner != o && !other.cutOff {
--- a/internal/takeover/simulation_test.go
+++ b/internal/takeover/simulation_test.go
@@ -7,32 +7,32 @@
 )
 
 // This file simulates three proxies and one node group that drops repeats, in virtual time. simulation_writes_test.go
-// has clients write, and proxies claim, send and take over the writes; simulation_faults_test.go has processes crash,
-// stop and be cut off.
+// simulates the clients' writes and how proxies claim, send and take them over; simulation_faults_test.go simulates
+// crashes, pauses and network partitions.
 
 const ms = time.Millisecond
 
 const (
-	// simulationTick is how finely time passes.
+	// simulationTick is the resolution of the simulated time.
 	simulationTick = 50 * ms
-	// window is how long the node group drops repeats.
+	// window is the dedup window of the node group.
 	window      = 1500 * ms
 	windowTicks = int(window / simulationTick)
 )
 
-// chooser decides where more than one thing may happen: a number under n, 0 for what happens where nothing goes wrong.
+// chooser makes the choices of a simulation. choose returns a number less than n; 0 is the choice without a fault.
 type chooser interface{ choose(what string, n int) int }
 
-// plantedDefects are put into a simulation to see them found.
+// plantedDefects are deliberate defects, which the simulation must detect.
 type plantedDefects struct {
-	longWindow        bool // proxies think that repeats are dropped for longer than they are
-	ageNotSent        bool // holders say that a write has run lately, whenever it has
-	noCheckBeforeSend bool
-	excessiveDrift    bool
-	forgetfulRegistry bool // a registry that starts says that it knows all
+	longWindow        bool // proxies assume a dedup window ten times as long as it is
+	ageNotSent        bool // proxies take the age of a write as at most 1 ns
+	noCheckBeforeSend bool // proxies send although the permission has ended
+	excessiveDrift    bool // clocks drift beyond MaxClockDrift
+	forgetfulRegistry bool // a registry has no recovery period after its start
 }
 
-// scheduledEvent is due at a tick; those of one tick come in the order in which they were scheduled.
+// scheduledEvent is due at a tick. Events of one tick run in the order in which they were scheduled.
 type scheduledEvent struct {
 	at    int
 	order int
@@ -45,12 +45,12 @@
 	clockRate     float64
 	registry      *Registry
 	up            bool
-	stoppedUntil  int // tick
+	pausedUntil   int // tick
 	deferred      []func()
 	cutOff        bool // from the other proxies
 	responses     map[uint64]func(ClaimResponse)
 	lastRequestID uint64
-	gone          map[Owner]bool // processes that this one takes for gone
+	gone          map[Owner]bool // processes that this proxy considers gone
 }
 
 type simulation struct {
@@ -64,17 +64,17 @@
 	node       nodeGroup
 
 	faultsLeft       int
-	processFaults    int // crashes, stops and cuts so far
+	processFaults    int // crashes, pauses and partitions so far
 	maxProcessFaults int
 
-	answers  []string // to clients
-	receipts int      // among them
+	answers  []string // to clients, in order
+	receipts int      // number of answers with a receipt
 }
 
-// nodeGroup carries a write out, and drops its repeats for the window.
+// nodeGroup executes a write and drops its repeats for the window.
 type nodeGroup struct {
 	workTicks int
-	startedAt int // tick at which it began the write last, -1 for never
+	startedAt int // tick at which it last began to execute the write, -1 for never
 	done      bool
 	waiting   []func() // answers to send once it is done
 	effects   int
@@ -89,8 +89,8 @@
 		maxProcessFaults: 2,
 		node:             nodeGroup{startedAt: -1, workTicks: 2},
 	}
-	s.parameters.RecoveryPeriod = 4200 * ms // clients ask a second time within it, and a third time after it
-	if defects.forgetfulRegistry {          // one loss alone is borne by those who know
+	s.parameters.RecoveryPeriod = 4200 * ms // the second write comes within it, the third one after it
+	if defects.forgetfulRegistry {          // the other holders' knowledge covers a single loss
 		s.maxProcessFaults, s.faultsLeft = 4, 10
 	}
 	if defects.excessiveDrift {
@@ -100,13 +100,13 @@
 		p := &simulatedProxy{simulation: s, clockRate: 1 + 0.05*float64(1-i)}
 		p.Name, p.Zone = fmt.Sprint("p", i), fmt.Sprint("z", i)
 		p.start(uint64(i + 1))
-		p.registry.recoveringSince = -s.parameters.OutcomeRetention // it has run for long
+		p.registry.recoveringSince = -s.parameters.OutcomeRetention // its recovery period is over
 		s.proxies = append(s.proxies, p)
 	}
 	return s
 }
 
-// after schedules what is to be done in so many ticks.
+// after schedules a function to run after a number of ticks.
 func (s *simulation) after(ticks int, do func()) {
 	s.lastOrder++
 	e := scheduledEvent{s.now + max(ticks, 0), s.lastOrder, do}
@@ -119,7 +119,7 @@
 	s.schedule = slices.Insert(s.schedule, i, e)
 }
 
-// runTick does what is due, and lets the running proxies notice the time.
+// runTick runs the events that are due, and sends a Tick to the proxies that are not paused.
 func (s *simulation) runTick() {
 	for len(s.schedule) > 0 && s.schedule[0].at <= s.now {
 		e := s.schedule[0]
@@ -127,13 +127,13 @@
 		e.do()
 	}
 	for _, p := range s.proxies {
-		if p.up && s.now >= p.stoppedUntil {
+		if p.up && s.now >= p.pausedUntil {
 			p.handle(Tick{})
 		}
 	}
 }
 
-// start begins a process of a proxy, which knows nothing of what an earlier one knew.
+// start starts a new process of a proxy, without the state of the previous one.
 func (p *simulatedProxy) start(incarnation uint64) {
 	p.Incarnation, p.up = incarnation, true
 	p.registry = NewRegistry(p.simulation.parameters, p.Owner, p.clock())
@@ -145,12 +145,13 @@
 	p.deferred = nil
 }
 
-// clock is the time by the proxy's own clock.
+// clock returns the time by the proxy's own clock, which drifts.
 func (p *simulatedProxy) clock() time.Duration {
 	return time.Duration(float64(p.simulation.now) * p.clockRate * float64(simulationTick))
 }
 
-// whenRunning has a proxy's process do something, once it goes on if it is stopped, unless it has ended meanwhile.
+// whenRunning runs a function in a proxy's process, after the pause if the process is paused. If the process ends
+// before that, the function is dropped.
 func (p *simulatedProxy) whenRunning(do func()) {
 	incarnation := p.Incarnation
 	guarded := func() {
@@ -158,24 +159,24 @@
 			do()
 		}
 	}
-	if p.simulation.now < p.stoppedUntil {
+	if p.simulation.now < p.pausedUntil {
 		p.deferred = append(p.deferred, guarded)
 		return
 	}
 	guarded()
 }
 
-// send takes a message between proxies: it may be lost or late, and arrives nowhere over a cut.
+// send delivers a message between proxies. It may be lost or delayed, and is lost if either proxy is cut off.
 func (s *simulation) send(from, to *simulatedProxy, do func()) {
 	const lost, late = 1, 2
-	fate := 0
+	fault := 0
 	if s.faultsLeft > 0 && from != to {
-		if fate = s.chooser.choose("message", 3); fate > 0 {
+		if fault = s.chooser.choose("message", 3); fault > 0 {
 			s.faultsLeft--
 		}
 	}
 	ticks := 1
-	switch fate {
+	switch fault {
 	case lost:
 		return
 	case late:
@@ -188,7 +189,7 @@
 	})
 }
 
-// handle gives the proxy's registry an event and does what it asks.
+// handle passes an event to the proxy's registry and carries out its actions.
 func (p *simulatedProxy) handle(e Event) {
 	for _, a := range p.registry.Handle(p.clock(), e, nil) {
 		switch a := a.(type) {
@@ -205,7 +206,8 @@
 	}
 }
 
-// sendToNode has the node group carry the write out, unless it is a repeat. The sender learns of it once it is done.
+// sendToNode sends the write to the node group, with possible faults. served is called once the write has been
+// executed.
 func (s *simulation) sendToNode(from *simulatedProxy, served func()) {
 	const lost, late = 1, 2
 	ticks := 1
--- a/internal/takeover/simulation_writes_test.go
+++ b/internal/takeover/simulation_writes_test.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// responseTicks is how long a holder's response is waited for.
-	responseTicks = 6
-	// repeatTicks separates two sends of a write that no answer comes to.
-	repeatTicks = 10
-	// maxCompletionSends bounds how often a holder is told what came of a write, completionTicks apart.
+	// responseTimeoutTicks bounds the wait for a holder's response.
+	responseTimeoutTicks = 6
+	// retryTicks is the time between two sends of a write to the node group.
+	retryTicks = 10
+	// maxCompletionSends bounds the sends of a completion to a holder, completionTicks apart.
 	maxCompletionSends = 20
 	completionTicks    = 8
 )
 
-// claim asks a holder, which may be the proxy itself.
+// claim sends a claim request to a holder, which may be the proxy itself.
 func (p *simulatedProxy) claim(holder *simulatedProxy, request ClaimRequest, answered func(ClaimResponse)) {
 	s := p.simulation
 	s.send(p, holder, func() {
@@ -28,7 +28,7 @@
 	})
 }
 
-// holders are the two best holders beside this proxy.
+// holders returns the two best holders besides this proxy.
 func (p *simulatedProxy) holders() (list []*simulatedProxy) {
 	var candidates []Candidate
 	for _, other := range p.simulation.proxies {
@@ -46,17 +46,17 @@
 	return list
 }
 
-// ownedWrite is a proxy's part in one write that it owns, or wants to.
+// ownedWrite is a write that a proxy owns or claims.
 type ownedWrite struct {
 	proxy   *simulatedProxy
 	claim   *Claim
 	holders []*simulatedProxy
 	decided bool
-	// act does what the verdict asks, once.
+	// act acts on the verdict. It is called once.
 	act func(Verdict, time.Duration)
 }
 
-// proceed acts once the verdict stands.
+// proceed acts on the verdict once it is final.
 func (w *ownedWrite) proceed() {
 	verdict, deadline := w.claim.Verdict()
 	if verdict == Undecided || w.decided {
@@ -66,7 +66,7 @@
 	w.act(verdict, deadline)
 }
 
-// ask asks a holder, and does without it where no response comes.
+// ask sends a claim request to a holder. Without a response in time, the holder counts as unavailable.
 func (w *ownedWrite) ask(holder *simulatedProxy, request ClaimRequest, then func(ClaimResponse)) {
 	p := w.proxy
 	answered := false
@@ -76,18 +76,18 @@
 		then(r)
 		w.proceed()
 	})
-	p.simulation.after(responseTicks, func() {
+	p.simulation.after(responseTimeoutTicks, func() {
 		p.whenRunning(func() {
 			if !answered {
 				answered = true
-				w.doWithout(holder)
+				w.recordUnavailable(holder)
 				w.proceed()
 			}
 		})
 	})
 }
 
-func (w *ownedWrite) doWithout(holder *simulatedProxy) {
+func (w *ownedWrite) recordUnavailable(holder *simulatedProxy) {
 	gone := w.proxy.gone[holder.Owner] || !holder.up && w.proxy.gone[Owner{holder.Name, holder.Incarnation}]
 	if gone {
 		w.claim.HolderGone(holder.Name)
@@ -96,7 +96,7 @@
 	}
 }
 
-// serve has a client ask at a proxy, and wait for so many ticks.
+// serve handles a client's write at a proxy. The client waits for a number of ticks.
 func (p *simulatedProxy) serve(client string, waitTicks int) {
 	s := p.simulation
 	write := Write{ID: "k", Digest: 1, DedupWindow: window, Payload: []byte("x")}
@@ -123,10 +123,10 @@
 			answer("unknown")
 			p.complete(w.holders, w.claim.Epoch(), Unknown)
 		case KeyConflict:
-			answer("clash")
+			answer("key conflict")
 		default:
 			answer("busy")
-			p.complete(w.holders, w.claim.Epoch(), NotExecuted) // by this owner
+			p.complete(w.holders, w.claim.Epoch(), NotExecuted) // not by this owner
 		}
 	}
 	request := func(rank int) ClaimRequest {
@@ -148,7 +148,7 @@
 	})
 }
 
-// answerOnce returns what answers a client, the first time.
+// answerOnce returns a function that records the answer to a client. Only its first call counts.
 func (s *simulation) answerOnce(client string) func(text string) {
 	answered := false
 	return func(text string) {
@@ -163,7 +163,8 @@
 	}
 }
 
-// sendWrite sends the write to the node group until the permission ends, again where no answer comes, and completes it.
+// sendWrite sends the write to the node group, with retries until it is answered or the permission ends, and reports
+// its outcome.
 func (p *simulatedProxy) sendWrite(
 	holders []*simulatedProxy, epoch uint64, until time.Duration, deadline int, answer func(string),
 ) {
@@ -181,10 +182,10 @@
 			return
 		}
 		permitted := p.clock() < until
-		if !mayHaveRun { // the owner's own repeats keep to the window from its own first, as policy has it
+		if !mayHaveRun { // policy bounds the owner's retries by the window from its own first send
 			until = min(until, p.clock()+s.parameters.atLeast(window))
 		}
-		if s.faultsLeft > 0 && s.chooser.choose("stop between look and write", 2) == 1 { // for less than the margin
+		if s.faultsLeft > 0 && s.chooser.choose("pause between check and send", 2) == 1 { // less than the margin
 			s.faultsLeft--
 		}
 		if !permitted && !s.defects.noCheckBeforeSend {
@@ -199,14 +200,14 @@
 			answer("served")
 			end(Served)
 		})
-		s.after(repeatTicks, func() { p.whenRunning(attempt) })
+		s.after(retryTicks, func() { p.whenRunning(attempt) })
 	}
 	attempt()
 	s.after(max(deadline-s.now, 0)+80, func() { p.whenRunning(func() { end(Unknown) }) })
 	s.after(deadline-s.now, func() { p.whenRunning(func() { answer("unknown") }) })
 }
 
-// complete reports the outcome of the write to all holders, until they have received it.
+// complete reports the outcome of the write to the proxy's own registry, and to all holders until they receive it.
 func (p *simulatedProxy) complete(holders []*simulatedProxy, epoch uint64, o Outcome) {
 	s := p.simulation
 	c := Completion{ID: "k", Digest: 1, Owner: p.Owner, Epoch: epoch, Outcome: o, Receipt: "r"}
@@ -228,7 +229,7 @@
 	}
 }
 
-// takeOver goes on with an orphaned write: the other holders are heard before it is sent.
+// takeOver claims an orphaned write at the other holders, and resumes it if they permit that.
 func (p *simulatedProxy) takeOver(a TakeOver) {
 	s := p.simulation
 	age := a.Age
