--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -197,7 +197,7 @@
 }
 
 // mayHaveRunEarlier reports whether a retried or orphaned write may have run longer ago than the responding holders
-// know. This is the case once as many holders as there are replicas are uninformed: only these may have known of it.
+// know. This is the case once as many holders as there are replicas are uninformed: these may be all that knew of it.
 func (c *Claim) mayHaveRunEarlier() bool {
 	switch c.kind {
 	case ClientRetry:
--- a/internal/takeover/registry_messages.go
+++ b/internal/takeover/registry_messages.go
@@ -78,7 +78,7 @@
 		// MayHaveForgotten, with Granted, reports that the write may have run without this holder's knowledge, which
 		// has recently started or rejoined.
 		MayHaveForgotten bool
-		// PreviousOwner, with Granted, is the owner in the holder's entry. It is zero for a new write.
+		// PreviousOwner, with Granted, is the owner before this claim. It is zero for a new write.
 		PreviousOwner Owner
 	}
 	// TakeOver makes this process the owner of an orphaned write without waiters. It must claim the write at the other
