--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli parses the command lines of all programs here by kong in the same way: help and the like are printed
-// and end successfully, and an invalid command line is an error of its own, of one line.
+// Package cli parses the command lines of all programs of this module with kong: a request for help is answered and is
+// no error, and an invalid command line is an [ErrUsage] with a text of one line.
 package cli
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/alecthomas/kong"
 )
 
-// ErrUsage is the error of an invalid command line.
+// ErrUsage is wrapped by the error of an invalid command line.
 var ErrUsage = errors.New("bad usage")
 
-// exit is the panic that replaces the exit of the program once the parser has printed what was asked for.
+// exit is the panic value that replaces os.Exit after the parser has printed the help.
 type exit struct{}
 
-// Parse parses args into a structure of commands. It returns the command that was chosen, followed by the names of
-// its arguments, or "" where something was printed instead.
+// Parse parses args into the struct that into points to, whose kong tags define the commands. It returns the selected
+// command followed by the names of its arguments, such as "do <what>", or "" if help was printed instead.
 func Parse(into any, name, description string, args []string, out, log io.Writer) (command string, err error) {
 	parser, err := kong.New(into,
 		kong.Name(name),
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -7,7 +7,6 @@
 	"testing"
 )
 
-// testCommands are the commands of these tests.
 type testCommands struct {
 	Do struct {
 		What string `arg:""`
--- a/internal/daemon/actions.go
+++ b/internal/daemon/actions.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/sdnotify"
 )
 
-// perform carries out an action of the state machine.
+// perform executes an action of the state machine.
 func (d *daemon) perform(action lifecycle.Action) {
 	switch action {
 	case lifecycle.NotifyReady, lifecycle.NotifyReloading, lifecycle.NotifyStopping, lifecycle.NotifyWatchdog:
@@ -38,12 +38,12 @@
 		d.exitErr = nil
 	case lifecycle.ExitFailed:
 		if d.exitErr == nil {
-			d.exitErr = errors.New("the proxy stopped without being asked to")
+			d.exitErr = errors.New("the proxy stopped serving unexpectedly")
 		}
 	}
 }
 
-// notification returns the message to the service manager for an action.
+// notification returns the message that an action sends to the service manager.
 func (d *daemon) notification(action lifecycle.Action) string {
 	switch action {
 	case lifecycle.NotifyReady:
@@ -57,7 +57,7 @@
 	}
 }
 
-// readConfig is the task that reads a new configuration, once the fleet permits it.
+// readConfig is the task that reads a new configuration. It waits for the fleet's permit first.
 func (d *daemon) readConfig() {
 	permit := d.fleet.awaitPermit("reload")
 	defer permit.release()
@@ -69,8 +69,9 @@
 	d.reports <- report
 }
 
-// requestDrainPermit starts the task that waits for a permit to drain, if one is needed. The service manager is
-// notified: a second termination counts only once the first has been received, as signals that are pending are merged.
+// requestDrainPermit starts the task that waits for a permit to drain, if one is needed. It also sends the status to
+// the service manager: the kernel merges pending signals, so whoever sends a second termination must know that the
+// first has been received.
 func (d *daemon) requestDrainPermit() {
 	if !d.fleet.needsPermit() {
 		d.handle(lifecycle.DrainPermitted)
@@ -83,7 +84,8 @@
 	})
 }
 
-// applyConfig puts a configuration into force, completely or not at all.
+// applyConfig puts a configuration into force, completely or not at all. With Platform set, only the address of the
+// endpoint list can change.
 func (d *daemon) applyConfig(c *config.Config) {
 	d.pending = nil
 	if d.Platform {
@@ -99,8 +101,8 @@
 	d.log.Info("configuration reloaded", "sources", c.Proxy.SourceNames())
 }
 
-// status returns the status text. Counting takes the locks that all requests take, so a proxy that is stuck in them
-// does not notify the watchdog.
+// status returns the message with the status text. Reading the counts takes the locks that all requests take, so a
+// proxy that is deadlocked there does not notify the watchdog.
 func (d *daemon) status() string {
 	text := d.machine.State().String()
 	if d.server != nil {
@@ -110,7 +112,7 @@
 	return sdnotify.Status(text)
 }
 
-// notify sends a message to the service manager. The first failure that can be logged is.
+// notify sends a message to the service manager. It logs only the first failure after the logger has been created.
 func (d *daemon) notify(message string) {
 	err := d.manager.Notify(message)
 	if err == nil || d.notifyFailureLogged || d.log == nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs a proxy as a service: it carries out what package lifecycle decides on signals and events, reads
-// configurations, notifies the service manager, and joins the fleet.
+// Package daemon runs a proxy as a service: it performs the actions that package lifecycle returns for signals and
+// events, reads configurations, notifies the service manager, and joins the fleet.
 //
 // Guarantees:
 //
@@ -7,10 +7,10 @@
 //  2. A configuration is applied completely or not at all; a failed reload leaves the former one in force.
 //  3. Run returns only when every goroutine that it started has ended.
 //
-// It does not decide what a state means (package lifecycle does), nor does it handle requests (package proxy does).
+// The state transitions are in package lifecycle; requests are handled by package proxy.
 //
-// The goroutine of [Run] owns the daemon's state. Tasks (serving, reading a configuration, waiting for a permit) run in
-// goroutines of their own and report to it over one channel. The fleet's membership has a lock of its own.
+// The goroutine that calls [Run] owns the daemon's state. Tasks (serving, reading a configuration, waiting for a
+// permit) run in separate goroutines and report to it over one channel. The fleet membership has its own lock.
 package daemon
 
 import (
@@ -27,25 +27,26 @@
 	"mulleinpier/internal/sdnotify"
 )
 
-// Options tell what to run.
+// Options configure Run. LoadConfig, Getenv and Log are required.
 type Options struct {
 	// LoadConfig reads the configuration, at the start and at each hangup.
 	LoadConfig func() (*config.Config, error)
-	// Platform applies of a new configuration only what the platform changes in service. Without it a new configuration
-	// is applied completely or refused.
+	// Platform restricts a reload to what the platform changes at run time: the address of the endpoint list. If it is
+	// false, a new configuration is applied completely or rejected.
 	Platform bool
-	// Getenv returns environment variables; the service manager sets some.
+	// Getenv returns the value of an environment variable, such as those that the service manager sets.
 	Getenv func(string) string
-	// Log is where log lines are written.
+	// Log receives the log lines.
 	Log io.Writer
-	// Hangups brings SIGHUP. It must have a buffer of one, so that none is lost while it is not read: one is enough, as
-	// a read of the configuration covers all hangups before it.
+	// Hangups delivers SIGHUP. It must have a buffer of one so that no hangup is lost while Run is busy: one is enough,
+	// as a read of the configuration covers all hangups before it.
 	Hangups <-chan os.Signal
-	// Terminations brings SIGTERM and SIGINT. It must have a buffer of two for the same reason; a third has no effect.
+	// Terminations delivers SIGTERM and SIGINT. It must have a buffer of two for the same reason; a third signal has no
+	// effect.
 	Terminations <-chan os.Signal
 }
 
-// daemon is the state of Run. Its fields belong to the goroutine of Run, except where a comment says otherwise.
+// daemon is the state of Run. Only the goroutine of Run accesses its fields, unless a comment says otherwise.
 type daemon struct {
 	Options
 	machine  lifecycle.Machine
@@ -56,27 +57,27 @@
 	drain    context.CancelFunc
 	tasks    sync.WaitGroup
 	reports  chan taskReport // from tasks; safe for concurrent use
-	pending  *config.Config  // valid and not applied yet
-	exitErr  error
+	pending  *config.Config  // valid, but not applied yet
+	exitErr  error           // returned by Run
 	// notifyFailureLogged is set once a failed notification has been logged.
 	notifyFailureLogged bool
 	fleet               fleetMember // safe for concurrent use
 }
 
-// taskReport is what a task reports: an event, or the server that it has started.
+// taskReport is a report of a task to the goroutine of Run: either an event, or the server that now listens.
 type taskReport struct {
 	event  lifecycle.Event
-	server *proxy.Server // with log: it listens; no event
+	server *proxy.Server // set together with log once it listens; event is then unused
 	log    *slog.Logger
-	config *config.Config // with ConfigValid
-	err    error          // with ConfigInvalid and StartFailed
+	config *config.Config // set for ConfigValid
+	err    error          // set for ConfigInvalid and StartFailed
 }
 
 // minWatchdogInterval bounds how often the watchdog is notified.
 const minWatchdogInterval = time.Millisecond
 
-// Run serves until it is terminated, and returns nil when all accepted requests are answered. The error of a failed
-// start names what is wrong.
+// Run starts the proxy and serves until it is terminated. It returns nil once all accepted requests are answered, or an
+// error if the start failed or the proxy stopped unexpectedly.
 func Run(o Options) error {
 	manager, err := sdnotify.FromEnvironment(o.Getenv)
 	if err != nil {
@@ -117,7 +118,7 @@
 	}
 }
 
-// awaitTasks waits until all tasks have ended, and discards their reports: none has a meaning any more.
+// awaitTasks waits until all tasks have ended, and discards their reports, which have no effect on a stopped daemon.
 func (d *daemon) awaitTasks() {
 	ended := make(chan struct{})
 	go func() {
@@ -137,7 +138,7 @@
 	if report.server != nil {
 		d.server, d.log = report.server, report.log
 		if d.machine.State() == lifecycle.Stopping {
-			d.server.ShortenDrain() // that was requested before there was a server
+			d.server.ShortenDrain() // the second termination came before the server existed
 		}
 		return
 	}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -14,12 +14,12 @@
 	"mulleinpier/internal/peer/transport"
 )
 
-// fleetMember is the part of this process in the fleet: it sends heartbeats to the voters, votes if configured to,
-// takes part in takeover and requests permits. No request waits for any of it. The zero value is that of a process
+// fleetMember is the membership of this process in the fleet: it sends heartbeats to the voters, votes if configured
+// to, takes part in takeover and requests permits. No client request waits for any of that. The zero value is a process
 // without peers. It is safe for concurrent use.
 type fleetMember struct {
 	mu          sync.Mutex
-	config      *config.Peers // nil for none
+	config      *config.Peers // nil without peers
 	name        string        // of the proxy
 	incarnation uint64        // of this process, never 0
 	core        *core.Core
@@ -27,16 +27,16 @@
 	leases      *agent.Client
 	heartbeats  *transport.Client
 	leave       func()  // undoes join; nil before start
-	drainPermit *permit // nil for none
+	drainPermit *permit // nil if none is held
 
-	ctx    context.Context // ends with stop
+	ctx    context.Context // canceled by stop
 	cancel context.CancelFunc
-	// permitWaits ends as the drain begins: nothing waits for a permit then.
-	permitWaits       context.Context
-	cancelPermitWaits context.CancelFunc
+	// permitCtx is canceled when the drain begins, which ends all waits for permits.
+	permitCtx       context.Context
+	cancelPermitCtx context.CancelFunc
 }
 
-// start joins the fleet.
+// start joins the fleet with a new incarnation.
 func (f *fleetMember) start(c *config.Config, requests *core.Core, log *slog.Logger) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,11 +45,11 @@
 	f.name = c.Proxy.Name
 	f.incarnation = rand.Uint64() | 1
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.permitWaits, f.cancelPermitWaits = context.WithCancel(f.ctx)
+	f.permitCtx, f.cancelPermitCtx = context.WithCancel(f.ctx)
 	f.join(c)
 }
 
-// join starts what a configuration enables. f.mu is held.
+// join starts the heartbeats and, if they are configured, the voter and takeover. The caller holds f.mu.
 func (f *fleetMember) join(c *config.Config) {
 	f.config = c.Peers
 	f.leave = func() {}
@@ -60,7 +60,7 @@
 		agent.OverrideTotalSleep(c.Peers.TotalSleep)
 	}
 	leases, err := agent.NewClient(c.Peers.Fleet)
-	if err != nil { // the configuration has been checked
+	if err != nil { // not expected: the configuration has been validated
 		f.log.Error("lease client start failed", "error", err)
 		f.config = nil
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// member returns this process as others see it. f.mu is held.
+// member returns this process as it announces itself to the fleet. The caller holds f.mu.
 func (f *fleetMember) member(c *config.Config) peer.Member {
 	self := peer.Member{Name: f.name, Incarnation: f.incarnation, Address: c.Peers.Advertise}
 	if policy := &c.Proxy.Policy; policy.Zone < len(policy.Zones) {
@@ -91,7 +91,7 @@
 	return self
 }
 
-// watchers returns the voters as receivers of heartbeats.
+// watchers returns the voters, which receive the heartbeats.
 func watchers(c *config.Peers) (list []transport.Watcher) {
 	for _, voter := range c.Fleet.Voters {
 		list = append(list, transport.Watcher{Name: voter.Name, Address: voter.Address})
@@ -99,8 +99,8 @@
 	return list
 }
 
-// reconfigure applies a new configuration: if it differs, the process leaves the fleet and joins it again. A voter
-// starts from its stored state, as after a crash.
+// reconfigure applies a new configuration: if its peers differ, the process leaves the fleet and joins it again. A
+// voter then restarts from its stored state, as after a crash.
 func (f *fleetMember) reconfigure(c *config.Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +111,8 @@
 	f.join(c)
 }
 
-// samePeers reports whether two configurations are the same, nil for none. Functions are not compared.
+// samePeers reports whether two configurations are equal; either can be nil. TotalSleep is not compared, as functions
+// are not comparable.
 func samePeers(a, b *config.Peers) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -121,20 +122,20 @@
 	return reflect.DeepEqual(x, y)
 }
 
-// startDrain announces to the fleet that this process drains, and ends all waits for permits.
+// startDrain announces to the fleet that this process drains, and cancels all waits for permits.
 func (f *fleetMember) startDrain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.heartbeats != nil {
 		f.heartbeats.MarkLeaving()
 	}
-	if f.cancelPermitWaits != nil {
-		f.cancelPermitWaits()
+	if f.cancelPermitCtx != nil {
+		f.cancelPermitCtx()
 	}
 }
 
-// stop leaves the fleet. The permit to drain is released if a successor is there already. Otherwise it is left to the
-// successor, which releases it, or to its expiry.
+// stop leaves the fleet. It releases the permit to drain if a successor has already taken the place of this process.
+// Otherwise the successor releases the permit, or it expires.
 func (f *fleetMember) stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/daemon/permit.go
+++ b/internal/daemon/permit.go
@@ -14,36 +14,37 @@
 const (
 	// leaseCallTimeout bounds calls to the voters other than the wait for a permit.
 	leaseCallTimeout = 2 * time.Second
-	// permitRetryInterval is the wait before a permit is requested again after an error.
+	// permitRetryInterval is the delay before a permit is requested again after an error.
 	permitRetryInterval = leaseCallTimeout / 10
 )
 
-// permit is a lease of the fleet that permits this process to drain or to reload. A nil permit is that of a process
-// which proceeds without one.
+// permit is a lease of the fleet that permits this process to drain or to reload. It is nil if the process proceeds
+// without one.
 type permit struct{ holder *agent.Holder }
 
-// release releases a permit whose operation is done.
+// release releases the permit after its operation. It does nothing if p is nil.
 func (p *permit) release() {
 	if p != nil {
 		p.holder.Close()
 	}
 }
 
-// needsPermit reports whether permits are configured.
+// needsPermit reports whether this process needs a permit to drain or to reload.
 func (f *fleetMember) needsPermit() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.config != nil && f.config.Permit.Enabled
 }
 
-// awaitPermit waits for a permit for an operation as the configuration says, while this process keeps serving. It
-// returns nil where none is needed, or the operation has to go on without.
+// awaitPermit waits for a permit for an operation, up to the configured timeout or, if the permit is required, without
+// limit. This process keeps serving meanwhile. It returns nil if no permit is needed or the operation proceeds without
+// one: after the timeout or an error of the lease client, or because the drain has begun.
 func (f *fleetMember) awaitPermit(operation string) *permit {
 	if !f.needsPermit() {
 		return nil
 	}
 	f.mu.Lock()
-	c, leases, name, lifetime, ctx := f.config.Permit, f.leases, f.name, f.ctx, f.permitWaits
+	c, leases, name, lifetime, ctx := f.config.Permit, f.leases, f.name, f.ctx, f.permitCtx
 	f.mu.Unlock()
 	f.log.Info("permit requested", "operation", operation)
 	start := time.Now()
@@ -69,14 +70,14 @@
 			f.log.Warn("permit skipped", "operation", operation, "duration", elapsed(), "error", err)
 			return nil
 		}
-		if !errors.Is(err, context.DeadlineExceeded) { // its place in the queue was lost
+		if !errors.Is(err, context.DeadlineExceeded) { // the place in the queue was lost
 			sleep(ctx, permitRetryInterval)
 		}
 	}
 	return nil
 }
 
-// sleep waits for a time or the end of ctx.
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -84,15 +85,16 @@
 	}
 }
 
-// keepPermit keeps the permit to drain until stop, nil for none.
+// keepPermit stores the permit to drain, or nil, until stop.
 func (f *fleetMember) keepPermit(p *permit) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drainPermit = p
 }
 
-// releasePredecessorPermits releases the permits that an ended process of the same name did not release: the restart
-// that they cover ends as this process serves. A permit that cannot be released expires by itself.
+// releasePredecessorPermits releases the permits that earlier processes of the same name, which have exited, did not
+// release: the restart that such a permit covers is complete once this process serves. A permit that cannot be released
+// expires.
 func (f *fleetMember) releasePredecessorPermits(ctx context.Context) {
 	if !f.needsPermit() {
 		return
@@ -116,5 +118,5 @@
 	}
 }
 
-// processExists reports whether there is a process with an id on this machine.
+// processExists reports whether a process with this ID runs on this machine.
 func processExists(pid int) bool { return !errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// bindRetryInterval is the wait before an address that another process holds is tried again.
+	// bindRetryInterval is the delay between attempts to bind an address that another process uses.
 	bindRetryInterval = 20 * time.Millisecond
-	// gcPercent makes collections rare, which saves CPU while memory is plenty; the memory limit takes over when it is
-	// not.
+	// gcPercent makes garbage collections rare, which saves CPU while memory is plentiful. When memory is short, the
+	// memory limit triggers them.
 	gcPercent = 400
-	// memoryLimitTenths is the part of the configured memory that the runtime may use; the rest is for what it does
-	// not count.
+	// memoryLimitTenths is the part of the configured memory, in tenths, that the Go runtime may use. The rest is for
+	// memory that the runtime does not count.
 	memoryLimitTenths = 6
 )
 
-// serve is the task that starts the proxy and runs it to its end. It reports exactly one of StartFailed and
+// serve is the task that starts the proxy and runs it until it has drained. It reports exactly one of StartFailed and
 // ServingEnded.
 func (d *daemon) serve(ctx context.Context, inherited *net.TCPListener) {
 	c, err := d.LoadConfig()
@@ -73,7 +73,7 @@
 	debug.SetMemoryLimit(int64(c.MemoryBytes) / 10 * memoryLimitTenths)
 }
 
-// newLogger returns the logger of a configuration.
+// newLogger returns a logger with the configured format. Its level follows d.logLevel, which a reload can change.
 func (d *daemon) newLogger(c *config.Config) *slog.Logger {
 	d.logLevel.Set(c.Log.Level)
 	options := &slog.HandlerOptions{Level: &d.logLevel}
@@ -84,7 +84,8 @@
 	return slog.New(handler).With("proxy", c.Proxy.Name)
 }
 
-// listen opens the address. It waits up to BindTimeout for another process to release it.
+// listen opens the listener, or uses inherited if it is not nil. If another process uses the address, it retries for up
+// to BindTimeout or until ctx is done.
 func listen(
 	ctx context.Context, c *config.Config, inherited *net.TCPListener, log *slog.Logger,
 ) (*proxy.Server, error) {
@@ -98,7 +99,7 @@
 	}
 }
 
-// startRegistration keeps the proxy registered in Consul from when its endpoint list is ready until ctx ends. The
+// startRegistration keeps the proxy registered in Consul from when its endpoint list is ready until ctx is done. The
 // returned function waits for that and deregisters the proxy.
 func startRegistration(
 	ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger,
@@ -125,7 +126,7 @@
 }
 
 // awaitStarted waits until clients can be served: until the endpoint list is known, or EndpointListTimeout has passed.
-// On the platform the proxy answers from the start. It returns false if ctx ended before.
+// On the platform, or with an initial list, it does not wait. It returns false if ctx is done.
 func (d *daemon) awaitStarted(
 	ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger,
 ) (started bool) {
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -13,8 +13,9 @@
 	"mulleinpier/internal/takeover/coordinator"
 )
 
-// startTakeover has keyed writes replicated to other proxies, until the returned function is called. Where that cannot
-// start it is logged, and writes are sent without. f.mu is held.
+// startTakeover starts the replication of keyed writes to other proxies, if it is configured, and returns a function
+// that stops it. If its listener cannot be opened, that is logged, and writes are sent without replicas. The caller
+// holds f.mu.
 func (f *fleetMember) startTakeover(c *config.Peers, self peer.Member, heartbeats *transport.Client) (stop func()) {
 	if !c.Takeover.Enabled {
 		return func() {}
--- a/internal/daemon/voter.go
+++ b/internal/daemon/voter.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// startVoter makes this process a voter on the leases of the fleet, if it is configured as one, until the returned
-// function is called. Where that fails it is logged, and serving goes on: no request waits for a voter.
+// startVoter starts this process's voter on the leases of the fleet, if one is configured, and returns a function that
+// stops it. A failure is logged, and the proxy keeps serving, as no request waits for a voter.
 func startVoter(c *config.Peers, log *slog.Logger) (stop func()) {
 	if c == nil || c.VoterName == "" {
 		return func() {}
@@ -30,7 +30,7 @@
 	}
 }
 
-// openVoter opens the stored state of the voter and its address.
+// openVoter opens the voter's stored state and listens at its address.
 func openVoter(c *config.Peers, log *slog.Logger) (*agent.Voter, net.Listener, error) {
 	voter, err := agent.Open(c.StatePath, c.Fleet, c.VoterName, log)
 	if err != nil {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -4,14 +4,14 @@
 //
 // Invariants, each guarded by a test:
 //
-//  1. Every state has an answer to every event, and no event is lost: a hangup that cannot be served at once is served
-//     as soon as it can be.
+//  1. Every state handles every event, and no event is lost: a hangup that cannot be handled at once leads to a reload
+//     as soon as possible.
 //  2. A daemon that drains never returns to serving, and never reads a configuration again.
 //  3. From every state the events Terminate, Terminate, ServingEnded lead to Stopped.
 //  4. The service manager is notified of readiness once before any reload, and each NotifyReloading is followed by
 //     NotifyReady or NotifyStopping.
-//  5. A daemon that is asked to terminate keeps serving until it is permitted to drain; a second termination starts the
-//     drain without a permit.
+//  5. A daemon that is terminated keeps serving until it is permitted to drain; a second termination starts the drain
+//     without a permit.
 //  6. A configuration is applied only in the state that requested it.
 package lifecycle
 
@@ -20,17 +20,17 @@
 // State is the state of a daemon.
 type State uint8
 
-// The states. Those with ReloadQueued have a hangup that is still to be served.
+// The states. In those with ReloadQueued a hangup has been received that still requires a reload.
 const (
 	Starting              State = iota // not ready yet
-	StartingReloadQueued               // the same
+	StartingReloadQueued               // like Starting
 	Serving                            // ready, the configuration is in force
-	Reloading                          // a configuration is being read
-	ReloadingReloadQueued              // the same
+	Reloading                          // serving while a configuration is being read
+	ReloadingReloadQueued              // like Reloading
 	AwaitingPermit                     // serving until the drain is permitted
-	Draining                           // nothing new is accepted, open requests are answered
-	Stopping                           // the same, bounded by the deadlines of the requests that are open now
-	Stopped                            // the end
+	Draining                           // nothing new is accepted, requests in flight are answered
+	Stopping                           // like Draining, but bounded by the deadlines of the requests now in flight
+	Stopped                            // the final state
 	stateCount
 )
 
@@ -44,14 +44,14 @@
 	Started                     // clients can be served
 	StartFailed                 // clients will never be served
 	ConfigValid                 // the configuration has been read and is valid
-	ConfigInvalid               // it could not be read, or is not valid
-	ServingEnded                // all requests are answered, all clients are closed
+	ConfigInvalid               // the configuration could not be read, or is invalid
+	ServingEnded                // all requests are answered, all client connections are closed
 	WatchdogTick                // the service manager's watchdog expects a notification
-	DrainPermitted              // the drain may begin, with a permit of the fleet or without
+	DrainPermitted              // the drain may begin, with or without a permit of the fleet
 	eventCount
 )
 
-// Action is something that a daemon has to do, at once and in order.
+// Action is something that a daemon has to do. Actions are performed at once, in the order that Handle returns.
 type Action uint8
 
 // The actions.
@@ -61,23 +61,24 @@
 	NotifyStopping                 // to the service manager
 	NotifyWatchdog                 // to the service manager
 	ReadConfig                     // ConfigValid or ConfigInvalid follows
-	ApplyConfig                    // what was read, completely; a refusal is logged and changes nothing
-	DiscardConfig                  // what was read
+	ApplyConfig                    // apply the configuration that was read, completely or, if rejected, not at all
+	DiscardConfig                  // discard the configuration that was read
 	LogReloadIgnored               // a hangup has no effect any more
-	RequestPermit                  // of the fleet to drain; DrainPermitted follows
+	RequestPermit                  // request the fleet's permit to drain; DrainPermitted follows
 	StartDrain                     // ServingEnded follows
-	ShortenDrain                   // to the deadlines of what is open
+	ShortenDrain                   // to the deadlines of the requests in flight
 	Exit                           // with status 0
 	ExitFailed                     // with status 1
 )
 
-// Machine is the state of one daemon. Its zero value is one that starts. It is not safe for concurrent use.
+// Machine is the state machine of one daemon. The zero value is in state Starting. It is not safe for concurrent use.
 type Machine struct{ state State }
 
-// State returns the current state.
+// State returns the state after the last event.
 func (m *Machine) State() State { return m.state }
 
-// Handle takes an event and returns what has to be done. The result is shared and must not be changed.
+// Handle applies an event to the state and returns the actions to perform. The result is shared and must not be
+// changed.
 func (m *Machine) Handle(e Event) []Action {
 	t := table[m.state][e]
 	m.state = t.next
@@ -96,7 +97,7 @@
 	Stopped:               "stopped",
 }
 
-// String returns the state as logs and the status text have it.
+// String returns the name of the state, as the status text for the service manager shows it.
 func (s State) String() string {
 	if s < stateCount {
 		return stateNames[s]
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-// answers are the expected answers of a state.
-type answers map[Event]transition
+// transitions are the expected transitions of a state.
+type transitions map[Event]transition
 
-// startingAnswers are those of a daemon that is not ready. A start leads to started.
-func startingAnswers(self, started State, actions ...Action) answers {
-	return answers{
+// startingTransitions are those of a daemon that is not ready. The event Started leads to the state started with
+// actions.
+func startingTransitions(self, started State, actions ...Action) transitions {
+	return transitions{
 		Hangup:         {StartingReloadQueued, nil},
 		Terminate:      {Draining, []Action{NotifyStopping, StartDrain}},
 		Started:        {started, actions},
@@ -25,9 +26,9 @@
 	}
 }
 
-// reloadingAnswers are those of a daemon that reads a configuration. The end of that leads to next.
-func reloadingAnswers(self, next State, valid, invalid []Action) answers {
-	return answers{
+// reloadingTransitions are those of a daemon that reads a configuration. The end of the read leads to next.
+func reloadingTransitions(self, next State, valid, invalid []Action) transitions {
+	return transitions{
 		Hangup:         {ReloadingReloadQueued, nil},
 		Terminate:      {AwaitingPermit, []Action{RequestPermit}},
 		Started:        {self, nil},
@@ -40,9 +41,9 @@
 	}
 }
 
-// endingAnswers are those of a daemon that drains.
-func endingAnswers(self, terminated State, actions ...Action) answers {
-	return answers{
+// drainingTransitions are those of a daemon that drains. A termination leads to the state terminated with actions.
+func drainingTransitions(self, terminated State, actions ...Action) transitions {
+	return transitions{
 		Hangup:         {self, []Action{LogReloadIgnored}},
 		Terminate:      {terminated, actions},
 		Started:        {self, nil},
@@ -55,10 +56,11 @@
 	}
 }
 
-// expectedAnswers is the table written down once more by state.
-var expectedAnswers = map[State]answers{
-	Starting:             startingAnswers(Starting, Serving, NotifyReady),
-	StartingReloadQueued: startingAnswers(StartingReloadQueued, Reloading, NotifyReady, NotifyReloading, ReadConfig),
+// expectedTransitions is a second, independent version of the table.
+var expectedTransitions = map[State]transitions{
+	Starting: startingTransitions(Starting, Serving, NotifyReady),
+	StartingReloadQueued: startingTransitions(StartingReloadQueued, Reloading,
+		NotifyReady, NotifyReloading, ReadConfig),
 	Serving: {
 		Hangup:         {Reloading, []Action{NotifyReloading, ReadConfig}},
 		Terminate:      {AwaitingPermit, []Action{RequestPermit}},
@@ -70,8 +72,8 @@
 		WatchdogTick:   {Serving, []Action{NotifyWatchdog}},
 		DrainPermitted: {Serving, nil},
 	},
-	Reloading: reloadingAnswers(Reloading, Serving, []Action{ApplyConfig, NotifyReady}, []Action{NotifyReady}),
-	ReloadingReloadQueued: reloadingAnswers(ReloadingReloadQueued, Reloading,
+	Reloading: reloadingTransitions(Reloading, Serving, []Action{ApplyConfig, NotifyReady}, []Action{NotifyReady}),
+	ReloadingReloadQueued: reloadingTransitions(ReloadingReloadQueued, Reloading,
 		[]Action{ApplyConfig, ReadConfig}, []Action{ReadConfig}),
 	AwaitingPermit: {
 		Hangup:         {AwaitingPermit, []Action{LogReloadIgnored}},
@@ -84,8 +86,8 @@
 		WatchdogTick:   {AwaitingPermit, []Action{NotifyWatchdog}},
 		DrainPermitted: {Draining, []Action{NotifyStopping, StartDrain}},
 	},
-	Draining: endingAnswers(Draining, Stopping, ShortenDrain),
-	Stopping: endingAnswers(Stopping, Stopping),
+	Draining: drainingTransitions(Draining, Stopping, ShortenDrain),
+	Stopping: drainingTransitions(Stopping, Stopping),
 	Stopped: {
 		Hangup:         {Stopped, nil},
 		Terminate:      {Stopped, nil},
@@ -99,13 +101,13 @@
 	},
 }
 
-// TestEveryStateAnswersEveryEvent goes through the complete table. It guards invariant 1.
+// TestEveryStateAnswersEveryEvent compares the complete table with expectedTransitions. It guards invariant 1.
 func TestEveryStateAnswersEveryEvent(t *testing.T) {
 	for s := range stateCount {
 		for e := range eventCount {
-			want, ok := expectedAnswers[s][e]
+			want, ok := expectedTransitions[s][e]
 			if !ok {
-				t.Fatalf("%v: no answer to event %d is expected", s, e)
+				t.Fatalf("%v: no transition is expected for event %d", s, e)
 			}
 			m := Machine{state: s}
 			if actions := m.Handle(e); m.State() != want.next || !slices.Equal(actions, want.actions) {
@@ -116,19 +118,19 @@
 	}
 }
 
-// history is what random events did to a machine.
+// history records the random events of a machine, and their results.
 type history struct {
 	states  []State // after each event
 	events  []Event
 	actions [][]Action
 }
 
-// randomHistory plays n random events to a new machine.
+// randomHistory passes n random events to a new machine.
 func randomHistory(seed uint64, n int) history {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var m Machine
 	var h history
-	reads := 0 // that have not ended
+	reads := 0 // reads of a configuration that have not ended
 	for range n {
 		e := randomEvent(rng, m.State(), reads)
 		if e == ConfigValid || e == ConfigInvalid {
@@ -145,7 +147,8 @@
 	return h
 }
 
-// randomEvent draws an event that is possible in a state, seldom one that ends it soon.
+// randomEvent returns a random event that is possible in state s. Events that lead to a drain or a stop are rarer than
+// others, so that histories are long.
 func randomEvent(rng *rand.Rand, s State, reads int) Event {
 	e := Event(rng.IntN(int(eventCount)))
 	if (e == ConfigValid || e == ConfigInvalid) && reads == 0 || e == Started && s > StartingReloadQueued {
@@ -157,17 +160,17 @@
 	return e
 }
 
-// TestDrainIsFinal guards invariants 2, 5 and 6: no configuration is read or applied once the end has begun, and each
-// is applied only after it was requested.
+// TestDrainIsFinal guards invariants 2, 5 and 6: no configuration is read or applied once the drain has begun, and a
+// configuration is applied only after it was requested.
 func TestDrainIsFinal(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := randomHistory(seed, 60)
-		ending, requested := false, false
+		draining, requested := false, false
 		for i, actions := range h.actions {
 			for _, a := range actions {
 				switch {
-				case ending && slices.Contains([]Action{ReadConfig, ApplyConfig, NotifyReady, NotifyReloading}, a):
-					t.Fatalf("seed %d: action %d after the end had begun: %v", seed, a, h)
+				case draining && slices.Contains([]Action{ReadConfig, ApplyConfig, NotifyReady, NotifyReloading}, a):
+					t.Fatalf("seed %d: action %d after the drain had begun: %v", seed, a, h)
 				case a == ReadConfig:
 					requested = true
 				case a == ApplyConfig && !requested:
@@ -176,36 +179,36 @@
 					requested = false
 				}
 			}
-			if ending && h.states[i] < Draining {
+			if draining && h.states[i] < Draining {
 				t.Fatalf("seed %d: back to %v: %v", seed, h.states[i], h)
 			}
-			ending = h.states[i] >= Draining
+			draining = h.states[i] >= Draining
 		}
 	}
 }
 
-// TestHangupsAreServed guards invariant 1: after the last hangup of a daemon that keeps serving, the configuration is
-// read once more before the daemon is Serving again.
+// TestHangupsAreServed guards invariant 1: after a hangup, the configuration is read again before the daemon is in the
+// state Serving.
 func TestHangupsAreServed(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := randomHistory(seed, 60)
-		unserved := false
+		reloadDue := false
 		for i, actions := range h.actions {
 			if h.events[i] == Hangup && h.states[i] < Draining {
-				unserved = true
+				reloadDue = true
 			}
 			if slices.Contains(actions, ReadConfig) {
-				unserved = false
+				reloadDue = false
 			}
-			if unserved && h.states[i] == Serving {
-				t.Fatalf("seed %d: serving after an unserved hangup: %v", seed, h)
+			if reloadDue && h.states[i] == Serving {
+				t.Fatalf("seed %d: serving after a hangup without a reload: %v", seed, h)
 			}
 		}
 	}
 }
 
-// TestReadyIsNotifiedAfterEachReload guards invariant 4: a service manager that waits for READY after RELOADING never
-// waits for good.
+// TestReadyIsNotifiedAfterEachReload guards invariant 4: a service manager that waits for READY after RELOADING does
+// not wait forever.
 func TestReadyIsNotifiedAfterEachReload(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := randomHistory(seed, 60)
@@ -246,6 +249,6 @@
 
 func TestSameEventsGiveSameActions(t *testing.T) {
 	if a, b := randomHistory(7, 500), randomHistory(7, 500); !reflect.DeepEqual(a, b) {
-		t.Error("two lives with the same events differ")
+		t.Error("two runs with the same events differ")
 	}
 }
--- a/internal/lifecycle/table.go
+++ b/internal/lifecycle/table.go
@@ -1,6 +1,6 @@
 package lifecycle
 
-// transition is the answer to an event in a state.
+// transition is the result of an event in a state.
 type transition struct {
 	next    State
 	actions []Action
@@ -8,7 +8,7 @@
 
 func to(next State, actions ...Action) transition { return transition{next, actions} }
 
-// table holds all decisions: a row for each state, an entry for each event.
+// table holds all transitions: a row for each state, an entry for each event.
 var table = [stateCount][eventCount]transition{
 	Starting: {
 		Hangup:         to(StartingReloadQueued),
@@ -17,7 +17,7 @@
 		StartFailed:    to(Stopped, ExitFailed),
 		ConfigValid:    to(Starting, DiscardConfig),
 		ConfigInvalid:  to(Starting),
-		ServingEnded:   to(Stopped, ExitFailed), // it never served
+		ServingEnded:   to(Stopped, ExitFailed), // serving ended before the daemon was ready
 		WatchdogTick:   to(Starting, NotifyWatchdog),
 		DrainPermitted: to(Starting),
 	},
@@ -39,7 +39,7 @@
 		StartFailed:    to(Stopped, ExitFailed),
 		ConfigValid:    to(Serving, DiscardConfig),
 		ConfigInvalid:  to(Serving),
-		ServingEnded:   to(Stopped, ExitFailed), // nobody asked it to end
+		ServingEnded:   to(Stopped, ExitFailed), // without a termination
 		WatchdogTick:   to(Serving, NotifyWatchdog),
 		DrainPermitted: to(Serving),
 	},
@@ -55,11 +55,12 @@
 		DrainPermitted: to(Reloading),
 	},
 	ReloadingReloadQueued: {
-		Hangup:      to(ReloadingReloadQueued), // one more read covers all of them
+		Hangup:      to(ReloadingReloadQueued), // one more read covers all hangups so far
 		Terminate:   to(AwaitingPermit, RequestPermit),
 		Started:     to(ReloadingReloadQueued),
 		StartFailed: to(Stopped, ExitFailed),
-		// Applied although the next read is due, or an endless stream of hangups would keep all of them out of force.
+		// The configuration is applied although another read is due: otherwise a continuous stream of hangups would
+		// prevent any configuration from coming into force.
 		ConfigValid:    to(Reloading, ApplyConfig, ReadConfig),
 		ConfigInvalid:  to(Reloading, ReadConfig),
 		ServingEnded:   to(Stopped, ExitFailed),
@@ -73,7 +74,7 @@
 		StartFailed:    to(Stopped, Exit),
 		ConfigValid:    to(AwaitingPermit, DiscardConfig),
 		ConfigInvalid:  to(AwaitingPermit),
-		ServingEnded:   to(Stopped, ExitFailed), // nobody asked it to end
+		ServingEnded:   to(Stopped, ExitFailed), // the drain had not begun
 		WatchdogTick:   to(AwaitingPermit, NotifyWatchdog),
 		DrainPermitted: to(Draining, NotifyStopping, StartDrain),
 	},
--- a/internal/sdnotify/listener.go
+++ b/internal/sdnotify/listener.go
@@ -10,10 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// firstPassedDescriptor is the first descriptor that a manager passes in.
+// firstPassedDescriptor is the first file descriptor that a service manager passes in: SD_LISTEN_FDS_START.
 const firstPassedDescriptor = 3
 
-// Listener returns the one TCP listener that was passed in, nil for none.
+// Listener returns the TCP listener that the service manager passed to this process, or nil if it passed none. More
+// than one socket is an error.
 func Listener(getenv func(string) string) (*net.TCPListener, error) {
 	count := getenv("LISTEN_FDS")
 	if count == "" || getenv("LISTEN_PID") != strconv.Itoa(os.Getpid()) {
--- a/internal/sdnotify/sdnotify.go
+++ b/internal/sdnotify/sdnotify.go
@@ -1,10 +1,10 @@
-// Package sdnotify speaks the service manager's notification protocol and takes the socket that it passes in, as
-// the manual pages sd_notify(3) and sd_listen_fds(3) describe them.
+// Package sdnotify implements the service manager's notification protocol and socket passing, as described in the
+// manual pages sd_notify(3) and sd_listen_fds(3).
 //
-// The common library for it writes without a time limit: a manager that reads nothing would block the daemon. Here
-// a message that cannot be written in time is dropped with an error, and the daemon goes on.
+// The common library for this protocol writes without a timeout, so a manager that stops reading would block the
+// daemon. Here a message that cannot be written in time is dropped with an error, and the daemon goes on.
 //
-// The package keeps no state but the manager's address and starts no goroutine.
+// The package has no global state and starts no goroutine.
 package sdnotify
 
 import (
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// writeTimeout bounds the wait for a manager that reads nothing.
+// writeTimeout bounds a write to a manager that does not read.
 const writeTimeout = 100 * time.Millisecond
 
 // The messages without parameters.
@@ -27,7 +27,8 @@
 	WatchdogPing = "WATCHDOG=1"
 )
 
-// Reloading returns the message that begins a reload. It contains the current time.
+// Reloading returns the message that announces a reload. It contains the monotonic clock's time, unless that cannot be
+// read.
 func Reloading() string {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
@@ -36,18 +37,18 @@
 	return fmt.Sprintf("RELOADING=1\nMONOTONIC_USEC=%d", now.Nano()/int64(time.Microsecond))
 }
 
-// Status returns the message with a text that describes the daemon to a person.
+// Status returns the message that sets the human-readable status of the service.
 func Status(text string) string { return "STATUS=" + text }
 
-// Notifier notifies the service manager. The zero value has none and notifies nobody.
+// Notifier sends messages to the service manager. The zero value has no manager and sends nothing.
 type Notifier struct {
 	address *net.UnixAddr
-	// WatchdogInterval is the time within which the manager expects a WatchdogPing, zero for none.
+	// WatchdogInterval is the longest time between two WatchdogPings that the manager allows; zero if it expects none.
 	WatchdogInterval time.Duration
 }
 
-// FromEnvironment returns a Notifier for the service manager that started this process. Invalid variables are an
-// error.
+// FromEnvironment returns a Notifier for the service manager that started this process, as NOTIFY_SOCKET and the
+// WATCHDOG variables describe it. It returns an error if one of them is invalid.
 func FromEnvironment(getenv func(string) string) (*Notifier, error) {
 	n := &Notifier{}
 	path := getenv("NOTIFY_SOCKET")
@@ -70,7 +71,7 @@
 	return n, nil
 }
 
-// Notify sends a message. It takes writeTimeout at most; without a manager it does nothing.
+// Notify sends a message. It waits at most writeTimeout for the write; without a manager it does nothing.
 func (n *Notifier) Notify(message string) error {
 	if n.address == nil {
 		return nil
--- a/internal/sdnotify/sdnotify_test.go
+++ b/internal/sdnotify/sdnotify_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// environment returns a getenv of pairs of names and values.
+// environment returns a getenv function for alternating names and values.
 func environment(pairs ...string) func(string) string {
 	return func(name string) string {
 		for i := 0; i < len(pairs); i += 2 {
@@ -30,7 +30,7 @@
 		t.Run(name, func(t *testing.T) { expectMessagesAt(t, address) })
 	}
 	if !strings.HasPrefix(Reloading(), "RELOADING=1\nMONOTONIC_USEC=") {
-		t.Errorf("the message of a reload is %q", Reloading())
+		t.Errorf("got the reload message %q", Reloading())
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	socket.Close()
 	if n.Notify(Ready) == nil {
-		t.Error("a manager that is gone was notified")
+		t.Error("notifying a manager whose socket is closed succeeded")
 	}
 }
 
@@ -85,7 +85,7 @@
 	}
 	own := strconv.Itoa(os.Getpid())
 	if _, err := Listener(environment("LISTEN_PID", own, "LISTEN_FDS", "2")); err == nil {
-		t.Error("two sockets were accepted")
+		t.Error("two passed sockets were accepted")
 	}
 	for _, e := range [][]string{{}, {"LISTEN_FDS", "1"}, {"LISTEN_FDS", "1", "LISTEN_PID", own + "1"}} {
 		if l, err := Listener(environment(e...)); l != nil || err != nil {
@@ -94,7 +94,8 @@
 	}
 }
 
-// TestWatchdogOfAnotherProcess guards against notifying a watchdog that waits for the parent.
+// TestWatchdogOfAnotherProcess guards against notifying a watchdog that the manager set up for another process, such as
+// the parent.
 func TestWatchdogOfAnotherProcess(t *testing.T) {
 	n, err := FromEnvironment(environment("NOTIFY_SOCKET", "/x", "WATCHDOG_USEC", "1", "WATCHDOG_PID", "1"))
 	if err != nil || n.WatchdogInterval != 0 {
