--- a/cmd/mulleinpier/main.go
+++ b/cmd/mulleinpier/main.go
@@ -1,6 +1,6 @@
-// Command mulleinpier is a proxy for the memcache protocols: it spreads keys over read-through cache nodes before
-// one slow origin. This package parses the command line, catches signals and maps errors to exit codes; package
-// daemon does the rest.
+// Command mulleinpier is a proxy for the memcache protocols: it spreads keys over read-through cache nodes in front of
+// one slow origin. This package parses the command line, catches signals and maps errors to exit codes; package daemon
+// runs the proxy.
 package main
 
 import (
@@ -27,37 +27,37 @@
 	exitUsage  = 2
 )
 
-// configOptions are the options of a command that reads a configuration.
+// configOptions are the options of the commands that read a configuration file.
 type configOptions struct {
-	Config     string `required:"" help:"The configuration's file."`
+	Config     string `required:"" help:"Path of the configuration file."`
 	CPUProfile string `name:"cpuprofile" hidden:"" help:"Write a CPU profile to this file; for measurements."`
 }
 
-// commands are the commands with their options.
+// commands are the commands with their options, from which kong derives the command line.
 type commands struct {
 	Serve    configOptions   `cmd:"" help:"Serve clients until SIGTERM."`
-	Check    configOptions   `cmd:"" help:"Print all errors of a configuration."`
-	Platform platformOptions `cmd:"" help:"Serve as the platform has it, as without a command."`
+	Check    configOptions   `cmd:"" help:"Check a configuration and print all its errors."`
+	Platform platformOptions `cmd:"" help:"Serve with the platform's configuration in the file that GW_CONFIG names."`
 	Secret   struct {
 		User string `required:"" help:"The name of the user."`
-	} `cmd:"" help:"Read a secret and print its line for a file of users."`
+	} `cmd:"" help:"Read a secret from standard input and print the user's line for a users file."`
 	Version struct{} `cmd:"" help:"Print the version."`
 }
 
 // platformOptions are the options of the command platform.
 type platformOptions struct {
-	Reduce bool `xor:"taken" help:"With levels of reduced service."`
-	Counts bool `xor:"taken" help:"With a log line of counts a second."`
+	Reduce bool `xor:"taken" help:"Reduce service by degradation levels under overload."`
+	Counts bool `xor:"taken" help:"Log a line of counts each second."`
 }
 
-// stableInterval is the time between two reads of a configuration that must agree before it is reloaded.
+// stableInterval is the time between two reads of a configuration file, which must return the same text before it is
+// reloaded.
 const stableInterval = 50 * time.Millisecond
 
-// errUsage is the error of an invalid command line.
 var errUsage = cli.ErrUsage
 
 func main() {
-	// First of all: until they are caught, signals end the program, and so does a write to a log without a reader.
+	// This comes first: until signals are caught, they end the program, and so does a write to a log that nobody reads.
 	signal.Ignore(syscall.SIGPIPE)
 	hangups, terminations := make(chan os.Signal, 1), make(chan os.Signal, 2)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -78,7 +78,7 @@
 	}
 }
 
-// oneLine returns an error in one line: the first that is joined, and how many more there are.
+// oneLine returns one line for an error: the first of the joined errors, and the number of the others.
 func oneLine(err error) string {
 	list := config.Errors(err)
 	if len(list) == 1 {
@@ -87,13 +87,13 @@
 	return fmt.Sprintf("%v (and %d more: see %s check)", list[0], len(list)-1, programName)
 }
 
-// run runs the command that args name.
+// run executes the command in args.
 func run(args []string, out io.Writer, o daemon.Options) error {
 	if len(args) == 0 {
 		return runPlatformDefault(o)
 	}
 	var c commands
-	const description = "A memcache proxy. With GW_CONFIG set and no command it serves as the platform has it."
+	const description = "A memcache proxy. Without a command, but with GW_CONFIG set, it runs the command platform."
 	command, err := cli.Parse(&c, programName, description, args, out, o.Log)
 	if err != nil || command == "" {
 		return err
@@ -113,21 +113,21 @@
 	}
 }
 
-// check prints all errors of a configuration, a line each.
+// check prints all errors of a configuration, one on each line.
 func check(file string, out io.Writer) error {
 	_, err := config.Read(file)
 	if err == nil {
-		fmt.Fprintln(out, file, "is good")
+		fmt.Fprintln(out, file, "is valid")
 		return nil
 	}
 	list := config.Errors(err)
 	for _, err := range list {
 		fmt.Fprintln(out, err)
 	}
-	return fmt.Errorf("%s: %d wrong", file, len(list))
+	return fmt.Errorf("%s: %d error(s)", file, len(list))
 }
 
-// serve runs the daemon with a configuration of its own.
+// serve runs the daemon with the configuration file of the option --config.
 func serve(options configOptions, o daemon.Options) error {
 	if options.CPUProfile != "" {
 		f, err := os.Create(options.CPUProfile)
@@ -145,13 +145,13 @@
 		if started {
 			return config.ReadStable(options.Config, func() { time.Sleep(stableInterval) })
 		}
-		started = true // the wait would only delay the start
+		started = true // at the start the file is read once, as the wait of ReadStable would only delay it
 		return config.Read(options.Config)
 	}
 	return daemon.Run(o)
 }
 
-// version returns the version of the program and of the tool chain.
+// version returns the version and revision of the program, and the version of the Go toolchain.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/mulleinpier/platform.go
+++ b/cmd/mulleinpier/platform.go
@@ -9,18 +9,19 @@
 	"mulleinpier/internal/proxy"
 )
 
-// configVariable names the platform's configuration file.
+// configVariable is the environment variable with the path of the platform's configuration file.
 const configVariable = "GW_CONFIG"
 
 const (
-	// levelVariable names the log level where there is no configuration of the daemon's own: debug, info, warn or
-	// error.
+	// levelVariable is the environment variable that sets the log level with the platform's configuration, which has no
+	// key for it: debug, info, warn or error.
 	levelVariable = "MULLEINPIER_LOG_LEVEL"
-	// formerLevelVariable is the name that the variable had before; it is read for one release more.
+	// formerLevelVariable is the former name of levelVariable. It is supported for one more release.
 	formerLevelVariable = "YARROWSPAN_LOG_LEVEL"
 )
 
-// runPlatformDefault serves as the platform has it. The platform gives no command, and this start needs no parser.
+// runPlatformDefault serves with the platform's configuration and without options. The platform starts the program
+// without a command, so no command line has to be parsed.
 func runPlatformDefault(o daemon.Options) error {
 	if o.Getenv(configVariable) == "" {
 		return fmt.Errorf("%w: no command, and %s is not set", errUsage, configVariable)
@@ -30,7 +31,7 @@
 	return daemon.Run(o)
 }
 
-// runPlatform serves as the platform has it, with what the options add.
+// runPlatform serves with the platform's configuration and the options of the command platform.
 func runPlatform(o daemon.Options, options platformOptions) error {
 	load := platformLoader(o.Getenv)
 	o.Platform = true
@@ -45,8 +46,8 @@
 	return daemon.Run(o)
 }
 
-// platformLoader returns a function that reads the platform's configuration. Environment variables have precedence
-// over the file at the start only: they cannot have changed since, so a reload reads the file alone.
+// platformLoader returns a function that reads the platform's configuration. Environment variables take precedence over
+// the file only at the start: they cannot change in a running process, so a reload must not let them override the file.
 func platformLoader(getenv func(string) string) func() (*config.Config, error) {
 	started := false
 	level, deprecated := logLevel(getenv)
@@ -62,7 +63,7 @@
 	}
 }
 
-// logLevel reads the log level from the environment; an invalid one means info.
+// logLevel reads the log level from the environment. The level is info if it is unset or invalid.
 func logLevel(getenv func(string) string) (level slog.Level, deprecated []config.DeprecatedVariable) {
 	text := getenv(levelVariable)
 	if former := getenv(formerLevelVariable); text == "" && former != "" {
--- a/cmd/mulleinpier/stall_storm_test.go
+++ b/cmd/mulleinpier/stall_storm_test.go
@@ -16,50 +16,51 @@
 const (
 	stormTime    = 6 * time.Second
 	stormClients = 12
-	// requestsPerLate is the operators' bound: one request in so many may be late.
+	// requestsPerLate is the operators' bound: at most one request in 500 may be late.
 	requestsPerLate = 500
-	// machineDelay is a delay of the machine itself, in which a late response shows nothing about the program.
+	// machineDelay is the delay of the test itself above which a late response may be due to the machine, and not to
+	// the program.
 	machineDelay = 30 * time.Millisecond
 )
 
-// delayMonitor records when the machine delayed the test itself.
+// delayMonitor records when the machine delayed the test process by more than machineDelay.
 type delayMonitor struct {
 	done      chan struct{}
 	task      sync.WaitGroup
 	mu        sync.Mutex
-	delayedAt []time.Time // times at which it was late
+	delayedAt []time.Time // the end of each delay
 }
 
 func newDelayMonitor() *delayMonitor {
-	w := &delayMonitor{done: make(chan struct{})}
-	w.task.Go(func() {
+	m := &delayMonitor{done: make(chan struct{})}
+	m.task.Go(func() {
 		const pause = 5 * time.Millisecond
 		for last := time.Now(); ; last = time.Now() {
 			select {
-			case <-w.done:
+			case <-m.done:
 				return
 			case <-time.After(pause):
 			}
 			if now := time.Now(); now.Sub(last)-pause > machineDelay {
-				w.mu.Lock()
-				w.delayedAt = append(w.delayedAt, now)
-				w.mu.Unlock()
+				m.mu.Lock()
+				m.delayedAt = append(m.delayedAt, now)
+				m.mu.Unlock()
 			}
 		}
 	})
-	return w
+	return m
 }
 
-func (w *delayMonitor) stop() {
-	close(w.done)
-	w.task.Wait()
+func (m *delayMonitor) stop() {
+	close(m.done)
+	m.task.Wait()
 }
 
-// between reports whether the machine was late in a span, or right after it.
-func (w *delayMonitor) between(from, to time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, at := range w.delayedAt {
+// delayedBetween reports whether the machine delayed the test between two times, or shortly after.
+func (m *delayMonitor) delayedBetween(from, to time.Time) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, at := range m.delayedAt {
 		if at.After(from) && at.Before(to.Add(2*machineDelay)) {
 			return true
 		}
@@ -67,7 +68,8 @@
 	return false
 }
 
-// stormResult counts the requests of a storm by their outcome.
+// stormResult counts the requests during repeated stalls by their outcome. Excused requests were late while the machine
+// delayed the test itself.
 type stormResult struct {
 	answered, late, excused atomic.Int64
 	// lost counts requests without a response that were sent before the program was terminated.
@@ -75,24 +77,24 @@
 	terminatedAt atomic.Pointer[time.Time]
 }
 
-// stallRepeatedly stalls the program again and again until done is closed.
-func (h *stalledProgram) stallRepeatedly(r *rand.Rand, done <-chan struct{}) {
+// stallRepeatedly stalls the program for 60 to 150 ms at random intervals until done is closed or the program exits.
+func (p *stalledProgram) stallRepeatedly(r *rand.Rand, done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
 		case <-time.After(time.Duration(300+r.IntN(700)) * time.Millisecond):
 		}
-		if h.process.Signal(syscall.SIGSTOP) != nil {
+		if p.process.Signal(syscall.SIGSTOP) != nil {
 			return // it has exited
 		}
 		time.Sleep(time.Duration(60+r.IntN(90)) * time.Millisecond)
-		h.process.Signal(syscall.SIGCONT)
+		p.process.Signal(syscall.SIGCONT)
 	}
 }
 
-// sendRepeatedly sends one request after another until the connection ends.
-func (c *stallClient) sendRepeatedly(number int, r *rand.Rand, lag *delayMonitor, s *stormResult) {
+// sendRepeatedly sends one request after another until the connection ends, and counts the outcomes in s.
+func (c *stallClient) sendRepeatedly(number int, r *rand.Rand, delays *delayMonitor, s *stormResult) {
 	for n := 0; ; n++ {
 		key, wait := "warm", time.Duration(250+r.IntN(350))*time.Millisecond
 		if r.IntN(4) == 0 {
@@ -101,20 +103,20 @@
 		sentAt := time.Now()
 		const format = "mg %s%[2]d-%[3]d v Ostorm%[2]d-%[3]d Pc=safe,t=shops,d=%[4]d\r\n"
 		_, err := fmt.Fprintf(c.socket, format, key, number, n, wait.Milliseconds())
-		came, ok := <-c.lines
+		received, ok := <-c.lines
 		if err != nil || !ok {
 			if terminatedAt := s.terminatedAt.Load(); terminatedAt == nil || sentAt.Before(*terminatedAt) {
 				s.lost.Add(1)
 			}
 			return
 		}
-		if strings.HasPrefix(came.line, "VA ") {
+		if strings.HasPrefix(received.line, "VA ") {
 			<-c.lines
 		}
 		s.answered.Add(1)
-		switch late := came.receivedAt.Sub(sentAt) - wait; {
+		switch late := received.receivedAt.Sub(sentAt) - wait; {
 		case late <= responseSlack:
-		case lag.between(sentAt, came.receivedAt):
+		case delays.delayedBetween(sentAt, received.receivedAt):
 			s.excused.Add(1)
 		default:
 			s.late.Add(1)
@@ -123,31 +125,31 @@
 	}
 }
 
-// TestRepeatedStalls guards rules 1 and 6: with stalls at random moments, through the exit of the program,
-// responses come in time but for the few that the operators allow, each accepted request has one, and the program
-// exits before it would be killed.
+// TestRepeatedStalls guards rules 1 and 6 with stalls at random times until the program has exited: at most one request
+// in 500 is answered late, as the operators allow, each request that was sent before the termination gets a response,
+// and the program exits before it would be killed.
 func TestRepeatedStalls(t *testing.T) {
-	h := newStalledProgram(t)
-	h.stallOnce(nil)
-	lag, s := newDelayMonitor(), &stormResult{}
-	defer lag.stop()
-	var clients, holder sync.WaitGroup
+	p := newStalledProgram(t)
+	p.stallOnce(nil)
+	delays, s := newDelayMonitor(), &stormResult{}
+	defer delays.stop()
+	var clients, staller sync.WaitGroup
 	for i := range stormClients {
-		c := h.client()
-		clients.Go(func() { c.sendRepeatedly(i, rand.New(rand.NewPCG(7, uint64(i))), lag, s) })
+		c := p.client()
+		clients.Go(func() { c.sendRepeatedly(i, rand.New(rand.NewPCG(7, uint64(i))), delays, s) })
 	}
 	done := make(chan struct{})
-	holder.Go(func() { h.stallRepeatedly(rand.New(rand.NewPCG(8, 1)), done) })
+	staller.Go(func() { p.stallRepeatedly(rand.New(rand.NewPCG(8, 1)), done) })
 	time.Sleep(stormTime)
 	terminatedAt := time.Now()
 	s.terminatedAt.Store(&terminatedAt)
-	if err := h.process.Signal(syscall.SIGTERM); err != nil {
+	if err := p.process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	exited := make(chan struct{})
 	go func() {
 		defer close(exited)
-		h.wait()
+		p.wait()
 	}()
 	testutil.WaitUntil(t, "the program to exit", func() bool {
 		select {
@@ -159,18 +161,19 @@
 	})
 	took := time.Since(terminatedAt)
 	close(done)
-	holder.Wait()
+	staller.Wait()
 	clients.Wait()
 	answered, late := s.answered.Load(), s.late.Load()
-	t.Logf("%d requests, %d late, %d while this machine was late, %d lost; exited after %v",
+	t.Logf("%d requests, %d late, %d late while the machine delayed the test, %d lost; exited after %v",
 		answered, late, s.excused.Load(), s.lost.Load(), took)
 	if late > max(answered/requestsPerLate, 1) {
 		t.Errorf("%d of %d requests late", late, answered)
 	}
 	if s.lost.Load() > 0 {
-		t.Errorf("%d requests lost that came before the termination", s.lost.Load())
+		t.Errorf("%d requests sent before the termination got no response", s.lost.Load())
 	}
-	if due := clientDeadline + 700*time.Millisecond; took > due && !lag.between(terminatedAt, terminatedAt.Add(took)) {
+	if due := clientDeadline + 700*time.Millisecond; took > due &&
+		!delays.delayedBetween(terminatedAt, terminatedAt.Add(took)) {
 		t.Errorf("the exit took %v, and the program is killed after %v", took, due)
 	}
 }
--- a/cmd/mulleinpier/stall_test.go
+++ b/cmd/mulleinpier/stall_test.go
@@ -16,25 +16,25 @@
 	"mulleinpier/internal/testutil"
 )
 
-// These tests stall the program for moments that are too short to be detected as a pause, as a host does that is
-// short of processors, and check that every client has a response before its deadline. The nodes never respond, so
-// that each response is the proxy's own. See docs/incidents.
+// These tests stall the program for times that are too short to be detected as a pause, as an overcommitted host does,
+// and check that every client gets a response before its deadline. The nodes respond only to warm-up requests, so the
+// proxy itself generates the responses that are checked. See docs/incidents.
 
 const (
 	stallTime      = 160 * time.Millisecond
 	clientDeadline = 600 * time.Millisecond // of each request
-	// responseSlack is how late a response may be: clients wait a moment longer than they say. A stall without a
-	// margin for it is far longer.
+	// responseSlack is how late a response may be: clients wait slightly longer than their deadline. A response that a
+	// stall delays without a safety margin is later than that.
 	responseSlack = 80 * time.Millisecond
-	// stallBeforeDeadline is the time from a request to a stall that spans the request's deadline.
+	// stallBeforeDeadline is the time from a request to the start of a stall that spans the request's deadline.
 	stallBeforeDeadline = clientDeadline - 40*time.Millisecond
 )
 
-// stalledProgram is a program that is stalled, and its clients.
+// stalledProgram is the program under test, which the test stalls.
 type stalledProgram struct {
 	t           *testing.T
 	process     *os.Process
-	wait        func() error // for its exit
+	wait        func() error // waits for the program to exit
 	address     string
 	lastRequest int // number of the last request
 }
@@ -53,32 +53,32 @@
 	t.Cleanup(nodes.Close)
 	cmd, lines := startPlatformProgramWith(t, nodes, 3, int(clientDeadline.Milliseconds()))
 	_, address, _ := strings.Cut(waitLine(t, lines, "listener opened"), "address=")
-	h := &stalledProgram{t: t, process: cmd.Process, wait: cmd.Wait, address: address}
-	warm := h.client()
+	p := &stalledProgram{t: t, process: cmd.Process, wait: cmd.Wait, address: address}
+	warm := p.client()
 	testutil.WaitUntil(t, "the nodes to be known", func() bool { return warm.sendServed() })
-	for range 500 { // or admission would be reduced by what hangs, and all be rejected at once
+	for range 500 { // without them the hanging requests would reduce admission, and all be rejected at once
 		warm.sendServed()
 	}
-	return h
+	return p
 }
 
 // stop stalls the program until resume.
-func (h *stalledProgram) stop() {
-	h.t.Helper()
-	if err := h.process.Signal(syscall.SIGSTOP); err != nil {
-		h.t.Fatal(err)
+func (p *stalledProgram) stop() {
+	p.t.Helper()
+	if err := p.process.Signal(syscall.SIGSTOP); err != nil {
+		p.t.Fatal(err)
 	}
-	testutil.WaitUntil(h.t, "the program to be stopped", func() bool { return faults.IsStopped(h.process.Pid) })
+	testutil.WaitUntil(p.t, "the program to be stopped", func() bool { return faults.IsStopped(p.process.Pid) })
 }
 
-func (h *stalledProgram) resume() {
-	h.t.Helper()
-	if err := h.process.Signal(syscall.SIGCONT); err != nil {
-		h.t.Fatal(err)
+func (p *stalledProgram) resume() {
+	p.t.Helper()
+	if err := p.process.Signal(syscall.SIGCONT); err != nil {
+		p.t.Fatal(err)
 	}
 }
 
-// stallClient is a client of a program that is stalled.
+// stallClient is a client of a stalledProgram, with one connection.
 type stallClient struct {
 	program *stalledProgram
 	socket  net.Conn
@@ -86,29 +86,29 @@
 	sentAt  time.Time
 }
 
-// receivedLine is a line and the time at which it came.
+// receivedLine is a line and the time at which it was received.
 type receivedLine struct {
 	line       string
 	receivedAt time.Time
 }
 
-func (h *stalledProgram) client() *stallClient {
-	h.t.Helper()
-	socket, err := net.Dial("tcp", h.address)
+func (p *stalledProgram) client() *stallClient {
+	p.t.Helper()
+	socket, err := net.Dial("tcp", p.address)
 	if err != nil {
-		h.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	c := &stallClient{program: h, socket: socket, lines: make(chan receivedLine, 4)}
+	c := &stallClient{program: p, socket: socket, lines: make(chan receivedLine, 4)}
 	var reader sync.WaitGroup
 	reader.Go(c.read)
-	h.t.Cleanup(func() {
+	p.t.Cleanup(func() {
 		socket.Close()
 		reader.Wait()
 	})
 	return c
 }
 
-// read receives lines as they come, whatever the test waits for, until the connection ends.
+// read receives lines until the connection ends. It runs in its own goroutine so that the recorded times are exact.
 func (c *stallClient) read() {
 	defer close(c.lines)
 	for in := bufio.NewScanner(c.socket); in.Scan(); {
@@ -124,7 +124,7 @@
 	if !strings.HasPrefix(line, "VA ") {
 		return false
 	}
-	c.response() // its value
+	c.response() // the line of the value
 	return true
 }
 
@@ -145,14 +145,14 @@
 	}
 }
 
-// response reads a response and returns how long after the deadline it came.
+// response reads a response and returns how long after the deadline it was received, negative if before.
 func (c *stallClient) response() (line string, late time.Duration) {
 	c.program.t.Helper()
-	came := testutil.Receive(c.program.t, "a response", c.lines)
-	return came.line, came.receivedAt.Sub(c.sentAt) - clientDeadline
+	received := testutil.Receive(c.program.t, "a response", c.lines)
+	return received.line, received.receivedAt.Sub(c.sentAt) - clientDeadline
 }
 
-// expectInTime reads the responses to clients, each of which has to come in time.
+// expectInTime reads one response for each client and fails the test for those later than responseSlack.
 func expectInTime(t *testing.T, when string, clients []*stallClient) {
 	t.Helper()
 	for i, c := range clients {
@@ -162,65 +162,67 @@
 	}
 }
 
-// askDuringStall has clients send requests while the program is stalled, on known connections and on new ones.
-func (h *stalledProgram) askDuringStall(known []*stallClient) []*stallClient {
-	h.t.Helper()
-	h.stop()
-	clients := append([]*stallClient{h.client(), h.client()}, known...)
+// sendDuringStall has clients send requests while the program is stalled, on existing connections and on new ones. It
+// returns all these clients.
+func (p *stalledProgram) sendDuringStall(existing []*stallClient) []*stallClient {
+	p.t.Helper()
+	p.stop()
+	clients := append([]*stallClient{p.client(), p.client()}, existing...)
 	for _, c := range clients {
 		c.sendHanging()
 	}
 	time.Sleep(stallTime)
-	h.resume()
+	p.resume()
 	return clients
 }
 
-// stallOnce stalls the program once, so that it knows of stalls.
-func (h *stalledProgram) stallOnce(known []*stallClient) {
-	h.t.Helper()
-	for _, c := range h.askDuringStall(known) {
+// stallOnce stalls the program once, so that it has observed a stall.
+func (p *stalledProgram) stallOnce(existing []*stallClient) {
+	p.t.Helper()
+	for _, c := range p.sendDuringStall(existing) {
 		c.response()
 	}
 }
 
-// TestResponseInTimeWhenSentDuringStall guards rule 1: the time of a request counts from when it came, and not from
-// when the process read it.
+// TestResponseInTimeWhenSentDuringStall guards rule 1: the deadline of a request counts from when it was received, and
+// not from when the process read it.
 func TestResponseInTimeWhenSentDuringStall(t *testing.T) {
-	h := newStalledProgram(t)
-	known := []*stallClient{h.client(), h.client(), h.client(), h.client()}
+	p := newStalledProgram(t)
+	existing := []*stallClient{p.client(), p.client(), p.client(), p.client()}
 	for round := range 5 {
-		expectInTime(t, fmt.Sprint("round ", round), h.askDuringStall(known))
+		expectInTime(t, fmt.Sprint("round ", round), p.sendDuringStall(existing))
 	}
 }
 
-// TestResponseInTimeWhenDueDuringStall guards rule 1: a process that is stalled repeatedly responds so much sooner
-// that a stall at the deadline makes no response late.
+// TestResponseInTimeWhenDueDuringStall guards rule 1: a process that is stalled repeatedly responds early enough that a
+// stall at the deadline makes no response late.
 func TestResponseInTimeWhenDueDuringStall(t *testing.T) {
-	h := newStalledProgram(t)
-	known := []*stallClient{h.client(), h.client(), h.client(), h.client()}
-	h.stallOnce(known)
+	p := newStalledProgram(t)
+	existing := []*stallClient{p.client(), p.client(), p.client(), p.client()}
+	p.stallOnce(existing)
 	for round := range 5 {
-		expectInTime(t, fmt.Sprint("round ", round), h.stallAtDeadline(known))
+		expectInTime(t, fmt.Sprint("round ", round), p.stallAtDeadline(existing))
 	}
 }
 
-// stallAtDeadline has clients send requests, and stalls the program as their time ends.
-func (h *stalledProgram) stallAtDeadline(clients []*stallClient) []*stallClient {
-	h.t.Helper()
+// stallAtDeadline has clients send requests, and stalls the program shortly before their deadline until after it. It
+// returns the clients.
+func (p *stalledProgram) stallAtDeadline(clients []*stallClient) []*stallClient {
+	p.t.Helper()
 	for _, c := range clients {
 		c.sendHanging()
 	}
 	time.Sleep(time.Until(clients[0].sentAt.Add(stallBeforeDeadline)))
-	h.stop()
+	p.stop()
 	time.Sleep(stallTime)
-	h.resume()
+	p.resume()
 	return clients
 }
 
-// TestResponseInTimeWhenDueDuringFirstStall checks the same for a process that knows of no stalls yet. It fails: see
-// KNOWN-RED.txt.
+// TestResponseInTimeWhenDueDuringFirstStall checks the same for a process that has not observed a stall yet. It is
+// known to fail: see KNOWN-RED.txt.
 func TestResponseInTimeWhenDueDuringFirstStall(t *testing.T) {
-	h := newStalledProgram(t)
-	clients := []*stallClient{h.client(), h.client(), h.client(), h.client()}
-	expectInTime(t, "the first", h.stallAtDeadline(clients))
+	p := newStalledProgram(t)
+	clients := []*stallClient{p.client(), p.client(), p.client(), p.client()}
+	expectInTime(t, "the first", p.stallAtDeadline(clients))
 }
--- a/cmd/mulleinpier/start_test.go
+++ b/cmd/mulleinpier/start_test.go
@@ -170,7 +170,7 @@
 		t.Error("an invalid configuration passed the check")
 	}
 	for _, want := range []string{
-		"listen cannot be 3: want a text",
+		"listen cannot be 3: want a string",
 		"port is unknown",
 		"limits.memory_mb cannot be 1: want a whole number from 32",
 		"nodes has no source",
--- a/internal/config/binary.go
+++ b/internal/config/binary.go
@@ -14,10 +14,11 @@
 	"mulleinpier/policy"
 )
 
-// usersKeyBytes is the length of the random key with which secrets of users are compared.
+// usersKeyBytes is the length of the random key of the hashes by which secrets of users are compared.
 const usersKeyBytes = 32
 
-// readBinary reads the table binary and the tables route: how clients and nodes speak the binary protocol.
+// readBinary reads the table binary and the tables route: the settings for clients and nodes that use the binary
+// protocol.
 func (r *reader) readBinary() {
 	t := r.top.table("binary")
 	p := r.config.Proxy
@@ -41,7 +42,7 @@
 	if !r.top.has("route") {
 		rules = defaultRoutes(p.Policy.Classes)
 		if len(p.Policy.Tenants) > 0 {
-			r.errors.add("route", "is missing: binary clients name no tenant, so each route must")
+			r.errors.add("route", "is missing: binary clients name no tenant, so each route must name one")
 			return
 		}
 	}
@@ -50,19 +51,19 @@
 	p.Binary = c
 }
 
-// rejectBinaryClientSettings adds an error for each setting that needs binary clients.
+// rejectBinaryClientSettings adds an error for each setting in the file that requires binary clients.
 func (r *reader) rejectBinaryClientSettings(t *table) {
 	for _, key := range []string{"listen", "users"} {
 		if t.has(key) {
-			t.add(key, "is for binary.clients = true only")
+			t.add(key, "requires binary.clients = true")
 		}
 	}
 	if r.top.has("route") {
-		r.errors.add("route", "is for binary.clients = true only")
+		r.errors.add("route", "requires binary.clients = true")
 	}
 }
 
-// readUsers reads the file of users. It returns nil after an error.
+// readUsers reads the users file. If it cannot be read or is invalid, readUsers adds errors to t and returns nil.
 func readUsers(t *table, path string) (users *sasl.Users) {
 	text, err := readFile(path)
 	if err == nil {
@@ -78,7 +79,8 @@
 	return users
 }
 
-// checkRoutes checks that the listeners and users of routes exist.
+// checkRoutes adds an error for each route whose listener accepts no binary clients, or that names a user without a
+// users file.
 func (r *reader) checkRoutes(rules []route.Rule, c *proxy.BinaryConfig) {
 	otherListener := proxy.BinaryListener
 	if c.Listen != "" {
@@ -87,15 +89,15 @@
 	for i, rule := range rules {
 		if rule.Listener == otherListener {
 			key := fmt.Sprintf("route[%d].listener", i)
-			r.errors.add(key, "cannot be %q: no binary client comes there", rule.Listener)
+			r.errors.add(key, "cannot be %q: this listener accepts no binary clients", rule.Listener)
 		}
 		if rule.User != "" && c.Rules.Users == nil {
-			r.errors.add(fmt.Sprintf("route[%d].user", i), "cannot be %q: there is no file of users", rule.User)
+			r.errors.add(fmt.Sprintf("route[%d].user", i), "cannot be %q: binary.users is missing", rule.User)
 		}
 	}
 }
 
-// routeTable returns the routing table of rules. It also sets the deduplication windows of the classes.
+// routeTable returns the routing table of rules. It also stores the deduplication windows of the keyed classes in c.
 func (r *reader) routeTable(rules []route.Rule, c *proxy.BinaryConfig) *route.Table {
 	settings := &r.config.Proxy.Policy
 	classes := make(map[string]route.Class)
@@ -124,7 +126,7 @@
 	return table
 }
 
-// verbNames are the words of the settings for the verbs of routes.
+// verbNames maps the values of the key verb to the verbs of routes.
 var verbNames = map[string]route.Verb{
 	"read":     route.Reads,
 	"write":    route.Writes,
@@ -132,7 +134,7 @@
 	"plain":    route.Unticketed,
 }
 
-// readRoutes reads the tables route; whether they are complete is checked later.
+// readRoutes reads the tables route. checkRoutes and routeTable validate the rules.
 func readRoutes(top *table) (rules []route.Rule) {
 	for _, t := range top.tables("route") {
 		rule := route.Rule{
@@ -150,7 +152,7 @@
 	return rules
 }
 
-// defaultRoutes are the routes of a file without any: for each verb the first suitable class.
+// defaultRoutes returns the routes for a file without tables route: for each verb one to the first suitable class.
 func defaultRoutes(classes []policy.Class) (rules []route.Rule) {
 	for _, verb := range []struct {
 		verb        route.Verb
@@ -170,7 +172,8 @@
 	return rules
 }
 
-// fitsTickets reports whether all nodes drop repeats of a class for long enough for tickets, if it needs any.
+// fitsTickets reports whether tickets can make writes of a class repeatable: all nodes together must drop repeats, for
+// long enough that a ticket is valid at all. It is true for classes that are not keyed.
 func fitsTickets(class *policy.Class) bool {
 	if class.Idempotency != policy.IdempotentWithKey {
 		return true
--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// maxNameLength bounds names, which become words of the protocol.
+// maxNameLength is the maximum length in bytes of names, which are sent as tokens of the protocol.
 const maxNameLength = 64
 
-// anything allows every text.
+// anything accepts every string.
 func anything(string) string { return "" }
 
-// printable allows texts that cannot end a word of the protocol early.
+// printable accepts strings that can be sent as a token of the protocol: they contain no separators.
 func printable(text string) string {
-	endsWord := func(r rune) bool { return r <= ' ' || r == 0x7f || r == ',' || r == '=' }
-	if text == "" || len(text) > maxNameLength || strings.ContainsFunc(text, endsWord) {
-		return "1 to 64 characters without blanks, commas and ="
+	isSeparator := func(r rune) bool { return r <= ' ' || r == 0x7f || r == ',' || r == '=' }
+	if text == "" || len(text) > maxNameLength || strings.ContainsFunc(text, isSeparator) {
+		return "1 to 64 characters without blanks, control characters, commas and ="
 	}
 	return ""
 }
 
-// isAddress allows HOST:PORT.
+// isAddress accepts HOST:PORT. A comma is not allowed, as it separates the addresses of a static list.
 func isAddress(text string) string {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || port == "" || strings.Contains(host, ",") {
@@ -30,7 +30,7 @@
 	return ""
 }
 
-// oneOf allows some words.
+// oneOf returns a check that accepts only the given words.
 func oneOf(words ...string) check {
 	return func(text string) string {
 		if slices.Contains(words, text) {
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -7,7 +7,7 @@
 	"mulleinpier/policy"
 )
 
-// defaultClasses are the classes of a file without any.
+// defaultClasses are the classes for a file without tables class.
 var defaultClasses = []policy.Class{
 	{
 		Name:             "read",
@@ -36,7 +36,7 @@
 	},
 }
 
-// The words of the settings for terms of policy.
+// The values of the keys effect and group, and what they mean in package policy.
 var (
 	idempotencyNames = map[string]policy.Idempotency{
 		"safe":   policy.Idempotent,
@@ -50,7 +50,7 @@
 	}
 )
 
-// readClasses reads the tables class.
+// readClasses reads the tables class, or sets the default classes if there are none.
 func (r *reader) readClasses() {
 	settings := &r.config.Proxy.Policy
 	if !r.top.has("class") {
@@ -80,26 +80,25 @@
 	hasKey := class.Idempotency == policy.IdempotentWithKey
 	switch {
 	case !t.has("name"):
-		t.add("name", "is missing: want a name")
+		t.add("name", "is missing: want the name of the class")
 	case class.LatencyObjective > class.Deadline:
 		t.add("aim", "cannot be %v: want no more than the deadline, %v", class.LatencyObjective, class.Deadline)
 	case hasKey != (class.DedupWindow > 0):
-		t.add("window", "cannot be %v: want above 0s for effect keyed, and none for others", class.DedupWindow)
+		t.add("window", "cannot be %v: want above 0s for effect = \"keyed\", else no window", class.DedupWindow)
 	case !hasKey && t.has("group"):
-		t.add("group", "is for effect keyed only")
+		t.add("group", "requires effect = \"keyed\"")
 	}
 	t.rejectUnknown()
 	return class
 }
 
-// readTenants reads the tables tenant.
 func (r *reader) readTenants() {
 	settings := &r.config.Proxy.Policy
 	var names []string
 	for _, t := range r.top.tables("tenant") {
 		tenant := policy.Tenant{Name: t.text("name", "", printable), Quota: t.number("quota", 0, 0, 1e9)}
 		if !t.has("name") {
-			t.add("name", "is missing: want a name")
+			t.add("name", "is missing: want the name of the tenant")
 		}
 		t.rejectUnknown()
 		names = append(names, tenant.Name)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,12 +2,11 @@
 //
 // Guarantees:
 //
-//  1. All that is wrong with a file is reported at once, each error with file, key, value and what is allowed.
+//  1. All errors of a file are reported together, each with the file, the key, the value and what is allowed.
 //  2. A configuration is returned completely or not at all.
-//  3. The settings' names end here: what other packages get has the terms of the field.
+//  3. Only this package knows the names of the file's keys; other packages use their own Go names for the settings.
 //
-// The package keeps no state and starts no goroutine. It does not put a configuration into force; package daemon
-// does.
+// The package keeps no state and starts no goroutine. Package daemon applies the configuration.
 package config
 
 import (
@@ -24,66 +23,68 @@
 	"mulleinpier/internal/proxy"
 )
 
-// DeprecatedVariable is an environment variable that was read under a former name.
+// DeprecatedVariable is an environment variable that is set under a former name, and the name that replaces it.
 type DeprecatedVariable struct{ Name, Replacement string }
 
 // Config is the configuration of the daemon.
 type Config struct {
 	Proxy        *proxy.Config
-	Registration *consul.Registration // of the proxy in Consul; nil for none
+	Registration *consul.Registration // of the proxy in Consul; nil if it is not registered
 	Log          Log
 	Startup      Startup
-	Peers        *Peers // nil where proxies do not know each other
-	// Deprecated are the environment variables in use whose names will be dropped; logged once the daemon listens.
+	Peers        *Peers // nil if the proxy is not part of a fleet
+	// Deprecated lists the environment variables that were read under a deprecated name. The daemon logs them once it
+	// listens.
 	Deprecated []DeprecatedVariable
 }
 
-// defaultName is the daemon's former program name. It stays: it identifies a proxy in Consul's catalogue and the
-// lease holders that it left before an upgrade.
+// defaultName is the former name of the program. It must not change: it identifies a proxy in Consul's catalogue, and
+// the lease holders that a process left before an upgrade.
 const defaultName = "yarrowspan"
 
-// Peers are the voters of the fleet's leases, and the part of this process in the fleet.
+// Peers configures the fleet: the voters of its leases, and the roles of this process.
 type Peers struct {
 	Fleet     agent.Fleet
-	VoterName string // of this voter, "" if it does not vote
-	StatePath string // of the voter's stored state
+	VoterName string // name of this voter; "" if this process does not vote
+	StatePath string // path of the voter's stored state
 	Permit    Permit
-	// Listen is the address for replication of writes, HOST:PORT; "" for none.
+	// Listen is the address for replication of writes, HOST:PORT; "" without takeover.
 	Listen string
-	// Advertise is Listen as other proxies reach it.
+	// Advertise is the address at which other proxies reach Listen.
 	Advertise string
 	Takeover  Takeover
-	// TotalSleep overrides how long the machine has slept in all, for fault tests; nil for the machine's clocks.
+	// TotalSleep overrides how long the machine has slept in total, for fault tests; nil to read the machine's clocks.
 	TotalSleep func() time.Duration
 }
 
-// Takeover tells how writes with an idempotency key survive the loss of this proxy.
+// Takeover configures how writes with an idempotency key survive the loss of this proxy.
 type Takeover struct {
 	Enabled        bool
-	Replicas       int  // other proxies that hold a write
-	RequireReplica bool // a write without a replica is rejected; else it is sent without
+	Replicas       int  // number of other proxies that each write is replicated to
+	RequireReplica bool // reject a write that cannot be replicated; if false, it is sent without a replica
 }
 
-// Permit tells whether this process needs a permit of the fleet before it drains or reloads.
+// Permit configures whether this process needs a permit of the fleet before it drains or reloads.
 type Permit struct {
 	Enabled  bool
-	Timeout  time.Duration // of the wait for a permit
-	Required bool          // the wait has no end; else the operation goes on without a permit after Timeout
+	Timeout  time.Duration // longest wait for a permit, unless Required is set
+	Required bool          // wait without limit; if false, the operation proceeds without a permit after Timeout
 }
 
-// Log tells what is logged and how.
+// Log configures the level and the format of the log.
 type Log struct {
 	Level slog.Level
-	JSON  bool
+	JSON  bool // JSON format; if false, text
 }
 
-// Startup bounds the waits of a start.
+// Startup bounds how long a start waits.
 type Startup struct {
-	EndpointListTimeout time.Duration // after which the daemon is ready without a list
+	EndpointListTimeout time.Duration // after which the daemon reports ready without an endpoint list
 	BindTimeout         time.Duration // for another process to release the address
 }
 
-// Read reads the file at path, and the node file that it may name. Its error joins one error for each defect.
+// Read reads the file at path, and the node file that it may name. Its error joins one error for each defect; see
+// [Errors].
 func Read(path string) (*Config, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -92,12 +93,12 @@
 	return parseConfig(path, text)
 }
 
-// maxStableReads bounds the reads of a file that keeps changing.
+// maxStableReads is the number of reads after which a file that keeps changing is an error.
 const maxStableReads = 20
 
-// ReadStable reads a file like Read, where the file may be being written at this moment: half of it may be valid,
-// and say less. So the text is used once two reads in a row have returned the same; wait is called between them.
-// A file that cannot be opened is an error at once.
+// ReadStable is like Read for a file that may be being written: the part written so far may be valid, but incomplete.
+// So the file is read until two successive reads return the same text; wait is called between them. It fails at the
+// first read that fails.
 func ReadStable(path string, wait func()) (*Config, error) {
 	last, err := readFile(path)
 	for range maxStableReads {
@@ -114,7 +115,7 @@
 	return nil, fmt.Errorf("%s: is still being written", path)
 }
 
-// Errors returns the errors that Read has joined.
+// Errors returns the errors that Read has joined, or err alone if it joins none.
 func Errors(err error) []error {
 	var joined interface{ Unwrap() []error }
 	if errors.As(err, &joined) {
@@ -123,15 +124,15 @@
 	return []error{err}
 }
 
-// reader reads a file into a configuration.
+// reader converts the parsed file into a configuration.
 type reader struct {
 	config *Config
 	top    *table
 	errors *errorList
-	folder string // of the file; other paths are relative to it
+	dir    string // directory of the file; paths in the file are relative to it
 }
 
-// parseConfig reads a configuration from the text of the file at path.
+// parseConfig parses the text of the file at path.
 func parseConfig(path, text string) (*Config, error) {
 	list := &errorList{file: path}
 	top, err := parse(text, list)
@@ -142,7 +143,7 @@
 		config: &Config{Proxy: &proxy.Config{}},
 		top:    top,
 		errors: list,
-		folder: filepath.Dir(path),
+		dir:    filepath.Dir(path),
 	}
 	p := r.config.Proxy
 	p.Seed = rand.Uint64()
@@ -169,15 +170,15 @@
 	return r.config, nil
 }
 
-// path returns a path in the file as it is from the working folder: a relative one is relative to the file's folder.
+// path resolves a path from the file: a relative path is relative to the file's directory.
 func (r *reader) path(name string) string {
 	if filepath.IsAbs(name) {
 		return name
 	}
-	return filepath.Join(r.folder, name)
+	return filepath.Join(r.dir, name)
 }
 
-// optionalPath is path, with "" for none.
+// optionalPath is like path, but returns "" for "".
 func (r *reader) optionalPath(name string) string {
 	if name == "" {
 		return ""
@@ -185,7 +186,6 @@
 	return r.path(name)
 }
 
-// readLog reads the table log.
 func (r *reader) readLog() {
 	t := r.top.table("log")
 	level := t.text("level", "info", oneOf("debug", "info", "warn", "error"))
@@ -193,12 +193,12 @@
 	log := &r.config.Log
 	log.JSON = format == "json"
 	if err := log.Level.UnmarshalText([]byte(level)); err != nil {
-		log.Level = slog.LevelInfo // the error has been added
+		log.Level = slog.LevelInfo // t.text has added the error
 	}
 	t.rejectUnknown()
 }
 
-// readStartup reads the table start.
+// readStartup reads the table start. Without a timeout for the address, an address in use fails the start at once.
 func (r *reader) readStartup() {
 	t := r.top.table("start")
 	r.config.Startup = Startup{
@@ -208,7 +208,7 @@
 	t.rejectUnknown()
 }
 
-// readTest reads the table test, by which fault tests simulate a machine that sleeps.
+// readTest reads the table test, with which fault tests simulate a machine that sleeps.
 func (r *reader) readTest() {
 	p := r.config.Proxy
 	p.TotalSleep = clock.TotalSleep
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"mulleinpier/policy"
 )
 
-// writeFile writes a file in a folder of its own and returns its path.
+// writeFile writes a file in a temporary directory of its own and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.toml")
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestDefaultsOfMinimalFile guards the defaults: three lines are enough for a daemon.
+// TestDefaultsOfMinimalFile guards the defaults: a file of three lines is a valid configuration.
 func TestDefaultsOfMinimalFile(t *testing.T) {
 	const file = "listen = \"127.0.0.1:11211\"\n[nodes]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n"
 	c, err := Read(writeFile(t, file))
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestExampleIsValid guards the commented example against drifting from the reader.
+// TestExampleIsValid guards against a commented example that no longer matches the keys that are read.
 func TestExampleIsValid(t *testing.T) {
 	c, err := Read("../../deploy/mulleinpier.toml")
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// invalidNodeFiles are node files that cannot be read.
+// invalidNodeFiles are the texts of node files that must be rejected.
 var invalidNodeFiles = []string{
 	"",
 	"[[node]]\n",
@@ -81,7 +81,7 @@
 	"[[node]]\naddress = \"h:1\"\nstatus = \"odd\"\n",
 }
 
-// TestNodeFileIsPartOfConfiguration guards against a configuration that is valid but for its node file.
+// TestNodeFileIsPartOfConfiguration guards against accepting a configuration whose node file is invalid.
 func TestNodeFileIsPartOfConfiguration(t *testing.T) {
 	path := writeFile(t, "listen = \"h:1\"\n[nodes]\nfile = \"nodes.toml\"\n")
 	nodes := filepath.Join(filepath.Dir(path), "nodes.toml")
@@ -103,20 +103,20 @@
 	}
 }
 
-// TestHalfWrittenFileIsNotApplied guards against a reload that applies the first half of a file, which is valid and has
-// a class less.
+// TestHalfWrittenFileIsNotApplied guards against a reload that applies a partially written file: its first half is
+// valid, but lacks a class.
 func TestHalfWrittenFileIsNotApplied(t *testing.T) {
 	const half = "listen = \"h:1\"\n[nodes]\naddresses = [\"h:1\"]\n[[class]]\nname = \"a\"\n"
 	const complete = half + "[[class]]\nname = \"b\"\n"
 	path := writeFile(t, half)
 	if c, err := Read(path); err != nil || len(c.Proxy.Policy.Classes) != 1 {
-		t.Fatalf("the half is not valid by itself: %v", err)
+		t.Fatalf("the first half is not valid: %v", err)
 	}
 	reads := 0
 	c, err := ReadStable(path, func() {
 		reads++
 		if reads == 1 {
-			overwrite(t, path, complete) // the writer goes on
+			overwrite(t, path, complete) // the writer completes the file between two reads
 		}
 	})
 	if err != nil || len(c.Proxy.Policy.Classes) != 2 {
@@ -130,11 +130,11 @@
 		t.Errorf("a file that keeps changing: %v after %d reads", err, reads)
 	}
 	if _, err := ReadStable(path, func() { os.Remove(path) }); err == nil {
-		t.Error("a file that vanishes was accepted")
+		t.Error("a file that was removed between two reads was accepted")
 	}
 }
 
-// FuzzRead guards against files that crash the reader, or that it accepts and policy does not.
+// FuzzRead guards against files that crash Read, and against files that Read accepts but package policy rejects.
 func FuzzRead(f *testing.F) {
 	f.Add("listen = \"127.0.0.1:0\"\n[nodes]\naddresses = [\"127.0.0.1:1\"]\n" +
 		"[[class]]\nname = \"a\"\n[limits]\ncores = 2\n")
@@ -144,7 +144,7 @@
 		c, err := Read(writeFile(t, text))
 		if err != nil {
 			if c != nil || len(Errors(err)) == 0 || err.Error() == "" {
-				t.Fatalf("half of a configuration, or an error without a text: %v, %v", c, err)
+				t.Fatalf("an error with a configuration or without a text: %v, %v", c, err)
 			}
 			return
 		}
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The least that a valid file has.
+// Parts of a minimal valid file.
 const (
 	listenLine  = "listen = \"h:1\"\n"
 	nodesTable  = "[nodes]\naddresses = [\"h:1\"]\n"
@@ -13,21 +13,21 @@
 	consulNodes = listenLine + "[nodes]\nconsul = \"h:1\"\n"
 )
 
-// invalidFiles are files with one error each, and a part of its text.
+// invalidFiles are files with one error each, and a part of the error's text.
 var invalidFiles = []struct{ text, want string }{
 	{nodesTable, "listen is missing: want HOST:PORT"},
-	{"listen = 7\n" + nodesTable, "listen cannot be 7: want a text"},
+	{"listen = 7\n" + nodesTable, "listen cannot be 7: want a string"},
 	{"listen = \"h\"\n" + nodesTable, `listen cannot be "h": want HOST:PORT`},
 	{listenLine, "nodes has no source: want addresses, file, consul or discovery"},
 	{listenLine + "nodes = 3\n", "nodes cannot be 3: want a table"},
 	{listenLine + "[nodes]\naddresses = []\n", "nodes.addresses cannot be empty"},
 	{listenLine + "[nodes]\naddresses = [\"h:1\", \"x\"]\n", `nodes.addresses[1] cannot be "x": want HOST:PORT`},
 	{listenLine + "[nodes]\naddresses = [\"h:1\", \"h:1\"]\n", `nodes.addresses has "h:1" twice`},
-	{listenLine + "[nodes]\naddresses = \"h:1\"\n", `nodes.addresses cannot be "h:1": want a list of texts`},
+	{listenLine + "[nodes]\naddresses = \"h:1\"\n", `nodes.addresses cannot be "h:1": want a list of strings`},
 	{listenLine + "[nodes]\nfile = \"none.toml\"\n", `nodes.file cannot be "none.toml"`},
 	{consulNodes, "consul.service is missing"},
 	{listenLine + "[nodes]\nconsul = \"h\"\n[consul]\nservice = \"c\"\n", `nodes.consul cannot be "h"`},
-	{minimalFile + "[consul]\nservice = \"c\"\n", "consul is for nodes.consul"},
+	{minimalFile + "[consul]\nservice = \"c\"\n", "consul requires nodes.consul"},
 	{consulNodes + "[consul]\nservice = \"c\"\ntoken_file = \"none\"\n", "names a file that cannot be read"},
 	{
 		consulNodes + "[consul]\nservice = \"c\"\n[consul.register]\nttl = \"5s\"\n",
@@ -35,7 +35,7 @@
 	},
 	{consulNodes + "[consul]\nservice = \"c\"\ndatacenters = [\"a\", \"a\"]\n", `consul.datacenters has "a" twice`},
 	{consulNodes + "[consul]\nservice = \"c\"\nwait = \"1ms\"\n", "consul.wait cannot be"},
-	{minimalFile + "[service]\npin = \"economy\"\n", "service.pin goes with service.pin_until"},
+	{minimalFile + "[service]\npin = \"economy\"\n", "service.pin must be set together with service.pin_until"},
 	{
 		minimalFile + "[service]\npin = \"none\"\npin_until = \"2020-01-01T00:00:00Z\"\n",
 		`service.pin cannot be "none": want one of full`,
@@ -73,10 +73,10 @@
 	},
 	{
 		minimalFile + "[[class]]\nname = \"a\"\neffect = \"keyed\"\n",
-		"class[0].window cannot be 0s: want above 0s for effect keyed",
+		`class[0].window cannot be 0s: want above 0s for effect = "keyed"`,
 	},
 	{minimalFile + "[[class]]\nname = \"a\"\nwindow = \"1s\"\n", "class[0].window cannot be 1s"},
-	{minimalFile + "[[class]]\nname = \"a\"\ngroup = \"all\"\n", "class[0].group is for effect keyed only"},
+	{minimalFile + "[[class]]\nname = \"a\"\ngroup = \"all\"\n", `class[0].group requires effect = "keyed"`},
 	{
 		minimalFile + "[[class]]\nname = \"a\"\neffect = \"odd\"\n",
 		`class[0].effect cannot be "odd": want one of safe, keyed, unsafe`,
@@ -87,18 +87,18 @@
 	{minimalFile + "[binary]\nlisten = \"x\"\n", `binary.listen cannot be "x": want HOST:PORT`},
 	{minimalFile + "[binary]\nusers = \"none\"\n", "binary.users cannot be"},
 	{minimalFile + "[binary]\ntypes = [\"b1\"]\n", `binary.types[0] cannot be "b1"`},
-	{minimalFile + "[binary]\nclients = false\nusers = \"none\"\n", "binary.users is for binary.clients = true only"},
-	{minimalFile + "[[route]]\nclass = \"read\"\n", "route is for binary.clients = true only"},
+	{minimalFile + "[binary]\nclients = false\nusers = \"none\"\n", "binary.users requires binary.clients = true"},
+	{minimalFile + "[[route]]\nclass = \"read\"\n", "route requires binary.clients = true"},
 	{minimalFile + "[binary]\n[[route]]\nclass = \"none\"\n", `route[0].class cannot be "none"`},
 	{minimalFile + "[binary]\n[[route]]\nclass = \"read\"\nverb = \"rade\"\n", `route[0].verb cannot be "rade"`},
 	{minimalFile + "[binary]\n[[route]]\nclass = \"read\"\nwait = \"3s\"\n", "route[0].wait cannot be 3s"},
 	{
 		minimalFile + "[binary]\n[[route]]\nclass = \"read\"\nlistener = \"binary\"\n",
-		`route[0].listener cannot be "binary": no binary client`,
+		`route[0].listener cannot be "binary": this listener accepts no binary clients`,
 	},
 	{
 		minimalFile + "[binary]\n[[route]]\nclass = \"read\"\nuser = \"till\"\n",
-		`route[0].user cannot be "till": there is no file`,
+		`route[0].user cannot be "till": binary.users is missing`,
 	},
 	{minimalFile + "[binary]\n[[tenant]]\nname = \"a\"\n", "route is missing: binary clients name no tenant"},
 	{
@@ -109,8 +109,8 @@
 	{listenLine + "tenants = 3\n" + nodesTable, "tenants is unknown: want one of"},
 }
 
-// TestEveryErrorNamesItsKey guards against an invalid value that is accepted, or reported without its key, its
-// value or what is allowed.
+// TestEveryErrorNamesItsKey guards against an invalid value that is accepted, or reported without its key, its value or
+// what is allowed.
 func TestEveryErrorNamesItsKey(t *testing.T) {
 	for _, c := range invalidFiles {
 		path := writeFile(t, c.text)
--- a/internal/config/identity.go
+++ b/internal/config/identity.go
@@ -8,11 +8,11 @@
 	"mulleinpier/policy"
 )
 
-// noOriginKind tells policy that no node is the origin itself.
+// noOriginKind is the machine kind that tells package policy that no node is the origin.
 const noOriginKind = -1
 
-// readIdentity reads the settings outside of all tables (name, address, zone, the zones and types of nodes), and sets
-// those that the file has no keys for.
+// readIdentity reads the top-level keys (name, listen, zone, zones, types), and sets the settings that have no key in
+// the file.
 func (r *reader) readIdentity() {
 	p, top := r.config.Proxy, r.top
 	p.ReconcileLists, p.Membership = true, membership.DefaultLimits
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -8,7 +8,7 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// readPeers reads the table peers.
+// readPeers reads the table peers. Without it, Config.Peers stays nil.
 func (r *reader) readPeers() {
 	if !r.top.has("peers") {
 		return
@@ -40,22 +40,22 @@
 	p.Listen = t.text("listen", "", isAddress)
 	p.Advertise = t.text("advertise", p.Listen, isAddress)
 	if p.Takeover.Enabled != t.has("listen") {
-		t.add("listen", "goes with %s = \"plain\" or \"strict\"", t.key("takeover"))
+		t.add("listen", "must be set if and only if %s is \"plain\" or \"strict\"", t.key("takeover"))
 	}
 	t.rejectUnknown()
 	r.config.Peers = p
 }
 
-// checkVoters checks the voters, and this one's part among them.
+// checkVoters checks the list of voters, and the settings of this process's voter.
 func (p *Peers) checkVoters(t *table) {
 	if err := p.Fleet.Validate(); err != nil {
-		t.add("voters", "cannot be: %v", err)
+		t.add("voters", "is invalid: %v", err)
 	}
 	isSelf := func(voter agent.VoterAddress) bool { return voter.Name == p.VoterName }
 	if p.VoterName != "" && !slices.ContainsFunc(p.Fleet.Voters, isSelf) {
 		t.add("voter", "cannot be %q: want the name of one of the voters", p.VoterName)
 	}
 	if (p.VoterName == "") != (p.StatePath == "") {
-		t.add("memory", "goes with %s", t.key("voter"))
+		t.add("memory", "must be set together with %s", t.key("voter"))
 	}
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -7,7 +7,7 @@
 	"mulleinpier/policy"
 )
 
-// Bounds of settings.
+// The upper bounds of several settings.
 const (
 	maxDuration    = time.Hour
 	maxMemoryMB    = 1 << 20
@@ -16,7 +16,7 @@
 	bytesPerMB     = 1 << 20
 )
 
-// readLimits reads the table limits. It returns those that AllocateResources divides.
+// readLimits reads the table limits. It returns those by which AllocateResources divides descriptors and memory.
 func (r *reader) readLimits() proxy.ResourceLimits {
 	p := r.config.Proxy
 	t := r.top.table("limits")
@@ -40,7 +40,6 @@
 	return limits
 }
 
-// readRules reads the table rules.
 func (r *reader) readRules() {
 	t := r.top.table("rules")
 	r.config.Proxy.Policy.Rules = policy.Rules{
@@ -55,7 +54,7 @@
 	t.rejectUnknown()
 }
 
-// readCosts reads the table prices.
+// readCosts reads the table prices: the costs of an origin fetch and of an attempt in another zone.
 func (r *reader) readCosts() {
 	t := r.top.table("prices")
 	r.config.Proxy.Policy.Costs = policy.Costs{
--- a/internal/config/sources.go
+++ b/internal/config/sources.go
@@ -11,22 +11,22 @@
 	"mulleinpier/internal/discovery"
 )
 
-// addSource adds a source of the endpoint list. The list of the first one, if it is known already, is the initial
-// one.
-func (r *reader) addSource(source discovery.SourceConfig, known discovery.List) {
+// addSource adds a source of the endpoint list. The list of the first source, empty if it is not known yet, is the
+// proxy's initial list.
+func (r *reader) addSource(source discovery.SourceConfig, list discovery.List) {
 	p := r.config.Proxy
 	p.ListSources = append(p.ListSources, source)
 	if len(p.ListSources) == 1 {
-		p.InitialList = known
+		p.InitialList = list
 	}
 }
 
 // readSources reads the table nodes: the sources of the endpoint list. A node's properties are those of the first
-// source that lists it; each source can report that a node drains or is gone.
+// source that lists it; any source can report that a node drains or has been removed.
 func (r *reader) readSources() {
 	t := r.top.table("nodes")
 	if r.top.has("nodes") && t.value == nil {
-		return // it is no table; the error has been added
+		return // nodes is not a table; r.top.table has added the error
 	}
 	before := r.errors.count()
 	file := t.text("file", "", anything)
@@ -44,7 +44,7 @@
 	if t.has("consul") {
 		r.readConsul(consulAddress)
 	} else if r.top.has("consul") {
-		r.errors.add("consul", "is for nodes.consul = \"HOST:PORT\" only")
+		r.errors.add("consul", "requires nodes.consul = \"HOST:PORT\"")
 		r.top.table("consul")
 	}
 	if t.has("discovery") {
@@ -55,26 +55,27 @@
 	}
 }
 
-// addStaticSource adds nodes.addresses.
+// addStaticSource adds the source for nodes.addresses.
 func (r *reader) addStaticSource(t *table, addresses []string) {
 	if len(addresses) == 0 {
-		t.add("addresses", "cannot be empty: want one HOST:PORT and more")
+		t.add("addresses", "cannot be empty: want one or more HOST:PORT")
 	}
 	static := strings.Join(addresses, ",")
 	r.addSource(discovery.SourceConfig{StaticAddresses: static}, discovery.StaticList(static))
 }
 
-// addFileSource adds nodes.file.
+// addFileSource adds the source for nodes.file, and reads the file for the initial list.
 func (r *reader) addFileSource(t *table, file string) {
 	path := r.path(file)
-	known, err := discovery.ReadFile(path)
+	list, err := discovery.ReadFile(path)
 	if err != nil {
 		t.add("file", "cannot be %q: %v", file, err)
 	}
-	r.addSource(discovery.SourceConfig{File: path}, known)
+	r.addSource(discovery.SourceConfig{File: path}, list)
 }
 
-// readConsul reads the table consul: the sources in Consul's catalogue, and the registration of the proxy there.
+// readConsul reads the table consul: one source in Consul's catalogue for each data centre, and the registration of the
+// proxy there.
 func (r *reader) readConsul(address string) {
 	t := r.top.table("consul")
 	agent := consul.Agent{
@@ -97,7 +98,7 @@
 		t.add("service", "is missing: want the name of the nodes' service")
 	}
 	if agent.CAFile != "" && !agent.TLS {
-		t.add("ca_file", "is for consul.tls = true only")
+		t.add("ca_file", "requires consul.tls = true")
 	}
 	for _, path := range []string{agent.CAFile, agent.TokenFile} {
 		if _, err := os.Stat(path); path != "" && err != nil {
@@ -115,7 +116,8 @@
 	t.rejectUnknown()
 }
 
-// readMembership reads the table consul.list: the limits by which lists are believed.
+// readMembership reads the table consul.list: the limits that decide whether a list that lost many nodes is believed,
+// and for how long a node that returns repeatedly is held down.
 func (r *reader) readMembership(t *table) {
 	limits := &r.config.Proxy.Membership
 	limits.MinRemainingShare = t.number("collapse_share", limits.MinRemainingShare, 0, 1)
@@ -126,7 +128,7 @@
 	t.rejectUnknown()
 }
 
-// readRegistration reads the table consul.register.
+// readRegistration reads the table consul.register: the registration of the proxy in Consul.
 func (r *reader) readRegistration(t *table, agent consul.Agent) {
 	registration := &consul.Registration{
 		Agent:   agent,
@@ -139,10 +141,10 @@
 	if !t.has("service") {
 		t.add("service", "is missing: want the name of the proxies' service")
 	}
-	host, port, _ := net.SplitHostPort(address) // it has been checked
+	host, port, _ := net.SplitHostPort(address) // valid, or empty after an error: isAddress has checked it
 	number, err := strconv.Atoi(port)
 	if err != nil || number < 1 {
-		t.add("address", "cannot be %q: want HOST:PORT with a number", address)
+		t.add("address", "cannot be %q: want HOST:PORT with a port number above 0", address)
 	}
 	registration.Host, registration.Port = host, number
 	t.rejectUnknown()
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -12,7 +12,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// maxFileBytes bounds a file: the daemon serves while it reads one, and an endless file must not take its memory.
+// maxFileBytes is the maximum size of a file: the daemon serves while it reads one, and an endless file must not
+// exhaust its memory.
 const maxFileBytes = 4 << 20
 
 // errorList collects the errors of a file.
@@ -21,17 +22,17 @@
 	errors []error
 }
 
-// add adds an error of a key.
+// add adds an error that begins with the file and the key.
 func (l *errorList) add(key, format string, args ...any) {
 	l.errors = append(l.errors, fmt.Errorf("%s: %s %s", l.file, key, fmt.Sprintf(format, args...)))
 }
 
-// addError adds an error that names its key itself.
+// addError adds an error whose text already names the key.
 func (l *errorList) addError(err error) {
 	l.errors = append(l.errors, fmt.Errorf("%s: %w", l.file, err))
 }
 
-// addDuplicates adds an error for each name that is in a list of a key before.
+// addDuplicates adds an error for each name that occurs earlier in the list of a key. Empty names are ignored.
 func (l *errorList) addDuplicates(key string, names []string) {
 	for i, name := range names {
 		if name != "" && slices.Contains(names[:i], name) {
@@ -42,23 +43,23 @@
 
 func (l *errorList) count() int { return len(l.errors) }
 
-// err returns all errors joined, nil for none.
+// err joins all errors. It returns nil if there are none.
 func (l *errorList) err() error { return errors.Join(l.errors...) }
 
-// table is a table of the file whose keys are read one by one. A key that is never read is unknown. An invalid
-// value is an error, and the default is used in its place, so that reading goes on to the next.
+// table is a table of the file whose keys are read one by one. A key that is never read is unknown. An invalid value is
+// recorded as an error and replaced by the default, so that the remaining keys are still read.
 type table struct {
 	errors *errorList
-	prefix string // of its keys, with a dot at the end, or ""
+	prefix string // prefix of the keys' complete names, with a dot at the end; "" for the top-level table
 	value  map[string]any
-	read   []string // keys
+	read   []string // names of the keys that have been read
 }
 
-// readFile returns the text of a file.
+// readFile returns the text of a file. An empty file is an error.
 func readFile(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return "", err // it names the file
+		return "", err // already names the file
 	}
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
@@ -66,15 +67,16 @@
 		return "", err
 	}
 	if len(text) > maxFileBytes {
-		return "", fmt.Errorf("%s: more than %d bytes", path, maxFileBytes)
+		return "", fmt.Errorf("%s: is larger than %d bytes", path, maxFileBytes)
 	}
 	if len(text) == 0 {
-		return "", fmt.Errorf("%s: is empty", path) // it is being written
+		return "", fmt.Errorf("%s: is empty", path) // as while it is being written
 	}
 	return string(text), nil
 }
 
-// parse parses a text. Its error is one that leaves nothing to read.
+// parse parses the text of a file into its top-level table. It returns an error only if the text is not valid TOML; all
+// other errors are added to list as the keys are read.
 func parse(text string, list *errorList) (*table, error) {
 	value := make(map[string]any)
 	if _, err := toml.Decode(text, &value); err != nil {
@@ -83,7 +85,7 @@
 	return &table{errors: list, value: value}, nil
 }
 
-// key returns the complete name of a key.
+// key returns the complete name of a key, with the names of the enclosing tables.
 func (t *table) key(name string) string { return t.prefix + name }
 
 func (t *table) has(name string) bool {
@@ -91,17 +93,16 @@
 	return ok
 }
 
-// add adds an error of a key.
 func (t *table) add(name, format string, args ...any) { t.errors.add(t.key(name), format, args...) }
 
-// get returns the value of a key, or false where the default is used.
+// get returns the value of a key, and false if the file does not have the key. The key counts as read either way.
 func (t *table) get(name string) (any, bool) {
 	t.read = append(t.read, name)
 	v, ok := t.value[name]
 	return v, ok
 }
 
-// reject adds an error of a value, with what is allowed instead.
+// reject adds an error for a value, with what is allowed instead.
 func (t *table) reject(name string, value any, want string) {
 	if text, ok := value.(string); ok {
 		value = fmt.Sprintf("%q", text)
@@ -109,44 +110,44 @@
 	t.add(name, "cannot be %v: want %s", value, want)
 }
 
-// check returns what is allowed in place of a text, "" if the text is.
+// check validates a string. It returns "" if the string is valid, or else a description of the valid ones.
 type check func(text string) (want string)
 
-// text reads a text.
-func (t *table) text(name, byDefault string, check check) string {
+// text reads a string that passes check.
+func (t *table) text(name, defaultValue string, check check) string {
 	v, ok := t.get(name)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	text, ok := v.(string)
 	if !ok {
-		t.reject(name, v, "a text")
-		return byDefault
+		t.reject(name, v, "a string")
+		return defaultValue
 	}
 	if want := check(text); want != "" {
 		t.reject(name, v, want)
-		return byDefault
+		return defaultValue
 	}
 	return text
 }
 
-// texts reads a list of texts.
-func (t *table) texts(name string, byDefault []string, check check) []string {
+// texts reads a list of strings that pass check. Invalid elements are left out.
+func (t *table) texts(name string, defaultValue []string, check check) []string {
 	v, ok := t.get(name)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	list, ok := v.([]any)
 	if !ok {
-		t.reject(name, v, "a list of texts")
-		return byDefault
+		t.reject(name, v, "a list of strings")
+		return defaultValue
 	}
 	var texts []string
 	for i, x := range list {
 		text, ok := x.(string)
 		want := check(text)
 		if !ok {
-			want = "a text"
+			want = "a string"
 		}
 		if want != "" {
 			t.reject(fmt.Sprintf("%s[%d]", name, i), x, want)
@@ -157,40 +158,40 @@
 	return texts
 }
 
-// duration reads a duration from lower to upper, a text such as "200ms".
-func (t *table) duration(name string, byDefault, lower, upper time.Duration) time.Duration {
+// duration reads a duration from lower to upper, written as a string such as "200ms".
+func (t *table) duration(name string, defaultValue, lower, upper time.Duration) time.Duration {
 	v, ok := t.get(name)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	text, _ := v.(string)
 	d, err := time.ParseDuration(text)
 	if err != nil || d < lower || d > upper {
-		t.reject(name, v, fmt.Sprintf("a duration from %v to %v, such as \"%v\"", lower, upper, byDefault))
-		return byDefault
+		t.reject(name, v, fmt.Sprintf("a duration from %v to %v, such as \"%v\"", lower, upper, defaultValue))
+		return defaultValue
 	}
 	return d
 }
 
-// integer reads a whole number from lower to upper.
-func (t *table) integer(name string, byDefault, lower, upper int) int {
+// integer reads an integer from lower to upper.
+func (t *table) integer(name string, defaultValue, lower, upper int) int {
 	v, ok := t.get(name)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	n, ok := v.(int64)
 	if !ok || n < int64(lower) || n > int64(upper) {
 		t.reject(name, v, fmt.Sprintf("a whole number from %d to %d", lower, upper))
-		return byDefault
+		return defaultValue
 	}
 	return int(n)
 }
 
-// number reads a number from lower to upper, with a fraction or without.
-func (t *table) number(name string, byDefault, lower, upper float64) float64 {
+// number reads an integer or a floating-point number from lower to upper.
+func (t *table) number(name string, defaultValue, lower, upper float64) float64 {
 	v, ok := t.get(name)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	x, ok := v.(float64)
 	if n, isInteger := v.(int64); isInteger {
@@ -198,26 +199,25 @@
 	}
 	if !ok || math.IsNaN(x) || x < lower || x > upper {
 		t.reject(name, v, fmt.Sprintf("a number from %v to %v", lower, upper))
-		return byDefault
+		return defaultValue
 	}
 	return x
 }
 
-// boolean reads true or false.
-func (t *table) boolean(name string, byDefault bool) bool {
+func (t *table) boolean(name string, defaultValue bool) bool {
 	v, ok := t.get(name)
 	if !ok {
-		return byDefault
+		return defaultValue
 	}
 	b, ok := v.(bool)
 	if !ok {
 		t.reject(name, v, "true or false")
-		return byDefault
+		return defaultValue
 	}
 	return b
 }
 
-// table returns the inner table of a key, empty if there is none.
+// table returns the table at a key. It is empty if the key is missing or, after an error, not a table.
 func (t *table) table(name string) *table {
 	inner := &table{errors: t.errors, prefix: t.key(name) + "."}
 	if v, ok := t.get(name); ok {
@@ -228,7 +228,7 @@
 	return inner
 }
 
-// tables returns the inner tables [[name]] of a key.
+// tables returns the array of tables [[name]] at a key.
 func (t *table) tables(name string) (list []*table) {
 	v, ok := t.get(name)
 	if !ok {
