--- a/cmd/mulleinpier/binary_test.go
+++ b/cmd/mulleinpier/binary_test.go
@@ -15,8 +15,8 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// TestThirdPartyClient has a third-party client authenticate, read and write through the daemon, without a ticket
-// and with the ticket that came with a read.
+// TestThirdPartyClient has a third-party client authenticate, read and write through the daemon, without a ticket and
+// with the ticket that a read returned as CAS.
 func TestThirdPartyClient(t *testing.T) {
 	d := newTestDaemon(t, node.Config{MissingKeyPrefix: "none"})
 	replaceFile(t, filepath.Join(filepath.Dir(d.path), "users"), secretLine(t, "till", "rose"))
@@ -39,7 +39,7 @@
 	}
 	written, err := c.Set(0, "order", 0, 0, []byte("plain"))
 	expectSuccess(t, written, err)
-	for range 3 { // its ticket makes it one write, however often it is sent
+	for range 3 { // the writes with one ticket must take effect once
 		written, err := c.SetCas(0, "order", 0, 0, got.Cas, []byte("with a ticket"))
 		expectSuccess(t, written, err)
 	}
@@ -54,7 +54,7 @@
 	d.awaitExit()
 }
 
-// secretLine returns the line of a user for a file of users, as the program prints it.
+// secretLine returns the line that the command secret prints for a user.
 func secretLine(t *testing.T, user, secret string) []byte {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "secret", "--user", user)
@@ -74,7 +74,7 @@
 	}
 }
 
-// expectStatus expects an error to be a response with a status.
+// expectStatus fails the test unless err is a response with the given status.
 func expectStatus(t *testing.T, when string, err error, status gomemcached.Status) {
 	t.Helper()
 	var response *gomemcached.MCResponse
--- a/cmd/mulleinpier/catalogue_test.go
+++ b/cmd/mulleinpier/catalogue_test.go
@@ -11,7 +11,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestRegistrationInConsul has the daemon register, serve, drain and deregister, and a second one crash.
+// TestRegistrationInConsul checks the daemon's registration in Consul: its check passes while it serves, it is in
+// maintenance while it drains and deregistered when it exits, and after a crash its check is critical.
 func TestRegistrationInConsul(t *testing.T) {
 	c := consul.New()
 	agent, err := c.Start("here", "")
@@ -47,7 +48,7 @@
 	testutil.WaitUntil(t, "maintenance, as the drain starts", func() bool { return status() == "passing critical " })
 	d.awaitExit()
 	if got := status(); got != "gone" {
-		t.Errorf("after its exit it is %s", got)
+		t.Errorf("after the exit the registration is %s", got)
 	}
 	d.start()
 	d.awaitNotified("READY=1")
--- a/cmd/mulleinpier/commandline_test.go
+++ b/cmd/mulleinpier/commandline_test.go
@@ -9,16 +9,17 @@
 	"mulleinpier/internal/daemon"
 )
 
-// TestCountsAndReduceAreExclusive: counts and levels of service would each take the samples of the other.
+// TestCountsAndReduceAreExclusive guards against running with both options: counts and degradation levels read the same
+// samples, and each would take those of the other.
 func TestCountsAndReduceAreExclusive(t *testing.T) {
 	options := daemon.Options{Getenv: func(string) string { return "" }}
 	err := run([]string{"platform", "--reduce", "--counts"}, io.Discard, options)
 	if !errors.Is(err, errUsage) {
-		t.Errorf("error %v, want one of usage", err)
+		t.Errorf("got error %v, want a usage error", err)
 	}
 }
 
-// TestHelpSucceeds guards the command lines that operators try first.
+// TestHelpSucceeds guards against help that fails or is not printed.
 func TestHelpSucceeds(t *testing.T) {
 	for _, args := range [][]string{{"--help"}, {"serve", "--help"}} {
 		var out strings.Builder
--- a/cmd/mulleinpier/deploy_test.go
+++ b/cmd/mulleinpier/deploy_test.go
@@ -12,8 +12,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-// TestDeployBuildHasInterpreter: the platform loads a library of its own into the program, which only the loader of
-// the C library does. So the program needs an interpreter entry, and the run line has to become it by exec.
+// TestDeployBuildHasInterpreter guards against a deployment that is linked statically: the platform loads a library of
+// its own into the program, which only the C library's dynamic loader does. So the program needs an interpreter entry
+// (PT_INTERP), and the run line must exec the program.
 func TestDeployBuildHasInterpreter(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("the platform is Linux")
@@ -45,7 +46,8 @@
 	t.Fatalf("%s has no interpreter entry: it is linked statically", program)
 }
 
-// linkTree returns a folder with links to all that the build line reads, so that bin/ is new there.
+// linkTree returns a temporary directory with links to or copies of all files that the build line reads, but without
+// bin/.
 func linkTree(t *testing.T) (work string) {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -65,12 +67,13 @@
 			t.Fatal(err)
 		}
 	}
-	// The tool chain does not follow links to folders in patterns, so cmd and what it imports are copied.
-	for _, folder := range []string{"client", "cmd", "internal", "policy"} {
-		if err := os.Remove(filepath.Join(work, folder)); err != nil {
+	// The go command does not follow links to directories in patterns, so cmd and the packages that it imports are
+	// copied.
+	for _, dir := range []string{"client", "cmd", "internal", "policy"} {
+		if err := os.Remove(filepath.Join(work, dir)); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.CopyFS(filepath.Join(work, folder), os.DirFS(filepath.Join(root, folder))); err != nil {
+		if err := os.CopyFS(filepath.Join(work, dir), os.DirFS(filepath.Join(root, dir))); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/mulleinpier/drain_test.go
+++ b/cmd/mulleinpier/drain_test.go
@@ -12,8 +12,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestDrainWithEndlessPipeline guards against a client that always has commands under way: the drain must end, and
-// each request that a node has received must be answered.
+// TestDrainWithEndlessPipeline guards against a client that keeps pipelining commands: the drain must end nevertheless,
+// and each request that a node has received must be answered.
 func TestDrainWithEndlessPipeline(t *testing.T) {
 	d := newTestDaemon(t, node.Config{ServiceTime: 5 * time.Millisecond})
 	d.start()
@@ -37,7 +37,7 @@
 	for id := range d.requestsSeen {
 		var i int
 		if fmt.Sscan(id, &i); i >= n {
-			t.Errorf("request %s reached a node, and only %d were answered", id, n)
+			t.Errorf("request %s reached a node, but only the first %d requests were answered", id, n)
 		}
 	}
 	if n == 0 || len(d.requestsSeen) == 0 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// countResponses counts the responses to requests 0, 1 and so on until the connection ends or a wrong one comes. It
-// sends on first once there is one.
+// countResponses counts the responses to requests 0, 1 and so on until the connection ends or a response has the wrong
+// number. It sends on first when the first response arrives.
 func (c *client) countResponses(first chan<- struct{}) (count int) {
 	for ; ; count++ {
 		line, err := c.in.ReadString('\n')
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestDrainWithClientThatNeverReads guards against responses that are not read: they must not delay a drain for
-// longer than any response may take.
+// TestDrainWithClientThatNeverReads guards against a client that does not read its responses: it must not delay a drain
+// for longer than any response may take.
 func TestDrainWithClientThatNeverReads(t *testing.T) {
 	d := newTestDaemon(t, node.Config{ValueSize: 60 << 10})
 	d.start()
@@ -90,17 +90,17 @@
 	d.awaitExit()
 }
 
-// TestSecondTerminationShortensDrain guards against a shortened drain that drops accepted requests, or that still
-// accepts more.
+// TestSecondTerminationShortensDrain guards against a shortened drain that drops accepted requests, that accepts new
+// ones, or that waits for a client that does not read.
 func TestSecondTerminationShortensDrain(t *testing.T) {
 	d := newTestDaemon(t, node.Config{ValueSize: 60 << 10})
 	d.configure("[[class]]\nname = \"read\"\ndeadline = \"60s\"\n")
 	d.start()
 	d.awaitNotified("READY=1")
-	// This client reads no response, and its class would let it delay the drain for a minute.
+	// This client does not read its responses, and the deadline of its class would let it delay the drain for a minute.
 	stuck := d.connect()
 	stuck.socket.(*net.TCPConn).SetReadBuffer(4 << 10)
-	for i, blocked := 0, false; !blocked; i++ { // until the proxy reads no more of it
+	for i, blocked := 0, false; !blocked; i++ { // until the proxy stops reading from this connection
 		stuck.socket.SetWriteDeadline(time.Now().Add(500 * time.Millisecond))
 		_, err := fmt.Fprintf(stuck.socket, "mg k v Od%d Pc=read,d=60000\r\n", i)
 		blocked = err != nil
@@ -114,7 +114,7 @@
 	d.signal(syscall.SIGTERM)
 	d.awaitNotified("STOPPING=1")
 	d.signal(syscall.SIGTERM)
-	c.expect("SERVER_ERROR ") // at its deadline, not at that of the class
+	c.expect("SERVER_ERROR ") // at the request's deadline, not at that of the class
 	c.expect("")
 	c.socket.Close()
 	d.awaitExit()
--- a/cmd/mulleinpier/harness_test.go
+++ b/cmd/mulleinpier/harness_test.go
@@ -20,23 +20,23 @@
 	"mulleinpier/internal/testutil"
 )
 
-// testDaemon is a daemon in a process of its own between fake nodes and a test's clients.
+// testDaemon is a daemon that runs in a separate process, with fake nodes.
 type testDaemon struct {
 	t        *testing.T
 	nodes    []*node.Node
 	origin   *origin.Origin
-	path     string // of its configuration
+	path     string // of the configuration file
 	address  string // that clients connect to
 	process  *exec.Cmd
-	lines    <-chan string // of its log
+	lines    <-chan string // of the log
 	notified chan string   // lines that the service manager has received
 	exited   chan error
 
 	mu           sync.Mutex
-	requestsSeen map[string]int // how often nodes have received a request, by its id
+	requestsSeen map[string]int // number of times that nodes have received a request, by request ID
 }
 
-// newTestDaemon starts two nodes, and writes a configuration with a free address; start starts the daemon.
+// newTestDaemon starts two nodes and writes a configuration with a free address. The method start starts the daemon.
 func newTestDaemon(t *testing.T, n node.Config) *testDaemon {
 	t.Helper()
 	d := &testDaemon{
@@ -71,16 +71,16 @@
 	return d
 }
 
-// configText returns a configuration with address and nodes, and more.
+// configText returns a configuration that consists of the address, the nodes and the text more.
 func (d *testDaemon) configText(more string) string {
 	const format = "listen = %q\nnodes.addresses = [%q, %q]\n%s"
 	return fmt.Sprintf(format, d.address, d.nodes[0].Address(), d.nodes[1].Address(), more)
 }
 
-// configure writes a configuration with address and nodes, and more.
+// configure writes the configuration file with the result of configText.
 func (d *testDaemon) configure(more string) { replaceFile(d.t, d.path, []byte(d.configText(more))) }
 
-// start starts the daemon, with a service manager whose messages the test receives.
+// start starts the daemon with a fake service manager, which passes the messages it receives to d.notified.
 func (d *testDaemon) start(env ...string) {
 	d.t.Helper()
 	address := &net.UnixAddr{Name: filepath.Join(d.t.TempDir(), "notify"), Net: "unixgram"}
@@ -93,7 +93,7 @@
 	d.startWithManager(manager.LocalAddr().String(), env...)
 }
 
-// receiveNotifications takes the messages to the service manager, until that is closed.
+// receiveNotifications passes the lines that the service manager receives to d.notified until its socket is closed.
 func (d *testDaemon) receiveNotifications(manager *net.UnixConn) {
 	buffer := make([]byte, 4096)
 	for {
@@ -104,13 +104,13 @@
 		for line := range strings.SplitSeq(string(buffer[:n]), "\n") {
 			select {
 			case d.notified <- line:
-			default: // the test does not wait for any more
+			default: // the buffer is full: the test does not read notifications any more
 			}
 		}
 	}
 }
 
-// startWithManager starts the daemon with the address of a service manager.
+// startWithManager starts the daemon with NOTIFY_SOCKET set to the address of a service manager.
 func (d *testDaemon) startWithManager(manager string, env ...string) {
 	d.t.Helper()
 	d.process = exec.Command(os.Args[0], "serve", "--config", d.path)
@@ -118,7 +118,7 @@
 	d.run()
 }
 
-// run starts the process.
+// run starts d.process, and passes the lines of its log to d.lines and the result of its exit to d.exited.
 func (d *testDaemon) run() {
 	d.t.Helper()
 	out, err := d.process.StderrPipe()
@@ -142,7 +142,7 @@
 	d.t.Cleanup(func() { process.Process.Kill() })
 }
 
-// awaitNotified waits until the service manager has received a line with a prefix.
+// awaitNotified waits until the service manager has received a line with a prefix. It discards the lines before.
 func (d *testDaemon) awaitNotified(prefix string) {
 	d.t.Helper()
 	for {
@@ -160,7 +160,7 @@
 	}
 }
 
-// awaitExit waits for the process to exit, which must be with success.
+// awaitExit waits for the process to exit, and fails the test if its exit status is not 0.
 func (d *testDaemon) awaitExit() {
 	d.t.Helper()
 	if err := testutil.Receive(d.t, "the daemon to exit", d.exited); err != nil {
@@ -168,14 +168,14 @@
 	}
 }
 
-// timesSeen returns how often nodes have received a request.
+// timesSeen returns the number of times that nodes have received the request with an ID.
 func (d *testDaemon) timesSeen(id string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.requestsSeen[id]
 }
 
-// client is the connection of a client.
+// client is a client with one connection to the daemon.
 type client struct {
 	t      *testing.T
 	socket net.Conn
@@ -195,17 +195,17 @@
 
 func (c *client) send(format string, a ...any) { fmt.Fprintf(c.socket, format, a...) }
 
-// line returns the next line, "" for the end of the connection.
+// line returns the next line, or "" at the end of the connection.
 func (c *client) line() string {
 	c.t.Helper()
 	line, err := c.in.ReadString('\n')
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		c.t.Fatalf("neither a response nor an end: %v", err)
+		c.t.Fatalf("neither a response nor the end of the connection: %v", err)
 	}
 	return strings.TrimSuffix(line, "\r\n")
 }
 
-// expect reads a response and expects it to have a prefix. Its value, if it has one, is skipped.
+// expect reads a response and fails the test unless it has a prefix. It skips the line of the value, if there is one.
 func (c *client) expect(prefix string) {
 	c.t.Helper()
 	got := c.line()
--- a/cmd/mulleinpier/main_test.go
+++ b/cmd/mulleinpier/main_test.go
@@ -17,10 +17,10 @@
 	"time"
 )
 
-// waitTimeout bounds each wait of these tests; none depends on its length.
+// waitTimeout bounds each wait of these tests. No result depends on how long a wait takes.
 const waitTimeout = 30 * time.Second
 
-// TestMain lets the test binary be the program.
+// TestMain runs the program instead of the tests if MULLEINPIER_RUN is 1, so that tests can start it as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv("MULLEINPIER_RUN") == "1" {
 		main()
@@ -29,7 +29,8 @@
 	os.Exit(m.Run())
 }
 
-// startDiscovery starts a discovery service, which sends on a channel when it is watched.
+// startDiscovery starts a discovery service with an empty list. It sends on the channel watched for each request that
+// it receives.
 func startDiscovery(t *testing.T) (address string, watched <-chan struct{}) {
 	t.Helper()
 	calls := make(chan struct{}, 16)
@@ -78,11 +79,12 @@
 	}
 }
 
-// startPlatformProgram starts the program as the platform does. It returns the lines of its log.
+// startPlatformProgram starts the program as the platform does: without a command, with GW_CONFIG set. It returns the
+// lines of the program's log.
 func startPlatformProgram(t *testing.T, config string) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	// The runtime of the race detector sleeps for a second before a process exits: tests measure the exit.
+	// By default the race detector's runtime sleeps for a second before a process exits; tests measure the exit time.
 	cmd.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG="+config, "GORACE=atexit_sleep_ms=0")
 	out, err := cmd.StderrPipe()
 	if err != nil {
@@ -105,10 +107,10 @@
 	return cmd, lines
 }
 
-// waitLine waits for a line of the log that contains a part.
+// waitLine waits for a line of the log that contains part, and returns it.
 func waitLine(t *testing.T, lines <-chan string, part string) string {
 	t.Helper()
-	late := time.After(waitTimeout)
+	timeout := time.After(waitTimeout)
 	for {
 		select {
 		case line, ok := <-lines:
@@ -118,13 +120,13 @@
 			if strings.Contains(line, part) {
 				return line
 			}
-		case <-late:
+		case <-timeout:
 			t.Fatalf("no line with %q", part)
 		}
 	}
 }
 
-// waitWatched waits until a discovery service is watched.
+// waitWatched waits until a discovery service receives a request.
 func waitWatched(t *testing.T, watched <-chan struct{}, what string) {
 	t.Helper()
 	select {
@@ -134,8 +136,8 @@
 	}
 }
 
-// TestHangupChangesDiscovery guards against a reload that ends the program, that keeps the former address, or that
-// applies an invalid file.
+// TestHangupChangesDiscovery guards against a reload that ends the program, that keeps the former address of the
+// discovery service, or that applies an invalid file.
 func TestHangupChangesDiscovery(t *testing.T) {
 	first, firstWatched := startDiscovery(t)
 	second, secondWatched := startDiscovery(t)
@@ -171,7 +173,7 @@
 	}
 }
 
-// TestFailedPlatformStartNamesCause guards against a start that fails without a clear cause.
+// TestFailedPlatformStartNamesCause guards against a failed start whose error does not name the cause.
 func TestFailedPlatformStartNamesCause(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	replaceFile(t, path, []byte(`{"name":"n1","listen":"nowhere"}`))
@@ -182,8 +184,8 @@
 	}
 }
 
-// TestTerminationDuringPlatformStart guards against a start that cannot be ended: the signal comes at any moment of
-// it, while discovery accepts calls and answers none.
+// TestTerminationDuringPlatformStart guards against a start that cannot be terminated: the signal arrives at various
+// times during the start, while the discovery service accepts connections but does not respond.
 func TestTerminationDuringPlatformStart(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -196,7 +198,8 @@
 	}
 }
 
-// expectTerminationDuringStart terminates the program a time after its start.
+// expectTerminationDuringStart terminates the program some time after its start. It must exit with success or be ended
+// by the signal.
 func expectTerminationDuringStart(t *testing.T, discovery string, after time.Duration) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/mulleinpier/manager_test.go
+++ b/cmd/mulleinpier/manager_test.go
@@ -10,7 +10,8 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// TestUnresponsiveServiceManager guards against a manager that reads nothing, and against one that does not exist.
+// TestUnresponsiveServiceManager guards against a daemon that is blocked by a service manager that does not read, or
+// that does not exist.
 func TestUnresponsiveServiceManager(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "unresponsive")
 	manager, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
@@ -23,7 +24,7 @@
 		t.Fatal(err)
 	}
 	defer filler.Close()
-	for full := false; !full; { // until no further message fits
+	for full := false; !full; { // until the socket's buffer is full
 		filler.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err := filler.Write(make([]byte, 1024))
 		full = err != nil
--- a/cmd/mulleinpier/nodefile_test.go
+++ b/cmd/mulleinpier/nodefile_test.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestNodeFileIsFollowed guards the watched file: a drain in it is obeyed, and a file that is invalid, missing or
-// half written changes nothing.
+// TestNodeFileIsFollowed guards the watching of the node file: a node that it reports as draining gets no more
+// requests, and a file that is invalid, empty or partially written changes nothing.
 func TestNodeFileIsFollowed(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	nodes := filepath.Join(filepath.Dir(d.path), "nodes.toml")
@@ -24,7 +24,7 @@
 	d.start()
 	d.awaitNotified("READY=1")
 	serial := 0
-	// reach sends reads until a node receives one, and returns how many the other has received.
+	// reach sends reads until the node with index want receives one, and returns how many the other node has received.
 	reach := func(want int) (others int) {
 		before := [2]int{d.nodes[0].Stats().Requests, d.nodes[1].Stats().Requests}
 		testutil.WaitUntil(t, fmt.Sprintf("a read at node %d", want), func() bool {
--- a/cmd/mulleinpier/passedlistener_test.go
+++ b/cmd/mulleinpier/passedlistener_test.go
@@ -11,7 +11,7 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// listenerFile opens the daemon's address, and returns the listener as the service manager holds it.
+// listenerFile opens a listener at the daemon's address, and returns its file for passing it to processes.
 func (d *testDaemon) listenerFile() *os.File {
 	d.t.Helper()
 	listener, err := net.Listen("tcp", d.address)
@@ -27,7 +27,7 @@
 	return file
 }
 
-// startWithListener starts the daemon as a service manager does that holds its listener.
+// startWithListener starts the daemon with a passed listener, as a service manager with socket activation does.
 func (d *testDaemon) startWithListener(listener *os.File) {
 	d.t.Helper()
 	const script = `LISTEN_PID=$$ LISTEN_FDS=1 exec "$0" "$@"`
@@ -38,10 +38,11 @@
 	waitLine(d.t, d.lines, "listener opened")
 }
 
-// TestBlockingPassedListenerDoesNotDelayDrain guards against an accept that cannot be interrupted: whoever passes the
-// listener to the next process makes it blocking for this one too, as both share its flags.
+// TestBlockingPassedListenerDoesNotDelayDrain guards against an accept that cannot be interrupted: a service manager
+// that passes the listener to the next process may make it blocking, also for this process, as both share the flags of
+// the open file.
 func TestBlockingPassedListenerDoesNotDelayDrain(t *testing.T) {
-	// The longest deadline and 0.7 s after SIGTERM a process may be killed.
+	// A process may be killed 0.7 s plus the longest deadline of a class after SIGTERM.
 	const killTime = 3200 * time.Millisecond
 	d := newTestDaemon(t, node.Config{})
 	file := d.listenerFile()
@@ -49,12 +50,12 @@
 	if err := syscall.SetNonblock(int(file.Fd()), false); err != nil {
 		t.Fatal(err)
 	}
-	c := d.connect() // after it the daemon waits in accept
+	c := d.connect() // after this connection the daemon waits in a blocking accept
 	c.send("mg k v O1 Pc=read,d=2000\r\n")
 	c.expect("VA ")
 	terminatedAt := time.Now()
 	d.signal(syscall.SIGTERM)
-	c.expect("") // its connection is closed between requests
+	c.expect("") // the daemon closes the idle connection
 	c.socket.Close()
 	d.awaitExit()
 	if took := time.Since(terminatedAt); took > killTime {
--- a/cmd/mulleinpier/pause_test.go
+++ b/cmd/mulleinpier/pause_test.go
@@ -15,7 +15,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// startPaused starts a daemon and a client whose connection is in use, and pauses the daemon.
+// startPaused starts a daemon and a client whose first request has been answered, and pauses the daemon.
 func startPaused(t *testing.T, more string) (*testDaemon, *client) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure(more)
@@ -28,7 +28,7 @@
 	return d, c
 }
 
-// pause pauses the process until SIGCONT.
+// pause stops the process until it gets SIGCONT.
 func (d *testDaemon) pause() {
 	d.t.Helper()
 	d.signal(syscall.SIGSTOP)
@@ -36,10 +36,10 @@
 	testutil.WaitUntil(d.t, "the daemon to be paused", func() bool { return faults.IsStopped(d.process.Process.Pid) })
 }
 
-// signalIfRunning is signal for a process that may have exited.
+// signalIfRunning is like signal, but the process may have exited.
 func (d *testDaemon) signalIfRunning(s syscall.Signal) { d.process.Process.Signal(s) }
 
-// connectBusy returns clients whose connections are in use, and whose keys the nodes have cached.
+// connectBusy returns n clients. Each has had a read of its key answered, so the nodes have cached the keys.
 func (d *testDaemon) connectBusy(n int) (list []*client) {
 	for i := range n {
 		c := d.connect()
@@ -50,14 +50,14 @@
 	return list
 }
 
-// pauseTime is long enough to be detected as a pause, and longer than the deadlines of the clients of these tests.
+// pauseTime is long enough to be detected as a pause, and longer than the deadlines of the requests that must expire.
 const pauseTime = 1500 * time.Millisecond
 
-// TestExpiredRequestsAreRejectedAfterPause guards rule 2: a request that was sent to a paused process and whose
-// client has given up never reaches a node, and is rejected at once. One whose client still waits is carried out.
+// TestExpiredRequestsAreRejectedAfterPause guards rule 2: a request that was sent to a paused process and has expired
+// when the process resumes is rejected at once and never reaches a node. A request that has not expired is served.
 func TestExpiredRequestsAreRejectedAfterPause(t *testing.T) {
 	d, c := startPaused(t, "")
-	expired := []*client{c, d.connect(), d.connect()} // one in use, two new
+	expired := []*client{c, d.connect(), d.connect()} // one existing connection, two new ones
 	expired[0].send("ms a 1 Oold0 Pc=write,k=k0,d=300\r\nx\r\n")
 	expired[1].send("ms a 1 Oold1 Pc=write,k=k1,d=300\r\nx\r\n")
 	expired[2].send("mg a v Oold2 Pc=read,d=300\r\n")
@@ -84,8 +84,8 @@
 	d.awaitExit()
 }
 
-// TestRequestsOfDisconnectedClientsAreDropped guards rule 2 where ages are not known, and the rule on clients that
-// disconnect: a request whose client has closed the connection is not started, whatever its class.
+// TestRequestsOfDisconnectedClientsAreDropped guards rule 2 for requests whose age is not known, and the rule on
+// clients that disconnect: a request whose client has closed the connection is not started, whatever its class.
 func TestRequestsOfDisconnectedClientsAreDropped(t *testing.T) {
 	d, c := startPaused(t, "")
 	c.send("ms a 1 Ogone0 Pc=write,k=k0,d=20000\r\nx\r\n")
@@ -110,7 +110,7 @@
 	last.send("mg a v Olast Pc=read\r\n")
 	last.expect("VA ")
 	d.signal(syscall.SIGTERM)
-	d.awaitExit() // all requests that were read have had their time
+	d.awaitExit() // after it no request can reach a node any more
 	for i := range 6 {
 		if n := d.timesSeen(fmt.Sprint("gone", i)); n > 0 {
 			t.Errorf("request %d of a disconnected client reached nodes %d times", i, n)
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestHalfWrittenCommandSurvivesPause guards rule 1: the time that a client has for a command does not include a
-// pause, in which it could not be read.
+// TestHalfWrittenCommandSurvivesPause guards rule 1: the timeout for reading a complete command does not include a
+// pause, during which the proxy could not read.
 func TestHalfWrittenCommandSurvivesPause(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.start()
@@ -128,9 +128,9 @@
 	c.send("mg warm v Owarm Pc=read\r\n")
 	c.expect("VA ")
 	c.send("ms a 5 Ohalf Pc=write,k=k0,d=20000\r\nab")
-	time.Sleep(100 * time.Millisecond) // so that the first half is read; the outcome does not depend on it
+	time.Sleep(100 * time.Millisecond) // so that the first half is likely read; the result does not depend on it
 	d.pause()
-	time.Sleep(3 * time.Second) // longer than a client has for a command
+	time.Sleep(3 * time.Second) // longer than the timeout for a command
 	c.send("cde\r\n")
 	d.signal(syscall.SIGCONT)
 	c.expect("HD ")
@@ -138,8 +138,8 @@
 	d.awaitExit()
 }
 
-// TestDrainNotifiedDuringPauseIsObeyed guards rule 3: what the endpoint list reported during a pause is known to the
-// process, whatever it reads first when it resumes.
+// TestDrainNotifiedDuringPauseIsObeyed guards rule 3: after a pause, a drain that the endpoint list reported during the
+// pause takes effect before any request is sent, whatever the process reads first.
 func TestDrainNotifiedDuringPauseIsObeyed(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	entry := func(i int, status string) endpointlist.Entry {
@@ -156,11 +156,11 @@
 	d.awaitNotified("READY=1")
 	waiting := d.connectBusy(40)
 	if d.nodes[0].Stats().Requests == 0 || d.nodes[1].Stats().Requests == 0 {
-		t.Fatal("one node received nothing")
+		t.Fatal("one node received no request")
 	}
 	d.pause()
 	change := []endpointlist.Entry{entry(1, "draining")}
-	for i := range 3000 { // they take a while to read
+	for i := range 3000 { // so many entries that reading them takes a while
 		change = append(change, endpointlist.Entry{
 			Name: fmt.Sprint("filler", i), Address: "127.0.0.1:1", Status: "draining", Weight: 1,
 		})
@@ -179,7 +179,7 @@
 	for _, c := range waiting {
 		if got := c.line(); strings.HasPrefix(got, "VA ") {
 			c.line()
-		} else if !strings.HasPrefix(got, "SERVER_ERROR busy") { // there are many at once for one node
+		} else if !strings.HasPrefix(got, "SERVER_ERROR busy") { // one node may reject some of 40 requests at once
 			t.Errorf("got %q", got)
 		}
 	}
@@ -208,9 +208,9 @@
 	replaceFile(t, d.path, fmt.Appendf(nil, "listen = %q\nnodes.discovery = %q\n", d.address, link.Address()))
 	d.start()
 	d.awaitNotified("READY=1")
-	waiting := d.connectBusy(40) // as many as may idle
+	waiting := d.connectBusy(40) // as many connections as may be idle
 	for i, c := range waiting {
-		for j := range 10 { // so that admission learns how much is answered in time
+		for j := range 10 { // so that admission observes how many requests are answered in time
 			c.send("mg k%d v Owarm%d.%d Pc=read\r\n", i, i, j)
 			c.expect("VA ")
 		}
@@ -220,7 +220,7 @@
 	}
 	d.pause()
 	time.Sleep(pauseTime)
-	for i, c := range waiting { // together more than are released at a time
+	for i, c := range waiting { // together more requests than are released at a time
 		for j := range 3 {
 			c.send("mg k%d v Oa%d.%d Pc=read,d=20000\r\n", i, i, j)
 		}
@@ -240,8 +240,8 @@
 	d.awaitExit()
 }
 
-// TestRequestsExpireDuringMachineSleep guards rule 2 where the monotonic clock does not show a pause: a machine that
-// seems to have slept rejects requests that may have expired meanwhile.
+// TestRequestsExpireDuringMachineSleep guards rule 2 for a pause that the monotonic clock does not show: after the
+// machine has slept, here simulated, requests that may have expired meanwhile are rejected.
 func TestRequestsExpireDuringMachineSleep(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure("[test]\nsleep_at = \"1s\"\nsleep_for = \"30s\"\n")
--- a/cmd/mulleinpier/peers_test.go
+++ b/cmd/mulleinpier/peers_test.go
@@ -15,7 +15,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// freeAddress returns an address without a listener, on a host that is the source of no connection.
+// freeAddress returns an address with a free port. Its host is not the source of any connection, so that no connection
+// takes the port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.3:0")
@@ -26,21 +27,22 @@
 	return l.Addr().String()
 }
 
-// peersConfig returns the table peers of a configuration, with a voter and its stored state; "" for none.
-func peersConfig(permit, voter string, fleet agent.Fleet, memory string) string {
+// peersConfig returns the table peers of a configuration. The process is the given voter with its state at statePath,
+// or does not vote if voter is "".
+func peersConfig(permit, voter string, fleet agent.Fleet, statePath string) string {
 	text := fmt.Sprintf("[peers]\nfleet = %q\npermit = %q\npermit_wait = \"200ms\"\nvoters = [", fleet.Name, permit)
 	for _, v := range fleet.Voters {
 		text += fmt.Sprintf("%q, ", v.Name+"="+v.Address)
 	}
 	text += "]\n"
 	if voter != "" {
-		text += fmt.Sprintf("voter = %q\nmemory = %q\n", voter, memory)
+		text += fmt.Sprintf("voter = %q\nmemory = %q\n", voter, statePath)
 	}
 	return text
 }
 
-// TestDrainWithoutVoters guards operators against a fleet that has lost its voters: a daemon that may drain without
-// a permit does so after its wait; one that may not keeps serving, and drains when it is terminated again.
+// TestDrainWithoutVoters guards against a daemon that cannot drain because the fleet has lost its voters. With permit =
+// "go" it drains without a permit after the timeout. With "wait" it keeps serving until a second termination.
 func TestDrainWithoutVoters(t *testing.T) {
 	fleet := agent.Fleet{Name: "test"}
 	for i := range 3 {
@@ -63,7 +65,7 @@
 				return
 			}
 			time.Sleep(time.Second)
-			for i := range 3 { // it keeps serving, and accepts new clients
+			for i := range 3 { // the daemon keeps serving and accepts new clients
 				c := d.connect()
 				c.send("mg a v Olater%d Pc=read\r\n", i)
 				c.expect("VA ")
@@ -75,8 +77,8 @@
 	}
 }
 
-// TestTerminationIsAcknowledged guards shutdowns of a whole fleet: two terminations that come while a process is
-// stopped are one to it, so who sends the second has to learn when the first was received.
+// TestTerminationIsAcknowledged guards the shutdown of a whole fleet: the kernel merges two terminations that arrive
+// while a process is stopped, so the daemon's status must tell the sender when the first has been received.
 func TestTerminationIsAcknowledged(t *testing.T) {
 	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v0", Address: freeAddress(t)}}}
 	d := newTestDaemon(t, node.Config{})
@@ -93,8 +95,8 @@
 	d.awaitExit()
 }
 
-// TestVoterMovesDuringLease reloads the only voter with another address while a task is held: the grant keeps its
-// token, and no client notices.
+// TestVoterMovesDuringLease reloads the only voter with another address while a task is held: the grant must keep its
+// token, and client connections must stay open.
 func TestVoterMovesDuringLease(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	memory := filepath.Join(t.TempDir(), "memory")
@@ -130,13 +132,13 @@
 	if err != nil || next.Token <= reply.Token {
 		t.Errorf("%+v after %+v, %v", next, reply, err)
 	}
-	c.send("mg a v O0 Pc=read\r\n") // over the same connection
+	c.send("mg a v O0 Pc=read\r\n") // on the connection from before the reload
 	c.expect("VA ")
 	d.signal(syscall.SIGTERM)
 	d.awaitExit()
 }
 
-// leaseClient returns a new client of the leases of a fleet.
+// leaseClient returns a new lease client of a fleet.
 func leaseClient(t *testing.T, fleet agent.Fleet) *agent.Client {
 	t.Helper()
 	c, err := agent.NewClient(fleet)
@@ -147,8 +149,8 @@
 	return c
 }
 
-// TestSuccessorReleasesPermit restarts a daemon in a fleet that permits one restart at a time: the permit of the
-// first is released as soon as the second is ready, long before it expires.
+// TestSuccessorReleasesPermit restarts a daemon repeatedly in a fleet that permits one restart at a time: the permit of
+// each process must be released as soon as its successor is ready, long before it expires.
 func TestSuccessorReleasesPermit(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	v := newTestDaemon(t, node.Config{})
--- a/cmd/mulleinpier/platform_test.go
+++ b/cmd/mulleinpier/platform_test.go
@@ -13,8 +13,8 @@
 	"mulleinpier/internal/fake/scriptednode"
 )
 
-// startPlatformProgramWith starts the program as the platform does, with scripted nodes and a class of each effect
-// that has a deadline in milliseconds. It returns the lines of its log.
+// startPlatformProgramWith starts the program as the platform does, with scripted nodes and one class for each effect,
+// each with a deadline in milliseconds. It returns the lines of the program's log.
 func startPlatformProgramWith(
 	t *testing.T, nodes *scriptednode.Nodes, count, deadline int,
 ) (cmd *exec.Cmd, lines <-chan string) {
@@ -51,7 +51,7 @@
 	return startPlatformProgram(t, path)
 }
 
-// startEndpointList starts a list service with scripted nodes, and returns its address.
+// startEndpointList starts a service for the endpoint list of scripted nodes, and returns its address.
 func startEndpointList(t *testing.T, nodes *scriptednode.Nodes, count int) string {
 	t.Helper()
 	var entries []endpointlist.Entry
@@ -69,7 +69,7 @@
 	return address
 }
 
-// TestLogLevelFromEnvironment covers the variable, its former name and an invalid level.
+// TestLogLevelFromEnvironment checks the variable, its former name, their precedence and an invalid level.
 func TestLogLevelFromEnvironment(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/cmd/mulleinpier/reload_test.go
+++ b/cmd/mulleinpier/reload_test.go
@@ -11,8 +11,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestReloadDuringDrainIsIgnored guards against a reload that revives a draining daemon, or that stops its drain
-// half-way.
+// TestReloadDuringDrainIsIgnored guards against a reload that makes a draining daemon serve again, or that aborts its
+// drain.
 func TestReloadDuringDrainIsIgnored(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.start()
@@ -35,13 +35,13 @@
 	d.awaitExit()
 	for len(d.notified) > 0 {
 		if line := <-d.notified; strings.HasPrefix(line, "RELOADING") || strings.HasPrefix(line, "READY") {
-			t.Errorf("notified %q while it drained", line)
+			t.Errorf("the daemon notified %q while it drained", line)
 		}
 	}
 }
 
-// TestReloadsInQuickSuccession guards against reloads that are lost, or that end the daemon, when they come faster
-// than they are done: the last file is in force after the last READY.
+// TestReloadsInQuickSuccession guards against reloads that are lost, or that end the daemon, when hangups arrive faster
+// than reloads complete: the last file must come into force.
 func TestReloadsInQuickSuccession(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.start()
@@ -60,9 +60,9 @@
 	d.awaitExit()
 }
 
-// TestInvalidReloadChangesNothing guards against half of a configuration in force: a file that is broken, missing,
-// half written, empty, or that changes what cannot change, is reported in the log, and the former one stays in
-// force.
+// TestInvalidReloadChangesNothing guards against a configuration that is applied in part: if the file is invalid,
+// missing, partially written or empty, or changes a setting that requires a restart, the reload must be logged as
+// failed, and the former configuration must stay in force.
 func TestInvalidReloadChangesNothing(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure("[[class]]\nname = \"old\"\n")
@@ -96,7 +96,7 @@
 	reloadRejected = "configuration reload rejected"
 )
 
-// invalidReloads are ways to write a file that cannot be reloaded, and what is logged.
+// invalidReloads are changes of the file after which a reload must fail, with a part of the expected log line.
 var invalidReloads = []struct {
 	name, logged string
 	write        func(d *testDaemon)
@@ -108,7 +108,7 @@
 		replaceFile(d.t, d.path, []byte(d.configText(newClass))[:30])
 	}},
 	{"empty", "is empty", func(d *testDaemon) { replaceFile(d.t, d.path, nil) }},
-	{"a folder", reloadFailed, func(d *testDaemon) {
+	{"a directory", reloadFailed, func(d *testDaemon) {
 		os.Remove(d.path)
 		os.Mkdir(d.path, 0o700)
 	}},
@@ -124,8 +124,8 @@
 	}},
 }
 
-// TestReloadLeavesOpenRequestsTheirConfiguration guards against a reload that takes the class of a request in
-// flight away, or shortens its time.
+// TestReloadLeavesOpenRequestsTheirConfiguration guards against a reload that removes the class of a request in flight
+// or shortens its deadline.
 func TestReloadLeavesOpenRequestsTheirConfiguration(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure("[[class]]\nname = \"old\"\ndeadline = \"30s\"\n")
--- a/cmd/mulleinpier/start_test.go
+++ b/cmd/mulleinpier/start_test.go
@@ -14,7 +14,7 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// TestTerminationBeforeListening guards against a termination that is lost while the start waits.
+// TestTerminationBeforeListening guards against a termination that is lost while the daemon waits for its address.
 func TestTerminationBeforeListening(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	other, err := net.Listen("tcp", d.address)
@@ -24,13 +24,13 @@
 	defer other.Close()
 	d.configure("[start]\nwait_for_address = \"60s\"\n")
 	d.start("WATCHDOG_USEC=20000")
-	d.awaitNotified("WATCHDOG=1") // it handles events, and waits for the address
+	d.awaitNotified("WATCHDOG=1") // the daemon handles events while it waits for the address
 	d.signal(syscall.SIGTERM)
 	d.awaitNotified("STOPPING=1")
 	d.awaitExit()
 }
 
-// TestHangupDuringStart guards against a reload that is lost because it comes before the daemon is ready.
+// TestHangupDuringStart guards against a reload that is lost because the hangup arrives before the daemon is ready.
 func TestHangupDuringStart(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	other, err := net.Listen("tcp", d.address)
@@ -54,19 +54,19 @@
 	d.awaitExit()
 }
 
-// TestHangupsFromExecOn guards the way in which no hangup is lost, nor ends the process, from exec on: started with
-// SIGHUP ignored, the program catches it as soon as it can, and reads its configuration after that.
+// TestHangupsFromExecOn guards against hangups that end the process or are lost in the time from exec until it serves.
+// The program is started with SIGHUP ignored; it catches the signal first and reads its configuration afterwards.
 func TestHangupsFromExecOn(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	for range 5 {
 		d.configure("")
 		d.process = exec.Command(os.Args[0], "serve", "--config", d.path)
 		d.process.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
-		signal.Ignore(syscall.SIGHUP) // the process that is started inherits that
+		signal.Ignore(syscall.SIGHUP) // inherited by the process
 		d.run()
 		signal.Reset(syscall.SIGHUP)
 		ready, stopped := make(chan struct{}), make(chan struct{})
-		go func() { // without a pause, from before the exec until it serves
+		go func() { // sends hangups continuously until the daemon serves
 			defer close(stopped)
 			for {
 				select {
@@ -91,13 +91,13 @@
 	}
 }
 
-// failedStart is a command line that fails, with a file in place of FILE and a variable in its environment.
+// failedStart is a command line that must fail.
 type failedStart struct {
 	name string
-	args []string
-	file string // its text
-	env  string // "" for none
-	want string // part of the error
+	args []string // FILE stands for the path of the file
+	file string   // text of the file; TAKEN stands for an address in use
+	env  string   // a variable for the environment, NAME=VALUE; "" for none
+	want string   // part of the error
 }
 
 const nodesLine = "nodes.addresses = [\"127.0.0.1:1\"]\n"
@@ -121,7 +121,8 @@
 	{"no command", nil, "", "", "no command, and GW_CONFIG is not set"},
 }
 
-// TestFailedStartsNameCauseInOneLine guards against a start that fails without a clear cause, or with a page of text.
+// TestFailedStartsNameCauseInOneLine guards against a failed start whose error does not name the cause, or is longer
+// than one line.
 func TestFailedStartsNameCauseInOneLine(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,7 +134,7 @@
 	}
 }
 
-// expect runs the command line and expects it to fail. An address is in use.
+// expect runs the command line and fails the test unless it fails with the expected error. The address taken is in use.
 func (s *failedStart) expect(t *testing.T, taken string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
--- a/cmd/mulleinpier/successor_test.go
+++ b/cmd/mulleinpier/successor_test.go
@@ -14,8 +14,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestSuccessorAtSameAddress guards against a new process that gives up while the former one still has the address,
-// and against a former one that drops its requests while the new one serves.
+// TestSuccessorAtSameAddress guards against a new process that fails because the former one still uses the address, and
+// against a former process that drops its requests once the new one serves.
 func TestSuccessorAtSameAddress(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure("[start]\nwait_for_address = \"60s\"\n")
@@ -48,8 +48,8 @@
 	d.awaitExit()
 }
 
-// TestPassedListenerLosesNoConnection guards an address that the service manager holds: while processes follow one
-// another, each connection is established, and its first request is answered.
+// TestPassedListenerLosesNoConnection guards restarts with a listener that the service manager holds: while processes
+// replace one another, each connection must be established, and its first request answered.
 func TestPassedListenerLosesNoConnection(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	file := d.listenerFile()
@@ -87,7 +87,7 @@
 	close(stop)
 	clients.Wait()
 	if len(lost) > 0 || answered == 0 {
-		t.Errorf("of %d new connections these got no value: %v", answered, lost)
+		t.Errorf("of %d new connections, these got no value: %v", answered, lost)
 	}
 	d.signal(syscall.SIGTERM)
 	d.awaitExit()
--- a/cmd/mulleinpier/takeover_test.go
+++ b/cmd/mulleinpier/takeover_test.go
@@ -19,8 +19,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// startTakeoverFleet starts proxies of one fleet with the same nodes, which replicate writes to each other, and a
-// voter. It also returns their addresses for replication.
+// startTakeoverFleet starts a voter and the named proxies of one fleet. The proxies share their nodes and replicate
+// writes to each other. It also returns their addresses for replication.
 func startTakeoverFleet(t *testing.T, names ...string) (proxies []*testDaemon, addresses []string) {
 	t.Helper()
 	v := newTestDaemon(t, node.Config{})
@@ -62,7 +62,8 @@
 	return proxies, addresses
 }
 
-// handover writes under a key until it is not rejected, and returns the response with id as that of the request.
+// handover sends a write with an idempotency key until it is not rejected. It returns the response, with id in place of
+// the ID of the attempt.
 func (d *testDaemon) handover(id, key, value, flags string) (response string) {
 	d.t.Helper()
 	attempts := 0
@@ -72,15 +73,15 @@
 		defer c.socket.Close()
 		attemptID := fmt.Sprint(id, ".", attempts)
 		c.send("ms order %d O%s Pc=write,k=%s,d=5000%s\r\n%s\r\n", len(value), attemptID, key, flags, value)
-		response = strings.Replace(c.line(), " O"+attemptID, " O"+id, 1) // the receipt keeps its attempt
+		response = strings.Replace(c.line(), " O"+attemptID, " O"+id, 1) // not in the receipt, which names its attempt
 		return !strings.HasPrefix(response, "SERVER_ERROR busy")
 	})
 	return response
 }
 
-// TestReceiptSurvivesProxy kills a proxy that has written a handover, and repeats it at another for longer than
-// nodes drop repeats: the same receipt comes, nothing takes effect twice, and the key is accepted for no other
-// write.
+// TestReceiptSurvivesProxy kills a proxy that has completed a handover, and repeats it at another proxy for longer than
+// nodes drop repeats: each repeat must get the same receipt, nothing may take effect twice, and the key must not be
+// accepted for another value.
 func TestReceiptSurvivesProxy(t *testing.T) {
 	proxies, addresses := startTakeoverFleet(t, "a", "b")
 	a, b := proxies[0], proxies[1]
@@ -99,14 +100,14 @@
 	})
 	a.signal(syscall.SIGKILL)
 	<-a.exited
-	for range 4 { // two seconds, longer than the window of 1.5 s
+	for range 4 { // 2 s, longer than the dedup window of 1.5 s
 		if again := b.handover("x", "k1", "v", ",r=1"); again != first {
-			t.Errorf("got %q, first %q", again, first)
+			t.Errorf("a repeat got %q, want the first response, %q", again, first)
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
 	if other := b.handover("x", "k1", "w", ""); strings.HasPrefix(other, "HD ") {
-		t.Errorf("another value under the key: %q", other)
+		t.Errorf("another value with the same key got %q", other)
 	}
 	if s := b.origin.Stats(); s.Effects != 1 || s.Duplicates != 0 {
 		t.Errorf("%+v: want one effect", s)
@@ -115,8 +116,8 @@
 	b.awaitExit()
 }
 
-// TestWriteIsTakenOver kills a proxy whose handover is at a node that stalls: the other proxy completes it, and a
-// repeat there gets the outcome.
+// TestWriteIsTakenOver kills a proxy whose handover is in flight at a stalled node: the other proxy must complete it,
+// and a repeat there must get the outcome.
 func TestWriteIsTakenOver(t *testing.T) {
 	proxies, _ := startTakeoverFleet(t, "a", "b")
 	a, b := proxies[0], proxies[1]
@@ -128,7 +129,7 @@
 	}
 	c := a.connect()
 	c.send("ms order 1 Olost Pc=write,k=k1,d=5000\r\nv\r\n")
-	testutil.WaitUntil(t, "it to reach a node", func() bool { return a.timesSeen("lost") > 0 })
+	testutil.WaitUntil(t, "the write to reach a node", func() bool { return a.timesSeen("lost") > 0 })
 	a.signal(syscall.SIGKILL)
 	<-a.exited
 	for _, n := range a.nodes {
--- a/cmd/mulleinpier/termination_test.go
+++ b/cmd/mulleinpier/termination_test.go
@@ -18,22 +18,21 @@
 const (
 	// terminationDeadlineMillis is the deadline of all requests, the longest of all classes.
 	terminationDeadlineMillis = 700
-	// killTime is the least time from SIGTERM to when the program would be killed.
+	// killTime is the shortest time from SIGTERM until the platform may kill the program.
 	killTime = (terminationDeadlineMillis + 700) * time.Millisecond
 )
 
-// terminationTest is a program with clients at every step of a request.
+// terminationTest holds the clients of a program that is terminated, with a request at each step of its handling.
 type terminationTest struct {
 	t       *testing.T
 	nodes   *scriptednode.Nodes
 	address string
-	hanging int       // requests that hang at nodes
+	hanging int       // number of requests of sendToNode that hang at nodes
 	done    chan bool // a value for each request of sendToNode that has ended
 	waiting sync.WaitGroup
 	senders sync.WaitGroup
 }
 
-// terminationConn is a connection of a client.
 type terminationConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -59,7 +58,7 @@
 	return strings.TrimSpace(line), err
 }
 
-// effectRequest returns a request of an effect, to which the node reacts in a way.
+// effectRequest returns a request of the class effect. Its key tells the scripted node how to react.
 func effectRequest(effect, reaction, id string) string {
 	if effect == "safe" {
 		return fmt.Sprintf("mg %s:%s v O%s Pc=safe,t=shops,d=%d\r\n", reaction, id, id, terminationDeadlineMillis)
@@ -68,12 +67,12 @@
 	return fmt.Sprintf(format, reaction, id, effect, terminationDeadlineMillis)
 }
 
-// isAnswerTo reports whether a line answers a request, be it with an error.
+// isAnswerTo reports whether a line is a response to a request, or a server error, which names no request.
 func isAnswerTo(line, id string) bool {
 	return strings.HasPrefix(line, "SERVER_ERROR") || strings.Contains(line, "O"+id)
 }
 
-// warmUp has the nodes known, and admission open for what will hang.
+// warmUp waits until the nodes are known, and sends so many requests that admission accepts those that will hang.
 func (e *terminationTest) warmUp() {
 	e.t.Helper()
 	c := e.dial()
@@ -88,7 +87,7 @@
 	}
 }
 
-// sendToNode sends a request to which the node reacts in a way, and expects one response.
+// sendToNode sends a request to which the node reacts as given, and expects exactly one response.
 func (e *terminationTest) sendToNode(effect string, reaction scriptednode.Reaction) {
 	c := e.dial()
 	id := fmt.Sprintf("%s-%s", effect, reaction)
@@ -107,19 +106,20 @@
 	})
 }
 
-// sendHalf sends half a command, which gets an error or a close and is never served.
+// sendHalf sends an incomplete command, which must not be served: the client gets an error or the end of its
+// connection.
 func (e *terminationTest) sendHalf(effect string) {
 	c := e.dial()
 	complete := effectRequest(effect, "serve", effect+"-half")
 	fmt.Fprint(c, complete[:len(complete)-3])
 	e.waiting.Go(func() {
 		if got, err := c.response(); err == nil && !strings.HasPrefix(got, "CLIENT_ERROR") {
-			e.t.Errorf("half a command: got %q", got)
+			e.t.Errorf("incomplete command: got %q", got)
 		}
 	})
 }
 
-// connectSilently connects a client that sends nothing, and gets nothing.
+// connectSilently connects a client that sends nothing, and expects no response.
 func (e *terminationTest) connectSilently() {
 	c := e.dial()
 	e.waiting.Go(func() {
@@ -141,7 +141,7 @@
 			}
 			got, err := c.response()
 			if err != nil {
-				return // the request crossed the close
+				return // the connection was closed before the request was read
 			}
 			if !isAnswerTo(got, id) {
 				e.t.Errorf("%s: got %q", id, got)
@@ -150,7 +150,7 @@
 	})
 }
 
-// waitHanging waits until the requests that hang are at nodes, or have ended, on a busy machine.
+// waitHanging waits until the requests that hang have reached nodes, or, as on a busy machine, as many have ended.
 func (e *terminationTest) waitHanging() {
 	e.t.Helper()
 	testutil.WaitUntil(e.t, "the hanging requests to reach nodes", func() bool {
@@ -182,8 +182,8 @@
 	return took
 }
 
-// expectNoDuplicates expects no request of the unsafe class at nodes twice, but for one that a node has rejected
-// and thus has not run.
+// expectNoDuplicates fails the test if a request of the class unsafe has reached nodes twice, unless a node rejected it
+// as busy and so did not execute it.
 func (e *terminationTest) expectNoDuplicates() {
 	e.t.Helper()
 	attempts := make(map[string]int)
@@ -199,9 +199,9 @@
 	}
 }
 
-// TestTerminationAtEachStepOfRequests terminates the program, as the platform does, with requests of every effect
-// at every step, nodes that hang, and clients that go on sending to the end: each accepted request has one
-// response, none of an unsafe class reaches nodes twice, and the program exits with success.
+// TestTerminationAtEachStepOfRequests terminates the program as the platform does, with requests of each effect at each
+// step, nodes that hang, and clients that keep sending until the exit: each accepted request must get exactly one
+// response, no request of the class unsafe may reach nodes twice, and the program must exit with success.
 func TestTerminationAtEachStepOfRequests(t *testing.T) {
 	react := func(_ int, request scriptednode.ReceivedRequest) scriptednode.Reaction {
 		kind, _, _ := strings.Cut(request.Key, ":")
@@ -231,7 +231,7 @@
 	}
 	e.waitHanging()
 	took := e.terminate(cmd)
-	if took > 2*killTime { // a busy machine is given as much again
+	if took > 2*killTime { // twice the time, as the machine may be busy
 		t.Errorf("the exit took %v, and the program is killed after %v", took, killTime)
 	}
 	e.expectNoDuplicates()
--- a/internal/doccheck/logs_test.go
+++ b/internal/doccheck/logs_test.go
@@ -12,14 +12,14 @@
 	"testing"
 )
 
-// logPage has a row for each line that the programs log at info and above:
+// logPage is the page with a row for each log line of the programs at level info and above:
 // | level | message | attributes | what it means | what to do |
 const logPage = "docs/operators/logs.md"
 
-// levels maps the methods of a logger to the level that the page names.
+// levels maps the methods of a logger to the levels as the page names them.
 var levels = map[string]string{"Info": "info", "Warn": "warn", "Error": "error"}
 
-// TestLogPageMatchesCode holds that the page lists each log line at info and above with its level and its
+// TestLogPageMatchesCode checks that the page lists each log line at level info and above with its level and its
 // attributes, and no others.
 func TestLogPageMatchesCode(t *testing.T) {
 	want := loggedLines(t)
@@ -50,7 +50,7 @@
 	}
 }
 
-// loggedLines returns the beginning of the page's row of each log line of the code.
+// loggedLines returns the first three cells of the row that the page must have for each log line of the code.
 func loggedLines(t *testing.T) (lines []string) {
 	t.Helper()
 	for _, path := range goFiles(t) {
@@ -70,7 +70,7 @@
 	return slices.Compact(lines)
 }
 
-// loggedLine returns the row of a call that logs, and nothing for any other call.
+// loggedLine returns the first three cells of the row of a call that logs, and nil for any other call.
 func loggedLine(t *testing.T, files *token.FileSet, call *ast.CallExpr) []string {
 	t.Helper()
 	level, ok := logLevel(call)
@@ -86,7 +86,8 @@
 	return []string{fmt.Sprintf("| %s | `%s` | %s", level, message, keys)}
 }
 
-// describedEvent returns the message and the keys of an event of package eventlog that is logged as a warning.
+// describedEvent returns the message and the attribute keys of an event of package eventlog that is logged as a
+// warning. They are the string literals in the first method of its type.
 func describedEvent(t *testing.T, event *ast.CompositeLit) (message, keys string) {
 	t.Helper()
 	name := event.Type.(*ast.SelectorExpr).Sel.Name
@@ -114,10 +115,11 @@
 	return "", ""
 }
 
-// loggers are the ends of the names of fields and variables that log: loggers and the recorder of events.
+// loggers are the suffixes, in lower case, of the names of fields and variables that log: loggers and the event
+// recorder.
 var loggers = []string{"log", "logger", "recorder"}
 
-// logLevel returns the level of a call of a logger.
+// logLevel returns the level at which a call logs. ok is false if the call is not that of a logger.
 func logLevel(call *ast.CallExpr) (level string, ok bool) {
 	method, isMethod := call.Fun.(*ast.SelectorExpr)
 	if !isMethod {
@@ -146,7 +148,7 @@
 	return text
 }
 
-// attributes returns the keys of a log line's attributes, as the page has them.
+// attributes returns the keys of a log line's attributes in the format of the page.
 func attributes(t *testing.T, files *token.FileSet, call *ast.CallExpr) string {
 	t.Helper()
 	var keys []string
--- a/internal/doccheck/names_test.go
+++ b/internal/doccheck/names_test.go
@@ -1,4 +1,4 @@
-// Package doccheck keeps pages and code in step. It holds tests only.
+// Package doccheck tests that the documentation matches the code. It contains only tests.
 package doccheck
 
 import (
@@ -14,13 +14,14 @@
 	"testing"
 )
 
-// root is the path of the project from here.
+// root is the path of the repository relative to this package.
 const root = "../.."
 
-// pageFolders hold the pages that follow the code. Those of incidents stay as they were written.
-var pageFolders = []string{"docs/design", "docs/operators"}
+// pageDirs are the directories of the pages that must match the current code. Incident reports are not among them:
+// they stay as they were written.
+var pageDirs = []string{"docs/design", "docs/operators"}
 
-// singlePages follow the code too.
+// singlePages are other pages that must match the current code.
 var singlePages = []string{"README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md"}
 
 var (
@@ -31,7 +32,7 @@
 	identifier = regexp.MustCompile(`^((?:[a-z]+/)*[a-z]+)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?$`)
 )
 
-// TestPagesNameWhatExists holds that tests, source files and identifiers that pages name in code spans exist.
+// TestPagesNameWhatExists checks that tests, source files and identifiers that pages name in code spans exist.
 func TestPagesNameWhatExists(t *testing.T) {
 	declared := declaredNames(t)
 	for _, page := range pages(t) {
@@ -49,14 +50,15 @@
 	}
 }
 
-// names are what the code declares.
+// names are the names that the code declares.
 type names struct {
 	tests    map[string]bool
-	files    map[string]bool            // paths from the root
-	packages map[string]map[string]bool // declared names, of each package by the last element of its path
+	files    map[string]bool            // paths relative to root
+	packages map[string]map[string]bool // declared names of each package, by the last element of the package's path
 }
 
-// has reports whether a code span names something declared, or nothing that could be.
+// has reports whether the code span names something that is declared. It is also true for a span that is not a name in
+// the code.
 func (n *names) has(span string) bool {
 	switch {
 	case testName.MatchString(span):
@@ -80,13 +82,13 @@
 func pages(t *testing.T) []string {
 	t.Helper()
 	found := singlePages
-	for _, folder := range pageFolders {
-		entries, err := os.ReadDir(filepath.Join(root, folder))
+	for _, dir := range pageDirs {
+		entries, err := os.ReadDir(filepath.Join(root, dir))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, entry := range entries {
-			found = append(found, path.Join(folder, entry.Name()))
+			found = append(found, path.Join(dir, entry.Name()))
 		}
 	}
 	return found
@@ -95,8 +97,8 @@
 func declaredNames(t *testing.T) *names {
 	t.Helper()
 	n := &names{tests: map[string]bool{}, files: map[string]bool{}, packages: map[string]map[string]bool{}}
-	for _, folder := range []string{"client", "cmd", "internal", "policy"} {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(file string, _ fs.DirEntry, err error) error {
+	for _, dir := range []string{"client", "cmd", "internal", "policy"} {
+		err := filepath.WalkDir(filepath.Join(root, dir), func(file string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(file, ".go") {
 				return err
 			}
--- a/internal/doccheck/packages_test.go
+++ b/internal/doccheck/packages_test.go
@@ -15,10 +15,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "print what the pages should hold instead of comparing")
+var update = flag.Bool("update", false, "print the lines that the pages should have instead of comparing")
 
-// TestReadmeListsEachPackage holds that the README has one line for each package: its path and the first sentence
-// of its package comment.
+// TestReadmeListsEachPackage checks that the README has one line for each package: its path and the first sentence of
+// its package comment.
 func TestReadmeListsEachPackage(t *testing.T) {
 	want := packageLines(t)
 	if *update {
@@ -33,12 +33,12 @@
 	}
 	for _, line := range got {
 		if !slices.Contains(want, line) {
-			t.Errorf("README.md has a line of no package, or with another text than the package comment:\n%s", line)
+			t.Errorf("README.md has a line that matches no package and its package comment:\n%s", line)
 		}
 	}
 }
 
-// packageLines returns the line of each package but those of this one, in order of path.
+// packageLines returns the README's line for each package with non-test files, sorted by path.
 func packageLines(t *testing.T) (lines []string) {
 	t.Helper()
 	comments := map[string]string{}
@@ -47,28 +47,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		folder := filepath.ToSlash(filepath.Dir(strings.TrimPrefix(path, root+"/")))
+		dir := filepath.ToSlash(filepath.Dir(strings.TrimPrefix(path, root+"/")))
 		if file.Doc != nil {
-			comments[folder] = new(doc.Package).Synopsis(file.Doc.Text())
-		} else if _, seen := comments[folder]; !seen {
-			comments[folder] = ""
+			comments[dir] = new(doc.Package).Synopsis(file.Doc.Text())
+		} else if _, seen := comments[dir]; !seen {
+			comments[dir] = ""
 		}
 	}
-	for folder, comment := range comments {
+	for dir, comment := range comments {
 		if comment == "" {
-			t.Errorf("package %s has no package comment", folder)
+			t.Errorf("package %s has no package comment", dir)
 		}
-		lines = append(lines, fmt.Sprintf("- `%s`: %s", folder, comment))
+		lines = append(lines, fmt.Sprintf("- `%s`: %s", dir, comment))
 	}
 	slices.Sort(lines)
 	return lines
 }
 
-// goFiles returns the paths of all files of the program, without those of tests.
+// goFiles returns the paths of all Go files in client, cmd, internal and policy, without test files.
 func goFiles(t *testing.T) (paths []string) {
 	t.Helper()
-	for _, folder := range []string{"client", "cmd", "internal", "policy"} {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ fs.DirEntry, err error) error {
+	for _, dir := range []string{"client", "cmd", "internal", "policy"} {
+		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, _ fs.DirEntry, err error) error {
 			if err != nil {
 				return err
 			}
--- a/internal/testutil/address.go
+++ b/internal/testutil/address.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Listen listens at a free port of the loopback host until the test ends.
+// Listen listens on a free port of 127.0.0.1 until the test ends.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -16,8 +16,8 @@
 	return listener
 }
 
-// ServeConnections calls serve with each connection to a free port, in a goroutine of its own, until the test ends.
-// Closing the connection is up to serve.
+// ServeConnections listens on a free port until the test ends, and calls serve in a new goroutine for each connection.
+// serve must close the connection.
 func ServeConnections(t testing.TB, serve func(net.Conn)) (address string) {
 	t.Helper()
 	listener := Listen(t)
@@ -33,8 +33,8 @@
 	return listener.Addr().String()
 }
 
-// ReserveAddress returns an address with a free port. The host must be a loopback address that no connection of the
-// tests goes out from, such as 127.0.0.6: otherwise the port could be taken again before the test listens at it.
+// ReserveAddress returns an address with a free port. The host must be a loopback address that is not the source of any
+// connection of the tests, such as 127.0.0.6: otherwise a connection could take the port before the test listens on it.
 func ReserveAddress(t testing.TB, host string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
--- a/internal/testutil/recorded.go
+++ b/internal/testutil/recorded.go
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Recorded reads a file that an earlier version of this program wrote.
+// Recorded returns the contents of a file that an earlier version of the program wrote.
 func Recorded(t testing.TB, path string) []byte {
 	t.Helper()
 	recorded, err := os.ReadFile(path)
@@ -22,8 +22,8 @@
 	return recorded
 }
 
-// CheckRecordedCBOR guards a message against a change of its encoding: what an earlier version wrote to path must
-// decode to want, and want must encode to the very same bytes, so that the earlier version reads what this one writes.
+// CheckRecordedCBOR guards against a change of the encoding of a message: the file at path, which an earlier version
+// wrote, must decode to want, and want must encode to the same bytes, so that the earlier version can read them.
 func CheckRecordedCBOR[T any](t *testing.T, path string, want T) {
 	t.Helper()
 	recorded := Recorded(t, path)
@@ -39,8 +39,8 @@
 	}
 }
 
-// CheckRecordedJSON reads a recorded JSON output into the type that this version prints, and fails the test unless it
-// comes out again byte for byte: so no field has another name, type or place.
+// CheckRecordedJSON decodes a recorded JSON output into the value that into points to, and fails the test unless
+// encoding it again gives the same bytes: no field may have changed its name, type or position.
 func CheckRecordedJSON(t testing.TB, path string, into any, indent string) {
 	t.Helper()
 	text := Recorded(t, path)
@@ -66,8 +66,8 @@
 	helpVariable = regexp.MustCompile(`\(\$\w+\)`)
 )
 
-// HelpSignature reduces the help text of a command to what scripts depend on: the usage line, flags with their
-// placeholders and defaults, arguments and environment variables.
+// HelpSignature reduces the help text of a command to the parts that scripts depend on: the usage line, flags with
+// their placeholders and defaults, arguments and environment variables.
 func HelpSignature(help string) (lines []string) {
 	for line := range strings.Lines(help) {
 		line = strings.TrimRight(line, "\n")
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -1,6 +1,6 @@
 // Package testutil holds the helpers that tests of several packages share: waiting with one generous bound, listening
-// on loopback, and comparing with outputs of earlier versions. Only tests import it. It starts no goroutines and has no
-// state; no test may depend on how long a wait took.
+// on loopback, and comparing with outputs of earlier versions. Only tests import it. It has no state, and no test may
+// depend on how long a wait takes.
 package testutil
 
 import (
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Timeout bounds each wait.
+// Timeout bounds each wait of WaitUntil and Receive.
 const Timeout = 30 * time.Second
 
 const pollInterval = 2 * time.Millisecond
 
-// WaitUntil waits until ok returns true, or fails the test with a description of what is awaited.
+// WaitUntil polls ok until it returns true. After Timeout it fails the test with the description what.
 func WaitUntil(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(pollInterval) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// Receive returns the next value of a channel, or fails the test.
+// Receive returns the next value of a channel. It fails the test if the channel is closed, or after Timeout.
 func Receive[T any](t testing.TB, what string, from <-chan T) (value T) {
 	t.Helper()
 	select {
