--- a/cmd/mulleinpier/peers_test.go
+++ b/cmd/mulleinpier/peers_test.go
@@ -99,12 +99,12 @@
 // token, and client connections must stay open.
 func TestVoterMovesDuringLease(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
-	memory := filepath.Join(t.TempDir(), "memory")
+	statePath := filepath.Join(t.TempDir(), "memory")
 	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: freeAddress(t)}}}
-	if err := agent.InitVoter(memory, &fleet); err != nil {
+	if err := agent.InitVoter(statePath, &fleet); err != nil {
 		t.Fatal(err)
 	}
-	d.configure(peersConfig("none", "v", fleet, memory))
+	d.configure(peersConfig("none", "v", fleet, statePath))
 	d.start()
 	d.awaitNotified("READY=1")
 	c := d.connect()
@@ -116,7 +116,7 @@
 		t.Fatalf("%+v, %v", reply, err)
 	}
 	fleet.Voters = []agent.VoterAddress{{Name: "v", Address: freeAddress(t)}}
-	d.configure(peersConfig("none", "v", fleet, memory))
+	d.configure(peersConfig("none", "v", fleet, statePath))
 	d.signal(syscall.SIGHUP)
 	waitLine(t, d.lines, "configuration reloaded")
 	testutil.WaitUntil(t, "the voter at its new address", func() bool {
@@ -154,12 +154,12 @@
 func TestSuccessorReleasesPermit(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	v := newTestDaemon(t, node.Config{})
-	memory := filepath.Join(t.TempDir(), "memory")
+	statePath := filepath.Join(t.TempDir(), "memory")
 	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: freeAddress(t)}}}
-	if err := agent.InitVoter(memory, &fleet); err != nil {
+	if err := agent.InitVoter(statePath, &fleet); err != nil {
 		t.Fatal(err)
 	}
-	v.configure(peersConfig("none", "v", fleet, memory))
+	v.configure(peersConfig("none", "v", fleet, statePath))
 	v.start()
 	v.awaitNotified("READY=1")
 	d.configure(peersConfig("wait", "", fleet, ""))
--- a/cmd/mulleinpier/takeover_test.go
+++ b/cmd/mulleinpier/takeover_test.go
@@ -24,12 +24,12 @@
 func startTakeoverFleet(t *testing.T, names ...string) (proxies []*testDaemon, addresses []string) {
 	t.Helper()
 	v := newTestDaemon(t, node.Config{})
-	memory := filepath.Join(t.TempDir(), "memory")
+	statePath := filepath.Join(t.TempDir(), "memory")
 	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v", Address: freeAddress(t)}}}
-	if err := agent.InitVoter(memory, &fleet); err != nil {
+	if err := agent.InitVoter(statePath, &fleet); err != nil {
 		t.Fatal(err)
 	}
-	v.configure("name = \"v\"\n" + peersConfig("none", "v", fleet, memory))
+	v.configure("name = \"v\"\n" + peersConfig("none", "v", fleet, statePath))
 	v.start()
 	v.awaitNotified("READY=1")
 	for i, name := range names {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli parses the command lines of all programs of this module with kong: a request for help is answered and is
-// no error, and an invalid command line is an [ErrUsage] with a text of one line.
+// Package cli parses the command lines of all programs of this module with kong: help is printed and is not an error,
+// and an invalid command line results in a one-line error that wraps ErrUsage.
 package cli
 
 import (
--- a/internal/config/binary.go
+++ b/internal/config/binary.go
@@ -80,7 +80,7 @@
 }
 
 // checkRoutes adds an error for each route whose listener accepts no binary clients, or that names a user without a
-// users file.
+// valid users file.
 func (r *reader) checkRoutes(rules []route.Rule, c *proxy.BinaryConfig) {
 	otherListener := proxy.BinaryListener
 	if c.Listen != "" {
@@ -92,7 +92,7 @@
 			r.errors.add(key, "cannot be %q: this listener accepts no binary clients", rule.Listener)
 		}
 		if rule.User != "" && c.Rules.Users == nil {
-			r.errors.add(fmt.Sprintf("route[%d].user", i), "cannot be %q: binary.users is missing", rule.User)
+			r.errors.add(fmt.Sprintf("route[%d].user", i), "cannot be %q: binary.users names no valid file", rule.User)
 		}
 	}
 }
--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -16,7 +16,7 @@
 func printable(text string) string {
 	isSeparator := func(r rune) bool { return r <= ' ' || r == 0x7f || r == ',' || r == '=' }
 	if text == "" || len(text) > maxNameLength || strings.ContainsFunc(text, isSeparator) {
-		return "1 to 64 characters without blanks, control characters, commas and ="
+		return "1 to 64 characters without blanks, control characters, commas or ="
 	}
 	return ""
 }
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -98,7 +98,7 @@
 	},
 	{
 		minimalFile + "[binary]\n[[route]]\nclass = \"read\"\nuser = \"till\"\n",
-		`route[0].user cannot be "till": binary.users is missing`,
+		`route[0].user cannot be "till": binary.users names no valid file`,
 	},
 	{minimalFile + "[binary]\n[[tenant]]\nname = \"a\"\n", "route is missing: binary clients name no tenant"},
 	{
--- a/internal/config/overload.go
+++ b/internal/config/overload.go
@@ -25,7 +25,7 @@
 	until := t.text("pin_until", "", anything)
 	switch {
 	case t.has("pin") != t.has("pin_until"):
-		t.add("pin", "must be set together with %s", t.key("pin_until"))
+		t.add("pin", "must be set together with %s: a pinned level needs an end", t.key("pin_until"))
 	case t.has("pin"):
 		end, err := time.Parse(time.RFC3339, until)
 		if err != nil || time.Until(end) > maxPin {
--- a/internal/doccheck/logs_test.go
+++ b/internal/doccheck/logs_test.go
@@ -115,9 +115,9 @@
 	return "", ""
 }
 
-// loggers are the suffixes, in lower case, of the names of fields and variables that log: loggers and the event
+// loggerSuffixes are the suffixes, in lower case, of the names of fields and variables that log: loggers and the event
 // recorder.
-var loggers = []string{"log", "logger", "recorder"}
+var loggerSuffixes = []string{"log", "logger", "recorder"}
 
 // logLevel returns the level at which a call logs. ok is false if the call is not that of a logger.
 func logLevel(call *ast.CallExpr) (level string, ok bool) {
@@ -132,8 +132,8 @@
 	case *ast.SelectorExpr:
 		receiver = x.Sel.Name
 	}
-	isLogger := slices.ContainsFunc(loggers, func(end string) bool {
-		return strings.HasSuffix(strings.ToLower(receiver), end)
+	isLogger := slices.ContainsFunc(loggerSuffixes, func(suffix string) bool {
+		return strings.HasSuffix(strings.ToLower(receiver), suffix)
 	})
 	level, ok = levels[method.Sel.Name]
 	return level, ok && isLogger
