--- a/internal/lease/agent/client.go
+++ b/internal/lease/agent/client.go
@@ -15,7 +15,7 @@
 	"mulleinpier/internal/peer/rpc"
 )
 
-// executeRetryDelay separates two attempts to have a command carried out.
+// executeRetryDelay is the delay between two attempts of Execute.
 const executeRetryDelay = 50 * time.Millisecond
 
 // Client sends requests to the voters of a fleet. It is safe for concurrent use.
@@ -27,7 +27,7 @@
 	leader int // index in fleet.Voters of the presumed leader
 }
 
-// NewClient returns a client of a fleet.
+// NewClient returns a client of a fleet's voters, or an error if the fleet is invalid.
 func NewClient(f Fleet) (*Client, error) {
 	if err := f.Validate(); err != nil {
 		return nil, err
@@ -35,11 +35,11 @@
 	return &Client{fleet: f, http: rpc.NewClient(0)}, nil
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// send sends a request once, to the presumed leader. A voter that does not lead says which one does; after one that
-// does not answer, the next is presumed to lead.
+// send sends a request once, to the presumed leader. If that voter does not decide, the other voter that it names is
+// presumed to lead; if it does not answer or names none, the next one in the list is.
 func (c *Client) send(ctx context.Context, command lease.Command, token uint64) (Reply, error) {
 	c.mu.Lock()
 	leader := c.leader
@@ -59,8 +59,8 @@
 	return reply, err
 }
 
-// Execute has a command carried out: it sends it until a voter that can decide has answered, or ctx ends. A rejection
-// is an error.
+// Execute sends a command until a voter has decided on it, or ctx ends. If the command is rejected, the error has the
+// text of the voter's.
 func (c *Client) Execute(ctx context.Context, command lease.Command) (Reply, error) {
 	for {
 		reply, err := c.send(ctx, command, 0)
@@ -72,13 +72,12 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Reply{}, errors.Join(errors.New("lease: no voter that can decide has answered"), err)
+			return Reply{}, errors.Join(errors.New("lease: no voter has decided on the command"), err)
 		case <-time.After(executeRetryDelay):
 		}
 	}
 }
 
-// fetchState asks one voter for its state.
 func (c *Client) fetchState(ctx context.Context, voter VoterAddress) (s VoterState, err error) {
 	url := "http://" + voter.Address + statePath
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -93,7 +92,7 @@
 	return s, json.NewDecoder(io.LimitReader(response.Body, rpc.MaxBodyBytes)).Decode(&s)
 }
 
-// VoterStates asks each voter for its state; a voter that does not answer is left out.
+// VoterStates returns the state of each voter that answers.
 func (c *Client) VoterStates(ctx context.Context) (list []VoterState) {
 	for _, voter := range c.fleet.Voters {
 		if s, err := c.fetchState(ctx, voter); err == nil {
@@ -103,16 +102,16 @@
 	return list
 }
 
-// Members returns the fleet's instances as most of those voters see them that answer before ctx ends, and how many
-// voters have answered.
+// Members returns the fleet's instances as the majority sees them of the voters that answer before ctx ends, and the
+// number of those voters.
 func (c *Client) Members(ctx context.Context) (list []peer.MemberState, answered int) {
 	states := make([]VoterState, len(c.fleet.Voters))
 	errs := make([]error, len(c.fleet.Voters))
-	var tasks sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for i, voter := range c.fleet.Voters {
-		tasks.Go(func() { states[i], errs[i] = c.fetchState(ctx, voter) })
+		goroutines.Go(func() { states[i], errs[i] = c.fetchState(ctx, voter) })
 	}
-	tasks.Wait()
+	goroutines.Wait()
 	for _, err := range errs {
 		if err == nil {
 			answered++
@@ -127,7 +126,7 @@
 	return view.Members(), answered
 }
 
-// LeaderState returns the leader's state, or, where no voter that answers leads, the state of the first that answers.
+// LeaderState returns the state of the leader or, if no voter that answers leads, of the first voter that answers.
 func (c *Client) LeaderState(ctx context.Context) (VoterState, error) {
 	var first VoterState
 	var errs error
--- a/internal/lease/agent/clock.go
+++ b/internal/lease/agent/clock.go
@@ -9,11 +9,12 @@
 
 var (
 	processStart = time.Now()
-	// totalSleepOverride replaces clock.TotalSleep in fault tests; nil in service.
+	// totalSleepOverride replaces clock.TotalSleep in fault tests; it is nil in production.
 	totalSleepOverride atomic.Pointer[func() time.Duration]
 )
 
-// Now returns the time by the leases' clock, since the start of the process. It counts the machine's sleep.
+// Now returns the time by the leases' clock: the time since the start of the process, plus how long the machine has
+// slept since boot. Only differences of two readings in one process mean anything.
 func Now() time.Duration {
 	totalSleep := clock.TotalSleep
 	if override := totalSleepOverride.Load(); override != nil {
@@ -22,5 +23,6 @@
 	return time.Since(processStart) + totalSleep()
 }
 
-// OverrideTotalSleep replaces how long the machine has slept in all. It is for fault tests, at the start of a process.
+// OverrideTotalSleep replaces the function that reports how long the machine has slept in total. It is for fault tests,
+// which call it at the start of a process.
 func OverrideTotalSleep(totalSleep func() time.Duration) { totalSleepOverride.Store(&totalSleep) }
--- a/internal/lease/agent/guard.go
+++ b/internal/lease/agent/guard.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// ErrExpiredDuringAction says that an action went on after its lease had ended.
+// ErrExpiredDuringAction says that an action was still running when its lease ended.
 var ErrExpiredDuringAction = errors.New("lease: the action outlived the lease")
 
-// RunGuarded is the fencing guard: it runs an action under the fencing token if the lease is valid, and checks again
-// afterwards. The action's context ends when the lease does. For an action that has outlived its lease the error is
-// [ErrExpiredDuringAction]: it acted for a while without the lease, and only a resource that compares tokens has
-// rejected what it did in that time.
+// RunGuarded is the fencing guard: it runs an action with the fencing token if the lease is valid, and checks the lease
+// again afterwards. The action's context ends when the lease does. If the action has outlived the lease, the error is
+// [ErrExpiredDuringAction]: it acted without the lease for a while, and only a resource that compares tokens has
+// rejected what it did in that time. Without a valid lease the action is not run, and the error is [ErrLeaseLost].
 func (h *Holder) RunGuarded(ctx context.Context, action func(ctx context.Context, token uint64) error) error {
 	h.mu.Lock()
 	token, ok := h.session.Valid(Now())
@@ -26,8 +26,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	lost := h.Lost(ctx)
-	h.tasks.Go(func() {
-		<-lost // closed with ctx at the latest
+	h.goroutines.Go(func() {
+		<-lost // closed when ctx ends, at the latest
 		cancel()
 	})
 	err := action(ctx, token)
@@ -35,20 +35,20 @@
 	defer h.mu.Unlock()
 	h.activeActions--
 	h.releaseWhenIdle(ctx)
-	if Now() >= h.session.ValidUntil() { // the voters wait until then for a grant that was revoked meanwhile
+	if Now() >= h.session.ValidUntil() { // not Valid: until then, the voters also keep a revoked grant
 		return errors.Join(err, ErrExpiredDuringAction)
 	}
 	return err
 }
 
-// Lost returns a channel that is closed when the task is not held any more, by this process's own clock.
+// Lost returns a channel that is closed when the task is no longer held, by this process's own clock, or ctx ends.
 func (h *Holder) Lost(ctx context.Context) <-chan struct{} { return h.LostBefore(ctx, 0) }
 
-// LostBefore is Lost for a process that needs time to stop: the channel is closed so long before the end, unless the
-// lease is renewed.
+// LostBefore is like Lost, for a process that needs time to stop: the channel is closed when no more than early is left
+// of the lease, unless the lease is renewed.
 func (h *Holder) LostBefore(ctx context.Context, early time.Duration) <-chan struct{} {
 	lost := make(chan struct{})
-	h.tasks.Go(func() {
+	h.goroutines.Go(func() {
 		defer close(lost)
 		for {
 			h.mu.Lock()
--- a/internal/lease/agent/handlers.go
+++ b/internal/lease/agent/handlers.go
@@ -20,13 +20,13 @@
 	return mux
 }
 
-// serveMessages takes another voter's messages.
+// serveMessages receives messages from another voter.
 func (v *Voter) serveMessages(w http.ResponseWriter, r *http.Request) {
 	var batch voterMessages
 	if !rpc.ReadRequest(w, r, v.fleet.Name, &batch) {
 		return
 	}
-	v.noteSender(batch.From, batch.VoterID)
+	v.recordSender(batch.From, batch.VoterID)
 	for _, data := range batch.Messages {
 		m, err := quorum.Decode(data)
 		if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// serveRequest takes a request of a holder or an operator.
+// serveRequest handles a request from a holder or an operator.
 func (v *Voter) serveRequest(w http.ResponseWriter, r *http.Request) {
 	var in Request
 	if !rpc.ReadRequest(w, r, v.fleet.Name, &in) {
@@ -80,7 +80,7 @@
 	json.NewEncoder(w).Encode(s)
 }
 
-// queryState asks the loop for its state.
+// queryState gets this voter's state from the loop. It reports false if ctx ends first.
 func (v *Voter) queryState(ctx context.Context) (VoterState, bool) {
 	reply := make(chan VoterState, 1)
 	select {
@@ -96,7 +96,7 @@
 	}
 }
 
-// state returns this voter's state. It runs in the loop, and copies what the loop changes.
+// state returns this voter's state. It runs in the loop, and copies what the loop may change later.
 func (v *Voter) state() VoterState {
 	machine, now := v.replica.StateMachine(), Now()
 	s := VoterState{
--- a/internal/lease/agent/holder.go
+++ b/internal/lease/agent/holder.go
@@ -17,21 +17,22 @@
 // minWakeup is the shortest time between two timer events of a session.
 const minWakeup = time.Millisecond
 
-// Holder is this process's part in one task. It is safe for concurrent use.
+// Holder acquires one task for this process, and then keeps the lease renewed. It is safe for concurrent use.
 type Holder struct {
 	client *Client
 
 	mu             sync.Mutex
 	session        *lease.Session
-	changed        chan struct{}  // closed with the next change
+	changed        chan struct{}  // closed at the next change
 	endOutcome     lease.Outcome  // set when the session finishes
-	activeActions  int            // calls of RunGuarded under way
+	activeActions  int            // calls of RunGuarded in progress
 	pendingRelease *lease.Command // sent once no action runs under the grant any more
 	stop           context.CancelFunc
-	tasks          sync.WaitGroup
+	goroutines     sync.WaitGroup
 }
 
-// Hold requests a task, and waits in its queue if wait is set. [Holder.Close] ends it.
+// Hold requests a task and, if wait is set, waits in the queue while others hold it. The caller ends it with
+// [Holder.Close] or [Holder.Abandon].
 func (c *Client) Hold(
 	ctx context.Context, task, name string, duration time.Duration, wait bool,
 ) (*Holder, error) {
@@ -50,11 +51,11 @@
 		changed: make(chan struct{}),
 		stop:    stop,
 	}
-	h.tasks.Go(func() { h.run(ctx) })
+	h.goroutines.Go(func() { h.run(ctx) })
 	return h, nil
 }
 
-// run gives the session its timer events until it is finished.
+// run passes timer events to the session until it is finished, or ctx ends.
 func (h *Holder) run(ctx context.Context) {
 	for {
 		h.mu.Lock()
@@ -75,12 +76,12 @@
 	}
 }
 
-// perform carries out the session's actions. h.mu is held.
+// perform carries out the session's actions. The caller holds h.mu.
 func (h *Holder) perform(ctx context.Context, actions []lease.SessionAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case lease.SendRequest:
-			h.tasks.Go(func() { h.sendRequest(ctx, a) })
+			h.goroutines.Go(func() { h.sendRequest(ctx, a) })
 		case lease.SendRelease:
 			h.pendingRelease = &a.Command
 		case lease.Ended:
@@ -93,7 +94,7 @@
 	}
 }
 
-// sendRequest sends a request and gives the session the response.
+// sendRequest sends a request and passes the response to the session.
 func (h *Holder) sendRequest(ctx context.Context, request lease.SendRequest) {
 	reply, err := h.client.send(ctx, request.Command, request.Token)
 	if err != nil {
@@ -106,29 +107,30 @@
 	h.notify()
 }
 
-// releaseWhenIdle sends the release once no action is under way, so that waiters need not wait for the lease to
-// expire. If sending fails, it expires. h.mu is held.
+// releaseWhenIdle sends the pending release once no action is running, so that waiters need not wait for the lease to
+// expire. If sending fails, the lease expires. The caller holds h.mu.
 func (h *Holder) releaseWhenIdle(ctx context.Context) {
 	if h.pendingRelease == nil || h.activeActions > 0 {
 		return
 	}
 	command := *h.pendingRelease
 	h.pendingRelease = nil
-	h.tasks.Go(func() {
+	h.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), rpc.ExchangeTimeout)
 		defer cancel()
 		h.client.Execute(ctx, command)
 	})
 }
 
-// notify wakes those who wait for a change. h.mu is held.
+// notify wakes up all goroutines that wait for a change. The caller holds h.mu.
 func (h *Holder) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// Await waits until the task is held, and returns the fencing token. The error is [lease.ErrHeld] where others hold the
-// task and this process does not wait, and [ErrLeaseLost] where the lease has ended.
+// Await waits until the task is held, and returns the fencing token. The error is [lease.ErrHeld] if the request was
+// rejected, usually because others hold the task and this process does not wait, and [ErrLeaseLost] if the lease has
+// ended.
 func (h *Holder) Await(ctx context.Context) (token uint64, err error) {
 	for {
 		h.mu.Lock()
@@ -151,18 +153,18 @@
 	}
 }
 
-// Abandon ends this process's part without releasing the lease: the task is held until the lease runs out, or another
-// process releases it.
+// Abandon stops the renewals without releasing the lease: the task is held until the lease expires, or another process
+// releases it.
 func (h *Holder) Abandon() {
 	h.stop()
-	h.tasks.Wait()
+	h.goroutines.Wait()
 }
 
-// Close releases the lease and ends.
+// Close releases the lease, or leaves the queue, and waits until the holder's goroutines have ended.
 func (h *Holder) Close() {
 	h.mu.Lock()
 	h.perform(context.Background(), h.session.Handle(Now(), lease.ReleaseRequested{}, nil))
 	h.mu.Unlock()
 	h.stop()
-	h.tasks.Wait()
+	h.goroutines.Wait()
 }
--- a/internal/lease/agent/holder_test.go
+++ b/internal/lease/agent/holder_test.go
@@ -155,11 +155,11 @@
 		acting.Add(-1)
 		return nil
 	}
-	var tasks sync.WaitGroup
+	var goroutines sync.WaitGroup
 	slots := make(chan struct{}, concurrentContenders)
 	for i := range contenders {
 		c := f.client()
-		tasks.Go(func() {
+		goroutines.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			ctx, cancel := context.WithTimeout(context.Background(), 4*testutil.Timeout)
@@ -179,7 +179,7 @@
 			}
 		})
 	}
-	tasks.Wait()
+	goroutines.Wait()
 	if actions.Load() != contenders || maxActing.Load() != 1 {
 		t.Errorf("%d actions, %d at a time", actions.Load(), maxActing.Load())
 	}
--- a/internal/lease/agent/links.go
+++ b/internal/lease/agent/links.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// maxQueuedMessages bounds the messages queued for another voter; more are dropped, and sent again by raft.
+	// maxQueuedMessages limits the messages queued for each other voter; raft sends again what is dropped.
 	maxQueuedMessages = 256
-	// maxBatchBytes is the size from which no further message is added to a batch.
+	// maxBatchBytes is the size at which no further message is added to a batch.
 	maxBatchBytes = rpc.MaxBodyBytes / 4
-	// maxKnownSenders bounds Voter.senders.
+	// maxKnownSenders limits the size of Voter.senders.
 	maxKnownSenders = 64
 )
 
-// queueMessage queues a message for the voter that it is for.
+// queueMessage queues a message for its recipient, or drops it if there is no room.
 func (v *Voter) queueMessage(m *raftpb.Message) {
 	data, err := quorum.Encode(m)
 	if err != nil {
 		return
 	}
 	select {
-	case v.links[v.voterName(m.GetTo())] <- data:
+	case v.messageQueues[v.voterName(m.GetTo())] <- data:
 	default: // no voter of that name, or its queue is full
 	}
 }
 
-// voterName returns the name of a voter, "" for one that is not known. A voter that has just joined has an empty state
-// machine, and knows of the others by what they send.
+// voterName returns the name of the voter with an ID, "" if it is unknown. A voter that has just joined has an empty
+// state machine, and knows the others only from the messages that they send.
 func (v *Voter) voterName(id uint64) string {
 	if name := v.replica.StateMachine().Voters[id]; name != "" {
 		return name
@@ -41,8 +41,8 @@
 	return v.senders[id]
 }
 
-// noteSender remembers which voter sends under an ID.
-func (v *Voter) noteSender(name string, id uint64) {
+// recordSender records the name of the voter that sends under an ID.
+func (v *Voter) recordSender(name string, id uint64) {
 	if v.fleet.voterIndex(name) < 0 {
 		return
 	}
@@ -54,7 +54,7 @@
 	v.senders[id] = name
 }
 
-// sendMessages sends what is queued for another voter, in batches of what is there at a time.
+// sendMessages sends the messages queued for another voter, in batches of all that are queued, up to maxBatchBytes.
 func (v *Voter) sendMessages(ctx context.Context, to VoterAddress, queue <-chan []byte) {
 	for {
 		batch := voterMessages{Header: rpc.NewHeader(v.fleet.Name), From: v.name, VoterID: v.id}
@@ -69,6 +69,6 @@
 			batch.Messages = append(batch.Messages, data)
 			size += len(data)
 		}
-		rpc.Post(ctx, v.client, to.Address, messagesPath, batch, nil) // what is lost is sent again by raft
+		rpc.Post(ctx, v.client, to.Address, messagesPath, batch, nil) // raft sends lost messages again
 	}
 }
--- a/internal/lease/agent/protocol.go
+++ b/internal/lease/agent/protocol.go
@@ -6,14 +6,14 @@
 	"mulleinpier/internal/peer/rpc"
 )
 
-// Where a voter listens.
+// HTTP paths of a voter.
 const (
 	messagesPath = "/v1/raft"  // other voters' messages
 	requestPath  = "/v1/lease" // holders' and operators' requests
-	statePath    = "/v1/book"  // what the voter knows, as JSON
+	statePath    = "/v1/book"  // the VoterState, as JSON
 )
 
-// voterMessages is what voters send one another.
+// voterMessages is a batch of messages from one voter to another.
 type voterMessages struct {
 	rpc.Header
 	Messages [][]byte `cbor:"3,keyasint"`
@@ -21,7 +21,7 @@
 	VoterID  uint64   `cbor:"5,keyasint"` // of the sender
 }
 
-// Request is what holders and operators send a voter.
+// Request is a request from a holder or an operator to a voter.
 type Request struct {
 	rpc.Header
 	Command lease.Command `cbor:"3,keyasint"`
@@ -33,20 +33,20 @@
 	Outcome lease.Outcome `cbor:"1,keyasint"`
 	Token   uint64        `cbor:"2,keyasint,omitempty"`
 	Error   string        `cbor:"3,keyasint,omitempty"`
-	Leader  string        `cbor:"4,keyasint,omitempty"` // with NoAnswer: the voter to ask, "" where it is unknown
+	Leader  string        `cbor:"4,keyasint,omitempty"` // with NoAnswer: the voter to ask, "" if unknown
 }
 
-// VoterState is what a voter reports of itself.
+// VoterState is the state that a voter reports for display.
 type VoterState struct {
 	Voter        string              `json:"voter"`
 	VoterID      uint64              `json:"seat"`
-	Leader       string              `json:"leader"` // "" for none that it knows
+	Leader       string              `json:"leader"` // "" if unknown
 	IsLeader     bool                `json:"leads"`
-	HaltReason   string              `json:"down,omitempty"` // why it votes no more
+	HaltReason   string              `json:"down,omitempty"` // why it has halted
 	StateMachine *lease.StateMachine `json:"book"`
-	// SecondsLeft is how long each grant is kept yet, by fencing token. It is known on the leader alone.
+	// SecondsLeft is the time until each grant expires, by fencing token. It is up to date only on the leader.
 	SecondsLeft map[uint64]float64 `json:"left_s"`
 	Members     []peer.MemberState `json:"members"` // as this voter sees them
-	Traffic     rpc.Traffic        `json:"traffic"` // of its process
+	Traffic     rpc.Traffic        `json:"traffic"` // of the voter's process
 	DiskSyncs   int                `json:"saves"`
 }
--- a/internal/lease/agent/requests.go
+++ b/internal/lease/agent/requests.go
@@ -8,33 +8,32 @@
 )
 
 const (
-	// maxHeldResponses bounds the waiters whose responses are held.
+	// maxHeldResponses limits the waiters whose responses are held.
 	maxHeldResponses = 4096
-	// maxResponseDelay is how long a waiter's response is held.
+	// maxResponseDelay is how long a waiter's response is held at most.
 	maxResponseDelay = 250 * time.Millisecond
 )
 
-// pendingRequest is one that the replica has not answered.
+// pendingRequest is a request that the replica has not answered yet.
 type pendingRequest struct {
 	command   lease.Command
 	token     uint64 // of the grant to renew; 0 for a command
 	responses chan<- quorum.Response
 }
 
-// waiterKey names a waiter.
 type waiterKey struct {
 	task, holder string
 	nonce        uint64
 }
 
-// heldResponse is a response that is withheld from a waiter (long polling), so that it learns at once of its grant.
+// heldResponse is a delayed response to a waiter (long polling), so that the waiter learns of its grant at once.
 type heldResponse struct {
 	responses chan<- quorum.Response
 	until     time.Duration
 }
 
-// respond answers a request, or holds the response of one that waits in a queue. Holding it is safe: the waiter counts
-// its lease from when it sent the request.
+// respond answers a request, or holds the response if the sender is queued. Holding it is safe: the waiter counts its
+// lease from when it sent the request.
 func (v *Voter) respond(r pendingRequest, response quorum.Response) {
 	c := &r.command
 	if response.Outcome != lease.Queued || c.Kind != lease.Acquire || len(v.heldResponses) >= maxHeldResponses {
@@ -42,14 +41,14 @@
 		return
 	}
 	w := waiterKey{c.Task, c.Holder, c.Nonce}
-	if earlier, ok := v.heldResponses[w]; ok { // a repetition: the earlier request is answered now
+	if earlier, ok := v.heldResponses[w]; ok { // a repeated request: the earlier one is answered now
 		earlier.responses <- response
 	}
 	until := Now() + min(c.Duration/4, maxResponseDelay)
 	v.heldResponses[w] = heldResponse{r.responses, until}
 }
 
-// releaseHeldResponses answers the waiters whose responses were held long enough: they are still queued.
+// releaseHeldResponses answers with Queued the waiters whose responses were held long enough.
 func (v *Voter) releaseHeldResponses() {
 	now := Now()
 	for w, held := range v.heldResponses {
@@ -71,7 +70,7 @@
 	}
 }
 
-// dropHeldResponses answers all waiters that this voter can't decide any more: they ask another.
+// dropHeldResponses answers all held responses with NoAnswer, as this voter no longer leads: the waiters ask another.
 func (v *Voter) dropHeldResponses() {
 	for w, held := range v.heldResponses {
 		delete(v.heldResponses, w)
--- a/internal/lease/agent/storage.go
+++ b/internal/lease/agent/storage.go
@@ -17,11 +17,11 @@
 	recordHardState = "hard"
 	recordSnapshot  = "snapshot"
 	recordFleet     = "fleet"
-	recordVoterID   = "seat" // of a voter that joined later; the first ones find theirs in the snapshot
+	recordVoterID   = "seat" // only of a voter that joined later; a first voter's ID is in the snapshot
 )
 
-// InitVoter creates the file of one of a fleet's first voters, once for each ID: a voter that loses its file may not
-// vote again under the same ID, as it does not know what it has promised.
+// InitVoter creates the file of one of a fleet's first voters. It may be called only once for each ID: a voter that has
+// lost its file may not vote again under the same ID, as it does not know what it has promised.
 func InitVoter(path string, f *Fleet) error {
 	if err := f.Validate(); err != nil {
 		return err
@@ -61,7 +61,7 @@
 	return store.Create(path, c)
 }
 
-// storageChange converts what is to be saved into a change of the store.
+// storageChange converts a state that is to be saved into a change of the store.
 func storageChange(s quorum.PersistentState) (c store.Change, err error) {
 	c.Named = make(map[string][]byte)
 	if s.HardState != nil {
@@ -88,7 +88,7 @@
 	return c, nil
 }
 
-// loadState reads what a voter has saved, and its ID if it joined later.
+// loadState reads the saved state of a voter, and its ID if it joined later, else 0.
 func loadState(l *store.Log, fleet string) (s quorum.PersistentState, id uint64, err error) {
 	named, records, err := l.Load()
 	if err != nil {
--- a/internal/lease/agent/voter.go
+++ b/internal/lease/agent/voter.go
@@ -18,7 +18,7 @@
 	"mulleinpier/internal/store"
 )
 
-// Bounds of what waits for a voter's loop.
+// Sizes of the queues to a voter's loop.
 const (
 	maxQueuedEvents        = 256
 	maxQueuedRequests      = 1024
@@ -26,13 +26,13 @@
 )
 
 const (
-	// maxConnections bounds the connections to each other voter.
+	// maxConnections limits the connections to each other voter.
 	maxConnections = 4
-	// writeTimeout is longer than a heartbeat's or a waiter's response is ever held.
+	// writeTimeout is longer than the response to a heartbeat or a waiter is ever held.
 	writeTimeout = 3 * time.Second
 )
 
-// Voter is one voter of a fleet's leases in a real process.
+// Voter is one voter of a fleet's leases, with its file and its connections to the other voters.
 type Voter struct {
 	fleet      Fleet
 	name       string
@@ -45,24 +45,24 @@
 	events        chan quorum.Event
 	requests      chan pendingRequest
 	stateRequests chan chan VoterState
-	links         map[string]chan []byte // encoded messages, by the name of the voter that they are for
+	messageQueues map[string]chan []byte // encoded messages, by name of the receiving voter
 
-	// These belong to Run's loop.
+	// The following fields are used only by Run's loop.
 	replica       *quorum.Replica
 	pending       map[uint64]pendingRequest // by request ID
 	lastRequestID uint64
 	heldResponses map[waiterKey]heldResponse
-	haltError     error // once the replica has halted
+	haltError     error // set once the replica has halted
 	diskSyncs     int   // since the voter was opened
 
 	mu      sync.Mutex
-	senders map[uint64]string // names of the voters that messages came from, by ID
+	senders map[uint64]string // names of the voters that have sent messages, by ID
 
-	// beforeSave, if set, is called before each save; it is for tests of disks that fail.
+	// beforeSave, if set, is called before each save; tests simulate failing disks with it.
 	beforeSave func() error
 }
 
-// Open opens a voter's file. Without a file there is no voter, and the error is [store.ErrNotFound].
+// Open returns the voter of a file. If the file does not exist, the error is [store.ErrNotFound].
 func Open(path string, f Fleet, name string, log *slog.Logger) (*Voter, error) {
 	if err := f.Validate(); err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 		events:        make(chan quorum.Event, maxQueuedEvents),
 		requests:      make(chan pendingRequest, maxQueuedRequests),
 		stateRequests: make(chan chan VoterState, maxQueuedStateRequests),
-		links:         make(map[string]chan []byte),
+		messageQueues: make(map[string]chan []byte),
 		replica:       replica,
 		pending:       make(map[uint64]pendingRequest),
 		heldResponses: make(map[waiterKey]heldResponse),
@@ -118,33 +118,33 @@
 	}, nil
 }
 
-// Close closes a voter that was never run.
+// Close closes the file of a voter that was never run.
 func (v *Voter) Close() error { return v.store.Close() }
 
-// Run runs the voter on a listener of its own until ctx ends, and closes it.
+// Run runs the voter on a listener until ctx ends, and then closes the listener and the voter's file.
 func (v *Voter) Run(ctx context.Context, listener net.Listener) {
-	var tasks sync.WaitGroup
+	var goroutines sync.WaitGroup
 	server := rpc.NewServer(v.handler(), writeTimeout)
 	server.ConnContext = v.heartbeats.ConnContext
 	server.ConnState = v.heartbeats.ConnState
 	for _, to := range v.fleet.Voters {
 		if to.Name != v.name {
 			queue := make(chan []byte, maxQueuedMessages)
-			v.links[to.Name] = queue
-			tasks.Go(func() { v.sendMessages(ctx, to, queue) })
+			v.messageQueues[to.Name] = queue
+			goroutines.Go(func() { v.sendMessages(ctx, to, queue) })
 		}
 	}
-	tasks.Go(func() { server.Serve(listener) })
-	tasks.Go(func() { v.heartbeats.Run(ctx) })
+	goroutines.Go(func() { server.Serve(listener) })
+	goroutines.Go(func() { v.heartbeats.Run(ctx) })
 	v.loop(ctx)
 	v.heartbeats.Stop()
 	server.Close()
-	tasks.Wait()
+	goroutines.Wait()
 	v.client.CloseIdleConnections()
 	v.store.Close()
 }
 
-// loop runs in the one goroutine that owns the replica.
+// loop handles all events and requests, in the one goroutine that owns the replica.
 func (v *Voter) loop(ctx context.Context) {
 	ticker := time.NewTicker(quorum.TickInterval)
 	defer ticker.Stop()
@@ -167,7 +167,7 @@
 	}
 }
 
-// handle passes an event to the replica and carries out its actions. A save brings the next event.
+// handle passes an event to the replica and carries out its actions. The result of a save is the next event.
 func (v *Voter) handle(event quorum.Event) {
 	for event != nil {
 		actions := v.replica.Handle(Now(), event)
@@ -180,7 +180,7 @@
 	}
 }
 
-// perform carries out one action of the replica, and returns the event that follows from a save, else nil.
+// perform carries out one action of the replica. It returns the result of a save as the next event, else nil.
 func (v *Voter) perform(action quorum.Action) quorum.Event {
 	switch a := action.(type) {
 	case quorum.Save:
@@ -227,7 +227,7 @@
 	return v.store.Save(c)
 }
 
-// compactLog saves a snapshot and drops the entries up to it. Where that fails the log only stays longer.
+// compactLog saves a snapshot and drops the entries up to it. If that fails, the log only stays longer.
 func (v *Voter) compactLog(a quorum.CompactLog) {
 	c, err := storageChange(quorum.PersistentState{Snapshot: a.Snapshot})
 	if err == nil {
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,24 +1,24 @@
 // Package lease decides which process of a fleet holds a task, and until when. It does no I/O and reads no clock: its
-// callers pass the time with each event. Three parts know each other by messages only:
+// callers pass the time with each event. Its three types communicate only through messages:
 //
 //   - [StateMachine] is the replicated table of grants, waiters and the last fencing token. It has no notion of time.
-//   - [ExpiryManager] runs on the voter that leads: it decides when a grant may be taken back.
+//   - [ExpiryManager] runs on the leading voter: it decides when a grant has expired.
 //   - [Session] runs in the process that wants the lease: it decides until when that process may act.
 //
-// Package quorum replicates the state machine, package agent runs voters and holders in real processes.
+// Package quorum replicates the state machine; package agent runs voters and holders in real processes.
 //
-// Guarantees, as long as clocks run within [Parameters.MaxClockDrift] of one another and voters remember what they
-// have promised:
+// Guarantees, as long as no clock runs fast or slow by more than [Parameters.MaxClockDrift] and no voter loses saved
+// state:
 //
-//  1. No more than a task's MaxHolders sessions are valid at any moment.
-//  2. Every grant's fencing token is higher than those of all grants before it, of any task, for ever.
-//  3. A holder's lease ends by its own clock before it ends on the voters: a task is granted anew only after its last
+//  1. At most MaxHolders sessions of a task are valid at any moment.
+//  2. A grant's fencing token is higher than those of all earlier grants of any task; no token is ever used again.
+//  3. A lease ends by its holder's clock before it ends on the voters: a task is granted again only after its last
 //     holder has stopped.
-//  4. A grant that is revoked is waited out, never believed to be over early.
-//  5. The same request, sent twice or late, gets one grant.
+//  4. A revoked grant stays in force until it expires or is released; voters never assume that it has ended early.
+//  5. A request that is repeated while its grant or its place in the queue exists gets no second grant.
 //
-// It does not promise that nothing happens between a process's check of its session and its action. The resource has to
-// compare fencing tokens; where it can't, the gap that docs/design/lease.md describes remains.
+// A process can still be held up between the check of its session and its action, and then act without the lease. The
+// resource has to compare fencing tokens; if it can't, the gap that docs/design/lease.md describes remains.
 //
 // The types are not safe for concurrent use and start no goroutines; each belongs to its caller.
 package lease
--- a/internal/lease/expiry.go
+++ b/internal/lease/expiry.go
@@ -5,35 +5,34 @@
 	"time"
 )
 
-// maxUnconfirmedRenewals bounds the renewals that wait for a confirmation of leadership.
+// maxUnconfirmedRenewals limits the renewals that wait for a confirmation of leadership.
 const maxUnconfirmedRenewals = 4096
 
 // ExpiryManager tracks lease deadlines on the leader. A new leader does not know when its predecessor last renewed a
 // lease, so it restarts the full duration of every lease that it inherits.
 type ExpiryManager struct {
 	parameters          Parameters
-	machine             *StateMachine // applied to by the caller
+	machine             *StateMachine // the caller applies the commands
 	leading             bool
 	deadlines           map[uint64]leaseDeadline // by fencing token
 	waiterLastSeen      map[waiterKey]time.Duration
-	unconfirmedRenewals []renewal // in the order of their sequences
+	unconfirmedRenewals []renewal // in order of sequence
 	lastSequence        uint64
 }
 
-// leaseDeadline is when a grant may be taken back.
+// leaseDeadline says when a grant expires on the voters.
 type leaseDeadline struct {
 	task     string
 	at       time.Duration
-	expiring bool // its Expire has been proposed: it is not renewed any more
+	expiring bool // an Expire was proposed: the grant can't be renewed any more
 }
 
-// waiterKey names a waiter.
 type waiterKey struct {
 	task, holder string
 	nonce        uint64
 }
 
-// renewal is one that waits for the confirmation that this voter still leads.
+// renewal is a requested renewal that waits for the confirmation that this voter still leads.
 type renewal struct {
 	sequence  uint64
 	requestID uint64
@@ -41,8 +40,8 @@
 	token     uint64
 }
 
-// NewExpiryManager returns the expiry manager of a voter. The caller applies commands to the state machine, and passes
-// each on as CommandApplied.
+// NewExpiryManager returns the expiry manager of a voter. The caller applies commands to the state machine, and reports
+// each one with a CommandApplied event.
 func NewExpiryManager(parameters Parameters, machine *StateMachine) *ExpiryManager {
 	return &ExpiryManager{
 		parameters:     parameters,
@@ -52,16 +51,16 @@
 	}
 }
 
-// IsLeader reports whether this voter believes that it leads; another may lead by now.
+// IsLeader reports whether this voter believes that it leads; another may already have taken over.
 func (m *ExpiryManager) IsLeader() bool { return m.leading }
 
-// TimeLeft returns how long until a grant expires, for display. It is known on the leader alone.
+// TimeLeft returns the time until a grant expires, for display. It is up to date only on the leader.
 func (m *ExpiryManager) TimeLeft(token uint64, now time.Duration) (time.Duration, bool) {
 	d, ok := m.deadlines[token]
 	return d.at - now, ok
 }
 
-// Handle handles an event that occurs at now, and appends the actions to out.
+// Handle handles an event that occurs at now, and appends the resulting actions to out.
 func (m *ExpiryManager) Handle(now time.Duration, event ExpiryEvent, out []ExpiryAction) []ExpiryAction {
 	switch e := event.(type) {
 	case LeadershipAcquired:
@@ -89,7 +88,7 @@
 	return out
 }
 
-// becomeLeader restarts the time of all grants and waiters.
+// becomeLeader restarts the deadlines of all grants and the timeouts of all waiters.
 func (m *ExpiryManager) becomeLeader(now time.Duration) {
 	m.leading = true
 	clear(m.deadlines)
@@ -108,7 +107,7 @@
 	m.deadlines[g.Token] = leaseDeadline{task: task, at: now + m.parameters.voterDuration(g.Duration)}
 }
 
-// stepDown answers the pending renewals: this voter can't know whether their grants are still valid.
+// stepDown answers the pending renewals with NoAnswer: this voter can't know whether their grants are still valid.
 func (m *ExpiryManager) stepDown(out []ExpiryAction) []ExpiryAction {
 	m.leading = false
 	for _, r := range m.unconfirmedRenewals {
@@ -118,7 +117,7 @@
 	return out
 }
 
-// commandApplied follows the grants and waiters that a command has made or ended.
+// commandApplied keeps track of the grants that a command has created or ended, and of the waiter that it has queued.
 func (m *ExpiryManager) commandApplied(now time.Duration, e *CommandApplied) {
 	for _, token := range e.Result.EndedTokens {
 		delete(m.deadlines, token)
@@ -134,8 +133,8 @@
 	}
 }
 
-// renew asks for a confirmation of leadership before it renews: a leader that was replaced without noticing must not.
-// A request that came before a confirmation was asked for is confirmed by it.
+// renew asks for a confirmation of leadership first: a leader that was replaced without noticing must not renew. A
+// confirmation covers all renewals that were requested before this voter asked for it.
 func (m *ExpiryManager) renew(e Renew, out []ExpiryAction) []ExpiryAction {
 	switch {
 	case !m.leading || len(m.unconfirmedRenewals) >= maxUnconfirmedRenewals:
@@ -148,7 +147,7 @@
 	return append(out, ConfirmLeadership{m.lastSequence})
 }
 
-// confirmRenewals carries out the renewals up to a sequence.
+// confirmRenewals completes the pending renewals up to a sequence.
 func (m *ExpiryManager) confirmRenewals(now time.Duration, sequence uint64, out []ExpiryAction) []ExpiryAction {
 	for len(m.unconfirmedRenewals) > 0 && m.unconfirmedRenewals[0].sequence <= sequence {
 		r := m.unconfirmedRenewals[0]
@@ -171,8 +170,8 @@
 	return m.leading && ok && !g.Revoked && !d.expiring && d.task == task
 }
 
-// proposeExpired proposes the end of the grants whose time is over, in the order of their tokens so that the same
-// events bring the same actions.
+// proposeExpired proposes an Expire for each grant whose deadline has passed, in order of token so that the same events
+// always produce the same actions.
 func (m *ExpiryManager) proposeExpired(now time.Duration, out []ExpiryAction) []ExpiryAction {
 	var expired []uint64
 	for token, d := range m.deadlines {
@@ -190,8 +189,8 @@
 	return out
 }
 
-// proposeWaiterReleases proposes to take waiters out of their queues that have sent nothing for the duration of their
-// lease. Two with the same nonce and holder names of the same length come in any order.
+// proposeWaiterReleases proposes to remove each waiter from its queue that has sent nothing for the duration of the
+// lease that it asks for. The order of two with the same nonce and equally long holder names is not fixed.
 func (m *ExpiryManager) proposeWaiterReleases(now time.Duration, out []ExpiryAction) []ExpiryAction {
 	var silent []waiterKey
 	for w, seen := range m.waiterLastSeen {
@@ -212,7 +211,7 @@
 	return out
 }
 
-// waiterTimeout returns how long a waiter may be silent; 0 for one that is in no queue.
+// waiterTimeout returns how long a waiter may go without sending a request; 0 if it is not queued.
 func (m *ExpiryManager) waiterTimeout(w waiterKey) time.Duration {
 	if t := m.machine.Tasks[w.task]; t != nil {
 		for _, x := range t.Waiters {
--- a/internal/lease/expiry_messages.go
+++ b/internal/lease/expiry_messages.go
@@ -4,11 +4,11 @@
 type ExpiryEvent interface{ expiryEvent() }
 
 type (
-	// LeadershipAcquired says that this voter leads, and has applied all that was decided before it did.
+	// LeadershipAcquired says that this voter leads, and has applied all entries committed before its term.
 	LeadershipAcquired struct{}
-	// LeadershipLost says that this voter does not lead, or can't know.
+	// LeadershipLost says that this voter does not lead, or can't know whether it does.
 	LeadershipLost struct{}
-	// CommandApplied says that the state machine has carried out a command.
+	// CommandApplied says that the state machine has applied a command.
 	CommandApplied struct {
 		Command Command
 		Result  Result
@@ -24,10 +24,10 @@
 		Task, Holder string
 		Nonce        uint64
 	}
-	// LeadershipConfirmed says that this voter still led after the ConfirmLeadership of this sequence, and those
-	// before it, had been asked for.
+	// LeadershipConfirmed says that this voter still led after it had emitted the ConfirmLeadership of this
+	// sequence, and all earlier ones.
 	LeadershipConfirmed struct{ Sequence uint64 }
-	// Tick has the deadlines checked.
+	// Tick makes the manager check all deadlines and timeouts.
 	Tick struct{}
 )
 
@@ -39,19 +39,19 @@
 func (LeadershipConfirmed) expiryEvent() {}
 func (Tick) expiryEvent()                {}
 
-// ExpiryAction is what an [ExpiryManager] wants done.
+// ExpiryAction is an output of an [ExpiryManager], which its caller carries out.
 type ExpiryAction interface{ expiryAction() }
 
 type (
-	// ConfirmLeadership asks whether this voter still leads, as of now.
+	// ConfirmLeadership asks for a confirmation that this voter still leads now.
 	ConfirmLeadership struct{ Sequence uint64 }
-	// RenewalResult answers a Renew. Granted makes the holder count its lease anew from when it sent the request;
-	// NotHeld says that it does not hold the task any more, NoAnswer that this voter can't know.
+	// RenewalResult answers a Renew. With Granted, the holder counts its lease from when it sent the request;
+	// NotHeld says that it no longer holds the task, NoAnswer that this voter can't know.
 	RenewalResult struct {
 		RequestID uint64
 		Outcome   Outcome
 	}
-	// Propose puts a command before the voters.
+	// Propose asks to propose a command to the voters.
 	Propose struct{ Command Command }
 )
 
--- a/internal/lease/parameters.go
+++ b/internal/lease/parameters.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Parameters are the timing rules that holders and voters must have in common.
+// Parameters are the timing rules of leases. Holders and voters must use the same values.
 type Parameters struct {
 	// MaxClockDrift is the fraction by which a process's clock may run fast or slow.
 	MaxClockDrift float64
-	// SafetyMargin separates the end of a lease on its holder from its end on the voters.
+	// SafetyMargin shortens a lease on its holder and extends it on the voters, so that it ends on the holder first.
 	SafetyMargin time.Duration
 	// MinDuration and MaxDuration bound the duration of a lease.
 	MinDuration time.Duration
 	MaxDuration time.Duration
 }
 
-// DefaultParameters are the parameters of all processes in service.
+// DefaultParameters are the parameters of all processes in production.
 var DefaultParameters = Parameters{
 	MaxClockDrift: 0.05,
 	SafetyMargin:  20 * time.Millisecond,
@@ -21,13 +21,13 @@
 	MaxDuration:   time.Hour,
 }
 
-// voterDuration returns how long a voter keeps a grant, by its own clock: by then the holder has stopped, even if its
-// clock is slow.
+// voterDuration returns how long a voter keeps a grant, by its own clock. By then the holder has stopped, even if the
+// holder's clock is slow.
 func (p Parameters) voterDuration(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration)*(1+p.MaxClockDrift)) + p.SafetyMargin
 }
 
-// holderDuration returns how long a holder may act, by its own clock, from when it sent its request.
+// holderDuration returns how long a holder may act, by its own clock, counted from when it sent its request.
 func (p Parameters) holderDuration(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration)*(1-p.MaxClockDrift)) - p.SafetyMargin
 }
--- a/internal/lease/permit.go
+++ b/internal/lease/permit.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// This file decides what a process does about permits: leases that let it drain or reload, of which a fleet has few at
-// a time.
+// This file has the rules of permits: leases that allow a process to drain or reload. A fleet has only a few at a time,
+// so that only a few processes restart at once.
 
 const (
 	// PermitTask is the task whose holders may drain or reload.
 	PermitTask = "restart"
-	// PermitDuration is the lease duration of a permit. Others wait that long after a holder that ended without
-	// releasing it.
+	// PermitDuration is the lease duration of a permit. If a holder ends without releasing its permit, others wait
+	// that long.
 	PermitDuration = 10 * time.Second
 )
 
@@ -22,7 +22,7 @@
 	return name + "/" + strconv.Itoa(pid) + "/" + strconv.FormatUint(nonce, 16)
 }
 
-// parseHolderName splits what HolderName has joined. The process's own name may contain slashes.
+// parseHolderName splits a name made by HolderName. The process's own name may contain slashes.
 func parseHolderName(holder string) (name string, pid int, ok bool) {
 	rest, _, hasNonce := cutLast(holder)
 	name, number, hasPID := cutLast(rest)
@@ -38,9 +38,9 @@
 	return s[:i], s[i+1:], true
 }
 
-// OrphanedTokens returns the fencing tokens of a task's grants that earlier processes of a name did not release:
-// processes that do not run on this machine any more, self excepted. Their successor releases these once it serves, as
-// a permit covers a restart to its end. A process that still runs releases its own.
+// OrphanedTokens returns the fencing tokens of a task's orphaned grants: those of earlier processes with the given name
+// that no longer run on this machine. Grants of the process self are left out. The successor releases orphaned grants
+// once it serves, because a permit covers a restart to its end. A process that still runs releases its own.
 func OrphanedTokens(t *Task, name string, self int, isRunning func(pid int) bool) (tokens []uint64) {
 	if t == nil {
 		return nil
@@ -59,12 +59,12 @@
 
 // The verdicts.
 const (
-	KeepWaiting PermitVerdict = iota // and serve meanwhile
+	KeepWaiting PermitVerdict = iota // the process serves meanwhile
 	ProceedWithoutPermit
 )
 
-// DecideWithoutPermit decides for a process that has waited for a permit in vain so far. One that insists on a permit
-// waits for ever; any other goes on without one after maxWait.
+// DecideWithoutPermit decides what a process does that still waits for a permit. With insist, it waits without limit;
+// otherwise it proceeds without a permit after maxWait.
 func DecideWithoutPermit(waited, maxWait time.Duration, insist bool) PermitVerdict {
 	switch {
 	case insist, waited < maxWait:
--- a/internal/lease/quorum/apply.go
+++ b/internal/lease/quorum/apply.go
@@ -15,7 +15,7 @@
 const (
 	// snapshotInterval is how many entries are applied between two snapshots.
 	snapshotInterval = 2000
-	// keptEntries are kept from before a snapshot, for voters that are a little behind.
+	// keptEntries is how many entries before a snapshot stay in the log, for voters that are slightly behind.
 	keptEntries = 200
 )
 
@@ -52,7 +52,7 @@
 	return ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot)
 }
 
-// saveCompleted sends and applies what was waiting to be saved.
+// saveCompleted sends the messages and applies the entries that waited for the save.
 func (r *Replica) saveCompleted() {
 	if r.saving == nil {
 		return
@@ -83,7 +83,7 @@
 	r.compact()
 }
 
-// apply carries out a committed entry. An entry without a readable command is passed over, by every voter alike.
+// apply applies a committed entry. Every voter skips an entry without a readable command.
 func (r *Replica) apply(e *raftpb.Entry) {
 	r.applied = e.GetIndex()
 	r.checkLeadershipAcquired(e)
@@ -91,7 +91,7 @@
 	var entry logEntry
 	if len(data) == 0 || cbor.Unmarshal(data, &entry) != nil {
 		if change != nil {
-			r.node.ApplyConfChange(&raftpb.ConfChange{}) // ends the change of voters without an effect
+			r.node.ApplyConfChange(&raftpb.ConfChange{}) // ends the change of voters without effect
 		}
 		return
 	}
@@ -106,8 +106,8 @@
 	r.answerProposal(&entry, &result)
 }
 
-// checkLeadershipAcquired begins to lead with the first committed entry of this voter's own term: all that was decided
-// before the term lies before that entry.
+// checkLeadershipAcquired makes this voter lead from the first committed entry of its own term on: all entries
+// committed before the term precede that entry.
 func (r *Replica) checkLeadershipAcquired(e *raftpb.Entry) {
 	status := r.node.BasicStatus()
 	if !r.leading && status.RaftState == raft.StateLeader && e.GetTerm() == status.GetTerm() {
@@ -117,7 +117,7 @@
 	}
 }
 
-// decodeEntryData returns the encoded logEntry of an entry, and its change of voters, if it is one.
+// decodeEntryData returns the encoded logEntry of an entry, and the change of voters if the entry is one.
 func decodeEntryData(e *raftpb.Entry) (data []byte, change *raftpb.ConfChange) {
 	if e.GetType() != raftpb.EntryType_EntryConfChange {
 		return e.GetData(), nil
@@ -129,7 +129,7 @@
 	return change.GetContext(), change
 }
 
-// applyVoterChange puts a change of voters into force. One that the state machine has rejected changes nothing.
+// applyVoterChange applies a change of voters to raft. One that the state machine has rejected has no effect.
 func (r *Replica) applyVoterChange(change *raftpb.ConfChange, rejected error) {
 	if rejected != nil {
 		r.node.ApplyConfChange(&raftpb.ConfChange{})
@@ -139,7 +139,7 @@
 	r.votersChanged = true
 }
 
-// answerProposal answers the request that an entry was proposed for, if it was by this voter in this run.
+// answerProposal answers the request that an entry was proposed for, if this voter proposed it in this run.
 func (r *Replica) answerProposal(entry *logEntry, result *lease.Result) {
 	if _, isPending := r.proposals[entry.RequestID]; !isPending || entry.Proposer != r.incarnation {
 		return
@@ -149,7 +149,7 @@
 	switch {
 	case result.Err != nil:
 		response.Outcome = lease.Rejected
-	case entry.Command.Kind != lease.Acquire: // carried out, see Response
+	case entry.Command.Kind != lease.Acquire: // it succeeded, see Response
 		response.Outcome = lease.NotHeld
 	case result.Grant.Token == 0:
 		response.Outcome = lease.Queued
@@ -163,8 +163,8 @@
 	r.emit(response)
 }
 
-// compact cuts the log at a snapshot: every snapshotInterval entries, and after a change of voters, as a new voter is
-// brought up by a snapshot that names it.
+// compact compacts the log at a snapshot: every snapshotInterval entries, and after a change of voters, because a new
+// voter is initialized from a snapshot that lists it.
 func (r *Replica) compact() {
 	if r.applied < r.snapshotIndex+snapshotInterval && !r.votersChanged {
 		return
--- a/internal/lease/quorum/discardlogger.go
+++ b/internal/lease/quorum/discardlogger.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// discardLogger discards the log of the raft library: what matters comes as actions. Fatal and Panic panic, which
+// discardLogger discards the log of the raft library: what matters is reported as actions. Fatal and Panic panic, which
 // [Replica.Handle] recovers from.
 type discardLogger struct{}
 
--- a/internal/lease/quorum/messages.go
+++ b/internal/lease/quorum/messages.go
@@ -15,17 +15,17 @@
 type (
 	// Tick says that one TickInterval has passed.
 	Tick struct{}
-	// MessageReceived is a message of another voter.
+	// MessageReceived is a message from another voter.
 	MessageReceived struct{ Message *raftpb.Message }
-	// RequestReceived is a request of a holder or an operator: a command, or with a Token the renewal of that grant.
+	// RequestReceived is a request from a holder or an operator: a command or, with a Token, a renewal of that grant.
 	RequestReceived struct {
 		RequestID uint64 // repeated in the Response
 		Command   lease.Command
 		Token     uint64
 	}
-	// SaveCompleted says that the latest Save has been carried out.
+	// SaveCompleted says that the latest Save has succeeded.
 	SaveCompleted struct{}
-	// SaveFailed says that the latest Save could not be carried out.
+	// SaveFailed says that the latest Save has failed.
 	SaveFailed struct{ Err error }
 )
 
@@ -35,34 +35,34 @@
 func (SaveCompleted) event()   {}
 func (SaveFailed) event()      {}
 
-// Action is what a [Replica] wants done, in order.
+// Action is an output of a [Replica]. Its caller carries out the actions in order.
 type Action interface{ action() }
 
 type (
-	// Save makes a state durable, all or nothing; SaveCompleted or SaveFailed follows. A snapshot replaces the log up
-	// to it; entries replace those of the same index and all after them.
+	// Save makes a state durable, atomically; SaveCompleted or SaveFailed has to follow. A snapshot replaces the
+	// whole log; entries replace those of the same index and all after them.
 	Save struct{ State PersistentState }
-	// CompactLog drops the log up to a snapshot that is saved with it. No event needs to follow.
+	// CompactLog saves a snapshot and deletes the log up to it. No event has to follow.
 	CompactLog struct{ Snapshot *raftpb.Snapshot }
-	// Send sends messages to other voters; any may be lost.
+	// Send sends messages to other voters; any of them may be lost.
 	Send struct{ Messages []*raftpb.Message }
-	// Response answers a request. A command other than Acquire that was carried out has the outcome NotHeld: its
-	// sender holds nothing by it.
+	// Response answers a request. A command other than Acquire that succeeded has the outcome NotHeld, because it
+	// gives its sender no grant.
 	Response struct {
 		RequestID uint64
 		Outcome   lease.Outcome
 		Token     uint64
 		Err       error
 	}
-	// WaitersGranted says that waiters have been granted a task, while this voter leads.
+	// WaitersGranted has the grants that a command created, for its sender or for waiters. Only the leader emits it.
 	WaitersGranted struct {
 		Task   string
 		Grants []lease.Grant
 	}
-	// LeadershipChanged says that this voter leads now, or not any more.
+	// LeadershipChanged says that this voter leads now, or no longer leads.
 	LeadershipChanged struct{ IsLeader bool }
-	// Halted says that this voter takes no part any more: its disk has failed, or what it has saved contradicts the
-	// others'.
+	// Halted says that this voter no longer takes part: its disk has failed, or its saved state contradicts that of
+	// the others.
 	Halted struct{ Err error }
 )
 
@@ -74,14 +74,14 @@
 func (WaitersGranted) action()    {}
 func (Halted) action()            {}
 
-// Encode returns a voter's message as it is sent to another voter.
+// Encode encodes a message for another voter.
 func Encode(m *raftpb.Message) ([]byte, error) { return proto.Marshal(m) }
 
-// Decode reads what Encode wrote.
+// Decode decodes a message that Encode has encoded.
 func Decode(data []byte) (*raftpb.Message, error) {
 	m := new(raftpb.Message)
 	if err := proto.Unmarshal(data, m); err != nil {
-		return nil, fmt.Errorf("quorum: message: %w", err)
+		return nil, fmt.Errorf("quorum: decode message: %w", err)
 	}
 	return m, nil
 }
--- a/internal/lease/quorum/replica.go
+++ b/internal/lease/quorum/replica.go
@@ -15,7 +15,8 @@
 const TickInterval = 30 * time.Millisecond
 
 const (
-	// electionTicks without a message of a leader make a voter start an election: after 300 to 600 ms.
+	// electionTicks is the election timeout, which raft randomizes up to double: a voter starts an election after 300
+	// to 600 ms without a message from a leader.
 	electionTicks = 10
 	// neverTicks is an election timeout that no replica reaches.
 	neverTicks = 1 << 30
@@ -25,10 +26,10 @@
 	maxUncommittedBytes = 1 << 20
 )
 
-// Replica is one voter.
+// Replica is one voter: its raft node, state machine and expiry manager.
 type Replica struct {
 	id          uint64
-	incarnation uint64 // of this run of the voter: tells its proposals from those of earlier runs
+	incarnation uint64 // of this run of the voter: distinguishes its proposals from those of earlier runs
 	node        *raft.RawNode
 	storage     *raft.MemoryStorage
 	parameters  lease.Parameters
@@ -36,7 +37,7 @@
 	expiry      *lease.ExpiryManager
 	voters      *raftpb.ConfState
 
-	saving        *raft.Ready // what is being saved, nil for nothing
+	saving        *raft.Ready // what is being saved, nil if nothing is
 	applied       uint64      // index of the last entry that was applied
 	snapshotIndex uint64      // of the last snapshot
 	votersChanged bool        // since the last snapshot
@@ -47,7 +48,7 @@
 	renewals      map[uint64]pendingRenewal
 	lastRenewalID uint64
 
-	actions []Action // of the event that is being handled
+	actions []Action // in response to the event that is being handled
 	now     time.Duration
 }
 
@@ -56,15 +57,16 @@
 
 // The kinds of elections.
 const (
-	AutomaticElections Elections = iota // after electionTicks without a message
-	ManualElections                     // by [Replica.Campaign] alone
+	AutomaticElections Elections = iota // after electionTicks without a message from a leader
+	ManualElections                     // only by [Replica.Campaign]
 )
 
-// New returns a voter that continues from a saved state. The incarnation must differ from any before it.
+// New returns a voter that continues from a saved state. The incarnation must differ from that of every
+// earlier run.
 func New(
 	id, incarnation uint64, saved PersistentState, parameters lease.Parameters, elections Elections,
 ) (r *Replica, err error) {
-	defer func() { // the library panics over an inconsistent state
+	defer func() { // the library panics if the state is inconsistent
 		if cause := recover(); cause != nil {
 			r, err = nil, fmt.Errorf("quorum: %v", cause)
 		}
@@ -86,10 +88,10 @@
 	return r, nil
 }
 
-// load fills the state machine and the library's storage.
+// load fills the state machine and the library's storage from a saved state.
 func (r *Replica) load(saved PersistentState) error {
 	if saved.Snapshot == nil || saved.HardState == nil {
-		return errors.New("quorum: a voter without a saved state may not vote")
+		return errors.New("quorum: the saved state has no snapshot or no hard state")
 	}
 	if err := r.restore(saved.Snapshot); err != nil {
 		return err
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// loadSnapshot has the storage begin with a snapshot. One without an index is that of a joining voter which has not
+// loadSnapshot makes the storage start from a snapshot. A snapshot with index 0 belongs to a joining voter that has not
 // received anything yet.
 func (r *Replica) loadSnapshot(s *raftpb.Snapshot) error {
 	if s.GetMetadata().GetIndex() == 0 {
@@ -142,7 +144,7 @@
 	}
 }
 
-// restore puts a snapshot's state machine in place.
+// restore replaces the state machine with that of a snapshot.
 func (r *Replica) restore(s *raftpb.Snapshot) error {
 	machine, err := decodeSnapshot(s)
 	if err != nil {
@@ -157,16 +159,16 @@
 	return nil
 }
 
-// IsLeader reports whether this voter leads, for those who ask.
+// IsLeader reports whether this voter leads and has applied all entries committed before its term.
 func (r *Replica) IsLeader() bool { return r.leading && !r.halted }
 
-// Leader returns the ID of the voter that leads as far as this one knows, 0 for none.
+// Leader returns the ID of the leader as far as this voter knows, 0 for none.
 func (r *Replica) Leader() uint64 { return r.node.BasicStatus().Lead }
 
-// StateMachine returns the state machine as far as this voter has applied the log. It must not be changed.
+// StateMachine returns the state machine with all entries that this voter has applied. The caller must not change it.
 func (r *Replica) StateMachine() *lease.StateMachine { return r.machine }
 
-// TimeLeft returns how long until a grant expires. It is known on the leader alone.
+// TimeLeft returns the time until a grant expires. It is up to date only on the leader.
 func (r *Replica) TimeLeft(token uint64, now time.Duration) (time.Duration, bool) {
 	return r.expiry.TimeLeft(token, now)
 }
@@ -181,10 +183,11 @@
 	return r.actions
 }
 
-// Handle handles an event that occurs at now, by a clock that counts the machine's sleep, and returns the actions.
+// Handle handles an event that occurs at now, and returns the resulting actions. The clock of now has to include the
+// time that the machine sleeps.
 func (r *Replica) Handle(now time.Duration, event Event) (actions []Action) {
 	r.now, r.actions = now, nil
-	defer func() { // the library panics if what this voter has saved contradicts the others: it has lost a part of it
+	defer func() { // the library panics if this voter has lost saved state that the others rely on
 		if cause := recover(); cause != nil {
 			actions = r.halt(fmt.Errorf("quorum: %v", cause))
 		}
@@ -214,7 +217,7 @@
 
 func (r *Replica) emit(a Action) { r.actions = append(r.actions, a) }
 
-// halt ends this voter's participation until its process starts again.
+// halt ends this voter's participation until its process restarts.
 func (r *Replica) halt(err error) []Action {
 	r.halted, r.actions = true, nil
 	r.loseLeadership()
@@ -222,7 +225,7 @@
 	return r.actions
 }
 
-// loseLeadership answers what this voter has under way as a leader with NoAnswer: its proposals may still be committed.
+// loseLeadership answers this voter's pending requests with NoAnswer: its proposals may still be committed.
 func (r *Replica) loseLeadership() {
 	r.leading = false
 	r.handleExpiryEvent(lease.LeadershipLost{})
--- a/internal/lease/quorum/replica_test.go
+++ b/internal/lease/quorum/replica_test.go
@@ -21,9 +21,9 @@
 		simulations = n
 	}
 	var next, validChecks, granted, replaced atomic.Uint64
-	var tasks sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		tasks.Go(func() {
+		goroutines.Go(func() {
 			for seed := next.Add(1) - 1; seed < uint64(simulations) && !t.Failed(); seed = next.Add(1) - 1 {
 				s := newSimulation(seed, plantedDefect{}, 3)
 				s.run(6 * time.Second)
@@ -36,7 +36,7 @@
 			}
 		})
 	}
-	tasks.Wait()
+	goroutines.Wait()
 	t.Logf("%d simulations of 6 s, %d grants, %d checks of a holder, %d voters without a disk replaced",
 		simulations, granted.Load(), validChecks.Load(), replaced.Load())
 	if replaced.Load() == 0 {
--- a/internal/lease/quorum/requests.go
+++ b/internal/lease/quorum/requests.go
@@ -9,20 +9,21 @@
 	"mulleinpier/internal/lease"
 )
 
-// maxPending bounds the proposals, and the renewals, that are under way.
+// maxPending limits the pending proposals, and also the pending renewals.
 const maxPending = 4096
 
-// pendingRenewal is the request that a renewal belongs to.
+// pendingRenewal is the request that a renewal answers, and the grant that it renews.
 type pendingRenewal struct{ requestID, token uint64 }
 
-// logEntry is an entry of the voters' log.
+// logEntry is the content of an entry of the voters' log.
 type logEntry struct {
-	RequestID uint64        `cbor:"1,keyasint"` // of the proposer; 0 for a command of its expiry manager
+	RequestID uint64        `cbor:"1,keyasint"` // given by the proposer; 0 for a command of its expiry manager
 	Proposer  uint64        `cbor:"2,keyasint"` // incarnation of the voter that proposed it
 	Command   lease.Command `cbor:"3,keyasint"`
 }
 
-// handleRequest takes a request of a holder or an operator.
+// handleRequest handles a request from a holder or an operator. Without leadership, or with too many requests pending,
+// the outcome is NoAnswer.
 func (r *Replica) handleRequest(e RequestReceived) {
 	if !r.leading || len(r.proposals) >= maxPending || len(r.renewals) >= maxPending {
 		r.emit(Response{RequestID: e.RequestID})
@@ -45,7 +46,7 @@
 	r.propose(e.RequestID, e.Command)
 }
 
-// checkCommand returns what is wrong with a command, and fills in the voter ID of a change of voters.
+// checkCommand returns an error if a command is invalid, and sets the voter ID of a change of voters.
 func (r *Replica) checkCommand(c *lease.Command) error {
 	if err := r.parameters.CheckCommand(c); err != nil {
 		return err
@@ -58,7 +59,8 @@
 	return err
 }
 
-// answerRepeated answers an Acquire that was decided before, and reports whether it was: nothing new is to be decided.
+// answerRepeated answers an Acquire whose sender already has a grant or a place in the queue from an earlier copy of
+// it, and reports whether it did. Such an Acquire is not proposed again.
 func (r *Replica) answerRepeated(e RequestReceived) bool {
 	t := r.machine.Tasks[e.Command.Task]
 	if t == nil {
@@ -85,11 +87,11 @@
 	r.handleExpiryEvent(lease.Renew{RequestID: r.lastRenewalID, Task: task, Token: token})
 }
 
-// propose puts a command before the voters. The request ID is 0 for a command of the expiry manager.
+// propose proposes a command to the voters. The request ID is 0 for a command of the expiry manager.
 func (r *Replica) propose(requestID uint64, c lease.Command) {
 	err := r.proposeEntry(requestID, c)
 	switch {
-	case requestID == 0: // the expiry manager proposes it again while it is due
+	case requestID == 0: // from the expiry manager: there is no request to answer
 	case err != nil:
 		r.emit(Response{RequestID: requestID})
 	default:
--- a/internal/lease/quorum/state.go
+++ b/internal/lease/quorum/state.go
@@ -10,20 +10,21 @@
 	"mulleinpier/internal/lease"
 )
 
-// Where the log of a new fleet begins.
+// Index and term of the snapshot that the log of a new fleet starts with.
 const (
 	firstIndex = 1
 	firstTerm  = 1
 )
 
-// PersistentState is what a voter saves.
+// PersistentState is what a voter saves. In a [Save], what is nil does not change.
 type PersistentState struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot // of the state machine, with the voters
 	Entries   []*raftpb.Entry  // after the snapshot
 }
 
-// InitialState returns what every voter of a new fleet begins with. The voters have the IDs from 1 on.
+// InitialState returns the state that every voter of a new fleet starts with. The voters get the IDs from 1 on, in the
+// order of names.
 func InitialState(names ...string) (PersistentState, error) {
 	machine := lease.NewStateMachine(names...)
 	var voters []uint64
@@ -33,8 +34,8 @@
 	return newState(machine, voters, firstIndex, firstTerm)
 }
 
-// JoiningState returns what a voter begins with that has been given a new ID: nothing, until a leader sends it a
-// snapshot.
+// JoiningState returns the state that a voter starts with when it joins under a new ID: nothing, until a leader sends
+// it a snapshot.
 func JoiningState() (PersistentState, error) {
 	return newState(lease.NewStateMachine(), nil, 0, 0)
 }
@@ -42,7 +43,7 @@
 func newState(machine *lease.StateMachine, voters []uint64, index, term uint64) (PersistentState, error) {
 	data, err := cbor.Marshal(machine)
 	if err != nil {
-		return PersistentState{}, fmt.Errorf("quorum: state machine: %w", err)
+		return PersistentState{}, fmt.Errorf("quorum: encode state machine: %w", err)
 	}
 	return PersistentState{
 		HardState: &raftpb.HardState{
@@ -61,7 +62,7 @@
 	}, nil
 }
 
-// VoterIDOf finds a voter's ID in its saved state, 0 for none.
+// VoterIDOf returns the ID of the voter with a name in the snapshot of a saved state, or 0 if there is none.
 func VoterIDOf(saved PersistentState, name string) (uint64, error) {
 	machine, err := decodeSnapshot(saved.Snapshot)
 	if err != nil {
@@ -70,11 +71,11 @@
 	return machine.VoterID(name), nil
 }
 
-// decodeSnapshot reads the state machine of a snapshot.
+// decodeSnapshot decodes the state machine of a snapshot.
 func decodeSnapshot(s *raftpb.Snapshot) (*lease.StateMachine, error) {
 	machine := lease.NewStateMachine()
 	if err := cbor.Unmarshal(s.GetData(), machine); err != nil {
-		return nil, fmt.Errorf("quorum: snapshot: %w", err)
+		return nil, fmt.Errorf("quorum: decode snapshot: %w", err)
 	}
 	if machine.Tasks == nil {
 		machine.Tasks = make(map[string]*lease.Task)
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// retryDelay is the time from a response without a grant to the next request.
+	// retryDelay is the delay from a response without a grant to the next request.
 	retryDelay = 50 * time.Millisecond
-	// requestTimeout is how long a response is waited for.
+	// requestTimeout is how long a session waits for a response.
 	requestTimeout = 300 * time.Millisecond
 	// renewalsPerDuration is how often a lease is renewed within its duration.
 	renewalsPerDuration = 3
 )
 
-// Session is a holder's side of one task, through one acquisition of it. Its times are those of a clock which counts
-// the machine's sleep.
+// Session is the holder's side of one acquisition of a task. Its times are those of a clock that includes the time that
+// the machine sleeps.
 type Session struct {
 	parameters Parameters
 	acquire    Command
@@ -31,17 +31,17 @@
 
 // The states.
 const (
-	Acquiring SessionState = iota // it has asked for the task, or waits in its queue
-	Holding                       // it may act as long as [Session.Valid] says so
-	Finished                      // the task was released, lost or rejected, for good
+	Acquiring SessionState = iota // it requests the task, or waits in its queue
+	Holding                       // its holder may act while [Session.Valid] reports true
+	Finished                      // the task was released or lost, or the request rejected; final
 )
 
-// NewSession returns a session of an Acquire command, which it sends at its first TimerFired.
+// NewSession returns a session that sends the command acquire, an Acquire, at its first TimerFired.
 func NewSession(parameters Parameters, acquire Command) *Session {
 	return &Session{parameters: parameters, acquire: acquire}
 }
 
-// State returns the session's state at a time.
+// State returns the session's state at now.
 func (s *Session) State(now time.Duration) SessionState {
 	if s.state == Holding && now >= s.validUntil {
 		return Finished
@@ -49,7 +49,7 @@
 	return s.state
 }
 
-// Valid reports whether the holder may act at a time, and under which fencing token.
+// Valid reports whether the holder may act at now, and under which fencing token.
 func (s *Session) Valid(now time.Duration) (token uint64, ok bool) {
 	return s.token, s.state == Holding && now < s.validUntil
 }
@@ -69,7 +69,7 @@
 	return next
 }
 
-// Handle handles an event that occurs at now, and appends the actions to out.
+// Handle handles an event that occurs at now, and appends the resulting actions to out.
 func (s *Session) Handle(now time.Duration, event SessionEvent, out []SessionAction) []SessionAction {
 	if s.state == Finished {
 		return out
@@ -86,7 +86,7 @@
 		return append(out, SendRelease{s.releaseCommand()}, Ended{NotHeld})
 	case Response:
 		if e.Sequence != s.sequence || !s.requestPending {
-			return out // to an older request: when that was sent is not known any more
+			return out // to an older request, whose send time is no longer known
 		}
 		s.requestPending = false
 		return s.handleResponse(now, e, out)
@@ -116,7 +116,7 @@
 	case Granted:
 		return s.handleGrant(now, e.Token, out)
 	default:
-		if s.state == Holding { // revoked, or taken back: it stops now, and need not be waited out
+		if s.state == Holding { // revoked or expired: release it, so that others need not wait for its end
 			out = append(out, SendRelease{s.releaseCommand()})
 		}
 		s.state = Finished
@@ -125,12 +125,12 @@
 	return out
 }
 
-// handleGrant counts the lease from when the request was sent: the voters count from later.
+// handleGrant counts the lease from when the request was sent; the voters start to count later.
 func (s *Session) handleGrant(now time.Duration, token uint64, out []SessionAction) []SessionAction {
 	until := s.requestSent + s.parameters.holderDuration(s.acquire.Duration)
 	if now >= until || s.state == Holding && token != s.token {
 		s.nextRequest = now
-		return out // it has run out already, or is another grant: the next request is sent at once
+		return out // expired already, or another grant: the next request is due at once
 	}
 	s.nextRequest = s.requestSent + s.renewInterval()
 	s.validUntil = max(s.validUntil, until)
@@ -142,7 +142,7 @@
 	return out
 }
 
-// renewInterval separates a request from the next one after a grant.
+// renewInterval returns the time from a request that was granted to the next one.
 func (s *Session) renewInterval() time.Duration { return s.acquire.Duration / renewalsPerDuration }
 
 func (s *Session) releaseCommand() Command {
--- a/internal/lease/session_messages.go
+++ b/internal/lease/session_messages.go
@@ -4,15 +4,15 @@
 type SessionEvent interface{ sessionEvent() }
 
 type (
-	// TimerFired says that the time of NextWakeup has come.
+	// TimerFired says that the time that NextWakeup returned has come.
 	TimerFired struct{}
-	// Response is the voters' answer to the SendRequest of a sequence.
+	// Response is the voters' answer to the SendRequest with the same sequence.
 	Response struct {
 		Sequence uint64
 		Outcome  Outcome
 		Token    uint64 // fencing token, with Granted
 	}
-	// ReleaseRequested gives the task back, or the place in its queue.
+	// ReleaseRequested makes the session release the task, or leave its queue.
 	ReleaseRequested struct{}
 )
 
@@ -25,14 +25,14 @@
 
 // The outcomes.
 const (
-	NoAnswer Outcome = iota // no voter that can decide has answered: nothing is known
-	Queued                  // the sender waits for its turn
-	Granted                 // the sender holds the task, counted from when it sent the request
-	Rejected                // for an Acquire: others hold the task, and the sender does not wait
-	NotHeld                 // the sender does not hold the task, or not any more
+	NoAnswer Outcome = iota // no voter has decided on the request, as far as its sender knows
+	Queued                  // the sender waits in the task's queue
+	Granted                 // the sender holds the task; the lease counts from when it sent the request
+	Rejected                // the command failed, such as an Acquire without Wait while others hold the task
+	NotHeld                 // the sender does not hold the task, or no longer
 )
 
-// SessionAction is what a [Session] wants done.
+// SessionAction is an output of a [Session], which its caller carries out.
 type SessionAction interface{ sessionAction() }
 
 type (
@@ -42,11 +42,11 @@
 		Command  Command
 		Token    uint64 // of the lease to renew; 0 for an Acquire
 	}
-	// SendRelease sends a Release, which needs no answer, once nothing is done under the grant any more.
+	// SendRelease sends a Release once no action runs under the grant any more. Its answer is not needed.
 	SendRelease struct{ Command Command }
 	// Acquired says that the session holds the task now.
 	Acquired struct{ Token uint64 }
-	// Ended says that the session does not hold the task any more, or never will.
+	// Ended says that the session no longer holds the task, or never will.
 	Ended struct{ Outcome Outcome }
 )
 
--- a/internal/lease/statemachine.go
+++ b/internal/lease/statemachine.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// Bounds of what a state machine holds.
+// Limits of a state machine's size.
 const (
 	maxTasks          = 4096
 	maxWaitersPerTask = 2048
 	maxHoldersPerTask = 1024
 )
 
-// Grant is a lease that a holder has.
+// Grant is a lease that a holder has on a task.
 type Grant struct {
 	Holder   string        `cbor:"1,keyasint" json:"holder"`
-	Nonce    uint64        `cbor:"2,keyasint" json:"-"`      // of the Acquire that made it
+	Nonce    uint64        `cbor:"2,keyasint" json:"-"`      // of the Acquire that created it
 	Token    uint64        `cbor:"3,keyasint" json:"number"` // fencing token
 	Duration time.Duration `cbor:"4,keyasint" json:"length"`
-	Revoked  bool          `cbor:"5,keyasint,omitempty" json:"revoked,omitempty"` // it is not renewed any more
+	Revoked  bool          `cbor:"5,keyasint,omitempty" json:"revoked,omitempty"` // it can't be renewed any more
 }
 
-// Waiter is a holder to be that waits for a task.
+// Waiter is a process that waits in a task's queue.
 type Waiter struct {
 	Holder   string        `cbor:"1,keyasint" json:"holder"`
 	Nonce    uint64        `cbor:"2,keyasint" json:"-"`
-	Duration time.Duration `cbor:"3,keyasint" json:"length"` // of the lease that it asks for
+	Duration time.Duration `cbor:"3,keyasint" json:"length"` // of the lease that it requests
 }
 
-// Task is one name that leases are granted for.
+// Task is the state of one task that leases are granted for.
 type Task struct {
 	MaxHolders int      `cbor:"1,keyasint" json:"most"`
 	Grants     []Grant  `cbor:"2,keyasint" json:"held"`
-	Waiters    []Waiter `cbor:"3,keyasint" json:"waiting"` // in the order of their turns
+	Waiters    []Waiter `cbor:"3,keyasint" json:"waiting"` // in queue order
 }
 
 // StateMachine is the replicated lease table. The same commands in the same order make the same table on every voter.
 type StateMachine struct {
 	Tasks     map[string]*Task `cbor:"1,keyasint" json:"tasks"`
 	LastToken uint64           `cbor:"2,keyasint" json:"last_number"`
-	// Voters are the voters' names by ID. A voter that has lost its file comes back under a new ID alone: it can't
-	// remember what it promised under the old one, so the old one never votes again.
+	// Voters are the voters' names by ID. A voter that has lost its file may rejoin only under a new ID: it does not
+	// know what it promised under the old one, so the old one never votes again.
 	Voters      map[uint64]string `cbor:"3,keyasint" json:"seats"`
 	LastVoterID uint64            `cbor:"4,keyasint" json:"last_seat"`
 }
 
-// NewStateMachine returns a table in which nothing is held, with the given voters under IDs from 1.
+// NewStateMachine returns a table without tasks, with the given voters under IDs from 1.
 func NewStateMachine(voters ...string) *StateMachine {
 	m := &StateMachine{Tasks: make(map[string]*Task), Voters: make(map[uint64]string)}
 	for _, name := range voters {
@@ -84,17 +84,17 @@
 	return Grant{}, false
 }
 
-// Result is what a command came to.
+// Result is the effect of a command.
 type Result struct {
 	Err error
-	// Grant is that of an Acquire's sender, whether new or not. Its Token is 0 where the sender waits.
+	// Grant is the grant of an Acquire's sender, whether new or not. Its Token is 0 if the sender waits.
 	Grant       Grant
-	Created     bool     // Grant was made by this very command
-	NewGrants   []Grant  // made by this command: to its sender or to waiters
+	Created     bool     // Grant was created by this command
+	NewGrants   []Grant  // created by this command, for its sender or for waiters
 	EndedTokens []uint64 // of the grants that this command ended
 }
 
-// Apply carries out the next command of the log.
+// Apply applies the next command of the log.
 func (m *StateMachine) Apply(c *Command) Result {
 	if c.Kind == AddVoter || c.Kind == RemoveVoter {
 		return Result{Err: m.changeVoters(c)}
@@ -121,7 +121,7 @@
 	return Result{Err: ErrInvalidCommand}
 }
 
-// taskFor returns the task that a command is about. Acquire and SetLimit make one that does not exist.
+// taskFor returns the task that a command refers to. Acquire and SetLimit create it if it does not exist.
 func (m *StateMachine) taskFor(c *Command) (*Task, error) {
 	t := m.Tasks[c.Task]
 	switch {
@@ -137,7 +137,7 @@
 	return t, nil
 }
 
-// acquire grants the task, or has the sender wait. A repetition finds the grant or the place of the first one.
+// acquire grants the task or queues the sender. A repeated Acquire gets the grant or keeps the place of the first one.
 func (m *StateMachine) acquire(t *Task, c *Command) Result {
 	for _, g := range t.Grants {
 		if g.Holder == c.Holder && g.Nonce == c.Nonce {
@@ -161,7 +161,7 @@
 	return Result{}
 }
 
-// isFrom reports whether a waiter is the command's sender, through the same acquisition.
+// isFrom reports whether the command belongs to the same acquisition as a waiter.
 func (c *Command) isFrom(w Waiter) bool { return w.Holder == c.Holder && w.Nonce == c.Nonce }
 
 // grant adds a grant with the next fencing token.
@@ -172,7 +172,7 @@
 	return g
 }
 
-// release ends a grant, or takes a waiter out of the queue.
+// release ends a grant, or removes a waiter from the queue.
 func (m *StateMachine) release(t *Task, c *Command) Result {
 	if c.Token == 0 {
 		before := len(t.Waiters)
@@ -190,7 +190,7 @@
 	return m.grantWaiters(t, Result{EndedTokens: []uint64{c.Token}})
 }
 
-// transfer ends a grant in favour of a waiter, which goes before all others.
+// transfer ends a grant in favor of a waiter, which goes ahead of all others.
 func (m *StateMachine) transfer(t *Task, c *Command) Result {
 	grant, waiter := t.grantIndex(c.Token), t.waiterIndex(c.To)
 	if grant < 0 || waiter < 0 {
@@ -208,8 +208,7 @@
 	return m.grantWaiters(t, r)
 }
 
-// grantWaiters grants the task to waiters in the order of the queue while the limit allows it, and adds their grants to
-// the result.
+// grantWaiters grants the task to waiters in queue order while the limit allows it, and adds the grants to the result.
 func (m *StateMachine) grantWaiters(t *Task, r Result) Result {
 	for len(t.Waiters) > 0 && len(t.Grants) < t.MaxHolders {
 		next := t.Waiters[0]
@@ -219,7 +218,7 @@
 	return r
 }
 
-// revoke marks a grant as one that is not renewed.
+// revoke marks a grant so that it can't be renewed any more.
 func (t *Task) revoke(c *Command) Result {
 	i := t.grantIndex(c.Token)
 	if i < 0 {
@@ -241,12 +240,12 @@
 	return Result{}
 }
 
-// grantIndex returns the place of a grant, or -1.
+// grantIndex returns the index of a grant, or -1.
 func (t *Task) grantIndex(token uint64) int {
 	return slices.IndexFunc(t.Grants, func(g Grant) bool { return g.Token == token })
 }
 
-// waiterIndex returns the place of the first waiter of a name, or -1.
+// waiterIndex returns the index of a holder's first place in the queue, or -1.
 func (t *Task) waiterIndex(holder string) int {
 	return slices.IndexFunc(t.Waiters, func(w Waiter) bool { return w.Holder == holder })
 }
--- a/internal/lease/voters.go
+++ b/internal/lease/voters.go
@@ -1,9 +1,9 @@
 package lease
 
-// MaxVoters is the most voters that a fleet can have.
+// MaxVoters is the maximum number of voters of a fleet.
 const MaxVoters = 7
 
-// VoterID returns a voter's ID, 0 for none of that name.
+// VoterID returns the ID of the voter with a name, or 0 if there is none.
 func (m *StateMachine) VoterID(name string) uint64 {
 	for id, n := range m.Voters {
 		if n == name {
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -3,10 +3,10 @@
 //
 // Guarantees:
 //
-//  1. A change that was saved without an error survives a kill and a loss of power, provided that the disk has written
-//     what it reports as synced.
+//  1. A change that was saved without an error survives the kill of the process and a power loss, provided that the
+//     disk has written what it reports as synced.
 //  2. A call that fails has changed nothing.
-//  3. A file that was not made by Create is not opened, and Create replaces no file.
+//  3. Open rejects a file that Create did not make, and Create does not replace an existing file.
 //
 // It does not repair files and keeps no copies. It starts no goroutines; a [Log] belongs to its caller until Close.
 package store
@@ -22,35 +22,35 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// ErrNotFound says that there is no file: it was never made, or is lost.
+// ErrNotFound says that the file does not exist: it was never created, or it is lost.
 var ErrNotFound = errors.New("store: no such file")
 
 const (
-	// lockTimeout bounds the wait for another process that has the file open.
+	// lockTimeout limits the wait for another process that has the file open.
 	lockTimeout = time.Second
 	fileMode    = 0o600
-	// unfinishedSuffix is that of a file while it is being made.
+	// unfinishedSuffix ends the name of a file that Create has not completed yet.
 	unfinishedSuffix = ".making"
 )
 
 // The buckets of a file.
 var (
-	namedBucket = []byte("heads") // by name
-	logBucket   = []byte("log")   // by index, big-endian
+	namedBucket = []byte("heads") // named records, by name
+	logBucket   = []byte("log")   // numbered records, by index, big-endian
 )
 
-// Log is a file of numbered records and a few named ones. It is safe for concurrent use.
+// Log is an open file of numbered and named records. It is safe for concurrent use.
 type Log struct{ db *bolt.DB }
 
-// Change is what one Save does, all or nothing, in the order of the fields.
+// Change is what one Save does, atomically and in the order of the fields.
 type Change struct {
-	// Named records are replaced.
+	// Named are the named records to add or replace.
 	Named map[string][]byte
-	// DropFrom, unless 0, drops the records of that index and above.
+	// DropFrom, unless 0, deletes the records from that index on.
 	DropFrom uint64
-	// DropThrough, unless 0, drops the records up to that index.
+	// DropThrough, unless 0, deletes the records up to and including that index.
 	DropThrough uint64
-	// Records are added.
+	// Records are the numbered records to add or replace.
 	Records []Record
 }
 
@@ -60,17 +60,17 @@
 	Data  []byte
 }
 
-// Create makes a file, which must not exist, with a first change.
+// Create makes a file with a first change. It fails if the file already exists.
 func Create(path string, first Change) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("store: %s exists already", path)
+		return fmt.Errorf("store: %s already exists", path)
 	}
 	unfinished := path + unfinishedSuffix
 	os.Remove(unfinished) // left by a process that ended during Create
 	if err := createFile(unfinished, first); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	if err := os.Rename(unfinished, path); err != nil { // complete or not at all
+	if err := os.Rename(unfinished, path); err != nil { // so that path is never an incomplete file
 		return fmt.Errorf("store: %w", err)
 	}
 	if err := syncDirectory(filepath.Dir(path)); err != nil {
@@ -105,7 +105,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Open opens a file that Create has made.
+// Open opens a file that Create has made. If there is none, the error is [ErrNotFound].
 func Open(path string) (*Log, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("%w: %s", ErrNotFound, path)
@@ -116,7 +116,7 @@
 	}
 	err = db.View(func(tx *bolt.Tx) error {
 		if tx.Bucket(namedBucket) == nil || tx.Bucket(logBucket) == nil {
-			return errors.New("not a file made by Create")
+			return errors.New("not a store file: a bucket is missing")
 		}
 		return nil
 	})
@@ -127,10 +127,10 @@
 	return &Log{db}, nil
 }
 
-// Close ends the use of the file.
+// Close closes the file, which another process can open then.
 func (l *Log) Close() error { return l.db.Close() }
 
-// Save makes a change durable.
+// Save carries out a change and makes it durable.
 func (l *Log) Save(c Change) error {
 	return l.db.Update(func(tx *bolt.Tx) error {
 		for name, data := range c.Named {
@@ -158,10 +158,10 @@
 	})
 }
 
-// indexKey returns a record's key; keys are ordered as indices are.
+// indexKey returns the key of a numbered record. Keys sort in the order of the indices.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// deleteRange deletes the records from one key through another. A nil key leaves that end open.
+// deleteRange deletes the records from one key through another, both included. A nil key leaves that end open.
 func deleteRange(b *bolt.Bucket, from, through []byte) error {
 	var keys [][]byte
 	c := b.Cursor()
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// Load returns all that is kept, the numbered records in order.
+// Load returns all records, the numbered ones in order of index.
 func (l *Log) Load() (named map[string][]byte, records []Record, err error) {
 	named = make(map[string][]byte)
 	err = l.db.View(func(tx *bolt.Tx) error {
@@ -187,7 +187,7 @@
 			}),
 			tx.Bucket(logBucket).ForEach(func(k, v []byte) error {
 				if len(k) != 8 {
-					return errors.New("store: a record without a number")
+					return errors.New("store: the key of a numbered record is not 8 bytes long")
 				}
 				records = append(records, Record{binary.BigEndian.Uint64(k), append([]byte(nil), v...)})
 				return nil
