--- a/internal/lease/agent/client.go
+++ b/internal/lease/agent/client.go
@@ -60,7 +60,7 @@
 }
 
 // Execute sends a command until a voter has decided on it, or ctx ends. If the command is rejected, the error has the
-// text of the voter's.
+// text that the voter sent.
 func (c *Client) Execute(ctx context.Context, command lease.Command) (Reply, error) {
 	for {
 		reply, err := c.send(ctx, command, 0)
--- a/internal/lease/agent/fleet_test.go
+++ b/internal/lease/agent/fleet_test.go
@@ -18,7 +18,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// voterHost is an address that no connection goes out from, so that a port which was free stays free.
+// voterHost is an address from which no connection is opened, so that a port that was free stays free.
 const voterHost = "127.0.0.5:0"
 
 // testFleet is three voters in this process, each with a disk and a listener of its own.
@@ -43,7 +43,7 @@
 	return f
 }
 
-// newStoppedFleet gives three voters their addresses and the paths of their files.
+// newStoppedFleet returns three voters with addresses and paths of their files, none of which is started.
 func newStoppedFleet(t *testing.T) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, Fleet: Fleet{Name: "test"}, paths: make([]string, 3), stops: make([]func(), 3)}
@@ -136,7 +136,7 @@
 	return token
 }
 
-// leader waits for a leader and returns its place.
+// leader waits for a leader and returns its index.
 func (f *testFleet) leader() int {
 	f.t.Helper()
 	leader := -1
@@ -149,7 +149,6 @@
 	return leader
 }
 
-// leaderState returns what the leader knows.
 func (f *testFleet) leaderState(ctx context.Context) VoterState {
 	f.t.Helper()
 	s, err := f.client().LeaderState(ctx)
@@ -159,7 +158,7 @@
 	return s
 }
 
-// waitForWaiters waits until so many wait for task x.
+// waitForWaiters waits until n holders are queued for task x.
 func (f *testFleet) waitForWaiters(c *Client, n int) {
 	f.t.Helper()
 	testutil.WaitUntil(f.t, fmt.Sprint(n, " to wait"), func() bool {
@@ -168,7 +167,7 @@
 	})
 }
 
-// voterState asks one voter for its state. It is empty where the voter does not answer.
+// voterState returns the state of one voter. It is empty if the voter does not answer.
 func (f *testFleet) voterState(i int) (s VoterState) {
 	response, err := http.Get("http://" + f.Fleet.Voters[i].Address + statePath)
 	if err == nil {
@@ -178,7 +177,7 @@
 	return s
 }
 
-// wantRejected awaits the rejection of a holder that does not wait.
+// wantRejected returns an error unless the holder's request is rejected because the task is held.
 func (h *Holder) wantRejected() error {
 	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
@@ -188,5 +187,5 @@
 	return nil
 }
 
-// doNothing is an action.
+// doNothing is an action without effect.
 func doNothing(context.Context, uint64) error { return nil }
--- a/internal/lease/agent/guard.go
+++ b/internal/lease/agent/guard.go
@@ -35,7 +35,7 @@
 	defer h.mu.Unlock()
 	h.activeActions--
 	h.releaseWhenIdle(ctx)
-	if Now() >= h.session.ValidUntil() { // not Valid: until then, the voters also keep a revoked grant
+	if Now() >= h.session.ValidUntil() { // not Valid: the voters keep a revoked grant until then, too
 		return errors.Join(err, ErrExpiredDuringAction)
 	}
 	return err
--- a/internal/lease/agent/holder.go
+++ b/internal/lease/agent/holder.go
@@ -11,7 +11,7 @@
 	"mulleinpier/internal/peer/rpc"
 )
 
-// ErrLeaseLost says that a lease is not held any more.
+// ErrLeaseLost says that a lease is no longer held.
 var ErrLeaseLost = errors.New("lease: lost")
 
 // minWakeup is the shortest time between two timer events of a session.
--- a/internal/lease/agent/holder_test.go
+++ b/internal/lease/agent/holder_test.go
@@ -13,7 +13,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestOneHolderAtATime acquires, waits, releases, and loses the leader: tokens rise, and nobody is left waiting.
+// TestOneHolderAtATime acquires, waits for and releases a task while the leader stops: tokens rise, and the waiter gets
+// the task.
 func TestOneHolderAtATime(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -39,8 +40,8 @@
 	}
 }
 
-// TestRevokedGrantIsWaitedOut guards guarantee 4 of package lease: a revoked holder goes on until its time is over, and
-// nobody before.
+// TestRevokedGrantIsWaitedOut checks guarantee 4 of package lease: when the next holder has the task, the one whose
+// grant was revoked can no longer act.
 func TestRevokedGrantIsWaitedOut(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -59,8 +60,8 @@
 	<-lost
 }
 
-// TestRevokedDuringAction guards guarantee 4 where it matters most: a holder that acts as its grant is revoked releases
-// it no sooner than its action has ended.
+// TestRevokedDuringAction checks guarantee 4 for a grant that is revoked during an action: the holder releases it only
+// after the action has ended.
 func TestRevokedDuringAction(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -72,7 +73,7 @@
 		ended <- a.RunGuarded(context.Background(), func(ctx context.Context, _ uint64) error {
 			acting.Store(true)
 			close(started)
-			<-ctx.Done() // its time is over, and it takes a while yet
+			<-ctx.Done() // the lease is lost, and the action goes on for a while
 			time.Sleep(200 * time.Millisecond)
 			acting.Store(false)
 			return nil
@@ -89,11 +90,11 @@
 		t.Error("b holds while a acts")
 	}
 	if err := testutil.Receive(t, "the action to end", ended); err != nil {
-		t.Errorf("an action that ended while its grant was waited for: %v", err)
+		t.Errorf("an action that ended before its revoked grant expired: %v", err)
 	}
 }
 
-// TestHandOverMakesWaiterNext has an operator hand a task to the last of three waiters: it is the next holder.
+// TestHandOverMakesWaiterNext hands a task over to the last of three waiters: it becomes the next holder.
 func TestHandOverMakesWaiterNext(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestHandOverToDeadWaiter hands a task to a waiter that has died: its grant runs out, and the next one holds.
+// TestHandOverToDeadWaiter hands a task over to a waiter that has died: its grant expires, and the next waiter gets the
+// task.
 func TestHandOverToDeadWaiter(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -139,7 +141,7 @@
 	f.wantHigher(f.await(waiting[1]), token)
 }
 
-// TestManyContenders has a thousand ask for one task at three voters: each has it once, one at a time.
+// TestManyContenders has a thousand contenders for one task of three voters: each holds it once, one at a time.
 func TestManyContenders(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a thousand contenders")
--- a/internal/lease/agent/race_test.go
+++ b/internal/lease/agent/race_test.go
@@ -2,6 +2,6 @@
 
 package agent
 
-// concurrentContenders is how many contenders wait at a time: under the race detector a thousand ask faster than voters
-// can answer.
+// concurrentContenders is how many contenders wait at a time. Under the race detector, a thousand send requests faster
+// than the voters can answer.
 const concurrentContenders = 300
--- a/internal/lease/agent/recorded_test.go
+++ b/internal/lease/agent/recorded_test.go
@@ -21,11 +21,11 @@
 	"mulleinpier/internal/testutil"
 )
 
-// The files testdata/v0.bolt to v2.bolt are those of three voters of an earlier version, after the history that led to
-// recordedStateMachine. v2 lost its first file, and was replaced under a new ID. joining.bolt is the file of a voter
-// that was made, but never run.
+// The files testdata/v0.bolt to v2.bolt were written by three voters of an earlier version, whose log led to
+// recordedStateMachine. v2 lost its first file, and was replaced under a new ID. joining.bolt is the file of a joining
+// voter that was created, but never run.
 
-// recordedStateMachine is what the recorded voters had agreed on.
+// recordedStateMachine returns the state machine that the recorded voters had agreed on.
 func recordedStateMachine() *lease.StateMachine {
 	grant := func(holder string, nonce, token uint64) lease.Grant {
 		return lease.Grant{Holder: holder, Nonce: nonce, Token: token, Duration: time.Hour}
@@ -62,7 +62,7 @@
 func TestRecordedVotersFiles(t *testing.T) {
 	for _, c := range []struct {
 		file      string
-		id        uint64 // as the file has it: 0 for one of the first voters
+		id        uint64 // as stored in the file: 0 for one of the first voters
 		voters    []uint64
 		snapshot  uint64 // index
 		lastEntry uint64 // index
@@ -99,13 +99,13 @@
 				t.Errorf("a snapshot at %d and entries to %d, want %d and %d",
 					metadata.GetIndex(), last, c.snapshot, c.lastEntry)
 			}
-			checkSavedAlike(t, l, saved)
+			checkSavedUnchanged(t, l, saved)
 		})
 	}
 }
 
-// checkSavedAlike checks that a state would be saved as the bytes that are in the file.
-func checkSavedAlike(t *testing.T, l *store.Log, saved quorum.PersistentState) {
+// checkSavedUnchanged checks that this version would save a state as the bytes that are in the file.
+func checkSavedUnchanged(t *testing.T, l *store.Log, saved quorum.PersistentState) {
 	t.Helper()
 	named, records, err := l.Load()
 	if err != nil {
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestRecordedVotersContinue runs three voters of this version from the recorded files: they agree on what was
-// recorded, and their next token is higher than all before.
+// TestRecordedVotersContinue runs three voters of this version from the recorded files: they agree on the recorded
+// state machine, and their next token follows the last one.
 func TestRecordedVotersContinue(t *testing.T) {
 	f := newStoppedFleet(t)
 	for i, path := range f.paths {
@@ -157,7 +157,7 @@
 	}
 }
 
-// machineJSON is a state machine as JSON, with absent lists as empty ones. It leaves out nonces, as JSON does.
+// machineJSON returns a state machine as JSON, with nil lists as empty ones. The JSON has no nonces.
 func machineJSON(t *testing.T, m *lease.StateMachine) string {
 	t.Helper()
 	m = m.Clone()
@@ -201,7 +201,7 @@
 	"request-remove-voter.cbor": {Header: recordedHeader, Command: lease.Command{Kind: lease.RemoveVoter, To: "v2"}},
 }
 
-// recordedReplies are the answers to them.
+// recordedReplies are replies to such requests, by file.
 var recordedReplies = map[string]Reply{
 	"reply-no-leader.cbor": {Outcome: lease.NoAnswer},
 	"reply-leader.cbor":    {Outcome: lease.NoAnswer, Leader: "v1"},
@@ -211,7 +211,7 @@
 	"reply-not-held.cbor":  {Outcome: lease.NotHeld},
 }
 
-// recordedVoterMessages is what one voter sends another.
+// recordedVoterMessages returns a batch of messages from one voter to another.
 func recordedVoterMessages(t *testing.T) voterMessages {
 	var messages [][]byte
 	for _, kind := range []raftpb.MessageType{raftpb.MessageType_MsgHeartbeat, raftpb.MessageType_MsgHeartbeatResp} {
@@ -225,8 +225,8 @@
 	return voterMessages{Header: recordedHeader, Messages: messages, From: "v1", VoterID: 2}
 }
 
-// TestRecordedMessages guards fleets of mixed versions: what voters, holders and operators send one another is read
-// from and written for earlier versions, on the same paths. The texts of errors are part of it: operators see them.
+// TestRecordedMessages guards fleets of mixed versions: messages between voters, holders and operators have to be read
+// and written as earlier versions did, on the same paths. So do the texts of errors, which operators see.
 func TestRecordedMessages(t *testing.T) {
 	for name, want := range recordedRequests {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
@@ -257,7 +257,7 @@
 	}
 }
 
-// recordedVoterState is what a voter reports of itself, with each field set.
+// recordedVoterState is the state that a voter reports, with each field set.
 var recordedVoterState = VoterState{
 	Voter:      "v1",
 	VoterID:    2,
@@ -292,7 +292,7 @@
 	DiskSyncs: 7,
 }
 
-// TestRecordedState guards what operators' programs read of a voter: its JSON is as an earlier version wrote it.
+// TestRecordedState guards operators' programs, which read a voter's state: its JSON is as an earlier version wrote it.
 func TestRecordedState(t *testing.T) {
 	recorded := testutil.Recorded(t, "testdata/state.json")
 	var got VoterState
--- a/internal/lease/agent/voter_test.go
+++ b/internal/lease/agent/voter_test.go
@@ -17,8 +17,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestTokensRiseAfterAllVotersRestart ends all voters at once and starts them anew: the holder is waited out, and the
-// next token is higher.
+// TestTokensRiseAfterAllVotersRestart stops all voters, and restarts them after the holder's lease has ended: the next
+// token is higher.
 func TestTokensRiseAfterAllVotersRestart(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -27,14 +27,14 @@
 		f.stop(i)
 	}
 	b := f.hold("x", "b", true)
-	<-a.Lost(context.Background()) // by its own clock, with nobody to ask
+	<-a.Lost(context.Background()) // by the holder's own clock, as no voter answers
 	for _, i := range []int{2, 0, 1} {
 		f.start(i)
 	}
 	f.wantHigher(f.await(b), first)
 }
 
-// TestVoterHaltsWhenDiskFails breaks the leader's disk: it says nothing more, and the others go on.
+// TestVoterHaltsWhenDiskFails breaks the leader's disk: the leader halts, and the other voters go on.
 func TestVoterHaltsWhenDiskFails(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -44,7 +44,8 @@
 	f.wantHigher(f.await(f.hold("x", "b", true)), first)
 }
 
-// TestVoterWithoutFileDoesNotVote guards guarantee 2 of package lease: a voter's file is made once, by hand.
+// TestVoterWithoutFileDoesNotVote guards guarantee 2 of package lease: a voter does not start without its file, which
+// an operator creates once, nor with the file of another fleet.
 func TestVoterWithoutFileDoesNotVote(t *testing.T) {
 	f := newFleet(t)
 	log := slog.New(slog.DiscardHandler)
@@ -53,18 +54,18 @@
 		t.Errorf("without a file: %v", err)
 	}
 	if err := InitVoter(f.paths[0], &f.Fleet); err == nil {
-		t.Error("a file is made twice")
+		t.Error("a file was created twice")
 	}
 	f.stop(0)
 	other := f.Fleet
 	other.Name = "other"
 	if _, err := Open(f.paths[0], other, "v0", log); err == nil {
-		t.Error("opened by another fleet")
+		t.Error("a voter of another fleet has opened the file")
 	}
 }
 
-// TestVoterIsReplacedAfterLosingItsFile replaces a voter whose disk is lost: under its old ID it never votes again,
-// under a new one it does, and the fleet bears the loss of another then. A grant goes on through all of it.
+// TestVoterIsReplacedAfterLosingItsFile replaces a voter that has lost its disk: under its old ID it never votes again,
+// under a new one it does, and then the fleet tolerates the loss of another voter. A grant stays valid throughout.
 func TestVoterIsReplacedAfterLosingItsFile(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -76,7 +77,7 @@
 	defer cancel()
 	c := f.client()
 	if _, err := c.Execute(ctx, lease.Command{Kind: lease.AddVoter, To: name}); err == nil {
-		t.Error("added twice")
+		t.Error("a voter was added twice")
 	}
 	for _, kind := range []lease.CommandKind{lease.RemoveVoter, lease.AddVoter} {
 		if _, err := c.Execute(ctx, lease.Command{Kind: kind, To: name}); err != nil {
@@ -86,7 +87,7 @@
 	s := f.leaderState(ctx)
 	newID := s.StateMachine.VoterID(name)
 	if newID != 4 {
-		t.Fatalf("voters %v", s.StateMachine.Voters)
+		t.Fatalf("voters %v, want the new voter under ID 4", s.StateMachine.Voters)
 	}
 	f.paths[lost] = filepath.Join(t.TempDir(), "new")
 	if err := InitJoiningVoter(f.paths[lost], &f.Fleet, newID); err != nil {
@@ -97,7 +98,7 @@
 		s := f.voterState(lost)
 		return s.StateMachine != nil && s.StateMachine.LastToken >= first
 	})
-	f.stop((lost + 1) % 3) // now the new one is needed
+	f.stop((lost + 1) % 3) // now the new voter is needed for a majority
 	if err := a.RunGuarded(ctx, func(_ context.Context, token uint64) error {
 		if token != first {
 			t.Errorf("acts under %d, held %d", token, first)
@@ -110,7 +111,8 @@
 	f.wantHigher(f.await(f.hold("x", "b", true)), first)
 }
 
-// TestOtherFleetsAndVersionsAreRejected guards links against another fleet and another version.
+// TestOtherFleetsAndVersionsAreRejected checks that voters reject requests of another fleet, and messages that are
+// malformed or of another version.
 func TestOtherFleetsAndVersionsAreRejected(t *testing.T) {
 	f := newFleet(t)
 	other := f.Fleet
@@ -122,7 +124,7 @@
 	defer c.Close()
 	acquire := lease.Command{Kind: lease.Acquire, Task: "x", Holder: "a", Nonce: 1, Duration: time.Second}
 	if _, err := c.send(context.Background(), acquire, 0); err == nil {
-		t.Error("another fleet is answered")
+		t.Error("a request of another fleet was answered")
 	}
 	for _, body := range []string{"", "\xff\xff", "\xa1\x01\x09"} {
 		url := "http://" + f.Fleet.Voters[0].Address + messagesPath
@@ -136,8 +138,8 @@
 	}
 }
 
-// TestVoterHaltsWithOutdatedFile starts a voter with a file of long ago: it halts, as what it has promised since lies
-// with the leader, and the others go on; tokens still rise.
+// TestVoterHaltsWithOutdatedFile starts a voter with an old copy of its file: it halts, as the leader knows of entries
+// that it has acknowledged since, and the others go on; tokens still rise.
 func TestVoterHaltsWithOutdatedFile(t *testing.T) {
 	f := newFleet(t)
 	last := f.await(f.hold("x", "a", true))
@@ -151,7 +153,7 @@
 	for i := range 20 {
 		last = max(last, f.wantHigher(f.await(f.hold(fmt.Sprint("y", i), "a", true)), last))
 	}
-	testutil.WaitUntil(t, "the voter to have heard of all", func() bool {
+	testutil.WaitUntil(t, "the voter to apply all grants", func() bool {
 		s := f.voterState(voter)
 		return s.StateMachine != nil && s.StateMachine.LastToken >= last
 	})
--- a/internal/lease/interleaving_test.go
+++ b/internal/lease/interleaving_test.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// nextSteps are all steps that may follow. The first one lets time pass.
+// nextSteps returns all steps that can follow this state. The first one lets a tick pass.
 func (w *world) nextSteps() (list []func(*world)) {
 	step := func(do func(*world)) { list = append(list, do) }
 	step((*world).passTick)
 	for i, m := range w.inFlight {
 		if m.kind == responseMessage && m.contender == w.stopped {
-			continue // it is not read
+			continue // a stopped contender reads no messages
 		}
 		list = append(list, w.messageSteps(i, m)...)
 	}
 	if w.faultsLeft.changeLeader > 0 {
 		step((*world).changeLeader)
 	}
-	if w.leader == 1 && !w.oldLeaderDeposed {
+	if w.leader == 1 && !w.oldLeaderNotified {
 		step(func(c *world) {
-			c.oldLeaderDeposed = true
+			c.oldLeaderNotified = true
 			c.handleAtVoter(0, LeadershipLost{})
 		})
 	}
@@ -53,7 +53,7 @@
 	return list
 }
 
-// messageSteps are what may become of a message in flight.
+// messageSteps returns what can happen to a message in flight: delivery, loss or duplication.
 func (w *world) messageSteps(i int, m message) (list []func(*world)) {
 	take := func(c *world) message {
 		m := c.inFlight[i]
@@ -63,7 +63,7 @@
 	if m.kind != responseMessage || m.incarnation == w.incarnations[m.contender] {
 		receivers := 1
 		if m.kind == requestMessage && w.leader == 1 {
-			receivers = 2 // either voter may be asked
+			receivers = 2 // it may reach either voter
 		}
 		for v := range receivers {
 			list = append(list, func(c *world) { c.deliver(take(c), v) })
@@ -84,11 +84,11 @@
 	return list
 }
 
-// changeLeader has voter 1 lead; voter 0 may not notice.
+// changeLeader makes voter 1 the leader; voter 0 may not notice.
 func (w *world) changeLeader() {
 	w.faultsLeft.changeLeader--
 	w.leader = 1
-	if !w.defect.forgetfulVoter {
+	if !w.defect.newLeaderLacksGrants {
 		copyTasks(w.machines[1], w.machines[0])
 	}
 	w.handleAtVoter(1, LeadershipAcquired{})
@@ -102,7 +102,7 @@
 	}
 }
 
-// explore visits all states until a tick, maxStates of them at the most, and returns the first violation.
+// explore visits all states up to a tick, at most maxStates of them, and returns the first violation.
 func explore(f faults, maxStates, until int) (states int, complete bool, violation string) {
 	first := newWorld(plantedDefect{}, f)
 	hash := maphash.MakeSeed()
@@ -131,8 +131,8 @@
 	return len(seen), true, ""
 }
 
-// randomCourse takes one random course until a tick, and returns the first violation.
-func randomCourse(d plantedDefect, seed uint64, until int) (violation string) {
+// randomWalk takes random steps up to a tick, and returns the first violation.
+func randomWalk(d plantedDefect, seed uint64, until int) (violation string) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	w := newWorld(d, faults{1, 1, 1, 1, 1, 1})
 	for w.now <= until {
@@ -150,17 +150,17 @@
 }
 
 const (
-	// exploredTicks bounds the states that are all visited.
+	// exploredTicks is the tick up to which all states are visited.
 	exploredTicks = 4
-	// maxExploredStates is more than there are.
+	// maxExploredStates is more than the number of states up to exploredTicks.
 	maxExploredStates = 400_000
-	// courseTicks is how long a random course lasts, and courses how many are taken.
-	courseTicks = 24
-	courses     = 100_000
+	// walkTicks is the length of a random walk, and walks the number of walks.
+	walkTicks = 24
+	walks     = 100_000
 )
 
-// TestInterleavings guards guarantees 1 to 3 in every state that the world reaches in its first ticks, and in random
-// courses beyond. Each planted defect is found.
+// TestInterleavings checks guarantees 1 to 3 in every state of the model's first ticks, and in random walks that go
+// further. It also checks that each planted defect is found.
 func TestInterleavings(t *testing.T) {
 	begin := time.Now()
 	states := 0
@@ -176,7 +176,7 @@
 	} {
 		until := exploredTicks
 		if f.changeLeader+f.stop+f.crash > 1 {
-			until-- // two faults make many more
+			until-- // two faults lead to many more states
 		}
 		n, complete, violation := explore(f, maxExploredStates, until)
 		t.Logf("%s: %d states, all of them: %v", name, n, complete)
@@ -186,23 +186,23 @@
 		states += n
 	}
 	t.Logf("%d states in %v", states, time.Since(begin))
-	for seed := range uint64(courses) {
-		if violation := randomCourse(plantedDefect{}, seed, courseTicks); violation != "" {
-			t.Fatalf("course %d: %s", seed, violation)
+	for seed := range uint64(walks) {
+		if violation := randomWalk(plantedDefect{}, seed, walkTicks); violation != "" {
+			t.Fatalf("walk %d: %s", seed, violation)
 		}
 	}
 	for name, d := range map[string]plantedDefect{
-		"no margin and no drift allowed for": {noMargin: true},
-		"a voter that forgets":               {forgetfulVoter: true},
-		"counted from the response":          {countsFromResponse: true},
-		"drift past the bound":               {excessiveDrift: true},
-		"the new leader believes all over":   {inheritedLeasesEnded: true},
+		"no margin, no allowance for drift":  {noMargin: true},
+		"new leader without grants":          {newLeaderLacksGrants: true},
+		"lease counted from the response":    {countsFromResponse: true},
+		"drift beyond the bound":             {excessiveDrift: true},
+		"inherited leases taken for expired": {inheritedLeasesEnded: true},
 	} {
 		violation, seed := "", uint64(0)
-		for ; seed < courses && violation == ""; seed++ {
-			violation = randomCourse(d, seed, courseTicks)
+		for ; seed < walks && violation == ""; seed++ {
+			violation = randomWalk(d, seed, walkTicks)
 		}
-		t.Logf("%s: %s, course %d", name, violation, seed)
+		t.Logf("%s: %s, walk %d", name, violation, seed)
 		if violation == "" {
 			t.Errorf("%s: not found", name)
 		}
--- a/internal/lease/interleaving_world_test.go
+++ b/internal/lease/interleaving_world_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// This file is a small world that tests exhaust by interleavings: two voters that lead one after the other, two
-// contenders of one task, one change of the leader that the old one may not notice, one crash and restart, one stop,
-// and messages that are lost, late and duplicated. The majority behind the leader is taken for granted: the consensus
+// This file is a small model of which tests explore the interleavings: two voters that lead one after the other, two
+// contenders for one task, one change of the leader that the old one may not notice, one crash and restart, one stop,
+// and messages that are lost, delayed and duplicated. The model assumes that the leader has a majority: the consensus
 // library has its own proof.
 
-// worldTick is how finely time passes.
+// worldTick is the time step of the model.
 const worldTick = 100 * ms
 
-// maxMessagesInFlight bounds the messages at a time; any more are lost.
+// maxMessagesInFlight limits the messages in flight; further ones are lost.
 const maxMessagesInFlight = 3
 
-// leaseTicks is the duration of a lease.
+// leaseTicks is the duration of a lease in ticks.
 const leaseTicks = 4
 
-// worldParameters are such that the drift shows within a lease of four ticks.
+// worldParameters have a clock drift that is large enough to show within a lease of four ticks.
 var worldParameters = Parameters{
 	MaxClockDrift: 0.25,
 	SafetyMargin:  worldTick,
@@ -30,16 +30,15 @@
 	MaxDuration:   time.Hour,
 }
 
-// plantedDefect is put into the world to see it found.
+// plantedDefect is a defect that a test puts into the model to check that it is found.
 type plantedDefect struct {
-	noMargin             bool // nor an allowance for drift
-	forgetfulVoter       bool // the new leader knows nothing of the old one's grants
-	countsFromResponse   bool // a holder counts its lease from the answer, not from the request
+	noMargin             bool // and no allowance for drift
+	newLeaderLacksGrants bool // the new leader does not know the old one's grants
+	countsFromResponse   bool // a holder counts its lease from the response, not from the request
 	excessiveDrift       bool // a holder's clock is slower than the bound
-	inheritedLeasesEnded bool // a new leader believes all inherited leases over
+	inheritedLeasesEnded bool // a new leader takes all inherited leases for expired
 }
 
-// messageKind is what a message in flight is.
 type messageKind byte
 
 const (
@@ -58,25 +57,26 @@
 	sequence    uint64 // of a confirmation
 }
 
-// faults are how often each may befall a world.
+// faults is how often each fault may occur.
 type faults struct{ lose, duplicate, changeLeader, stop, crash, release int }
 
+// world is one state of the model.
 type world struct {
-	now              int // ticks
-	leader           int // the voter that leads in truth
-	machines         [2]*StateMachine
-	managers         [2]*ExpiryManager
-	sessions         [2]*Session
-	incarnations     [2]int
-	stopped          int // contender, -1 for none
-	inFlight         []message
-	renewals         map[uint64]message // being confirmed, by request ID
-	lastRequestID    uint64
-	highestToken     uint64 // that a valid session had
-	faultsLeft       faults
-	oldLeaderDeposed bool
-	defect           plantedDefect
-	parameters       Parameters
+	now               int // ticks
+	leader            int // the voter that really leads
+	machines          [2]*StateMachine
+	managers          [2]*ExpiryManager
+	sessions          [2]*Session
+	incarnations      [2]int
+	stopped           int // contender, -1 for none
+	inFlight          []message
+	renewals          map[uint64]message // being confirmed, by request ID
+	lastRequestID     uint64
+	highestToken      uint64 // that a valid session had
+	faultsLeft        faults
+	oldLeaderNotified bool // voter 0 knows that it no longer leads
+	defect            plantedDefect
+	parameters        Parameters
 }
 
 func newWorld(defect plantedDefect, f faults) *world {
@@ -108,10 +108,10 @@
 	})
 }
 
-// voterNow is the voters' clock, fast by the drift bound.
+// voterNow returns the time by the voters' clock, which is fast by the drift bound.
 func (w *world) voterNow() time.Duration { return w.scale(1 + worldParameters.MaxClockDrift) }
 
-// holderNow is the contenders' clock, slow by the drift bound.
+// holderNow returns the time by the contenders' clock, which is slow by the drift bound.
 func (w *world) holderNow() time.Duration {
 	if w.defect.excessiveDrift {
 		return w.scale(0.25)
@@ -145,7 +145,7 @@
 	return &c
 }
 
-// copyTasks gives a voter the tasks and the last token of another.
+// copyTasks copies the tasks and the last token of one voter to another.
 func copyTasks(to, from *StateMachine) {
 	for name, t := range from.Tasks {
 		to.Tasks[name] = &Task{
@@ -157,10 +157,10 @@
 	to.LastToken = from.LastToken
 }
 
-// key names a state.
+// key returns a text that identifies the state.
 func (w *world) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, w.now, w.leader, w.incarnations, w.stopped, w.highestToken, w.faultsLeft, w.oldLeaderDeposed, "|")
+	fmt.Fprint(&b, w.now, w.leader, w.incarnations, w.stopped, w.highestToken, w.faultsLeft, w.oldLeaderNotified, "|")
 	for v := range w.machines {
 		for name, t := range w.machines[v].Tasks {
 			fmt.Fprint(&b, name, *t)
@@ -190,12 +190,12 @@
 	w.send(message{kind: responseMessage, contender: to.contender, incarnation: to.incarnation, response: r})
 }
 
-// handleAtVoter gives a voter's expiry manager an event and does what it asks.
+// handleAtVoter passes an event to a voter's expiry manager and carries out its actions.
 func (w *world) handleAtVoter(v int, event ExpiryEvent) {
 	for _, a := range w.managers[v].Handle(w.voterNow(), event, nil) {
 		switch a := a.(type) {
 		case ConfirmLeadership:
-			if v == w.leader { // a majority confirms it now; the confirmation may come late
+			if v == w.leader { // a majority confirms it now; the confirmation may be delayed
 				w.send(message{kind: confirmationMessage, voter: v, sequence: a.Sequence})
 			}
 		case RenewalResult:
@@ -210,7 +210,7 @@
 	}
 }
 
-// commit has the true leader carry out a command.
+// commit applies a command at the voter v, which really leads.
 func (w *world) commit(v int, c Command) Result {
 	r := w.machines[v].Apply(&c)
 	w.handleAtVoter(v, CommandApplied{c, r})
@@ -224,7 +224,7 @@
 	w.handleAtVoter(v, Renew{w.lastRequestID, "a", token})
 }
 
-// deliver brings a message to its receiver: a request to voter v.
+// deliver delivers a message to its receiver; a request goes to voter v.
 func (w *world) deliver(m message, v int) {
 	switch m.kind {
 	case requestMessage:
@@ -246,7 +246,7 @@
 	case m.request.Token > 0:
 		w.renew(v, m, m.request.Token)
 		return
-	case v != w.leader: // it is never decided
+	case v != w.leader: // a deposed leader's proposal is never committed
 		return
 	}
 	w.handleAtVoter(v, WaiterSeen{"a", m.request.Command.Holder, m.request.Command.Nonce})
@@ -261,7 +261,7 @@
 	}
 }
 
-// handleAtContender gives a contender's session an event and does what it asks.
+// handleAtContender passes an event to a contender's session and carries out its actions.
 func (w *world) handleAtContender(i int, e SessionEvent) {
 	s := w.sessions[i]
 	r, isResponse := e.(Response)
@@ -282,7 +282,7 @@
 	}
 }
 
-// passTick lets a tick go by: all but a stopped contender notice.
+// passTick lets a tick pass, which all but a stopped contender notice.
 func (w *world) passTick() {
 	w.now++
 	for v := range w.managers {
@@ -295,7 +295,7 @@
 	}
 }
 
-// violation says which guarantee the state breaks, "" for none.
+// violation returns how the state violates a guarantee, "" if it does not.
 func (w *world) violation() string {
 	valid := 0
 	for _, s := range w.sessions {
--- a/internal/lease/permit_test.go
+++ b/internal/lease/permit_test.go
@@ -18,13 +18,13 @@
 	}}
 	isRunning := func(pid int) bool { return pid == 11 }
 	if got := OrphanedTokens(task, "p1", 12, isRunning); !slices.Equal(got, []uint64{1}) {
-		t.Errorf("p1 finds %v: want what a dead process of its name has left, no other's, not its own", got)
+		t.Errorf("orphaned tokens of p1: %v, want only that of the ended process with its name", got)
 	}
 	if got := OrphanedTokens(task, "dc/p1", 12, isRunning); !slices.Equal(got, []uint64{6}) {
-		t.Errorf("a name with a slash finds %v", got)
+		t.Errorf("orphaned tokens of a name with a slash: %v, want [6]", got)
 	}
 	if got := OrphanedTokens(nil, "p1", 12, isRunning); got != nil {
-		t.Errorf("of no task: %v", got)
+		t.Errorf("orphaned tokens without a task: %v, want none", got)
 	}
 }
 
--- a/internal/lease/quorum/fuzz_test.go
+++ b/internal/lease/quorum/fuzz_test.go
@@ -9,8 +9,8 @@
 	"mulleinpier/internal/lease"
 )
 
-// FuzzReceivedMessages guards what voters send one another: whatever comes is not decoded, dropped, applied, or halts
-// this voter; nothing of it ends the process, and a voter that has halted sends nothing more.
+// FuzzReceivedMessages checks that no message from another voter ends the process: a message is rejected by Decode,
+// dropped or applied, or it halts this voter. A voter that has halted sends and saves nothing more.
 func FuzzReceivedMessages(f *testing.F) {
 	for _, kind := range []raftpb.MessageType{
 		raftpb.MessageType_MsgHeartbeat,
@@ -52,7 +52,7 @@
 					halted = true
 				case Send, Save:
 					if halted {
-						t.Fatalf("%T of one that has halted", a)
+						t.Fatalf("%T from a halted voter", a)
 					}
 				}
 			}
--- a/internal/lease/quorum/messages.go
+++ b/internal/lease/quorum/messages.go
@@ -54,7 +54,7 @@
 		Token     uint64
 		Err       error
 	}
-	// WaitersGranted has the grants that a command created, for its sender or for waiters. Only the leader emits it.
+	// WaitersGranted reports the grants that a command created, for its sender or for waiters, on the leader only.
 	WaitersGranted struct {
 		Task   string
 		Grants []lease.Grant
--- a/internal/lease/quorum/recorded_test.go
+++ b/internal/lease/quorum/recorded_test.go
@@ -15,8 +15,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// recordedEntries are entries of the voters' log as an earlier version wrote them, by file: one of each kind of
-// command.
+// recordedEntries are entries of the voters' log as an earlier version wrote them, by file, for each kind of command.
 var recordedEntries = map[string]logEntry{
 	"entry-acquire.cbor": {RequestID: 1, Proposer: 0xfedcba9876543211, Command: lease.Command{
 		Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second, Wait: true,
@@ -52,8 +51,8 @@
 	"entry-empty-command.cbor": {},
 }
 
-// recordedState is a state of the leases in which each field is set, with one task and one voter so that its encoding
-// has one order.
+// recordedState is a state machine in which each field is set, with one task and one voter so that the order of its
+// encoding is fixed.
 var recordedState = lease.StateMachine{
 	Tasks: map[string]*lease.Task{"restart": {
 		MaxHolders: 2,
@@ -68,8 +67,8 @@
 	LastVoterID: 4,
 }
 
-// TestRecordedLog guards the voters' files and fleets of mixed versions: entries and states of the leases are read from
-// and written for earlier versions.
+// TestRecordedLog guards the voters' files and fleets of mixed versions: log entries and states have to be read and
+// written as earlier versions did.
 func TestRecordedLog(t *testing.T) {
 	for name, want := range recordedEntries {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
@@ -82,7 +81,7 @@
 	}
 }
 
-// recordedManyTasks is a state whose encoding has no one order.
+// recordedManyTasks returns a state whose encoding has no fixed order.
 func recordedManyTasks() lease.StateMachine {
 	m := lease.NewStateMachine("v0", "v1", "v2")
 	for i := range 20 {
@@ -105,7 +104,7 @@
 	return data
 }
 
-// recordedMessages are what voters send one another.
+// recordedMessages returns messages between voters, by file.
 func recordedMessages() map[string]*raftpb.Message {
 	snapshot, err := cbor.Marshal(recordedState)
 	if err != nil {
@@ -153,7 +152,8 @@
 	}
 }
 
-// TestRecordedMessages guards fleets of mixed versions: what voters send is read from and written for earlier versions.
+// TestRecordedMessages guards fleets of mixed versions: messages between voters have to be read and written as earlier
+// versions did.
 func TestRecordedMessages(t *testing.T) {
 	for name, want := range recordedMessages() {
 		recorded := testutil.Recorded(t, "testdata/"+name)
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestRecordedSnapshotIsApplied has a voter take the recorded snapshot message: what it knows then is the recorded
-// state.
+// TestRecordedSnapshotIsApplied checks that a voter that receives the recorded snapshot message has the recorded state
+// afterwards.
 func TestRecordedSnapshotIsApplied(t *testing.T) {
 	initial, err := InitialState("v0", "v1", "v2")
 	if err != nil {
--- a/internal/lease/quorum/replica_test.go
+++ b/internal/lease/quorum/replica_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestRandomFaults guards guarantees 1 to 3 of package lease with the real library under it. MULLEINPIER_LIVES is how
-// many simulations are run, 400 if it is not set.
+// TestRandomFaults checks guarantees 1 to 3 of package lease under random faults, with the real raft library.
+// MULLEINPIER_LIVES is the number of simulations; without it there are 400, or 50 in short mode.
 func TestRandomFaults(t *testing.T) {
 	simulations := 400
 	if testing.Short() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestThreeHundredInstances has them want one task of three voters, of which one is slow to save, with all faults: one
-// holds at a time, and the task changes hands.
+// TestThreeHundredInstances has 300 contenders for one task and three voters, of which one is slow to save, with all
+// faults: at most one contender holds the task at a time, and the task changes hands.
 func TestThreeHundredInstances(t *testing.T) {
 	s := newSimulation(1, plantedDefect{}, 300)
 	s.voters[2].saveDelay = 100 * ms
@@ -64,14 +64,14 @@
 	}
 }
 
-// TestPlantedDefectsAreFound plants one defect after the other.
+// TestPlantedDefectsAreFound checks that the simulations find each planted defect.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	const maxSimulations = 3000
 	for name, defect := range map[string]plantedDefect{
-		"margin under zero, no drift allowed for": {negativeMargin: true},
+		"negative margin, no allowance for drift": {negativeMargin: true},
 		"a voter that forgets its log":            {forgetsLog: true},
-		"promises before they are saved":          {sendsBeforeSave: true},
-		"drift past the bound":                    {excessiveDrift: true},
+		"messages sent before the save":           {sendsBeforeSave: true},
+		"drift beyond the bound":                  {excessiveDrift: true},
 	} {
 		found, simulations := "", 0
 		for seed := uint64(0); seed < maxSimulations && found == ""; seed++ {
--- a/internal/lease/quorum/requests.go
+++ b/internal/lease/quorum/requests.go
@@ -9,7 +9,7 @@
 	"mulleinpier/internal/lease"
 )
 
-// maxPending limits the pending proposals, and also the pending renewals.
+// maxPending limits the pending proposals, and separately the pending renewals.
 const maxPending = 4096
 
 // pendingRenewal is the request that a renewal answers, and the grant that it renews.
--- a/internal/lease/quorum/simulation_contenders_test.go
+++ b/internal/lease/quorum/simulation_contenders_test.go
@@ -7,19 +7,19 @@
 	"mulleinpier/internal/lease"
 )
 
-// contender is a process that wants the task again and again.
+// contender is a process that acquires the task again and again.
 type contender struct {
 	name        string
 	incarnation int
 	session     *lease.Session
 	clockRate   float64
 	stopped     bool
-	deferred    []func() // what comes while it is stopped
+	deferred    []func() // what arrives while it is stopped
 }
 
 const leaseDuration = 400 * ms
 
-// startContender starts another run of a contender, which wants the task.
+// startContender starts a new run of a contender, which acquires the task.
 func (s *simulation) startContender(c *contender) {
 	s.lastNonce++
 	c.incarnation++
@@ -43,7 +43,7 @@
 	wakeUp()
 }
 
-// whenContenderRuns has a contender do something, once it goes on if it is stopped.
+// whenContenderRuns calls do now or, if the contender is stopped, once it resumes.
 func (s *simulation) whenContenderRuns(c *contender, do func()) {
 	if !c.stopped {
 		do()
@@ -72,7 +72,8 @@
 	}
 }
 
-// request takes a contender's request to a voter and the response back, each late, lost or duplicated.
+// request delivers a contender's request to a voter, and the response back. The request may be lost or duplicated, and
+// both may be delayed.
 func (s *simulation) request(c *contender, incarnation int, request lease.SendRequest) {
 	for range 1 + s.rng.IntN(20)/19 {
 		s.requests++
@@ -112,7 +113,7 @@
 	return time.Duration(s.rng.IntN(8)) * ms
 }
 
-// checkHolders looks at all contenders as they are in truth: no two hold, and tokens only rise.
+// checkHolders checks all contenders at the same moment: no two hold the task, and tokens only rise.
 func (s *simulation) checkHolders() {
 	valid := 0
 	for _, c := range s.contenders {
--- a/internal/lease/quorum/simulation_faults_test.go
+++ b/internal/lease/quorum/simulation_faults_test.go
@@ -6,8 +6,8 @@
 	"mulleinpier/internal/lease"
 )
 
-// causeFault has some fault befall something, time and again.
-func (s *simulation) causeFault() {
+// injectFault injects a random fault, and schedules the next one.
+func (s *simulation) injectFault() {
 	v := s.pickVoter()
 	c := s.contenders[s.rng.IntN(len(s.contenders))]
 	span := time.Duration(s.rng.IntN(1500)) * ms
@@ -18,7 +18,7 @@
 		s.stopVoter(v, span)
 	case 2:
 		s.stopContender(c, span)
-	case 3: // it is gone, and its next run wants the task again
+	case 3: // it crashes, and its next run acquires the task again
 		s.startContender(c)
 	case 4:
 		s.cutLink(v, span)
@@ -29,10 +29,10 @@
 	case 6:
 		s.loseDisk(v)
 	}
-	s.after(time.Duration(100+s.rng.IntN(500))*ms, s.causeFault)
+	s.after(time.Duration(100+s.rng.IntN(500))*ms, s.injectFault)
 }
 
-// killVoter ends a voter's process: all or nothing of what was being saved lasts.
+// killVoter kills a voter's process: of a save in progress, all or nothing is written.
 func (s *simulation) killVoter(v *simulatedVoter, downtime time.Duration) {
 	if v.down {
 		return
@@ -82,7 +82,7 @@
 	})
 }
 
-// cutLink cuts a voter off from another for a while, one way or both.
+// cutLink cuts the link from a voter to another for a while, in one direction or both.
 func (s *simulation) cutLink(from *simulatedVoter, span time.Duration) {
 	to := s.pickVoter()
 	way := [2]uint64{from.id, to.id}
@@ -97,7 +97,7 @@
 	})
 }
 
-// loseDisk takes a voter's disk for good; no other disk is lost until the voter has been replaced.
+// loseDisk destroys a voter's disk; no other disk is lost until the voter has been replaced.
 func (s *simulation) loseDisk(v *simulatedVoter) {
 	if s.replacing || v.down || s.now <= time.Second {
 		return
@@ -107,8 +107,8 @@
 	s.replaceVoter(v, lease.RemoveVoter)
 }
 
-// replaceVoter removes a voter that has lost its disk, and adds another of its name, as operators do: under a new ID,
-// with an empty memory. Kind is the step that is next.
+// replaceVoter replaces a voter that has lost its disk, as an operator does: it removes the voter, and adds another
+// with the same name, under a new ID and with an empty state. kind is the next step.
 func (s *simulation) replaceVoter(v *simulatedVoter, kind lease.CommandKind) {
 	continueWith := func(kind lease.CommandKind) { s.after(100*ms, func() { s.replaceVoter(v, kind) }) }
 	leader := s.leader()
@@ -116,7 +116,7 @@
 		continueWith(kind)
 		return
 	}
-	// What was asked may have been done though no answer came: the state machine knows.
+	// A command may have been applied although no response arrived: the state machine shows whether it was.
 	id := leader.replica.StateMachine().VoterID(v.name)
 	switch {
 	case kind == lease.RemoveVoter && id != v.id:
@@ -134,7 +134,7 @@
 func (s *simulation) startReplacement(lost *simulatedVoter, id uint64) {
 	v := &simulatedVoter{id: id, name: lost.name, clockRate: 1}
 	v.disk, _ = JoiningState()
-	for uint64(len(s.voters)) < id-1 { // an ID that no voter came up under
+	for uint64(len(s.voters)) < id-1 { // an ID under which no voter was started
 		unused := &simulatedVoter{id: uint64(len(s.voters) + 1), diskLost: true, down: true, replica: lost.replica}
 		s.voters = append(s.voters, unused)
 	}
--- a/internal/lease/quorum/simulation_test.go
+++ b/internal/lease/quorum/simulation_test.go
@@ -12,13 +12,14 @@
 	"mulleinpier/internal/lease"
 )
 
-// This file simulates three voters with the real library in virtual time. simulation_contenders_test.go has contenders
-// of one task beside them, simulation_faults_test.go what befalls them: links that lose, delay, duplicate and part,
-// crashes with and without what was being saved, stops, lost disks, and clocks that differ up to the bound.
+// This file simulates three voters with the real raft library in virtual time: links that lose, delay and duplicate
+// messages, and clocks that differ up to the bound. simulation_contenders_test.go adds contenders for one task, and
+// simulation_faults_test.go faults: links that are cut, crashes with and without what was being saved, stops and lost
+// disks.
 
 const ms = time.Millisecond
 
-// plantedDefect is put into a simulation to see it found.
+// plantedDefect is a defect that a test puts into a simulation to check that it is found.
 type plantedDefect struct {
 	negativeMargin  bool // and no allowance for drift
 	forgetsLog      bool // a voter that restarts knows its term, but not its log
@@ -26,7 +27,7 @@
 	excessiveDrift  bool // contenders' clocks are slower than the bound
 }
 
-// scheduledEvent is due at a time; those of one time come in the order in which they were scheduled.
+// scheduledEvent is an event that is due at a time. Events of the same time run in the order of scheduling.
 type scheduledEvent struct {
 	at    time.Duration
 	order int
@@ -36,19 +37,19 @@
 type simulatedVoter struct {
 	id          uint64
 	name        string
-	diskLost    bool // for good
+	diskLost    bool // permanently
 	replica     *Replica
 	disk        PersistentState
-	saving      *PersistentState // what a crash may lose
+	saving      *PersistentState // the save in progress, which a crash may lose
 	incarnation uint64
 	clockRate   float64
 	down        bool
 	stopped     bool
-	saveDelay   time.Duration // it takes so much longer to save
-	deferred    []func()      // what comes while it is stopped
+	saveDelay   time.Duration // added to the duration of each save
+	deferred    []func()      // what arrives while it is stopped
 }
 
-// maxDeferred bounds what waits for a stopped process; any more is lost.
+// maxDeferred limits what is deferred for a stopped process; the rest is lost.
 const maxDeferred = 100
 
 type simulation struct {
@@ -58,7 +59,7 @@
 	lastOrder  int
 	voters     []*simulatedVoter // by ID, from 1
 	contenders []*contender
-	cutLinks   map[[2]uint64]bool // from a voter to a voter
+	cutLinks   map[[2]uint64]bool // by IDs of sender and receiver
 	defect     plantedDefect
 	parameters lease.Parameters
 
@@ -111,7 +112,7 @@
 	return s
 }
 
-// drawClockRate draws a clock that is slow, fast or right.
+// drawClockRate draws the rate of a clock: slow or fast by the drift bound, or exact.
 func (s *simulation) drawClockRate() float64 {
 	switch s.rng.IntN(3) {
 	case 0:
@@ -122,7 +123,7 @@
 	return 1
 }
 
-// after schedules what is to be done in a while.
+// after schedules a call of do after d.
 func (s *simulation) after(d time.Duration, do func()) {
 	s.lastOrder++
 	e := scheduledEvent{s.now + max(d, 0), s.lastOrder, do}
@@ -135,9 +136,9 @@
 	s.schedule = slices.Insert(s.schedule, i, e)
 }
 
-// run lets virtual time pass, until a guarantee is violated.
+// run runs the scheduled events up to a virtual time, or until a guarantee is violated.
 func (s *simulation) run(until time.Duration) {
-	s.after(100*ms, s.causeFault)
+	s.after(100*ms, s.injectFault)
 	for s.now <= until && s.violation == "" {
 		e := s.schedule[0]
 		s.schedule = s.schedule[1:]
@@ -147,7 +148,7 @@
 	}
 }
 
-// clock is the time by a clock that runs at a rate.
+// clock returns the time by a clock that runs at a rate.
 func (s *simulation) clock(rate float64) time.Duration { return time.Duration(float64(s.now) * rate) }
 
 // startVoter starts a voter from its disk.
@@ -166,7 +167,8 @@
 	v.replica, v.saving, v.down = r, nil, false
 }
 
-// campaign has some voter ask for votes, now and then.
+// campaign makes a random voter start an election, always if none leads and sometimes if one does, and schedules the
+// next campaign.
 func (s *simulation) campaign() {
 	v := s.pickVoter()
 	if s.leader() == nil || s.rng.IntN(8) == 0 {
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// pickVoter draws a voter that has its disk, whatever else befell it.
+// pickVoter draws a voter that has its disk; it may be down or stopped.
 func (s *simulation) pickVoter() *simulatedVoter {
 	for {
 		if v := s.voters[s.rng.IntN(len(s.voters))]; !v.diskLost {
@@ -202,7 +204,7 @@
 	s.after(TickInterval, func() { s.tick(v) })
 }
 
-// whenRunning has a voter do something, once it goes on if it is stopped.
+// whenRunning calls do now or, if the voter is stopped, once it resumes. If the voter is down, do is not called.
 func (s *simulation) whenRunning(v *simulatedVoter, do func()) {
 	switch {
 	case v.down:
@@ -243,7 +245,7 @@
 	}
 }
 
-// save makes a state last after a while, unless the voter crashes before.
+// save writes a state to the voter's disk after a delay, unless the voter crashes before.
 func (s *simulation) save(v *simulatedVoter, state PersistentState) {
 	incarnation := v.incarnation
 	v.saving = &state
@@ -280,7 +282,7 @@
 	}
 }
 
-// send takes a message to another voter: some are lost, duplicated or late.
+// send delivers a message to another voter; some messages are lost, duplicated or delayed.
 func (s *simulation) send(from *simulatedVoter, m *raftpb.Message) {
 	data, err := Encode(m)
 	if err != nil {
@@ -288,7 +290,7 @@
 	}
 	s.messages++
 	if m.GetTo() > uint64(len(s.voters)) {
-		return // the voter of that ID has not come up yet
+		return // the voter with that ID has not started yet
 	}
 	to := s.voters[m.GetTo()-1]
 	copies := 1
--- a/internal/lease/statemachine_test.go
+++ b/internal/lease/statemachine_test.go
@@ -28,17 +28,17 @@
 	}{
 		{acquireCommand("a", "x", 1, false), want{1, true, []uint64{1}, nil}},
 		{acquireCommand("a", "x", 1, false), want{1, false, nil, nil}}, // sent twice
-		{acquireCommand("a", "x", 2, false), want{err: ErrHeld}},       // another run of it
+		{acquireCommand("a", "x", 2, false), want{err: ErrHeld}},       // another acquisition of x
 		{acquireCommand("a", "y", 3, true), want{}},
-		{acquireCommand("a", "y", 3, true), want{}}, // waits once
+		{acquireCommand("a", "y", 3, true), want{}}, // queued only once
 		{acquireCommand("a", "z", 4, true), want{}},
-		{acquireCommand("b", "z", 5, false), want{2, true, []uint64{2}, nil}}, // tokens rise over all tasks
+		{acquireCommand("b", "z", 5, false), want{2, true, []uint64{2}, nil}}, // tokens rise across tasks
 		{Command{Kind: Release, Task: "a", Token: 7}, want{err: ErrUnknownGrant}},
-		{Command{Kind: Transfer, Task: "a", Token: 1, To: "z"}, want{granted: []uint64{3}}}, // past y
+		{Command{Kind: Transfer, Task: "a", Token: 1, To: "z"}, want{granted: []uint64{3}}}, // ahead of y
 		{Command{Kind: Transfer, Task: "a", Token: 3, To: "q"}, want{err: ErrUnknownGrant}}, // q does not wait
-		{Command{Kind: Release, Task: "a", Token: 1}, want{err: ErrUnknownGrant}},           // over already
+		{Command{Kind: Release, Task: "a", Token: 1}, want{err: ErrUnknownGrant}},           // already ended
 		{Command{Kind: Revoke, Task: "a", Token: 3}, want{}},
-		{acquireCommand("a", "z", 4, true), want{3, false, nil, nil}}, // z holds until it is waited out
+		{acquireCommand("a", "z", 4, true), want{3, false, nil, nil}}, // z holds the revoked grant until it expires
 		{Command{Kind: Expire, Task: "a", Token: 3}, want{granted: []uint64{4}}},
 		{Command{Kind: SetLimit, Task: "a", MaxHolders: 3}, want{}},
 		{acquireCommand("a", "u", 6, false), want{5, true, []uint64{5}, nil}},
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestStateMachineKeepsLimitsAndTokenOrder guards guarantees 1 and 2 of the state machine alone by random commands,
-// with limits that change: never more newly granted than the limit, and tokens only rise.
+// TestStateMachineKeepsLimitsAndTokenOrder checks guarantees 1 and 2 of the state machine alone with random commands,
+// some of which change the limits: no task is granted beyond its limit, and tokens only rise.
 func TestStateMachineKeepsLimitsAndTokenOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
--- a/internal/store/log_test.go
+++ b/internal/store/log_test.go
@@ -11,13 +11,13 @@
 func TestSavedChangesAreLoaded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a")
 	if _, err := Open(path); !errors.Is(err, ErrNotFound) {
-		t.Fatalf("opened before it was made: %v", err)
+		t.Fatalf("opened before it was created: %v", err)
 	}
 	if err := Create(path, Change{Named: map[string][]byte{"x": []byte("1")}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := Create(path, Change{}); err == nil {
-		t.Fatal("made over another")
+		t.Fatal("created over an existing file")
 	}
 	l, err := Open(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestTornFileIsNotOpened guards against a file of which a part is lost: it is an error, never an empty file.
+// TestTornFileIsNotOpened guards against a truncated file: to open it is an error, and never gives an empty file.
 func TestTornFileIsNotOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a")
 	if err := Create(path, Change{Named: map[string][]byte{"x": make([]byte, 20000)}}); err != nil {
