--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -7,7 +7,7 @@
 	"mulleinpier/policy"
 )
 
-// clientRequest is what a client wants, through all its attempts.
+// clientRequest is a request of a client, across all its attempts.
 type clientRequest struct {
 	id             uint64
 	class          int
@@ -19,16 +19,16 @@
 }
 
 const (
-	// minAttemptTime is the time that a client needs for another attempt.
+	// minAttemptTime is the least time before its deadline at which a client still sends an attempt.
 	minAttemptTime = 50 * time.Millisecond
 
 	maxConnectAttempts = 8 // at proxies that may be down
 
-	// forgetAfter is a time after the end of a request at which nothing of it is left anywhere.
+	// forgetAfter is long enough after the end of a request that no attempt of it can still run.
 	forgetAfter = 10 * time.Second
 )
 
-// scheduleArrival draws the next request of all clients.
+// scheduleArrival schedules the next request, over all clients.
 func (f *Fleet) scheduleArrival() {
 	wait := time.Duration(f.rng.ExpFloat64() / f.Clients.RequestsPerSecond * float64(time.Second))
 	f.scheduleAfter(wait, func() {
@@ -62,7 +62,7 @@
 	return class
 }
 
-// attempt sends a client's request to any proxy that is up.
+// attempt sends a client's request to a random proxy that is up.
 func (f *Fleet) attempt(r *clientRequest) {
 	if r.ended || r.clientDeadline-f.now < minAttemptTime {
 		return
@@ -98,7 +98,7 @@
 	f.scheduleAfter(pause, func() { f.attempt(r) })
 }
 
-// handleRejection handles an answer that promises that another attempt is harmless.
+// handleRejection handles a rejection. A retry is harmless then, so requests of all classes are retried.
 func (f *Fleet) handleRejection(r *clientRequest, retryAfter time.Duration) {
 	if f.Clients.IgnoreRetryAfter {
 		retryAfter = 0
@@ -106,7 +106,7 @@
 	f.retryAfter(r, max(retryAfter, f.Clients.RetryPause))
 }
 
-// handleFailure handles an answer, or the end of a connection before one, that promises nothing: only idempotent
+// handleFailure handles a failure or the loss of a connection. The request may have been executed, so only idempotent
 // requests are retried.
 func (f *Fleet) handleFailure(r *clientRequest) {
 	if f.Settings.Classes[r.class].Idempotency == policy.Idempotent {
@@ -114,7 +114,7 @@
 	}
 }
 
-// handleServed handles an answer that serves a request, in time or late.
+// handleServed handles a successful answer, in time or late.
 func (f *Fleet) handleServed(r *clientRequest) {
 	if r.ended {
 		return
@@ -127,7 +127,7 @@
 	}
 }
 
-// endRequest ends a request whose client's time is up.
+// endRequest ends a request whose client gives up.
 func (f *Fleet) endRequest(r *clientRequest) {
 	f.scheduleAfter(forgetAfter, func() { delete(f.firstRunAt, r.id) })
 	if !r.ended {
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -11,16 +11,16 @@
 	inUse int // attempts in flight
 }
 
-// handshakeDelays is the time of an attempt's way over a new connection, in message delays.
+// handshakeDelays is how many message delays an attempt over a new connection takes to reach the node.
 const handshakeDelays = 3
 
-// send takes an attempt to a node, over a connection that is open or a new one.
+// send sends an attempt to a node over the open connection, or over a new one.
 func (p *proxy) send(r *proxyRequest, n *node) {
 	f := p.fleet
 	a := &attempt{request: r, number: len(r.attempts), node: n, sentAt: f.now}
 	r.attempts = append(r.attempts, a)
 	if !p.isServing(n.Server) {
-		f.violation("proxy %d sends to %s, which it knows to be drained or gone", p.index, n.Server)
+		f.violation("proxy %d sends to %s, which its endpoint list does not have as serving", p.index, n.Server)
 	}
 	delay := f.MessageDelay
 	if p.connections[n.Server] == nil {
@@ -42,7 +42,7 @@
 	p.closeExcess()
 }
 
-// connect opens a connection for an attempt, or ends the attempt and returns false.
+// connect opens a connection for an attempt. If that fails, it ends the attempt and returns false.
 func (p *proxy) connect(a *attempt) (ok bool) {
 	f, n := p.fleet, a.node
 	f.counters().Handshakes++
@@ -97,7 +97,7 @@
 	return names
 }
 
-// connectionLost breaks the connection to a node that has crashed.
+// connectionLost closes the connection to a node that has crashed, and resets the attempts on it.
 func (p *proxy) connectionLost(n *node) {
 	if p.dead || p.connections[n.Server] == nil {
 		return
--- a/internal/simulation/counters.go
+++ b/internal/simulation/counters.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Counters count what happened within some time, fleet-wide.
+// Counters count events across the fleet within some time.
 type Counters struct {
-	Requests       int // of clients
-	ClientAttempts int // the same with their retries
+	Requests       int // of clients, without retries
+	ClientAttempts int // requests of clients, including retries
 
-	// Requests by how they ended, in the second in which they began: served within the latency objective, served
-	// later, and not served at all.
+	// Requests by outcome, counted in the second in which they started: served within the latency objective, served
+	// later, and not served.
 	InTime, Late, Unanswered int
 
-	Rejected, Failed int // answers of proxies
+	Rejected, Failed int // by proxies
 
-	// Attempts that reached a node, of them those at nodes that warm up and at faulty ones; and attempts at nodes that
-	// could not be reached.
+	// Sends counts attempts that reached a node, SendsToWarming and SendsToFaulty the part of them that reached a
+	// warming or a faulty one. SendsToUnreachable counts attempts at nodes that accept no connection.
 	Sends, SendsToWarming, SendsToFaulty int
 	SendsToUnreachable                   int
 
@@ -22,12 +22,12 @@
 	ConnectionsRejected int
 
 	Hits, Misses             int
-	Fetches, FetchesRejected int // by the origin
+	Fetches, FetchesRejected int // at the origin
 
 	EndpointListCalls, EndpointListCallsLost int
 }
 
-// add adds the counts of another time.
+// add adds the counts of another period.
 func (c *Counters) add(other *Counters) {
 	c.Requests += other.Requests
 	c.ClientAttempts += other.ClientAttempts
@@ -50,7 +50,7 @@
 	c.EndpointListCallsLost += other.EndpointListCallsLost
 }
 
-// Sum adds up seconds, from the first up to but not including the other.
+// Sum adds up the counts of the seconds from from to to-1.
 func (f *Fleet) Sum(from, to int) (sum Counters) {
 	for i := from; i < min(to, len(f.PerSecond)); i++ {
 		sum.add(&f.PerSecond[i])
@@ -58,7 +58,7 @@
 	return sum
 }
 
-// countersAt returns the counters of the second of a time.
+// countersAt returns the counters of the second that contains a time.
 func (f *Fleet) countersAt(at time.Duration) *Counters {
 	second := int((at - startTime) / time.Second)
 	for len(f.PerSecond) <= second {
--- a/internal/simulation/endpointlist.go
+++ b/internal/simulation/endpointlist.go
@@ -6,7 +6,7 @@
 	"mulleinpier/policy"
 )
 
-// endpoints returns the endpoint list as it is now.
+// endpoints returns the current endpoint list.
 func (f *Fleet) endpoints() (list []policy.Endpoint) {
 	for _, name := range f.names {
 		if endpoint := f.nodes[name].Endpoint; endpoint.State != policy.Removed {
@@ -16,7 +16,7 @@
 	return list
 }
 
-// announce brings changes of the endpoint list to all proxies that are subscribed; the others get them by a call.
+// announce sends changes of the endpoint list to all subscribed proxies; others get them with their next call.
 func (f *Fleet) announce(changed []policy.Endpoint) {
 	f.listVersion++
 	for _, p := range f.proxies {
@@ -26,7 +26,7 @@
 	}
 }
 
-// subscribe is a proxy's call to the service of the endpoint list, which answers so many a second and drops the others.
+// subscribe handles a proxy's call to the endpoint list service, which drops calls above CallsPerSecond.
 func (f *Fleet) subscribe(p *proxy) {
 	for len(f.listCalls) > 0 && f.now-f.listCalls[0] >= time.Second {
 		f.listCalls = f.listCalls[1:]
--- a/internal/simulation/event.go
+++ b/internal/simulation/event.go
@@ -7,11 +7,11 @@
 
 type event struct {
 	at       time.Duration
-	sequence uint64 // orders events of one time
+	sequence uint64 // orders events at the same time
 	do       func()
 }
 
-// eventQueue holds the events to come.
+// eventQueue holds the scheduled events.
 type eventQueue struct{ heap eventHeap }
 
 func (q *eventQueue) add(e event) { heap.Push(&q.heap, e) }
@@ -36,7 +36,7 @@
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
-	(*h)[last] = event{} // lets go of its function
+	(*h)[last] = event{} // releases its function
 	*h = (*h)[:last]
 	return e
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -9,38 +9,38 @@
 const (
 	maxViolations = 20
 
-	// startTime is the virtual time of the beginning: in events zero stands for never.
+	// startTime is the virtual time at which a run begins. It is not zero because zero means never in events.
 	startTime = time.Hour
 
-	// Parameters of the distribution of keys: nearly Zipf's law, flattened at the most popular keys.
+	// Parameters of the distribution of keys: approximately Zipf's law, flattened for the most popular keys.
 	keyExponent = 1.05
 	keyOffset   = 8
 )
 
-// Fleet is one run of a plan.
+// Fleet is one run of a plan. It is not safe for concurrent use.
 type Fleet struct {
 	Plan
 	PerSecond  []Counters
-	Violations []string                  // of rules, the first ones
-	Peak       struct{ Connections int } // the most connections that one node had
+	Violations []string                  // of rules; at most the first maxViolations
+	Peak       struct{ Connections int } // highest number that a node had at once
 
 	now       time.Duration
 	rng       *rand.Rand
 	events    eventQueue
-	lastEvent uint64 // sequence number
+	lastEvent uint64 // sequence number of the event scheduled last
 	proxies   []*proxy
 	nodes     map[string]*node
-	names     []string // of nodes, in the order in which they were added
-	lastID    uint64   // of requests, at clients and at proxies
+	names     []string // of nodes, in the order of their addition
+	lastID    uint64   // of requests of clients and of proxies
 	keys      *rand.Zipf
 
 	originBusyUntil time.Duration
 	listVersion     uint64
-	listCalls       []time.Duration          // of the last second
-	firstRunAt      map[uint64]time.Duration // of requests that must not run twice, by ID
+	listCalls       []time.Duration          // times of the calls answered in the last second
+	firstRunAt      map[uint64]time.Duration // of non-idempotent and keyed requests, by ID
 }
 
-// New sets a fleet up: all nodes are warm and listed, all proxies have the list but empty filters.
+// New creates a fleet in which all nodes are warm and listed, and all proxies have the list but no measurements.
 func New(p Plan) (*Fleet, error) {
 	f := &Fleet{
 		Plan:       p,
@@ -63,10 +63,10 @@
 	return f, nil
 }
 
-// At schedules a function for a time after the beginning.
+// At schedules do for a time after the start of the run.
 func (f *Fleet) At(after time.Duration, do func()) { f.schedule(startTime+after, do) }
 
-// RunUntil runs the fleet until end, a time after the beginning.
+// RunUntil runs the fleet until end, a time after the start of the run.
 func (f *Fleet) RunUntil(end time.Duration) {
 	for f.events.isDue(startTime + end) {
 		e := f.events.take()
@@ -83,7 +83,7 @@
 
 func (f *Fleet) scheduleAfter(d time.Duration, do func()) { f.schedule(f.now+d, do) }
 
-// violation records that a rule was broken.
+// violation records the violation of a rule, with its time.
 func (f *Fleet) violation(format string, args ...any) {
 	if len(f.Violations) < maxViolations {
 		text := fmt.Sprintf(format, args...)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -7,15 +7,15 @@
 	"mulleinpier/policy"
 )
 
-// Fault is what may be wrong with a node.
+// Fault is a fault of a node.
 type Fault int
 
 // The faults.
 const (
 	Healthy       Fault = iota
-	AnswersErrors       // answers each request with an error, at once
-	Silent              // answers none
-	Unreachable         // accepts no connection and breaks those that are open
+	AnswersErrors       // answers each request with an error, without delay
+	Silent              // answers no request
+	Unreachable         // accepts no connection; attempts on open ones are reset
 	Slow                // takes slowFactor times as long for each request
 )
 
@@ -24,14 +24,14 @@
 type node struct {
 	policy.Endpoint
 	fault       Fault
-	workersFree []time.Duration          // time at which each worker is free
-	keys        map[string]time.Duration // last use
-	fetches     map[string]time.Duration // in flight, and when they end
+	workersFree []time.Duration          // time at which each worker becomes free
+	keys        map[string]time.Duration // time of the last use
+	fetches     map[string]time.Duration // end times of fetches in flight, by key
 	connections int
-	recent      []time.Duration // requests within the last OverloadWindow, while the node warms up
+	recent      []time.Duration // times of requests within the last OverloadWindow, while the node warms up
 }
 
-// addNode puts a node into service; startedAt is 0 for one that has long been warm.
+// addNode adds a node; a startedAt of 0 means that it is warm.
 func (f *Fleet) addNode(name string, zone int, startedAt time.Duration) {
 	f.nodes[name] = &node{
 		Endpoint:    policy.Endpoint{Server: name, Zone: zone, StartedAt: startedAt},
@@ -43,13 +43,13 @@
 	f.listVersion++
 }
 
-// NodeNames are those of all nodes that there have been, in the order in which they were added.
+// NodeNames returns the names of all nodes, removed ones too, in the order of their addition.
 func (f *Fleet) NodeNames() []string { return f.names }
 
-// SetFault gives a node a fault, or ends it.
+// SetFault sets the fault of a node, Healthy for none.
 func (f *Fleet) SetFault(name string, fault Fault) { f.nodes[name].fault = fault }
 
-// Crash makes nodes unreachable without notice: the endpoint list goes on naming them.
+// Crash makes nodes unreachable without a change of the endpoint list.
 func (f *Fleet) Crash(names ...string) {
 	for _, name := range names {
 		n := f.nodes[name]
@@ -60,7 +60,7 @@
 	}
 }
 
-// Restart brings nodes back empty and cold, and announces it in the endpoint list.
+// Restart restarts nodes with empty caches and announces them in the endpoint list.
 func (f *Fleet) Restart(names ...string) {
 	var changed []policy.Endpoint
 	for _, name := range names {
@@ -74,10 +74,10 @@
 	f.announce(changed)
 }
 
-// Drain has the endpoint list say that nodes are draining; Crash and Remove end them later.
+// Drain announces nodes as draining in the endpoint list. The nodes go on serving until Crash.
 func (f *Fleet) Drain(names ...string) { f.setState(policy.Draining, names) }
 
-// Remove has the endpoint list say that nodes are gone.
+// Remove removes nodes from the endpoint list. The nodes go on serving until Crash.
 func (f *Fleet) Remove(names ...string) { f.setState(policy.Removed, names) }
 
 func (f *Fleet) setState(state policy.EndpointState, names []string) {
@@ -90,7 +90,7 @@
 	f.announce(changed)
 }
 
-// capacityShare is the share of its full capacity that a node has.
+// capacityShare returns the share of its full capacity that a node has now, less than 1 while it warms up.
 func (f *Fleet) capacityShare(n *node) float64 {
 	age, rules := f.now-n.StartedAt, &f.Settings.Rules
 	if n.StartedAt == 0 || age >= rules.SlowStartWindow {
@@ -99,7 +99,7 @@
 	return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(age)/float64(rules.SlowStartWindow)
 }
 
-// capacity is how many requests a warm node serves in a time.
+// capacity returns how many requests a warm node can serve in a time.
 func (f *Fleet) capacity(d time.Duration) float64 {
 	return float64(f.Node.Workers) * float64(d) / float64(f.Node.ServiceTime)
 }
@@ -126,7 +126,7 @@
 	}
 }
 
-// serve has the next free worker serve an attempt, unless the queue is full.
+// serve assigns an attempt to the worker that is free first, or rejects it if the queue is full.
 func (f *Fleet) serve(n *node, a *attempt, capacityShare float64) {
 	worker := 0
 	for i := range n.workersFree {
@@ -150,13 +150,13 @@
 		serviceTime *= slowFactor
 	}
 	if sigma := f.Node.ServiceTimeSigma; sigma > 0 {
-		factor := math.Exp(sigma*f.rng.NormFloat64() - sigma*sigma/2) // of mean 1
+		factor := math.Exp(sigma*f.rng.NormFloat64() - sigma*sigma/2) // with a mean of 1
 		serviceTime = time.Duration(float64(serviceTime) * factor)
 	}
 	return serviceTime
 }
 
-// finish answers an attempt that a worker is done with.
+// finish answers an attempt when its worker has finished: writes and cache hits at once, misses after a fetch.
 func (f *Fleet) finish(n *node, a *attempt) {
 	r := a.request
 	f.recordRun(r.clientRequest)
@@ -178,7 +178,7 @@
 	f.fetch(n, a)
 }
 
-// fetch gets a key from the origin, unless its queue is too long.
+// fetch reads a key from the origin. It fails if the origin's queue is too long.
 func (f *Fleet) fetch(n *node, a *attempt) {
 	key := a.request.key
 	wait := max(f.originBusyUntil-f.now, 0)
@@ -193,7 +193,7 @@
 	n.fetches[key] = ends
 	f.schedule(ends, func() {
 		if n.fetches[key] != ends {
-			return // restarted since
+			return // the node has restarted since
 		}
 		delete(n.fetches, key)
 		n.keys[key] = f.now
@@ -201,7 +201,7 @@
 	})
 }
 
-// recordRun checks that a request does not run twice against its class.
+// recordRun records the execution of a request, and a violation if its class does not allow a second one.
 func (f *Fleet) recordRun(r *clientRequest) {
 	class := &f.Settings.Classes[r.class]
 	if class.Idempotency == policy.Idempotent {
@@ -212,14 +212,14 @@
 		f.firstRunAt[r.id] = f.now
 		return
 	}
-	isDropped := class.Idempotency == policy.IdempotentWithKey &&
+	isDeduplicated := class.Idempotency == policy.IdempotentWithKey &&
 		f.now-first <= class.DedupWindow+f.Settings.EventInterval
-	if !isDropped {
+	if !isDeduplicated {
 		f.violation("%s %d ran twice, %v apart", class.Name, r.id, f.now-first)
 	}
 }
 
-// checkOverload checks that a node that warms up does not get so much that it would collapse.
+// checkOverload checks that a warming node does not receive enough requests to collapse.
 func (f *Fleet) checkOverload(n *node, capacityShare float64) {
 	rules := &f.Settings.Rules
 	for len(n.recent) > 0 && f.now-n.recent[0] > rules.OverloadWindow {
@@ -228,6 +228,6 @@
 	n.recent = append(n.recent, f.now)
 	limit := rules.OverloadMultiple * capacityShare * f.capacity(rules.OverloadWindow)
 	if got := float64(len(n.recent)); got > limit {
-		f.violation("warming %s got %.0f within %v, collapses over %.0f", n.Server, got, rules.OverloadWindow, limit)
+		f.violation("warming %s got %.0f requests in %v, limit %.0f", n.Server, got, rules.OverloadWindow, limit)
 	}
 }
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -6,47 +6,47 @@
 	"mulleinpier/policy"
 )
 
-// Plan says what is simulated.
+// Plan describes a simulated fleet.
 type Plan struct {
 	Seed         uint64
-	Settings     policy.Settings // of each proxy; ProxyIndex and Zone are filled in, ProxyCount if it is 0
+	Settings     policy.Settings // of each proxy; ProxyIndex and Zone are set by New, ProxyCount if it is 0
 	Proxies      int
 	Nodes        int
 	Node         NodePlan
 	Origin       OriginPlan
 	EndpointList EndpointListPlan
 	Clients      ClientPlan
-	MessageDelay time.Duration // of a message between any two
+	MessageDelay time.Duration // of every message
 }
 
-// NodePlan describes every node.
+// NodePlan describes the nodes, which are all alike.
 type NodePlan struct {
 	Workers          int
-	ServiceTime      time.Duration // of a worker for one request, when the node is warm
-	MaxQueued        int           // requests that may wait
-	IdleTTL          time.Duration // after which an unused key is forgotten
-	MaxConnections   int           // 0 for any number
-	ServiceTimeSigma float64       // standard deviation of the service time's logarithm, 0 for a constant time
+	ServiceTime      time.Duration // of a worker of a warm node for one request
+	MaxQueued        int           // requests that may wait for a worker
+	IdleTTL          time.Duration // time after which an unused key leaves the cache
+	MaxConnections   int           // 0 for no limit
+	ServiceTimeSigma float64       // standard deviation of the logarithm of the service time; 0 for a constant time
 }
 
-// OriginPlan describes the one slow origin.
+// OriginPlan describes the origin that all nodes share.
 type OriginPlan struct {
 	FetchTime        time.Duration
 	FetchesPerSecond float64
 	MaxQueueTime     time.Duration // a fetch that would wait longer fails
 }
 
-// EndpointListPlan describes the service of the endpoint list.
+// EndpointListPlan describes the endpoint list service.
 type EndpointListPlan struct {
-	CallsPerSecond float64 // that it answers; it drops any more
+	CallsPerSecond float64 // that it answers, dropping any more; 0 for no limit
 }
 
 // ClientPlan describes the clients.
 type ClientPlan struct {
 	RequestsPerSecond float64
-	Keys              int       // the n-th is requested about 1/n as often as the first
+	Keys              int       // the n-th is requested about 1/n times as often as the first
 	ClassShares       []float64 // of requests, by class
 	RetryPause        time.Duration
-	HotProxyFactor    float64 // load of proxy 0 as a multiple of the mean; 0 for the same as others
-	IgnoreRetryAfter  bool    // retry after RetryPause, whatever a rejection advises
+	HotProxyFactor    float64 // load of proxy 0 as a multiple of the mean; 0 for the same load as the others
+	IgnoreRetryAfter  bool    // retry after RetryPause, whatever the Retry-After of a rejection
 }
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -8,14 +8,14 @@
 	"mulleinpier/policy"
 )
 
-// proxy is one instance of the modules, with the little of a real proxy that they need.
+// proxy is one instance of the modules, with the parts of a real proxy that they need.
 type proxy struct {
 	fleet      *Fleet
 	index      int
 	balancer   *policy.Balancer
 	dead       bool
 	inFlight   map[uint64]*proxyRequest
-	endpoints  map[string]policy.Endpoint // that are listed, as far as the proxy knows
+	endpoints  map[string]policy.Endpoint // by server, as the proxy last received them
 	subscribed bool                       // to changes of the endpoint list
 
 	budget       connlimit.Budget
@@ -23,7 +23,7 @@
 	recentlyUsed []string               // nodes of connections, the most recently used last
 }
 
-// proxyRequest is a request that a proxy owes an answer.
+// proxyRequest is a request at a proxy, from its arrival until it is answered and its attempts are done.
 type proxyRequest struct {
 	*clientRequest
 	id       uint64
@@ -42,10 +42,10 @@
 	done          bool
 }
 
-// seedsPerPlan keeps the seeds of the instances of two plans apart.
+// seedsPerPlan separates the seeds of the instances of different plans.
 const seedsPerPlan = 1000
 
-// startProxy starts an instance anew: what it knew is lost but the endpoint list.
+// startProxy starts or restarts an instance. It has no state but the current endpoint list, as a cached one.
 func (f *Fleet) startProxy(index int) error {
 	settings := f.Settings
 	if settings.ProxyCount == 0 {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// KillProxies ends instances as if by a signal that cannot be caught; new ones start after downtime.
+// KillProxies kills instances without notice, as SIGKILL does, and starts new ones after downtime.
 func (f *Fleet) KillProxies(downtime time.Duration, indices ...int) {
 	for _, i := range indices {
 		f.proxies[i].kill()
@@ -100,7 +100,7 @@
 	}
 }
 
-// sortedIDs are the IDs of the requests in flight, in the same order in every run.
+// sortedIDs returns the IDs of the requests in flight in ascending order, so that runs are reproducible.
 func (p *proxy) sortedIDs() []uint64 {
 	ids := make([]uint64, 0, len(p.inFlight))
 	for id := range p.inFlight {
@@ -132,13 +132,13 @@
 	}
 }
 
-// isServing reports whether the proxy knows a node as serving.
+// isServing reports whether the endpoint list of the proxy has a node as serving.
 func (p *proxy) isServing(name string) bool {
 	endpoint, ok := p.endpoints[name]
 	return ok && endpoint.State == policy.Serving
 }
 
-// accept takes a request of a client.
+// accept handles a request that arrives from a client, and schedules the check that it is answered in time.
 func (p *proxy) accept(c *clientRequest, deadline time.Duration) {
 	f := p.fleet
 	f.lastID++
@@ -146,7 +146,7 @@
 	p.inFlight[r.id] = r
 	f.schedule(deadline+f.Settings.Rules.ResponseGrace, func() {
 		if !r.ended {
-			f.violation("proxy %d owes %d an answer", p.index, c.id)
+			f.violation("proxy %d did not answer request %d in time", p.index, c.id)
 		}
 	})
 	p.handle(policy.Arrival{
@@ -161,7 +161,7 @@
 
 const noTenant = -1
 
-// handle feeds the balancer an event and carries out its actions.
+// handle passes an event to the balancer and carries out its actions.
 func (p *proxy) handle(e policy.Event) {
 	if p.dead {
 		return
@@ -191,11 +191,11 @@
 	}
 }
 
-// answer gives a client the final answer of a Reject or a Fail, once.
+// answer sends a client the final answer of a Reject or a Fail. A second answer is a violation.
 func (p *proxy) answer(r *proxyRequest, a policy.Action) {
 	f := p.fleet
 	if r.ended {
-		f.violation("proxy %d answers %d twice", p.index, r.clientRequest.id)
+		f.violation("proxy %d answered request %d twice", p.index, r.clientRequest.id)
 		return
 	}
 	r.ended = true
@@ -209,7 +209,7 @@
 	p.forget(r)
 }
 
-// forget drops a request once it is over and no attempt of it is in flight.
+// forget deletes a request if it has ended and no attempt of it is in flight.
 func (p *proxy) forget(r *proxyRequest) {
 	for _, a := range r.attempts {
 		if !a.done {
@@ -221,7 +221,7 @@
 	}
 }
 
-// complete brings the end of an attempt back to its proxy.
+// complete reports the end of an attempt to its proxy, after the message delay if a node reports it.
 func (f *Fleet) complete(a *attempt, result policy.Result, status policy.CacheStatus) {
 	fromNode := result != policy.Cancelled && result != policy.NotSent && a.hasConnection
 	if fromNode {
@@ -231,7 +231,7 @@
 	a.request.proxy.completed(a, result, status)
 }
 
-// completed handles the end of an attempt, once.
+// completed handles the end of an attempt and ignores further ones.
 func (p *proxy) completed(a *attempt, result policy.Result, status policy.CacheStatus) {
 	f, r := p.fleet, a.request
 	if a.done || p.dead {
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -8,11 +8,11 @@
 	"mulleinpier/policy"
 )
 
-// The simulator's words, in the order of the constants of package policy.
+// The simulator's names, in the order of the constants of package policy.
 var (
-	endpointStateWords  = []string{"in_service", "terminating", "terminated"}
-	endpointUpdateWords = []string{"incr", "total", "warm_copy", "lost"}
-	resultWords         = []string{"S", "E", "F", "T", "C", "R", "X", "N", "M"}
+	endpointStateNames  = []string{"in_service", "terminating", "terminated"}
+	endpointUpdateNames = []string{"incr", "total", "warm_copy", "lost"}
+	resultNames         = []string{"S", "E", "F", "T", "C", "R", "X", "N", "M"}
 )
 
 // The bits of a request's flags.
@@ -27,7 +27,7 @@
 		Zone:        f.index("Area"),
 		MachineKind: f.index("GenerationHw"),
 		Cell:        f.index("Cohort"),
-		State:       policy.EndpointState(f.word("Mode", endpointStateWords)),
+		State:       policy.EndpointState(f.enum("Mode", endpointStateNames)),
 		Weight:      f.number("Rating"),
 		StartedAt:   f.duration("CameUp"),
 	}
@@ -43,7 +43,7 @@
 		Key:      f.text("Entity"),
 		Deadline: f.duration("ValidUntil"),
 	}
-	f.number("Work") // not used
+	f.number("Work") // ignored, as is BytesHint
 	f.number("BytesHint")
 	flags := f.unsigned("Attrs", 63)
 	a.Write, a.IsRetry = flags&flagWrite != 0, flags&flagRetry != 0
@@ -64,7 +64,7 @@
 		ID:          f.requestID(),
 		Attempt:     f.index("Go"),
 		Server:      f.text("Node"),
-		Result:      policy.Result(f.word("StateCode", resultWords)),
+		Result:      policy.Result(f.enum("StateCode", resultNames)),
 		Took:        f.duration("Took"),
 		Final:       f.flag("Terminal"),
 		CacheStatus: policy.CacheStatus(f.unsigned("Detail", 2)),
@@ -75,14 +75,14 @@
 func (f *fields) healthCheckResult() policy.Event {
 	return policy.HealthCheckResult{
 		Took:       f.duration("Took"),
-		Result:     policy.Result(f.word("StateCode", resultWords)),
+		Result:     policy.Result(f.enum("StateCode", resultNames)),
 		Server:     f.text("Node"),
 		LoadReport: f.loadReport("Metrics"),
 	}
 }
 
-// loadReport takes pairs of a name and a number; names that are not known are ignored. It returns nil where the value
-// is absent.
+// loadReport parses comma-separated pairs name:number and ignores unknown names. It returns nil if the value is absent
+// or invalid.
 func (f *fields) loadReport(field string) *policy.LoadReport {
 	text := f.text(field)
 	if text == "" {
@@ -105,15 +105,15 @@
 			f.invalid(field, text)
 			return nil
 		}
-		setLoadFigure(report, name, x)
+		setLoadMetric(report, name, x)
 	}
 	return report
 }
 
-// notReported stands for a number that a load report does not have.
+// notReported is the value of a metric that is not in a load report.
 const notReported = -1
 
-func setLoadFigure(report *policy.LoadReport, name string, value float64) {
+func setLoadMetric(report *policy.LoadReport, name string, value float64) {
 	switch name {
 	case "active":
 		report.InFlight = value
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	absent = "-" // stands for a value that is absent
+	absent = "-" // stands for a missing value
 
-	maxNumber = 1e12 // magnitude of a number that is accepted
+	maxNumber = 1e12 // largest accepted magnitude of a number
 
 	requestIDBits = 52
 	indexBits     = 31
 )
 
-// fields takes the tab-separated values of one line in order. The first defect stays in err; from then on values
-// that are taken one by one read as absent.
+// fields parses the tab-separated values of one line in order. It keeps the first error in err; after it, all methods
+// except remainder treat the values as absent.
 type fields struct {
 	line int
 	name string // of the message
-	rest string // values not yet taken
-	more bool   // there are such values
+	rest string // values not yet parsed
+	more bool   // whether values are left
 	err  error
 }
 
@@ -33,21 +33,21 @@
 	return &SyntaxError{f.line, f.name + " " + field, fmt.Sprintf(format, args...)}
 }
 
-// invalid notes a value that is not valid.
+// invalid records the error of an invalid value.
 func (f *fields) invalid(field, value string) {
 	if f.err == nil {
 		f.err = f.errorf(field, "cannot be %q", value)
 	}
 }
 
-// end notes values that are left over.
+// end records an error if values are left on the line.
 func (f *fields) end() {
 	if f.err == nil && f.more {
-		f.err = f.errorf("line", "has more values than are known")
+		f.err = f.errorf("line", "has too many values")
 	}
 }
 
-// remainder takes the rest of the line, tabs included.
+// remainder returns the rest of the line, including tabs.
 func (f *fields) remainder(field string) string {
 	if f.err == nil && !f.more {
 		f.err = f.errorf(field, "is missing")
@@ -56,7 +56,7 @@
 	return f.rest
 }
 
-// text takes a value; absent is "".
+// text returns the next value, or "" if it is absent.
 func (f *fields) text(field string) string {
 	if f.err != nil {
 		return ""
@@ -73,7 +73,7 @@
 	return value
 }
 
-// number takes a finite number; absent is 0.
+// number parses a number of at most maxNumber in magnitude; an absent value is 0.
 func (f *fields) number(field string) float64 {
 	value := f.text(field)
 	if value == "" {
@@ -87,14 +87,14 @@
 	return x
 }
 
-// duration takes a number of milliseconds.
+// duration parses a number of milliseconds.
 func (f *fields) duration(field string) time.Duration { return milliseconds(f.number(field)) }
 
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
 
-// unsigned takes an unsigned integer of so many bits; absent is 0.
+// unsigned parses an unsigned integer that fits into bits; an absent value is 0.
 func (f *fields) unsigned(field string, bits int) uint64 {
 	value := f.text(field)
 	if value == "" {
@@ -113,8 +113,8 @@
 
 func (f *fields) flag(field string) bool { return f.unsigned(field, 1) == 1 }
 
-// word takes one of the known words and returns its index.
-func (f *fields) word(field string, known []string) int {
+// enum parses one of the known names and returns its index.
+func (f *fields) enum(field string, known []string) int {
 	value := f.text(field)
 	i := slices.Index(known, value)
 	if i < 0 {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -11,14 +11,14 @@
 	"mulleinpier/policy"
 )
 
-// Batch is a round of items at one time.
+// Batch is a group of items with the same virtual time.
 type Batch struct {
 	Now      time.Duration
 	Sequence uint64
 	Items    []Item
 }
 
-// Item is one line of a batch for one instance: a start, a stop or an event.
+// Item is one line of a batch for one instance: a start, a stop or an event. Only the matching field is set.
 type Item struct {
 	Instance string
 	Start    *Start
@@ -26,14 +26,14 @@
 	Event    policy.Event
 }
 
-// Start begins an instance. Err says why its settings cannot be used.
+// Start starts an instance. Err is not nil if its settings are invalid.
 type Start struct {
 	Seed     uint64
 	Settings policy.Settings
 	Err      error
 }
 
-// SyntaxError is a defect of the input.
+// SyntaxError describes invalid input.
 type SyntaxError struct {
 	Line    int
 	Field   string
@@ -48,21 +48,21 @@
 const (
 	readBufferBytes = 1 << 20
 
-	// Endpoint lists come as numbered pages, which updates refer to.
+	// Endpoint lists are sent as numbered pages; updates refer to pages by number.
 	pageBits  = 4
 	pageCount = 1 << pageBits
 
-	maxRowBits = 20 // of the number of rows in a page
+	rowCountBits = 20 // bits of the number of rows in a page
 )
 
-// Reader reads batches.
+// Reader reads batches, and keeps the pages of endpoint lists for later updates.
 type Reader struct {
 	in    *bufio.Reader
 	line  int
 	pages [pageCount]page
 }
 
-// page is an endpoint list as last sent.
+// page is the endpoint list that was last sent under a page number.
 type page struct {
 	endpoints []policy.Endpoint
 	known     bool
@@ -73,7 +73,7 @@
 	return &Reader{in: bufio.NewReaderSize(in, readBufferBytes)}
 }
 
-// Read returns the next batch; io.EOF stands for the end of a complete input.
+// Read returns the next batch, or io.EOF if the input ended after a complete batch.
 func (r *Reader) Read() (*Batch, error) {
 	f, err := r.nextLine()
 	if err != nil {
@@ -97,7 +97,7 @@
 func (r *Reader) readItems(b *Batch) error {
 	instance := ""
 	for {
-		f, err := r.nextLineOf("input stops within a batch", "end")
+		f, err := r.nextRequiredLine("input ends within a batch", "end")
 		if err != nil {
 			return err
 		}
@@ -113,7 +113,7 @@
 		default:
 			item := r.item(f)
 			if f.err == nil && instance == "" {
-				return f.errorf("message", "no about line names the instance")
+				return f.errorf("message", "no preceding about line names an instance")
 			}
 			item.Instance = instance
 			b.Items = append(b.Items, item)
@@ -124,11 +124,11 @@
 	}
 }
 
-// nextLine returns the next line; io.EOF stands for the end of the input.
+// nextLine returns the next line, or io.EOF at the end of the input.
 func (r *Reader) nextLine() (*fields, error) {
 	text, err := r.in.ReadString('\n')
 	if err == io.EOF && text != "" {
-		return nil, &SyntaxError{r.line + 1, "line", "is cut short"}
+		return nil, &SyntaxError{r.line + 1, "line", "is truncated: want a newline at its end"}
 	}
 	if err != nil {
 		return nil, err
@@ -138,8 +138,8 @@
 	return &fields{line: r.line, name: name, rest: rest, more: more}, nil
 }
 
-// nextLineOf returns the next line of what must not end yet.
-func (r *Reader) nextLineOf(message, field string) (*fields, error) {
+// nextRequiredLine returns the next line. The end of the input is a SyntaxError with this message and field.
+func (r *Reader) nextRequiredLine(message, field string) (*fields, error) {
 	f, err := r.nextLine()
 	if err == io.EOF {
 		return nil, &SyntaxError{r.line, field, message}
@@ -147,16 +147,16 @@
 	return f, err
 }
 
-// readPage reads the rows that follow a census line. An error stays in f.
+// readPage reads the rows that follow a census line. It records errors in f.
 func (r *Reader) readPage(f *fields) {
-	number, rows := f.unsigned("Page", pageBits), f.unsigned("Items", maxRowBits)
+	number, rows := f.unsigned("Page", pageBits), f.unsigned("Items", rowCountBits)
 	f.end()
 	if f.err != nil {
 		return
 	}
 	var endpoints []policy.Endpoint
 	for range rows {
-		row, err := r.nextLineOf("input stops within a list", "row")
+		row, err := r.nextRequiredLine("input ends within a list", "row")
 		if err != nil {
 			f.err = err
 			return
@@ -174,7 +174,7 @@
 	r.pages[number] = page{endpoints: endpoints, known: true}
 }
 
-// item decodes an event, a start or a stop. An error stays in f.
+// item parses an event, a start or a stop. It records errors in f.
 func (r *Reader) item(f *fields) (item Item) {
 	switch f.name {
 	case "attach":
@@ -208,14 +208,14 @@
 func (r *Reader) endpointUpdate(f *fields) policy.Event {
 	u := policy.EndpointUpdate{
 		Version: f.unsigned("Gen", 64),
-		Kind:    policy.EndpointUpdateKind(f.word("Form", endpointUpdateWords)),
+		Kind:    policy.EndpointUpdateKind(f.enum("Form", endpointUpdateNames)),
 	}
 	number := f.unsigned("Page", 64)
 	if f.err != nil || u.Kind == policy.EndpointsUnavailable {
 		return u
 	}
 	if number >= pageCount || !r.pages[number].known {
-		f.err = f.errorf("Page", "no census has this number")
+		f.err = f.errorf("Page", "no census line has this number")
 		return u
 	}
 	u.Endpoints = r.pages[number].endpoints
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// FuzzRead guards guarantee 1: no input stops the reader but by an error that names a line and a field.
+// FuzzRead checks guarantee 1: each error other than io.EOF names a line and a field.
 func FuzzRead(f *testing.F) {
 	f.Add(sample)
 	f.Add("batch\t1\t1\nend\n")
@@ -105,7 +105,7 @@
 			}
 			var e *SyntaxError
 			if !errors.As(err, &e) || e.Line < 1 || e.Field == "" && e.Message == "" {
-				t.Fatalf("bare error %v", err)
+				t.Fatalf("error %v names no line or field", err)
 			}
 			return
 		}
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,22 +8,22 @@
 	"mulleinpier/policy"
 )
 
-// Reply gathers the text of one reply. The zero Reply is empty and ready for use.
+// Reply builds the text of one reply. The zero Reply is empty and ready to use.
 type Reply struct {
 	buffer   []byte
-	instance string // that the lines to come are about
+	instance string // named by the last context line
 }
 
 // Reset empties the reply for the next batch.
 func (r *Reply) Reset() { r.buffer, r.instance = r.buffer[:0], "" }
 
-// Finish closes the reply to the batch with this sequence number and returns its text.
+// Finish completes the reply to the batch with this sequence number. The returned text is valid until Reset.
 func (r *Reply) Finish(sequence uint64) []byte {
 	r.begin("next").unsigned(sequence).end()
 	return r.buffer
 }
 
-// AddFailure reports that an instance cannot go on.
+// AddFailure reports that an instance failed. Control characters in the message become spaces.
 func (r *Reply) AddFailure(instance, message string) {
 	r.setInstance(instance)
 	withoutControls := strings.Map(func(c rune) rune {
@@ -35,7 +35,7 @@
 	r.begin("die").text(withoutControls).end()
 }
 
-// AddActions writes the actions of an instance.
+// AddActions appends the actions of an instance.
 func (r *Reply) AddActions(instance string, actions []policy.Action) {
 	if len(actions) == 0 {
 		return
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,8 +7,7 @@
 	"mulleinpier/policy"
 )
 
-// wireSettings are the simulator's settings as far as they are used; unknown keys are ignored. Times are in
-// milliseconds.
+// wireSettings has the simulator's settings that are used here; other keys are ignored. Times are in milliseconds.
 type wireSettings struct {
 	ProxyCount      int             `json:"NInstances"`
 	ProxyIndex      int             `json:"Me"`
@@ -19,16 +18,16 @@
 	OverQuotaFactor *float64        `json:"OverShareWorth"`
 	EndpointMode    string          `json:"RegistryMode"`
 	WeightKind      string          `json:"WeightKind"`
-	Family          wireFamily      `json:"FamilyInfo"`
+	Cache           wireCache       `json:"FamilyInfo"`
 	LoadReports     wireLoadReports `json:"Telemetry"`
 	Classes         []wireClass     `json:"Services"`
 	Tenants         []wireTenant    `json:"Realms"`
 	Limits          wireLimits      `json:"Limits"`
 	Costs           wireCosts       `json:"Charges"`
-	Obligations     wireObligations `json:"Obligations"`
+	Rules           wireRules       `json:"Obligations"`
 }
 
-type wireFamily struct {
+type wireCache struct {
 	Mode       string `json:"Mode"`
 	OriginKind *int   `json:"OriginKind"`
 }
@@ -70,7 +69,7 @@
 	Handshake   float64 `json:"Handshake"`
 }
 
-type wireObligations struct {
+type wireRules struct {
 	ResponseGrace    float64 `json:"AnswerSlack"`
 	MaxPollInterval  float64 `json:"MustAskIn"`
 	DrainGrace       float64 `json:"StopSendingWithin"`
@@ -81,18 +80,18 @@
 }
 
 var (
-	idempotencyWords = map[string]policy.Idempotency{
+	idempotencyNames = map[string]policy.Idempotency{
 		"safe":   policy.Idempotent,
 		"keyed":  policy.IdempotentWithKey,
 		"unsafe": policy.NotIdempotent,
 	}
-	dedupScopeWords = map[string]policy.DedupScope{
+	dedupScopeNames = map[string]policy.DedupScope{
 		"":     policy.DedupScopeAll,
 		"all":  policy.DedupScopeAll,
 		"zone": policy.DedupScopeZone,
 		"cell": policy.DedupScopeCell,
 	}
-	loadReportWords = map[string]policy.LoadReportMode{
+	loadReportNames = map[string]policy.LoadReportMode{
 		"":        policy.LoadReportNone,
 		"none":    policy.LoadReportNone,
 		"answers": policy.LoadReportInResponse,
@@ -100,9 +99,9 @@
 	}
 )
 
-const noOrigin = -1 // as Settings.OriginKind
+const noOrigin = -1 // Settings.OriginKind if no machine kind is the origin
 
-// ParseSettings reads the settings of an instance.
+// ParseSettings parses the JSON settings of an instance.
 func ParseSettings(text string) (policy.Settings, error) {
 	var in wireSettings
 	if err := json.Unmarshal([]byte(text), &in); err != nil {
@@ -117,21 +116,21 @@
 		OverQuotaFactor:    1,
 		EndpointsOnRequest: in.EndpointMode == "on_request",
 		RegisteredWeights:  in.WeightKind == "nominal" || in.WeightKind == "rough",
-		CacheAside:         in.Family.Mode == "aside",
+		CacheAside:         in.Cache.Mode == "aside",
 		OriginKind:         noOrigin,
 		Limits:             in.Limits.limits(),
-		Rules:              in.Obligations.rules(),
+		Rules:              in.Rules.rules(),
 		Costs:              in.Costs.costs(),
 		EventInterval:      milliseconds(in.EventInterval),
 	}
 	if in.OverQuotaFactor != nil {
 		s.OverQuotaFactor = *in.OverQuotaFactor
 	}
-	if s.CacheAside && in.Family.OriginKind != nil {
-		s.OriginKind = *in.Family.OriginKind
+	if s.CacheAside && in.Cache.OriginKind != nil {
+		s.OriginKind = *in.Cache.OriginKind
 	}
 	var ok bool
-	if s.LoadReports, ok = loadReportWords[in.LoadReports.Mode]; !ok {
+	if s.LoadReports, ok = loadReportNames[in.LoadReports.Mode]; !ok {
 		return s, fmt.Errorf("settings: Telemetry.How cannot be %q", in.LoadReports.Mode)
 	}
 	for i := range in.Classes {
@@ -154,7 +153,7 @@
 		AllowCancel:       in.AllowCancel,
 		AllowHealthChecks: in.AllowHealthChecks,
 	}
-	if limits.MaxAttempts == 0 { // none is set: no more than the one that serves
+	if limits.MaxAttempts == 0 { // not set: a single attempt
 		limits.MaxAttempts = 1
 	}
 	if in.SendRetryAfter {
@@ -163,7 +162,7 @@
 	return limits
 }
 
-func (in *wireObligations) rules() policy.Rules {
+func (in *wireRules) rules() policy.Rules {
 	return policy.Rules{
 		ResponseGrace:    milliseconds(in.ResponseGrace),
 		MaxPollInterval:  milliseconds(in.MaxPollInterval),
@@ -184,7 +183,7 @@
 	}
 }
 
-// class returns the class at an index.
+// class returns the class; index is its position in Services, for error messages.
 func (in *wireClass) class(index int) (policy.Class, error) {
 	class := policy.Class{
 		Name:             in.Name,
@@ -195,14 +194,14 @@
 		LateWeightShare:  in.LateWeightShare,
 		Streamed:         in.Streamed,
 	}
-	if class.LatencyObjective == 0 { // none is set: any answer in time is as good
+	if class.LatencyObjective == 0 { // not set: all answers before the deadline are worth the same
 		class.LatencyObjective = class.Deadline
 	}
 	var ok bool
-	if class.Idempotency, ok = idempotencyWords[in.Idempotency]; !ok {
+	if class.Idempotency, ok = idempotencyNames[in.Idempotency]; !ok {
 		return class, fmt.Errorf("settings: Services[%d].Effect cannot be %q", index, in.Idempotency)
 	}
-	if class.DedupScope, ok = dedupScopeWords[in.DedupScope]; !ok {
+	if class.DedupScope, ok = dedupScopeNames[in.DedupScope]; !ok {
 		return class, fmt.Errorf("settings: Services[%d].DedupScope cannot be %q", index, in.DedupScope)
 	}
 	return class, nil
