--- a/cmd/mulleinctl/exitcode.go
+++ b/cmd/mulleinctl/exitcode.go
@@ -9,20 +9,20 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// Exit codes, so that scripts know what to do next; docs/operators/client.md lists them.
+// Exit codes tell scripts whether a retry is harmless; docs/operators/client.md lists them.
 const (
-	exitFailed  = 1 // failed, or no proxy could be reached: trying again is harmless
+	exitFailed  = 1 // the command failed, or no proxy could be reached; a retry is harmless
 	exitUsage   = 2
-	exitMiss    = 3 // there is no such key
-	exitRefused = 4 // trying again later is harmless
+	exitMiss    = 3 // the key does not exist
+	exitRefused = 4 // rejected; a later retry is harmless
 	exitUnknown = 5 // the write may have been carried out
-	exitTaken   = 6 // another process holds the task, and --wait was not given or has run out
-	exitLost    = 7 // the lease ended before the command, which was ended for that
+	exitHeld    = 6 // another process holds the task, and --wait was not set or has passed
+	exitLost    = 7 // the lease was lost, and the command terminated
 )
 
 var errUsage = cli.ErrUsage
 
-// exitCode is the exit code for an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	switch {
 	case err == nil:
@@ -36,7 +36,7 @@
 	case errors.Is(err, client.ErrRefused):
 		return exitRefused
 	case errors.Is(err, lease.ErrHeld):
-		return exitTaken
+		return exitHeld
 	case errors.Is(err, agent.ErrLeaseLost):
 		return exitLost
 	}
--- a/cmd/mulleinctl/fleet.go
+++ b/cmd/mulleinctl/fleet.go
@@ -14,18 +14,18 @@
 )
 
 type fleetCommand struct {
-	List fleetListCommand `cmd:"" help:"List all instances, and which of them are alive."`
+	List fleetListCommand `cmd:"" help:"List all instances and whether they are alive."`
 }
 
 type fleetListCommand struct {
 	voterFlags
-	JSON bool `help:"As JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
-// maxMembersWait bounds the wait for the views of all voters.
+// maxMembersWait bounds the wait for the answers of all voters.
 const maxMembersWait = 500 * time.Millisecond
 
-var errNoVoter = errors.New("no voter answers")
+var errNoVoter = errors.New("no voter answered")
 
 func (c *fleetListCommand) run(ctx context.Context, out io.Writer) error {
 	c.Within = min(c.Within, maxMembersWait)
@@ -45,7 +45,7 @@
 		return json.NewEncoder(out).Encode(members)
 	}
 	if answered <= len(c.Voters)/2 {
-		fmt.Fprintf(out, "only %d of %d voters answer; what follows may be old\n", answered, len(c.Voters))
+		fmt.Fprintf(out, "only %d of %d voters answered: the list may be out of date\n", answered, len(c.Voters))
 	}
 	return printMembers(out, members)
 }
--- a/cmd/mulleinctl/getset.go
+++ b/cmd/mulleinctl/getset.go
@@ -10,13 +10,13 @@
 	"mulleinpier/client"
 )
 
-// proxyFlags say which proxies the requests go to, and how.
+// proxyFlags select the proxies, and configure requests to them.
 type proxyFlags struct {
 	Proxies []string      `short:"p" help:"Proxies, host:port, separated by commas."`
-	File    string        `help:"A file that lists proxies, one a line, in place of --proxies."`
+	File    string        `help:"Instead of --proxies: a file that lists them, one per line."`
 	Wait    time.Duration `default:"2s" help:"Timeout of a call."`
 	Tenant  string        `help:"Tenant of the requests."`
-	Trace   bool          `help:"Print each try on standard error."`
+	Trace   bool          `help:"Print each try and each new connection on standard error."`
 }
 
 // open returns a client of the proxies.
@@ -24,13 +24,13 @@
 	o := client.Options{Tenant: f.Tenant, Read: client.Read, Write: client.Write}
 	switch {
 	case f.File != "" && len(f.Proxies) > 0:
-		return nil, fmt.Errorf("%w: --proxies and --file: want one of them", errUsage)
+		return nil, fmt.Errorf("%w: want --proxies or --file, not both", errUsage)
 	case f.File != "":
 		o.Proxies = client.File(f.File)
 	case len(f.Proxies) > 0:
 		o.Proxies = client.Static(f.Proxies...)
 	default:
-		return nil, fmt.Errorf("%w: --proxies or --file is needed", errUsage)
+		return nil, fmt.Errorf("%w: want --proxies or --file", errUsage)
 	}
 	o.Read.Wait = f.Wait
 	o.Write.Wait = f.Wait
@@ -42,7 +42,7 @@
 	return c, nil
 }
 
-// trace returns hooks that print errors of the list and, with --trace, each try and connection.
+// trace returns hooks that print errors of the list of proxies and, with --trace, each try and each new connection.
 func (f *proxyFlags) trace(log io.Writer) (hooks client.Trace) {
 	hooks.List = func(_ []string, err error) {
 		if err != nil {
@@ -67,7 +67,7 @@
 	Keys []string `arg:"" help:"Keys to read."`
 }
 
-// run reads the keys one after another. It returns the last error other than a missing key, or else the first one.
+// run reads the keys one after another. It returns the last error that is not a missing key, or else the first error.
 func (c *getCommand) run(ctx context.Context, out, log io.Writer) error {
 	proxies, err := c.open(log)
 	if err != nil {
@@ -92,10 +92,10 @@
 type setCommand struct {
 	proxyFlags
 	Key         string `arg:"" help:"Key to write."`
-	Value       string `arg:"" optional:"" help:"Value; standard input if left out."`
-	Class       string `default:"write" help:"Class of the proxies' configuration."`
-	Effect      string `default:"keyed" enum:"keyed,unsafe,safe" help:"Of a repeat: keyed (dropped), unsafe or safe."`
-	Idempotency string `help:"Idempotency key of a keyed write; a random one if left out."`
+	Value       string `arg:"" optional:"" help:"Value; read from standard input if omitted."`
+	Class       string `default:"write" help:"Request class, from the proxies' configuration."`
+	Effect      string `default:"keyed" enum:"keyed,unsafe,safe" help:"Repeated writes: keyed (dropped), unsafe, safe."`
+	Idempotency string `help:"Idempotency key of a keyed write; random if omitted."`
 }
 
 // effects are the values of --effect.
@@ -105,7 +105,7 @@
 	"safe":   client.Safe,
 }
 
-// maxInputBytes bounds a value that is read from standard input. Larger ones than proxies take are refused later.
+// maxInputBytes bounds a value that is read from standard input. Proxies reject values above their own, lower limit.
 const maxInputBytes = 1 << 20
 
 func (c *setCommand) run(ctx context.Context, in io.Reader, out, log io.Writer) error {
@@ -118,7 +118,7 @@
 	if c.Value == "" {
 		value, err = io.ReadAll(io.LimitReader(in, maxInputBytes))
 		if err != nil {
-			return fmt.Errorf("value from standard input: %w", err)
+			return fmt.Errorf("read the value from standard input: %w", err)
 		}
 	}
 	answer, err := proxies.Do(ctx, client.Request{
@@ -142,6 +142,6 @@
 	if !errors.Is(err, client.ErrUnknown) || !errors.As(err, &e) {
 		return
 	}
-	fmt.Fprintf(log, "mulleinctl: the write may have been carried out, or may be until %s: "+
-		"read %s then, and write again only if it is not there\n", e.Settled.Format(time.TimeOnly), c.Key)
+	fmt.Fprintf(log, "mulleinctl: the write may have been carried out, or may still be until %s: "+
+		"read %s after that, and repeat the write only if it had no effect\n", e.Settled.Format(time.TimeOnly), c.Key)
 }
--- a/cmd/mulleinctl/hold.go
+++ b/cmd/mulleinctl/hold.go
@@ -16,11 +16,11 @@
 
 type holdCommand struct {
 	voterFlags
-	Task    string        `arg:"" help:"The task."`
-	Command []string      `arg:"" passthrough:"" help:"The command, behind --."`
-	Length  time.Duration `default:"5s" help:"Duration of the lease: others wait this long when this machine is lost."`
-	Wait    time.Duration `default:"0s" help:"How long to wait for the task; 0 for not at all."`
-	Name    string        `help:"Name of the holder; the host's name if left out."`
+	Task    string        `arg:"" help:"Task to hold."`
+	Command []string      `arg:"" passthrough:"" help:"Command to run, after --."`
+	Length  time.Duration `default:"5s" help:"Duration of the lease: others wait this long if this machine fails."`
+	Wait    time.Duration `default:"0s" help:"How long to wait while others hold the task; 0 to fail at once."`
+	Name    string        `help:"Name of the holder; the host name if omitted."`
 	Grace   time.Duration `default:"500ms" help:"Time between SIGTERM and SIGKILL when the lease ends."`
 }
 
@@ -30,18 +30,18 @@
 	taskVariable  = "MULLEIN_TASK"
 )
 
-// run waits for the lease, and runs the command while it lasts.
+// run waits for the lease, and runs the command while the lease is held.
 func (c *holdCommand) run(ctx context.Context, out, log io.Writer) error {
 	argv := c.Command
 	if len(argv) > 0 && argv[0] == "--" {
 		argv = argv[1:]
 	}
 	if len(argv) == 0 {
-		return fmt.Errorf("%w: hold wants a command behind --", errUsage)
+		return fmt.Errorf("%w: lease hold: want a command after --", errUsage)
 	}
 	name := c.Name
 	if name == "" {
-		name, _ = os.Hostname() // without one the agent makes the name unique all the same
+		name, _ = os.Hostname() // may stay empty: the agent adds what makes holder names unique
 	}
 	voters, err := c.open()
 	if err != nil {
@@ -56,14 +56,15 @@
 	if err := c.await(ctx, holder); err != nil {
 		return err
 	}
-	// runCommand ends the command itself: at a signal, by ctx, or some time before the lease ends, by LostBefore. The
-	// guard must outlast both, and the action's context would end too late.
+	// runCommand terminates the command itself: when a signal ends ctx, or some time before the lease ends, by
+	// LostBefore. The guard must outlast both, so its context has no cancellation. The context that the guard passes to
+	// its action would end too late.
 	return holder.RunGuarded(context.WithoutCancel(ctx), func(_ context.Context, token uint64) error {
 		return c.runCommand(ctx, holder, argv, token, out, log)
 	})
 }
 
-// await waits until the lease is held.
+// await waits until the lease is held. If --wait passes first, the error is lease.ErrHeld.
 func (c *holdCommand) await(ctx context.Context, holder *agent.Holder) error {
 	ctx, cancel := context.WithTimeout(ctx, max(c.Wait, c.Within))
 	defer cancel()
@@ -74,11 +75,11 @@
 	return err
 }
 
-// killMargin is kept between the end of the grace time and the end of the lease.
+// killMargin is the time between the end of the grace period and the end of the lease.
 const killMargin = 50 * time.Millisecond
 
-// runCommand runs the command under a grant. The command is ended before the lease is: a missing renewal is noticed
-// while the grace time is still left.
+// runCommand runs the command under a grant, and terminates it before the lease ends: without a renewal, it starts to
+// do so when only the grace period and killMargin are left.
 func (c *holdCommand) runCommand(
 	ctx context.Context, holder *agent.Holder, argv []string, token uint64, out, log io.Writer,
 ) (err error) {
@@ -104,7 +105,7 @@
 	return err
 }
 
-// endCommand ends the command and its children, and waits for it.
+// endCommand terminates the command's process group, with SIGKILL after the grace period, and waits for the command.
 func (c *holdCommand) endCommand(pid int, ended <-chan error) {
 	syscall.Kill(-pid, syscall.SIGTERM)
 	select {
--- a/cmd/mulleinctl/lease.go
+++ b/cmd/mulleinctl/lease.go
@@ -10,28 +10,28 @@
 )
 
 type leaseCommand struct {
-	Hold    holdCommand  `cmd:"" help:"Run a command while holding a task; it is ended before the lease is."`
+	Hold    holdCommand  `cmd:"" help:"Run a command while holding a task; it is terminated before the lease ends."`
 	List    listCommand  `cmd:"" help:"List all tasks, who holds them and who waits for them."`
 	Show    showCommand  `cmd:"" help:"Show one task."`
-	Release grantCommand `cmd:"" help:"End a grant now whose holder is known to have stopped for good."`
-	Revoke  grantCommand `cmd:"" help:"Renew a grant no more: it ends when its time is over."`
-	Limit   limitCommand `cmd:"" help:"Set how many may hold a task at once."`
-	Hand    handCommand  `cmd:"" help:"Hand a grant over to a waiting holder: it is revoked, and that one is next."`
-	Init    initCommand  `cmd:"" help:"Create a voter's storage, once in its life."`
-	Enrol   voterCommand `cmd:"" help:"Add a voter, under a new seat."`
-	Dismiss voterCommand `cmd:"" help:"Remove a voter: its seat is never used again."`
+	Release grantCommand `cmd:"" help:"End a grant at once; only if its holder is known to have stopped."`
+	Revoke  grantCommand `cmd:"" help:"Stop the renewal of a grant: it ends when its lease expires."`
+	Limit   limitCommand `cmd:"" help:"Set how many holders a task may have at once."`
+	Hand    handCommand  `cmd:"" help:"Revoke a grant, and move a waiting holder to the head of the queue."`
+	Init    initCommand  `cmd:"" help:"Create a voter's storage; only once for each seat."`
+	Enrol   voterCommand `cmd:"" help:"Add a voter under a new seat (its voter ID)."`
+	Dismiss voterCommand `cmd:"" help:"Remove a voter; its seat is never used again."`
 }
 
-// grantCommand is about one grant of a task.
+// grantCommand has the arguments that select one grant of a task.
 type grantCommand struct {
 	voterFlags
 	Task  string `arg:""`
-	Token uint64 `arg:"" name:"number" help:"The grant's number, as list shows it."`
+	Token uint64 `arg:"" name:"number" help:"Number of the grant, as shown by list."`
 }
 
 type handCommand struct {
 	grantCommand
-	To string `arg:"" help:"The waiting holder's name, as list shows it."`
+	To string `arg:"" help:"Name of the waiting holder, as shown by list."`
 }
 
 type limitCommand struct {
@@ -42,16 +42,16 @@
 
 type voterCommand struct {
 	voterFlags
-	Name string `arg:"" help:"The voter, one of --voters."`
+	Name string `arg:"" help:"Name of the voter, one of --voters."`
 }
 
 type initCommand struct {
 	voterFlags
-	Memory string `required:"" help:"Path of the storage file, which must not exist."`
-	Seat   uint64 `help:"The seat that enrol printed; left out for the first voters of a new fleet."`
+	Memory string `required:"" help:"Path of the storage file, which must not exist yet."`
+	Seat   uint64 `help:"Seat that enrol printed; omitted for the first voters of a new fleet."`
 }
 
-// run carries out one of the verbs.
+// run executes one of the verbs.
 func (c *leaseCommand) run(ctx context.Context, verb string, out, log io.Writer) error {
 	switch verb {
 	case "hold":
@@ -81,7 +81,7 @@
 	return fmt.Errorf("%w: unknown command \"lease %s\"", errUsage, verb)
 }
 
-// command returns a command about the grant.
+// command returns a command for the grant.
 func (c *grantCommand) command(kind lease.CommandKind) lease.Command {
 	return lease.Command{Kind: kind, Task: c.Task, Token: c.Token}
 }
@@ -95,7 +95,7 @@
 	return agent.InitVoter(c.Memory, &fleet)
 }
 
-// add adds a voter, and prints how its storage is created.
+// add adds a voter, and prints how to create its storage.
 func (c *voterCommand) add(ctx context.Context, out io.Writer) error {
 	if err := c.execute(ctx, lease.Command{Kind: lease.AddVoter, To: c.Name}); err != nil {
 		return err
@@ -105,7 +105,7 @@
 		return err
 	}
 	seat := state.StateMachine.VoterID(c.Name)
-	fmt.Fprintf(out, "%s has seat %d: make its memory with mulleinctl lease init --seat %d, then start it\n",
+	fmt.Fprintf(out, "%s has seat %d: create its storage with mulleinctl lease init --seat %d, then start it\n",
 		c.Name, seat, seat)
 	return nil
 }
--- a/cmd/mulleinctl/lease_test.go
+++ b/cmd/mulleinctl/lease_test.go
@@ -29,7 +29,7 @@
 	return fleet, []string{"--fleet=shop", "--voters=" + strings.Join(names, ",")}
 }
 
-// startVoters starts three voters whose storage is created by lease init, and returns the flags that name them.
+// startVoters starts three voters, creates their storage with lease init, and returns the flags that name them.
 func startVoters(t *testing.T) []string {
 	t.Helper()
 	fleet, flags := reserveVoters(t)
@@ -61,13 +61,13 @@
 	return flags
 }
 
-// result is what a command printed, and its exit code.
+// result is the output and the exit code of a command.
 type result struct {
 	out  string
 	code int
 }
 
-// mulleinctl runs a command.
+// mulleinctl runs a command, and returns all that it printed, with its error, and its exit code.
 func mulleinctl(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
 	var b bytes.Buffer
@@ -83,7 +83,7 @@
 // leaseVerb runs a verb of mulleinctl lease.
 type leaseVerb func(verb string, args ...string) (out string, code int)
 
-// want fails the test if a verb does not end with an exit code. It returns what the verb printed.
+// want runs a verb, fails the test unless it ends with this exit code, and returns what it printed.
 func (v leaseVerb) want(t *testing.T, code int, verb string, args ...string) string {
 	t.Helper()
 	out, got := v(verb, args...)
@@ -93,7 +93,7 @@
 	return out
 }
 
-// heldFor returns the number of the grant that show lists with a duration, "" for none.
+// heldFor returns the number of the grant of task backup that show prints with a duration, "" for none.
 func (v leaseVerb) heldFor(duration string) string {
 	out, _ := v("show", "backup")
 	for line := range strings.Lines(out) {
@@ -105,7 +105,7 @@
 	return ""
 }
 
-// TestLeaseVerbs runs each verb against real voters: what it prints and its exit code.
+// TestLeaseVerbs runs verbs against real voters, and checks their output and exit codes.
 func TestLeaseVerbs(t *testing.T) {
 	flags := startVoters(t)
 	var verb leaseVerb = func(verb string, args ...string) (string, int) {
@@ -115,7 +115,7 @@
 	if out != "backup 1\n" {
 		t.Fatalf("the command printed %q", out)
 	}
-	// The lease is given back, or expires if that message was lost.
+	// The lease is released, or expires if the release was lost.
 	testutil.WaitUntil(t, "the task to be free", func() bool {
 		out, code := verb("show", "backup")
 		return code == 0 && strings.Contains(out, "free")
@@ -132,7 +132,7 @@
 		number = verb.heldFor("10s")
 		return number != ""
 	})
-	verb.want(t, exitTaken, "hold", "backup", "--", "true")
+	verb.want(t, exitHeld, "hold", "backup", "--", "true")
 	verb.want(t, 0, "revoke", "backup", number)
 	if r := testutil.Receive(t, "the command to be ended", ended); r.code != exitLost {
 		t.Errorf("revoked: exit %d: %s", r.code, r.out)
--- a/cmd/mulleinctl/leaselist.go
+++ b/cmd/mulleinctl/leaselist.go
@@ -16,7 +16,7 @@
 
 type listCommand struct {
 	voterFlags
-	JSON bool `help:"As JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
 type showCommand struct {
@@ -24,7 +24,7 @@
 	Task string `arg:""`
 }
 
-// run prints one task, or all for "".
+// run prints one task, or all tasks if task is "".
 func (c *listCommand) run(ctx context.Context, task string, out io.Writer) error {
 	state, err := c.state(ctx)
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	tasks := state.StateMachine.Tasks
 	if task != "" && tasks[task] == nil {
-		return fmt.Errorf("%w: nobody has asked for task %q", lease.ErrUnknownGrant, task)
+		return fmt.Errorf("%w: no process has requested task %q", lease.ErrUnknownGrant, task)
 	}
 	if c.JSON && task != "" {
 		return json.NewEncoder(out).Encode(tasks[task])
@@ -41,7 +41,7 @@
 		return json.NewEncoder(out).Encode(state)
 	}
 	if !state.IsLeader {
-		fmt.Fprintf(out, "%s knows of no leader; what follows may be old\n", state.Voter)
+		fmt.Fprintf(out, "no leader answered; this list from voter %s may be out of date\n", state.Voter)
 	}
 	names := []string{task}
 	if task == "" {
@@ -55,7 +55,7 @@
 	return w.Flush()
 }
 
-// printTask prints the grants and the waiters of a task, a row each.
+// printTask prints the grants and the waiters of a task, one per row, or one row for a free task.
 func printTask(w io.Writer, name string, state *agent.VoterState) {
 	t := state.StateMachine.Tasks[name]
 	for _, g := range t.Grants {
--- a/cmd/mulleinctl/load.go
+++ b/cmd/mulleinctl/load.go
@@ -14,16 +14,16 @@
 
 type loadCommand struct {
 	Proxies   []string      `short:"p" required:"" help:"Proxies, host:port, separated by commas."`
-	Kind      string        `default:"library" enum:"library,brief" help:"Clients: library, or brief (fixed waits)."`
+	Kind      string        `default:"library" enum:"library,brief" help:"Clients: library, or brief (fixed delays)."`
 	Clients   int           `default:"100" help:"Number of clients."`
-	Rate      float64       `default:"100" help:"Requests a second over all clients."`
-	For       time.Duration `default:"10s" help:"Duration, an hour at most."`
-	Handovers float64       `default:"0.05" help:"Share of writes."`
+	Rate      float64       `default:"100" help:"Requests per second over all clients."`
+	For       time.Duration `default:"10s" help:"Duration of the load, at most one hour."`
+	Handovers float64       `default:"0.05" help:"Share of requests that are writes."`
 	Keys      int           `default:"5000" help:"Number of keys that are read."`
 	Skew      float64       `default:"1.1" help:"Skew of the keys' popularity, above 1."`
 	Tenant    string        `help:"Tenant of the requests."`
-	Seed      uint64        `default:"1" help:"Seed of keys and times."`
-	JSON      string        `help:"Write the results to this file too."`
+	Seed      uint64        `default:"1" help:"Seed for random keys and times."`
+	JSON      string        `help:"Also write the results to this file."`
 }
 
 func (c *loadCommand) run(ctx context.Context, out io.Writer) error {
@@ -55,7 +55,7 @@
 	return os.WriteFile(c.JSON, append(text, '\n'), 0o644)
 }
 
-// printLoad prints the results as a table, a figure a line.
+// printLoad prints the results as a table with one figure per row.
 func printLoad(out io.Writer, r *loadgen.PhaseResult) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, row := range []struct {
--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -1,6 +1,6 @@
-// Command mulleinctl is the operators' command line: it reads and writes order keys through proxies, puts a load on
-// them, and manages the leases of a fleet. Verbs, flags, JSON output and exit codes are interfaces for scripts; files
-// in testdata/recorded guard them.
+// Command mulleinctl is the operators' command line: it reads and writes order keys through proxies, generates load on
+// them, and manages the leases of a fleet. Scripts depend on verbs, flags, JSON output and exit codes; tests compare
+// them with the files in testdata/recorded.
 package main
 
 import (
@@ -15,16 +15,16 @@
 	"mulleinpier/internal/cli"
 )
 
-// commands are the verbs. The names of fields in this and the structs of the verbs are names of verbs, flags and
-// arguments.
+// commands are the verbs. kong derives the names of verbs, flags and arguments from the names of the fields here and in
+// the structs of the verbs.
 type commands struct {
 	Get  getCommand  `cmd:"" help:"Read keys."`
 	Set  setCommand  `cmd:"" help:"Write a key."`
-	Load loadCommand `cmd:"" help:"Put a load on proxies, and report the results."`
+	Load loadCommand `cmd:"" help:"Generate load on proxies and report the results."`
 
-	Fleet fleetCommand `cmd:"" help:"The members of a fleet."`
-	Work  workCommand  `cmd:"" help:"Writes in progress, recorded for other proxies."`
-	Lease leaseCommand `cmd:"" help:"Leases for tasks that one process does for the whole fleet."`
+	Fleet fleetCommand `cmd:"" help:"Show the members of a fleet."`
+	Work  workCommand  `cmd:"" help:"Show the writes that a proxy has recorded."`
+	Lease leaseCommand `cmd:"" help:"Manage leases for tasks that one process does for the whole fleet."`
 }
 
 func main() {
@@ -45,7 +45,7 @@
 	if err != nil || chosen == "" { // "": help was printed
 		return err
 	}
-	verb, rest, _ := strings.Cut(chosen, " ") // what follows are a second verb and the names of arguments
+	verb, rest, _ := strings.Cut(chosen, " ") // rest has a second verb and the names of arguments
 	switch verb {
 	case "get":
 		return c.Get.run(ctx, out, log)
--- a/cmd/mulleinctl/main_test.go
+++ b/cmd/mulleinctl/main_test.go
@@ -13,7 +13,7 @@
 	"mulleinpier/internal/loadgen"
 )
 
-// reactByKey is a proxy's reaction to the keys that the tests use.
+// reactByKey is the reaction of the scripted proxy to a key.
 func reactByKey(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
 	switch r.Key {
 	case "none":
@@ -43,14 +43,14 @@
 	return proxy, list
 }
 
-// Each command against a scripted proxy, with what it prints and its exit code.
+// TestOutputAndExitCodeOfEachCommand runs each command against a scripted proxy.
 func TestOutputAndExitCodeOfEachCommand(t *testing.T) {
 	proxy, list := startProxy(t)
 	at := "--proxies=" + proxy.Address(0)
 	for _, c := range []struct {
 		args     string
 		code     int
-		out, log string // each contained
+		out, log string // substrings of the output
 	}{
 		{"get " + at + " a b", 0, "v:a\nv:b\n", ""},
 		{"get --file=" + list + " a", 0, "v:a\n", ""},
--- a/cmd/mulleinctl/recorded_test.go
+++ b/cmd/mulleinctl/recorded_test.go
@@ -17,8 +17,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// The files in testdata/recorded are outputs of the version before the program was renamed. Scripts read
-// verbs, flags, JSON and exit codes, so this version must still produce them.
+// The files in testdata/recorded were written by the version before the program was renamed. Scripts depend on verbs,
+// flags, JSON output and exit codes, so later versions must produce the same ones.
 
 func TestVerbsAndFlagsAsRecorded(t *testing.T) {
 	verbs := []string{"get", "set", "load", "fleet list", "work list"}
--- a/cmd/mulleinctl/voters.go
+++ b/cmd/mulleinctl/voters.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// voterFlags say which voters the requests go to.
+// voterFlags select the voters that requests go to.
 type voterFlags struct {
 	Fleet  string        `required:"" env:"MULLEIN_FLEET" help:"Name of the fleet."`
 	Voters []string      `required:"" env:"MULLEIN_VOTERS" help:"Voters, name=host:port,..., in the configured order."`
@@ -48,7 +48,7 @@
 	return do(ctx, c)
 }
 
-// execute has the voters carry out a command.
+// execute sends a command to the voters and waits for its result.
 func (f *voterFlags) execute(ctx context.Context, command lease.Command) error {
 	return f.withClient(ctx, func(ctx context.Context, c *agent.Client) error {
 		_, err := c.Execute(ctx, command)
@@ -56,7 +56,7 @@
 	})
 }
 
-// state fetches the state of all leases from the leader.
+// state fetches the state of all leases from the leader, or from another voter if no leader answers.
 func (f *voterFlags) state(ctx context.Context) (state agent.VoterState, err error) {
 	err = f.withClient(ctx, func(ctx context.Context, c *agent.Client) error {
 		state, err = c.LeaderState(ctx)
--- a/cmd/mulleinctl/work.go
+++ b/cmd/mulleinctl/work.go
@@ -14,15 +14,15 @@
 	"mulleinpier/internal/takeover/coordinator"
 )
 
-// workCommand is about the writes in progress that a proxy has recorded.
+// workCommand has the verbs for the writes that a proxy has recorded.
 type workCommand struct {
 	List workListCommand `cmd:"" help:"List the writes that a proxy has recorded, those with unknown outcomes first."`
 }
 
 type workListCommand struct {
-	At     string        `required:"" help:"Address of the proxy for its peers (peers.listen), host:port."`
-	JSON   bool          `help:"As JSON."`
-	Within time.Duration `default:"2s" help:"How long to wait."`
+	At     string        `required:"" help:"Address on which the proxy listens for peers (peers.listen), host:port."`
+	JSON   bool          `help:"Print JSON."`
+	Within time.Duration `default:"2s" help:"Timeout of the request."`
 }
 
 func (c *workListCommand) run(ctx context.Context, out io.Writer) error {
@@ -42,7 +42,7 @@
 	return w.Flush()
 }
 
-// fetch asks the proxy for its writes.
+// fetch requests the list of writes from the proxy.
 func (c *workListCommand) fetch(ctx context.Context) (writes []takeover.WriteStatus, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Within)
 	defer cancel()
@@ -57,11 +57,11 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%s: %s", c.At, response.Status)
+		return nil, fmt.Errorf("list the writes of %s: %s", c.At, response.Status)
 	}
 	body := io.LimitReader(response.Body, rpc.MaxBodyBytes)
 	if err := json.NewDecoder(body).Decode(&writes); err != nil {
-		return nil, fmt.Errorf("writes of %s: %w", c.At, err)
+		return nil, fmt.Errorf("decode the writes of %s: %w", c.At, err)
 	}
 	return writes, nil
 }
--- a/cmd/simadapter/fleet_test.go
+++ b/cmd/simadapter/fleet_test.go
@@ -19,23 +19,23 @@
 	sessionProxies  = 3
 	millisPerSecond = 1000
 	ticksPerSession = sessionSeconds * millisPerSecond / tickMillis
-	faultTicks      = 100                     // length of a fault at a node
+	faultTicks      = 100                     // length of a fault of a node
 	restartTick     = ticksPerSession * 3 / 4 // one proxy restarts, with other settings
-	relistTicks     = 40                      // a change of the list is announced within so long
+	relistTicks     = 40                      // longest time until a change of the list is announced
 	writeAttribute  = 1 << 2                  // marks a request as a write
 )
 
-// fleet is a small simulated fleet on the other side of the simulator's wire: it answers what the
-// balancers send, draws faults, drains and restarts from a seed, and takes the part of clients and discovery.
+// fleet is a small simulated fleet at the other end of the simulator's wire: it answers what the balancers send, acts
+// as clients and discovery, and draws faults, drains and restarts from a seed.
 type fleet struct {
 	rng     *rand.Rand
 	tick    int
 	nodes   []simNode
 	version int
-	pending map[int][]string // lines to come, by tick, each for one instance
+	pending map[int][]string // lines to send, by tick; each begins with the index of its proxy
 	open    map[uint64]*simRequest
 	nextID  uint64
-	rate    float64 // of arrivals, for each tick and proxy
+	rate    float64 // arrivals per tick and proxy
 	input   bytes.Buffer
 }
 
@@ -43,7 +43,7 @@
 	address     string
 	zone, kind  int
 	mode        string
-	started     int // tick
+	started     int // tick; 0 for before the session
 	faultUntil  int
 	faultResult string
 	cached      map[string]bool
@@ -60,7 +60,7 @@
 	done bool
 }
 
-// playSession runs the adapter against a fleet and returns what it read and what it wrote.
+// playSession runs the adapter against a fleet, and returns the input and the output of the adapter.
 func playSession(t *testing.T, seed uint64) (input, output []byte) {
 	t.Helper()
 	f := newFleet(seed)
@@ -120,7 +120,7 @@
 	return f
 }
 
-// settings draws those of an instance; all of a session have the same draws.
+// settings draws the settings of an instance. The same seed gives all instances the same draws.
 func (f *fleet) settings(seed uint64, proxy int) string {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	draw := func(choices ...string) string { return choices[rng.IntN(len(choices))] }
@@ -154,7 +154,7 @@
 	return string(text)
 }
 
-// batch returns the text of all that happens at the present tick.
+// batch returns the batch of the current tick.
 func (f *fleet) batch(seed uint64) string {
 	f.drawFaults()
 	lines := make([][]string, sessionProxies)
@@ -189,7 +189,7 @@
 	return b.String()
 }
 
-// census is the whole list of nodes, as page 0.
+// census returns the full list of nodes as page 0.
 func (f *fleet) census() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "census\t0\t%d", len(f.nodes))
@@ -204,7 +204,7 @@
 	return b.String()
 }
 
-// drawFaults draws faults, drains and restarts of nodes, and moments without discovery.
+// drawFaults draws faults, drains and restarts of nodes, and losses of discovery.
 func (f *fleet) drawFaults() {
 	if f.rng.IntN(120) == 0 {
 		n := &f.nodes[f.rng.IntN(len(f.nodes))]
@@ -227,7 +227,7 @@
 	}
 }
 
-// announce has a proxy get the list after some ticks, as it will be then.
+// announce sends a proxy the current list after some ticks.
 func (f *fleet) announce(proxy, ticks int, form string) {
 	f.later(proxy, ticks, fmt.Sprintf("%s\nupdate\t%d\t%s\t0", f.census(), f.version, form))
 }
@@ -236,7 +236,7 @@
 	f.pending[f.tick+max(ticks, 1)] = append(f.pending[f.tick+max(ticks, 1)], fmt.Sprintf("%d\t%s", proxy, text))
 }
 
-// arrivals draws new requests at a proxy, and clients that leave.
+// arrivals draws new requests at a proxy, and clients that disconnect.
 func (f *fleet) arrivals(proxy int) (lines []string) {
 	rate := f.rate
 	if f.tick > ticksPerSession/2 && f.tick < ticksPerSession*2/3 { // a burst
@@ -307,7 +307,7 @@
 		id, attempt, address, result, took, final, detail, f.rng.IntN(200), f.rng.IntN(20)))
 }
 
-// revoke reports an attempt as cancelled at the next tick; an outcome already on its way comes too late.
+// revoke reports an attempt as cancelled at the next tick. A result that is already scheduled is sent as well.
 func (f *fleet) revoke(proxy int, id uint64, attempt int) {
 	a := &f.open[id].attempts[attempt]
 	if a.done {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
 // Command simadapter hosts one balancer for each instance of the simulator's line protocol, which it reads from
-// standard input and answers on standard output. It ends with exit code 1 and a message on standard error where its
-// input is invalid.
+// standard input and answers on standard output. If its input is invalid, it prints an error on standard error and
+// exits with code 1.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// run answers each batch of in with one write to out.
+// run answers each batch of in with one write to out, until the end of in.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	a := adapter{balancers: make(map[string]*policy.Balancer)}
@@ -39,14 +39,14 @@
 	}
 }
 
-// adapter holds the balancers of all instances, and buffers that are used again for each batch.
+// adapter holds the balancers of all instances, and buffers that are reused for each batch.
 type adapter struct {
 	balancers map[string]*policy.Balancer
 	reply     simwire.Reply
 	actions   []policy.Action
 }
 
-// answer returns the reply to a batch; it is valid until the next call.
+// answer returns the reply to a batch, which is valid until the next call.
 func (a *adapter) answer(batch *simwire.Batch) []byte {
 	a.reply.Reset()
 	for i := range batch.Items {
@@ -55,7 +55,7 @@
 	return a.reply.Finish(batch.Sequence)
 }
 
-// handle starts or stops an instance, or gives it an event. Events of an instance that does not run are ignored.
+// handle starts or stops an instance, or passes it an event. Events of instances that do not run are ignored.
 func (a *adapter) handle(now time.Duration, item *simwire.Item) {
 	switch {
 	case item.Stop:
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestInvalidInputIsNamedAndNotAnswered guards that a defect is named and its batch is not answered.
+// TestInvalidInputIsNamedAndNotAnswered checks that an error names line and field, and that its batch gets no reply.
 func TestInvalidInputIsNamedAndNotAnswered(t *testing.T) {
 	var out bytes.Buffer
 	err := run(strings.NewReader(opening+"batch\t1020\t2\nabout\tproxy/0\ndemand\t8\nend\n"), &out)
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestInvalidSettingsAreReportedForTheirInstance guards that invalid settings are reported for their instance alone.
+// TestInvalidSettingsAreReportedForTheirInstance checks that invalid settings fail their instance, not the adapter.
 func TestInvalidSettingsAreReportedForTheirInstance(t *testing.T) {
 	for _, settings := range []string{
 		`{}`,
--- a/cmd/simadapter/session_test.go
+++ b/cmd/simadapter/session_test.go
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-var record = flag.Bool("record", false, "record the sessions of testdata/sessions anew, instead of replaying them")
+var record = flag.Bool("record", false, "record the sessions of testdata/sessions again instead of replaying them")
 
 const (
 	sessionFolder = "testdata/sessions"
 	sessionCount  = 8
 )
 
-// TestRecordedSessions replays recorded sessions on the simulator's wire and guards that each reply is the
-// same to the byte. A decision that changed on purpose is recorded anew with -record, in a commit of its own.
+// TestRecordedSessions replays recorded sessions on the simulator's wire and checks that the replies are the same, byte
+// for byte. After an intended change of a decision, record the sessions again with -record, in a commit of its own.
 func TestRecordedSessions(t *testing.T) {
 	for seed := range uint64(sessionCount) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/binary/header.go
+++ b/internal/binary/header.go
@@ -1,15 +1,15 @@
 // Package binary reads and writes the headers of the memcached binary protocol, as the memcached project's
 // "Binary Protocol Revamped" and its SASL extension describe it. Frontends and the connections to nodes read a
-// header, check what it is fit for, and only then allocate for what follows.
+// header and validate it before they allocate memory for the body.
 //
 // Invariants:
 //
-//  1. No length of a header is used unchecked: [ParseHeader] bounds what may have to be skipped to keep the
-//     framing, [Header.Validate] what of a request may be read.
+//  1. Lengths in a header are checked before use: [ParseHeader] bounds the body that may be skipped to keep the
+//     framing, [Header.Validate] the body of a request that may be read.
 //  2. Every opcode has a [Handling]; an unknown one is skipped with its body.
-//  3. What Append writes, ParseHeader reads as the same.
+//  3. ParseHeader returns the same header that Append has written.
 //
-// The package knows no sockets, has no state and starts no goroutine.
+// The package uses no sockets, has no state and starts no goroutine.
 package binary
 
 import (
@@ -18,7 +18,7 @@
 	"strconv"
 )
 
-// The bounds of what is accepted, in bytes.
+// Limits of what is accepted, in bytes.
 const (
 	HeaderLen    = 24
 	MaxKey       = 250
@@ -26,18 +26,18 @@
 	maxExtrasLen = counterExtrasLen
 	// MaxBody is the longest valid body.
 	MaxBody = maxExtrasLen + MaxKey + MaxValue
-	// MaxSkippedBody is the longest body that is skipped to keep the framing. A header that announces more
-	// ends its connection: no client of ours has so much to send.
+	// MaxSkippedBody is the longest body that is skipped to keep the framing. A header with a longer one ends its
+	// connection: none of our clients sends that much.
 	MaxSkippedBody = 1 << 20
 )
 
-// The first bytes of requests and responses.
+// Magic numbers: the first bytes of requests and responses.
 const (
 	RequestMagic  = 0x80
 	ResponseMagic = 0x81
 )
 
-// Status is how a response reports that a request ended.
+// Status is the result of a request, as its response reports it.
 type Status uint16
 
 // The statuses that are used.
@@ -70,7 +70,7 @@
 	Busy:             "Busy",
 }
 
-// String returns the text that is the value of a response with the status.
+// String returns the text that a response with the status has as its value.
 func (s Status) String() string { return statusTexts[s] }
 
 // Header is the header of a request or a response. Lengths are in bytes.
@@ -79,20 +79,20 @@
 	KeyLen    int
 	ExtrasLen int
 	DataType  uint8
-	Status    Status // of a response; a request's vbucket
-	BodyLen   int    // of extras, key and value together
-	Opaque    uint32 // returned as it came
+	Status    Status // of a response; in a request, the vbucket
+	BodyLen   int    // extras, key and value together
+	Opaque    uint32 // chosen by the client, copied to the response
 	CAS       uint64
 }
 
-// Errors of an invalid header. The connection can't be read any further.
+// Errors of an invalid header. The connection cannot be used after them, because the framing is lost.
 var (
-	ErrBadMagic  = errors.New("binary: wrong first byte of a header")
-	ErrBadLength = errors.New("binary: impossible length")
+	ErrBadMagic  = errors.New("binary: wrong magic number in a header")
+	ErrBadLength = errors.New("binary: invalid length in a header")
 )
 
-// ParseHeader reads the HeaderLen bytes of a header that begins with magic. With ErrBadLength the header is
-// returned too, so that its sender can be answered.
+// ParseHeader parses the HeaderLen bytes of a header that begins with magic. With ErrBadLength it returns the header
+// too, so that the caller can answer.
 func ParseHeader(text []byte, magic byte) (Header, error) {
 	if len(text) < HeaderLen || text[0] != magic {
 		return Header{}, ErrBadMagic
@@ -117,8 +117,8 @@
 // ValueLen returns the length of the value in bytes.
 func (h *Header) ValueLen() int { return h.BodyLen - h.KeyLen - h.ExtrasLen }
 
-// Validate checks whether the header of a request is one that its opcode allows. It returns OK, or the status to
-// answer after its body was skipped.
+// Validate checks the header of a request against its opcode. It returns OK, or the status for the response, which is
+// sent after the body has been skipped.
 func (h *Header) Validate() Status {
 	form, known := commandForms[h.Opcode]
 	switch {
@@ -134,7 +134,7 @@
 	return OK
 }
 
-// fits reports whether the header has what a command must have, and nothing else.
+// fits reports whether data type, key, extras and value are valid for the command.
 func (h *Header) fits(form *commandForm) bool {
 	extrasFit := h.ExtrasLen == form.extras || form.optionalExtras && h.ExtrasLen == 0
 	if h.DataType != 0 || h.KeyLen > MaxKey || !extrasFit {
@@ -145,7 +145,7 @@
 	return form.freeForm || keyFits && valueFits
 }
 
-// Append appends the header with the magic of a request or a response.
+// Append appends the header in wire format; magic is RequestMagic or ResponseMagic.
 func (h *Header) Append(dst []byte, magic byte) []byte {
 	dst = append(dst, magic, byte(h.Opcode))
 	dst = binary.BigEndian.AppendUint16(dst, uint16(h.KeyLen))
@@ -156,8 +156,8 @@
 	return binary.BigEndian.AppendUint64(dst, h.CAS)
 }
 
-// AppendStatus appends a complete response to a request that consists of a status. A Busy's text contains the
-// advice when to retry, in milliseconds, if that is positive.
+// AppendStatus appends a complete response to a request, with a status and its text. With Busy, the text contains
+// retryAfterMillis if that is positive.
 func AppendStatus(dst []byte, to *Header, status Status, retryAfterMillis int64) []byte {
 	text := status.String()
 	if status == Busy && retryAfterMillis > 0 {
--- a/internal/binary/header_test.go
+++ b/internal/binary/header_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestValidate guards invariant 1.
+// TestValidate checks invariant 1.
 func TestValidate(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -87,11 +87,11 @@
 		}
 	}
 	if response := AppendStatus(nil, to, Busy, 0); !strings.HasSuffix(string(response), "Busy") {
-		t.Errorf("without advice: %q", response)
+		t.Errorf("without a retry delay: %q", response)
 	}
 }
 
-// FuzzParse guards against headers that crash the reader or get past its bounds, and invariant 3.
+// FuzzParse checks invariants 1 and 3: no header may crash the parser or exceed the limits.
 func FuzzParse(f *testing.F) {
 	get := Header{Opcode: Get, KeyLen: 3, BodyLen: 3}
 	set := Header{Opcode: Set, KeyLen: 1, ExtrasLen: 8, BodyLen: 100, CAS: 1 << 60}
--- a/internal/binary/node.go
+++ b/internal/binary/node.go
@@ -12,15 +12,15 @@
 	"mulleinpier/internal/request"
 )
 
-// maxTextLen is the longest body of an answer that is no value, in bytes.
+// maxTextLen is the longest body of an answer without a value, in bytes.
 const maxTextLen = 2048
 
-// ErrMalformedAnswer is the error of what is no answer, or not that of the request.
+// ErrMalformedAnswer is the error of a malformed answer, or of an answer to another request.
 var ErrMalformedAnswer = errors.New("binary: malformed answer")
 
-// NodeDialect is the dialect towards cache nodes. It has no room for a request's id, class, tenant, timeout or
-// idempotency key: answers are told apart by the opaque, which is the request's serial, and a node can't know
-// that nobody waits any more.
+// NodeDialect is the dialect towards cache nodes. It has no fields for a request's id, class, tenant, timeout or
+// idempotency key: answers are matched by the opaque, which is the request's serial, and a node cannot know when the
+// client stops waiting.
 type NodeDialect struct{}
 
 // AppendHead appends a request up to its value.
@@ -46,7 +46,8 @@
 // AppendTail appends what follows a request's value: nothing.
 func (NodeDialect) AppendTail(dst []byte, _ *request.Request) []byte { return dst }
 
-// ReadAnswer reads the answer to a request. After an error the start of the next answer is not known.
+// ReadAnswer reads the answer to a request. After an error the start of the next answer is unknown, so the connection
+// cannot be used any more.
 func (NodeDialect) ReadAnswer(in *bufio.Reader, r *request.Request) (request.Answer, error) {
 	h, err := readAnswerHeader(in, r)
 	if err != nil {
@@ -58,7 +59,7 @@
 	case h.Status == OK:
 		return readValue(in, &h, r)
 	case h.BodyLen > maxTextLen:
-		return request.Answer{}, fmt.Errorf("%w: a text of %d bytes", ErrMalformedAnswer, h.BodyLen)
+		return request.Answer{}, fmt.Errorf("%w: text of %d bytes is too long", ErrMalformedAnswer, h.BodyLen)
 	}
 	answer := request.Answer{Kind: request.Failed}
 	if h.Status == Busy {
@@ -70,8 +71,8 @@
 	return answer, err
 }
 
-// readAnswerHeader reads the header of an answer. One that does not belong to the request is an error: passing on
-// another request's answer would be worse than losing the connection.
+// readAnswerHeader reads the header of an answer. It returns an error for an answer to another request: passing it on
+// would be worse than losing the connection.
 func readAnswerHeader(in *bufio.Reader, r *request.Request) (Header, error) {
 	text, err := in.Peek(HeaderLen)
 	if err != nil {
@@ -86,10 +87,10 @@
 		want = Set
 	}
 	if h.Opcode != want || h.Opaque != r.Serial || h.DataType != 0 {
-		return h, fmt.Errorf("%w: to %#x with opaque %#x where %#x with %#x is due",
+		return h, fmt.Errorf("%w: opcode %#x with opaque %#x: want %#x with %#x",
 			ErrMalformedAnswer, h.Opcode, h.Opaque, want, r.Serial)
 	}
-	in.Discard(HeaderLen) // can't fail: it has been peeked at
+	in.Discard(HeaderLen) // cannot fail after Peek
 	return h, nil
 }
 
@@ -97,7 +98,7 @@
 func storedAnswer(h *Header) (request.Answer, error) {
 	answer := request.Answer{Kind: request.Stored, Receipt: strconv.FormatUint(h.CAS, 10)}
 	if h.BodyLen != 0 {
-		return answer, fmt.Errorf("%w: a body of %d bytes after a set", ErrMalformedAnswer, h.BodyLen)
+		return answer, fmt.Errorf("%w: answer to a set has a body of %d bytes", ErrMalformedAnswer, h.BodyLen)
 	}
 	return answer, nil
 }
@@ -105,7 +106,7 @@
 // readValue reads the body of the answer to a successful get.
 func readValue(in *bufio.Reader, h *Header, r *request.Request) (answer request.Answer, err error) {
 	if h.KeyLen != 0 || h.ExtrasLen != FlagsLen || h.ValueLen() > MaxValue {
-		return answer, fmt.Errorf("%w: key %d, extras %d and value %d of a get",
+		return answer, fmt.Errorf("%w: answer to a get has a key of %d, extras of %d and a value of %d bytes",
 			ErrMalformedAnswer, h.KeyLen, h.ExtrasLen, h.ValueLen())
 	}
 	var flags [FlagsLen]byte
--- a/internal/binary/node_test.go
+++ b/internal/binary/node_test.go
@@ -9,8 +9,8 @@
 	"mulleinpier/internal/request"
 )
 
-// FuzzReadAnswer guards against what nodes send in place of an answer: it is an error, or the answer to the
-// request within its bounds.
+// FuzzReadAnswer checks that any input from a node gives either an error or the answer to the request, within its
+// limits.
 func FuzzReadAnswer(f *testing.F) {
 	ok := Header{Opcode: Get, ExtrasLen: 4, BodyLen: 6, Opaque: 7}
 	f.Add(append(ok.Append(nil, ResponseMagic), "\x00\x00\x00\x01hi"...), false)
--- a/internal/binary/opcode.go
+++ b/internal/binary/opcode.go
@@ -1,9 +1,9 @@
 package binary
 
-// Opcode is a command.
+// Opcode is the code of a command.
 type Opcode uint8
 
-// The known commands. Those that end in Q are quiet.
+// The known commands. Names that end in Q are quiet commands, see [Opcode.Quiet].
 const (
 	Get        Opcode = 0x00
 	Set        Opcode = 0x01
@@ -40,29 +40,29 @@
 	SASLStep   Opcode = 0x22
 )
 
-// Handling is what becomes of a command at a proxy.
+// Handling is how a proxy handles a command.
 type Handling uint8
 
-// The ways of handling. Unsupported commands need what a read-through node can't carry out: a condition on what
-// is stored, or a change of it that has no key to drop its repeats by.
+// The ways of handling. Unsupported commands need operations that a read-through node cannot execute: a condition on
+// the stored value, or a change of it without a key by which repeats could be dropped.
 const (
 	Unknown     Handling = iota // no such command
-	Unsupported                 // known, and never sent to a node
-	Forwarded                   // a request to a node
+	Unsupported                 // known, but never sent to a node
+	Forwarded                   // sent to a node as a request
 	Local                       // answered by the proxy itself
 )
 
-// commandForm is what a command's header must look like.
+// commandForm describes a valid header of a command.
 type commandForm struct {
 	handling       Handling
-	quiet          bool // a success (of a get: a miss) is not answered
+	quiet          bool // a success (for a get: a miss) is not answered
 	extras         int  // bytes
-	optionalExtras bool // they may be left out
-	key, value     bool // it has one
-	freeForm       bool // it may have a key and a value, or not
+	optionalExtras bool // extras may be omitted
+	key, value     bool // a key is required; a value is allowed
+	freeForm       bool // key and value are both optional
 }
 
-// quietly returns the form of the quiet kind of a command.
+// quietly returns the form of the quiet variant of a command.
 func (f commandForm) quietly() commandForm {
 	f.quiet = true
 	return f
@@ -70,13 +70,13 @@
 
 // Lengths of extras in bytes.
 const (
-	// FlagsLen is the length of the flags that a value is stored with: all extras of a get's response.
+	// FlagsLen is for the flags of a stored value, the only extras of the response to a get.
 	FlagsLen = 4
-	// storeExtrasLen is that of a store: flags and expiration.
+	// storeExtrasLen is for a store: flags and expiration.
 	storeExtrasLen = 8
-	// expirationLen is that of a command with nothing but an expiration.
+	// expirationLen is for a command with only an expiration.
 	expirationLen = 4
-	// counterExtrasLen is that of an increment: delta, initial value and expiration.
+	// counterExtrasLen is for an increment or decrement: delta, initial value and expiration.
 	counterExtrasLen = 20
 )
 
@@ -130,10 +130,10 @@
 	GATQ:       touchForm.quietly(),
 }
 
-// Handling returns what becomes of a command.
+// Handling returns how a proxy handles the command, Unknown for an unknown one.
 func (o Opcode) Handling() Handling { return commandForms[o].handling }
 
-// Quiet reports whether a command's success is not answered.
+// Quiet reports whether a success (for a get: a miss) is not answered.
 func (o Opcode) Quiet() bool { return commandForms[o].quiet }
 
 // ReturnsKey reports whether the answer to a get contains its key.
--- a/internal/binary/opcode_test.go
+++ b/internal/binary/opcode_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestEveryOpcodeHasAHandling checks all 256 opcodes against a list of its own. It guards invariant 2.
+// TestEveryOpcodeHasAHandling checks invariant 2 for all 256 opcodes, against an independent list.
 func TestEveryOpcodeHasAHandling(t *testing.T) {
 	wantHandling := map[Opcode]Handling{}
 	for handling, opcodes := range map[Handling][]Opcode{
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads how long the machine has slept, which the standard library does not report: Go measures
-// durations by the monotonic clock, which stops meanwhile.
+// Package clock reads how long the machine has slept (been suspended). The standard library does not report it: Go
+// measures durations by the monotonic clock, which stops during sleep.
 //
 // The package has no state and starts no goroutine.
 package clock
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TotalSleep returns how long the machine has slept since boot: by how much CLOCK_BOOTTIME is ahead of
-// CLOCK_MONOTONIC. Where either can't be read it is zero. If the process loses its processor between the two
-// readings the result is too small by as much, for this once; it is never too large.
+// TotalSleep returns how long the machine has slept since boot: the difference of CLOCK_BOOTTIME and CLOCK_MONOTONIC,
+// or zero if either cannot be read. If the process is preempted between the two readings, this one result is too small
+// by the time of the preemption. It is never too large.
 func TotalSleep() time.Duration {
 	var boot, monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
@@ -24,9 +24,9 @@
 	return time.Duration(boot.Nano() - monotonic.Nano())
 }
 
-// SimulatedSleep returns a replacement of TotalSleep for fault tests. By it the machine sleeps once for a
-// duration, some time after now, and its clock that counts sleep deviates from the monotonic one by the share
-// drift. Unlike in a real sleep the monotonic clock and all timers go on.
+// SimulatedSleep returns a replacement for TotalSleep in fault tests. It adds one sleep of a duration, once the time
+// after has passed since this call, and drift times the elapsed time, as if CLOCK_BOOTTIME ran faster or slower than
+// the monotonic clock. Unlike in a real sleep, the monotonic clock and all timers go on.
 func SimulatedSleep(after, duration time.Duration, drift float64) func() time.Duration {
 	start := time.Now()
 	return func() time.Duration {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestTotalSleepIsSteady guards the comparison of two readings: a machine that does not sleep must not seem
-// to.
+// TestTotalSleepIsSteady guards against a difference of two readings that looks like sleep on a machine that does not
+// sleep.
 func TestTotalSleepIsSteady(t *testing.T) {
 	first, largest := TotalSleep(), time.Duration(0)
 	for range 1000 {
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,17 +1,17 @@
-// Package eventlog logs what becomes of each request, attempt and connection, one line for each event, so
-// that an incident can be reconstructed from the logs of the processes.
+// Package eventlog logs the events of each request, attempt and connection, one line per event, so that an
+// incident can be reconstructed from the logs of the processes.
 //
 // Guarantees:
 //
-//  1. [Recorder.Record] never waits and does no I/O: it may be called with a lock held.
-//  2. An event carries the time at which it was recorded, not that at which it was written.
-//  3. At most queueLength events wait to be written. Those for which there is no place are counted, and the
-//     count is logged.
+//  1. [Recorder.Record] never blocks and does no I/O, so it may be called with a lock held.
+//  2. An event is logged with the time at which it was recorded, not the time at which it is written.
+//  3. At most queueLength events wait to be written. Events that find the queue full are dropped, and their
+//     number is logged.
 //
-// Events are logged at level debug, those of [Recorder.Warn] as warnings. While debug is off a call costs one
-// check of the level; callers that would have to gather figures check [Recorder.Enabled] first.
+// Events are logged at level debug, those of [Recorder.Warn] as warnings. While debug is off, a call only
+// checks the level; callers that would have to compute attributes check [Recorder.Enabled] first.
 //
-// The package starts no goroutine: the caller runs [Recorder.Run], which owns the writing.
+// The package starts no goroutine: the caller runs [Recorder.Run], which writes the events.
 package eventlog
 
 import (
@@ -24,7 +24,7 @@
 // queueLength bounds the events that wait to be written.
 const queueLength = 4096
 
-// Event is something that happened: one of the types of this package.
+// Event is one of the event types of this package.
 type Event interface {
 	// describe returns the event's log message and attributes.
 	describe() (message string, attributes []slog.Attr)
@@ -57,10 +57,10 @@
 	return r != nil && r.log.Enabled(context.Background(), level)
 }
 
-// Record records an event. It does not wait.
+// Record queues an event at level debug. It does not block.
 func (r *Recorder) Record(event Event) { r.enqueue(slog.LevelDebug, event) }
 
-// Warn records an event that operators should see without enabling debug logs. It does not wait.
+// Warn queues an event that operators should see without enabling debug logs. It does not block.
 func (r *Recorder) Warn(event Event) { r.enqueue(slog.LevelWarn, event) }
 
 func (r *Recorder) enqueue(level slog.Level, event Event) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Run writes events until ctx ends, and then those that are still queued.
+// Run writes events until ctx ends, and then the events that are still queued.
 func (r *Recorder) Run(ctx context.Context) {
 	for {
 		select {
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// recorderAt returns a Recorder at a log level, and what it writes.
+// recorderAt returns a Recorder at a log level, and the buffer that it writes to.
 func recorderAt(level slog.Level) (*Recorder, *bytes.Buffer) {
 	var out bytes.Buffer
 	return New(slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level}))), &out
 }
 
-// writeQueued writes all that has been recorded.
+// writeQueued writes all queued events.
 func writeQueued(r *Recorder) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	r.Run(ctx)
 }
 
-// TestEventsKeepTheirTime guards guarantee 2.
+// TestEventsKeepTheirTime checks guarantee 2.
 func TestEventsKeepTheirTime(t *testing.T) {
 	r, out := recorderAt(slog.LevelDebug)
 	r.Record(RequestAbandoned{ID: "a1", Duration: 40 * time.Millisecond})
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestDroppedEventsAreCounted guards guarantees 1 and 3: while nothing writes, Record returns.
+// TestDroppedEventsAreCounted checks guarantees 1 and 3: Record returns even if the queue is full and nothing writes.
 func TestDroppedEventsAreCounted(t *testing.T) {
 	r, out := recorderAt(slog.LevelDebug)
 	for range queueLength + 3 {
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestNoEventIsRecordedBelowDebug guards that events cost nothing while debug logs are off.
+// TestNoEventIsRecordedBelowDebug checks that no event is queued while debug logs are off, or by a nil Recorder.
 func TestNoEventIsRecordedBelowDebug(t *testing.T) {
 	r, out := recorderAt(slog.LevelInfo)
 	r.Record(ProcessStalled{})
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -10,9 +10,9 @@
 	ID        string
 	Class     string
 	Client    string        // address of its connection
-	Timeout   time.Duration // that the client requested; negative for none
+	Timeout   time.Duration // requested by the client; negative for none
 	Age       time.Duration // since its last byte arrived, as far as the proxy knows
-	Remaining time.Duration // until the deadline that the proxy works to
+	Remaining time.Duration // until the deadline that the proxy uses
 }
 
 func (e RequestAccepted) describe() (string, []slog.Attr) {
@@ -44,7 +44,7 @@
 // RequestAnswered reports the answer to an accepted request.
 type RequestAnswered struct {
 	ID        string
-	Answer    string        // its kind
+	Answer    string        // kind of answer
 	Reason    string        // of a rejection or failure
 	Duration  time.Duration // since it was accepted
 	Remaining time.Duration // until its deadline; negative if it is late
@@ -80,7 +80,7 @@
 	RequestID string
 	Attempt   int // counted from zero
 	Node      string
-	Reason    string // why there is this attempt
+	Reason    string // why the attempt is made
 }
 
 func (e AttemptDispatched) describe() (string, []slog.Attr) {
@@ -196,7 +196,7 @@
 	}
 }
 
-// NodeUpdated reports a change of a node in the endpoint list in force.
+// NodeUpdated reports a change of a node in the current endpoint list.
 type NodeUpdated struct {
 	Node, Status string
 	Version      uint64 // of the list
@@ -210,11 +210,11 @@
 	}
 }
 
-// ProcessStalled reports that nothing of the process ran for a while, too briefly for a pause.
+// ProcessStalled reports that the process did not run for a time that is too short for a pause.
 type ProcessStalled struct {
 	Duration time.Duration
-	CPUTime  time.Duration // that the process used since the periodic check before
-	Count    int           // stalls since the last such event, this one included
+	CPUTime  time.Duration // used by the process since the previous periodic check
+	Count    int           // stalls since the last such event, including this one
 	InFlight int           // requests
 }
 
--- a/internal/loadgen/auditor.go
+++ b/internal/loadgen/auditor.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// overdueLimit is how long after its try was given up an answer counts as overdue; a later one counts as lost.
+	// overdueLimit is how long after the deadline of its try an answer counts as overdue; a later one counts as lost.
 	overdueLimit = 500 * time.Millisecond
-	// nodeReportTime is how long it takes at most until it is known whether a node received a request.
+	// nodeReportTime is the longest time until SeenByNode knows whether a node received a request.
 	nodeReportTime = time.Second
-	// lateAnswerTime is how long late answers are awaited at the end.
+	// lateAnswerTime is how long Finish waits for late answers.
 	lateAnswerTime = 2 * time.Second
 )
 
-// TraceAuditor checks, by the traces of a library client, that proxies answer in time what they receive. All its
-// functions are needed, and are called on several goroutines.
+// TraceAuditor checks, by the traces of a library client, that proxies answer the requests that they receive in time.
+// All its functions must be set, and are called on several goroutines.
 type TraceAuditor struct {
 	// SeenByNode reports whether a node has received a try, RecentlyKilled whether a proxy's process was just killed.
 	SeenByNode     func(id string) bool
 	RecentlyKilled func(proxy string) bool
 
 	OnTry            func()                        // a try was sent
-	OnCrossedClose   func()                        // a try crossed the close of its idle connection
+	OnCrossedClose   func()                        // a proxy closed an idle connection while a try was sent on it
 	OnKilledInFlight func()                        // a try was in flight at a proxy that was killed
 	OnOverdue        func(by time.Duration)        // a try was answered shortly after its deadline
 	OnLost           func(format string, a ...any) // a try was lost, with a description
 
 	mu       sync.Mutex
-	timedOut map[string]string // proxies of the tries that timed out, by the tries' ids
+	timedOut map[string]string // proxies of the tries that timed out, by the ids of the tries
 	tasks    sync.WaitGroup
 }
 
-// The outcomes of [client.TryInfo] that matter here.
+// The outcomes of [client.TryInfo] that the auditor checks.
 const (
 	outcomeNotSent        = "unsent"
 	outcomeTimedOut       = "silent"
@@ -42,7 +42,7 @@
 	outcomeMalformed      = "spoilt"
 )
 
-// TryDone is to be called by the hook of that name.
+// TryDone must be called by the TryDone hook of [client.Trace].
 func (a *TraceAuditor) TryDone(i client.TryInfo) {
 	switch i.Outcome {
 	case outcomeNotSent:
@@ -57,12 +57,13 @@
 	case outcomeConnectionLost:
 		a.checkConnectionLost(i)
 	case outcomeMalformed:
-		a.OnLost("proxy %s answered %s with what is no answer to it", i.Proxy, i.ID)
+		a.OnLost("proxy %s sent a malformed answer to %s", i.Proxy, i.ID)
 	}
 	a.OnTry()
 }
 
-// checkConnectionLost finds out why a connection ended: the request may have crossed the close of an idle connection.
+// checkConnectionLost finds out why a connection ended. If it was reused and no node received the try, the proxy has
+// closed it while it was idle, and the try counts as crossed, not as lost.
 func (a *TraceAuditor) checkConnectionLost(i client.TryInfo) {
 	if a.RecentlyKilled(i.Proxy) {
 		a.OnKilledInFlight()
@@ -73,13 +74,13 @@
 		if i.ConnReused && !a.SeenByNode(i.ID) {
 			a.OnCrossedClose()
 		} else {
-			a.OnLost("proxy %s ended the connection of %s after %v, used before: %v",
+			a.OnLost("proxy %s closed the connection of %s after %v, used before: %v",
 				i.Proxy, i.ID, i.Took, i.ConnReused)
 		}
 	})
 }
 
-// LateAnswer is to be called by the hook of that name.
+// LateAnswer must be called by the LateAnswer hook of [client.Trace].
 func (a *TraceAuditor) LateAnswer(i client.TryInfo) {
 	a.mu.Lock()
 	_, awaited := a.timedOut[i.ID]
@@ -96,7 +97,7 @@
 	a.OnOverdue(by)
 }
 
-// Finish waits for late answers and checks all that is left. No call may be in progress.
+// Finish waits for late answers, and reports the tries that have still no answer. No call may be in progress.
 func (a *TraceAuditor) Finish() {
 	time.Sleep(lateAnswerTime)
 	a.tasks.Wait()
--- a/internal/loadgen/config.go
+++ b/internal/loadgen/config.go
@@ -8,31 +8,31 @@
 	"mulleinpier/client"
 )
 
-// Kind is how clients behave.
+// Kind is the behavior of clients.
 type Kind string
 
-// The kinds. Their values are flags and JSON.
+// The kinds. Their values are stable: they appear in flags and JSON.
 const (
 	Library Kind = "library"
 	Naive   Kind = "brief"
 )
 
-// Phase is a part of the load whose results are counted together.
+// Phase is a part of the load with its own counts.
 type Phase struct {
 	Name     string
 	Duration time.Duration
 }
 
-// Config describes a load. Every field is needed but those with a default.
+// Config describes a load. Fields without a default are required, except Tenant, Seed, Options and the functions.
 type Config struct {
 	Kind           Kind
 	Addresses      []string // of the proxies
 	Clients        int      // 1 to 10,000
-	Rate           float64  // requests a second over all clients; at most 20,000
-	Phases         []Phase  // an hour in all at most
+	Rate           float64  // requests per second over all clients; at most 20,000
+	Phases         []Phase  // together at most an hour
 	HandoverShare  float64  // share of requests that are handovers, which are keyed writes
 	Keys           int      // number of keys that are read
-	Skew           float64  // of the keys' popularity (Zipf), above 1
+	Skew           float64  // exponent of the keys' popularity (Zipf), above 1
 	Tenant         string
 	Seed           uint64
 	Options        client.Options // of library clients; Proxies, Tenant and Trace are set here
@@ -45,7 +45,7 @@
 	RecentlyKilled func(proxy string) bool
 }
 
-// The bounds of a load.
+// Limits of a load.
 const (
 	maxClients       = 10000
 	maxRate          = 20000
@@ -60,7 +60,7 @@
 	defaultWriteObjective = 750 * time.Millisecond
 )
 
-// duration is that of all phases.
+// duration returns the duration of all phases.
 func (c *Config) duration() (total time.Duration) {
 	for _, p := range c.Phases {
 		total += p.Duration
@@ -83,24 +83,24 @@
 	}
 }
 
-// check reports the first thing that is wrong. The conditions on floating-point numbers are false for NaN too.
+// check returns the first error. Its conditions on floating-point numbers are written to reject NaN too.
 func (c *Config) check() error {
 	total := c.duration()
 	switch {
 	case c.Kind != Library && c.Kind != Naive:
 		return fmt.Errorf("load: kind cannot be %q: want %s or %s", c.Kind, Library, Naive)
 	case len(c.Addresses) == 0:
-		return errors.New("load: there is no proxy")
+		return errors.New("load: addresses of proxies are missing: want at least one")
 	case c.Clients < 1 || c.Clients > maxClients:
 		return fmt.Errorf("load: clients cannot be %d: want 1 to %d", c.Clients, maxClients)
 	case !(c.Rate > 0 && c.Rate <= maxRate):
 		return fmt.Errorf("load: rate cannot be %v: want above 0 to %d", c.Rate, maxRate)
 	case total <= 0 || total > maxDuration:
-		return fmt.Errorf("load: lasts %v: want above 0 to %v", total, maxDuration)
+		return fmt.Errorf("load: duration cannot be %v: want above 0 to %v", total, maxDuration)
 	case !(c.HandoverShare >= 0 && c.HandoverShare <= 1):
 		return fmt.Errorf("load: handovers cannot be %v: want 0 to 1", c.HandoverShare)
 	case c.Keys < 1 || c.Keys > maxKeys || !(c.Skew > 1):
-		return fmt.Errorf("load: keys %d, skew %v: want keys from 1 to %.0f, skew above 1", c.Keys, c.Skew, maxKeys)
+		return fmt.Errorf("load: %d keys with skew %v: want 1 to %.0f keys, skew above 1", c.Keys, c.Skew, maxKeys)
 	}
 	return nil
 }
--- a/internal/loadgen/doc.go
+++ b/internal/loadgen/doc.go
@@ -1,8 +1,8 @@
-// Package loadgen is the client side of load experiments: many clients that send requests to a fleet of proxies, each
-// on its own. Library clients use the client package. Naive clients behave as the operators describe those without it:
-// they retry at once or after a short fixed wait, mark repetitions only sometimes, ignore advice, reconnect at once,
-// and write a handover again however long ago its first try was sent.
+// Package loadgen generates the load of experiments: many independent clients send requests to a fleet of proxies.
+// Library clients use the client package. Naive clients behave as the operators describe clients without it: they retry
+// at once or after a short fixed delay, mark only some retries as such, ignore the advice when to retry, reconnect at
+// once, and repeat the write of a handover regardless of how long ago they sent its first try.
 //
-// Arrivals do not wait for answers. The load is bounded, see [Config]. [Run] owns all goroutines and connections, and
-// returns when they have ended.
+// Requests start on schedule without waiting for earlier answers (open loop). The load is bounded, see [Config]. [Run]
+// owns all goroutines and connections, and returns when they have ended.
 package loadgen
--- a/internal/loadgen/library.go
+++ b/internal/loadgen/library.go
@@ -9,7 +9,7 @@
 	"mulleinpier/client"
 )
 
-// naiveStream is the second seed of the generators of naive clients.
+// naiveStream is the second seed of the random generators of naive clients.
 const naiveStream = 8
 
 // openClient opens one client of the configured kind.
@@ -25,10 +25,10 @@
 	o.Proxies = client.Static(r.config.Addresses...)
 	o.Tenant = r.config.Tenant
 	o.Trace = client.Trace{
-		DialStart: func(string) { r.dialed() },
+		DialStart: func(string) { r.countDial() },
 		DialDone: func(_ string, _ time.Duration, err error) {
 			if err != nil {
-				r.dialFailed()
+				r.countDialFailure()
 			}
 		},
 		TryDone:    r.auditor.TryDone,
--- a/internal/loadgen/naive.go
+++ b/internal/loadgen/naive.go
@@ -21,7 +21,7 @@
 	lineEnd          = "\r\n"
 )
 
-// naiveClient is a client as the operators describe those without the library.
+// naiveClient behaves as the operators describe clients without the library, see the package comment.
 type naiveClient struct {
 	recorder *recorder
 	idPrefix uint64
@@ -29,7 +29,7 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	serial int
-	idle   []*naiveConn // the latest last
+	idle   []*naiveConn // most recently used last
 	closed bool
 }
 
@@ -50,22 +50,23 @@
 	c.idle = nil
 }
 
-// connect returns an idle connection, or a new one to any proxy.
+// connect returns an idle connection, or opens a new one to a random proxy.
 func (c *naiveClient) connect() (*naiveConn, error) {
 	conn, address := c.takeIdle()
 	if conn != nil {
 		return conn, nil
 	}
-	c.recorder.dialed()
+	c.recorder.countDial()
 	socket, err := net.DialTimeout("tcp", address, naiveDialTimeout)
 	if err != nil {
-		c.recorder.dialFailed()
+		c.recorder.countDialFailure()
 		return nil, err
 	}
 	return &naiveConn{socket: socket, reader: bufio.NewReaderSize(socket, naiveBufferBytes)}, nil
 }
 
-// takeIdle returns the latest idle connection that is not too old, or else the address of a proxy to connect to.
+// takeIdle returns the most recently used connection that has not been idle for too long, or else the address of a
+// random proxy to connect to.
 func (c *naiveClient) takeIdle() (conn *naiveConn, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +83,7 @@
 	return nil, addresses[c.rng.IntN(len(addresses))]
 }
 
-// release keeps a connection for later requests.
+// release returns a connection to the idle ones for later requests.
 func (c *naiveClient) release(conn *naiveConn) {
 	conn.idleSince = time.Now()
 	c.mu.Lock()
@@ -124,7 +125,7 @@
 	}
 }
 
-// nextID returns the id of a try.
+// nextID returns a new id for a try.
 func (c *naiveClient) nextID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +133,7 @@
 	return fmt.Sprintf("b%x-%x", c.idPrefix, c.serial)
 }
 
-// try sends a request once. A connection that does not come up counts as a refusal, because nothing was sent.
+// try sends a request once. If no connection can be opened, the result is refused, because nothing was sent.
 func (c *naiveClient) try(q *request, class string, wait time.Duration, number int) outcome {
 	conn, err := c.connect()
 	if err != nil {
@@ -155,7 +156,7 @@
 		text = append(text, q.value+lineEnd...)
 	}
 	conn.socket.SetDeadline(time.Now().Add(wait))
-	c.recorder.tried()
+	c.recorder.countTry()
 	result, usable := failed, false
 	if _, err := conn.socket.Write(text); err == nil {
 		result, usable = conn.readAnswer(id, r.Verb)
@@ -168,7 +169,7 @@
 	return result
 }
 
-// readAnswer reads the answer to a request, and reports whether the connection can be used for others.
+// readAnswer reads the answer to a request, and reports whether the connection can be reused.
 func (c *naiveConn) readAnswer(id string, verb wire.Verb) (result outcome, usable bool) {
 	line, err := c.reader.ReadSlice('\n')
 	if err != nil {
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -19,7 +19,7 @@
 	unknown
 )
 
-// recorder counts what happens. It is safe for concurrent use.
+// recorder counts requests, tries and connections by phase. It is safe for concurrent use.
 type recorder struct {
 	config  *Config
 	auditor *TraceAuditor
@@ -28,13 +28,13 @@
 	start     time.Time
 	phases    []PhaseResult
 	latencies []*hdrhistogram.Histogram // by phase, of microseconds
-	dials     []time.Duration           // since start
-	samples   []string
+	dials     []time.Duration           // times since start
+	samples   []string                  // descriptions of lost requests
 }
 
 const (
-	maxLatency        = time.Minute // of the histograms; requests do not last longer
-	latencyDigits     = 3           // significant ones
+	maxLatency        = time.Minute // largest value of the histograms; no request takes longer
+	latencyDigits     = 3           // significant digits of the histograms
 	maxSamples        = 20
 	microsPerMilli    = 1000
 	dialCountInterval = 50 * time.Millisecond
@@ -49,13 +49,13 @@
 	return r
 }
 
-// newAuditor returns an auditor that counts here, as far as the configuration can tell.
+// newAuditor returns an auditor that counts in r. Without SeenByNode nothing counts as lost.
 func (r *recorder) newAuditor() *TraceAuditor {
 	a := &TraceAuditor{
 		SeenByNode:       r.config.SeenByNode,
 		RecentlyKilled:   r.config.RecentlyKilled,
-		OnTry:            r.tried,
-		OnLost:           r.lost,
+		OnTry:            r.countTry,
+		OnLost:           r.countLost,
 		OnCrossedClose:   func() { r.count(func(p *PhaseResult) { p.CrossedClose++ }) },
 		OnKilledInFlight: func() { r.count(func(p *PhaseResult) { p.KilledInFlight++ }) },
 		OnOverdue:        func(time.Duration) { r.count(func(p *PhaseResult) { p.Overdue++ }) },
@@ -77,7 +77,7 @@
 	r.start = time.Now()
 }
 
-// phaseAt returns the number of the phase at a time. r.mu is held.
+// phaseAt returns the index of the phase at a time, the last one after the end. The caller holds r.mu.
 func (r *recorder) phaseAt(at time.Time) int {
 	elapsed := at.Sub(r.start)
 	for i, p := range r.config.Phases {
@@ -89,25 +89,25 @@
 	return len(r.config.Phases) - 1
 }
 
-// count changes the counts of the current phase.
+// count applies a change to the counts of the current phase.
 func (r *recorder) count(change func(p *PhaseResult)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.phases[r.phaseAt(time.Now())])
 }
 
-// offered counts a request that starts at a time.
-func (r *recorder) offered(start time.Time) {
+// countOffered counts a request that starts at a time.
+func (r *recorder) countOffered(start time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.phases[r.phaseAt(start)].Offered++
 }
 
-func (r *recorder) tried() { r.count(func(p *PhaseResult) { p.Tries++ }) }
+func (r *recorder) countTry() { r.count(func(p *PhaseResult) { p.Tries++ }) }
 
-func (r *recorder) dialFailed() { r.count(func(p *PhaseResult) { p.DialFails++ }) }
+func (r *recorder) countDialFailure() { r.count(func(p *PhaseResult) { p.DialFails++ }) }
 
-func (r *recorder) dialed() {
+func (r *recorder) countDial() {
 	r.count(func(p *PhaseResult) {
 		p.Dials++
 		if len(r.dials) < maxRecordedDials {
@@ -116,7 +116,7 @@
 	})
 }
 
-func (r *recorder) lost(format string, a ...any) {
+func (r *recorder) countLost(format string, a ...any) {
 	r.count(func(p *PhaseResult) {
 		p.Lost++
 		if len(r.samples) < maxSamples {
@@ -126,8 +126,8 @@
 	})
 }
 
-// ended counts a request that started at a time.
-func (r *recorder) ended(start time.Time, q *request, result outcome) {
+// countEnded counts the result of a request that started at a time.
+func (r *recorder) countEnded(start time.Time, q *request, result outcome) {
 	took := time.Since(start)
 	objective := r.config.ReadObjective
 	if q.isHandover() {
@@ -160,7 +160,7 @@
 	}
 }
 
-// result returns the counts. Nothing may be counted any more.
+// result returns the counts. All requests must have ended.
 func (r *recorder) result(notOffered int) *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,7 +186,7 @@
 	return result
 }
 
-// dialsBetween returns the times of dials within a span. r.mu is held.
+// dialsBetween returns the times of the dials from from until before to. The caller holds r.mu.
 func (r *recorder) dialsBetween(from, to time.Duration) (within []time.Duration) {
 	for _, at := range r.dials {
 		if at >= from && at < to {
@@ -196,7 +196,7 @@
 	return within
 }
 
-// busiest returns how many of some times lie within the busiest span of a length. It sorts the times.
+// busiest returns the highest number of times within any span of this length. It sorts the times.
 func busiest(times []time.Duration, span time.Duration) (highest int) {
 	slices.Sort(times)
 	first := 0
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -1,6 +1,6 @@
 package loadgen
 
-// PhaseResult counts the requests that started in one phase, and what was sent for them.
+// PhaseResult counts the requests that started in a phase, and the tries, dials and faults that happened in it.
 type PhaseResult struct {
 	Phase           string  `json:"phase"`
 	Seconds         float64 `json:"seconds"`
@@ -13,25 +13,26 @@
 	Tries           int     `json:"tries"`
 	Handovers       int     `json:"handovers"`
 	HandoversInTime int     `json:"handovers_in_time"`
-	P50             float64 `json:"p50_ms"` // of served requests
+	P50             float64 `json:"p50_ms"` // latency of served requests
 	P99             float64 `json:"p99_ms"`
 	Dials           int     `json:"dials"`
 	DialFails       int     `json:"dial_fails"`
-	// DialsBusiest50ms counts the dials in the busiest 50 ms, DialsMean50ms those in 50 ms on average.
+	// DialsBusiest50ms is the highest number of dials within any 50 ms, DialsMean50ms the mean number.
 	DialsBusiest50ms int     `json:"dials_busiest_50ms"`
 	DialsMean50ms    float64 `json:"dials_mean_50ms"`
-	// Lost counts requests that a proxy received and did not answer, CrossedClose those that a proxy did not read
-	// before it closed the connection, KilledInFlight those at a proxy that was killed.
+	// Lost counts tries that a proxy did not answer, or answered with a malformed answer or later than 500 ms after the
+	// deadline. Counted apart are CrossedClose, tries on an idle connection that the proxy closed before it read them,
+	// and KilledInFlight, tries at a proxy that was killed.
 	Lost           int `json:"lost"`
 	CrossedClose   int `json:"crossed"`
 	KilledInFlight int `json:"excused"`
-	Overdue        int `json:"overdue"` // answered shortly after the try was given up
+	Overdue        int `json:"overdue"` // tries answered shortly after their deadline
 }
 
-// TriesPerRequest is how many tries there were for each request.
+// TriesPerRequest returns the mean number of tries for each offered request.
 func (r *PhaseResult) TriesPerRequest() float64 { return float64(r.Tries) / float64(max(r.Offered, 1)) }
 
-// Goodput is how many requests a second were answered in time.
+// Goodput returns the requests per second that were answered in time.
 func (r *PhaseResult) Goodput() float64 { return float64(r.InTime) / max(r.Seconds, 1e-9) }
 
 // Result is the result of a load.
@@ -39,6 +40,6 @@
 	Kind        Kind          `json:"kind"`
 	Clients     int           `json:"clients"`
 	Phases      []PhaseResult `json:"phases"`
-	NotOffered  int           `json:"not_offered"` // because too many were in flight
+	NotOffered  int           `json:"not_offered"` // requests not sent because too many were in flight
 	LostSamples []string      `json:"samples"`     // descriptions of lost requests
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -10,49 +10,49 @@
 	"time"
 )
 
-// request is one request of a load, with how a naive client retries it.
+// request is one request of a load, and how a naive client retries it.
 type request struct {
 	key          string
-	value        string // "" of a read
+	value        string // "" for a read
 	retries      int
 	retryDelay   time.Duration // before each retry
-	tryShare     float64       // of the deadline that a try waits
-	marksRetries bool          // retries are marked as such
+	tryShare     float64       // share of the deadline that a try waits
+	marksRetries bool          // whether retries are marked as such
 }
 
 func (q *request) isHandover() bool { return q.value != "" }
 
 // simulatedClient is one of the clients of a load.
 type simulatedClient interface {
-	// call carries out one request, and returns how it ended.
+	// call executes one request and returns its outcome.
 	call(q *request) outcome
 	close()
 }
 
-// requestSource draws requests. All draws come from one seeded generator, so that a seed repeats a load.
+// requestSource draws requests. All draws come from one seeded generator, so the same seed gives the same load.
 type requestSource struct {
 	config  *Config
 	rng     *rand.Rand
 	zipf    *rand.Zipf
-	prefix  string // of values: the kind's initial
-	drawn   int
+	prefix  string // of values: the first letter of the kind
+	drawn   int    // number of requests drawn
 	clients []simulatedClient
 }
 
 const (
-	generatorStream = 7 // second seed of the load's generator
+	generatorStream = 7 // second seed of the random generator
 	zipfOffset      = 4 // flattens the popularity of the first keys
 )
 
-// The manners of naive clients. Each request draws its own.
+// How naive clients retry. Each request draws its own values.
 const (
 	naiveRetries        = 3
-	minTryShare         = 0.3 // of the deadline
-	tryShareSpan        = 0.25
-	minRetryDelayMs     = 20 // of the half of the requests that are not retried at once
-	retryDelaySpanMs    = 140
-	markingClientsOneIn = 2 // one request in so many marks its retries
-	delayedRetriesOneIn = 2
+	minTryShare         = 0.3  // of the deadline
+	tryShareSpan        = 0.25 // above minTryShare
+	minRetryDelayMs     = 20   // for requests that are not retried at once
+	retryDelaySpanMs    = 140  // above minRetryDelayMs
+	markedRetriesOneIn  = 2    // one request in this many marks its retries
+	delayedRetriesOneIn = 2    // one request in this many is retried after a delay
 )
 
 // next draws a request.
@@ -62,7 +62,7 @@
 		key:          fmt.Sprint("k", s.zipf.Uint64()),
 		retries:      naiveRetries,
 		tryShare:     minTryShare + s.rng.Float64()*tryShareSpan,
-		marksRetries: s.rng.IntN(markingClientsOneIn) == 0,
+		marksRetries: s.rng.IntN(markedRetriesOneIn) == 0,
 	}
 	if s.rng.IntN(delayedRetriesOneIn) == 0 {
 		q.retryDelay = time.Duration(minRetryDelayMs+s.rng.IntN(retryDelaySpanMs)) * time.Millisecond
@@ -101,7 +101,7 @@
 	s.clients = nil
 }
 
-// Run plays a load to its end, or until ctx ends.
+// Run generates a load until its phases or ctx end, and waits for the requests in flight.
 func Run(ctx context.Context, c Config) (*Result, error) {
 	c.applyDefaults()
 	if err := c.check(); err != nil {
@@ -130,8 +130,8 @@
 	return r.result(notOffered), nil
 }
 
-// offer sends requests until ctx ends, and waits for their ends. It returns how many were not sent because too many
-// were in flight.
+// offer sends requests until ctx ends, and waits until all have ended. It returns how many were not sent because too
+// many were in flight.
 func (r *recorder) offer(ctx context.Context, source *requestSource) (notOffered int) {
 	var tasks sync.WaitGroup
 	var inFlight atomic.Int64
@@ -143,10 +143,10 @@
 		} else {
 			inFlight.Add(1)
 			start := time.Now()
-			r.offered(start)
+			r.countOffered(start)
 			tasks.Go(func() {
 				defer inFlight.Add(-1)
-				r.ended(start, q, client.call(q))
+				r.countEnded(start, q, client.call(q))
 			})
 		}
 		next = next.Add(source.interval())
--- a/internal/loadgen/run_test.go
+++ b/internal/loadgen/run_test.go
@@ -10,11 +10,11 @@
 	"mulleinpier/internal/fake/scriptednode"
 )
 
-// reaction is what scripted proxies do with a request, by its number over all of them.
+// reaction returns what scripted proxies do with a request, by its number over all proxies.
 type reaction = func(number int, r scriptednode.ReceivedRequest) scriptednode.Reaction
 
-// play puts a load of a second on two scripted proxies, and returns the result with the requests that they received.
-func play(t *testing.T, c Config, react reaction) (*Result, []scriptednode.ReceivedRequest) {
+// runLoad puts a load of one second on two scripted proxies. It returns the result and the requests that they received.
+func runLoad(t *testing.T, c Config, react reaction) (*Result, []scriptednode.ReceivedRequest) {
 	t.Helper()
 	proxies, err := scriptednode.Start(scriptednode.Meta, 2, react)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return r, proxies.Requests()
 }
 
-// reactInTurn goes through several reactions.
+// reactInTurn cycles through several reactions.
 func reactInTurn(number int, _ scriptednode.ReceivedRequest) scriptednode.Reaction {
 	reactions := []scriptednode.Reaction{
 		scriptednode.Serve, scriptednode.Serve, scriptednode.Serve, scriptednode.Busy, scriptednode.Fail,
@@ -45,13 +45,13 @@
 	return reactions[number%len(reactions)]
 }
 
-// Both kinds are counted alike: every offered request has one end, and tries are those that proxies received and those
-// of a pipeline that ended before them.
+// TestCountsAddUp checks the counts for both kinds of clients: each offered request has one outcome, and the tries are
+// those that proxies received and, with pipelining, those on a connection that ended before the proxy read them.
 func TestCountsAddUp(t *testing.T) {
 	for _, kind := range []Kind{Library, Naive} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			r, received := play(t, Config{Kind: kind}, reactInTurn)
+			r, received := runLoad(t, Config{Kind: kind}, reactInTurn)
 			tries, handovers, offered := 0, 0, 0
 			for _, p := range r.Phases {
 				checkPhase(t, p)
@@ -60,7 +60,7 @@
 				offered += p.Offered
 			}
 			writes, values := countWrites(t, kind, received)
-			exact := kind == Naive // which pipelines nothing
+			exact := kind == Naive // naive clients do not pipeline
 			if tries < len(received) || exact && tries != len(received) || tries <= offered {
 				t.Errorf("%d tries, %d received, %d offered", tries, len(received), offered)
 			}
@@ -74,15 +74,15 @@
 func checkPhase(t *testing.T, p PhaseResult) {
 	t.Helper()
 	if p.Offered < 50 || p.Offered != p.InTime+p.Late+p.Refused+p.Failed+p.Unknown {
-		t.Errorf("ends don't add up: %+v", p)
+		t.Errorf("outcomes do not add up: %+v", p)
 	}
 	if p.Dials == 0 || p.DialsBusiest50ms < 1 || p.P50 <= 0 {
 		t.Errorf("%+v", p)
 	}
 }
 
-// countWrites counts the writes that proxies received and their different values, each of which has one idempotency
-// key.
+// countWrites counts the writes that proxies received and their different values, and checks that each value has one
+// idempotency key.
 func countWrites(t *testing.T, kind Kind, received []scriptednode.ReceivedRequest) (writes, values int) {
 	t.Helper()
 	keys := map[string]string{}
@@ -100,8 +100,8 @@
 	return writes, len(keys)
 }
 
-// A proxy that receives a request and never answers it, or ends its connection, is detected; one that closes between
-// requests is not blamed.
+// TestLostRequestsAreDetected checks that requests are counted as lost if a proxy receives them and then does not
+// answer or closes the connection, and not if it closes an idle connection.
 func TestLostRequestsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		reaction scriptednode.Reaction
@@ -116,13 +116,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			config := Config{Kind: Library, SeenByNode: func(string) bool { return c.seen }}
-			r, _ := play(t, config, onceAtEach(c.reaction))
+			r, _ := runLoad(t, config, onceAtEach(c.reaction))
 			lost, crossed := 0, 0
 			for _, p := range r.Phases {
 				lost += p.Lost
 				crossed += p.CrossedClose
 			}
-			if name == "crossed" { // the first request on a connection can't have crossed a close
+			if name == "crossed" { // the first request of a connection cannot cross a close
 				lost -= strings.Count(strings.Join(r.LostSamples, " "), "used before: false")
 				crossed += len(r.LostSamples)
 			}
@@ -133,7 +133,7 @@
 	}
 }
 
-// onceAtEach reacts in a way to the twentieth request at each proxy, and serves the others.
+// onceAtEach returns the special reaction to the twentieth request at each proxy, and serves the others.
 func onceAtEach(special scriptednode.Reaction) reaction {
 	var mu sync.Mutex
 	received := map[int]int{}
--- a/internal/meta/answer.go
+++ b/internal/meta/answer.go
@@ -6,13 +6,13 @@
 	"mulleinpier/internal/request"
 )
 
-// maxValueHead is the longest first line of a value's answer, without the id.
+// maxValueHead is the longest first line of an answer with a value, without the id.
 const maxValueHead = "VA " + maxValueDigits + " O" + lineEnd
 
-// AnswerHeaderRoom returns the most bytes that FormatAnswer writes before a value, for an id.
+// AnswerHeaderRoom returns the maximum number of bytes that FormatAnswer writes before a value, with this id.
 func AnswerHeaderRoom(id string) int { return len(maxValueHead) + len(id) }
 
-// FormatAnswer returns the answer to a client's request. That of a value is in the value's own buffer.
+// FormatAnswer returns the answer to a client's request. An answer with a value is built in the value's buffer.
 func FormatAnswer(a *request.Answer, id string) []byte {
 	switch a.Kind {
 	case request.Value:
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -3,11 +3,11 @@
 //
 // Guarantees:
 //
-//  1. A command that is accepted is forwarded unchanged, except for the time that the proxy waits.
-//  2. No length is accepted beyond [MaxValue], and no text with control characters.
-//  3. An answer is that to the request, or an error.
+//  1. An accepted command is forwarded unchanged, except that its timeout becomes the time that the proxy waits.
+//  2. Lengths above [MaxValue] and texts with control characters are rejected.
+//  3. Reading an answer returns the answer to the request or an error, never the answer to another request.
 //
-// The package knows no sockets, has no state and starts no goroutine.
+// The package uses no sockets, has no state and starts no goroutine.
 package meta
 
 import (
@@ -20,20 +20,20 @@
 	"mulleinpier/internal/request"
 )
 
-// The bounds of what is accepted.
+// Limits of what is accepted.
 const (
 	MaxValue = 64 << 10 // bytes of a value
 	MaxKey   = 250      // bytes
 	MaxID    = 128      // bytes
-	MaxLine  = 2048     // bytes of a line, its end included
+	MaxLine  = 2048     // bytes of a line, including its end
 
-	maxTimeout = time.Hour // that a client may say
+	maxTimeout = time.Hour // longest timeout that a client may request
 )
 
 const (
 	// lineEnd ends each line and each value.
 	lineEnd = "\r\n"
-	// maxValueDigits is the largest length of a value, as it is written.
+	// maxValueDigits is MaxValue in decimal.
 	maxValueDigits = "65536"
 )
 
@@ -45,7 +45,7 @@
 	ValueLen int  // of a Set's value, in bytes
 }
 
-// ErrUnknownCommand is the error of a command that is not known.
+// ErrUnknownCommand is the error of an unknown command.
 var ErrUnknownCommand = errors.New("unknown command")
 
 // ClientError is the error of an invalid command.
@@ -58,7 +58,7 @@
 // Error implements error.
 func (e *ClientError) Error() string { return e.Reason }
 
-// ParseCommand reads a command's line, without its end.
+// ParseCommand parses the line of a command, without its end. The error is ErrUnknownCommand or a *ClientError.
 func ParseCommand(line string) (Command, error) {
 	c := Command{Request: request.Request{Timeout: -1, Raw: request.RawLine{Line: line}}}
 	if !utf8.ValidString(line) {
@@ -90,7 +90,7 @@
 	return c, err
 }
 
-// parseRequest reads a request's line after its verb.
+// parseRequest parses a request's line after its verb.
 func (c *Command) parseRequest(rest string) error {
 	c.Key, rest = nextWord(rest)
 	skipBytes := 0
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// parseFlags reads a request's flags. It returns why they are invalid, "" for not.
+// parseFlags parses a request's flags. It returns the reason if they are invalid, else "".
 func (c *Command) parseFlags(rest string) (reason string) {
 	lineLen := len(c.Raw.Line)
 	wantsValue, hasParams := false, false
@@ -134,11 +134,11 @@
 			return "bad flag"
 		}
 	}
-	return c.missing(wantsValue)
+	return c.missingFlag(wantsValue)
 }
 
-// missing returns which required flag a request lacks, "" for none.
-func (c *Command) missing(wantsValue bool) (reason string) {
+// missingFlag returns a reason that names a missing required flag or parameter, "" for none.
+func (c *Command) missingFlag(wantsValue bool) (reason string) {
 	switch {
 	case c.ID == "":
 		return "missing O"
@@ -150,8 +150,8 @@
 	return ""
 }
 
-// parseParams reads the list of flag P, which ends at the place end of the line, before the space if the line
-// goes on. It returns why it is invalid, "" for not.
+// parseParams parses the list of flag P. Offset end in the line is where the list ends, or just after the space that
+// follows it. It returns the reason if the list is invalid, else "".
 func (c *Command) parseParams(list string, end int) (reason string) {
 	raw := &c.Raw
 	if end < len(raw.Line) || strings.HasSuffix(raw.Line, " ") {
@@ -159,9 +159,9 @@
 	}
 	raw.TimeoutStart, raw.TimeoutEnd, raw.InsertTimeout = end, end, true
 	if strings.HasSuffix(list, ",") {
-		return "bad P" // with a timeout inserted after it, it would be another line
+		return "bad P" // an inserted timeout would follow an empty parameter
 	}
-	seen := "" // one-letter names
+	seen := "" // one-letter names so far
 	for start := end - len(list); list != ""; {
 		param, rest, _ := strings.Cut(list, ",")
 		name, value, ok := strings.Cut(param, "=")
@@ -189,7 +189,7 @@
 	return ""
 }
 
-// setParam sets a parameter other than the timeout. Unknown ones are for the node alone.
+// setParam sets a parameter other than the timeout. Unknown ones are ignored here; the node gets them with the line.
 func (c *Command) setParam(name, value string) {
 	switch name {
 	case "c":
@@ -203,7 +203,7 @@
 	}
 }
 
-// parseTimeout reads how long the client waits, in milliseconds, and reports whether it is valid.
+// parseTimeout parses how long the client waits, in milliseconds, and reports whether the value is valid.
 func (c *Command) parseTimeout(value string) bool {
 	millis, err := strconv.ParseFloat(value, 64)
 	hasOtherForm := strings.Trim(value, "0123456789.") != "" // a sign, an exponent or a name
@@ -214,7 +214,7 @@
 	return true
 }
 
-// splitFlag returns the letter and the value of a flag that has a valid value, zero for others.
+// splitFlag returns the letter and the value of a flag, or zero values if it has no valid value.
 func splitFlag(flag string) (letter byte, value string) {
 	if len(flag) < 2 || !printable(flag) {
 		return 0, ""
@@ -228,7 +228,7 @@
 	return word, rest
 }
 
-// parseLength reads a value's length. It accepts digits only, and no length beyond MaxValue.
+// parseLength parses a value's length. It accepts only digits, and no length above MaxValue.
 func parseLength(s string) (length int, ok bool) {
 	if s == "" || len(s) > len(maxValueDigits) {
 		return 0, false
@@ -250,8 +250,8 @@
 	return name != "" && len(name) <= MaxID && printable(name) && !strings.ContainsAny(name, ",=")
 }
 
-// printable reports whether a text has no spaces or control characters: a lone CR in a forwarded line would end
-// it early for a peer that is not strict.
+// printable reports whether a text has no spaces or control characters: a peer that is not strict would take a lone CR
+// in a forwarded line for the end of the line.
 func printable(s string) bool {
 	const del = 0x7f
 	for i := range len(s) {
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/request"
 )
 
-// FuzzParseCommand guards guarantees 1 and 2 against lines that panic, or that reach a node in another form than
-// the client's.
+// FuzzParseCommand checks guarantees 1 and 2: no line may panic, exceed the limits, or reach a node in a form that is
+// parsed differently.
 func FuzzParseCommand(f *testing.F) {
 	for _, line := range []string{
 		"mg k v O1 Pc=read,t=acme,d=480",
@@ -53,13 +53,13 @@
 	})
 }
 
-// sameNames reports whether two requests agree in all that names them, their key and whom they are for.
+// sameNames reports whether two requests have the same key, id, class, tenant and idempotency key.
 func sameNames(a, b *request.Request) bool {
 	return a.Key == b.Key && a.ID == b.ID && a.Class == b.Class && a.Tenant == b.Tenant &&
 		a.IdempotencyKey == b.IdempotencyKey
 }
 
-// TestRequestWithoutARawLine guards what a node receives of a request whose client spoke another dialect.
+// TestRequestWithoutARawLine checks what a node receives for a request of a client of another dialect.
 func TestRequestWithoutARawLine(t *testing.T) {
 	for want, r := range map[string]request.Request{
 		"mg k v O1 Pc=read,d=7\r\n":         {Key: "k", ID: "1", Class: "read"},
@@ -82,8 +82,7 @@
 	}
 }
 
-// TestAnswersPassThroughUnaltered guards guarantee 3, and the whole way of an answer: read from a node, written to
-// a client.
+// TestAnswersPassThroughUnaltered checks guarantee 3, and the path of an answer from node to client.
 func TestAnswersPassThroughUnaltered(t *testing.T) {
 	get := &request.Request{ID: "7", HeaderRoom: AnswerHeaderRoom("7")}
 	set := &request.Request{Verb: request.Set, ID: "7"}
@@ -120,12 +119,12 @@
 	}
 	busy := &request.Answer{Kind: request.Busy, RetryAfter: 250 * time.Millisecond}
 	if got := string(FormatAnswer(busy, "7")); got != "SERVER_ERROR busy 250\r\n" {
-		t.Errorf("a rejection with advice is written as %q", got)
+		t.Errorf("busy with a Retry-After of 250 ms is written as %q", got)
 	}
 }
 
-// BenchmarkRead is a read's whole way through the dialect: command, request to a node, answer, answer to the
-// client.
+// BenchmarkRead measures a read's path through the dialect: it parses the command, writes the request to a node, reads
+// the answer and writes it to the client.
 func BenchmarkRead(b *testing.B) {
 	nodeAnswer := "VA 64 O1f h1 Linflight=7,qps=12.5\r\n" + strings.Repeat("v", 64) + "\r\n"
 	source := strings.NewReader(nodeAnswer)
@@ -148,7 +147,7 @@
 	}
 }
 
-// FuzzParseAnswer guards guarantee 2 against lines of nodes that panic or announce an impossible value.
+// FuzzParseAnswer checks guarantee 2 for lines of nodes: none may panic, or give a value or a figure beyond its limits.
 func FuzzParseAnswer(f *testing.F) {
 	for _, line := range []string{
 		"VA 5 O1 h1 Linflight=7,queue=2",
--- a/internal/meta/node.go
+++ b/internal/meta/node.go
@@ -13,14 +13,14 @@
 	"mulleinpier/internal/request"
 )
 
-// ErrMalformedAnswer is the error of what is no answer, or not that of the request.
+// ErrMalformedAnswer is the error of a malformed answer, or of an answer to another request.
 var ErrMalformedAnswer = errors.New("malformed answer")
 
 // NodeDialect is the dialect towards cache nodes.
 type NodeDialect struct{}
 
-// AppendHead appends a request up to its value: the line of its client with the time that the proxy will wait in
-// place of the client's timeout, or a line of its own.
+// AppendHead appends a request up to its value. If the request has a client's line, that line is appended with the time
+// that the proxy waits instead of the client's timeout; else a new line.
 func (NodeDialect) AppendHead(dst []byte, r *request.Request, timeout time.Duration) []byte {
 	millis := max(int64(timeout/time.Millisecond), 1)
 	raw := &r.Raw
@@ -36,8 +36,8 @@
 	return append(dst, lineEnd...)
 }
 
-// AppendRequest appends the line of a request under an id, which may be in a buffer of the caller's, with a timeout
-// in milliseconds. The value is for the caller to append.
+// AppendRequest appends the line of a request, with an id, which may be in a buffer of the caller, and a timeout in
+// milliseconds. The caller appends the value.
 func AppendRequest[ID string | []byte](dst []byte, r *request.Request, id ID, timeoutMillis int64) []byte {
 	if r.Verb == request.Set {
 		dst = append(dst, "ms "...)
@@ -66,7 +66,7 @@
 	if r.Retry {
 		dst = append(dst, ",r=1"...)
 	}
-	if r.Flags != 0 { // memcached's own flag for them; nodes that don't keep flags reject it
+	if r.Flags != 0 { // memcached's own flag F; nodes that do not store flags reject it
 		dst = append(dst, " F"...)
 		dst = strconv.AppendUint(dst, uint64(r.Flags), 10)
 	}
@@ -81,7 +81,8 @@
 	return dst
 }
 
-// ReadAnswer reads the answer to a request. After an error the start of the next answer is not known.
+// ReadAnswer reads the answer to a request. After an error the start of the next answer is unknown, so the connection
+// cannot be used any more.
 func (NodeDialect) ReadAnswer(in *bufio.Reader, r *request.Request) (answer request.Answer, err error) {
 	text, err := in.ReadSlice('\n')
 	if err != nil {
@@ -104,7 +105,7 @@
 		Miss:       line.Miss,
 		Coalesced:  line.Coalesced,
 		Receipt:    string(line.Receipt),
-		LoadReport: bytes.Clone(line.LoadReport), // the line is in the reader's buffer
+		LoadReport: bytes.Clone(line.LoadReport), // the line is in the buffer of the reader
 	}
 	if line.Kind == request.Value {
 		err = readValue(in, &answer, r.HeaderRoom, line.ValueLen)
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// AnswerLine is the first line of a node's answer. Its texts are parts of that line.
+// AnswerLine is the first line of a node's answer. Its byte slices are parts of that line.
 type AnswerLine struct {
 	Kind       request.AnswerKind
 	ValueLen   int    // of a Value, in bytes
@@ -136,22 +137,22 @@
 	LoadReport []byte // flag L
 }
 
-// checkBelongsTo returns an error for an answer that is not that to a request: passing on another request's answer
-// would be worse than losing the connection.
+// checkBelongsTo returns an error if the answer is not for this request: passing on another request's answer would be
+// worse than losing the connection.
 func (a *AnswerLine) checkBelongsTo(r *request.Request) error {
 	isValue, isStored := a.Kind == request.Value, a.Kind == request.Stored
 	mustHaveID := isValue || isStored
 	if (mustHaveID || len(a.ID) > 0) && string(a.ID) != r.ID {
-		return fmt.Errorf("%w: answer to %q where %q is due", ErrMalformedAnswer, a.ID, r.ID)
+		return fmt.Errorf("%w: answer to id %q: want %q", ErrMalformedAnswer, a.ID, r.ID)
 	}
 	isRead := r.Verb == request.Get
 	if isValue && !isRead || isStored && isRead || a.Kind == request.NotFound && !isRead {
-		return fmt.Errorf("%w: answer to another kind of command", ErrMalformedAnswer)
+		return fmt.Errorf("%w: answer does not match the kind of command", ErrMalformedAnswer)
 	}
 	return nil
 }
 
-// ParseAnswer reads the first line of an answer, without its end.
+// ParseAnswer parses the first line of an answer, without its end.
 func ParseAnswer(line []byte) (AnswerLine, error) {
 	var a AnswerLine
 	verb, rest := nextWordBytes(line)
@@ -179,7 +180,7 @@
 		if string(what) == "busy" {
 			a.Kind = request.Busy
 		}
-	case "CLIENT_ERROR", "ERROR": // it is a complete answer: nothing after it is lost
+	case "CLIENT_ERROR", "ERROR": // a complete answer, so the next one can be read
 		a.Kind = request.Failed
 		return a, nil
 	default:
@@ -189,7 +190,7 @@
 	return a, err
 }
 
-// parseFlags reads the flags of an answer.
+// parseFlags parses the flags of an answer.
 func (a *AnswerLine) parseFlags(rest []byte) error {
 	for len(rest) > 0 {
 		var flag []byte
@@ -208,8 +209,8 @@
 			a.Hit, a.Miss = string(value) == "1", string(value) == "0"
 		case 'Z':
 			a.Coalesced = len(value) == 0
-		default: // the words of an error, or a flag of a later version
-			if a.Kind == request.Busy { // busy promises that nothing was executed, so it must be exactly that
+		default: // text of an error, or a flag of a later version
+			if a.Kind == request.Busy { // busy promises that nothing was executed: trust it only without unknown text
 				a.Kind = request.Failed
 			}
 		}
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// EachLoadFigure calls f with each figure of a load report until one is malformed.
+// EachLoadFigure calls f with each figure of a load report. It stops with an error at the first malformed one.
 func EachLoadFigure(report []byte, f func(name string, figure float64)) error {
 	const maxFigure = 1e12
 	for text := range strings.SplitSeq(string(report), ",") {
@@ -225,7 +226,7 @@
 		figure, err := strconv.ParseFloat(value, 64)
 		inRange := figure >= -maxFigure && figure <= maxFigure // false for NaN
 		if !ok || err != nil || !inRange {
-			return fmt.Errorf("load report: %q", text)
+			return fmt.Errorf("load report: malformed figure %q", text)
 		}
 		f(name, figure)
 	}
--- a/internal/sasl/file.go
+++ b/internal/sasl/file.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The bounds of a users' file.
+// Limits of a users file.
 const (
 	MaxUsers      = 4096
 	MaxName       = 64  // bytes
@@ -18,14 +18,14 @@
 	hashLen       = 32 // bytes
 )
 
-// DefaultIterations is how many iterations a new secret is hashed with. A login costs a proxy a few milliseconds of
-// its processor; with more, guesses or the return of a thousand clients at once would cause an outage.
+// DefaultIterations is the number of iterations for the hash of a new secret. A login takes a few milliseconds of a
+// proxy's CPU time. With more iterations, guesses or a thousand clients that reconnect at once would cause an outage.
 const DefaultIterations = 10000
 
-// scheme names the derivation of hashes in a users' file.
+// scheme is the name of the key derivation in a users file.
 const scheme = "pbkdf2-sha256"
 
-// parseLine reads the line of a user.
+// parseLine parses the line of a user.
 func parseLine(line string) (*User, error) {
 	parts := strings.Split(line, ":")
 	if len(parts) != 5 || parts[1] != scheme {
@@ -46,7 +46,7 @@
 	return user, nil
 }
 
-// decodeHex fills dst from hex, and reports whether the text is hex of just that length.
+// decodeHex fills dst from hex, and reports whether the text is valid hex of exactly that length.
 func decodeHex(dst []byte, text string) bool {
 	decoded, err := hex.DecodeString(text)
 	return err == nil && copy(dst, decoded) == len(dst) && len(decoded) == len(dst)
@@ -58,12 +58,12 @@
 		return r <= ' ' || r == ':' || r == del
 	}
 	if name == "" || len(name) > MaxName || strings.ContainsFunc(name, isForbidden) {
-		return fmt.Errorf("a user cannot be %q: want 1 to %d characters without blanks and colons", name, MaxName)
+		return fmt.Errorf("user name cannot be %q: want 1 to %d bytes without blanks and colons", name, MaxName)
 	}
 	return nil
 }
 
-// FormatUser returns the line of a user with a new secret. The salt is random.
+// FormatUser returns the line of a user with a new secret. The salt must be random.
 func FormatUser(name, secret string, iterations int, salt [saltLen]byte) (string, error) {
 	if err := checkName(name); err != nil {
 		return "", err
--- a/internal/sasl/limiter.go
+++ b/internal/sasl/limiter.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// How often one source may guess.
+// Limits on the guesses of one source.
 const (
 	GuessBurst          = 8
 	GuessRefillInterval = 2 * time.Second
-	// maxSources bounds the sources that are remembered. All others share one allowance: a guesser with many
-	// addresses must not use up the memory.
+	// maxSources bounds the sources that have their own bucket. All others share one, so that a guesser with many
+	// addresses cannot exhaust the memory.
 	maxSources = 1024
 )
 
-// GuessLimiter decides which guesses are checked. It reads no clock, and is not safe for concurrent use.
+// GuessLimiter decides which guesses are checked, with a token bucket for each source. It reads no clock, and is not
+// safe for concurrent use.
 type GuessLimiter struct {
-	sources map[string]*allowance
-	others  allowance
+	sources map[string]*guessBucket
+	others  guessBucket
 }
 
-// allowance is what a source may guess: a token bucket.
-type allowance struct {
-	spent     float64 // guesses
+// guessBucket is the token bucket of a source.
+type guessBucket struct {
+	spent     float64 // guesses that have not been refilled
 	updatedAt time.Time
 }
 
 // NewGuessLimiter returns a GuessLimiter that has seen no guess.
-func NewGuessLimiter() *GuessLimiter { return &GuessLimiter{sources: make(map[string]*allowance)} }
+func NewGuessLimiter() *GuessLimiter { return &GuessLimiter{sources: make(map[string]*guessBucket)} }
 
-// Allow takes one guess off a source's allowance, and reports whether there was one.
+// Allow takes one guess from the bucket of a source, and reports whether there was one.
 func (l *GuessLimiter) Allow(now time.Time, source string) bool {
 	a := l.find(now, source)
 	a.refill(now)
@@ -37,31 +38,31 @@
 	return true
 }
 
-// Refund gives back what a guess took that was right: a client that logs in over and over is no guesser.
+// Refund returns a correct guess to the bucket, so that a client that logs in often is not limited.
 func (l *GuessLimiter) Refund(now time.Time, source string) {
 	a := l.find(now, source)
 	a.refill(now)
 	a.spent = max(a.spent-1, 0)
 }
 
-// find returns the allowance of a source, or that of all others if too many are remembered.
-func (l *GuessLimiter) find(now time.Time, source string) *allowance {
+// find returns the bucket of a source, or the shared one if there are too many sources.
+func (l *GuessLimiter) find(now time.Time, source string) *guessBucket {
 	if a := l.sources[source]; a != nil {
 		return a
 	}
 	if len(l.sources) >= maxSources {
-		l.forgetRefilled(now)
+		l.removeRefilled(now)
 	}
 	if len(l.sources) >= maxSources {
 		return &l.others
 	}
-	a := &allowance{updatedAt: now}
+	a := &guessBucket{updatedAt: now}
 	l.sources[source] = a
 	return a
 }
 
-// forgetRefilled forgets the sources whose allowance is full again.
-func (l *GuessLimiter) forgetRefilled(now time.Time) {
+// removeRefilled removes the sources whose bucket is full again.
+func (l *GuessLimiter) removeRefilled(now time.Time) {
 	for source, a := range l.sources {
 		a.refill(now)
 		if a.spent == 0 {
@@ -70,8 +71,8 @@
 	}
 }
 
-// refill gives back what the time since the last call allows.
-func (a *allowance) refill(now time.Time) {
+// refill adds the guesses for the time since the last call.
+func (a *guessBucket) refill(now time.Time) {
 	refilled := float64(now.Sub(a.updatedAt)) / float64(GuessRefillInterval)
 	a.spent = max(a.spent-refilled, 0)
 	a.updatedAt = now
--- a/internal/sasl/sasl_test.go
+++ b/internal/sasl/sasl_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// userLine returns the line of a user in a users' file.
+// userLine returns the line of a user in a users file.
 func userLine(t testing.TB, name, secret string) string {
 	t.Helper()
 	line, err := FormatUser(name, secret, minIterations, [saltLen]byte{1, byte(len(name))})
@@ -34,7 +34,7 @@
 		right        bool
 	}{
 		{"till", "rose", true},
-		{"till", "rose", true}, // this time by the fast hash
+		{"till", "rose", true}, // verified by the fast hash this time
 		{"till", "lily", false},
 		{"other", "lily", true},
 		{"none", "rose", false},
@@ -49,31 +49,31 @@
 	}
 }
 
-// TestChangedSecretIsAnotherUser guards sessions that outlive a reload.
+// TestChangedSecretIsAnotherUser checks that a reload ends the sessions of a changed secret, and no others.
 func TestChangedSecretIsAnotherUser(t *testing.T) {
 	before := validUsers(t, userLine(t, "till", "rose")+userLine(t, "other", "lily"))
 	till, other := before.Authenticate("till", "rose"), before.Authenticate("other", "lily")
 	after := validUsers(t, userLine(t, "till", "aster")+userLine(t, "other", "lily"))
 	if after.Revalidate(till) != nil {
-		t.Error("a session of the old secret goes on")
+		t.Error("a session with the old secret is still valid")
 	}
 	if after.Revalidate(other) == nil || before.Revalidate(till) == nil {
-		t.Error("a session of the same secret has ended")
+		t.Error("a session with an unchanged secret is not valid")
 	}
 	if after.Authenticate("till", "rose") != nil || after.Authenticate("till", "aster") == nil {
-		t.Error("the new secret is not in force")
+		t.Error("the new secret is not used")
 	}
 }
 
 func TestDefectsOfAFileAreNamed(t *testing.T) {
 	valid := strings.TrimSpace(userLine(t, "till", "rose"))
 	for want, text := range map[string]string{
-		"names no user":                        "# none\n",
-		"line 2: user \"till\" is there twice": valid + "\n" + valid,
-		"line 1: want NAME":                    "till:rose",
-		"iterations cannot be \"5\"":           strings.Replace(valid, ":1000:", ":5:", 1),
-		"want a salt":                          valid + "00",
-		"a user cannot be":                     strings.Replace(valid, "till", "ti ll", 1),
+		"lists no user":                         "# none\n",
+		"line 2: user \"till\" is listed twice": valid + "\n" + valid,
+		"line 1: want NAME":                     "till:rose",
+		"iterations cannot be \"5\"":            strings.Replace(valid, ":1000:", ":5:", 1),
+		"want a salt":                           valid + "00",
+		"user name cannot be":                   strings.Replace(valid, "till", "ti ll", 1),
 	} {
 		users, err := ParseUsers(text, nil)
 		if err == nil || users != nil || !strings.Contains(err.Error(), want) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestGuessesAreBounded guards invariant 2, with many sources as well.
+// TestGuessesAreBounded checks invariant 2 for one source, several, and more than maxSources.
 func TestGuessesAreBounded(t *testing.T) {
 	limiter, now := NewGuessLimiter(), time.Unix(1000, 0)
 	countAllowed := func(source string, guesses int) (allowed int) {
@@ -115,10 +115,10 @@
 		return allowed
 	}
 	if n := countAllowed("a", 1000); n != GuessBurst {
-		t.Errorf("%d of a loop were checked, want %d", n, GuessBurst)
+		t.Errorf("%d of 1000 guesses were allowed, want %d", n, GuessBurst)
 	}
 	if n := countAllowed("b", 1); n != 1 {
-		t.Error("another source pays for the loop")
+		t.Error("the guesses of one source limit another source")
 	}
 	now = now.Add(10 * GuessRefillInterval)
 	if n := countAllowed("a", 1000); n != GuessBurst {
@@ -128,10 +128,10 @@
 	if n := countAllowed("a", 1000); n != 3 {
 		t.Errorf("%d allowed after three intervals, want 3", n)
 	}
-	for range 1000 { // right ones cost nothing
+	for range 1000 { // correct guesses are refunded
 		now = now.Add(time.Millisecond)
 		if !limiter.Allow(now, "till") {
-			t.Fatal("a client that logs in often is kept out")
+			t.Fatal("a client that logs in often is limited")
 		}
 		limiter.Refund(now, "till")
 	}
@@ -139,6 +139,6 @@
 		limiter.Allow(now, fmt.Sprint("x", i))
 	}
 	if len(limiter.sources) > maxSources {
-		t.Errorf("%d sources are remembered, want at most %d", len(limiter.sources), maxSources)
+		t.Errorf("%d sources are kept, want at most %d", len(limiter.sources), maxSources)
 	}
 }
--- a/internal/simulation/fleet_size_test.go
+++ b/internal/simulation/fleet_size_test.go
@@ -8,8 +8,8 @@
 	"mulleinpier/internal/connlimit"
 )
 
-// planOfFewBusyProxies is a fleet of four busy proxies over twelve nodes, whose latency objective is little more than a
-// fetch takes.
+// planOfFewBusyProxies is a fleet of four busy proxies over twelve nodes. Its latency objective is little above the
+// time of a fetch.
 func planOfFewBusyProxies(seed uint64) Plan {
 	p := plan80(seed)
 	p.Proxies, p.Nodes = 4, 12
@@ -29,7 +29,8 @@
 	return p
 }
 
-// replaceNodes has one node in two seconds drained, then removed, and a new one in its place.
+// replaceNodes drains a node every two seconds and adds a new one in its place. A second later it crashes and removes
+// the old one.
 func replaceNodes(f *Fleet, from, to time.Duration) {
 	for i, at := 0, from; at < to; i, at = i+1, at+2*time.Second {
 		old := f.NodeNames()[i]
@@ -44,8 +45,9 @@
 	}
 }
 
-// TestReplacedNodesMoveFewKeys guards healthy fleets of few busy proxies: one node of twelve is replaced every two
-// seconds, no other has a fault, and what is fetched in addition is what suspicion of healthy nodes moved.
+// TestReplacedNodesMoveFewKeys guards against keys that move off healthy nodes wrongly taken for faulty, in a fleet of
+// few busy proxies. One node of twelve is replaced every two seconds and no other has a fault, so the share of
+// misses must stay low.
 func TestReplacedNodesMoveFewKeys(t *testing.T) {
 	for seed := range uint64(3) {
 		steady := run(t, planOfFewBusyProxies(seed), 20*time.Second, nil).Sum(6, 19)
@@ -66,7 +68,7 @@
 }
 
 // TestFleetsOfAllSizesAreServed runs few proxies over many nodes and many over few, at the same share of capacity, with
-// costs and connections known: each fleet is served, and connections stay within their bounds.
+// known costs and connection limits. Each fleet must be served, and connections must stay within their limit.
 func TestFleetsOfAllSizesAreServed(t *testing.T) {
 	for _, c := range []struct {
 		proxies, nodes int
@@ -98,9 +100,9 @@
 	}
 }
 
-// TestRetriesLeaveCapacityUsed loses a third of the nodes for good, which leaves 0.9 of what clients request at first,
-// while clients ignore Retry-After and send two to three attempts each: what the nodes that are left can do is done,
-// and done for requests whose clients still wait.
+// TestRetriesLeaveCapacityUsed removes a third of the nodes, which leaves a capacity of 0.9 times the request rate,
+// while clients ignore Retry-After and send two to three attempts for each request. The remaining nodes must still
+// spend most of their capacity on requests whose clients still wait.
 func TestRetriesLeaveCapacityUsed(t *testing.T) {
 	p := plan80(1)
 	p.Clients.IgnoreRetryAfter, p.Clients.RetryPause = true, 400*ms
@@ -112,16 +114,16 @@
 			f.Remove(lost...)
 		})
 	})
-	const seconds, nodesLeft = 12, 40
-	s, capacity := f.Sum(8, 8+seconds), seconds*nodesLeft*f.capacity(time.Second)
+	const seconds, remainingNodes = 12, 40
+	s, capacity := f.Sum(8, 8+seconds), seconds*remainingNodes*f.capacity(time.Second)
 	used := float64(s.InTime+s.Late) / capacity
 	attempts := float64(s.ClientAttempts) / float64(s.Requests)
 	t.Logf("%.2f of the capacity of 40 nodes is served, %.3f of requests in time, %.2f attempts for a request",
 		used, inTimeShare(s), attempts)
 	if attempts < 1.5 {
-		t.Errorf("%.2f attempts for a request: nothing was tested", attempts)
+		t.Errorf("%.2f attempts for a request: too few retries for this test", attempts)
 	}
 	if used < 0.8 {
-		t.Errorf("%.2f of the capacity of the nodes that are left is used", used)
+		t.Errorf("%.2f of the capacity of the remaining nodes is used", used)
 	}
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -8,8 +8,8 @@
 	"mulleinpier/policy"
 )
 
-// TestAllProxiesStartTogether starts all proxies at once against a service of the endpoint list that answers twenty
-// calls a second: each has the list before it may be called unknown, and few calls are lost.
+// TestAllProxiesStartTogether restarts all 80 proxies at once while the endpoint list service answers 20 calls a
+// second. All proxies must subscribe within eleven seconds, with at most three calls for each proxy on average.
 func TestAllProxiesStartTogether(t *testing.T) {
 	p := plan80(1)
 	p.EndpointList.CallsPerSecond = 20
@@ -28,30 +28,29 @@
 			t.Errorf("proxy %d has no list after eleven seconds", i)
 		}
 	}
-	// Half of the first calls come half a second to a second after the start: none without spread.
+	// With spread, half of the first calls come half a second to a second after the start; without it, none would.
 	if first := f.PerSecond[3].EndpointListCalls; first < 15 || first > 65 {
 		t.Errorf("%d of 80 first calls come within the first nine tenths of a second", first)
 	}
 	for i, s := range f.PerSecond[3:] {
-		if s.EndpointListCalls > 80 { // none calls twice within a second
+		if s.EndpointListCalls > 80 { // no proxy calls twice within a second
 			t.Errorf("%d calls in second %d of 80 proxies", s.EndpointListCalls, 3+i)
 		}
 	}
 }
 
-// TestDrainIsLearntOnceAListCallSucceeds drains a node while no call to the service of the endpoint list gets through:
-// a proxy cannot respect what it does not know, and does so at once after its first call that succeeds (the fleet
-// reports a violation otherwise).
+// TestDrainIsLearntOnceAListCallSucceeds drains two nodes while nearly all calls to the endpoint list service fail. A
+// proxy must respect the drain from its first successful call on; the fleet records a violation otherwise.
 func TestDrainIsLearntOnceAListCallSucceeds(t *testing.T) {
 	p := plan80(1)
-	p.EndpointList.CallsPerSecond = never
+	p.EndpointList.CallsPerSecond = minCallRate
 	f := run(t, p, 16*time.Second, func(f *Fleet) {
 		f.At(2*time.Second, func() { f.Drain("n007", "n008") })
 		f.At(6*time.Second, func() { f.EndpointList.CallsPerSecond = 40 })
 	})
 	for i, p := range f.proxies {
 		if endpoint, ok := p.endpoints["n007"]; !ok || endpoint.State != policy.Draining {
-			t.Errorf("proxy %d never learnt of the drain", i)
+			t.Errorf("proxy %d has not learnt of the drain", i)
 		}
 		if p.connections["n007"] != nil {
 			t.Errorf("proxy %d keeps a connection to a drained node", i)
@@ -62,8 +61,8 @@
 	}
 }
 
-// TestConnectionsAreShared runs wrong numbers of proxies in the settings: half as many and twice as many as there are,
-// one, and an absurd number. What nodes reject for want of connections stays rare, and the service good.
+// TestConnectionsAreShared checks the connection budget where the configured number of proxies is right or wrong: half
+// and twice the real number, one, and far too many. Nodes must reject few connections, and the service must stay good.
 func TestConnectionsAreShared(t *testing.T) {
 	for _, c := range []struct {
 		configuredProxies int
@@ -91,8 +90,8 @@
 	}
 }
 
-// TestNodesWithoutFreeConnections uses up the connections of one node in three for four seconds: these nodes are not
-// faulty and there is no overload, and their requests are served elsewhere.
+// TestNodesWithoutFreeConnections uses up the connections of one node in three for four seconds. The nodes are not
+// faulty and there is no overload, so their requests must be served by other nodes instead of being rejected.
 func TestNodesWithoutFreeConnections(t *testing.T) {
 	f := run(t, plan80(1), 14*time.Second, func(f *Fleet) {
 		for _, name := range f.NodeNames()[:20] {
@@ -107,8 +106,8 @@
 	}
 }
 
-// TestMostProxiesRestart kills eight in ten at once, filters and all: what they fetch again does not overload the
-// origin, and warming nodes do not collapse.
+// TestMostProxiesRestart kills eight in ten proxies at once, which lose all their measurements, just after three nodes
+// restarted cold. Repeated fetches must not overload the origin, and warming nodes must not collapse.
 func TestMostProxiesRestart(t *testing.T) {
 	f := run(t, plan80(1), 16*time.Second, func(f *Fleet) {
 		f.At(5*time.Second, func() { f.Crash("n001", "n002", "n003") })
@@ -125,8 +124,8 @@
 	}
 }
 
-// TestFewRequestsFindFaultyNode gives each proxy three requests a second and a node that fails them all: it gets little
-// after half a minute.
+// TestFewRequestsFindFaultyNode gives each proxy three requests a second, over twelve nodes of which one fails all
+// requests. After half a minute the faulty node must receive clearly fewer requests than at first.
 func TestFewRequestsFindFaultyNode(t *testing.T) {
 	p := plan80(1)
 	p.Clients.RequestsPerSecond = 240
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// plan80 is a fleet of eighty proxies over sixty nodes in four zones that work at half of their capacity; a proxy meets
-// a node once in three seconds.
+// plan80 is a fleet of eighty proxies over sixty nodes in four zones, at half of the nodes' capacity. Each proxy sends
+// to each node about once in three seconds.
 func plan80(seed uint64) Plan {
 	read := policy.Class{
 		Name:             "read",
@@ -73,15 +73,15 @@
 	}
 }
 
-// plan80WithCosts is plan80 where connections are few and have a cost. Proxies do not know how many connections nodes
-// keep for them.
+// plan80WithCosts is plan80 with costs for handshakes and for requests across zones. Proxies do not know how many
+// connections nodes keep for them.
 func plan80WithCosts(seed uint64) Plan {
 	p := plan80(seed)
 	p.Settings.Costs = policy.Costs{OriginFetch: 0.15, CrossZone: 0.02, Handshake: 0.115}
 	return p
 }
 
-// plan80WithZonalHomes is plan80WithCosts where proxies know how many connections nodes keep for them.
+// plan80WithZonalHomes is plan80WithCosts with proxies that know how many connections nodes keep for them.
 func plan80WithZonalHomes(seed uint64) Plan {
 	p := plan80WithCosts(seed)
 	capacity := connlimit.Capacity{ConnectionsPerNode: p.Node.MaxConnections, Proxies: p.Proxies}
@@ -89,8 +89,8 @@
 	return p
 }
 
-// plan300 is a large fleet: 300 proxies that each see few requests, over 160 nodes in five zones; proxy 0 sees eight
-// times the mean.
+// plan300 is a large fleet of 300 proxies with few requests each, over 160 nodes in five zones. Proxy 0 receives eight
+// times the mean load.
 func plan300(seed uint64) Plan {
 	p := plan80(seed)
 	p.Proxies, p.Nodes = 300, 160
@@ -102,7 +102,7 @@
 	return p
 }
 
-// run runs a plan for a time, with a script that schedules faults, and reports all violations of rules.
+// run runs a plan for a time, with an optional script that schedules faults, and reports all violations of rules.
 func run(t *testing.T, p Plan, length time.Duration, script func(*Fleet)) *Fleet {
 	t.Helper()
 	f, err := New(p)
@@ -133,16 +133,16 @@
 	}
 }
 
-// inTimeShare is the share of requests that were served within their latency objective.
+// inTimeShare returns the share of requests that were served within their latency objective.
 func inTimeShare(c Counters) float64 { return float64(c.InTime) / float64(max(c.Requests, 1)) }
 
-// handshakesPerRequest are those of all proxies for one request of a client.
+// handshakesPerRequest returns the handshakes of all proxies for each request of a client.
 func handshakesPerRequest(c Counters) float64 { return float64(c.Handshakes) / float64(c.Requests) }
 
-// missShare is the share of reads that missed the cache.
+// missShare returns the share of reads that missed the cache.
 func missShare(c Counters) float64 { return float64(c.Misses) / float64(c.Hits+c.Misses) }
 
-// checkInTime checks the share of requests in time.
+// checkInTime checks that at least a minimum share of requests was in time.
 func checkInTime(t *testing.T, c Counters, minimum float64, when string) {
 	t.Helper()
 	if got := inTimeShare(c); got < minimum {
@@ -150,7 +150,7 @@
 	}
 }
 
-// allProxies are the indices of all proxies.
+// allProxies returns the indices of all proxies.
 func allProxies(f *Fleet) (indices []int) {
 	for i := range f.Proxies {
 		indices = append(indices, i)
@@ -158,7 +158,7 @@
 	return indices
 }
 
-// nodesWhere are the names of the nodes whose index matches.
+// nodesWhere returns the names of the nodes whose index matches.
 func nodesWhere(f *Fleet, match func(i int) bool) (names []string) {
 	for i, name := range f.NodeNames() {
 		if match(i) {
@@ -168,7 +168,7 @@
 	return names
 }
 
-// addStartedNode adds a node that has just started.
+// addStartedNode adds a node that starts now, and announces it.
 func addStartedNode(f *Fleet, name string, zone int) {
 	f.addNode(name, zone, f.now)
 	f.announce([]policy.Endpoint{f.nodes[name].Endpoint})
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// never is a rate at which the service of the endpoint list answers no call.
-const never = 1e-9
+// minCallRate is a CallsPerSecond at which the endpoint list service answers only one call a second; 0 is no limit.
+const minCallRate = 1e-9
 
-// TestLargeFleetWithoutFault guards the connection budgets at full size: no node has all its connections in use and
-// what clients request is served, also by the proxy that sees several times the mean.
+// TestLargeFleetWithoutFault checks the connection budgets in a large fleet with one proxy that receives several times
+// the mean load. Requests must be served, and no node may get more connections than it accepts.
 func TestLargeFleetWithoutFault(t *testing.T) {
 	f := run(t, plan300(1), 10*time.Second, nil)
 	s := f.Sum(5, 9)
@@ -21,12 +21,13 @@
 	}
 }
 
-// TestLargeFleetRestartsWithoutDiscovery kills seven in ten of 300 proxies at once, while none can reach discovery for
-// four seconds: the new ones serve by the list that they were started with, and find discovery without overloading it.
+// TestLargeFleetRestartsWithoutDiscovery kills seven in ten of 300 proxies at once, while discovery answers nearly no
+// call for four seconds. The new proxies must serve with the list that they start with, and subscribe to discovery
+// later without overloading it.
 func TestLargeFleetRestartsWithoutDiscovery(t *testing.T) {
 	f := run(t, plan300(1), 16*time.Second, func(f *Fleet) {
 		f.At(4*time.Second, func() {
-			f.EndpointList.CallsPerSecond = never
+			f.EndpointList.CallsPerSecond = minCallRate
 			f.KillProxies(200*ms, allProxies(f)[:210]...)
 		})
 		f.At(8*time.Second, func() { f.EndpointList.CallsPerSecond = 60 })
@@ -37,19 +38,19 @@
 	checkInTime(t, without, 0.9, "without discovery")
 	checkInTime(t, after, 0.98, "after it")
 	for i, s := range f.PerSecond[4:] {
-		if s.EndpointListCalls > f.Proxies { // none calls twice within a second
+		if s.EndpointListCalls > f.Proxies { // no proxy calls twice within a second
 			t.Errorf("%d calls in second %d", s.EndpointListCalls, 4+i)
 		}
 	}
 	for i, p := range f.proxies {
 		if !p.subscribed {
-			t.Errorf("proxy %d has not found discovery in eight seconds", i)
+			t.Errorf("proxy %d has not subscribed to discovery within eight seconds", i)
 		}
 	}
 }
 
-// TestLargeFleetRollingRestart restarts a tenth of the proxies every second while half of the nodes are replaced: no
-// rule is broken, no warming node collapses and the service stays good.
+// TestLargeFleetRollingRestart restarts a tenth of the proxies every second while half of the nodes are drained and
+// restarted. No rule may be violated, no warming node may collapse, and the service must stay good.
 func TestLargeFleetRollingRestart(t *testing.T) {
 	f := run(t, plan300(1), 16*time.Second, func(f *Fleet) {
 		for i := range 10 {
@@ -66,8 +67,8 @@
 	checkInTime(t, s, 0.9, "during the restart")
 }
 
-// TestLargeFleetZoneLost loses a zone of five and brings it back cold: the others carry on, and what is sent to the
-// zone makes none of its nodes collapse.
+// TestLargeFleetZoneLost crashes one zone of five and restarts it cold. The other zones must serve its load, and the
+// requests sent to the restarted nodes must not make any of them collapse.
 func TestLargeFleetZoneLost(t *testing.T) {
 	f := run(t, plan300(1), 18*time.Second, func(f *Fleet) {
 		zone := nodesWhere(f, func(i int) bool { return i%5 == 2 })
@@ -80,6 +81,6 @@
 	checkInTime(t, lost, 0.85, "while the zone is lost")
 	checkInTime(t, back, 0.95, "after it is back")
 	if toWarming == 0 {
-		t.Error("nothing went to the zone that is back")
+		t.Error("no request was sent to the restarted zone")
 	}
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestSamePlanGivesSameEvents guards guarantee 1.
+// TestSamePlanGivesSameEvents checks guarantee 1.
 func TestSamePlanGivesSameEvents(t *testing.T) {
 	const length = 3 * time.Second
 	a, b := run(t, plan80(1), length, nil), run(t, plan80(1), length, nil)
@@ -21,13 +21,13 @@
 	}
 }
 
-// TestFleetWithoutFault is the baseline of all other tests.
+// TestFleetWithoutFault checks the baseline of the other tests: without a fault, nearly all requests are in time.
 func TestFleetWithoutFault(t *testing.T) {
 	f := run(t, plan80(1), 10*time.Second, nil)
 	checkInTime(t, f.Sum(1, 8), 0.99, "without a fault")
 }
 
-// TestZoneLostAndBackCold loses a quarter of the nodes without notice and has them back empty.
+// TestZoneLostAndBackCold crashes a quarter of the nodes without notice and restarts them cold seven seconds later.
 func TestZoneLostAndBackCold(t *testing.T) {
 	f := run(t, plan80(1), 24*time.Second, func(f *Fleet) {
 		zone := nodesWhere(f, func(i int) bool { return i%4 == 1 })
@@ -36,10 +36,10 @@
 	})
 	t.Logf("in time %.3f %.3f %.3f",
 		inTimeShare(f.Sum(5, 7)), inTimeShare(f.Sum(7, 12)), inTimeShare(f.Sum(12, 22)))
-	if s := f.Sum(7, 12); float64(s.SendsToUnreachable) > 0.05*float64(s.Sends) { // a quarter is their share
+	if s := f.Sum(7, 12); float64(s.SendsToUnreachable) > 0.05*float64(s.Sends) { // a quarter of nodes is lost
 		t.Errorf("%d of %d sends go to lost nodes from the third second on", s.SendsToUnreachable, s.Sends)
 	}
-	// They are back at a fifth to two fifths of their capacity.
+	// The restarted nodes have a fifth to two fifths of their capacity.
 	if s := f.Sum(13, 15); s.SendsToWarming < s.Sends/50 {
 		t.Errorf("%d of %d sends go to nodes that are back cold, from the second second on", s.SendsToWarming, s.Sends)
 	}
@@ -77,12 +77,12 @@
 	t.Logf("in time %.3f %.3f %.3f %.3f, in all %.3f",
 		inTimeShare(f.Sum(4, 8)), inTimeShare(f.Sum(8, 13)), inTimeShare(f.Sum(13, 20)), inTimeShare(f.Sum(20, 28)),
 		inTimeShare(f.Sum(0, 28)))
-	// Nodes that warm up are six in ten and give a fifth to a half of what warm ones do: no proxy meets one often, and
-	// all must do so from its first second on.
+	// Six in ten nodes are warming up, with a fifth to a half of their capacity. No proxy sends to one of them often,
+	// so all proxies must use a new node from its first second on.
 	if s := f.Sum(9, 13); float64(s.SendsToWarming) < 0.1*float64(s.Sends) {
-		t.Errorf("%d of %d sends go to warming nodes while six in ten are", s.SendsToWarming, s.Sends)
+		t.Errorf("%d of %d sends go to warming nodes while six in ten nodes warm up", s.SendsToWarming, s.Sends)
 	}
-	// One in five is faulty, and gets as much as another until it is ejected.
+	// One node in five is faulty, and receives as much as the others until it is ejected.
 	if s := f.Sum(7, 10); float64(s.SendsToFaulty) > 0.16*float64(s.Sends) {
 		t.Errorf("%d of %d sends go to faulty nodes from their third second on", s.SendsToFaulty, s.Sends)
 	}
--- a/internal/simulation/zonal_homes_test.go
+++ b/internal/simulation/zonal_homes_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// TestZonalHomesSaveHandshakes compares what a proxy of a large fleet pays for connections with what homes in each zone
-// cost at the origin: without a fault, and while a third of the nodes is slow.
+// TestZonalHomesSaveHandshakes compares one home node for each key with a home in each zone, without a fault and while
+// a third of the nodes is slow. Homes in each zone must save handshakes, with limited additional misses and no loss of
+// answers in time.
 func TestZonalHomesSaveHandshakes(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		slowNodes     func(i int) bool
-		maxHandshakes float64 // for a request
+		maxHandshakes float64 // for each request
 	}{
 		{"no fault", func(int) bool { return false }, 0.35},
 		{"a third slow", func(i int) bool { return i%3 == 0 }, 0.45},
@@ -27,9 +28,9 @@
 			t.Logf("handshakes %.3f -> %.3f, misses %.3f -> %.3f, in time %.3f -> %.3f",
 				handshakesPerRequest(single), handshakesPerRequest(zonal), missShare(single), missShare(zonal),
 				inTimeShare(single), inTimeShare(zonal))
-			got, with1 := handshakesPerRequest(zonal), handshakesPerRequest(single)
-			if got > c.maxHandshakes || got > with1*0.7 {
-				t.Errorf("%.3f handshakes for a request, %.3f with one home", got, with1)
+			got, withOneHome := handshakesPerRequest(zonal), handshakesPerRequest(single)
+			if got > c.maxHandshakes || got > withOneHome*0.7 {
+				t.Errorf("%.3f handshakes for a request, %.3f with one home", got, withOneHome)
 			}
 			if missShare(zonal) > missShare(single)+0.25 {
 				t.Errorf("%.3f of reads miss, %.3f with one home", missShare(zonal), missShare(single))
@@ -41,8 +42,9 @@
 	}
 }
 
-// TestNearlyFullOriginGivesUpZonalHomes guards the origin: homes in each zone fetch more, and where it can take little
-// more than one home's fetches they are given up before it is full.
+// TestNearlyFullOriginGivesUpZonalHomes guards against homes in each zone that overload the origin: they need more
+// fetches, so proxies must give them up when the origin can handle only 0.9 of those fetches, little more than one home
+// needs.
 func TestNearlyFullOriginGivesUpZonalHomes(t *testing.T) {
 	idle := run(t, plan80WithZonalHomes(1), 18*time.Second, nil).Sum(10, 16)
 	f := run(t, plan80WithZonalHomes(1), 18*time.Second, func(f *Fleet) {
