--- a/cmd/mulleinctl/lease.go
+++ b/cmd/mulleinctl/lease.go
@@ -13,7 +13,7 @@
 	Hold    holdCommand  `cmd:"" help:"Run a command while holding a task; it is terminated before the lease ends."`
 	List    listCommand  `cmd:"" help:"List all tasks, who holds them and who waits for them."`
 	Show    showCommand  `cmd:"" help:"Show one task."`
-	Release grantCommand `cmd:"" help:"End a grant at once; only if its holder is known to have stopped."`
+	Release grantCommand `cmd:"" help:"End a grant at once; only if its holder is known to have exited."`
 	Revoke  grantCommand `cmd:"" help:"Stop the renewal of a grant: it ends when its lease expires."`
 	Limit   limitCommand `cmd:"" help:"Set how many holders a task may have at once."`
 	Hand    handCommand  `cmd:"" help:"Revoke a grant, and move a waiting holder to the head of the queue."`
--- a/cmd/mulleinctl/load.go
+++ b/cmd/mulleinctl/load.go
@@ -23,7 +23,7 @@
 	Skew      float64       `default:"1.1" help:"Skew of the keys' popularity, above 1."`
 	Tenant    string        `help:"Tenant of the requests."`
 	Seed      uint64        `default:"1" help:"Seed for random keys and times."`
-	JSON      string        `help:"Also write the results to this file."`
+	JSON      string        `help:"Also write the results to this file, as JSON."`
 }
 
 func (c *loadCommand) run(ctx context.Context, out io.Writer) error {
--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -40,7 +40,7 @@
 // run carries out the command in args.
 func run(ctx context.Context, args []string, in io.Reader, out, log io.Writer) error {
 	var c commands
-	const description = "Reads and writes order keys through mulleinpier proxies."
+	const description = "Reads and writes keys through mulleinpier proxies, generates load, and manages leases."
 	chosen, err := cli.Parse(&c, "mulleinctl", description, args, out, log)
 	if err != nil || chosen == "" { // "": help was printed
 		return err
--- a/internal/binary/header.go
+++ b/internal/binary/header.go
@@ -6,7 +6,7 @@
 //
 //  1. Lengths in a header are checked before use: [ParseHeader] bounds the body that may be skipped to keep the
 //     framing, [Header.Validate] the body of a request that may be read.
-//  2. Every opcode has a [Handling]; an unknown one is skipped with its body.
+//  2. Every opcode has a [Handling]; a request with an unknown one is skipped with its body.
 //  3. ParseHeader returns the same header that Append has written.
 //
 // The package uses no sockets, has no state and starts no goroutine.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -24,9 +24,10 @@
 	return time.Duration(boot.Nano() - monotonic.Nano())
 }
 
-// SimulatedSleep returns a replacement for TotalSleep in fault tests. It adds one sleep of a duration, once the time
-// after has passed since this call, and drift times the elapsed time, as if CLOCK_BOOTTIME ran faster or slower than
-// the monotonic clock. Unlike in a real sleep, the monotonic clock and all timers go on.
+// SimulatedSleep returns a replacement for TotalSleep in fault tests. Once the time after
+// has elapsed since this call, its results include one sleep of the given duration. They always include drift times the
+// elapsed time, as if CLOCK_BOOTTIME ran faster or slower than the monotonic clock. Unlike in a real sleep, the
+// monotonic clock and all timers go on.
 func SimulatedSleep(after, duration time.Duration, drift float64) func() time.Duration {
 	start := time.Now()
 	return func() time.Duration {
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestNoEventIsRecordedBelowDebug checks that no event is queued while debug logs are off, or by a nil Recorder.
+// TestNoEventIsRecordedBelowDebug checks that no event is queued while debug logs are off, and that a nil
+// Recorder ignores events.
 func TestNoEventIsRecordedBelowDebug(t *testing.T) {
 	r, out := recorderAt(slog.LevelInfo)
 	r.Record(ProcessStalled{})
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -186,7 +186,7 @@
 	return result
 }
 
-// dialsBetween returns the times of the dials from from until before to. The caller holds r.mu.
+// dialsBetween returns the times of the dials in [from, to). The caller holds r.mu.
 func (r *recorder) dialsBetween(from, to time.Duration) (within []time.Duration) {
 	for _, at := range r.dials {
 		if at >= from && at < to {
--- a/internal/simulation/counters.go
+++ b/internal/simulation/counters.go
@@ -50,7 +50,7 @@
 	c.EndpointListCallsLost += other.EndpointListCallsLost
 }
 
-// Sum adds up the counts of the seconds from from to to-1.
+// Sum adds up the counts of the seconds in [from, to).
 func (f *Fleet) Sum(from, to int) (sum Counters) {
 	for i := from; i < min(to, len(f.PerSecond)); i++ {
 		sum.add(&f.PerSecond[i])
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -7,7 +7,7 @@
 	"mulleinpier/policy"
 )
 
-// Fault is a fault of a node.
+// Fault is a fault that a node can have, see [Fleet.SetFault].
 type Fault int
 
 // The faults.
