--- a/internal/loadgen/auditor.go
+++ b/internal/loadgen/auditor.go
@@ -57,7 +57,7 @@
 	case outcomeConnectionLost:
 		a.checkConnectionLost(i)
 	case outcomeMalformed:
-		a.OnLost("proxy %s sent a malformed answer to %s", i.Proxy, i.ID)
+		a.OnLost("proxy %s answered %s with what is no answer to it", i.Proxy, i.ID)
 	}
 	a.OnTry()
 }
@@ -74,7 +74,7 @@
 		if i.ConnReused && !a.SeenByNode(i.ID) {
 			a.OnCrossedClose()
 		} else {
-			a.OnLost("proxy %s closed the connection of %s after %v, used before: %v",
+			a.OnLost("proxy %s ended the connection of %s after %v, used before: %v",
 				i.Proxy, i.ID, i.Took, i.ConnReused)
 		}
 	})
