--- a/internal/fleettest/binaryclient.go
+++ b/internal/fleettest/binaryclient.go
@@ -13,10 +13,11 @@
 	"mulleinpier/internal/request"
 )
 
-// This file holds the clients that speak the binary protocol. Their requests have no id: a node knows a write by its
-// value, and a read by nothing.
+// This file contains the clients that speak the binary protocol. Their requests have no id: nodes identify a write by
+// its value, and cannot identify a read.
 
-// binaryCommand is a request in the binary protocol, and what a node would know it by.
+// binaryCommand encodes a request in the binary protocol. id is the value of a write, by which nodes identify it, or
+// names a read in reports.
 func (c *clientConn) binaryCommand(q *clientRequest) (text []byte, id string) {
 	c.opaque++
 	if q.class.isWrite {
@@ -25,24 +26,25 @@
 	return rawclient.AppendKeyOnly(nil, codec.Get, q.key, c.opaque), c.opaqueID()
 }
 
-// opaqueID names the last command of a binary connection in reports.
+// opaqueID returns the name of a connection's last command in reports.
 func (c *clientConn) opaqueID() string { return fmt.Sprintf("opaque-%d", c.opaque) }
 
-// binaryAnswer is an answer of the binary protocol, as one of the meta protocol.
+// binaryAnswer is an answer in the binary protocol, converted to an answer line of the meta protocol.
 type binaryAnswer struct {
 	meta.AnswerLine
 	value []byte
 	cas   uint64
 }
 
-// readBinaryAnswer reads the answer to the last command. The answer to a ticket that has expired is of kind Invalid.
+// readBinaryAnswer reads the answer to the last command. If a write's ticket has expired, the answer is of kind
+// Invalid.
 func (c *clientConn) readBinaryAnswer() (a binaryAnswer, err error) {
 	r, err := rawclient.ReadResponse(c.reader)
 	if err != nil {
 		return a, err
 	}
 	if r.Opaque != c.opaque {
-		return a, fmt.Errorf("%w: opaque %d where %d is due", rawclient.ErrMalformedAnswer, r.Opaque, c.opaque)
+		return a, fmt.Errorf("%w: opaque %d, want %d", rawclient.ErrMalformedAnswer, r.Opaque, c.opaque)
 	}
 	a.value = []byte(r.Value)
 	a.cas = r.CAS
@@ -65,7 +67,8 @@
 	return a, nil
 }
 
-// fetchTicket reads the record that a write is for, as real clients do.
+// fetchTicket reads the record that a write is to change, as real clients do. The record's CAS becomes the ticket of
+// the write.
 func (w *workload) fetchTicket(p *proxyInstance, conn *clientConn, q *clientRequest, wait time.Duration) outcome {
 	conn.opaque++
 	sent := time.Now()
@@ -97,8 +100,9 @@
 	return served
 }
 
-// runQuietPipeline is a client that writes many quiet reads together with the NOOP that ends them, over and over, as
-// runPipeline does it in the other dialect. Among them are misses, which are silent, where the origin lacks keys.
+// runQuietPipeline runs a client that repeatedly writes many quiet reads together with a NOOP that ends them. It is the
+// binary counterpart of runPipeline. If the origin lacks some keys, a part of the reads are misses, which get no
+// answer.
 func (w *workload) runQuietPipeline(ctx context.Context, number int) {
 	for ctx.Err() == nil {
 		p, conn := w.dialAny()
@@ -115,7 +119,7 @@
 	}
 }
 
-// runQuietRound is one round of a quiet pipeline.
+// runQuietRound writes one quiet pipeline, and reads its answers up to that to the NOOP.
 func (w *workload) runQuietRound(p *proxyInstance, conn *clientConn, number int) error {
 	last := conn.opaque
 	text, keys := w.quietText(conn, number)
@@ -147,15 +151,15 @@
 		w.recorder.lost("proxy %d never answered the end of a quiet pipeline", p.index)
 		return err
 	}
-	conn.used = true // what the proxy has not read is requested from another one
+	conn.used = true // reads that this proxy has not received are sent to another one
 	w.judgeConnectionLost(p, conn, "", time.Now(), err)
 	return err
 }
 
-// missingKeyInterval is how often a quiet pipeline reads a key that the origin lacks.
+// missingKeyInterval is how often a quiet pipeline reads a key that the origin lacks: once in so many reads.
 const missingKeyInterval = 4
 
-// quietText is the text of one round of a quiet pipeline, and its keys by their opaques.
+// quietText returns the text of one quiet pipeline, and its keys by opaque.
 func (w *workload) quietText(conn *clientConn, number int) (text []byte, keys map[uint32]string) {
 	keys = map[uint32]string{}
 	prefix := w.fleet.scenario.Fleet.MissingKeyPrefix
@@ -173,7 +177,7 @@
 	return rawclient.AppendKeyOnly(text, codec.Noop, "", conn.opaque), keys
 }
 
-// isWrongQuietAnswer reports whether an answer to a quiet read is one that must not come: misses are silent.
+// isWrongQuietAnswer reports whether an answer to a quiet read is wrong. Every answer to a miss is: misses are silent.
 func (w *workload) isWrongQuietAnswer(r *rawclient.Response, key string) bool {
 	if r.Status == codec.NotFound {
 		return true
--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -21,29 +21,30 @@
 	Runs []ClientsRun `json:"plays"`
 }
 
-// ClientsRun is the result of one fault, met by one kind of clients or by both at once.
+// ClientsRun is the result of one fault with one kind of clients, or with both at once.
 type ClientsRun struct {
 	Name            string            `json:"name"`
 	Description     string            `json:"about"`
 	Results         []*loadgen.Result `json:"results"`
-	DuplicateWrites map[string]int    `json:"doubled"` // handovers carried out twice, by kind
+	DuplicateWrites map[string]int    `json:"doubled"` // handovers that took effect more than once, by kind of client
 	Crashes         int               `json:"crashes"`
 	Problems        []string          `json:"problems"`
-	Fetches         int               `json:"fetches"`
+	Fetches         int               `json:"fetches"` // at the origin
 }
 
-// clientFault is a fault in the middle of three phases of a load.
+// clientFault is a fault that is injected at the start of the phase "trouble". before, during and after are the
+// durations of the phases around it.
 type clientFault struct {
 	name, description     string
 	proxies               int
 	before, during, after time.Duration
-	together              bool // both kinds at once, on the same fleet
-	rate                  float64
-	slots                 int // of a node; each carries 40 requests a second in one
+	together              bool    // both kinds of clients at once, on the same fleet
+	rate                  float64 // requests a second of each kind
+	slots                 int     // of each node; a slot serves 40 requests a second
 	inject                func(ctx context.Context, f *fleet)
 }
 
-// rampUpTime is how long all clients have to start.
+// rampUpTime is the duration of the first phase, in which all clients start.
 const rampUpTime = 2 * time.Second
 
 func (t *clientFault) phases() []loadgen.Phase {
@@ -55,19 +56,19 @@
 	}
 }
 
-// ClientsOptions say what to play.
+// ClientsOptions configures RunClients.
 type ClientsOptions struct {
 	Options
 	Clients   int    // of each kind
 	OnlyFault string // name of one fault, "" for all
-	Short     bool
+	Short     bool   // the first two faults, at a lower rate and for less time
 }
 
-// clientsScenario is the fleet of a clients test.
+// clientsScenario returns the scenario of a clients test: its fleet and its phases.
 func clientsScenario(t *clientFault) *Scenario {
 	s, err := LoadScenario("up")
 	if err != nil {
-		panic(err) // it is built in, and a test loads it
+		panic(err) // the scenario is built in, and a test loads it
 	}
 	s.Name, s.Description, s.Seed = "clients-"+t.name, t.description, 11
 	s.Fleet.Proxies, s.Fleet.Nodes, s.Fleet.Zones = t.proxies, 8, []string{"a"}
@@ -80,7 +81,7 @@
 	return s
 }
 
-// RunClients plays all faults, each with both kinds of clients, in turn or at once.
+// RunClients injects the faults, each with both kinds of clients, in turn or at once.
 func RunClients(ctx context.Context, o ClientsOptions) (*ClientsReport, error) {
 	report := &ClientsReport{}
 	for _, t := range o.faults() {
@@ -88,7 +89,7 @@
 			continue
 		}
 		if t.together {
-			p, err := o.play(ctx, &t, loadgen.Library, loadgen.Naive)
+			p, err := o.runFault(ctx, &t, loadgen.Library, loadgen.Naive)
 			if err != nil {
 				return nil, err
 			}
@@ -96,7 +97,7 @@
 			continue
 		}
 		for _, kind := range []loadgen.Kind{loadgen.Library, loadgen.Naive} {
-			p, err := o.play(ctx, &t, kind)
+			p, err := o.runFault(ctx, &t, kind)
 			if err != nil {
 				return nil, err
 			}
@@ -106,7 +107,7 @@
 	return report, nil
 }
 
-func (o *ClientsOptions) play(ctx context.Context, t *clientFault, kinds ...loadgen.Kind) (*ClientsRun, error) {
+func (o *ClientsOptions) runFault(ctx context.Context, t *clientFault, kinds ...loadgen.Kind) (*ClientsRun, error) {
 	s := clientsScenario(t)
 	folder := filepath.Join(o.Folder, fmt.Sprint(t.name, "-", kinds[0]))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -156,7 +157,7 @@
 	return p, nil
 }
 
-// loadConfig returns the load of one kind of clients in a test of a fault.
+// loadConfig returns the load of one kind of clients. Its addresses and its dedup window are not set yet.
 func (o *ClientsOptions) loadConfig(t *clientFault, f *fleet, kind loadgen.Kind) loadgen.Config {
 	return loadgen.Config{
 		Kind:           kind,
@@ -176,7 +177,8 @@
 // maxDuplicateProblems bounds how many duplicate writes are described.
 const maxDuplicateProblems = 20
 
-// countDuplicates counts writes that took effect more than once, by the kind of client that sent them.
+// countDuplicates counts writes that took effect more than once, by the kind of client that sent them. The key of an
+// effect begins with the initial of the kind.
 func (p *ClientsRun) countDuplicates(effects []origin.Effect) {
 	for _, e := range effects {
 		name := e.Record + " " + e.Key
@@ -192,7 +194,8 @@
 	}
 }
 
-// recentlyKilled reports whether a proxy was killed within the time that a request may be in flight at it.
+// recentlyKilled reports whether the proxy at an address was killed so recently that a request may have been in flight
+// at it.
 func (f *fleet) recentlyKilled(address string) bool {
 	for _, d := range f.proxies {
 		if d.clientAddress == address {
@@ -205,47 +208,48 @@
 	return false
 }
 
-// The bounds that library clients have to keep.
+// Limits that library clients must keep.
 const (
-	// maxDialPeak bounds the attempts to connect in the busiest 50 ms of a restart, in times of
-	// their mean over the trouble.
-	maxDialPeak        = 3
+	// maxDialPeakFactor bounds the dials in the busiest 50 ms of the fault phase of a restart, as a multiple of the
+	// mean number in 50 ms of that phase.
+	maxDialPeakFactor  = 3
 	maxTriesPerRequest = 1.1
 )
 
-// broken lists the bounds that library clients did not keep.
-func (p *ClientsRun) broken() (list []string) {
-	say := func(format string, a ...any) { list = append(list, p.Name+": "+fmt.Sprintf(format, a...)) }
+// violations describes the rules and limits that were broken. Those about requests apply to library clients only.
+func (p *ClientsRun) violations() (list []string) {
+	add := func(format string, a ...any) { list = append(list, p.Name+": "+fmt.Sprintf(format, a...)) }
 	if p.Crashes > 0 {
-		say("%d crashes", p.Crashes)
+		add("%d crashes", p.Crashes)
 	}
 	for _, r := range p.Results {
 		if r.Kind != loadgen.Library {
 			continue
 		}
 		if n := p.DuplicateWrites[string(loadgen.Library)]; n > 0 {
-			say("%d handovers were carried out twice", n)
+			add("%d handovers were carried out twice", n)
 		}
 		for _, f := range r.Phases {
 			if f.Lost > 0 {
-				say("%s: %d requests lost", f.Phase, f.Lost)
+				add("%s: %d requests lost", f.Phase, f.Lost)
 			}
 			if f.Offered > 0 && f.TriesPerRequest() > maxTriesPerRequest {
-				say("%s: %.3f tries for each request", f.Phase, f.TriesPerRequest())
+				add("%s: %.3f tries for each request", f.Phase, f.TriesPerRequest())
 			}
 		}
-		if bad := r.Phases[2]; p.Name == "restart" && float64(bad.DialsBusiest50ms) > maxDialPeak*bad.DialsMean50ms {
-			say("%d attempts to connect in the busiest 50 ms, %.1f in the mean",
-				bad.DialsBusiest50ms, bad.DialsMean50ms)
+		if phase := r.Phases[2]; p.Name == "restart" &&
+			float64(phase.DialsBusiest50ms) > maxDialPeakFactor*phase.DialsMean50ms {
+			add("%d attempts to connect in the busiest 50 ms, %.1f on average",
+				phase.DialsBusiest50ms, phase.DialsMean50ms)
 		}
 	}
 	return list
 }
 
-// OK reports whether library clients kept their bounds.
+// OK reports whether there were runs, and none broke a rule or a limit.
 func (r *ClientsReport) OK() bool {
 	for i := range r.Runs {
-		if len(r.Runs[i].broken()) > 0 {
+		if len(r.Runs[i].violations()) > 0 {
 			return false
 		}
 	}
@@ -271,15 +275,15 @@
 		}
 	}
 	w.Flush()
-	word := "ok"
+	verdict := "ok"
 	if !r.OK() {
-		word = "BROKEN"
+		verdict = "BROKEN"
 	}
-	doubled := make(map[string]int)
+	duplicates := make(map[string]int)
 	for _, p := range r.Runs {
 		fmt.Fprintf(out, "%s: %s; doubled %v, %d fetches\n", p.Name, p.Description, p.DuplicateWrites, p.Fetches)
 		for kind, n := range p.DuplicateWrites {
-			doubled[kind] += n
+			duplicates[kind] += n
 		}
 		for _, x := range p.Results {
 			crossed, excused, overdue := 0, 0, 0
@@ -295,10 +299,10 @@
 				fmt.Fprintln(out, "  "+s)
 			}
 		}
-		for _, s := range append(p.broken(), p.Problems...) {
+		for _, s := range append(p.violations(), p.Problems...) {
 			fmt.Fprintln(out, "  "+strings.ReplaceAll(s, "\n", " | "))
 		}
 	}
 	fmt.Fprintf(out, "verdict: %s plays=%d doubled_library=%d doubled_brief=%d\n",
-		word, len(r.Runs), doubled[string(loadgen.Library)], doubled[string(loadgen.Naive)])
+		verdict, len(r.Runs), duplicates[string(loadgen.Library)], duplicates[string(loadgen.Naive)])
 }
--- a/internal/fleettest/conform.go
+++ b/internal/fleettest/conform.go
@@ -19,39 +19,40 @@
 	"mulleinpier/internal/request"
 )
 
-// This file runs the conformance suite: a table of cases, each played with both dialects of clients and of nodes, by a
-// real process of the proxy between scripted nodes. What a case wants is described in terms of neither dialect.
+// This file runs the conformance suite: a table of cases, each run with every combination of client and node dialect,
+// against a real proxy process in front of scripted nodes. The cases do not depend on the dialects.
 
 const (
 	// conformDeadline is the deadline of every class in the suite.
 	conformDeadline = 900 * time.Millisecond
-	// conformTolerance is for a busy machine: nothing is answered after the deadline otherwise.
+	// conformTolerance allows for a busy machine: it is how much later than the deadline the last answer may come.
 	conformTolerance = 2 * time.Second
-	// conformAtOnce bounds the fleets of the suite at a time.
-	conformAtOnce = 6
-	conformNodes  = 3
-	// warmKey starts the keys that are read before the steps of a case.
-	warmKey   = "warm"
-	warmReads = 300
-	warmKeys  = 30
+	// maxConcurrentRuns bounds the runs at the same time, each with its own proxy and nodes.
+	maxConcurrentRuns = 6
+	conformNodes      = 3
+	// warmKeyPrefix starts the keys that are read to warm up the proxy before the steps of a case.
+	warmKeyPrefix = "warm"
+	warmReads     = 300
+	warmKeys      = 30
 )
 
-// ConformanceRow is the result of one case: what was wrong, by dialects of client and node; "" where nothing was.
+// ConformanceRow is the result of one case. Failures describes the failed runs by client and node dialect, such as
+// "meta/binary"; a run that passed has no entry.
 type ConformanceRow struct {
 	Case     string            `json:"case"`
 	Failures map[string]string `json:"wrong"`
 }
 
-// ConformanceReport is the result of the suite.
+// ConformanceReport is the result of the suite. CasesRun counts every combination of a case.
 type ConformanceReport struct {
 	CasesRun int              `json:"played"`
 	Rows     []ConformanceRow `json:"rows"`
 }
 
-// combination is the dialects of client and nodes.
+// combination is the dialect of the client and that of the nodes.
 type combination struct{ client, nodes scriptednode.Dialect }
 
-// String is the name of a combination in reports.
+// String returns the name of the combination in reports, client first.
 func (c combination) String() string { return string(c.client) + "/" + string(c.nodes) }
 
 var combinations = []combination{
@@ -61,16 +62,17 @@
 	{scriptednode.Binary, scriptednode.Binary},
 }
 
-// RunConformance runs the suite.
+// RunConformance runs every case with every combination of dialects. It returns an error if one could not be run;
+// failures of cases are in the report.
 func RunConformance(ctx context.Context, o Options) (*ConformanceReport, error) {
 	report := &ConformanceReport{}
 	var mu sync.Mutex
 	var errs []error
 	var tasks sync.WaitGroup
-	slots := make(chan struct{}, conformAtOnce)
+	slots := make(chan struct{}, maxConcurrentRuns)
 	for i := range conformCases {
-		k := &conformCases[i]
-		row := ConformanceRow{Case: k.name, Failures: make(map[string]string)}
+		test := &conformCases[i]
+		row := ConformanceRow{Case: test.name, Failures: make(map[string]string)}
 		for _, c := range combinations {
 			slots <- struct{}{}
 			if ctx.Err() != nil {
@@ -80,15 +82,15 @@
 			tasks.Go(func() {
 				defer func() { <-slots }()
 				path := filepath.Join(o.Folder, fmt.Sprintf("conform-%d-%s-%s", i, c.client, c.nodes))
-				wrong, err := k.play(o, c, path)
+				problem, err := test.run(o, c, path)
 				mu.Lock()
 				defer mu.Unlock()
 				report.CasesRun++
 				if err != nil {
-					errs = append(errs, fmt.Errorf("%s, %s: %w", k.name, c, err))
+					errs = append(errs, fmt.Errorf("%s, %s: %w", test.name, c, err))
 				}
-				if wrong != "" {
-					row.Failures[c.String()] = wrong
+				if problem != "" {
+					row.Failures[c.String()] = problem
 				}
 			})
 		}
@@ -101,14 +103,14 @@
 	return report, ctx.Err()
 }
 
-// play runs the case once, and describes what was wrong.
-func (k *conformCase) play(o Options, c combination, path string) (wrong string, err error) {
-	nodes, err := scriptednode.Start(c.nodes, conformNodes, k.reaction())
+// run runs the case with one combination of dialects, and returns a description of the first problem, "" for none.
+func (test *conformCase) run(o Options, c combination, path string) (problem string, err error) {
+	nodes, err := scriptednode.Start(c.nodes, conformNodes, test.reactFunc())
 	if err != nil {
 		return "", err
 	}
 	defer nodes.Close()
-	entries := k.entries(nodes, c.nodes)
+	entries := test.entries(nodes, c.nodes)
 	list := endpointlist.New(entries)
 	defer list.Close()
 	process, address, err := startConformProxy(o, list, path)
@@ -120,7 +122,7 @@
 		return "", err
 	}
 	var drained time.Time
-	if k.drain {
+	if test.drain {
 		if drained, err = drainFirst(list, entries[0]); err != nil {
 			return "", err
 		}
@@ -130,41 +132,42 @@
 		return "", err
 	}
 	defer conn.Socket.Close()
-	if k.warm {
+	if test.warm {
 		if err := warmUpProxy(conn); err != nil {
 			return "", err
 		}
 	}
-	if wrong := k.askInTime(conn, c.nodes); wrong != "" {
-		return wrong, nil
+	if problem := test.runStepsInTime(conn, c.nodes); problem != "" {
+		return problem, nil
 	}
-	return k.judge(nodes.Requests(), c.nodes, drained), nil
+	return test.checkRequests(nodes.Requests(), c.nodes, drained), nil
 }
 
-// reaction is what nodes do with requests.
-func (k *conformCase) reaction() func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
+// reactFunc returns the function that decides how the nodes react to each request.
+func (test *conformCase) reactFunc() func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
 	var mu sync.Mutex
-	left := slices.Clone(k.react)
+	remaining := slices.Clone(test.reactions)
 	return func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
 		mu.Lock()
 		defer mu.Unlock()
-		if strings.HasPrefix(r.Key, warmKey) {
+		if strings.HasPrefix(r.Key, warmKeyPrefix) {
 			return scriptednode.Serve
 		}
-		if reaction, ok := k.by[r.Key]; ok {
+		if reaction, ok := test.reactionByKey[r.Key]; ok {
 			return reaction
 		}
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			return scriptednode.Serve
 		}
-		reaction := left[0]
-		left = left[1:]
+		reaction := remaining[0]
+		remaining = remaining[1:]
 		return reaction
 	}
 }
 
-// entries are the nodes' entries in the list. All nodes but the last close their listeners if the case says so.
-func (k *conformCase) entries(nodes *scriptednode.Nodes, dialect scriptednode.Dialect) (list []endpointlist.Entry) {
+// entries returns the nodes' entries for the endpoint list. If onlyLastListens is set, it closes the listeners of the
+// other nodes.
+func (test *conformCase) entries(nodes *scriptednode.Nodes, dialect scriptednode.Dialect) (list []endpointlist.Entry) {
 	nodeType := "m1"
 	if dialect == scriptednode.Binary {
 		nodeType = "b1"
@@ -177,14 +180,14 @@
 			Status:  "up",
 			Weight:  1,
 		})
-		if k.dead && i < conformNodes-1 {
+		if test.onlyLastListens && i < conformNodes-1 {
 			nodes.CloseListener(i)
 		}
 	}
 	return list
 }
 
-// startConformProxy starts a proxy that follows a list, and returns its address.
+// startConformProxy starts a proxy that takes its nodes from list, and returns its address.
 func startConformProxy(o Options, list *endpointlist.Service, path string) (p *process, address string, err error) {
 	listAddress, err := list.Open(0)
 	if err != nil {
@@ -210,10 +213,10 @@
 	return p, address, err
 }
 
-// warmUpProxy reads some keys many times.
+// warmUpProxy reads a few keys many times, one read at a time.
 func warmUpProxy(c *rawclient.Client) error {
 	for i := range warmReads {
-		if err := c.Read(fmt.Sprint(warmKey, i%warmKeys)); err != nil {
+		if err := c.Read(fmt.Sprint(warmKeyPrefix, i%warmKeys)); err != nil {
 			return err
 		}
 		if _, err := c.Next(); err != nil {
@@ -223,7 +226,8 @@
 	return nil
 }
 
-// drainFirst has the list report that a node drains, and returns when the proxy has to act on it.
+// drainFirst reports a node as draining, and waits until the proxy must no longer send requests to it. It returns that
+// time.
 func drainFirst(list *endpointlist.Service, e endpointlist.Entry) (time.Time, error) {
 	e.Status = "draining"
 	list.Set(e)
@@ -233,63 +237,63 @@
 			return notified.Add(drainGrace), nil
 		}
 	}
-	return time.Time{}, fmt.Errorf("the proxy was not notified of the drain in %v", processTimeout)
+	return time.Time{}, fmt.Errorf("the proxy was not notified of the drain within %v", processTimeout)
 }
 
-// askInTime runs the steps, and describes what was wrong, or took too long.
-func (k *conformCase) askInTime(c *rawclient.Client, nodes scriptednode.Dialect) string {
+// runStepsInTime runs the steps, and describes the first wrong answer, or that the answers came too late.
+func (test *conformCase) runStepsInTime(c *rawclient.Client, nodes scriptednode.Dialect) string {
 	start := time.Now()
-	if wrong := k.ask(c, nodes); wrong != "" {
-		return wrong
+	if problem := test.runSteps(c, nodes); problem != "" {
+		return problem
 	}
 	took := time.Since(start)
-	if took > conformDeadline+conformTolerance && !k.turns {
-		return fmt.Sprintf("answered after %v of %v", took, conformDeadline)
+	if took > conformDeadline+conformTolerance && !test.sequential {
+		return fmt.Sprintf("answered after %v, long after the deadline of %v", took, conformDeadline)
 	}
-	if k.quick && took > conformDeadline*2/3 {
-		return fmt.Sprintf("given up after %v of %v", took, conformDeadline)
+	if test.quick && took > conformDeadline*2/3 {
+		return fmt.Sprintf("answered after %v, later than two thirds of the deadline of %v", took, conformDeadline)
 	}
 	return ""
 }
 
-// ask runs the steps, and describes what was not answered as wanted.
-func (k *conformCase) ask(c *rawclient.Client, nodes scriptednode.Dialect) string {
-	for i := range k.steps {
-		if k.turns {
+// runSteps runs the steps, and describes the first answer that is not the expected one.
+func (test *conformCase) runSteps(c *rawclient.Client, nodes scriptednode.Dialect) string {
+	for i := range test.steps {
+		if test.sequential {
 			break
 		}
-		if err := k.send(c, i); err != nil {
+		if err := test.send(c, i); err != nil {
 			return fmt.Sprintf("sending step %d: %v", i, err)
 		}
 	}
-	for i := range k.steps {
-		if k.turns {
-			if err := k.send(c, i); err != nil {
+	for i := range test.steps {
+		if test.sequential {
+			if err := test.send(c, i); err != nil {
 				return fmt.Sprintf("sending step %d: %v", i, err)
 			}
 		}
-		if wrong := k.checkAnswer(c, i, nodes); wrong != "" {
-			return wrong
+		if problem := test.checkAnswer(c, i, nodes); problem != "" {
+			return problem
 		}
 	}
 	return ""
 }
 
-// send sends a step.
-func (k *conformCase) send(c *rawclient.Client, i int) error {
-	s := k.steps[i]
-	if s.effect != "" {
-		return c.Write(s.key, s.value, s.effect, fmt.Sprint("w", i))
+// send sends a step without waiting for its answer.
+func (test *conformCase) send(c *rawclient.Client, i int) error {
+	s := test.steps[i]
+	if s.class != "" {
+		return c.Write(s.key, s.value, s.class, fmt.Sprint("w", i))
 	}
 	return c.Read(s.key)
 }
 
-// checkAnswer reads the answer to a step, and describes what was wrong with it.
-func (k *conformCase) checkAnswer(c *rawclient.Client, i int, nodes scriptednode.Dialect) string {
-	s := k.steps[i]
+// checkAnswer reads the answer to a step, and describes what is wrong with it.
+func (test *conformCase) checkAnswer(c *rawclient.Client, i int, nodes scriptednode.Dialect) string {
+	s := test.steps[i]
 	want := s.want
-	if s.unlike != "" && nodes == scriptednode.Binary {
-		want = s.unlike
+	if s.wantBinary != "" && nodes == scriptednode.Binary {
+		want = s.wantBinary
 	}
 	got, err := c.Next()
 	if err != nil {
@@ -298,38 +302,39 @@
 	if got.String() != want {
 		return fmt.Sprintf("answer %d is %q, want %q", i, got, want)
 	}
-	if got.Kind == request.Busy && got.RetryAfter <= 0 && k.quick && s.unlike == "" {
-		return fmt.Sprintf("answer %d is busy without advice", i)
+	if got.Kind == request.Busy && got.RetryAfter <= 0 && test.quick && s.wantBinary == "" {
+		return fmt.Sprintf("answer %d is busy without a Retry-After", i)
 	}
 	return ""
 }
 
-// judge describes what was sent to nodes and must not have been, or was not sent.
-func (k *conformCase) judge(
+// checkRequests describes what is wrong with the requests that the nodes received.
+func (test *conformCase) checkRequests(
 	requests []scriptednode.ReceivedRequest, nodes scriptednode.Dialect, drained time.Time,
 ) string {
 	requests = slices.DeleteFunc(requests, func(r scriptednode.ReceivedRequest) bool {
-		return strings.HasPrefix(r.Key, warmKey)
+		return strings.HasPrefix(r.Key, warmKeyPrefix)
 	})
-	lowest, highest := k.sent, max(k.sent, k.most)
-	if k.none && nodes == scriptednode.Binary {
+	lowest, highest := test.minSent, max(test.minSent, test.maxSent)
+	if test.noneToBinary && nodes == scriptednode.Binary {
 		lowest, highest = 0, 0
 	}
-	if n := len(requests); k.sent >= 0 && (n < lowest || n > highest) {
+	if n := len(requests); test.minSent >= 0 && (n < lowest || n > highest) {
 		return fmt.Sprintf("%d requests sent to nodes, want %d to %d", n, lowest, highest)
 	}
 	for _, r := range requests {
 		if !drained.IsZero() && r.Node == 0 && r.ReceivedAt.After(drained) {
-			return fmt.Sprintf("%s was sent to a node that drains", r.Key)
+			return fmt.Sprintf("%s was sent to a draining node", r.Key)
 		}
-		if k.same && (r.IdempotencyKey == "" || r.IdempotencyKey != requests[0].IdempotencyKey) {
-			return fmt.Sprintf("a repeat was sent under %q after %q", r.IdempotencyKey, requests[0].IdempotencyKey)
+		if test.sameIdempotencyKey && (r.IdempotencyKey == "" || r.IdempotencyKey != requests[0].IdempotencyKey) {
+			return fmt.Sprintf("a request has idempotency key %q, want %q",
+				r.IdempotencyKey, requests[0].IdempotencyKey)
 		}
 	}
 	return ""
 }
 
-// OK reports whether every case was as wanted.
+// OK reports whether all cases were run with all combinations, and none failed.
 func (r *ConformanceReport) OK() bool {
 	for _, row := range r.Rows {
 		if len(row.Failures) > 0 {
@@ -350,23 +355,23 @@
 	for _, row := range r.Rows {
 		fmt.Fprint(w, row.Case)
 		for _, c := range combinations {
-			word := "ok"
+			verdict := "ok"
 			if row.Failures[c.String()] != "" {
-				word = "WRONG"
+				verdict = "WRONG"
 			}
-			fmt.Fprint(w, "\t", word)
+			fmt.Fprint(w, "\t", verdict)
 		}
 		fmt.Fprintln(w)
 	}
 	w.Flush()
 	for _, row := range r.Rows {
-		for c, wrong := range row.Failures {
-			fmt.Fprintf(out, "%s, %s: %s\n", row.Case, c, wrong)
+		for c, problem := range row.Failures {
+			fmt.Fprintf(out, "%s, %s: %s\n", row.Case, c, problem)
 		}
 	}
-	word := "ok"
+	verdict := "ok"
 	if !r.OK() {
-		word = "WRONG"
+		verdict = "WRONG"
 	}
-	fmt.Fprintf(out, "verdict: %s, %d played\n", word, r.CasesRun)
+	fmt.Fprintf(out, "verdict: %s, %d played\n", verdict, r.CasesRun)
 }
--- a/internal/fleettest/cost.go
+++ b/internal/fleettest/cost.go
@@ -23,47 +23,47 @@
 	"mulleinpier/internal/request"
 )
 
-// CostOptions say how to measure the cost of a proxy.
+// CostOptions configures MeasureCost. Every field but Peers is needed.
 type CostOptions struct {
-	ProxyCommand         []string // starts a proxy; its configuration's path follows
-	ProfiledProxyCommand func(path string) []string
-	RelayCommand         []string // starts a byte relay; ADDRESS TO follow
+	ProxyCommand         []string                   // starts a proxy; the path of its configuration is appended
+	ProfiledProxyCommand func(path string) []string // the same, for a proxy that writes a CPU profile to path
+	RelayCommand         []string                   // starts a byte relay; its address and its target's are appended
 	Folder               string
-	Peers                bool // the proxy is one of a fleet, whose voters run beside it
-	Runs                 int
-	Requests             int // of one measurement
-	Conns                []int
+	Peers                bool  // the proxy is a member of a fleet, whose voters run as other processes
+	Runs                 int   // after one to warm up
+	Requests             int   // in each measurement
+	Conns                []int // numbers of connections to measure with
 	Progress             func(format string, a ...any)
 }
 
-// CostReport is the result of measuring. Costs are CPU time in milliseconds for 1,000 requests.
+// CostReport is the result of MeasureCost. Costs are CPU time in milliseconds for 1,000 requests.
 type CostReport struct {
 	Rows             []CostRow `json:"rows"`
-	HottestFunctions []string  `json:"hottest"` // functions by their own CPU time
+	HottestFunctions []string  `json:"hottest"` // functions of the proxy with the most CPU time of their own
 }
 
-// CostRow has the figures of one number of connections, one for each run.
+// CostRow has the results for one number of connections, with a value for each run.
 type CostRow struct {
 	Conns                   int       `json:"conns"`
 	ProxyMillis             []float64 `json:"proxy_ms"`
 	BinaryMillis            []float64 `json:"binary_ms"` // the proxy, with binary clients
 	RelayMillis             []float64 `json:"relay_ms"`
-	Ratio                   []float64 `json:"ratio"`
+	Ratio                   []float64 `json:"ratio"` // of the proxy's CPU time to the relay's
 	RequestsPerSecond       []float64 `json:"proxy_requests_a_second"`
 	BinaryRequestsPerSecond []float64 `json:"binary_requests_a_second"`
 }
 
-// cpuTime is the CPU time of all threads of a process.
+// cpuTime returns the CPU time of all threads of a process.
 func cpuTime(pid int) (time.Duration, error) {
 	var t unix.Timespec
-	// The clock of another process, as the manual page clock_getcpuclockid(3) has it.
+	// The id of the CPU clock of another process, computed as clock_getcpuclockid(3) does.
 	if err := unix.ClockGettime(int32(^pid<<3|2), &t); err != nil {
 		return 0, fmt.Errorf("CPU clock of %d: %w", pid, err)
 	}
 	return time.Duration(t.Nano()), nil
 }
 
-// startVoters starts three processes that vote and serve no clients.
+// startVoters starts three voters that serve no clients. end kills them; it is nil if there is an error.
 func startVoters(program []string, folder string) (list []agent.VoterAddress, end func(), err error) {
 	f, err := newVoters(folder, newPortReserver())
 	if err != nil {
@@ -96,7 +96,6 @@
 	return f.Voters, end, nil
 }
 
-// costSample is one measurement of a program.
 type costSample struct {
 	millis float64 // CPU time for a thousand requests, in ms
 	rate   float64 // requests a second
@@ -110,7 +109,8 @@
 	return costSample{millis: cpu * 1e6 / requests, rate: requests / took}, err
 }
 
-// measureRow measures all programs once with the connections of a row. Run 0 warms up, and is not recorded.
+// measureRow measures the proxy, the relay and the proxy with binary clients, with the connections of a row. Run 0 is a
+// warm-up and is not recorded.
 func (rig *costRig) measureRow(ctx context.Context, row *CostRow, run int) error {
 	proxy, err := rig.measure(ctx, rig.proxy, rig.proxyAddress, false, row.Conns)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// MeasureCost measures a proxy and a byte relay side by side, by turns.
+// MeasureCost measures a proxy and a byte relay in front of the same node, alternately. Afterwards it profiles a proxy.
 func MeasureCost(ctx context.Context, o CostOptions) (*CostReport, error) {
 	rig, err := startCostRig(o)
 	if err != nil {
@@ -153,11 +153,11 @@
 			}
 		}
 	}
-	r.HottestFunctions, err = hottest(ctx, o, rig.config, rig.proxyAddress, rig.proxy)
+	r.HottestFunctions, err = hottestFunctions(ctx, o, rig.config, rig.proxyAddress, rig.proxy)
 	return r, err
 }
 
-// freeAddress returns a free address, of a host that no connection goes out from.
+// freeAddress returns a free loopback address, on a host that no outgoing connection uses.
 func freeAddress() (string, error) {
 	l, err := listenAt(newHost())
 	if err != nil {
@@ -167,39 +167,39 @@
 	return l.Addr().String(), nil
 }
 
-// drive sends requests over so many connections, one at a time on each. It returns the CPU seconds that a process used
+// drive sends requests over conns connections, one at a time on each. It returns the CPU seconds that the process used
 // for them, and the seconds that they took.
 func drive(
 	ctx context.Context, p *process, address string, useBinary bool, conns, requests int,
 ) (cpu, took float64, err error) {
-	var links []*clientConn
+	var clients []*clientConn
 	defer func() {
-		for _, l := range links {
-			l.socket.Close()
+		for _, c := range clients {
+			c.socket.Close()
 		}
 	}()
 	for range conns {
-		l, err := dial(address)
+		c, err := dial(address)
 		if err != nil {
 			return 0, 0, err
 		}
-		l.binary = useBinary
-		l.socket.SetDeadline(time.Now().Add(5 * time.Minute))
-		links = append(links, l)
+		c.binary = useBinary
+		c.socket.SetDeadline(time.Now().Add(5 * time.Minute))
+		clients = append(clients, c)
 	}
 	var serial atomic.Int64
-	// A proxy that has just met so many at once turns some away until its estimates
-	// have settled.
-	if _, err := ask(ctx, links, &serial, warmUp*conns); err != nil {
+	// Warm up, because a proxy that gets many new connections at once rejects some requests until its estimates have
+	// settled.
+	if _, err := sendReads(ctx, clients, &serial, warmUpRequests*conns); err != nil {
 		return 0, 0, err
 	}
 	before, err := cpuTime(p.cmd.Process.Pid)
 	if err != nil {
 		return 0, 0, err
 	}
-	begun := time.Now()
-	refused, err := ask(ctx, links, &serial, requests)
-	took = time.Since(begun).Seconds()
+	start := time.Now()
+	refused, err := sendReads(ctx, clients, &serial, requests)
+	took = time.Since(start).Seconds()
 	if err != nil {
 		return 0, 0, err
 	}
@@ -208,24 +208,24 @@
 		return 0, 0, err
 	}
 	if refused > requests/50 {
-		return 0, 0, fmt.Errorf("measuring: %d of %d refused", refused, requests)
+		return 0, 0, fmt.Errorf("measuring: %d of %d requests were rejected", refused, requests)
 	}
 	return (after - before).Seconds(), took, nil
 }
 
-// warmUp is how many requests a connection does before they count.
-const warmUp = 20
+// warmUpRequests is the number of requests on each connection before the measurement.
+const warmUpRequests = 20
 
-// ask sends so many requests over connections, one at a time on each, and counts those that were refused.
-func ask(ctx context.Context, links []*clientConn, serial *atomic.Int64, requests int) (int, error) {
+// sendReads sends reads over the connections, one at a time on each, and counts those that were rejected.
+func sendReads(ctx context.Context, clients []*clientConn, serial *atomic.Int64, requests int) (int, error) {
 	var left, refused atomic.Int64
 	left.Store(int64(requests))
 	var tasks sync.WaitGroup
-	errs := make(chan error, len(links))
-	for _, l := range links {
+	errs := make(chan error, len(clients))
+	for _, c := range clients {
 		tasks.Go(func() {
 			for left.Add(-1) >= 0 && ctx.Err() == nil {
-				isRefused, err := l.askOnce(serial.Add(1))
+				isRefused, err := c.readOnce(serial.Add(1))
 				if err != nil {
 					errs <- err
 					return
@@ -245,8 +245,9 @@
 	}
 }
 
-// askOnce reads one of 64 keys. A refusal costs CPU time too, but is no read.
-func (c *clientConn) askOnce(id int64) (isRefused bool, err error) {
+// readOnce reads one of 64 keys, and reports whether the proxy rejected the read. A rejection costs CPU time too, but
+// is no read.
+func (c *clientConn) readOnce(id int64) (isRefused bool, err error) {
 	key := fmt.Sprintf("k%d", id%64)
 	if c.binary {
 		c.opaque++
@@ -264,14 +265,15 @@
 	case a.Kind == request.Busy:
 		return true, nil
 	case a.Kind != request.Value:
-		return false, fmt.Errorf("an answer of kind %d", a.Kind)
+		return false, fmt.Errorf("unexpected answer of kind %d to a read", a.Kind)
 	}
 	return false, nil
 }
 
-// hottest returns the functions with the most CPU time of their own, from a profile of a separate proxy.
-func hottest(ctx context.Context, o CostOptions, config, address string, before *process) ([]string, error) {
-	if err := before.end(syscall.SIGTERM); err != nil {
+// hottestFunctions ends the measured proxy and starts one with a profiler at the same address. It returns the functions
+// with the most CPU time of their own, at most ten.
+func hottestFunctions(ctx context.Context, o CostOptions, config, address string, measured *process) ([]string, error) {
+	if err := measured.end(syscall.SIGTERM); err != nil {
 		return nil, err
 	}
 	path := filepath.Join(o.Folder, "cpu.profile")
@@ -282,8 +284,8 @@
 	if err = p.awaitReady(); err == nil {
 		_, _, err = drive(ctx, p, address, false, slices.Max(o.Conns), 2*o.Requests)
 	}
-	if ended := p.end(syscall.SIGTERM); err == nil {
-		err = ended
+	if endErr := p.end(syscall.SIGTERM); err == nil {
+		err = endErr
 	}
 	if err != nil {
 		return nil, err
@@ -297,36 +299,36 @@
 	if err != nil {
 		return nil, err
 	}
-	own := make(map[string]int64)
+	selfTime := make(map[string]int64)
 	total := int64(0)
 	for _, s := range parsed.Sample {
 		value := s.Value[len(s.Value)-1]
 		if total += value; len(s.Location) > 0 && len(s.Location[0].Line) > 0 {
-			own[s.Location[0].Line[0].Function.Name] += value
+			selfTime[s.Location[0].Line[0].Function.Name] += value
 		}
 	}
 	var names []string
-	for name := range own {
+	for name := range selfTime {
 		names = append(names, name)
 	}
-	sort.Slice(names, func(i, j int) bool { return own[names[i]] > own[names[j]] })
+	sort.Slice(names, func(i, j int) bool { return selfTime[names[i]] > selfTime[names[j]] })
 	var list []string
 	for _, name := range names[:min(len(names), 10)] {
-		list = append(list, fmt.Sprintf("%.1f%% %s", 100*float64(own[name])/float64(total), name))
+		list = append(list, fmt.Sprintf("%.1f%% %s", 100*float64(selfTime[name])/float64(total), name))
 	}
 	return list, nil
 }
 
-// spread formats the median, minimum and maximum of figures.
-func spread(x []float64) string {
-	x = slices.Sorted(slices.Values(x))
-	if len(x) == 0 {
+// formatSpread formats the median, minimum and maximum of values.
+func formatSpread(values []float64) string {
+	values = slices.Sorted(slices.Values(values))
+	if len(values) == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f (%.2f to %.2f)", x[len(x)/2], x[0], x[len(x)-1])
+	return fmt.Sprintf("%.2f (%.2f to %.2f)", values[len(values)/2], values[0], values[len(values)-1])
 }
 
-// Print writes the report as a table.
+// Print writes the report as a table. The report needs at least one row.
 func (r *CostReport) Print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "CPU ms for 1,000 reads\tproxy\tbyte relay\tratio\treads a second\t"+
@@ -334,8 +336,9 @@
 	for _, row := range r.Rows {
 		fmt.Fprintf(w, "%d connections\t%s\t%s\t%s\t%s\t%s\t%s\t\n",
 			row.Conns,
-			spread(row.ProxyMillis), spread(row.RelayMillis), spread(row.Ratio),
-			spread(row.RequestsPerSecond), spread(row.BinaryMillis), spread(row.BinaryRequestsPerSecond))
+			formatSpread(row.ProxyMillis), formatSpread(row.RelayMillis), formatSpread(row.Ratio),
+			formatSpread(row.RequestsPerSecond),
+			formatSpread(row.BinaryMillis), formatSpread(row.BinaryRequestsPerSecond))
 	}
 	w.Flush()
 	fmt.Fprintln(out, "median (least to most) of", len(r.Rows[0].Ratio), "runs; the proxy's hottest functions:")
--- a/internal/fleettest/costrig.go
+++ b/internal/fleettest/costrig.go
@@ -13,7 +13,7 @@
 	"mulleinpier/internal/fake/origin"
 )
 
-// costRig is what MeasureCost measures: a proxy and a byte relay, both before the same node.
+// costRig is what MeasureCost measures: a proxy and a byte relay, both in front of the same node.
 type costRig struct {
 	options      CostOptions
 	config       string // path of the proxy's configuration
@@ -24,7 +24,6 @@
 	closers      []func()
 }
 
-// startCostRig starts the node, the proxy and the relay.
 func startCostRig(o CostOptions) (*costRig, error) {
 	rig := &costRig{options: o, config: filepath.Join(o.Folder, "cost.toml")}
 	nodeAddress, err := rig.startNode()
@@ -41,7 +40,7 @@
 	return rig, nil
 }
 
-// close ends all that was started, the last first.
+// close ends everything that was started, in reverse order.
 func (rig *costRig) close() {
 	for _, end := range slices.Backward(rig.closers) {
 		end()
@@ -49,15 +48,15 @@
 }
 
 func (rig *costRig) startNode() (address string, err error) {
-	center := origin.New(origin.Config{Slots: 64, Queue: 1024, ServiceTime: time.Millisecond})
-	rig.closers = append(rig.closers, center.Close)
+	fakeOrigin := origin.New(origin.Config{Slots: 64, Queue: 1024, ServiceTime: time.Millisecond})
+	rig.closers = append(rig.closers, fakeOrigin.Close)
 	maxConns := slices.Max(rig.options.Conns)
 	n, err := node.Start(node.Config{
 		Name:     "n0",
 		MaxConns: 2*maxConns + 64,
 		Queue:    4 * maxConns,
 		Slots:    4 * maxConns,
-		Origin:   center,
+		Origin:   fakeOrigin,
 		Group:    node.NewGroup(time.Second),
 	})
 	if err != nil {
@@ -81,7 +80,7 @@
 		}
 		rig.closers = append(rig.closers, end)
 		text += peersConfig(voters, o.Folder, -1)
-		text = strings.Replace(text, "permit = \"wait\"\n", "", 1) // it has no successor to release the permit
+		text = strings.Replace(text, "permit = \"wait\"\n", "", 1) // no successor would release the permit
 	}
 	if err := os.WriteFile(rig.config, []byte(text), 0o600); err != nil {
 		return err
@@ -100,7 +99,7 @@
 	return err
 }
 
-// startProgram starts a program and waits until it is ready.
+// startProgram starts a program and waits until it is ready. The program ends when the rig is closed.
 func (rig *costRig) startProgram(command []string, logName string) (*process, error) {
 	p, err := startProcess(command, nil, filepath.Join(rig.options.Folder, logName))
 	if err != nil {
--- a/internal/fleettest/degrade.go
+++ b/internal/fleettest/degrade.go
@@ -18,33 +18,33 @@
 	"mulleinpier/internal/overload"
 )
 
-// LevelChange is one change of a proxy's degradation level, as the proxy has recorded it, with the time since the start
-// of the test.
+// LevelChange is one change of a proxy's degradation level, as the proxy recorded it. At is the time since the start of
+// the test, in seconds.
 type LevelChange struct {
 	At float64 `json:"at_s"`
 	overload.Transition
 }
 
-// levelChanges asks all proxies for the changes of their levels.
-func (f *fleet) levelChanges(began time.Time) (all [][]LevelChange) {
+// levelChanges returns the level changes that each proxy recorded. A proxy that does not answer has an empty list.
+func (f *fleet) levelChanges(start time.Time) (all [][]LevelChange) {
 	for _, d := range f.proxies {
-		records, err := askLevels(d.address)
+		records, err := readLevelChanges(d.address)
 		if err != nil {
-			f.progress("proxy %d tells no levels: %v", d.index, err)
+			f.progress("proxy %d: reading its degradation levels: %v", d.index, err)
 		}
 		var list []LevelChange
 		for _, r := range records {
-			list = append(list, LevelChange{At: time.Duration(int64(r.At) - began.UnixNano()).Seconds(), Transition: r})
+			list = append(list, LevelChange{At: time.Duration(int64(r.At) - start.UnixNano()).Seconds(), Transition: r})
 		}
 		all = append(all, list)
 	}
 	return all
 }
 
-var errStats = errors.New("no figures")
+var errStats = errors.New("malformed line in the answer to stats")
 
-// askLevels asks a proxy for the changes that it has recorded, the oldest first.
-func askLevels(address string) (records []overload.Transition, err error) {
+// readLevelChanges reads from a proxy's statistics the level changes that it has recorded, the oldest first.
+func readLevelChanges(address string) (records []overload.Transition, err error) {
 	socket, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil, err
@@ -75,18 +75,18 @@
 	}
 }
 
-// DegradationReport compares service with and without degradation levels, by the same seeds.
+// DegradationReport compares scenarios without and with degradation levels, with the same seeds.
 type DegradationReport struct {
 	Pairs []DegradationPair `json:"pairs"`
 }
 
-// DegradationPair is one scenario, played without and with degradation levels.
+// DegradationPair is the reports of one scenario, run without and with degradation levels.
 type DegradationPair struct {
 	WithoutLevels *Report `json:"without"`
 	WithLevels    *Report `json:"with"`
 }
 
-// DegradationScenarios are those that are played by default.
+// DegradationScenarios are the names of the scenarios that are run by default.
 var DegradationScenarios = []string{
 	"degrade-swing",
 	"degrade-origin",
@@ -96,42 +96,42 @@
 	"degrade-two",
 }
 
-// RunDegradation plays scenarios side by side, each without and with degradation levels in turn. A fleet of these takes
-// a quarter of a core.
+// RunDegradation runs the scenarios at the same time, each first with one setting of degradation levels and then with
+// the other, in any order. The fleet of such a scenario takes a quarter of a core.
 func RunDegradation(ctx context.Context, names []string, o Options) (*DegradationReport, error) {
 	report := &DegradationReport{Pairs: make([]DegradationPair, len(names))}
 	errs := make([]error, len(names))
 	var tasks sync.WaitGroup
 	for i, name := range names {
-		tasks.Go(func() { errs[i] = report.Pairs[i].play(ctx, name, o) })
+		tasks.Go(func() { errs[i] = report.Pairs[i].run(ctx, name, o) })
 	}
 	tasks.Wait()
 	return report, errors.Join(errs...)
 }
 
-func (p *DegradationPair) play(ctx context.Context, name string, o Options) error {
-	for unreduced, into := range map[bool]**Report{true: &p.WithoutLevels, false: &p.WithLevels} {
+func (p *DegradationPair) run(ctx context.Context, name string, o Options) error {
+	for levelsOff, into := range map[bool]**Report{true: &p.WithoutLevels, false: &p.WithLevels} {
 		s, err := LoadScenario(name)
 		if err != nil {
 			return err
 		}
-		s.Fleet.DegradationOff = unreduced
-		own := o
-		own.Folder = filepath.Join(o.Folder, fmt.Sprintf("%s-%v", s.Name, !unreduced))
-		if err := os.MkdirAll(own.Folder, 0o755); err != nil {
+		s.Fleet.DegradationOff = levelsOff
+		runOptions := o
+		runOptions.Folder = filepath.Join(o.Folder, fmt.Sprintf("%s-%v", s.Name, !levelsOff))
+		if err := os.MkdirAll(runOptions.Folder, 0o755); err != nil {
 			return err
 		}
-		own.Progress = func(format string, a ...any) {
-			o.Progress("%s, reduced %v: %s", s.Name, !unreduced, fmt.Sprintf(format, a...))
+		runOptions.Progress = func(format string, a ...any) {
+			o.Progress("%s, reduced %v: %s", s.Name, !levelsOff, fmt.Sprintf(format, a...))
 		}
-		if *into, err = RunScenario(ctx, s, own); err != nil {
+		if *into, err = RunScenario(ctx, s, runOptions); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// OK reports whether all rules held, and every change of a level had a cause.
+// OK reports whether all rules held, and every level change has a cause.
 func (r *DegradationReport) OK() bool {
 	for _, p := range r.Pairs {
 		if !p.WithoutLevels.OK() || !p.WithLevels.OK() {
@@ -148,7 +148,7 @@
 	return len(r.Pairs) > 0
 }
 
-// total sums up all phases.
+// total sums up the counts of all phases.
 func (r *Report) total() (sum PhaseReport) {
 	for _, p := range r.Phases {
 		sum.Handovers += p.Handovers
@@ -163,12 +163,12 @@
 	return sum
 }
 
-// changes counts the changes of all proxies. It returns the worst level, and how long after the start of the last phase
-// the last proxy was back at full service; negative if one was not.
-func (r *Report) changes() (n int, worst overload.Level, full float64) {
-	calm := 0.0
+// summarizeChanges counts the level changes of all proxies. It returns the worst level, and how many seconds after the
+// start of the last phase the last proxy was back at full service; -1 if one was not.
+func (r *Report) summarizeChanges() (n int, worst overload.Level, fullAfter float64) {
+	lastPhaseStart := 0.0
 	for _, p := range r.Phases[:max(len(r.Phases)-1, 0)] {
-		calm += p.Seconds
+		lastPhaseStart += p.Seconds
 	}
 	for _, list := range r.LevelChanges {
 		n += len(list)
@@ -179,15 +179,15 @@
 			continue
 		}
 		if last := list[len(list)-1]; last.Level != overload.Full {
-			full = -1
-		} else if full >= 0 {
-			full = max(full, last.At-calm)
+			fullAfter = -1
+		} else if fullAfter >= 0 {
+			fullAfter = max(fullAfter, last.At-lastPhaseStart)
 		}
 	}
-	return n, worst, full
+	return n, worst, fullAfter
 }
 
-func part(a, b float64) float64 { return a / max(b, 1e-9) }
+func ratio(a, b float64) float64 { return a / max(b, 1e-9) }
 
 // Print writes the report as tables, its verdict last.
 func (r *DegradationReport) Print(out io.Writer) {
@@ -200,14 +200,14 @@
 			r       *Report
 		}{{"no", p.WithoutLevels}, {"yes", p.WithLevels}} {
 			s := x.r.total()
-			n, worst, full := x.r.changes()
+			n, worst, fullAfter := x.r.summarizeChanges()
 			fmt.Fprintf(w, "%s\t%s\t%d\t%.4f\t%.0f\t%.4f\t%.4f\t%d\t%d\t%d\t%s\t%.1f\t\n",
 				x.r.Scenario, x.reduced, s.Handovers,
-				part(float64(s.HandoversInTime), float64(s.Handovers)),
+				ratio(float64(s.HandoversInTime), float64(s.Handovers)),
 				s.OfferedWeight,
-				part(s.ServedWeight, s.OfferedWeight),
-				part(float64(s.InTime-s.HandoversInTime), float64(s.Offered-s.Handovers)),
-				s.Retries, s.Fetches, n, worst, full)
+				ratio(s.ServedWeight, s.OfferedWeight),
+				ratio(float64(s.InTime-s.HandoversInTime), float64(s.Offered-s.Handovers)),
+				s.Retries, s.Fetches, n, worst, fullAfter)
 		}
 	}
 	w.Flush()
@@ -218,10 +218,10 @@
 			b := p.WithLevels.Phases[i]
 			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t\n",
 				p.WithLevels.Scenario, a.Name,
-				part(float64(a.HandoversInTime), float64(a.Handovers)),
-				part(float64(b.HandoversInTime), float64(b.Handovers)),
-				part(a.ServedWeight, a.OfferedWeight),
-				part(b.ServedWeight, b.OfferedWeight))
+				ratio(float64(a.HandoversInTime), float64(a.Handovers)),
+				ratio(float64(b.HandoversInTime), float64(b.Handovers)),
+				ratio(a.ServedWeight, a.OfferedWeight),
+				ratio(b.ServedWeight, b.OfferedWeight))
 		}
 	}
 	w.Flush()
@@ -241,9 +241,9 @@
 			}
 		}
 	}
-	word := "ok"
+	verdict := "ok"
 	if !r.OK() {
-		word = "BROKEN"
+		verdict = "BROKEN"
 	}
-	fmt.Fprintf(out, "verdict: %s scenarios=%d\n", word, len(r.Pairs))
+	fmt.Fprintf(out, "verdict: %s scenarios=%d\n", verdict, len(r.Pairs))
 }
--- a/internal/fleettest/fencingchecker.go
+++ b/internal/fleettest/fencingchecker.go
@@ -20,31 +20,31 @@
 	wordRejected = "refused"
 )
 
-// resourceAction is what a holder did at the resource.
+// resourceAction is an action of a holder on the resource.
 type resourceAction struct {
 	token      uint64
 	begin, end time.Time
 }
 
-// fencingChecker is the resource that a lease protects. It rejects actions under old fencing tokens, and checks what it
-// sees without trusting any participant.
+// fencingChecker is the resource that a lease protects. It rejects actions under old fencing tokens, and checks the
+// rules by what it sees itself, without trusting any participant.
 type fencingChecker struct {
 	listener net.Listener
 	tasks    sync.WaitGroup
 
 	mu               sync.Mutex
-	unfenced         bool // it rejects nothing, to show what tokens prevent
+	unfenced         bool // no token is rejected, to show what tokens prevent
 	highestToken     uint64
-	lastHolder       int // that acted last
+	lastHolder       int // the holder that acted last
 	openActions      map[*resourceAction]bool
-	lastSeen         time.Time // latest begin or end
+	lastSeen         time.Time // when the latest message came
 	committed        []resourceAction
-	rejected         int // begins and ends under a token that is not the highest
-	concurrentStarts int // begins while another action was open: what the tokens protect from
-	tokenRegressions int // commits under a token lower than one committed before
+	rejected         int // messages under a token lower than the highest
+	concurrentStarts int // actions that began while another was open, which tokens protect the resource from
+	tokenRegressions int // commits under a token lower than that of the commit before
 	gaps             map[string]*hdrhistogram.Histogram
-	gapBefore        time.Duration // without an action, before the first under the highest token
-	pendingCause     string        // the last fault of the holder
+	gapBefore        time.Duration // time without a message before the first one under the highest token
+	pendingCause     string        // the last fault of the holder that acted last; "" for none
 	pendingSince     time.Time
 	conns            map[net.Conn]struct{}
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-// serve answers one holder.
+// serve answers the messages of one holder's connection.
 func (c *fencingChecker) serve(conn net.Conn) {
 	var action *resourceAction
 	defer func() {
@@ -102,7 +102,8 @@
 	}
 }
 
-// handle takes a verb of a holder whose action is open, and reports whether it is accepted.
+// handle handles a message on a connection, and reports whether it is accepted. *action is the last action that began
+// on the connection.
 func (c *fencingChecker) handle(action **resourceAction, verb string, token uint64, holder int) (ok bool) {
 	now := time.Now()
 	c.mu.Lock()
@@ -124,7 +125,7 @@
 	return ok
 }
 
-// beginLocked notes the begin of an action. c.mu is held.
+// beginLocked records the begin of an action. c.mu is held.
 func (c *fencingChecker) beginLocked(token uint64, holder int, now time.Time) {
 	if token > c.highestToken {
 		c.recordGap(now)
@@ -137,7 +138,7 @@
 	c.lastHolder = holder
 }
 
-// commitLocked ends an action. c.mu is held.
+// commitLocked records the end of an action. c.mu is held.
 func (c *fencingChecker) commitLocked(action *resourceAction, token uint64, now time.Time) {
 	action.end = now
 	delete(c.openActions, action)
@@ -150,8 +151,8 @@
 // recentAction is how recently a process must have acted to count as the holder.
 const recentAction = 100 * time.Millisecond
 
-// noteFault notes a fault of a process: if it is the holder, the time until the next holder's action counts for the
-// fault.
+// noteFault records a fault of a process. If the process is the holder, the time from now until the next holder's
+// action counts as a gap with this cause.
 func (c *fencingChecker) noteFault(cause string, process int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,14 +162,15 @@
 	}
 }
 
-// currentHolder is the process that acted last.
+// currentHolder returns the process that acted last; 0 for none.
 func (c *fencingChecker) currentHolder() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastHolder
 }
 
-// recordGap counts the time until a new holder's first action. c.mu is held.
+// recordGap records the time until a new holder's first action: from the fault of the last holder or, without one, from
+// the last message. c.mu is held.
 func (c *fencingChecker) recordGap(now time.Time) {
 	cause, since := c.pendingCause, c.pendingSince
 	if cause == "" {
@@ -199,7 +201,7 @@
 	c.tasks.Wait()
 }
 
-// maxOverlapDistance is how far apart in the order of their ends overlapping actions are looked for.
+// maxOverlapDistance bounds how many later commits each action is compared with.
 const maxOverlapDistance = 64
 
 // countOverlaps counts pairs of committed actions under different tokens that ran at the same time.
--- a/internal/fleettest/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -16,25 +16,26 @@
 )
 
 // This file measures how long a task is without an action when its holder releases it, hands it over, is killed,
-// stopped or cut off: many tasks at three voters, each with two processes that want it.
+// stopped or cut off. Several tasks are measured at a time on three voters; each has two processes that compete for its
+// lease.
 
-// gapTasks is how many tasks are measured at a time.
+// gapTasks is how many tasks are measured at the same time.
 const gapTasks = 10
 
-// gapKinds are what befalls holders, in turn.
+// gapKinds are the events that end a holder's actions, in the order in which they are measured.
 var gapKinds = []string{"given back", "handed over", "killed", "stopped", "cut off"}
 
-// gapPatience bounds the wait for a next holder.
-const gapPatience = 15 * time.Second
+// gapTimeout bounds the waits for a holder and for the next one.
+const gapTimeout = 15 * time.Second
 
-// LeaseGapsOptions say what to measure.
+// LeaseGapsOptions configures MeasureLeaseGaps.
 type LeaseGapsOptions struct {
 	Options
-	HolderCommand []string
-	Repetitions   int // of each kind
+	HolderCommand []string // starts a holder; its flags and arguments are appended
+	Repetitions   int      // of each event
 }
 
-// LeaseGapsReport is the result of measuring gaps.
+// LeaseGapsReport is the result of MeasureLeaseGaps.
 type LeaseGapsReport struct {
 	Gaps             []LeaseGap `json:"waits"`
 	Actions          int        `json:"acts"`
@@ -43,7 +44,7 @@
 	Problems         []string   `json:"problems"`
 }
 
-// OK reports whether no two actions overlapped and everything was measured.
+// OK reports whether no two actions overlapped, no token was lower than one before, and everything was measured.
 func (r *LeaseGapsReport) OK() bool {
 	return r.Overlaps+r.TokenRegressions+len(r.Problems) == 0 && r.Actions > 0
 }
@@ -54,24 +55,25 @@
 	for _, p := range r.Problems {
 		fmt.Fprintln(out, "  "+p)
 	}
-	word := "ok"
+	verdict := "ok"
 	if !r.OK() {
-		word = "BROKEN"
+		verdict = "BROKEN"
 	}
-	fmt.Fprintf(out, "verdict: %s acts=%d overlaps=%d backward=%d\n", word, r.Actions, r.Overlaps, r.TokenRegressions)
+	fmt.Fprintf(out, "verdict: %s acts=%d overlaps=%d backward=%d\n",
+		verdict, r.Actions, r.Overlaps, r.TokenRegressions)
 }
 
-// gapTask is one task with its two holders.
+// gapTask is one task with its two holders and their links to the voters.
 type gapTask struct {
 	name    string
 	checker *fencingChecker
 	holders [2]*process
 	links   [2][]*faultinject.Link
-	seen    [2][]agent.VoterAddress
-	first   int // number of its first holder
+	voters  [2][]agent.VoterAddress
+	firstID int // id of its first holder
 }
 
-// MeasureLeaseGaps measures how long a task is without an action after each kind of fault of its holder.
+// MeasureLeaseGaps measures how long a task is without an action after each kind of event.
 func MeasureLeaseGaps(ctx context.Context, o LeaseGapsOptions) (*LeaseGapsReport, error) {
 	s, err := leaseScenario(time.Minute, 1)
 	if err != nil {
@@ -83,25 +85,25 @@
 	}
 	defer f.close()
 	r := &LeaseGapsReport{}
-	waits := make(map[string]*hdrhistogram.Histogram)
+	histograms := make(map[string]*hdrhistogram.Histogram)
 	for _, kind := range gapKinds {
-		waits[kind] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+		histograms[kind] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	}
 	var mu sync.Mutex
 	var tasks sync.WaitGroup
 	for i := range min(gapTasks, o.Repetitions) {
-		times := o.Repetitions / gapTasks
+		repetitions := o.Repetitions / gapTasks
 		if i < o.Repetitions%gapTasks {
-			times++
+			repetitions++
 		}
 		tasks.Go(func() {
 			t, err := newGapTask(f, o, i)
 			if err == nil {
 				defer t.close()
-				err = t.measure(ctx, f, o, times, func(kind string, gap time.Duration) {
+				err = t.measure(ctx, f, o, repetitions, func(kind string, gap time.Duration) {
 					mu.Lock()
 					defer mu.Unlock()
-					waits[kind].RecordValue(max(gap.Microseconds(), 1))
+					histograms[kind].RecordValue(max(gap.Microseconds(), 1))
 				})
 			}
 			mu.Lock()
@@ -122,27 +124,27 @@
 	f.stop()
 	r.Problems = append(r.Problems, f.problems...)
 	for _, kind := range gapKinds {
-		r.Gaps = append(r.Gaps, gapOf(kind, waits[kind]))
+		r.Gaps = append(r.Gaps, gapOf(kind, histograms[kind]))
 	}
 	return r, ctx.Err()
 }
 
-func newGapTask(f *fleet, o LeaseGapsOptions, i int) (*gapTask, error) {
-	j, err := newFencingChecker()
+func newGapTask(f *fleet, o LeaseGapsOptions, number int) (*gapTask, error) {
+	checker, err := newFencingChecker()
 	if err != nil {
 		return nil, err
 	}
-	t := &gapTask{name: fmt.Sprint("gap", i), checker: j, first: 10 + 2*i}
-	for h := range t.holders {
+	t := &gapTask{name: fmt.Sprint("gap", number), checker: checker, firstID: 10 + 2*number}
+	for i := range t.holders {
 		for _, v := range f.voters.Voters {
 			link, err := faultinject.NewLink(linkHost, v.Address)
 			if err != nil {
 				return t, err
 			}
-			t.links[h] = append(t.links[h], link)
-			t.seen[h] = append(t.seen[h], agent.VoterAddress{Name: v.Name, Address: link.Address()})
+			t.links[i] = append(t.links[i], link)
+			t.voters[i] = append(t.voters[i], agent.VoterAddress{Name: v.Name, Address: link.Address()})
 		}
-		if err := t.start(o, h); err != nil {
+		if err := t.start(o, i); err != nil {
 			return t, err
 		}
 	}
@@ -151,13 +153,13 @@
 
 func (t *gapTask) start(o LeaseGapsOptions, h int) (err error) {
 	process := holderProcess{
-		command: o.HolderCommand,
-		checker: t.checker,
-		id:      t.first + h,
-		task:    t.name,
-		stays:   true,
-		voters:  t.seen[h],
-		folder:  o.Folder,
+		command:     o.HolderCommand,
+		checker:     t.checker,
+		id:          t.firstID + h,
+		task:        t.name,
+		untilSignal: true,
+		voters:      t.voters[h],
+		folder:      o.Folder,
 	}
 	if t.holders[h], err = process.start(); err != nil {
 		return err
@@ -166,9 +168,9 @@
 }
 
 func (t *gapTask) close() {
-	for h, x := range t.holders {
-		if x != nil && !isClosed(x.exited) {
-			x.end(syscall.SIGKILL)
+	for h, process := range t.holders {
+		if process != nil && !isClosed(process.exited) {
+			process.end(syscall.SIGKILL)
 		}
 		for _, l := range t.links[h] {
 			l.Close()
@@ -177,9 +179,12 @@
 	t.checker.close()
 }
 
-// settled waits until one of the two acts and the other waits in the queue, and tells who acts and under which number.
-func (t *gapTask) settled(ctx context.Context, c *agent.Client) (holder int, number uint64, waits string, err error) {
-	until := time.Now().Add(gapPatience)
+// awaitSettled waits until one of the two holders acts and the other one waits in the queue. It returns the index of
+// the acting one, its fencing token, and the name of the waiting one.
+func (t *gapTask) awaitSettled(
+	ctx context.Context, c *agent.Client,
+) (holder int, token uint64, waiter string, err error) {
+	until := time.Now().Add(gapTimeout)
 	for ; time.Now().Before(until) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		s, err := c.LeaderState(ctx)
 		if err != nil || s.StateMachine.Tasks[t.name] == nil {
@@ -187,70 +192,71 @@
 		}
 		task := s.StateMachine.Tasks[t.name]
 		t.checker.mu.Lock()
-		who, acts := t.checker.lastHolder, time.Since(t.checker.lastSeen) < 100*time.Millisecond
-		highest := t.checker.highestToken
+		lastHolder, isActing := t.checker.lastHolder, time.Since(t.checker.lastSeen) < 100*time.Millisecond
+		highestToken := t.checker.highestToken
 		t.checker.mu.Unlock()
-		if acts && len(task.Grants) == 1 && len(task.Waiters) == 1 && task.Grants[0].Token == highest {
-			return who - t.first, highest, task.Waiters[0].Holder, nil
+		if isActing && len(task.Grants) == 1 && len(task.Waiters) == 1 && task.Grants[0].Token == highestToken {
+			return lastHolder - t.firstID, highestToken, task.Waiters[0].Holder, nil
 		}
 	}
-	return 0, 0, "", fmt.Errorf("%s: not one that acts and one that waits in %v", t.name, gapPatience)
+	return 0, 0, "", fmt.Errorf("%s: no state with one acting and one waiting holder within %v", t.name, gapTimeout)
 }
 
-// next waits for the first act under a higher number, and returns how long the task was without one.
-func (t *gapTask) next(ctx context.Context, number uint64) (time.Duration, error) {
-	until := time.Now().Add(gapPatience)
+// awaitNextGap waits for the first action under a higher token, and returns how long the task was without an action
+// before it.
+func (t *gapTask) awaitNextGap(ctx context.Context, token uint64) (time.Duration, error) {
+	until := time.Now().Add(gapTimeout)
 	for ; time.Now().Before(until) && ctx.Err() == nil; time.Sleep(time.Millisecond) {
 		t.checker.mu.Lock()
-		higher := t.checker.highestToken > number
+		higher := t.checker.highestToken > token
 		gap := t.checker.gapBefore
 		t.checker.mu.Unlock()
 		if higher {
 			return gap, nil
 		}
 	}
-	return 0, fmt.Errorf("%s: nobody acts in %v", t.name, gapPatience)
+	return 0, fmt.Errorf("%s: no action under a higher token within %v", t.name, gapTimeout)
 }
 
-// measure has each kind befall the holder so many times.
+// measure causes each kind of event so many times, and records the gaps.
 func (t *gapTask) measure(
-	ctx context.Context, f *fleet, o LeaseGapsOptions, times int, note func(string, time.Duration),
+	ctx context.Context, f *fleet, o LeaseGapsOptions, repetitions int, record func(string, time.Duration),
 ) error {
 	c, err := agent.NewClient(f.voters)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	for range times {
+	for range repetitions {
 		for _, kind := range gapKinds {
 			gap, err := t.measureOnce(ctx, c, o, kind)
 			if err != nil {
 				return err
 			}
-			note(kind, gap)
+			record(kind, gap)
 		}
 	}
 	return nil
 }
 
-// measureOnce has one kind befall the holder, and returns how long the task was without an action. It undoes the fault.
+// measureOnce causes one event, and returns how long the task was without an action. It undoes the fault.
 func (t *gapTask) measureOnce(
 	ctx context.Context, c *agent.Client, o LeaseGapsOptions, kind string,
 ) (time.Duration, error) {
-	holder, number, waits, err := t.settled(ctx, c)
+	holder, token, waiter, err := t.awaitSettled(ctx, c)
 	if err != nil {
 		return 0, err
 	}
 	undo := func() error { return nil }
 	if kind == "handed over" {
-		_, err = c.Execute(ctx, lease.Command{Kind: lease.HandOver, Task: t.name, Token: number, To: waits})
+		_, err = c.Execute(ctx, lease.Command{Kind: lease.HandOver, Task: t.name, Token: token, To: waiter})
 	} else {
-		undo, err = t.disturb(o, kind, holder)
+		undo, err = t.injectFault(o, kind, holder)
 	}
 	if err != nil {
 		return 0, err
 	}
-	gap, err := t.next(ctx, number)
+	gap, err := t.awaitNextGap(ctx, token)
 	if e := undo(); err == nil {
 		err = e
 	}
@@ -260,18 +266,18 @@
 	return gap, nil
 }
 
-// disturb has a holder release its task, or ends, stops or cuts it off. It returns what undoes that.
-func (t *gapTask) disturb(o LeaseGapsOptions, kind string, holder int) (undo func() error, err error) {
-	x := t.holders[holder]
+// injectFault makes a holder release its task, or kills, stops or cuts it off. It returns a function that undoes that.
+func (t *gapTask) injectFault(o LeaseGapsOptions, kind string, holder int) (undo func() error, err error) {
+	process := t.holders[holder]
 	switch kind {
 	case "given back":
-		x.cmd.Process.Signal(syscall.SIGUSR1)
+		process.cmd.Process.Signal(syscall.SIGUSR1)
 	case "killed":
-		x.end(syscall.SIGKILL)
+		process.end(syscall.SIGKILL)
 		return func() error { return t.start(o, holder) }, nil
 	case "stopped":
-		resume := func() error { return syscall.Kill(x.cmd.Process.Pid, syscall.SIGCONT) }
-		return resume, syscall.Kill(x.cmd.Process.Pid, syscall.SIGSTOP)
+		resume := func() error { return syscall.Kill(process.cmd.Process.Pid, syscall.SIGCONT) }
+		return resume, syscall.Kill(process.cmd.Process.Pid, syscall.SIGSTOP)
 	case "cut off":
 		restore := func() error { return t.setLinks(holder, faultinject.Fault{}) }
 		return restore, t.setLinks(holder, faultinject.LinkFaults["cut"](0))
@@ -279,7 +285,7 @@
 	return func() error { return nil }, nil
 }
 
-// setLinks sets a fault on all links of a holder, and returns the last error.
+// setLinks sets a fault on all links of a holder. It returns the last error.
 func (t *gapTask) setLinks(holder int, fault faultinject.Fault) error {
 	var err error
 	for _, l := range t.links[holder] {
--- a/internal/fleettest/lease.go
+++ b/internal/fleettest/lease.go
@@ -13,16 +13,17 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file tests leases among real processes: proxies that vote, holders that act under one task at a resource that
-// checks fencing tokens, and faults between all of them.
+// This file tests leases with real processes: proxies that vote, holders that act on a resource under the lease of one
+// task, and faults of all of them and of the links between them. The resource checks fencing tokens.
 
-// LeaseOptions say what to play.
+// LeaseOptions configures RunLease.
 type LeaseOptions struct {
 	Options
-	HolderCommand []string // starts a holder; its flags and arguments follow
+	HolderCommand []string // starts a holder; its flags and arguments are appended
 	Duration      time.Duration
 	Seed          uint64
-	// Unfenced has the resource check no tokens: then a stop between check and action shows.
+	// Unfenced makes the resource accept every token, which shows what happens when a holder is stopped between
+	// checking its lease and acting.
 	Unfenced bool
 }
 
@@ -30,14 +31,14 @@
 	leaseVoters  = 3
 	leaseHolders = 5
 	leaseTask    = "act"
-	leaseStream  = 9 // second seed of the test's generator
-	leaseRate    = 150
+	leaseStream  = 9   // second seed of the test's generator
+	leaseRate    = 150 // requests a second at the voters
 )
 
 // LeaseDuration is the duration of the leases that holders acquire.
 const LeaseDuration = time.Second
 
-// The causes of gaps, as reports have them.
+// The causes of gaps in reports.
 const (
 	causeReleased = "given back"
 	causeKilled   = "holder killed"
@@ -45,7 +46,7 @@
 	causeLinkCut  = "holder's way cut"
 )
 
-// leaseTest is a test in progress. Processes are numbered, voters first.
+// leaseTest is a test in progress. Processes are numbered: first the voters, then the holders.
 type leaseTest struct {
 	o       LeaseOptions
 	rng     *rand.Rand
@@ -62,7 +63,7 @@
 // leaseLink names the link from a process to a voter.
 type leaseLink struct{ process, voter int }
 
-// leaseScenario is what the voters serve meanwhile.
+// leaseScenario returns the fleet of the voters, and the load of clients that it serves during the test.
 func leaseScenario(duration time.Duration, seed uint64) (*Scenario, error) {
 	s, err := LoadScenario("still")
 	if err != nil {
@@ -81,7 +82,7 @@
 	return s, s.check()
 }
 
-// RunLease tests leases.
+// RunLease runs a lease test, and returns an error if it could not start. Broken rules are in the report.
 func RunLease(ctx context.Context, o LeaseOptions) (*LeaseReport, error) {
 	if o.Progress == nil {
 		o.Progress = func(string, ...any) {}
@@ -114,12 +115,12 @@
 			return nil, err
 		}
 	}
-	served := t.play(ctx, s)
+	served := t.run(ctx, s)
 	return t.fill(served), nil
 }
 
-// play injects faults while clients and holders work, and ends all processes. It returns what the clients saw.
-func (t *leaseTest) play(ctx context.Context, s *Scenario) *Report {
+// run injects faults while clients and holders work, then ends all processes. It returns what the clients saw.
+func (t *leaseTest) run(ctx context.Context, s *Scenario) *Report {
 	start := time.Now()
 	r := newRecorder(s.Phases, start)
 	w := newWorkload(t.fleet, r)
@@ -138,7 +139,7 @@
 	return served
 }
 
-// openLinks puts a link before each voter for each process.
+// openLinks puts a link between each process and each voter but itself.
 func (t *leaseTest) openLinks(voters []agent.VoterAddress) (voterView, error) {
 	t.voters = voters
 	for process := range leaseVoters + leaseHolders {
@@ -156,7 +157,7 @@
 	return t.votersFrom, nil
 }
 
-// votersFrom returns the addresses at which a process finds the voters.
+// votersFrom returns the addresses at which a process reaches the voters.
 func (t *leaseTest) votersFrom(process int) (list []agent.VoterAddress) {
 	for voter, v := range t.voters {
 		if link := t.links[leaseLink{process, voter}]; link != nil {
@@ -167,7 +168,6 @@
 	return list
 }
 
-// startHolder starts a holder.
 func (t *leaseTest) startHolder(i int) error {
 	id := leaseVoters + i
 	h := holderProcess{
@@ -188,7 +188,7 @@
 	return process.awaitReady()
 }
 
-// addCrash notes a process that did not work as it has to.
+// addCrash counts a process that ended or failed unexpectedly, and describes the first ones.
 func (t *leaseTest) addCrash(format string, a ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,13 +198,13 @@
 	}
 }
 
-// stopAll ends all processes gracefully.
+// stopAll ends all processes gracefully, and counts those that had crashed or fail to end.
 func (t *leaseTest) stopAll() {
 	var tasks sync.WaitGroup
 	for i, h := range t.holders {
 		tasks.Go(func() {
 			if h.hasCrashed() {
-				t.addCrash("holder %d had ended unasked: %v: %s", i, h.err, logTail(h.logPath))
+				t.addCrash("holder %d ended unexpectedly: %v: %s", i, h.err, logTail(h.logPath))
 			} else if err := h.end(syscall.SIGTERM); err != nil {
 				t.addCrash("holder %d: %v: %s", i, err, logTail(h.logPath))
 			}
--- a/internal/fleettest/leasefaults.go
+++ b/internal/fleettest/leasefaults.go
@@ -9,7 +9,7 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// The kinds of faults of a lease test; every other kind that is drawn fails a link.
+// The kinds of faults of a lease test. A link fails for all other kinds below leaseFaultKinds.
 const (
 	leaseFaultKill = iota
 	leaseFaultStop
@@ -29,11 +29,11 @@
 var leaseLinkFaults = []string{"cut", "forth", "back", "delay", linkReset, "slow", "twice"}
 
 const (
-	leaseStartTime = time.Second // without faults
-	leaseLinkDelay = 150 * time.Millisecond
+	leaseFaultFreeTime = time.Second // without faults, at the start of a test
+	leaseLinkDelay     = 150 * time.Millisecond
 )
 
-// drawFault draws a fault.
+// drawFault draws a fault. In half of the draws its process is the current holder, if there is one.
 func (t *leaseTest) drawFault() leaseFault {
 	const processes = leaseVoters + leaseHolders
 	f := leaseFault{process: t.rng.IntN(processes)}
@@ -50,12 +50,12 @@
 	return f
 }
 
-// injectFaults injects faults, some of them at the same time, until ctx ends. It never kills or stops two of the three
-// voters at a time; the faults of links may well leave no leader.
+// injectFaults injects faults, some of them at the same time, until ctx ends. Only one of the three voters at a time is
+// killed, stopped or has a full disk, but faults of links may leave the voters without a leader.
 func (t *leaseTest) injectFaults(ctx context.Context) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	sleep(ctx, leaseStartTime)
+	sleep(ctx, leaseFaultFreeTime)
 	for ctx.Err() == nil {
 		f := t.drawFault()
 		t.report.Faults++
@@ -71,7 +71,7 @@
 	}
 }
 
-// inject injects a fault until its end.
+// inject injects a fault, and returns when it has ended.
 func (t *leaseTest) inject(ctx context.Context, f leaseFault) {
 	isVoter := f.process < leaseVoters
 	switch {
@@ -117,7 +117,7 @@
 	pid := t.holders[process-leaseVoters].cmd.Process.Pid
 	t.mu.Unlock()
 	t.checker.noteFault(causeStopped, process)
-	schedule.Run(ctx, pid, func(_, _ time.Time) {}) // it fails if the holder was killed meanwhile
+	schedule.Run(ctx, pid, func(_, _ time.Time) {}) // fails if the holder was killed meanwhile
 }
 
 // fillDisk fills the disk of a voter for a time. The voter steps down but still serves clients; it votes again after a
@@ -145,7 +145,7 @@
 	if link.SetFault(faultinject.LinkFaults[f.linkFault](leaseLinkDelay)) != nil {
 		return // the test has ended
 	}
-	if f.linkFault == "twice" { // it concerns new connections
+	if f.linkFault == "twice" { // the fault affects only new connections
 		link.Reset()
 	}
 	sleep(ctx, f.duration)
--- a/internal/fleettest/leaseholder.go
+++ b/internal/fleettest/leaseholder.go
@@ -16,27 +16,27 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// HolderOptions say how a holder's process behaves.
+// HolderOptions configures RunHolder.
 type HolderOptions struct {
-	CheckerAddress string // of the resource that the lease protects
+	CheckerAddress string // of the resource that the lease protects, a fencing checker
 	HolderID       uint64
 	Fleet          agent.Fleet
 	Task           string
 	ClockDrift     float64          // share by which its clock drifts
-	Release        <-chan os.Signal // it releases the task at a signal; nil for by itself, after a while
+	Release        <-chan os.Signal // the holder releases the task at a signal; nil to release it after a random time
 }
 
-// The times of holders.
+// How long holders act, and the timeouts of their actions.
 const (
 	minHoldTime       = 300  // milliseconds
 	holdTimeRange     = 1500 // milliseconds
-	maxActionTime     = 10   // milliseconds, of each half of an action
+	maxActionTime     = 10   // milliseconds, after each half of an action
 	actionTimeout     = 5 * time.Second
 	actionDialTimeout = time.Second
 )
 
-// RunHolder is a holder's process: over and over it acquires the task, acts at the resource for a while and releases
-// the task, until ctx ends.
+// RunHolder runs a holder: until ctx ends, it repeatedly acquires the task, acts on the resource for a while and
+// releases the task.
 func RunHolder(ctx context.Context, o HolderOptions) error {
 	agent.OverrideTotalSleep(clock.SimulatedSleep(0, 0, o.ClockDrift))
 	client, err := agent.NewClient(o.Fleet)
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// act acts under a lease for a while, or until it is to be released or lost.
+// act acts under a lease until an action fails or the task is to be released: at a signal, or after a random time if
+// there is no channel for signals.
 func (o *HolderOptions) act(ctx context.Context, holder *agent.Holder, rng *rand.Rand) {
 	if o.Release == nil {
 		var end context.CancelFunc
@@ -75,17 +76,17 @@
 	}
 }
 
-// signaled reports whether a signal has come.
+// signaled reports whether a signal has arrived, false for a nil channel.
 func signaled(c <-chan os.Signal) bool {
 	select {
-	case <-c: // a nil channel never has one
+	case <-c: // blocks for a nil channel
 		return true
 	default:
 		return false
 	}
 }
 
-// actUnderToken does one action at the resource.
+// actUnderToken performs one action on the resource: it announces the beginning and the end, and sleeps after each.
 func (o *HolderOptions) actUnderToken(ctx context.Context, token uint64, rng *rand.Rand) error {
 	c, err := net.DialTimeout("tcp", o.CheckerAddress, actionDialTimeout)
 	if err != nil {
@@ -110,25 +111,25 @@
 	return nil
 }
 
-// holderProcess says how a holder's process is started.
+// holderProcess describes how to start a holder's process.
 type holderProcess struct {
-	command []string // the flags and arguments follow
-	checker *fencingChecker
-	id      int
-	task    string
-	stays   bool // it releases the task only at a signal
-	voters  []agent.VoterAddress
-	folder  string
+	command     []string // the flags and arguments are appended
+	checker     *fencingChecker
+	id          int
+	task        string
+	untilSignal bool // the holder keeps the task until a signal
+	voters      []agent.VoterAddress
+	folder      string
 }
 
-// start starts the process. The clocks of even holders run fast, those of odd ones slow.
+// start starts the process. The clocks of holders with even ids run fast, those with odd ids slow.
 func (h *holderProcess) start() (*process, error) {
 	drift := lease.DefaultParameters.MaxClockDrift
 	if h.id%2 == 1 {
 		drift = -drift
 	}
 	argv := append([]string(nil), h.command...)
-	argv = append(argv, "--task="+h.task, fmt.Sprintf("--stay=%v", h.stays), fmt.Sprintf("--drift=%v", drift))
+	argv = append(argv, "--task="+h.task, fmt.Sprintf("--stay=%v", h.untilSignal), fmt.Sprintf("--drift=%v", drift))
 	argv = append(argv, h.checker.listener.Addr().String(), fmt.Sprint(h.id), permitFleet)
 	for _, v := range h.voters {
 		argv = append(argv, v.Name+"="+v.Address)
--- a/internal/fleettest/leasereport.go
+++ b/internal/fleettest/leasereport.go
@@ -18,15 +18,15 @@
 	Max   float64 `json:"most_ms"`
 }
 
-// LeaseReport is the result of a lease test.
+// LeaseReport is the result of RunLease.
 type LeaseReport struct {
 	Seconds          float64    `json:"seconds"`
-	Actions          int        `json:"acts"`     // that were committed
-	HighestToken     uint64     `json:"numbers"`  // fencing token
+	Actions          int        `json:"acts"`     // completed and accepted by the resource
+	HighestToken     uint64     `json:"numbers"`  // highest fencing token
 	Overlaps         int        `json:"overlaps"` // pairs of actions under different tokens at the same time
-	TokenRegressions int        `json:"backward"` // actions under a lower token than one before
-	RejectedByToken  int        `json:"refused"`
-	ConcurrentStarts int        `json:"beside"` // actions that began while one that was not committed was open
+	TokenRegressions int        `json:"backward"` // committed actions under a lower token than the one before
+	RejectedByToken  int        `json:"refused"`  // messages to the resource
+	ConcurrentStarts int        `json:"beside"`   // actions that began while another was in progress
 	Faults           int        `json:"faults"`
 	Crashes          int        `json:"crashes"`
 	Requests         int        `json:"requests"` // of clients, at the voters
@@ -37,7 +37,7 @@
 	VerdictLine      string     `json:"verdict"` // the last line of the printed report
 }
 
-// OK reports whether all rules held, and enough happened.
+// OK reports whether all rules held, and there were both actions and requests.
 func (r *LeaseReport) OK() bool {
 	broken := r.Overlaps + r.TokenRegressions + r.Lost + r.DuplicateWrites + r.Crashes
 	return broken == 0 && r.Actions > 0 && r.Requests > 0
@@ -62,7 +62,7 @@
 	fmt.Fprintln(out, r.Verdict())
 }
 
-// fill fills in the counts after a test.
+// fill fills in the report after the test. served is what the clients saw.
 func (t *leaseTest) fill(served *Report) *LeaseReport {
 	c, r := t.checker, t.report
 	c.mu.Lock()
@@ -87,7 +87,7 @@
 	return r
 }
 
-// gapOf summarises a histogram of microseconds.
+// gapOf summarises a histogram of microseconds in milliseconds.
 func gapOf(cause string, h *hdrhistogram.Histogram) LeaseGap {
 	millis := func(micros int64) float64 { return float64(micros) / 1000 }
 	return LeaseGap{
@@ -100,7 +100,6 @@
 	}
 }
 
-// printGaps writes gaps as a table.
 func printGaps(out io.Writer, gaps []LeaseGap) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "without an action after\ttimes\tp50 ms\tp90 ms\tp99 ms\tmost ms")
--- a/internal/fleettest/libraryclient.go
+++ b/internal/fleettest/libraryclient.go
@@ -13,8 +13,8 @@
 // librarySubset is how many proxies a library client uses at a time.
 const librarySubset = 8
 
-// openLibrary opens the library clients, one for each tenant, if any request is sent by them. Their tries are counted
-// by the same recorder as those of the test's own clients.
+// openLibrary opens a library client for each tenant, if the load uses the library. The same recorder counts their
+// tries and those of the test's own clients.
 func (w *workload) openLibrary() error {
 	if w.load.LibraryShare == 0 {
 		return nil
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// closeLibrary is to be called when all requests have ended.
+// closeLibrary finishes the check of lost requests and closes the library clients. All requests must have ended.
 func (w *workload) closeLibrary() {
 	if w.auditor != nil {
 		w.auditor.Finish()
@@ -62,7 +62,7 @@
 	}
 }
 
-// playByLibrary has the library take a request through its tries.
+// playByLibrary sends a request with the client library, which retries it as needed.
 func (w *workload) playByLibrary(q *clientRequest, recorded recordedRequest) outcome {
 	c := w.library[max(slices.Index(w.load.Tenants, q.tenant), 0)]
 	r := client.Request{Key: q.key}
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -15,18 +15,19 @@
 	"mulleinpier/internal/fake/consul"
 )
 
-// MembersOptions say how to measure the cost of following a catalogue.
+// MembersOptions configures MeasureMembership.
 type MembersOptions struct {
 	Options
 	Nodes            int
-	ChangesPerSecond int // a second
-	Duration         time.Duration
+	ChangesPerSecond int
+	Duration         time.Duration // of the changes, at most
 }
 
-// MembersReport is what was measured of one proxy without requests. In force means that a proxy acts on a change.
+// MembersReport is the result of MeasureMembership, for one proxy without requests. A change is in force when the proxy
+// acts on it. Times are in milliseconds, and start at the agent's answer that contains the change.
 type MembersReport struct {
 	Nodes            int     `json:"nodes"`
-	ChangesPerSecond int     `json:"changes"`
+	ChangesPerSecond int     `json:"changes"` // how many changes were made in all
 	Seconds          float64 `json:"seconds"`
 	CPUShare         float64 `json:"cpu_share"` // of one core
 	ResidentMB       float64 `json:"resident_mb"`
@@ -36,16 +37,18 @@
 	P50              float64 `json:"in_force_p50_ms"`
 	P99              float64 `json:"in_force_p99_ms"`
 	Max              float64 `json:"in_force_most_ms"`
-	FromEntryP99     float64 `json:"from_entry_p99_ms"`
+	FromEntryP99     float64 `json:"from_entry_p99_ms"` // from the change of the catalogue
 }
 
-// nameOf returns the names of an instance of the catalogue.
-func nameOf(i int) (host, id string) { return fmt.Sprintf("host-%d", i), fmt.Sprintf("cache-%d", i) }
+// instanceNames returns the names of an instance's host and service.
+func instanceNames(i int) (host, id string) {
+	return fmt.Sprintf("host-%d", i), fmt.Sprintf("cache-%d", i)
+}
 
 func largeCatalogue(nodes int) *consul.Catalogue {
 	c := consul.New()
 	for i := range nodes {
-		host, id := nameOf(i)
+		host, id := instanceNames(i)
 		c.Set(consul.Instance{
 			Node:    host,
 			ID:      id,
@@ -85,10 +88,10 @@
 		return nil, err
 	}
 	r := &MembersReport{Nodes: o.Nodes}
-	begun := time.Now()
-	entered := o.changeAll(ctx, c, begun)
-	r.ChangesPerSecond = len(entered)
-	r.Seconds = time.Since(begun).Seconds()
+	start := time.Now()
+	changedAt := o.changeAll(ctx, c, start)
+	r.ChangesPerSecond = len(changedAt)
+	r.Seconds = time.Since(start).Seconds()
 	after, err := cpuTime(p.cmd.Process.Pid)
 	if err != nil {
 		return nil, err
@@ -99,20 +102,20 @@
 	lists, _, bytes := agent.Stats()
 	r.ListsReceived = lists - listsBefore
 	r.BytesPerChange = float64(bytes-bytesBefore) / float64(max(r.ChangesPerSecond, 1))
-	if err := r.fillTimes(agent, log, entered); err != nil {
+	if err := r.fillTimes(agent, log, changedAt); err != nil {
 		return nil, err
 	}
 	return r, ctx.Err()
 }
 
-// startProxy starts a proxy that follows an agent.
+// startProxy starts a proxy that follows the catalogue through an agent.
 func (o *MembersOptions) startProxy(agentAddress, log string) (*process, error) {
 	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
 	config := filepath.Join(o.Folder, "members.toml")
-	os.Remove(log) // of a run before: when each node came to drain is read from it
+	os.Remove(log) // of an earlier run, as the times of drains are read from it
 	text := fmt.Sprintf("listen = %q\n[limits]\nmemory_mb = 32\n[nodes]\nconsul = %q\n[consul]\nservice = %q\n",
 		address, agentAddress, consulService)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -121,53 +124,54 @@
 	return startProcess(append(slices.Clone(o.ProxyCommand), config), nil, log)
 }
 
-// changeAll sets node after node to maintenance, and returns when it did.
-func (o *MembersOptions) changeAll(ctx context.Context, c *consul.Catalogue, begun time.Time) []time.Time {
-	var entered []time.Time
-	for i := 0; i < o.Nodes && time.Since(begun) < o.Duration && ctx.Err() == nil; i++ {
-		host, id := nameOf(i)
+// changeAll sets one node after the other to maintenance, and returns the time of each change.
+func (o *MembersOptions) changeAll(ctx context.Context, c *consul.Catalogue, start time.Time) []time.Time {
+	var changedAt []time.Time
+	for i := 0; i < o.Nodes && time.Since(start) < o.Duration && ctx.Err() == nil; i++ {
+		host, id := instanceNames(i)
 		c.SetMaintenance(host, id, true, "fleet test")
-		entered = append(entered, time.Now())
-		sleep(ctx, time.Until(begun.Add(time.Duration(i+1)*time.Second/time.Duration(o.ChangesPerSecond))))
+		changedAt = append(changedAt, time.Now())
+		sleep(ctx, time.Until(start.Add(time.Duration(i+1)*time.Second/time.Duration(o.ChangesPerSecond))))
 	}
-	return entered
+	return changedAt
 }
 
-// fillTimes reads from a proxy's log how long each change took, from its entry and from the agent's answer.
-func (r *MembersReport) fillTimes(agent *consul.Agent, log string, entered []time.Time) error {
-	force, err := inForce(log)
+// fillTimes computes from a proxy's log how long after the agent's answer, and after the change of the catalogue, each
+// change was in force.
+func (r *MembersReport) fillTimes(agent *consul.Agent, log string, changeTimes []time.Time) error {
+	drainTimes, err := readDrainTimes(log)
 	if err != nil {
 		return err
 	}
-	var took, all []float32
-	for i, at := range entered {
-		host, id := nameOf(i)
-		told, wrote := agent.UnavailableReportedAt(host, id)
-		known, ok := force[id]
-		if !ok || !wrote {
+	var fromReport, fromChange []float32
+	for i, changedAt := range changeTimes {
+		host, id := instanceNames(i)
+		reportedAt, reported := agent.UnavailableReportedAt(host, id)
+		inForceAt, ok := drainTimes[id]
+		if !ok || !reported {
 			r.MissedChanges++
 			continue
 		}
-		took = append(took, float32(max(known.Sub(told), 0).Seconds()))
-		all = append(all, float32(max(known.Sub(at), 0).Seconds()))
+		fromReport = append(fromReport, float32(max(inForceAt.Sub(reportedAt), 0).Seconds()))
+		fromChange = append(fromChange, float32(max(inForceAt.Sub(changedAt), 0).Seconds()))
 	}
-	slices.Sort(took)
-	slices.Sort(all)
-	r.P50 = quantile(took, 0.5)
-	r.P99 = quantile(took, 0.99)
-	r.Max = quantile(took, 1)
-	r.FromEntryP99 = quantile(all, 0.99)
+	slices.Sort(fromReport)
+	slices.Sort(fromChange)
+	r.P50 = quantile(fromReport, 0.5)
+	r.P99 = quantile(fromReport, 0.99)
+	r.Max = quantile(fromReport, 1)
+	r.FromEntryP99 = quantile(fromChange, 0.99)
 	return nil
 }
 
-// inForce reads from a proxy's log when each node came to drain.
-func inForce(log string) (map[string]time.Time, error) {
+// readDrainTimes reads from a proxy's log when each node was first draining.
+func readDrainTimes(log string) (map[string]time.Time, error) {
 	f, err := os.Open(log)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	force := make(map[string]time.Time)
+	drainTimes := make(map[string]time.Time)
 	for in := bufio.NewScanner(f); in.Scan(); {
 		line := in.Text()
 		if !strings.Contains(line, `msg="node status changed" `) || !strings.Contains(line, " status=draining ") {
@@ -180,11 +184,11 @@
 			}
 		}
 		at, err := time.Parse(time.RFC3339Nano, fields["time"])
-		if _, known := force[fields["node"]]; err == nil && !known {
-			force[fields["node"]] = at
+		if _, known := drainTimes[fields["node"]]; err == nil && !known {
+			drainTimes[fields["node"]] = at
 		}
 	}
-	return force, nil
+	return drainTimes, nil
 }
 
 // Print writes the report.
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -17,46 +17,46 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file plays the members of a fleet: some of them end, are stopped or cut off, and the logs of the others show
-// when that was detected. It also measures what membership costs without events.
+// This file tests the membership of a fleet: members are killed, stopped or cut off, and the logs of the others show
+// when they detected it. It also measures what membership costs without such events.
 
-// PeersOptions say what to play.
+// PeersOptions configures RunPeers.
 type PeersOptions struct {
 	Options
-	Instances   int
-	Repetitions int // of each trouble; 0 for rest alone
+	Instances   int // at least four; the first three vote
+	Repetitions int // of each fault; 0 to measure only the cost without events
 }
 
-// PeersReport is the result of a peers test.
+// PeersReport is the result of RunPeers.
 type PeersReport struct {
 	Instances      int                  `json:"instances"`
 	DetectionTimes []PeersDetectionTime `json:"known"`
 	IdleCosts      []PeersIdleCost      `json:"rest"`
-	FalseDeaths    int                  `json:"false"`  // deaths of those that lived
-	MissedDeaths   int                  `json:"missed"` // deaths that some never told
+	FalseDeaths    int                  `json:"false"`  // logged by a member of one that was alive
+	MissedDeaths   int                  `json:"missed"` // not logged by a member
 	Problems       []string             `json:"problems"`
 }
 
-// PeersDetectionTime is how long after a fault the other members detected it.
+// PeersDetectionTime is how long after a fault the other members logged that the victim was gone.
 type PeersDetectionTime struct {
 	Fault string  `json:"trouble"`
-	Count int64   `json:"times"` // troubles by those who are to know
+	Count int64   `json:"times"` // detections; each fault counts once for each member that logged it
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
 	Max   float64 `json:"most_ms"`
 }
 
-// PeersIdleCost is what a process uses in a second without events.
+// PeersIdleCost is what a process uses on average without events. All fields but ResidentMB are per second.
 type PeersIdleCost struct {
 	Process    string  `json:"who"`
 	CPUMillis  float64 `json:"cpu_ms"`
 	ResidentMB float64 `json:"mb"`
-	Messages   float64 `json:"messages"` // of the process; known of voters
-	Bytes      float64 `json:"bytes"`
-	DiskSyncs  float64 `json:"saves"` // syncs of the disk
+	Messages   float64 `json:"messages"` // of a voter; 0 for other processes
+	Bytes      float64 `json:"bytes"`    // of the bodies of messages
+	DiskSyncs  float64 `json:"saves"`    // by a voter
 }
 
-// OK reports whether no live member was reported dead, and every death was detected.
+// OK reports whether no live member was logged as gone, every death was detected, and nothing else went wrong.
 func (r *PeersReport) OK() bool { return r.FalseDeaths+r.MissedDeaths+len(r.Problems) == 0 }
 
 // Print writes the report, its verdict last.
@@ -85,18 +85,18 @@
 	fmt.Fprintf(out, "verdict: %s instances=%d false=%d missed=%d\n", word, r.Instances, r.FalseDeaths, r.MissedDeaths)
 }
 
-// peersTest is a test in progress.
 type peersTest struct {
 	o      PeersOptions
 	fleet  *fleet
-	links  [][]*faultinject.Link // from an instance to the voters
+	links  [][]*faultinject.Link // by instance, to the voters
 	report *PeersReport
 }
 
-// restTime is how long idling is measured.
-const restTime = 8 * time.Second
+// idleMeasureTime is how long the cost without events is measured.
+const idleMeasureTime = 8 * time.Second
 
-// RunPeers plays the members of a fleet.
+// RunPeers measures the cost of membership without events and, if there are repetitions, how soon members detect
+// faults.
 func RunPeers(ctx context.Context, o PeersOptions) (*PeersReport, error) {
 	s, err := leaseScenario(time.Minute, 1)
 	if err != nil {
@@ -109,30 +109,30 @@
 	}
 	p := &peersTest{o: o, links: make([][]*faultinject.Link, o.Instances), report: &PeersReport{Instances: o.Instances}}
 	defer p.close()
-	quiet := func(string, ...any) {}
-	p.fleet, err = startFleetWithVoterView(s, o.ProxyCommand, o.Folder, quiet, p.openLinks)
+	noProgress := func(string, ...any) {}
+	p.fleet, err = startFleetWithVoterView(s, o.ProxyCommand, o.Folder, noProgress, p.openLinks)
 	if err != nil {
 		return nil, err
 	}
 	defer p.fleet.close()
 	sleep(ctx, 2*time.Second)
-	if err := p.rest(ctx); err != nil {
+	if err := p.measureIdle(ctx); err != nil {
 		return nil, err
 	}
 	if o.Repetitions > 0 {
-		p.play(ctx)
+		p.injectFaults(ctx)
 	}
 	p.fleet.stop()
 	p.report.Problems = append(p.report.Problems, p.fleet.problems...)
 	return p.report, ctx.Err()
 }
 
-// openLinks puts links between instances and voters, where troubles are to be played.
+// openLinks puts a link between each instance and each voter but itself, if faults are to be injected.
 func (p *peersTest) openLinks(voters []agent.VoterAddress) (voterView, error) {
-	found := make([][]agent.VoterAddress, p.o.Instances)
-	for i := range found {
-		for at, v := range voters {
-			if p.o.Repetitions > 0 && at != i {
+	reachable := make([][]agent.VoterAddress, p.o.Instances)
+	for i := range reachable {
+		for voter, v := range voters {
+			if p.o.Repetitions > 0 && voter != i {
 				link, err := faultinject.NewLink(linkHost, v.Address)
 				if err != nil {
 					return nil, err
@@ -140,10 +140,10 @@
 				p.links[i] = append(p.links[i], link)
 				v.Address = link.Address()
 			}
-			found[i] = append(found[i], v)
+			reachable[i] = append(reachable[i], v)
 		}
 	}
-	return func(i int) []agent.VoterAddress { return found[i] }, nil
+	return func(i int) []agent.VoterAddress { return reachable[i] }, nil
 }
 
 func (p *peersTest) close() {
@@ -154,20 +154,20 @@
 	}
 }
 
-// rest measures instances while nothing happens.
-func (p *peersTest) rest(ctx context.Context) error {
+// measureIdle measures the instances while no faults are injected.
+func (p *peersTest) measureIdle(ctx context.Context) error {
 	c, err := agent.NewClient(p.fleet.voters)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	traffic := func() (messages, bytes, saves float64) {
+	traffic := func() (messages, bytes, diskSyncs float64) {
 		for _, s := range c.VoterStates(ctx) {
 			messages += float64(s.Traffic.Messages)
 			bytes += float64(s.Traffic.Bytes)
-			saves += float64(s.DiskSyncs)
+			diskSyncs += float64(s.DiskSyncs)
 		}
-		return messages, bytes, saves
+		return messages, bytes, diskSyncs
 	}
 	cpu := make([]time.Duration, p.o.Instances)
 	for i, d := range p.fleet.proxies {
@@ -175,15 +175,15 @@
 			return err
 		}
 	}
-	messages, bytes, saves := traffic()
-	sleep(ctx, restTime)
-	messagesNow, bytesNow, savesNow := traffic()
+	messages, bytes, diskSyncs := traffic()
+	sleep(ctx, idleMeasureTime)
+	messagesNow, bytesNow, diskSyncsNow := traffic()
 	var voters, others PeersIdleCost
 	voters.Process, others.Process = "a voter", "one that does not vote"
 	for i, d := range p.fleet.proxies {
-		into, of := &voters, float64(permitVoters)
+		cost, count := &voters, float64(permitVoters)
 		if i >= permitVoters {
-			into, of = &others, float64(p.o.Instances-permitVoters)
+			cost, count = &others, float64(p.o.Instances-permitVoters)
 		}
 		pid := d.currentProcess().cmd.Process.Pid
 		mb, _ := footprintOf(pid)
@@ -191,12 +191,12 @@
 		if err != nil {
 			return err
 		}
-		into.CPUMillis += millis(now-cpu[i]) / restTime.Seconds() / of
-		into.ResidentMB += mb / of
+		cost.CPUMillis += millis(now-cpu[i]) / idleMeasureTime.Seconds() / count
+		cost.ResidentMB += mb / count
 	}
-	voters.Messages = (messagesNow - messages) / restTime.Seconds() / permitVoters
-	voters.Bytes = (bytesNow - bytes) / restTime.Seconds() / permitVoters
-	voters.DiskSyncs = (savesNow - saves) / restTime.Seconds() / permitVoters
+	voters.Messages = (messagesNow - messages) / idleMeasureTime.Seconds() / permitVoters
+	voters.Bytes = (bytesNow - bytes) / idleMeasureTime.Seconds() / permitVoters
+	voters.DiskSyncs = (diskSyncsNow - diskSyncs) / idleMeasureTime.Seconds() / permitVoters
 	p.report.IdleCosts = append(p.report.IdleCosts, voters)
 	if p.o.Instances > permitVoters {
 		p.report.IdleCosts = append(p.report.IdleCosts, others)
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// peersFault is a fault of one instance, and whether the others have to notice its death.
+// peersFault is a fault of one instance. The others have to log it as gone if death is set, and must not otherwise.
 type peersFault struct {
 	name   string
 	death  bool
@@ -225,8 +225,8 @@
 		{"stop of 2 s", true, func(d *proxyInstance) error {
 			return d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 2 * time.Second})
 		}},
-		{"cut off for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "cut") }},
-		{"answers held for 2 s", true, func(d *proxyInstance) error { return p.cut(ctx, d.index, "back") }},
+		{"cut off for 2 s", true, func(d *proxyInstance) error { return p.failLinks(ctx, d.index, "cut") }},
+		{"answers held for 2 s", true, func(d *proxyInstance) error { return p.failLinks(ctx, d.index, "back") }},
 		{"connections reset", false, func(d *proxyInstance) error {
 			for _, l := range p.links[d.index] {
 				l.Reset()
@@ -236,10 +236,10 @@
 	}
 }
 
-// play injects faults into instances that do not vote, in turn, and reads what the others logged.
-func (p *peersTest) play(ctx context.Context) {
+// injectFaults injects faults into instances that do not vote, one at a time, and reads what the others logged.
+func (p *peersTest) injectFaults(ctx context.Context) {
 	for _, fault := range p.faults(ctx) {
-		known := hdrhistogram.New(1, int64(time.Minute/time.Millisecond), 3)
+		detectionTimes := hdrhistogram.New(1, int64(time.Minute/time.Millisecond), 3)
 		for i := range p.o.Repetitions {
 			if ctx.Err() != nil {
 				return
@@ -255,31 +255,31 @@
 				if other == victim {
 					continue
 				}
-				at := p.gone(other, fmt.Sprint("p", victim), from)
+				at := p.goneLoggedAt(other, fmt.Sprint("p", victim), from)
 				switch {
 				case at.IsZero() && fault.death:
 					p.report.MissedDeaths++
 				case !at.IsZero() && !fault.death:
 					p.report.FalseDeaths++
 				case !at.IsZero():
-					known.RecordValue(max(at.Sub(from).Milliseconds(), 1))
+					detectionTimes.RecordValue(max(at.Sub(from).Milliseconds(), 1))
 				}
 			}
 		}
 		if fault.death {
 			p.report.DetectionTimes = append(p.report.DetectionTimes, PeersDetectionTime{
 				fault.name,
-				known.TotalCount(),
-				float64(known.ValueAtQuantile(50)),
-				float64(known.ValueAtQuantile(99)),
-				float64(known.Max()),
+				detectionTimes.TotalCount(),
+				float64(detectionTimes.ValueAtQuantile(50)),
+				float64(detectionTimes.ValueAtQuantile(99)),
+				float64(detectionTimes.Max()),
 			})
 		}
 	}
 }
 
-// cut has an instance's ways to the voters fail for a while.
-func (p *peersTest) cut(ctx context.Context, i int, kind string) error {
+// failLinks makes the links of an instance to the voters fail for two seconds.
+func (p *peersTest) failLinks(ctx context.Context, i int, kind string) error {
 	var errs []error
 	for _, l := range p.links[i] {
 		errs = append(errs, l.SetFault(faultinject.LinkFaults[kind](0)))
@@ -291,15 +291,15 @@
 	return errors.Join(errs...)
 }
 
-var memberLine = regexp.MustCompile(`(?m)^time=(\S+) .*msg="member state changed" proxy=\S+ member=(\S+) state=gone `)
+var goneLine = regexp.MustCompile(`(?m)^time=(\S+) .*msg="member state changed" proxy=\S+ member=(\S+) state=gone `)
 
-// gone is when an instance logged that another was gone, after a time; zero for never.
-func (p *peersTest) gone(at int, name string, from time.Time) time.Time {
-	text, err := os.ReadFile(p.fleet.proxies[at].currentProcess().logPath)
+// goneLoggedAt returns when an instance logged after from that a member was gone; the zero time if it did not.
+func (p *peersTest) goneLoggedAt(observer int, name string, from time.Time) time.Time {
+	text, err := os.ReadFile(p.fleet.proxies[observer].currentProcess().logPath)
 	if err != nil {
 		return time.Time{}
 	}
-	for _, m := range memberLine.FindAllStringSubmatch(string(text), -1) {
+	for _, m := range goneLine.FindAllStringSubmatch(string(text), -1) {
 		t, err := time.Parse(time.RFC3339Nano, m[1])
 		if err == nil && m[2] == name && !t.Before(from.Truncate(time.Millisecond)) {
 			return t
--- a/internal/fleettest/permits.go
+++ b/internal/fleettest/permits.go
@@ -13,16 +13,16 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file has proxies restart by permits of their fleet, and counts how many are down at a time.
+// This file restarts proxies with restart permits of their fleet, and counts how many are down at the same time.
 
 const (
 	permitVoters = 3
 	permitFleet  = "fleettest"
-	// permitTimeout bounds the wait for a permit and the drain together.
+	// permitTimeout bounds the time from SIGTERM to exit, which includes the wait for a permit and the drain.
 	permitTimeout = 3 * time.Minute
 )
 
-// newVoters reserves the voters' addresses, and creates their storage in a folder.
+// newVoters reserves addresses for the voters, and creates their storage in a folder.
 func newVoters(folder string, free *portReserver) (f agent.Fleet, err error) {
 	f.Name = permitFleet
 	for i := range permitVoters {
@@ -45,7 +45,7 @@
 	return filepath.Join(folder, fmt.Sprintf("p%d.memory", i))
 }
 
-// createVoters makes the first proxies voters, if the scenario has permits.
+// createVoters creates the voters, which are the first proxies, if the scenario has permits.
 func (f *fleet) createVoters() (err error) {
 	if f.scenario.Fleet.RestartPermits > 0 {
 		f.voters, err = newVoters(f.folder, f.ports)
@@ -53,8 +53,8 @@
 	return err
 }
 
-// peersConfig is the part of a configuration that makes a process a member of the fleet; voter is its number among the
-// voters, -1 for none.
+// peersConfig returns the part of a configuration that makes a process a member of the fleet. voter is its index among
+// the voters; -1 if it is none.
 func peersConfig(list []agent.VoterAddress, folder string, voter int) string {
 	var voters []string
 	for _, v := range list {
@@ -67,7 +67,8 @@
 	return text
 }
 
-// writePeers writes the part of the configuration that makes the proxy a member of the fleet.
+// writePeers writes the part of the configuration that makes the proxy a member of the fleet, if the scenario has
+// permits.
 func (p *proxyInstance) writePeers(b io.Writer) {
 	f := &p.fleet.scenario.Fleet
 	if f.RestartPermits == 0 {
@@ -88,7 +89,7 @@
 	}
 }
 
-// setPermits sets how many permits the voters give at a time.
+// setPermits sets how many proxies can hold a restart permit at the same time.
 func (f *fleet) setPermits() error {
 	permits := f.scenario.Fleet.RestartPermits
 	if permits == 0 || f.scenario.Fleet.Leaderless {
@@ -105,7 +106,7 @@
 	return err
 }
 
-// restartByPermit replaces the proxy's process. An old process that is told to end serves until it has a permit.
+// restartByPermit replaces the proxy's process. After SIGTERM the old process serves until it has a permit.
 func (p *proxyInstance) restartByPermit(old *process) {
 	noticed := make(chan struct{})
 	go func() {
@@ -130,7 +131,8 @@
 	p.setAcceptsClients(true)
 }
 
-// noticeDrain has clients open no more connections some time after a drain has started.
+// noticeDrain stops clients from opening connections drainNoticeTime after the start of a drain, or when the process
+// ends.
 func (p *proxyInstance) noticeDrain(old *process) {
 	select {
 	case <-old.draining:
@@ -145,8 +147,8 @@
 	p.setAcceptsClients(false)
 }
 
-// endWithoutPermit ends a process that is not replaced: told to end twice, it waits for no permit. The second signal is
-// sent once the first has been received, as signals that are pending at a process are merged.
+// endWithoutPermit ends a process that is not replaced. A second SIGTERM makes the process end without a permit. It is
+// sent only when the first one has been received, because the kernel merges pending signals.
 func (p *proxyInstance) endWithoutPermit(old *process) error {
 	if p.fleet.scenario.Fleet.RestartPermits == 0 {
 		return old.end(syscall.SIGTERM)
@@ -158,36 +160,36 @@
 	select {
 	case <-old.awaitingPermit:
 		return old.end(syscall.SIGTERM)
-	case <-old.draining: // it needs no second signal
+	case <-old.draining: // no second signal is needed
 	case <-old.exited:
 	case <-time.After(processTimeout):
 		old.end(syscall.SIGKILL)
-		return fmt.Errorf("did not react to %v in %v", syscall.SIGTERM, processTimeout)
+		return fmt.Errorf("did not react to %v within %v", syscall.SIGTERM, processTimeout)
 	}
 	return old.endWithin(syscall.Signal(0), processTimeout)
 }
 
-// maxDown is how many proxies were down by permits at a time.
+// maxDown returns how many proxies at most were down by permits at the same time.
 func (f *fleet) maxDown() (highest int) {
-	type edge struct {
-		at time.Time
-		by int
+	type event struct {
+		at     time.Time
+		change int
 	}
-	var edges []edge
+	var events []event
 	for _, d := range f.proxies {
 		for _, s := range d.downtimes {
-			edges = append(edges, edge{s.from, 1}, edge{s.to, -1})
+			events = append(events, event{s.from, 1}, event{s.to, -1})
 		}
 	}
-	slices.SortFunc(edges, func(a, b edge) int {
+	slices.SortFunc(events, func(a, b event) int {
 		if c := a.at.Compare(b.at); c != 0 {
 			return c
 		}
-		return a.by - b.by
+		return a.change - b.change
 	})
 	down := 0
-	for _, e := range edges {
-		down += e.by
+	for _, e := range events {
+		down += e.change
 		highest = max(highest, down)
 	}
 	return highest
--- a/internal/fleettest/pipeline.go
+++ b/internal/fleettest/pipeline.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/request"
 )
 
-// runPipeline is a client that writes many reads at once and reads the answers in order, over and over.
+// runPipeline runs a client that repeatedly writes many reads at once and reads the answers in order.
 func (w *workload) runPipeline(ctx context.Context, number int) {
 	var conn *clientConn
 	defer func() {
@@ -36,7 +36,7 @@
 	}
 }
 
-// dialAny opens a connection to any proxy that accepts clients; nil if that fails.
+// dialAny opens a connection to any proxy that accepts clients. It returns nil if there is none or dialing fails.
 func (w *workload) dialAny() (*proxyInstance, *clientConn) {
 	p := w.pickProxy()
 	if p == nil {
@@ -49,7 +49,6 @@
 	return p, conn
 }
 
-// pipelinedRead is one read of a pipeline.
 type pipelinedRead struct{ id, key string }
 
 // runPipelineRound writes one pipeline and reads its answers.
@@ -73,7 +72,7 @@
 		case w.isExcused(p, sent, sent.Add(wait)):
 		case isTimeout(err):
 			w.recorder.lost("proxy %d never answered %s in a pipeline", p.index, read.id)
-		default: // what the proxy has not read is requested from another one
+		default: // reads that this proxy has not received are sent to another one
 			conn.used = true
 			w.judgeConnectionLost(p, conn, read.id, time.Now(), err)
 		}
@@ -85,7 +84,7 @@
 	return string(a.ID) == r.id && bytes.HasPrefix(value, []byte(r.key+" "))
 }
 
-// pipelineText is the text of one pipeline, and its reads.
+// pipelineText returns the text of one pipeline, and its reads in order.
 func (w *workload) pipelineText(p *proxyInstance, number int, wait time.Duration) (text []byte, reads []pipelinedRead) {
 	for i := range w.load.PipelineDepth {
 		q := &clientRequest{retryState: retryState{class: w.classes[0]}, key: fmt.Sprintf("pipe%d.%d", number, i)}
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -15,31 +15,31 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// This file plays proxies that are killed, stopped and cut off with handovers in flight. It counts how many of those
-// were carried out twice, and of how many nobody learnt the outcome.
+// This file tests takeover: proxies are killed, stopped and cut off with handovers in flight. The test counts handovers
+// that were carried out twice, and those whose outcome no client learned.
 
-// The modes of takeover, as configurations name them.
+// The modes of takeover in configurations.
 const (
 	takeoverPlain  = "plain"
 	takeoverStrict = "strict"
 )
 
-// TakeoverOptions say what to play.
+// TakeoverOptions configures RunTakeover.
 type TakeoverOptions struct {
 	Options
-	Duration time.Duration
-	Rate     float64
-	Holders  int    // other proxies that record a write; 0 for none
-	Mode     string // plain or strict
+	Duration time.Duration // of the phase with faults
+	Rate     float64       // requests a second
+	Holders  int           // other proxies that record a write; 0 for none
+	Mode     string        // plain or strict
 	Seed     uint64
 }
 
-// TakeoverReport is the result of a takeover test.
+// TakeoverReport is the result of RunTakeover.
 type TakeoverReport struct {
 	Run         *Report        `json:"play"`
 	Handovers   int            `json:"handovers"`
-	TakenOver   int            `json:"taken"`
-	Faults      map[string]int `json:"faults"`
+	TakenOver   int            `json:"taken"`  // writes that a proxy took over from another
+	Faults      map[string]int `json:"faults"` // by kind
 	HandoverP50 float64        `json:"handovers_p50_ms"`
 	VerdictLine string         `json:"verdict"`
 }
@@ -49,14 +49,14 @@
 
 // Verdict is the last line of the printed report.
 func (r *TakeoverReport) Verdict() string {
-	word := "ok"
+	verdict := "ok"
 	if !r.OK() {
-		word = "BROKEN"
+		verdict = "BROKEN"
 	}
 	p := r.Run
 	return fmt.Sprintf("verdict: %s requests=%d handovers=%d taken=%d unknown=%d "+
 		"lost=%d doubled=%d late_drains=%d crashes=%d",
-		word, p.Requests, r.Handovers, r.TakenOver,
+		verdict, p.Requests, r.Handovers, r.TakenOver,
 		p.UnknownOutcomes, p.Lost, p.DuplicateWrites, p.LateDrains, p.Crashes)
 }
 
@@ -78,7 +78,7 @@
 	fmt.Fprintln(out, r.Verdict())
 }
 
-// openPeerAddress reserves where a proxy takes works in hand, behind a link.
+// openPeerAddress reserves the address at which the proxy listens for its peers, and puts a link in front of it.
 func (p *proxyInstance) openPeerAddress() error {
 	l, err := p.fleet.ports.reserve()
 	if err != nil {
@@ -98,10 +98,10 @@
 	return nil
 }
 
-// slowStretch is how long the origin is slow or not, one stretch in three slow.
-const slowStretch = 15 * time.Second
+// originPeriod is how long the origin keeps its speed. It is slow in every third period.
+const originPeriod = 15 * time.Second
 
-// Duration of the phases before and after the faults.
+// Durations of the phases before and after the faults.
 const (
 	takeoverCalm  = 4 * time.Second
 	takeoverAfter = 4 * time.Second
@@ -135,7 +135,7 @@
 		{Name: "faults", Duration: tomlDuration(o.Duration)},
 		{Name: "after", Duration: tomlDuration(takeoverAfter)},
 	}
-	// So that there are links between clients and proxies.
+	// This event is never played. It makes the fleet put links between clients and proxies.
 	s.Events = []Event{{
 		At:        tomlDuration(takeoverCalm),
 		Action:    "link",
@@ -146,7 +146,7 @@
 	return s, s.check()
 }
 
-// RunTakeover plays proxies that fail with handovers in flight.
+// RunTakeover runs a takeover test, and returns an error if it could not run. Broken rules are in the report.
 func RunTakeover(ctx context.Context, o TakeoverOptions) (*TakeoverReport, error) {
 	s, err := takeoverScenario(o)
 	if err != nil {
@@ -158,31 +158,31 @@
 	}
 	defer f.close()
 	sleep(ctx, time.Second)
-	r := &TakeoverReport{Faults: make(map[string]int)}
-	began := time.Now()
-	t := newRecorder(s.Phases, began)
-	c := newWorkload(f, t)
-	span, stop := context.WithTimeout(ctx, s.length())
+	report := &TakeoverReport{Faults: make(map[string]int)}
+	start := time.Now()
+	r := newRecorder(s.Phases, start)
+	w := newWorkload(f, r)
+	runCtx, stop := context.WithTimeout(ctx, s.length())
 	defer stop()
 	var tasks sync.WaitGroup
-	tasks.Go(func() { c.run(span) })
-	tasks.Go(func() { t.watchLag(span) })
-	sleep(span, takeoverCalm)
-	f.harass(span, began.Add(takeoverCalm+o.Duration), rand.New(rand.NewPCG(s.Seed, 11)), r.Faults)
+	tasks.Go(func() { w.run(runCtx) })
+	tasks.Go(func() { r.watchLag(runCtx) })
+	sleep(runCtx, takeoverCalm)
+	f.injectRandomFaults(runCtx, start.Add(takeoverCalm+o.Duration), rand.New(rand.NewPCG(s.Seed, 11)), report.Faults)
 	f.origin.SetServiceTime(time.Duration(s.Fleet.OriginServiceTime))
-	tasks.Wait() // tills that ask late among them
+	tasks.Wait() // including late retries
 	f.stop()
 	waitUntilSteady(func() int { return f.origin.Stats().Writes })
-	r.Run = &Report{Scenario: s.Name, Description: s.Description, Proxies: s.Fleet.Proxies, Nodes: s.Fleet.Nodes}
-	r.Run.fill(f, t, make([]int, len(s.Phases)+1))
-	for _, p := range r.Run.Phases {
-		r.Handovers += p.Handovers
+	report.Run = &Report{Scenario: s.Name, Description: s.Description, Proxies: s.Fleet.Proxies, Nodes: s.Fleet.Nodes}
+	report.Run.fill(f, r, make([]int, len(s.Phases)+1))
+	for _, p := range report.Run.Phases {
+		report.Handovers += p.Handovers
 	}
-	if r.TakenOver, err = countTakenOver(o.Folder, len(f.proxies)); err != nil {
+	if report.TakenOver, err = countTakenOver(o.Folder, len(f.proxies)); err != nil {
 		return nil, err
 	}
-	r.VerdictLine = r.Verdict()
-	return r, ctx.Err()
+	report.VerdictLine = report.Verdict()
+	return report, ctx.Err()
 }
 
 // countTakenOver counts the writes that proxies logged as taken over.
@@ -198,25 +198,25 @@
 	return n, nil
 }
 
-// harass kills, stops or cuts off a proxy every 2 s, while the one before may not have recovered, and makes the origin
-// slow now and then.
-func (f *fleet) harass(ctx context.Context, until time.Time, rng *rand.Rand, faults map[string]int) {
+// injectRandomFaults kills, stops or cuts off a proxy every 2 s, even while the one before is still recovering, and
+// makes the origin slow from time to time.
+func (f *fleet) injectRandomFaults(ctx context.Context, until time.Time, rng *rand.Rand, faults map[string]int) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	begun := time.Now()
-	busy := make(map[int]time.Time)
+	start := time.Now()
+	recoversAt := make(map[int]time.Time)
 	for time.Until(until) > 2*time.Second && ctx.Err() == nil {
-		if stretch := int(time.Since(begun) / slowStretch); stretch%3 == 2 {
+		if period := int(time.Since(start) / originPeriod); period%3 == 2 {
 			f.origin.SetServiceTime(1200*time.Millisecond + time.Duration(rng.Int64N(int64(800*time.Millisecond))))
 		} else {
 			f.origin.SetServiceTime(time.Duration(f.scenario.Fleet.OriginServiceTime))
 		}
 		i := rng.IntN(len(f.proxies))
-		for time.Now().Before(busy[i]) {
+		for time.Now().Before(recoversAt[i]) {
 			i = rng.IntN(len(f.proxies))
 		}
-		busy[i] = time.Now().Add(4 * time.Second)
-		d := f.proxies[i]
+		recoversAt[i] = time.Now().Add(4 * time.Second)
+		p := f.proxies[i]
 		kinds := []string{"kill", "stop", "clients cut", "others cut"}
 		if f.peerLinks == nil {
 			kinds = kinds[:3]
@@ -226,9 +226,9 @@
 		tasks.Go(func() {
 			switch kind {
 			case "kill":
-				d.kill()
+				p.kill()
 			case "stop":
-				err := d.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 3 * time.Second})
+				err := p.stopBySchedule(ctx, faultinject.StopSchedule{Duration: 3 * time.Second})
 				if err != nil && ctx.Err() == nil {
 					f.addProblem("stop of proxy %d: %v", i, err)
 				}
--- a/internal/fleettest/times.go
+++ b/internal/fleettest/times.go
@@ -14,14 +14,14 @@
 	"mulleinpier/internal/fake/origin"
 )
 
-// StartStopReport is how long a proxy takes to start and to stop, in milliseconds, a figure for each run.
+// StartStopReport has the times that a proxy takes to start and to stop, in milliseconds, with a value for each run.
 type StartStopReport struct {
 	ExecToReady     []float64 `json:"exec_to_ready_ms"`
 	ExitIdle        []float64 `json:"sigterm_to_exit_idle_ms"`
-	ExitWithRequest []float64 `json:"sigterm_to_exit_open_ms"`
-	// With a listener that was passed in there is no time to wait for the backlog.
+	ExitWithRequest []float64 `json:"sigterm_to_exit_open_ms"` // with a request in flight
+	// A proxy with a passed listener does not wait for the connections in its backlog.
 	ExitPassedListener []float64 `json:"sigterm_to_exit_idle_passed_ms"`
-	OpenRequestMillis  float64   `json:"open_request_takes_ms"`
+	OpenRequestMillis  float64   `json:"open_request_takes_ms"` // service time of that request
 }
 
 func listenAt(host string) (*net.TCPListener, error) {
@@ -32,18 +32,24 @@
 	return l.(*net.TCPListener), nil
 }
 
-// MeasureStartStop measures so many starts and stops of each kind.
+// MeasureStartStop measures starts and stops, runs times each: without requests, with a request in flight, and with a
+// passed listener.
 func MeasureStartStop(program []string, folder string, runs int) (*StartStopReport, error) {
-	const work = 800 * time.Millisecond
-	center := origin.New(origin.Config{Slots: 4, Queue: 4})
-	defer center.Close()
-	n, err := node.Start(node.Config{Name: "n0", ServiceTime: work, Origin: center, Group: node.NewGroup(time.Second)})
+	const serviceTime = 800 * time.Millisecond
+	fakeOrigin := origin.New(origin.Config{Slots: 4, Queue: 4})
+	defer fakeOrigin.Close()
+	n, err := node.Start(node.Config{
+		Name:        "n0",
+		ServiceTime: serviceTime,
+		Origin:      fakeOrigin,
+		Group:       node.NewGroup(time.Second),
+	})
 	if err != nil {
 		return nil, err
 	}
 	defer n.Close()
 	m := startStop{program: program, folder: folder, node: n}
-	r := &StartStopReport{OpenRequestMillis: millis(work)}
+	r := &StartStopReport{OpenRequestMillis: millis(serviceTime)}
 	for range runs {
 		ready, idle, err := m.measure(trial{})
 		if err != nil {
@@ -65,13 +71,13 @@
 	return r, nil
 }
 
-// trial says which start and stop to measure.
+// trial selects which start and stop to measure.
 type trial struct {
-	passedListener bool // in place of one that the proxy opens
-	openRequest    bool // when SIGTERM comes
+	passedListener bool // the proxy inherits its listener
+	openRequest    bool // a request is in flight when SIGTERM is sent
 }
 
-// startStop starts and stops a proxy in front of a node.
+// startStop measures proxies in front of a node.
 type startStop struct {
 	program []string
 	folder  string
@@ -80,7 +86,7 @@
 
 // measure starts and stops a proxy once. It returns the milliseconds from exec to ready and from SIGTERM to exit.
 func (m *startStop) measure(t trial) (ready, exit float64, err error) {
-	address, listener, err := reserve(t)
+	address, listener, err := reserveListener(t)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -106,18 +112,18 @@
 	}
 	answered := make(chan error, 1)
 	go func() { answered <- c.awaitClose(t) }()
-	begun := time.Now()
+	start := time.Now()
 	if err := p.end(syscall.SIGTERM); err != nil {
 		return 0, 0, err
 	}
 	if err := <-answered; err != nil {
-		return 0, 0, fmt.Errorf("the open request was not answered: %w", err)
+		return 0, 0, fmt.Errorf("reading the answer to the request in flight at SIGTERM: %w", err)
 	}
-	return millis(p.readyAt.Sub(p.startedAt)), millis(p.exitedAt.Sub(begun)), nil
+	return millis(p.readyAt.Sub(p.startedAt)), millis(p.exitedAt.Sub(start)), nil
 }
 
-// reserve returns a free address and, if the proxy is to get its listener passed, that listener; nil if not.
-func reserve(t trial) (address string, listener *os.File, err error) {
+// reserveListener returns a free address and the listener to pass to the proxy; nil if the proxy is to open its own.
+func reserveListener(t trial) (address string, listener *os.File, err error) {
 	l, err := listenAt(newHost())
 	if err != nil {
 		return "", nil, err
@@ -143,7 +149,8 @@
 	return p, p.awaitReady()
 }
 
-// awaitClose does as clients do: it takes the answer to an open request, and closes once the other end has.
+// awaitClose acts as a client: it reads the answer to a request in flight, if there is one, and closes the connection
+// once the proxy has.
 func (c *clientConn) awaitClose(t trial) error {
 	defer c.socket.Close()
 	var err error
@@ -157,9 +164,9 @@
 // Print writes the report.
 func (r *StartStopReport) Print(out io.Writer) {
 	fmt.Fprintf(out, "ms, median (least to most) of %d runs\n", len(r.ExecToReady))
-	fmt.Fprintf(out, "exec to ready                                     %s\n", spread(r.ExecToReady))
-	fmt.Fprintf(out, "SIGTERM to exit, nothing open                     %s\n", spread(r.ExitIdle))
-	fmt.Fprintf(out, "SIGTERM to exit, nothing open, passed listener    %s\n", spread(r.ExitPassedListener))
+	fmt.Fprintf(out, "exec to ready                                     %s\n", formatSpread(r.ExecToReady))
+	fmt.Fprintf(out, "SIGTERM to exit, nothing open                     %s\n", formatSpread(r.ExitIdle))
+	fmt.Fprintf(out, "SIGTERM to exit, nothing open, passed listener    %s\n", formatSpread(r.ExitPassedListener))
 	fmt.Fprintf(out, "SIGTERM to exit, a read open that takes %.0f ms    %s\n",
-		r.OpenRequestMillis, spread(r.ExitWithRequest))
+		r.OpenRequestMillis, formatSpread(r.ExitWithRequest))
 }
