--- a/internal/fleettest/binaryclient.go
+++ b/internal/fleettest/binaryclient.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// runQuietRound writes one quiet pipeline, and reads its answers up to that to the NOOP.
+// runQuietRound writes one quiet pipeline, and reads its answers, that to the NOOP last.
 func (w *workload) runQuietRound(p *proxyInstance, conn *clientConn, number int) error {
 	last := conn.opaque
 	text, keys := w.quietText(conn, number)
@@ -177,7 +177,7 @@
 	return rawclient.AppendKeyOnly(text, codec.Noop, "", conn.opaque), keys
 }
 
-// isWrongQuietAnswer reports whether an answer to a quiet read is wrong. Every answer to a miss is: misses are silent.
+// isWrongQuietAnswer reports whether an answer to a quiet read is wrong. A miss must get no answer at all.
 func (w *workload) isWrongQuietAnswer(r *rawclient.Response, key string) bool {
 	if r.Status == codec.NotFound {
 		return true
--- a/internal/fleettest/conform.go
+++ b/internal/fleettest/conform.go
@@ -25,7 +25,8 @@
 const (
 	// conformDeadline is the deadline of every class in the suite.
 	conformDeadline = 900 * time.Millisecond
-	// conformTolerance allows for a busy machine: it is how much later than the deadline the last answer may come.
+	// conformTolerance is how much later than the deadline the last answer may come, because the machine may be busy.
+	// Otherwise nothing is answered after the deadline.
 	conformTolerance = 2 * time.Second
 	// maxConcurrentRuns bounds the runs at the same time, each with its own proxy and nodes.
 	maxConcurrentRuns = 6
--- a/internal/fleettest/cost.go
+++ b/internal/fleettest/cost.go
@@ -198,7 +198,7 @@
 		return 0, 0, err
 	}
 	start := time.Now()
-	refused, err := sendReads(ctx, clients, &serial, requests)
+	rejected, err := sendReads(ctx, clients, &serial, requests)
 	took = time.Since(start).Seconds()
 	if err != nil {
 		return 0, 0, err
@@ -207,8 +207,8 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	if refused > requests/50 {
-		return 0, 0, fmt.Errorf("measuring: %d of %d requests were rejected", refused, requests)
+	if rejected > requests/50 {
+		return 0, 0, fmt.Errorf("measuring: %d of %d requests were rejected", rejected, requests)
 	}
 	return (after - before).Seconds(), took, nil
 }
@@ -218,20 +218,20 @@
 
 // sendReads sends reads over the connections, one at a time on each, and counts those that were rejected.
 func sendReads(ctx context.Context, clients []*clientConn, serial *atomic.Int64, requests int) (int, error) {
-	var left, refused atomic.Int64
-	left.Store(int64(requests))
+	var remaining, rejected atomic.Int64
+	remaining.Store(int64(requests))
 	var tasks sync.WaitGroup
 	errs := make(chan error, len(clients))
 	for _, c := range clients {
 		tasks.Go(func() {
-			for left.Add(-1) >= 0 && ctx.Err() == nil {
-				isRefused, err := c.readOnce(serial.Add(1))
+			for remaining.Add(-1) >= 0 && ctx.Err() == nil {
+				isRejected, err := c.readOnce(serial.Add(1))
 				if err != nil {
 					errs <- err
 					return
 				}
-				if isRefused {
-					refused.Add(1)
+				if isRejected {
+					rejected.Add(1)
 				}
 			}
 		})
@@ -241,13 +241,13 @@
 	case err := <-errs:
 		return 0, fmt.Errorf("measuring: %w", err)
 	default:
-		return int(refused.Load()), ctx.Err()
+		return int(rejected.Load()), ctx.Err()
 	}
 }
 
 // readOnce reads one of 64 keys, and reports whether the proxy rejected the read. A rejection costs CPU time too, but
 // is no read.
-func (c *clientConn) readOnce(id int64) (isRefused bool, err error) {
+func (c *clientConn) readOnce(id int64) (isRejected bool, err error) {
 	key := fmt.Sprintf("k%d", id%64)
 	if c.binary {
 		c.opaque++
--- a/internal/fleettest/fencingchecker.go
+++ b/internal/fleettest/fencingchecker.go
@@ -125,7 +125,7 @@
 	return ok
 }
 
-// beginLocked records the begin of an action. c.mu is held.
+// beginLocked records the start of an action. c.mu is held.
 func (c *fencingChecker) beginLocked(token uint64, holder int, now time.Time) {
 	if token > c.highestToken {
 		c.recordGap(now)
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -32,8 +32,8 @@
 	Instances      int                  `json:"instances"`
 	DetectionTimes []PeersDetectionTime `json:"known"`
 	IdleCosts      []PeersIdleCost      `json:"rest"`
-	FalseDeaths    int                  `json:"false"`  // logged by a member of one that was alive
-	MissedDeaths   int                  `json:"missed"` // not logged by a member
+	FalseDeaths    int                  `json:"false"`  // times that a member logged a live one as gone
+	MissedDeaths   int                  `json:"missed"` // times that a member did not log a death
 	Problems       []string             `json:"problems"`
 }
 
--- a/internal/fleettest/permits.go
+++ b/internal/fleettest/permits.go
@@ -169,7 +169,7 @@
 	return old.endWithin(syscall.Signal(0), processTimeout)
 }
 
-// maxDown returns how many proxies at most were down by permits at the same time.
+// maxDown returns the highest number of proxies that were down by permits at the same time.
 func (f *fleet) maxDown() (highest int) {
 	type event struct {
 		at     time.Time
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -135,7 +135,7 @@
 		{Name: "faults", Duration: tomlDuration(o.Duration)},
 		{Name: "after", Duration: tomlDuration(takeoverAfter)},
 	}
-	// This event is never played. It makes the fleet put links between clients and proxies.
+	// This event is never executed. It makes the fleet put links between clients and proxies.
 	s.Events = []Event{{
 		At:        tomlDuration(takeoverCalm),
 		Action:    "link",
