--- a/internal/fleettest/binaryclient.go
+++ b/internal/fleettest/binaryclient.go
@@ -101,8 +101,7 @@
 }
 
 // runQuietPipeline runs a client that repeatedly writes many quiet reads together with a NOOP that ends them. It is the
-// binary counterpart of runPipeline. If the origin lacks some keys, a part of the reads are misses, which get no
-// answer.
+// binary counterpart of runPipeline. If the origin lacks some keys, some of the reads are misses, which get no answer.
 func (w *workload) runQuietPipeline(ctx context.Context, number int) {
 	for ctx.Err() == nil {
 		p, conn := w.dialAny()
--- a/internal/fleettest/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -25,7 +25,7 @@
 // gapKinds are the events that end a holder's actions, in the order in which they are measured.
 var gapKinds = []string{"given back", "handed over", "killed", "stopped", "cut off"}
 
-// gapTimeout bounds the waits for a holder and for the next one.
+// gapTimeout bounds each wait for the task to have an acting and a waiting holder, and each wait for the next holder.
 const gapTimeout = 15 * time.Second
 
 // LeaseGapsOptions configures MeasureLeaseGaps.
@@ -180,7 +180,7 @@
 }
 
 // awaitSettled waits until one of the two holders acts and the other one waits in the queue. It returns the index of
-// the acting one, its fencing token, and the name of the waiting one.
+// the first, its fencing token, and the name of the second.
 func (t *gapTask) awaitSettled(
 	ctx context.Context, c *agent.Client,
 ) (holder int, token uint64, waiter string, err error) {
--- a/internal/fleettest/libraryclient.go
+++ b/internal/fleettest/libraryclient.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// closeLibrary finishes the check of lost requests and closes the library clients. All requests must have ended.
+// closeLibrary closes the library clients, after the auditor has waited for late answers. All requests must have ended.
 func (w *workload) closeLibrary() {
 	if w.auditor != nil {
 		w.auditor.Finish()
