--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -68,16 +68,21 @@
 	}
 }
 
+// highMemoryLimit is a memory limit that the test binary stays far below: the memory signal compares the memory of the
+// whole process with the limit, and the test binary under the race detector has reached 105 % of the default 64 MB.
+const highMemoryLimit = "[limits]\nmemory_mb = 640\n"
+
 // pinConfig returns a configuration that pins the overload level until a time.
 func pinConfig(until time.Time) string {
-	return "[service]\npin = \"handovers\"\npin_until = \"" + until.Format(time.RFC3339) + "\"\n[binary]\n"
+	return "[service]\npin = \"handovers\"\npin_until = \"" + until.Format(time.RFC3339) + "\"\n[binary]\n" +
+		highMemoryLimit
 }
 
 // TestOverloadLevelIsReportedAndPinned checks what operators use: the overload level with its statistics and its
 // records of transitions, in both dialects, a pin that a reload sets, and the end of the pin.
 func TestOverloadLevelIsReportedAndPinned(t *testing.T) {
 	f := startNodes(t)
-	p := startProxy(t, f.addresses, "[binary]\n")
+	p := startProxy(t, f.addresses, "[binary]\n"+highMemoryLimit)
 	p.expectStatistics("at the start",
 		map[string]string{"service_level": "0", "service_on": "true", "service_changes": "0"})
 	if got := p.statistics(""); got["service_level"] != "0" || got["uptime"] == "" {
@@ -101,7 +106,7 @@
 		t.Errorf("the pin ended %v early", time.Until(until))
 	}
 	p.reload(pinConfig(time.Now().Add(time.Hour)))
-	p.reload("[service]\nreduce = false\n[binary]\n")
+	p.reload("[service]\nreduce = false\n[binary]\n" + highMemoryLimit)
 	got := p.expectStatistics("turned off",
 		map[string]string{"service_on": "false", "service_level": "0", "service_changes": "4"})
 	if !strings.Contains(got["service_change_3"], `"cause":"off"`) {
