--- a/internal/fake/backlog/backlog.go
+++ b/internal/fake/backlog/backlog.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maxConnections is far more than a backlog of length 0 holds, which the kernel takes for one or two.
+	// maxConnections is far more than the one or two connections that the kernel queues in a backlog of length 0.
 	maxConnections = 16
-	// dialTimeout is longer than a connection attempt on loopback takes that is not dropped.
+	// dialTimeout is longer than a connection attempt on loopback takes if the kernel does not drop it.
 	dialTimeout = 50 * time.Millisecond
 )
 
--- a/internal/fake/backlog/backlog_test.go
+++ b/internal/fake/backlog/backlog_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestFullBacklogDropsConnectionAttempts also checks that a connection is established again once the backlog is empty.
+// TestFullBacklogDropsConnectionAttempts checks that connection attempts time out while the backlog is full, and
+// succeed again once it is empty.
 func TestFullBacklogDropsConnectionAttempts(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/fake/consul/agent.go
+++ b/internal/fake/consul/agent.go
@@ -2,11 +2,11 @@
 // far as proxies and nodes use it: health and catalogue of a service with blocking queries, agent services, TTL checks,
 // maintenance, and status. It guarantees:
 //
-//  1. The published Go client understands what it answers.
+//  1. The published Go client understands its answers.
 //  2. It knows when each agent first reported to its clients that an instance is no longer available.
-//  3. An agent fails on demand in the ways of [FaultKind].
+//  3. An agent simulates the faults of [FaultKind] on demand.
 //
-// It has no ACLs except for one token per agent, and no cluster behind it.
+// It has no ACLs except for one token per agent, and no cluster.
 //
 // An agent owns its listener and its HTTP server; [Agent.Close] ends them without waiting for handlers.
 package consul
@@ -26,7 +26,7 @@
 
 // Agent is an agent with an address of its own. It is safe for concurrent use.
 type Agent struct {
-	Node string // Consul's node, to which services that are registered here belong
+	Node string // name of the Consul node that services registered at this agent belong to
 
 	catalogue *Catalogue
 	token     string
@@ -46,11 +46,11 @@
 // Start returns an agent of a catalogue that listens at a free port of a loopback address. If token is not empty,
 // requests must carry it.
 func (c *Catalogue) Start(node, token string) (*Agent, error) {
-	// No connection goes out from this address, so that none can take the port of an agent that is down.
+	// This address is not used for outgoing connections: one of these could take the port of an agent that is down.
 	return c.StartAt("127.0.0.2:0", node, token)
 }
 
-// StartAt is Start at an address.
+// StartAt is like Start, but listens at the given address.
 func (c *Catalogue) StartAt(address, node, token string) (*Agent, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -90,7 +90,7 @@
 // Close closes the listener and all connections.
 func (a *Agent) Close() { a.server.Close() }
 
-// DropRegistrations removes all instances of the agent's node from the catalogue, as when an agent has lost its state.
+// DropRegistrations removes all instances of the agent's node from the catalogue, as if the agent had lost its state.
 func (a *Agent) DropRegistrations() {
 	c := a.catalogue
 	c.mu.Lock()
--- a/internal/fake/consul/agent_test.go
+++ b/internal/fake/consul/agent_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestPublishedClientReadsRegistration guards guarantee 1 for what does not change with time.
+// TestPublishedClientReadsRegistration checks guarantee 1 for an agent's own data, registrations, lists and tokens.
 func TestPublishedClientReadsRegistration(t *testing.T) {
 	_, a, client := startAgent(t, testToken)
 	if name, err := client.Agent().NodeName(); err != nil || name != "here" {
@@ -99,13 +99,13 @@
 		t.Errorf("read metadata %v and tags %v", s.Meta, s.Tags)
 	}
 	checkIsListed(t, client)
-	stranger := newClient(t, a, "")
-	if _, _, err := stranger.Health().Service("cache", "", false, nil); err == nil {
+	unauthorized := newClient(t, a, "")
+	if _, _, err := unauthorized.Health().Service("cache", "", false, nil); err == nil {
 		t.Error("a call without the token was answered")
 	}
 }
 
-// TestPublishedClientFollowsStatus guards guarantee 1 for blocking queries, TTL checks and maintenance.
+// TestPublishedClientFollowsStatus checks guarantee 1 for blocking queries, TTL checks and maintenance.
 func TestPublishedClientFollowsStatus(t *testing.T) {
 	_, _, client := startAgent(t, testToken)
 	agent := client.Agent()
@@ -152,7 +152,7 @@
 	}
 }
 
-// TestUnavailabilityIsRecordedWhenReported guards guarantee 2, by which fault tests measure drains.
+// TestUnavailabilityIsRecordedWhenReported checks guarantee 2, which fault tests use to measure drains.
 func TestUnavailabilityIsRecordedWhenReported(t *testing.T) {
 	c, a, client := startAgent(t, "")
 	query := func() {
--- a/internal/fake/consul/catalogue.go
+++ b/internal/fake/consul/catalogue.go
@@ -29,7 +29,7 @@
 
 // Instance is an instance of a service as agents register it.
 type Instance struct {
-	Node, NodeAddress string // of Consul's node, to which the instance belongs
+	Node, NodeAddress string // of the Consul node that the instance belongs to
 	Datacenter        string // "" means dc1
 	ID, Service       string
 	Address           string
@@ -39,12 +39,12 @@
 	Passing, Warning  float64 // weights; 0 means 1
 	Checks            []Check
 
-	created, modified uint64        // index of the change
+	created, modified uint64        // indexes of the first and the last change
 	ttl               time.Duration // of its TTL check, 0 without one
 	ttlTimer          *time.Timer   // sets the TTL check to critical
 }
 
-// instanceKey identifies an instance in a catalogue. Its order is the order of lists.
+// instanceKey identifies an instance in a catalogue. Lists of instances are sorted by it.
 type instanceKey string
 
 func newInstanceKey(node, id string) instanceKey { return instanceKey(node + "/" + id) }
@@ -62,7 +62,7 @@
 	return slices.ContainsFunc(i.Checks, func(c Check) bool { return c.CheckID == id })
 }
 
-// Catalogue is the state that agents answer from. It is safe for concurrent use.
+// Catalogue is the state that agents serve. It is safe for concurrent use.
 type Catalogue struct {
 	mu        sync.Mutex    // never held together with Agent.mu
 	changed   chan struct{} // closed at each change
@@ -94,7 +94,7 @@
 	c.put(i)
 }
 
-// put is Set. c.mu is held.
+// put implements Set. c.mu is held.
 func (c *Catalogue) put(i Instance) {
 	i.Datacenter = cmp.Or(i.Datacenter, defaultDatacenter)
 	i.Passing = cmp.Or(i.Passing, 1)
@@ -141,19 +141,19 @@
 	return true
 }
 
-// updateCheck is SetCheck with the notes for a check that is added. c.mu is held.
+// updateCheck implements SetCheck; a check that it adds gets the notes. c.mu is held.
 func (c *Catalogue) updateCheck(i *Instance, check, status, notes string) {
-	at := slices.IndexFunc(i.Checks, func(c Check) bool { return c.CheckID == check })
+	position := slices.IndexFunc(i.Checks, func(c Check) bool { return c.CheckID == check })
 	i.Checks = slices.Clone(i.Checks) // answers that are being written share the old slice
 	switch {
-	case at >= 0 && i.Checks[at].Status == status:
+	case position >= 0 && i.Checks[position].Status == status:
 		return
-	case status == "" && at >= 0:
-		i.Checks = slices.Delete(i.Checks, at, at+1)
+	case status == "" && position >= 0:
+		i.Checks = slices.Delete(i.Checks, position, position+1)
 	case status == "":
 		return
-	case at >= 0:
-		i.Checks[at].Status = status
+	case position >= 0:
+		i.Checks[position].Status = status
 	default:
 		i.Checks = append(i.Checks, Check{
 			Node:        i.Node,
@@ -168,10 +168,10 @@
 	i.modified = c.advance()
 }
 
-// SetMaintenance starts or ends the maintenance of an instance, as Consul does by a critical check. It reports whether
-// the instance exists.
+// SetMaintenance starts or ends the maintenance of an instance by adding or removing a critical check, as Consul does.
+// It reports whether the instance exists.
 //
-//revive:disable-next-line:flag-parameter it is a state to be set
+//revive:disable-next-line:flag-parameter the flag is the state to set
 func (c *Catalogue) SetMaintenance(node, id string, on bool, reason string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,7 +199,7 @@
 	return list
 }
 
-// ResetIndex makes the index start over, as in a cluster that was restored from a backup.
+// ResetIndex sets the index back to a low value, as in a cluster that was restored from a backup.
 func (c *Catalogue) ResetIndex() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,7 +207,7 @@
 	c.advance()
 }
 
-// restartTTL restarts the time after which a TTL check becomes critical. c.mu is held.
+// restartTTL restarts the timer that makes a TTL check critical. c.mu is held.
 func (c *Catalogue) restartTTL(i *Instance, check string) {
 	i.stopTTL()
 	i.ttlTimer = time.AfterFunc(i.ttl, func() {
--- a/internal/fake/consul/fault.go
+++ b/internal/fake/consul/fault.go
@@ -8,7 +8,7 @@
 // The kinds of faults.
 const (
 	NoFault       FaultKind = ""
-	NoResponse    FaultKind = "quiet"      // connections are accepted, but nothing is answered, nor pending queries
+	NoResponse    FaultKind = "quiet"      // connections are accepted, but no request is answered, pending or new
 	SlowBody      FaultKind = "slow"       // bodies arrive one byte at a time
 	EmptyList     FaultKind = "empty"      // lists are empty, without a sign of an error
 	ACLFiltered   FaultKind = "filtered"   // lists are empty, and a header says that ACLs filtered them
@@ -24,8 +24,8 @@
 	ZeroIndex     FaultKind = "noindex"    // the index is 0
 )
 
-// SetFault makes the agent fail in a way from now on, pending queries included. NoFault ends the present fault.
-// It counts as a change of the catalogue: a client ignores an answer whose index is the one that it already has.
+// SetFault replaces the agent's present fault, also for pending queries. NoFault ends it. The catalogue's index
+// advances, because a client ignores an answer whose index it already has.
 func (a *Agent) SetFault(kind FaultKind) {
 	a.catalogue.mu.Lock()
 	a.catalogue.advance()
@@ -67,7 +67,7 @@
 	})
 }
 
-// abortAfterSilence answers nothing while NoResponse lasts, and then ends the connection.
+// abortAfterSilence answers nothing until NoResponse ends or the client leaves, and then aborts the connection.
 func (a *Agent) abortAfterSilence(r *http.Request) {
 	for {
 		fault, changed := a.currentFault()
--- a/internal/fake/consul/health.go
+++ b/internal/fake/consul/health.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	defaultWait = 5 * time.Minute  // of a blocking query that names none
+	defaultWait = 5 * time.Minute  // of a blocking query that gives none
 	maxWait     = 10 * time.Minute // of a blocking query
 
 	slowByteInterval = 100 * time.Millisecond // between two bytes of SlowBody
@@ -42,7 +42,7 @@
 	Checks  []Check
 }
 
-// nodeAddress returns the address of Consul's node.
+// nodeAddress returns the address of the Consul node that the instance belongs to.
 func (i *Instance) nodeAddress() string { return cmp.Or(i.NodeAddress, "127.0.0.1") }
 
 func (i *Instance) health() healthJSON {
@@ -89,7 +89,7 @@
 		if fault == NoResponse {
 			return 0, false
 		}
-		// All other faults but SlowBody show at once.
+		// All other faults except SlowBody take effect without waiting for a change.
 		if known == 0 || now != known || fault != NoFault && fault != SlowBody {
 			return now, true
 		}
@@ -142,7 +142,8 @@
 	}
 }
 
-// healthList returns the instances of a service that match a query. It is not nil: null would not be a list.
+// healthList returns the instances of a service that match a query. It never returns nil, which would be encoded as
+// null instead of an empty list.
 func (a *Agent) healthList(service string, query url.Values, fault FaultKind) []healthJSON {
 	list := []healthJSON{}
 	if fault == EmptyList || fault == ACLFiltered {
@@ -159,7 +160,7 @@
 	return list
 }
 
-// matches reports whether the instance is in the datacenter, has the tag and the status that a query asks for.
+// matches reports whether the instance is in the datacenter and has the tag and the status that a query asks for.
 func (i *Instance) matches(query url.Values) bool {
 	if i.Datacenter != cmp.Or(query.Get("dc"), defaultDatacenter) {
 		return false
@@ -189,7 +190,7 @@
 	}
 }
 
-// writeHealthBody writes a list, with the fault if it is one of the body.
+// writeHealthBody writes the body of a list, and applies the fault if it affects bodies.
 func (a *Agent) writeHealthBody(w http.ResponseWriter, r *http.Request, body []byte, fault FaultKind) {
 	switch fault {
 	case MalformedBody:
@@ -202,7 +203,7 @@
 		if !writeSlowly(w, r, body) {
 			return
 		}
-		// Whoever has read the slow body to its end gets it once more, below.
+		// A client that has read the slow body to its end receives it a second time, below.
 	}
 	a.mu.Lock()
 	a.bytesWritten += int64(len(body))
@@ -241,7 +242,7 @@
 	fmt.Fprint(w, "]")
 }
 
-// recordReport records which instances a list that is about to be written reports as unavailable, or no longer names.
+// recordReport records which instances a list that is about to be written reports as unavailable or no longer contains.
 func (a *Agent) recordReport(list []healthJSON) {
 	now := time.Now()
 	a.mu.Lock()
--- a/internal/fake/consul/registration.go
+++ b/internal/fake/consul/registration.go
@@ -38,34 +38,34 @@
 	Check             *struct{ CheckID, Name, TTL, Status string }
 }
 
-// instance returns the instance to register, with its TTL check if there is one, and false if the TTL is invalid.
-func (in *registration) instance(node string) (i Instance, ok bool) {
+// instance returns the instance to register, with its TTL check if it has one. It returns false if the TTL is invalid.
+func (reg *registration) instance(node string) (i Instance, ok bool) {
 	i = Instance{
 		Node:    node,
-		ID:      cmp.Or(in.ID, in.Name),
-		Service: in.Name,
-		Address: in.Address,
-		Port:    in.Port,
-		Tags:    in.Tags,
-		Meta:    in.Meta,
+		ID:      cmp.Or(reg.ID, reg.Name),
+		Service: reg.Name,
+		Address: reg.Address,
+		Port:    reg.Port,
+		Tags:    reg.Tags,
+		Meta:    reg.Meta,
 	}
-	if in.Weights != nil {
-		i.Passing = in.Weights.Passing
-		i.Warning = in.Weights.Warning
+	if reg.Weights != nil {
+		i.Passing = reg.Weights.Passing
+		i.Warning = reg.Weights.Warning
 	}
-	if in.Check == nil {
+	if reg.Check == nil {
 		return i, true
 	}
-	ttl, err := time.ParseDuration(in.Check.TTL)
+	ttl, err := time.ParseDuration(reg.Check.TTL)
 	if err != nil || ttl <= 0 {
 		return i, false
 	}
 	i.ttl = ttl
 	i.Checks = []Check{{
 		Node:        node,
-		CheckID:     cmp.Or(in.Check.CheckID, "service:"+i.ID),
-		Name:        in.Check.Name,
-		Status:      cmp.Or(in.Check.Status, critical),
+		CheckID:     cmp.Or(reg.Check.CheckID, "service:"+i.ID),
+		Name:        reg.Check.Name,
+		Status:      cmp.Or(reg.Check.Status, critical),
 		ServiceID:   i.ID,
 		ServiceName: i.Service,
 		Type:        "ttl",
@@ -75,13 +75,13 @@
 
 // handleRegister answers /v1/agent/service/register.
 func (a *Agent) handleRegister(w http.ResponseWriter, r *http.Request) {
-	var in registration
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(&in)
-	if err != nil || in.Name == "" {
+	var reg registration
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(&reg)
+	if err != nil || reg.Name == "" {
 		http.Error(w, "Request decode failed", http.StatusBadRequest)
 		return
 	}
-	i, ok := in.instance(a.Node)
+	i, ok := reg.instance(a.Node)
 	if !ok {
 		http.Error(w, "Invalid check: TTL must be > 0 for TTL checks", http.StatusBadRequest)
 		return
@@ -139,7 +139,7 @@
 	http.Error(w, fmt.Sprintf(format, id), http.StatusNotFound)
 }
 
-// requestedStatus returns the status that a check is set to, and false if the request names none.
+// requestedStatus returns the status that a request sets a check to. It returns false if the request has no valid one.
 func requestedStatus(w http.ResponseWriter, r *http.Request) (status string, ok bool) {
 	switch r.PathValue("verb") {
 	case "pass":
--- a/internal/fake/endpointlist/changes.go
+++ b/internal/fake/endpointlist/changes.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Entry is a node's entry, as the platform's form has it.
+// Entry is a node's entry in the platform's format.
 type Entry struct {
 	Name          string  `json:"name"`
 	Address       string  `json:"address"`
@@ -26,7 +26,7 @@
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// maxLogLength bounds the changes that are retained for watches that continue; one from before them gets a snapshot.
+// maxLogLength is how many changes are retained for watches that resume. A watch from an earlier index gets a snapshot.
 const maxLogLength = 1024
 
 // Set publishes changes in one step: new entries, changed ones, or ones with the status removed.
--- a/internal/fake/endpointlist/notifications.go
+++ b/internal/fake/endpointlist/notifications.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// notifications is what one proxy has been notified of.
+// notifications records what one proxy has been notified of.
 type notifications struct {
 	known            map[string]bool      // nodes that it has been notified of
 	unavailableSince map[string]time.Time // by node, until it is notified that the node is up
@@ -12,8 +12,8 @@
 	return &notifications{known: make(map[string]bool), unavailableSince: make(map[string]time.Time)}
 }
 
-// DrainNotifiedAt returns when a proxy was notified that a node is draining or gone. It returns false if it was not, or
-// has been notified since that the node is up.
+// DrainNotifiedAt returns when a proxy was notified that a node is draining or gone. It returns false if the proxy was
+// not notified, or was notified later that the node is up.
 func (s *Service) DrainNotifiedAt(proxy int, node string) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,7 +26,7 @@
 }
 
 // recordNotification records what a proxy is about to be notified of. It must be called before the message is written,
-// so that a drain never counts from later than the proxy can know of it.
+// so that the recorded time of a drain is never later than the time at which the proxy learns of it.
 func (s *Service) recordNotification(proxy int, m *message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/endpointlist/service.go
+++ b/internal/fake/endpointlist/service.go
@@ -1,10 +1,10 @@
-// Package endpointlist is a fake of the service that gives proxies the list of nodes, in the platform's form: a list on
-// request, and watches that bring changes. It guarantees:
+// Package endpointlist is a fake of the service that gives proxies the list of nodes, in the platform's format: a list
+// on request, and watches that deliver changes. It guarantees:
 //
 //  1. It serves each proxy at an address of its own, so it knows when each was first notified that a node is draining
 //     or gone.
-//  2. A watch that continues from an index gets what changed since, or the complete list if the changes are no
-//     longer retained.
+//  2. A watch that resumes from an index gets the changes since then, or the complete list if these are no longer
+//     retained.
 //  3. A service that is down ends its watches and fails requests.
 //
 // A Service owns its listeners, HTTP servers and timers; [Service.Close] ends them and waits for the listeners.
@@ -20,7 +20,7 @@
 )
 
 const (
-	// retiredAddressLifetime is how long an address keeps its connections after a proxy was moved away from it.
+	// retiredAddressLifetime is how long the old address of a proxy keeps its open connections after Move.
 	retiredAddressLifetime = 1500 * time.Millisecond
 
 	headerTimeout = 5 * time.Second
@@ -40,7 +40,7 @@
 	log       []message // changes, oldest first
 	down      bool
 	listeners map[int]*proxyListener
-	retired   []*proxyListener // of proxies that were moved away, until they close
+	retired   []*proxyListener // listeners that Move has replaced, until they close
 	notified  map[int]*notifications
 	tasks     sync.WaitGroup
 	timers    map[*time.Timer]struct{}
@@ -127,7 +127,7 @@
 	return address, nil
 }
 
-// Close ends the service with all its addresses.
+// Close closes all addresses, stops the timers and waits for the listeners' goroutines.
 func (s *Service) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -147,7 +147,7 @@
 	s.tasks.Wait()
 }
 
-// SetDown takes the service down, which ends watches and fails requests, or up again.
+// SetDown takes the service down, which ends watches and fails requests, or brings it up again.
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/endpointlist/service_test.go
+++ b/internal/fake/endpointlist/service_test.go
@@ -31,8 +31,8 @@
 	return []Entry{{Name: "a", Address: "127.0.0.1:1", Status: "up"}, {Name: "b", Address: "127.0.0.1:2", Status: "up"}}
 }
 
-// TestWatchNotifiesOfDrainAndRecordsWhen guards guarantee 1, by which fault tests check that draining nodes
-// get no new requests.
+// TestWatchNotifiesOfDrainAndRecordsWhen checks guarantee 1, which fault tests use to check that draining nodes get no
+// new requests.
 func TestWatchNotifiesOfDrainAndRecordsWhen(t *testing.T) {
 	s := New(entries())
 	defer s.Close()
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestAbsenceFromSnapshotCountsAsNotified guards guarantee 1 for a node that was removed while a proxy was not
+// TestAbsenceFromSnapshotCountsAsNotified checks guarantee 1 for a node that was removed while a proxy was not
 // watching: a complete list without the node is a notification.
 func TestAbsenceFromSnapshotCountsAsNotified(t *testing.T) {
 	s := New(entries())
--- a/internal/fake/endpointlist/watch.go
+++ b/internal/fake/endpointlist/watch.go
@@ -12,7 +12,7 @@
 // keepAliveInterval is the time without changes after which a watch sends an empty line.
 const keepAliveInterval = 2 * time.Second
 
-// serve answers a proxy with the list or the changes since an index, and goes on with later changes if it watches.
+// serve answers a proxy with the list or the changes since an index. If the proxy watches, later changes follow.
 func (s *Service) serve(proxy int, l *proxyListener, w http.ResponseWriter, r *http.Request) {
 	index, err := strconv.ParseUint(r.FormValue("from"), 10, 64)
 	if r.URL.Path != "/api/targets" || r.FormValue("from") != "" && err != nil {
@@ -50,14 +50,14 @@
 	}
 }
 
-// send writes a message, with the addresses that the proxy reaches the nodes at.
+// send writes a message, with the addresses at which the proxy reaches the nodes.
 func (s *Service) send(proxy int, m message, out *json.Encoder) error {
 	if m.Endpoints == nil {
 		m.Endpoints = []Entry{} // nil would be encoded as null, which is not a list
 	}
 	s.recordNotification(proxy, &m)
 	if s.AddressFor != nil {
-		m.Endpoints = slices.Clone(m.Endpoints) // the log shares the entries and keeps the nodes' own addresses
+		m.Endpoints = slices.Clone(m.Endpoints) // the log shares the entries and must keep the nodes' own addresses
 		for i := range m.Endpoints {
 			m.Endpoints[i].Address = s.AddressFor(proxy, &m.Endpoints[i])
 		}
--- a/internal/fake/faultyproxy/connection.go
+++ b/internal/fake/faultyproxy/connection.go
@@ -14,7 +14,7 @@
 
 const (
 	upstreamDialTimeout = time.Second
-	minUpstreamTimeout  = 100 * time.Millisecond // for a request whose own time is shorter
+	minUpstreamTimeout  = 100 * time.Millisecond // for a request whose timeout is shorter
 )
 
 // serve answers the requests of a client connection.
@@ -70,7 +70,7 @@
 	return command, body, err
 }
 
-// applyFault returns the answer to send, "" for none, and repeats a write if that is the fault.
+// applyFault returns the answer to send, "" for none, and starts the repetition of a write for DuplicateWrite.
 func (p *Proxy) applyFault(answer string, command *meta.Command, body []byte) string {
 	isStored := command.Verb == request.Set && strings.HasPrefix(answer, "HD")
 	switch {
@@ -84,7 +84,7 @@
 	return answer
 }
 
-// repeatAfterWindow sends a write again when the nodes no longer drop it as repeated.
+// repeatAfterWindow sends a write again after the deduplication window, when the nodes execute it once more.
 func (p *Proxy) repeatAfterWindow(command *meta.Command, body []byte) {
 	time.Sleep(p.config.Window + p.config.Window/5)
 	nodes := make(nodeConnections)
@@ -120,8 +120,8 @@
 	}
 }
 
-// exchange sends a request to a node and returns the answer for the client. A read is sent again if a connection that
-// was open before turns out to be closed.
+// exchange sends a request to a node and returns the answer for the client. A read that fails on a reused connection is
+// sent again on a new one.
 func (n nodeConnections) exchange(address string, command *meta.Command, body []byte) string {
 	for {
 		connection, reused := n[address]
--- a/internal/fake/faultyproxy/proxy.go
+++ b/internal/fake/faultyproxy/proxy.go
@@ -1,8 +1,7 @@
-// Package faultyproxy is a fake proxy with a planted defect, by which it is shown that the fault tests find such a
-// defect. It is not a model for a proxy: it sends each request to one node, and has no admission, retry or health
-// checks.
+// Package faultyproxy is a fake proxy with a deliberate defect that the fault tests must detect. It is not a model for
+// a proxy: it sends each request to one node, and has no admission, retry or health checks.
 //
-// [Serve] owns all goroutines of a proxy, and returns after they have ended.
+// [Serve] starts all goroutines of a proxy, and returns after they have ended.
 package faultyproxy
 
 import (
@@ -38,7 +37,7 @@
 	watchRetryDelay = 100 * time.Millisecond
 )
 
-// Config says what to run.
+// Config configures a proxy.
 type Config struct {
 	Listener    net.Listener
 	ListAddress string // of the endpoint list service
@@ -50,7 +49,7 @@
 // endpoint is an entry of the endpoint list.
 type endpoint struct {
 	Name, Address, Status string
-	since                 time.Time // when it got its status
+	since                 time.Time // when the proxy learned of this status
 }
 
 // Proxy is a running proxy.
@@ -98,7 +97,7 @@
 	}
 }
 
-// close closes the listener and idle connections. The others close after their answers.
+// close closes the listener and idle connections. The others are closed after their answers.
 func (p *Proxy) close() {
 	p.config.Listener.Close()
 	p.mu.Lock()
@@ -124,7 +123,7 @@
 	}
 }
 
-// watchOnce follows the endpoint list until the connection ends. It returns an error if there is none.
+// watchOnce follows the endpoint list until the connection ends. It returns an error if it cannot connect.
 func (p *Proxy) watchOnce(ctx context.Context, ready func()) error {
 	url := fmt.Sprintf("http://%s/api/targets?watch=1&from=0", p.config.ListAddress)
 	get, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -162,7 +161,7 @@
 	}
 }
 
-// isDue reports whether the fault affects this one of the eligible requests.
+// isDue counts an eligible request, and reports whether the fault affects it.
 func (p *Proxy) isDue() bool {
 	return p.eligible.Add(1)%int64(max(p.config.OneIn, 1)) == 0
 }
--- a/internal/fake/node/cache.go
+++ b/internal/fake/node/cache.go
@@ -13,13 +13,13 @@
 	return &cache{capacity: capacity, elements: make(map[string]*list.Element)}
 }
 
-// contains reports whether a key is cached.
+// contains reports whether a key is cached, without marking it as used.
 func (c *cache) contains(key string) bool {
 	_, ok := c.elements[key]
 	return ok
 }
 
-// touch reports whether a key is cached, and marks it as just used.
+// touch reports whether a key is cached, and marks it as the most recently used.
 func (c *cache) touch(key string) bool {
 	e := c.elements[key]
 	if e != nil {
--- a/internal/fake/node/connection.go
+++ b/internal/fake/node/connection.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxPipelined   = 256     // requests of one connection that are not answered yet
+	maxPipelined   = 256     // unanswered requests of one connection
 	readBufferSize = 4 << 10 // bytes
 )
 
@@ -21,7 +21,7 @@
 	closed  bool
 }
 
-// reset breaks the connection. Node.mu is held.
+// reset closes the connection with a TCP reset; pending requests are not answered. Node.mu is held.
 func (c *connection) reset() {
 	c.closed = true
 	c.socket.SetLinger(0)
@@ -30,7 +30,7 @@
 	c.node.silenceChanged.Broadcast()
 }
 
-// read takes requests until the connection ends.
+// read reads requests until the connection ends.
 func (c *connection) read() {
 	in := bufio.NewReaderSize(c.socket, readBufferSize)
 	for c.readRequest(in) {
@@ -38,7 +38,7 @@
 	c.finish()
 }
 
-// readRequest takes one request, and returns false if none can follow.
+// readRequest reads one request, and returns false if no further one can be read.
 func (c *connection) readRequest(in *bufio.Reader) bool {
 	n := c.node
 	c.socket.SetReadDeadline(time.Now().Add(n.config.IdleTimeout))
@@ -62,8 +62,8 @@
 	return c.enqueue(r, arrived) && err == nil
 }
 
-// enqueue waits until the connection may have one more request in flight, and admits it. It returns false if the
-// connection closes meanwhile.
+// enqueue waits until the connection has fewer than maxPipelined unanswered requests, and then admits the request. It
+// returns false if the connection closes first.
 func (c *connection) enqueue(r *pendingRequest, arrived time.Time) bool {
 	n := c.node
 	n.mu.Lock()
@@ -82,7 +82,7 @@
 	return true
 }
 
-// finish closes the connection once all requests are answered: the client may only have stopped sending.
+// finish closes the connection once all requests are answered, as a client that has stopped sending may still read.
 func (c *connection) finish() {
 	n := c.node
 	n.mu.Lock()
--- a/internal/fake/node/dialect.go
+++ b/internal/fake/node/dialect.go
@@ -12,7 +12,7 @@
 	"mulleinpier/internal/request"
 )
 
-// cacheFlag tells in a value's first line whether it came from the cache.
+// cacheFlag is the flag in the first line of a value that says whether it came from the cache.
 type cacheFlag string
 
 const (
@@ -30,8 +30,8 @@
 	cache cacheFlag // of a value
 }
 
-// readMeta reads a request of the meta protocol. It returns false at the end of the connection. What cannot be parsed
-// gets an answer and returns an error, because the position in the stream may be lost.
+// readMeta reads a request of the meta protocol. It returns false if the connection ends first. For a line that cannot
+// be parsed, it sets the answer and returns an error, because the start of the next request is unknown.
 func (n *Node) readMeta(in *bufio.Reader, r *pendingRequest) (complete bool, err error) {
 	line, err := in.ReadSlice('\n')
 	if err != nil {
@@ -59,8 +59,8 @@
 	return true, err
 }
 
-// cutClientFlags takes the flag F off a line. Proxies send it to nodes, but meta.ParseCommand, which reads what
-// clients send to proxies, does not accept it.
+// cutClientFlags removes the flag F from a line and returns its value. Proxies send it to nodes, but meta.ParseCommand,
+// which reads what clients send to proxies, does not accept it.
 func cutClientFlags(line string) (rest string, clientFlags uint32) {
 	at := strings.LastIndex(line, " F")
 	if at <= 0 {
@@ -73,7 +73,8 @@
 	return line[:at], uint32(value)
 }
 
-// readBinary reads a request of the binary protocol, with the results of readMeta.
+// readBinary reads a request of the binary protocol. It returns false if the connection ends first or the header cannot
+// be parsed.
 func (n *Node) readBinary(in *bufio.Reader, r *pendingRequest) (complete bool, err error) {
 	encoded, err := in.Peek(binary.HeaderLen)
 	if err != nil {
@@ -110,13 +111,13 @@
 func (n *Node) valueOutcome(r *pendingRequest, cache cacheFlag) outcome {
 	n.serial++
 	text := fmt.Sprintf("%s %s %d ", r.command.Key, n.config.Name, n.serial)
-	if missing := n.config.ValueSize - len(text); missing > 0 {
-		text += strings.Repeat(".", missing)
+	if padding := n.config.ValueSize - len(text); padding > 0 {
+		text += strings.Repeat(".", padding)
 	}
 	return outcome{kind: request.Value, text: text, cache: cache}
 }
 
-// receipt returns the receipt of a write: a number in the binary protocol, which has room for no more.
+// receipt returns the receipt of a write. In the binary protocol it is a number, because it is sent as the CAS.
 func (n *Node) receipt(r *pendingRequest) string {
 	if !n.config.Binary {
 		return n.Name() + "." + r.command.ID
@@ -172,7 +173,7 @@
 	}
 }
 
-// malformedAnswer returns what a client cannot parse as an answer.
+// malformedAnswer returns an answer that a client cannot parse.
 func (n *Node) malformedAnswer(r *pendingRequest) []byte {
 	if n.config.Binary {
 		header := binary.Header{
@@ -186,7 +187,8 @@
 	return fmt.Appendf(nil, "VA %d O%s\r\n\x00noise", malformedLength, r.command.ID)
 }
 
-// loadReport returns the part of a first line that reports the node's load. n.mu is held.
+// loadReport returns the part of an answer's first line that reports the node's load, "" if the node reports none.
+// n.mu is held.
 func (n *Node) loadReport() string {
 	if !n.config.ReportLoad {
 		return ""
--- a/internal/fake/node/execution.go
+++ b/internal/fake/node/execution.go
@@ -15,11 +15,11 @@
 	command    meta.Command
 	header     binary.Header // of the request in the binary protocol
 	answer     []byte        // nil until there is one
-	fault      FaultKind     // that affects this request
+	fault      FaultKind     // the fault that affects this request
 	deadline   time.Time     // after which the client no longer waits
 }
 
-// noDeadline stands for a deadline that the client did not set.
+// noDeadline is the timeout of a request whose client set none.
 const noDeadline = time.Hour
 
 // admit queues a request or rejects it. n.mu is held.
@@ -42,7 +42,7 @@
 	n.startQueued()
 }
 
-// reject answers that the request has not been executed. n.mu is held.
+// reject answers that the node is busy and has not executed the request. n.mu is held.
 func (n *Node) reject(r *pendingRequest) {
 	n.stats.Busy++
 	n.reply(r, outcome{kind: request.Busy})
@@ -95,8 +95,8 @@
 	}
 }
 
-// executeWrite writes to the origin, unless the idempotency key of the write has been executed already. n.mu is held,
-// and released meanwhile.
+// executeWrite writes to the origin, unless a write with the same idempotency key has been executed or is in progress.
+// n.mu is held, and released while the group and the origin are called.
 func (n *Node) executeWrite(r *pendingRequest) {
 	n.stats.Writes++
 	first := false
@@ -107,7 +107,7 @@
 	finish := func(receipt string, err error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if err != nil { // the origin has not started it
+		if err != nil { // the origin did not start the write
 			n.reply(r, outcome{kind: request.Busy})
 			return
 		}
@@ -140,7 +140,7 @@
 	})
 }
 
-// fetch reads a key from the origin and caches it. n.mu is held, and released meanwhile.
+// fetch reads a key from the origin and caches it. n.mu is held, and released while the origin is called.
 func (n *Node) fetch(r *pendingRequest) {
 	key := r.command.Key
 	n.stats.Misses++
@@ -164,7 +164,7 @@
 	n.mu.Lock()
 }
 
-// reply answers a request, with the fault that affects it. n.mu is held.
+// reply answers a request, and applies Garbage or Late if one of these affects it. n.mu is held.
 func (n *Node) reply(r *pendingRequest, result outcome) {
 	answer := n.encode(r, result)
 	deliver := func() {
--- a/internal/fake/node/fault.go
+++ b/internal/fake/node/fault.go
@@ -26,14 +26,14 @@
 // Faults lists all kinds of faults.
 var Faults = []FaultKind{NoFault, Stall, Reset, Late, Busy, Garbage, ProcessDown, MachineDown}
 
-// Fault is a kind of fault and which requests it affects.
+// Fault is a fault of a node and the share of requests that it affects. The zero value is no fault.
 type Fault struct {
 	Kind  FaultKind
 	OneIn int           // Reset, Late, Busy and Garbage affect one request in this many; 0 and 1 mean all
 	Delay time.Duration // of Late
 }
 
-// ParseFault returns the kind of fault with a name.
+// ParseFault returns the kind of fault with the given name, or an error if there is none.
 func ParseFault(name string) (FaultKind, error) {
 	kind := FaultKind(name)
 	if !slices.Contains(Faults, kind) {
@@ -47,7 +47,8 @@
 	return k == Reset || k == Late || k == Busy || k == Garbage
 }
 
-// SetFault makes the node fail in a way from now on. The zero Fault ends the present fault.
+// SetFault replaces the node's present fault. The zero Fault ends it. An error means that the listener could not be
+// opened or its backlog could not be filled.
 func (n *Node) SetFault(f Fault) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,7 +76,7 @@
 	return !n.closed && (n.fault.Kind == Stall || n.fault.Kind == MachineDown)
 }
 
-// nextFault returns the fault that affects the next request, NoFault for none. n.mu is held.
+// nextFault counts a request and returns the fault that affects it, or NoFault. n.mu is held.
 func (n *Node) nextFault() FaultKind {
 	if !n.fault.Kind.affectsSingleRequests() {
 		return NoFault
--- a/internal/fake/node/group.go
+++ b/internal/fake/node/group.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Group is what the nodes of a fleet share: the record of executed idempotency keys, by which they drop repeated
-// writes, and the invalidation of cached copies after a write. It is safe for concurrent use.
+// Group is the state that the nodes of a fleet share. It records executed idempotency keys, so that the nodes drop
+// repeated writes, and invalidates the nodes' cached copies after a write. It is safe for concurrent use.
 type Group struct {
 	window time.Duration
 
@@ -16,7 +16,7 @@
 	order      []string              // keys of executions, oldest first
 }
 
-// writeDone receives the receipt of a write, or the error by which it had no effect.
+// writeDone receives the receipt of a write, or an error if the write had no effect.
 type writeDone func(receipt string, err error)
 
 // execution is the first write with an idempotency key.
@@ -24,10 +24,10 @@
 	startedAt time.Time
 	complete  bool
 	receipt   string
-	waiting   []writeDone // of the writes with this key, until it is complete
+	waiting   []writeDone // callbacks of all writes with this key, called on completion
 }
 
-// maxExecutions bounds the record of executed keys, however long the window is.
+// maxExecutions is the most executed keys that are recorded. Beyond it the oldest are removed even within the window.
 const maxExecutions = 1 << 16
 
 // NewGroup returns a group that drops repeats of an idempotency key until window has passed since its first execution
@@ -36,12 +36,12 @@
 	return &Group{window: window, executions: make(map[string]*execution)}
 }
 
-// executeOnce calls write only for the first of the writes with a key in the window, and done with its receipt for
-// each of them. A write that failed had no effect and is forgotten: the next one with the key is the first again.
+// executeOnce calls write only for the first write with a key within the window, and done with its receipt for each
+// write with the key. A failed write had no effect and is not recorded: the next write with the key is executed.
 func (g *Group) executeOnce(key string, write func(writeDone), done writeDone) {
 	now := time.Now()
 	g.mu.Lock()
-	g.forgetExpired(now)
+	g.removeExpired(now)
 	if e := g.executions[key]; e != nil {
 		if e.complete {
 			g.mu.Unlock()
@@ -59,8 +59,8 @@
 	write(func(receipt string, err error) { g.complete(key, e, receipt, err) })
 }
 
-// forgetExpired removes keys that are older than the window or too many. g.mu is held.
-func (g *Group) forgetExpired(now time.Time) {
+// removeExpired removes keys that are older than the window, and the oldest ones if the record is full. g.mu is held.
+func (g *Group) removeExpired(now time.Time) {
 	for len(g.order) > 0 {
 		oldest := g.executions[g.order[0]]
 		if oldest != nil && now.Sub(oldest.startedAt) < g.window && len(g.order) < maxExecutions {
--- a/internal/fake/node/node.go
+++ b/internal/fake/node/node.go
@@ -5,11 +5,12 @@
 //  2. Within a [Group], writes with the same idempotency key are executed once per deduplication window.
 //  3. A node that starts cold has a reduced capacity until it is warm. If it is sent far more than that, it
 //     collapses: it rejects all requests until it is restarted.
-//  4. It fails on demand in the ways of [Fault], as a client sees them at its socket.
+//  4. It simulates the faults of [Fault] on demand, as a client sees them on its socket.
 //
 // It does not store what clients write: the value of a read names the key, the node and a serial number.
 //
-// A node owns its listener, its connections and two goroutines per connection; [Node.Close] waits for these.
+// A node owns its listener and connections, with one goroutine per listener and two per connection; [Node.Close] waits
+// for these.
 package node
 
 import (
@@ -22,34 +23,35 @@
 	"mulleinpier/internal/fake/origin"
 )
 
-// Config says what a node is and what its limits are. A field that is 0 takes the default named at it.
+// Config configures a node and its limits. A field that is 0 takes the default that its comment states.
 type Config struct {
 	Name             string
 	Slots            int           // requests executed at the same time; default 8
 	Queue            int           // requests that may wait for a slot; default 64
 	ServiceTime      time.Duration // mean execution time of a request, varied by a quarter; default none
 	Capacity         int           // keys in the cache; default 4096
-	MaxConns         int           // open connections, further ones are reset; default 64
-	IdleTimeout      time.Duration // after which a connection is closed; default 15 s
+	MaxConns         int           // open connections; further ones are reset; default 64
+	IdleTimeout      time.Duration // after which an idle connection is closed; default 15 s
 	ValueSize        int           // bytes to which the value of a read is padded; default 64
-	ReportLoad       bool          // answers carry a load report
-	Binary           bool          // the node speaks only the binary protocol, otherwise only meta
+	ReportLoad       bool          // successful answers in the meta protocol carry a load report
+	Binary           bool          // the node speaks only the binary protocol; otherwise only meta
 	MissingKeyPrefix string        // keys with this prefix do not exist at the origin; "" for none
-	// LedgerByValue has the origin's ledger identify writes by their values instead of their idempotency keys. Fault
-	// tests whose clients write each value once see a repeated write by it, whatever idempotency key it came with.
+	// LedgerByValue makes the origin's ledger identify writes by their values instead of their idempotency keys. Fault
+	// tests whose clients write each value only once then detect a repeated write even under another idempotency key.
 	LedgerByValue bool
 
 	Cold               bool          // the node starts now, with an empty cache and reduced capacity
 	ColdCapacityShare  float64       // share of the capacity at the start; default 0.3
 	WarmUpTime         time.Duration // from the start to full capacity; default 8.6 s
-	CollapseLoadFactor float64       // multiple of the capacity that makes it collapse; default 3
-	CollapseTime       time.Duration // window in which the load is measured for that; default 2 s
+	CollapseLoadFactor float64       // load, as a multiple of the capacity, above which it collapses; default 3
+	CollapseTime       time.Duration // window over which that load is measured; default 2 s
 
 	Seed   uint64
 	Origin *origin.Origin // required
 	Group  *Group         // required
-	// OnRequest, if set, is called with each request: its id ("" in the binary protocol, which has none), its value,
-	// and when its first byte arrived.
+	// OnRequest, if set, is called for each valid read and write with the node's name, the request's id ("" in the
+	// binary protocol, which has none), its value, and the time when its first byte arrived. Calls for different
+	// connections may be concurrent.
 	OnRequest func(node, id, value string, at time.Time)
 }
 
@@ -92,15 +94,15 @@
 	Hits      int
 	Misses    int
 	Writes    int // including Repeats
-	Repeats   int // writes dropped because their idempotency key had been executed
+	Repeats   int // writes that were dropped as repeats of an idempotency key
 	Busy      int // rejected requests
 	Conns     int // open now
 	MaxConns  int // most that were open at the same time
 	Collapsed bool
 }
 
-// host is a loopback address that no connection goes out from, so that the port of a node that is down cannot be
-// taken by an outgoing connection.
+// host is a loopback address that is not used for outgoing connections: otherwise one of these could take the port of
+// a node that is down.
 const host = "127.0.0.2"
 
 // Node is a running fake node. It is safe for concurrent use.
@@ -112,7 +114,7 @@
 	silenceChanged sync.Cond // signalled when isSilent may have changed or a connection has closed
 	rng            *rand.Rand
 	cache          *cache
-	startedAt      time.Time // zero for a node that has always been warm
+	startedAt      time.Time // zero for a node that started warm and was never restarted
 	draining       bool
 	fault          Fault
 	faultEligible  int // requests since the fault was set, for Fault.OneIn
@@ -122,7 +124,7 @@
 	running        int // requests being executed
 	queue          []*pendingRequest
 	fetching       int         // reads waiting for the origin
-	arrivals       []time.Time // of the last CollapseTime, while warming up
+	arrivals       []time.Time // times of the requests within the last CollapseTime, while warming up
 	stats          Stats
 	serial         int // number of values and of binary receipts issued
 	closed         bool
@@ -162,7 +164,7 @@
 // Address returns the address at which the node listens. A restart does not change it.
 func (n *Node) Address() string { return n.address }
 
-// Started returns the time of the last start, zero for a node that has always been warm.
+// Started returns the time of the last start, or the zero time if the node started warm and was never restarted.
 func (n *Node) Started() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -239,7 +241,7 @@
 	n.tasks.Wait()
 }
 
-// shutDown closes the listener, resets all connections and forgets the queue. n.mu is held.
+// shutDown closes the listener, resets all connections and discards the queue. n.mu is held.
 func (n *Node) shutDown() {
 	if n.listener != nil {
 		n.listener.Close()
@@ -252,10 +254,10 @@
 	n.queue = nil
 }
 
-// Restart restarts the node at its address, cold and with an empty cache. Faults and draining end.
+// Restart restarts the node at its address, cold and with an empty cache. Its fault, draining and collapse end.
 func (n *Node) Restart() error { return n.RestartAs("") }
 
-// RestartAs is Restart with another name, as if a different node had taken over the address. "" keeps the name.
+// RestartAs is like Restart, but changes the name, as if another node had taken over the address. "" keeps the name.
 func (n *Node) RestartAs(name string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/node/node_test.go
+++ b/internal/fake/node/node_test.go
@@ -71,7 +71,7 @@
 	return line
 }
 
-// isSilent reports whether nothing arrives for a while.
+// isSilent reports whether the client receives nothing for 100 ms.
 func (c *testClient) isSilent() bool {
 	c.socket.SetDeadline(time.Now().Add(100 * time.Millisecond))
 	_, err := c.in.Peek(1)
@@ -81,11 +81,11 @@
 
 func TestReadThroughCachesValue(t *testing.T) {
 	n, o := startNode(t, Config{Name: "n", ReportLoad: true})
-	p := dial(t, n)
+	client := dial(t, n)
 	for i, flag := range []string{"h0", "h1", "h1"} {
-		p.send("mg k v O%d Pc=read,d=1000\r\n", i)
-		head := fmt.Sprintf(" O%d %s Linflight=", i, flag)
-		if got := p.answer(); !strings.Contains(got, head) || !strings.Contains(got, "\r\nk n ") {
+		client.send("mg k v O%d Pc=read,d=1000\r\n", i)
+		firstLine := fmt.Sprintf(" O%d %s Linflight=", i, flag)
+		if got := client.answer(); !strings.Contains(got, firstLine) || !strings.Contains(got, "\r\nk n ") {
 			t.Errorf("answered %q, want %s", got, flag)
 		}
 	}
@@ -94,19 +94,19 @@
 	}
 }
 
-// TestGroupDropsRepeatedWrites guards guarantee 2, and that a write invalidates the copies that other nodes have
-// cached.
+// TestGroupDropsRepeatedWrites checks guarantee 2 of the package, and that a write invalidates the copies that other
+// nodes have cached.
 func TestGroupDropsRepeatedWrites(t *testing.T) {
 	group := NewGroup(time.Hour)
 	a, o := startNode(t, Config{Name: "a", Group: group})
 	b, _ := startNode(t, Config{Name: "b", Group: group, Origin: o})
-	pa, pb := dial(t, a), dial(t, b)
-	pb.send("mg k v O1 Pc=read\r\n")
-	pb.answer()
-	pa.send("ms k 2 O2 Pc=write,k=x\r\nhi\r\n")
-	first := pa.answer()
-	pb.send("ms k 2 O3 Pc=write,k=x\r\nhi\r\n")
-	second := pb.answer()
+	clientA, clientB := dial(t, a), dial(t, b)
+	clientB.send("mg k v O1 Pc=read\r\n")
+	clientB.answer()
+	clientA.send("ms k 2 O2 Pc=write,k=x\r\nhi\r\n")
+	first := clientA.answer()
+	clientB.send("ms k 2 O3 Pc=write,k=x\r\nhi\r\n")
+	second := clientB.answer()
 	if _, receipt, ok := strings.Cut(first, " c"); !ok || second != "HD O3 c"+receipt {
 		t.Errorf("the repeat was answered %q after %q", second, first)
 	}
@@ -118,13 +118,14 @@
 	}
 }
 
-// TestRepeatAfterWindowIsExecuted guards against a fake that hides a proxy's retry after the end of the window.
+// TestRepeatAfterWindowIsExecuted guards against a node that drops a repeated write after the deduplication window:
+// fault tests would then miss a proxy that retries too late.
 func TestRepeatAfterWindowIsExecuted(t *testing.T) {
 	n, o := startNode(t, Config{Group: NewGroup(time.Nanosecond)})
-	p := dial(t, n)
+	client := dial(t, n)
 	for i := range 2 {
-		p.send("ms k 2 O%d Pc=write,k=x\r\nhi\r\n", i)
-		p.answer()
+		client.send("ms k 2 O%d Pc=write,k=x\r\nhi\r\n", i)
+		client.answer()
 	}
 	if o.EffectCount("k", "x") != 2 {
 		t.Errorf("executed %d times, want 2", o.EffectCount("k", "x"))
@@ -133,7 +134,7 @@
 
 const lateDelay = 50 * time.Millisecond
 
-// faultChecks check what a client sees of each fault. The client sent a request after the fault was set.
+// faultChecks check what a client sees that sent a request after the fault was set.
 var faultChecks = map[FaultKind]func(t *testing.T, n *Node, c *testClient){
 	NoFault: func(t *testing.T, _ *Node, c *testClient) {
 		if got := c.answer(); !strings.HasPrefix(got, "VA ") {
@@ -190,8 +191,8 @@
 	},
 }
 
-// TestFaultIsVisibleToClient guards guarantee 4: a client sees each fault as what it stands for, and the node works
-// again when the fault ends.
+// TestFaultIsVisibleToClient checks guarantee 4: a client sees the effect of each fault, and the node works again when
+// the fault ends.
 func TestFaultIsVisibleToClient(t *testing.T) {
 	for _, kind := range Faults {
 		t.Run("fault "+string(kind), func(t *testing.T) {
@@ -221,15 +222,15 @@
 	}
 }
 
-// TestFaultAffectsOneRequestInN guards the share of failing requests that fault tests rely on.
+// TestFaultAffectsOneRequestInN checks that OneIn sets the share of affected requests, which fault tests rely on.
 func TestFaultAffectsOneRequestInN(t *testing.T) {
 	n, _ := startNode(t, Config{})
 	n.SetFault(Fault{Kind: Busy, OneIn: 3})
-	p := dial(t, n)
+	client := dial(t, n)
 	busy := 0
 	for i := range 12 {
-		p.send("mg k v O%d Pc=read\r\n", i)
-		if p.answer() == "SERVER_ERROR busy\r\n" {
+		client.send("mg k v O%d Pc=read\r\n", i)
+		if client.answer() == "SERVER_ERROR busy\r\n" {
 			busy++
 		}
 	}
@@ -238,12 +239,12 @@
 	}
 }
 
-// TestQueueConnectionsAndCacheAreBounded guards guarantee 1.
+// TestQueueConnectionsAndCacheAreBounded checks guarantee 1.
 func TestQueueConnectionsAndCacheAreBounded(t *testing.T) {
 	n, _ := startNode(t, Config{Slots: 1, Queue: 2, ServiceTime: time.Hour, MaxConns: 1})
-	p := dial(t, n)
+	client := dial(t, n)
 	for i := range 5 {
-		p.send("mg k v O%d Pc=read\r\n", i)
+		client.send("mg k v O%d Pc=read\r\n", i)
 	}
 	testutil.WaitUntil(t, "two requests to be rejected", func() bool { return n.Stats().Busy == 2 })
 	if socket, err := net.Dial("tcp", n.Address()); err == nil { // otherwise it was reset while being set up
@@ -262,7 +263,7 @@
 	}
 }
 
-// TestColdNodeCollapsesUnderOverload guards guarantee 3. Fault tests see by it whether a proxy overloads a cold node.
+// TestColdNodeCollapsesUnderOverload checks guarantee 3, which shows fault tests whether a proxy overloads a cold node.
 func TestColdNodeCollapsesUnderOverload(t *testing.T) {
 	c := Config{
 		Slots:              2,
@@ -272,18 +273,18 @@
 		ColdCapacityShare:  0.1,
 		WarmUpTime:         time.Hour,
 		CollapseTime:       time.Hour,
-		CollapseLoadFactor: 0.001, // of what it can execute in the hour: 7.2 requests
+		CollapseLoadFactor: 0.001, // of the 7200 requests that it can execute in an hour: 7.2 requests
 	}
 	n, _ := startNode(t, c)
-	p := dial(t, n)
+	client := dial(t, n)
 	for i := range 7 {
-		p.send("mg k v O%d Pc=read\r\n", i)
+		client.send("mg k v O%d Pc=read\r\n", i)
 	}
 	testutil.WaitUntil(t, "seven requests to arrive", func() bool { return n.Stats().Requests == 7 })
 	if n.Stats().Collapsed {
-		t.Fatal("it collapsed under a load that it withstands")
+		t.Fatal("the node collapsed under a load below the limit")
 	}
-	p.send("mg k v O8 Pc=read\r\n")
+	client.send("mg k v O8 Pc=read\r\n")
 	testutil.WaitUntil(t, "the node to collapse", func() bool { return n.Stats().Collapsed })
 	if err := n.Restart(); err != nil {
 		t.Fatal(err)
@@ -296,47 +297,48 @@
 func TestDrainingNodeRejectsRequests(t *testing.T) {
 	n, _ := startNode(t, Config{})
 	n.SetDraining(true)
-	p := dial(t, n)
-	p.send("mg k v O1 Pc=read\r\n")
-	if got := p.answer(); got != "SERVER_ERROR busy\r\n" {
+	client := dial(t, n)
+	client.send("mg k v O1 Pc=read\r\n")
+	if got := client.answer(); got != "SERVER_ERROR busy\r\n" {
 		t.Errorf("answered %q", got)
 	}
 }
 
-// TestBinaryNodeSpeaksOnlyBinary guards the binary protocol: reads, writes, misses, rejections and malformed answers.
+// TestBinaryNodeSpeaksOnlyBinary checks reads, writes, misses, rejections and malformed answers in the binary protocol,
+// and that a meta command gets no answer.
 func TestBinaryNodeSpeaksOnlyBinary(t *testing.T) {
 	n, o := startNode(t, Config{Name: "b", Binary: true, MissingKeyPrefix: "none", LedgerByValue: true})
-	p := dial(t, n)
+	client := dial(t, n)
 	next := func(status binary.Status) rawclient.Response {
 		t.Helper()
-		r, err := rawclient.ReadResponse(p.in)
+		r, err := rawclient.ReadResponse(client.in)
 		if err != nil || r.Status != status || r.Opaque != 5 {
 			t.Fatalf("%+v, %v, want status %#x", r, err, status)
 		}
 		return r
 	}
-	p.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "k", 5))
+	client.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "k", 5))
 	if r := next(binary.OK); !strings.HasPrefix(r.Value, "k b 1 ") {
 		t.Errorf("read %q", r.Value)
 	}
-	p.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "none", 5))
+	client.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "none", 5))
 	next(binary.NotFound)
-	p.send("%s", rawclient.AppendSet(nil, binary.Set, "k", "v", 5, 0))
+	client.send("%s", rawclient.AppendSet(nil, binary.Set, "k", "v", 5, 0))
 	if r := next(binary.OK); r.CAS == 0 || o.EffectCount("k", "v") != 1 {
 		t.Errorf("receipt %d, executed %d times", r.CAS, o.EffectCount("k", "v"))
 	}
 	n.SetDraining(true)
-	p.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "k", 5))
+	client.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "k", 5))
 	next(binary.Busy)
 	n.SetDraining(false)
 	n.SetFault(Fault{Kind: Garbage})
-	p.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "k", 5))
-	if r, err := rawclient.ReadResponse(p.in); err == nil {
+	client.send("%s", rawclient.AppendKeyOnly(nil, binary.Get, "k", 5))
+	if r, err := rawclient.ReadResponse(client.in); err == nil {
 		t.Errorf("a malformed answer was read as %+v", r)
 	}
-	p = dial(t, n)
-	p.send("mg k v O1 Pc=read,t=acme,d=480\r\n")
-	if got := p.answer(); got != "" {
+	client = dial(t, n)
+	client.send("mg k v O1 Pc=read,t=acme,d=480\r\n")
+	if got := client.answer(); got != "" {
 		t.Errorf("a meta command was answered %q", got)
 	}
 }
--- a/internal/fake/node/warmup.go
+++ b/internal/fake/node/warmup.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// capacityShare returns the share of its capacity that the node has while it warms up. n.mu is held.
+// capacityShare returns the share of its full capacity that the node has at a time, below 1 only while it warms up.
+// n.mu is held.
 func (n *Node) capacityShare(now time.Time) float64 {
 	age := now.Sub(n.startedAt)
 	if n.startedAt.IsZero() || age >= n.config.WarmUpTime {
@@ -12,8 +13,8 @@
 	return atStart + (1-atStart)*float64(age)/float64(n.config.WarmUpTime)
 }
 
-// recordArrival counts a request and reports whether the load over the last CollapseTime is more than a node that is
-// warming up withstands. n.mu is held.
+// recordArrival records a request and reports whether the load over the last CollapseTime makes the node collapse. Only
+// a node that is warming up collapses. n.mu is held.
 func (n *Node) recordArrival(now time.Time) (overloaded bool) {
 	share := n.capacityShare(now)
 	if share >= 1 || n.config.ServiceTime <= 0 {
--- a/internal/fake/origin/ledger.go
+++ b/internal/fake/origin/ledger.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	maxEffects    = 1 << 20 // in the ledger; beyond that the oldest are forgotten
-	maxDuplicates = 1000    // that are retained; all are counted
+	maxEffects    = 1 << 20 // entries of the ledger; beyond it the oldest are removed
+	maxDuplicates = 1000    // duplicates that are retained; all are counted
 )
 
 // Effect is an entry of the ledger: the executions of one write.
 type Effect struct {
-	Record, Key string // Key is the idempotency key
+	Record, Key string // Key is the idempotency key, or the value if the node's LedgerByValue is set
 	Count       int    // executions
 	First, Last time.Time
 }
--- a/internal/fake/origin/origin.go
+++ b/internal/fake/origin/origin.go
@@ -5,7 +5,7 @@
 //  2. Its ledger counts every execution of every write. The origin drops no repeated writes; nodes do.
 //  3. An operation that fails was not started and has no effect.
 //
-// Operations complete on goroutines of their own; [Origin.Close] stops those that have not completed.
+// Each operation completes on its own goroutine; [Origin.Close] stops those that have not completed.
 package origin
 
 import (
@@ -22,7 +22,7 @@
 	ErrDown = errors.New("origin: down")
 )
 
-// Config says what the limits of an origin are.
+// Config sets the limits of an origin.
 type Config struct {
 	Slots       int           // operations executed at the same time; at least 1
 	Queue       int           // operations that may wait for a slot
@@ -30,7 +30,7 @@
 	Seed        uint64
 }
 
-// Stats count what an origin did.
+// Stats count the operations of an origin.
 type Stats struct {
 	Fetches    int
 	Writes     int // executions
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// start executes an operation, and then the next in the queue. o.mu is held.
+// start executes an operation after its service time, and then starts the next in the queue. o.mu is held.
 func (o *Origin) start(op *operation) {
 	o.running++
 	mean := o.config.ServiceTime
@@ -146,7 +146,7 @@
 	}
 }
 
-// SetDown makes the origin reject operations, or accept them again. Operations in flight complete.
+// SetDown makes the origin reject operations with ErrDown, or accept them again. Operations in flight complete.
 func (o *Origin) SetDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fake/origin/origin_test.go
+++ b/internal/fake/origin/origin_test.go
@@ -8,7 +8,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestLedgerCountsEveryExecution guards guarantee 2, by which fault tests see duplicate writes.
+// TestLedgerCountsEveryExecution checks guarantee 2, which lets fault tests detect duplicate writes.
 func TestLedgerCountsEveryExecution(t *testing.T) {
 	o := New(Config{Slots: 4, Queue: 10, ServiceTime: time.Millisecond})
 	defer o.Close()
@@ -25,14 +25,14 @@
 		t.Errorf("counted %+v", s)
 	}
 	if o.EffectCount("record", "a") != 3 || o.EffectCount("record", "b") != 1 || o.EffectCount("other", "a") != 0 {
-		t.Error("the ledger has other counts")
+		t.Error("the ledger has wrong counts")
 	}
 	if d := o.DuplicateEffects(); len(d) != 1 || d[0].Key != "a" {
 		t.Errorf("duplicates %v", d)
 	}
 }
 
-// TestFailedOperationHasNoEffect guards guarantees 1 and 3.
+// TestFailedOperationHasNoEffect checks guarantees 1 and 3.
 func TestFailedOperationHasNoEffect(t *testing.T) {
 	o := New(Config{Slots: 1, Queue: 1, ServiceTime: time.Hour})
 	defer o.Close()
--- a/internal/fake/rawclient/binary.go
+++ b/internal/fake/rawclient/binary.go
@@ -33,7 +33,7 @@
 	return append(dst, value...)
 }
 
-// AppendSASLPlain appends an authentication by the SASL mechanism PLAIN.
+// AppendSASLPlain appends an authentication request of the binary protocol with the SASL mechanism PLAIN.
 func AppendSASLPlain(dst []byte, user, secret string, opaque uint32) []byte {
 	const mechanism = "PLAIN"
 	text := mechanism + "\x00" + user + "\x00" + secret
@@ -66,13 +66,13 @@
 	return r, nil
 }
 
-// RetryAfter returns after how long a rejected request may be retried, 0 if the response does not say.
+// RetryAfter returns the time after which a rejected request may be retried, 0 if the response does not say.
 func (r *Response) RetryAfter() time.Duration {
 	_, text, _ := strings.Cut(r.Value, " ")
 	return parseMillis(text)
 }
 
-// parseMillis returns a number of milliseconds, 0 for what is not a number.
+// parseMillis parses a number of milliseconds. It returns 0 if text is not a number.
 func parseMillis(text string) time.Duration {
 	ms, _ := strconv.Atoi(text)
 	return time.Duration(ms) * time.Millisecond
--- a/internal/fake/rawclient/client.go
+++ b/internal/fake/rawclient/client.go
@@ -51,7 +51,8 @@
 // lastSerial is the serial number of the last request of any client.
 var lastSerial atomic.Uint64
 
-// Dial connects to a proxy. The connection and all that is sent and received on it must end within limit.
+// Dial connects to a proxy. It fails if that takes longer than limit. Reads and writes on the connection fail once it
+// is older than limit.
 func Dial(dialect scriptednode.Dialect, address string, limit time.Duration) (*Client, error) {
 	socket, err := net.DialTimeout("tcp", address, limit)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return err
 }
 
-// Write sends a write of a key. A Keyed write has the idempotency key in meta. In the binary protocol, which has no
-// room for one, it has a new ticket instead, as if the client had just read.
+// Write sends a write of a key. A Keyed write carries the idempotency key in meta. The binary protocol has no field for
+// it: there the write carries a new ticket as its CAS, as if the client had just read the key.
 func (c *Client) Write(key, value string, effect WriteClass, idempotencyKey string) error {
 	if c.dialect == scriptednode.Binary {
 		cas := uint64(0)
@@ -90,7 +91,7 @@
 	return err
 }
 
-// nextID returns the id of a new request in meta, whose answer is pending.
+// nextID returns the ID of a new request in meta, and adds it to the pending requests.
 func (c *Client) nextID() string {
 	id := fmt.Sprintf("c%d", lastSerial.Add(1))
 	c.pending = append(c.pending, requestID{id: id})
@@ -106,15 +107,15 @@
 
 // Answer is an answer in either protocol.
 type Answer struct {
-	Kind       request.AnswerKind // Invalid also for an answer that the request is invalid
+	Kind       request.AnswerKind // Invalid also if the answer says that the request is invalid
 	Text       string             // the value, or the receipt
 	RetryAfter time.Duration      // 0 if the answer does not say
 }
 
-// maxTextShown bounds the text that String shows, in bytes.
+// maxTextShown is the length in bytes of the longest text that String shows in full.
 const maxTextShown = 40
 
-// shortNames are the kinds of answers as String shows them.
+// shortNames are the words that String shows for the kinds of answers.
 var shortNames = map[request.AnswerKind]string{
 	request.Value:    "value",
 	request.Stored:   "stored",
--- a/internal/fake/relay/relay.go
+++ b/internal/fake/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a plain byte relay, for measurements: what a proxy costs beyond the relay is the cost of its
-// decisions. It does not parse what it forwards.
+// Package relay is a plain byte relay that serves as the baseline of measurements. It does not parse what it forwards:
+// what a proxy costs more than the relay is the cost of its decisions.
 package relay
 
 import (
@@ -10,8 +10,8 @@
 
 const bufferSize = 16 << 10 // bytes, for each direction of a connection
 
-// Serve forwards each connection of a listener over a connection of its own to the target address. It returns once the
-// listener is closed and all connections have ended.
+// Serve accepts connections from a listener and forwards each over its own connection to the target address. It returns
+// once the listener is closed and all connections have ended.
 func Serve(listener net.Listener, target string) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -38,9 +38,9 @@
 	answers.Wait()
 }
 
-// copyAll copies until the source ends its sending side, and then does the same at the destination. It copies in user
-// space, as a proxy must that parses what it forwards: the wrappers hide the methods by which io.CopyBuffer would leave
-// the copying to the kernel.
+// copyAll copies until the source closes its sending side, and then closes the sending side to the destination. It
+// copies in user space, as a proxy that parses what it forwards has to: the wrappers hide the methods through which
+// io.CopyBuffer would leave the copying to the kernel.
 func copyAll(destination, source net.Conn) {
 	io.CopyBuffer(struct{ io.Writer }{destination}, struct{ io.Reader }{source}, make([]byte, bufferSize))
 	destination.(*net.TCPConn).CloseWrite()
--- a/internal/fake/relay/relay_test.go
+++ b/internal/fake/relay/relay_test.go
@@ -9,8 +9,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestForwardsBytesAndCloses checks that what the client sends, what the server answers and that either stops sending
-// arrives at the other side.
+// TestForwardsBytesAndCloses checks that the relay forwards the bytes of both directions, and that when one side stops
+// sending, the other side sees it.
 func TestForwardsBytesAndCloses(t *testing.T) {
 	server := testutil.Listen(t)
 	go func() {
--- a/internal/fake/scriptednode/dialect.go
+++ b/internal/fake/scriptednode/dialect.go
@@ -21,7 +21,7 @@
 	Binary Dialect = "binary"
 )
 
-// received is a request with what its answer needs.
+// received is a request with the header that its answer needs.
 type received struct {
 	ReceivedRequest
 	header binary.Header // in the binary protocol
@@ -83,7 +83,7 @@
 		return r, err
 	}
 	if h.Validate() != binary.OK || h.Opcode != binary.Get && h.Opcode != binary.Set {
-		return r, errors.New("scripted node: neither a get nor a set")
+		return r, errors.New("scripted node: request is neither a valid get nor a valid set")
 	}
 	r.header = h
 	if h.Opcode == binary.Set {
--- a/internal/fake/scriptednode/nodes.go
+++ b/internal/fake/scriptednode/nodes.go
@@ -1,7 +1,7 @@
 // Package scriptednode is a fake of cache nodes, or of proxies, that react to each request exactly as the test says, in
-// the meta or the binary protocol. The same reaction has the same meaning in both.
+// the meta or the binary protocol. A reaction has the same meaning in both.
 //
-// It keeps no data: every read that is served has the value of [Value], every write the receipt [Receipt].
+// It stores no data: every served read is answered with [Value], every served write with [Receipt].
 //
 // Nodes own their listeners and a goroutine per connection; [Nodes.Close] waits for these.
 package scriptednode
@@ -23,7 +23,7 @@
 	ReceivedAt     time.Time // of its first byte
 	Verb           request.Verb
 	Key, Value     string
-	IdempotencyKey string // the idempotency key, "" in the binary protocol
+	IdempotencyKey string // "" in the binary protocol
 	// Only in meta:
 	ID      string
 	Class   string
@@ -47,7 +47,7 @@
 }
 
 // Start returns count nodes that listen at a loopback address. react decides what to do with each request. It gets the
-// request's number, counted from 0 over all nodes.
+// request's number, counted from 0 over all nodes. Calls for different connections may be concurrent.
 func Start(dialect Dialect, count int, react func(number int, r ReceivedRequest) Reaction) (*Nodes, error) {
 	ns := &Nodes{dialect: dialect, react: react, open: make(map[net.Conn]int), closing: make(chan struct{})}
 	for i := range count {
@@ -65,7 +65,7 @@
 // Address returns the address at which a node listens.
 func (ns *Nodes) Address(i int) string { return ns.listeners[i].Addr().String() }
 
-// CloseListener closes a node's listener for good. Open connections stay.
+// CloseListener closes a node's listener. Open connections stay open.
 func (ns *Nodes) CloseListener(i int) { ns.listeners[i].Close() }
 
 // Stop ends a node as if its process had ended: open connections are reset, new ones refused.
@@ -150,7 +150,7 @@
 	}
 }
 
-// serve takes requests until the connection ends, or a reaction ends it.
+// serve reads requests and reacts to them until the connection ends, or a reaction ends it.
 func (ns *Nodes) serve(i int, c net.Conn) {
 	in := bufio.NewReader(c)
 	codec := ns.dialect.codec()
--- a/internal/fake/scriptednode/nodes_test.go
+++ b/internal/fake/scriptednode/nodes_test.go
@@ -13,11 +13,11 @@
 	"mulleinpier/internal/testutil"
 )
 
-// What a client sees of a reaction that is not a valid answer.
+// What a client sees instead of a valid answer.
 const (
 	closed    = "closed"
 	malformed = "malformed"
-	nothing   = "nothing"
+	noAnswer  = "no answer"
 )
 
 // nextSeen returns what the client sees next: an answer, or one of the constants above.
@@ -30,7 +30,7 @@
 	case errors.Is(err, rawclient.ErrMalformedAnswer), errors.Is(err, meta.ErrMalformedAnswer):
 		return malformed
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nothing
+		return noAnswer
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return closed
 	}
@@ -38,7 +38,8 @@
 	return ""
 }
 
-// TestReactionsLookTheSameInBothDialects sends a read of k to a node with each reaction.
+// TestReactionsLookTheSameInBothDialects reads k from a node with each reaction, in both dialects, and checks what the
+// client sees.
 func TestReactionsLookTheSameInBothDialects(t *testing.T) {
 	dialects := []scriptednode.Dialect{scriptednode.Meta, scriptednode.Binary}
 	for _, test := range []struct {
@@ -57,7 +58,7 @@
 		{reaction: scriptednode.Fail, want: "failed"},
 		{reaction: scriptednode.Reset, want: closed},
 		{reaction: scriptednode.TruncatedAnswer, want: closed},
-		{reaction: scriptednode.Hang, want: nothing, limit: 200 * time.Millisecond},
+		{reaction: scriptednode.Hang, want: noAnswer, limit: 200 * time.Millisecond},
 		{reaction: scriptednode.Garbage, want: malformed},
 		{reaction: scriptednode.OtherAnswer, want: malformed},
 		{reaction: scriptednode.DuplicateAnswer, want: "value v:k"},
@@ -88,7 +89,7 @@
 	}
 }
 
-// startClient returns a client of a node that reacts to each request in the same way.
+// startClient starts a node that reacts to each request in the same way, and returns a client of it.
 func startClient(
 	t *testing.T, dialect scriptednode.Dialect, reaction scriptednode.Reaction, limit time.Duration,
 ) *rawclient.Client {
@@ -107,7 +108,7 @@
 	return c
 }
 
-// TestDuplicateAnswerIsSentTwice sees the second answer as a malformed one to the next request.
+// TestDuplicateAnswerIsSentTwice checks that the client sees the second answer as a malformed one to its next request.
 func TestDuplicateAnswerIsSentTwice(t *testing.T) {
 	for _, dialect := range []scriptednode.Dialect{scriptednode.Meta, scriptednode.Binary} {
 		c := startClient(t, dialect, scriptednode.DuplicateAnswer, testutil.Timeout)
--- a/internal/fake/scriptednode/reaction.go
+++ b/internal/fake/scriptednode/reaction.go
@@ -11,8 +11,8 @@
 // Reaction is what a node does with a request.
 type Reaction string
 
-// The reactions. In the cases of TruncatedAnswer, Garbage, OtherAnswer, DuplicateAnswer and EndlessValue the request
-// counts as executed, and its answer is malformed.
+// The reactions. With TruncatedAnswer, Garbage, OtherAnswer, DuplicateAnswer and EndlessValue the request counts as
+// executed, but its answer is malformed.
 const (
 	Serve           Reaction = "serve"   // answer with the value of Value, or with Receipt
 	Slow            Reaction = "slow"    // as Serve, slowDelay later; later requests on the connection wait
@@ -22,10 +22,10 @@
 	Invalid         Reaction = "invalid" // answer that the request is invalid; only in meta
 	Fail            Reaction = "fail"    // answer an error; the request may have been executed
 	Reset           Reaction = "reset"   // close the connection instead of answering
-	TruncatedAnswer Reaction = "half"    // close the connection within the answer
-	Hang            Reaction = "hang"    // never answer
-	Garbage         Reaction = "noise"   // answer what cannot be parsed
-	OtherAnswer     Reaction = "other"   // answer a different request
+	TruncatedAnswer Reaction = "half"    // close the connection before the last byte of the answer
+	Hang            Reaction = "hang"    // never answer, and leave the connection open until Nodes.Close
+	Garbage         Reaction = "noise"   // answer with bytes that cannot be parsed
+	OtherAnswer     Reaction = "other"   // answer with the ID of a different request
 	DuplicateAnswer Reaction = "surplus" // answer twice
 	EndlessValue    Reaction = "endless" // announce a value of endlessLength and send some of it
 )
@@ -42,7 +42,8 @@
 	endlessSent   = 1 << 20       // bytes of EndlessValue that are sent; clients give up long before
 )
 
-// Value returns what a node has under a key. For a key that begins with "big" it is the largest value that is allowed.
+// Value returns the value that nodes have under a key. For a key that begins with "big" it has the largest allowed
+// length.
 func Value(key string) string {
 	if strings.HasPrefix(key, "big") {
 		return strings.Repeat("v", meta.MaxValue)
--- a/internal/fake/unresponsive/node.go
+++ b/internal/fake/unresponsive/node.go
@@ -1,5 +1,5 @@
-// Package unresponsive is a fake of a node that accepts no connection until the test says so, as if its machine were
-// unreachable for a while or its process slow to accept. It starts no goroutines.
+// Package unresponsive is a fake of a node that accepts no connection until the test calls Accept, as if its machine
+// were unreachable for a while or its process slow to accept. It starts no goroutines.
 package unresponsive
 
 import (
@@ -12,11 +12,11 @@
 // Node is an unresponsive node.
 type Node struct {
 	listener *net.TCPListener
-	fillers  map[string]net.Conn // that fill the listener's backlog, by their local addresses
+	fillers  map[string]net.Conn // connections that fill the listener's backlog, by local address
 }
 
-// Start returns a node with a full listen backlog. The kernel drops further connection attempts; clients' kernels try
-// again by themselves, at first after a second.
+// Start returns a node with a full listen backlog. The kernel drops further connection attempts; the client's kernel
+// retries them on its own, the first time after a second.
 func Start() (*Node, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,8 @@
 // Address returns the address at which the node will accept connections.
 func (n *Node) Address() string { return n.listener.Addr().String() }
 
-// Accept makes the node accept connections from now on, and returns the next one.
+// Accept empties the backlog, so that connection attempts succeed from now on, and returns the next connection of a
+// client.
 func (n *Node) Accept() (*net.TCPConn, error) {
 	for {
 		c, err := n.listener.AcceptTCP()
