--- a/internal/fleettest/attempt.go
+++ b/internal/fleettest/attempt.go
@@ -23,23 +23,23 @@
 	maxPickedProxies = 100
 )
 
-// play takes one request through its attempts.
-func (w *workload) play(q *clientRequest) {
+// runRequest sends one request, retries it as retryState decides, and records the final result.
+func (w *workload) runRequest(q *clientRequest) {
 	start := time.Now()
 	recorded := w.recorder.requestStarted(start, q)
 	if q.library {
-		as := w.playByLibrary(q, recorded)
-		w.recorder.requestEnded(recorded, time.Since(start), as, q.class.latencyObjective)
+		result := w.playByLibrary(q, recorded)
+		w.recorder.requestEnded(recorded, time.Since(start), result, q.class.latencyObjective)
 		return
 	}
 	wait := q.class.deadline
 	for number := 0; ; number++ {
 		q.lastSent = time.Since(start)
 		attemptWait := min(time.Duration(q.attemptShare*float64(q.class.deadline)), wait)
-		as, retryAfter := w.attempt(q, attemptWait, number)
+		result, retryAfter := w.attempt(q, attemptWait, number)
 		now := time.Since(start)
-		d := q.next(now, as, retryAfter)
-		isUnknown := q.mayHaveTakenEffect(as)
+		d := q.next(now, result, retryAfter)
+		isUnknown := q.mayHaveTakenEffect(result)
 		if q.class.isWrite && isUnknown && q.lateRetries < w.load.LateRetries && (!d.again || q.retriesLate) {
 			q.lateRetries++
 			w.recorder.retried(recorded)
@@ -51,13 +51,13 @@
 			if q.class.isWrite && isUnknown {
 				w.recorder.unknownOutcome()
 			}
-			w.recorder.requestEnded(recorded, now, as, q.class.latencyObjective)
+			w.recorder.requestEnded(recorded, now, result, q.class.latencyObjective)
 			return
 		}
-		if as != crossedClose && as != notConnected {
+		if result != crossedClose && result != notConnected {
 			w.recorder.retried(recorded)
 		}
-		if as == notConnected {
+		if result == notConnected {
 			d.backoff = max(d.backoff, dialRetryPause)
 			d.maxWait -= d.backoff
 		}
@@ -66,10 +66,10 @@
 	}
 }
 
-// mayHaveTakenEffect reports whether the request may have been carried out without its client knowing, after an attempt
-// that ended so.
-func (q *clientRequest) mayHaveTakenEffect(as outcome) bool {
-	switch as {
+// mayHaveTakenEffect reports whether the request may have been executed without the client knowing, after an attempt
+// with this result.
+func (q *clientRequest) mayHaveTakenEffect(result outcome) bool {
+	switch result {
 	case served:
 		return false
 	case refused, notConnected:
@@ -78,14 +78,14 @@
 	return true
 }
 
-// drawLateRetry draws the time after which a client asks again for a write with an unknown outcome.
+// drawLateRetry draws the time after which a client repeats a write with an unknown outcome: 2 to 10 s.
 func (w *workload) drawLateRetry() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return minLateRetry + time.Duration(w.rng.Int64N(int64(lateRetryRange)))
 }
 
-// pickProxy draws a proxy that accepts clients; nil for none.
+// pickProxy draws a proxy that accepts clients. It returns nil if maxPickedProxies draws found none.
 func (w *workload) pickProxy() *proxyInstance {
 	for range maxPickedProxies {
 		w.mu.Lock()
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// connect returns an idle connection to a proxy in a request's dialect, or a new one.
+// connect returns an idle connection to a proxy in the dialect of a request, or opens a new one.
 func (w *workload) connect(p *proxyInstance, q *clientRequest) (*clientConn, error) {
 	if conn := w.takeIdle(poolKey{p.index, q.binary}); conn != nil {
 		return conn, nil
@@ -114,7 +114,8 @@
 	return conn, nil
 }
 
-// takeIdle returns the latest idle connection of a pool that is not too old, nil for none.
+// takeIdle removes the most recently used connection from a pool and returns it; nil if the pool has none that is
+// younger than idleTimeout. It closes older ones.
 func (w *workload) takeIdle(pool poolKey) *clientConn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,7 +144,7 @@
 	}, nil
 }
 
-// release keeps a connection for later requests.
+// release returns a connection to its pool.
 func (w *workload) release(p *proxyInstance, conn *clientConn) {
 	conn.idleSince = time.Now()
 	conn.used = true
@@ -153,7 +154,8 @@
 	w.idleConns[pool] = append(w.idleConns[pool], conn)
 }
 
-// metaCommand is a request in the meta protocol, and the id that it was given. number counts the attempts before.
+// metaCommand returns a request in the meta protocol, and the id that it was given. number is the number of attempts
+// before this one.
 func (w *workload) metaCommand(q *clientRequest, proxy int, wait time.Duration, number int) (text []byte, id string) {
 	id = fmt.Sprintf("p%d-%x", proxy, w.serial.Add(1))
 	r := request.Request{
@@ -174,8 +176,10 @@
 	return text, id
 }
 
-// attempt sends a request once and waits for its answer. number counts the attempts before.
-func (w *workload) attempt(q *clientRequest, wait time.Duration, number int) (as outcome, retryAfter time.Duration) {
+// attempt sends a request once and waits for its answer. number is the number of attempts before this one.
+func (w *workload) attempt(
+	q *clientRequest, wait time.Duration, number int,
+) (result outcome, retryAfter time.Duration) {
 	p := w.pickProxy()
 	if p == nil {
 		return notConnected, 0
@@ -186,16 +190,16 @@
 		w.recorder.dialFailed()
 		return notConnected, 0
 	}
-	// The time until a connection came up is part of the attempt's: a write that outlasted its window meanwhile must
-	// not be sent any more.
+	// The time to connect counts against the attempt: a write whose dedup window ended meanwhile must not be sent any
+	// more.
 	wait -= time.Since(start)
 	if wait < minWait {
 		w.release(p, conn)
 		return notConnected, 0
 	}
 	if q.binary && q.class.isWrite && q.ticket == 0 {
-		if as := w.fetchTicket(p, conn, q, wait); as != served {
-			return as, 0
+		if result := w.fetchTicket(p, conn, q, wait); result != served {
+			return result, 0
 		}
 	}
 	text, id := w.metaCommand(q, p.index, wait, number)
@@ -205,10 +209,10 @@
 	return w.exchange(p, conn, q, text, id, wait)
 }
 
-// exchange sends the text of an attempt, and judges its answer.
+// exchange sends an attempt, waits for its answer, and checks it.
 func (w *workload) exchange(
 	p *proxyInstance, conn *clientConn, q *clientRequest, text []byte, id string, wait time.Duration,
-) (as outcome, retryAfter time.Duration) {
+) (result outcome, retryAfter time.Duration) {
 	sent := time.Now()
 	w.recorder.attemptSent()
 	conn.socket.SetDeadline(sent.Add(wait))
@@ -218,7 +222,7 @@
 		var value []byte
 		a, value, err = conn.readAnswer()
 		if err == nil && q.binary && a.Kind == request.Invalid && !q.mayHaveRun {
-			// The ticket is too old, and nothing was done under it: the next attempt reads again.
+			// The ticket is too old, and no attempt has used it: the next attempt fetches a new one.
 			q.ticket = 0
 			w.release(p, conn)
 			return refused, 0
@@ -228,12 +232,12 @@
 		}
 	}
 	if q.binary && q.mayHaveRun {
-		id = "" // a node may have seen an earlier attempt's
+		id = "" // the attempts of a binary write share an id, which a node may have seen before
 	}
 	return w.judgeNoAnswer(p, conn, id, sent, wait, err), 0
 }
 
-// readAnswer reads one answer. Of a refusal, ValueLen is the advice in milliseconds.
+// readAnswer reads one answer. For a rejection, ValueLen is the advised retry delay in milliseconds.
 func (c *clientConn) readAnswer() (a meta.AnswerLine, value []byte, err error) {
 	if c.binary {
 		b, err := c.readBinaryAnswer()
--- a/internal/fleettest/directory.go
+++ b/internal/fleettest/directory.go
@@ -10,33 +10,32 @@
 	"mulleinpier/internal/fake/endpointlist"
 )
 
-// directory is the service from which the proxies of a fleet learn of its nodes. It knows when each was notified of
-// what.
+// directory is the discovery service of a fleet. It records when each proxy was notified of which change.
 type directory interface {
-	// config opens an address for a proxy, and returns the part of its configuration about the directory.
+	// config opens an address for a proxy if it has none yet, and returns the discovery part of its configuration.
 	config(proxy int) (string, error)
-	// notifiedAt returns when a proxy was first notified that a node drains or is gone; false while it is not notified
-	// of that.
+	// notifiedAt returns when a proxy was first notified that a node is draining or gone. It returns false if it was
+	// not, or has been notified since that the node is up.
 	notifiedAt(proxy int, node string) (time.Time, bool)
 	update(e endpointlist.Entry)
-	// setFault makes all of the directory fail in a way, "" for none.
+	// setFault sets the fault of the whole directory; "" ends it.
 	setFault(kind string)
-	// move changes the address for a proxy.
+	// move changes the address at which a proxy finds the directory.
 	move(proxy int) error
-	// addresses lists what people can connect to.
+	// addresses lists the addresses to print for a fleet that is run for manual use.
 	addresses() []string
 	close()
 }
 
-// platformDirectory is a directory of the platform's kind.
+// platformDirectory is a directory that serves the platform's endpoint list.
 type platformDirectory struct {
 	service *endpointlist.Service
 
 	mu     sync.Mutex
-	opened map[int]string // addresses by proxy
+	opened map[int]string // addresses of the directory, by proxy
 }
 
-// newPlatformDirectory returns a directory in which each proxy finds a node at the address that addressFor returns.
+// newPlatformDirectory returns a directory that tells each proxy the node addresses that addressFor returns for it.
 func newPlatformDirectory(
 	entries []endpointlist.Entry, addressFor func(proxy int, e *endpointlist.Entry) string,
 ) *platformDirectory {
@@ -81,7 +80,7 @@
 	return nil
 }
 
-// consulDirectory is a directory of Consul agents, one for each zone, at which the proxies of the zone register too.
+// consulDirectory is a directory of Consul agents, one for each zone. The proxies of a zone also register at its agent.
 type consulDirectory struct {
 	catalogue *consul.Catalogue
 	zones     []string
@@ -126,14 +125,14 @@
 	return fmt.Sprintf(format, d.agent(proxy).Address(), consulService), nil
 }
 
-// hostOf is Consul's name of the machine of a node.
+// hostOf returns the name in Consul of the machine on which a node runs.
 func hostOf(node string) string { return "host-" + node }
 
 func (d *consulDirectory) notifiedAt(proxy int, node string) (time.Time, bool) {
 	return d.agent(proxy).UnavailableReportedAt(hostOf(node), node)
 }
 
-// update registers a node as an agent beside it would: a drain is its maintenance mode.
+// update registers a node as an agent on its machine would. A draining node is in maintenance mode.
 func (d *consulDirectory) update(e endpointlist.Entry) {
 	host := hostOf(e.Name)
 	if e.Status == "removed" {
@@ -178,7 +177,7 @@
 	}
 }
 
-// move starts another agent in place of a proxy's, for all proxies of its zone.
+// move replaces the agent of a proxy's zone by a new one at another address.
 func (d *consulDirectory) move(proxy int) error {
 	zone := d.zoneOf(proxy)
 	a, err := d.catalogue.Start("agent-"+zone, "")
--- a/internal/fleettest/drains.go
+++ b/internal/fleettest/drains.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// drainGrace is how long after a proxy was notified of a drain its requests may reach the node: the platform's
-	// rule, and what the protocol page adds for real sockets.
+	// drainGrace is how long after a proxy was notified of a drain its requests may still reach the node: the
+	// platform's limit of 500 ms, and 50 ms for the delays of real sockets.
 	drainGrace = 500*time.Millisecond + 50*time.Millisecond
-	// seenMemory is how long at least a received request is remembered, and twice that at most.
-	seenMemory = 5 * time.Second
+	// seenRetention is how long a received request is remembered at least; at most it is twice that.
+	seenRetention = 5 * time.Second
 )
 
-// requestArrived is called for each request that comes to a node. A request of a binary client, or at a binary node,
-// has no id that names its proxy: a write is known by its value then, and a drain counts from the time at which the
-// last proxy was notified.
+// requestArrived is called for each request that arrives at a node. The id of a request from a binary client, or at a
+// binary node, does not name its proxy: such a write is identified by its value, and a drain counts from the time at
+// which the last proxy was notified.
 func (f *fleet) requestArrived(node, id, value string, at time.Time) {
 	proxy := proxyOf(id)
 	notified, draining := f.drainNotifiedAt(proxy, node)
-	// What a link held back was sent before.
+	// A request that a faulty link held back was sent before the drain, or before the notification arrived.
 	draining = draining && !f.links.nodeLinkFaulty(proxy, node, notified) && !f.links.listLinkFaulty(proxy, notified)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rememberLocked(proxy, id, value, at)
+	f.recordSeenLocked(proxy, id, value, at)
 	if !draining {
 		return
 	}
@@ -36,9 +36,9 @@
 	}
 }
 
-// rememberLocked notes that a node has received a request. f.mu is held.
-func (f *fleet) rememberLocked(proxy int, id, value string, at time.Time) {
-	if at.Sub(f.seenRotatedAt) > seenMemory {
+// recordSeenLocked records that a node has received a request. f.mu must be held.
+func (f *fleet) recordSeenLocked(proxy int, id, value string, at time.Time) {
+	if at.Sub(f.seenRotatedAt) > seenRetention {
 		f.seenIDs[0] = f.seenIDs[1]
 		f.seenIDs[1] = make(map[string]struct{})
 		f.seenRotatedAt = at
@@ -51,8 +51,8 @@
 	}
 }
 
-// drainNotifiedAt returns when a proxy was notified that a node drains; with a negative number, when the last of all
-// proxies was.
+// drainNotifiedAt returns when a proxy was notified that a node drains; for a negative proxy, when the last of all
+// proxies was notified, and false until all have been.
 func (f *fleet) drainNotifiedAt(proxy int, node string) (last time.Time, draining bool) {
 	if proxy >= 0 {
 		return f.directory.notifiedAt(proxy, node)
@@ -69,7 +69,7 @@
 	return last, true
 }
 
-// seenByNode reports whether a node has received a request recently.
+// seenByNode reports whether a node has received a request with this id, or a binary write with this value, recently.
 func (f *fleet) seenByNode(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +78,7 @@
 	return older || newer
 }
 
-// proxyOf returns the number of the proxy that a request was sent to, which is part of its id; -1 if it is not.
+// proxyOf returns the number of the proxy that a request was sent to, which is part of its id; -1 if the id names none.
 func proxyOf(id string) int {
 	rest, ok := strings.CutPrefix(id, "p")
 	number, _, _ := strings.Cut(rest, "-")
--- a/internal/fleettest/events.go
+++ b/internal/fleettest/events.go
@@ -11,38 +11,38 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// eventActions are the actions of events, with what they do.
+// eventActions describes the actions of events. The capitalised words are fields of Event.
 var eventActions = map[string]string{
-	"wave":    "restarts all proxies one after another, Interval apart, by Mode",
-	"restart": "restarts a proxy, or Proxies, or all at once, by Mode",
+	"wave":    "restarts all proxies one after another, one each Interval, by Mode",
+	"restart": "restarts one proxy, Proxies, or all at the same time, by Mode",
 	"kill":    "kills a proxy and starts it again",
 	"hangup":  "writes a proxy's configuration in a ConfigVariant and sends SIGHUP, Count times, Interval apart",
 	"drain":   "has the directory report that a node drains",
-	"undrain": "has the directory report that it is up again",
-	"cold":    "restarts a node cold, and has the directory report it",
+	"undrain": "has the directory report that a node is up again",
+	"cold":    "restarts a node with an empty cache, and has the directory report it",
 	"remove":  "takes a node out of the directory",
-	"fault":   "makes a node fail by FaultKind, OneIn and Delay",
-	"list-down": "takes the directory down; with FaultKind, has Consul agents fail so (quiet, empty, part, " +
+	"fault":   "sets the fault of a node by FaultKind, OneIn and Delay; no FaultKind ends it",
+	"list-down": "takes the directory down; for Consul agents, FaultKind says how they fail (quiet, empty, part, " +
 		"leaderless, rewind and others)",
-	"list-up": "brings it back",
-	"flap":    "takes a node out of the directory and enters it again, Count times, each for Interval",
+	"list-up": "ends the fault of the directory",
+	"flap":    "removes a node from the directory and adds it again, Count times, for an Interval each",
 	"die":     "ends a node's process; the directory does not report it",
-	"rename": "ends a node's process, and starts another one, cold, of another name at its address; the directory " +
-		"reports both",
-	"reborn": "starts a node's process again, cold, at its address; the directory does not report it",
-	"leave":  "takes the first Count nodes out of the directory at once; their processes run on",
-	"return": "enters them again",
-	"brown":  "has the origin take Delay for a piece of work; without Delay the usual time",
+	"rename": "ends a node's process and starts one with another name and an empty cache at its address; the " +
+		"directory reports both",
+	"reborn": "starts a node's process again at its address with an empty cache; the directory does not report it",
+	"leave":  "removes the first Count nodes from the directory; their processes keep running",
+	"return": "adds the first Count nodes to the directory again",
+	"brown":  "sets the origin's service time to Delay; without Delay, to the scenario's",
 	"dark":   "ends the processes of all nodes of a Zone; the directory does not report it",
-	"light":  "starts them again, cold, and has the directory report it",
+	"light":  "starts the nodes of a Zone again with empty caches, and has the directory report it",
 	"stop":   "stops proxies (SIGSTOP) for Duration and continues them, Count times, one each Interval",
-	"link": "has the links between proxies and LinkTo (clients, nodes or list) fail by FaultKind (cut, forth, back, " +
-		"delay, slow, reset), Delay and for Duration",
-	"starve": "takes the proxies' cores for Duration, by Count busy processes beside each",
-	"crowd":  "opens Count connections to proxies and holds them silently for Duration",
+	"link": "makes links between proxies and LinkTo (clients, nodes or list) fail by FaultKind (cut, forth, back, " +
+		"delay, slow, reset) and Delay, for Duration",
+	"starve": "takes CPU time from proxies for Duration, by Count busy processes on the core of each",
+	"crowd":  "opens Count connections to each proxy and keeps them idle for Duration",
 }
 
-// runEvents runs the events at their times, and returns when all have ended.
+// runEvents starts each event at its time, and returns when all have ended. If ctx ends, it starts no further ones.
 func (f *fleet) runEvents(ctx context.Context, start time.Time) {
 	events := slices.Clone(f.scenario.Events)
 	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
@@ -58,7 +58,7 @@
 	}
 }
 
-// String describes an event for the progress.
+// String describes an event in progress messages.
 func (e Event) String() string {
 	text := e.Action
 	for _, part := range []string{e.Mode, e.ConfigVariant, e.LinkTo, e.FaultKind} {
@@ -83,7 +83,7 @@
 	return text
 }
 
-// chosenProxies returns the proxies that an event is about.
+// chosenProxies returns the proxies that an event affects.
 func (f *fleet) chosenProxies(e *Event) []*proxyInstance {
 	if e.Proxy < 0 {
 		return f.proxies
@@ -98,8 +98,8 @@
 	return f.proxies[e.Proxy : e.Proxy+1]
 }
 
-// eachProxy calls do for each proxy that an event is about, at once.
-func (f *fleet) eachProxy(e *Event, do func(*proxyInstance)) {
+// forEachProxy calls do concurrently for each proxy that an event affects, and waits for all calls.
+func (f *fleet) forEachProxy(e *Event, do func(*proxyInstance)) {
 	var tasks sync.WaitGroup
 	for _, p := range f.chosenProxies(e) {
 		tasks.Go(func() { do(p) })
@@ -107,7 +107,7 @@
 	tasks.Wait()
 }
 
-// runEvent runs an event, until its end if it has one.
+// runEvent runs an event. It returns at the end of the event, if that has a duration.
 func (f *fleet) runEvent(ctx context.Context, e *Event) {
 	switch e.Action {
 	case "stop", "starve", "crowd":
@@ -117,11 +117,11 @@
 	case "wave":
 		f.runWave(ctx, e)
 	case "restart":
-		f.eachProxy(e, func(p *proxyInstance) { p.restart(e.Mode) })
+		f.forEachProxy(e, func(p *proxyInstance) { p.restart(e.Mode) })
 	case "kill":
-		f.eachProxy(e, (*proxyInstance).kill)
+		f.forEachProxy(e, (*proxyInstance).kill)
 	case "hangup":
-		f.eachProxy(e, func(p *proxyInstance) { p.reload(e.ConfigVariant, e.Count, time.Duration(e.Interval)) })
+		f.forEachProxy(e, func(p *proxyInstance) { p.reload(e.ConfigVariant, e.Count, time.Duration(e.Interval)) })
 	case "list-down":
 		kind := e.FaultKind
 		if kind == "" {
@@ -143,7 +143,7 @@
 	}
 }
 
-// runWave restarts all proxies one after another; without a mode by turns in both.
+// runWave restarts all proxies one after another; without a mode, it alternates between both.
 func (f *fleet) runWave(ctx context.Context, e *Event) {
 	for i, p := range f.proxies {
 		start := time.Now()
@@ -160,7 +160,8 @@
 	}
 }
 
-// runNodeEvent runs an event of one node. The directory reports what it has to also after an error.
+// runNodeEvent runs an event of one node. If a restart fails, it updates the directory all the same before it returns
+// the error.
 func (f *fleet) runNodeEvent(ctx context.Context, e *Event) error {
 	n := f.nodes[e.Node]
 	switch e.Action {
@@ -196,12 +197,11 @@
 	return nil
 }
 
-// setStatus has the directory report a status of a node.
 func (f *fleet) setStatus(i int, status string) {
 	f.updateNode(i, func(e *endpointlist.Entry) { e.Status = status })
 }
 
-// reportStarted has the directory report that a node has started, under a name.
+// reportStarted has the directory report that a node has started, with a name that may be new.
 func (f *fleet) reportStarted(i int, name string) {
 	f.updateNode(i, func(e *endpointlist.Entry) {
 		e.Name = name
@@ -210,14 +210,13 @@
 	})
 }
 
-// setStatusOfFirst has the directory report a status of the first nodes.
 func (f *fleet) setStatusOfFirst(count int, status string) {
 	for i := range count {
 		f.setStatus(i, status)
 	}
 }
 
-// runZoneEvent ends or starts all nodes of a zone.
+// runZoneEvent ends the processes of all nodes of a zone, or starts them again.
 func (f *fleet) runZoneEvent(e *Event) {
 	zones := f.scenario.Fleet.Zones
 	for i, n := range f.nodes {
@@ -236,7 +235,8 @@
 	}
 }
 
-// flap takes a node out of the directory and enters it again, so many times or until ended is closed.
+// flap removes a node from the directory and adds it again, for a number of times. Once ended is closed, it no longer
+// waits between the changes.
 func (f *fleet) flap(i, times int, every time.Duration, ended <-chan struct{}) {
 	for range times {
 		for _, status := range []string{"removed", "up"} {
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -14,10 +14,10 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// fleet is the fakes of a test and the processes of its proxies.
+// fleet holds the fakes of a test and the processes of its proxies.
 type fleet struct {
 	scenario *Scenario
-	program  []string // starts a proxy; the path of its configuration follows
+	program  []string // command that starts a proxy; the configuration path is appended
 	folder   string
 	progress func(format string, a ...any)
 
@@ -27,35 +27,35 @@
 	directory directory
 	proxies   []*proxyInstance
 	links     linkSet
-	ports     *portReserver             // of the proxies
-	peerLinks map[int]*faultinject.Link // by proxy, before its address for peers; nil for none
-	voters    agent.Fleet               // if the scenario has permits
-	voterView voterView                 // nil for the voters' own addresses
+	ports     *portReserver             // for the addresses of the proxies
+	peerLinks map[int]*faultinject.Link // by proxy, to its peer address; nil if there are none
+	voters    agent.Fleet               // set if the scenario has restart permits
+	voterView voterView                 // nil if proxies use the voters' own addresses
 
 	mu             sync.Mutex
-	entries        []endpointlist.Entry // of nodes, as last published
-	lateDrains     int                  // requests
+	entries        []endpointlist.Entry // of the nodes, as last published
+	lateDrains     int                  // requests that reached a draining node too late
 	maxLateDrain   time.Duration
-	lastAfterDrain time.Duration // of all requests that came to a node after its drain was notified
+	lastAfterDrain time.Duration // longest time from a drain notification to a request at the node
 	crashes        int
 	problems       []string
-	seenIDs        [2]map[string]struct{} // of requests that nodes have received, the older generation first
+	seenIDs        [2]map[string]struct{} // IDs of requests that nodes have received; older generation first
 	seenRotatedAt  time.Time
 }
 
-// voterView returns the addresses at which a proxy finds the voters.
+// voterView returns the addresses at which a proxy connects to the voters.
 type voterView func(proxy int) []agent.VoterAddress
 
-// maxProblems bounds the descriptions that are kept.
+// maxProblems is how many descriptions of problems are kept.
 const maxProblems = 50
 
-// startFleet starts the fakes and the processes.
+// startFleet starts the fakes and the proxies, and waits until all proxies are ready.
 func startFleet(s *Scenario, program []string, folder string, progress func(string, ...any)) (*fleet, error) {
 	return startFleetWithVoterView(s, program, folder, progress, nil)
 }
 
-// startFleetWithVoterView is startFleet with proxies that find the voters at other addresses. newView is called once
-// the voters' own addresses are known.
+// startFleetWithVoterView is startFleet with proxies that connect to the voters at other addresses, such as those of
+// links. newView is called once the voters' own addresses are known.
 func startFleetWithVoterView(
 	s *Scenario, program []string, folder string, progress func(string, ...any),
 	newView func(voters []agent.VoterAddress) (voterView, error),
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// nodeGroups is the number of groups that nodes are dealt to.
+// nodeGroups is the number of groups over which the nodes are distributed.
 const nodeGroups = 3
 
 func (f *fleet) startDirectory() error {
@@ -176,13 +176,13 @@
 	return errors.Join(errs...)
 }
 
-// speaksBinary reports whether a node does: every so many-th one.
+// speaksBinary reports whether a node speaks the binary protocol, as every BinaryNodeEvery-th node does.
 func (f *fleet) speaksBinary(i int) bool {
 	every := f.scenario.Fleet.BinaryNodeEvery
 	return every > 0 && i%every == every-1
 }
 
-// nodeType is the type in a node's entry, from which proxies know its dialect.
+// nodeType returns the type in a node's directory entry, which tells proxies the node's dialect.
 func (f *fleet) nodeType(i int) string {
 	if f.speaksBinary(i) {
 		return "b1"
@@ -199,7 +199,7 @@
 	f.directory.update(e)
 }
 
-// addProblem notes what went wrong.
+// addProblem records a description of a problem, unless there are maxProblems already.
 func (f *fleet) addProblem(format string, a ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,7 +208,7 @@
 	}
 }
 
-// addCrash notes a process that ended or did not work as it has to.
+// addCrash counts and describes a process that exited unexpectedly or failed to start, reload or stop.
 func (f *fleet) addCrash(format string, a ...any) {
 	f.addProblem(format, a...)
 	f.mu.Lock()
@@ -216,7 +216,7 @@
 	f.mu.Unlock()
 }
 
-// stop ends all processes by a graceful shutdown, and counts what went wrong.
+// stop shuts all proxies down gracefully, and records those that had crashed or fail to stop.
 func (f *fleet) stop() {
 	var ending sync.WaitGroup
 	for _, p := range f.proxies {
@@ -225,7 +225,7 @@
 	ending.Wait()
 }
 
-// close ends the fakes, and the processes that are left.
+// close kills the remaining processes, and closes the links and the fakes.
 func (f *fleet) close() {
 	for _, p := range f.proxies {
 		process := p.currentProcess()
--- a/internal/fleettest/judge.go
+++ b/internal/fleettest/judge.go
@@ -11,9 +11,9 @@
 	"mulleinpier/internal/request"
 )
 
-// This file judges how attempts ended: what of it the rules forbid, and what a fault of the test excuses.
+// This file decides whether the end of an attempt breaks the rules or is excused by a fault that the test injected.
 
-// extraTolerance is the part of the tolerance for a delay of this process itself.
+// extraTolerance returns the part of the tolerance that covers delays of this process itself.
 func (w *workload) extraTolerance() time.Duration { return w.recorder.tolerance() - baseTolerance }
 
 func isTimeout(err error) bool {
@@ -21,14 +21,14 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// judgeNoAnswer judges an attempt whose answer did not come completely.
+// judgeNoAnswer decides the result of an attempt that got no complete answer.
 func (w *workload) judgeNoAnswer(
 	p *proxyInstance, conn *clientConn, id string, sent time.Time, wait time.Duration, err error,
 ) outcome {
 	link := w.fleet.links.clients[p.index]
 	if isTimeout(err) && link != nil && link.FaultySince(sent) {
-		// What waits on the link is delivered together with the end of the connection, as for clients that give up:
-		// whatever comes yet could not be held against the proxy.
+		// What the link holds back is delivered together with the end of the connection, as for any client that gives
+		// up, so that whatever still arrives says nothing about the proxy.
 		conn.socket.Close()
 		w.recorder.atCutLink()
 		return timedOut
@@ -39,13 +39,13 @@
 	}
 	conn.socket.Close()
 	if errors.Is(err, meta.ErrMalformedAnswer) || errors.Is(err, rawclient.ErrMalformedAnswer) {
-		w.recorder.wrongAnswer("proxy %d answered %s with what can't be read", p.index, id)
+		w.recorder.wrongAnswer("proxy %d sent a malformed answer to %s", p.index, id)
 		return failed
 	}
 	return w.judgeConnectionLost(p, conn, id, sent, err)
 }
 
-// judgeConnectionLost judges a connection that ended with a request on it.
+// judgeConnectionLost decides the result of an attempt whose connection ended before the answer.
 func (w *workload) judgeConnectionLost(
 	p *proxyInstance, conn *clientConn, id string, sent time.Time, err error,
 ) outcome {
@@ -55,21 +55,21 @@
 	}
 	if p.wasKilledSince(conn.dialedAt, sent) {
 		w.recorder.atKilledProxy()
-		return timedOut // the client has to decide: it may have run
+		return timedOut // the request may have been executed, so that the client decides whether to retry
 	}
 	if !conn.used || took >= closeRaceTime+w.extraTolerance() {
-		w.recorder.lost("proxy %d ended the connection of %s after %v, used before: %v: %v",
+		w.recorder.lost("proxy %d closed the connection of %s after %v (used before: %v): %v",
 			p.index, id, took.Round(time.Millisecond), conn.used, err)
 		return timedOut
 	}
 	if conn.binary {
-		// A node knows a binary write by its value, which the next attempt has too. So that one waits until this one
-		// would have been seen.
+		// Nodes identify a binary write by its value, which the next attempt repeats. The next attempt is therefore
+		// delayed until a node would have seen this one.
 		time.Sleep(nodeArrivalTime)
 		w.judgeCloseRace(p, id)
 		return crossedClose
 	}
-	// The request is lost all the same if the proxy had read it, which a node may see late.
+	// If the proxy had read the request, it is lost all the same. The node may receive it late.
 	w.tasks.Go(func() {
 		time.Sleep(lateWatchTime)
 		w.judgeCloseRace(p, id)
@@ -77,8 +77,9 @@
 	return crossedClose
 }
 
-// wasKilledSince reports whether the proxy was killed after a connection was dialed, and about when a request was sent:
-// one that was dialed later came up at another process.
+// wasKilledSince reports whether the proxy was killed after a connection was dialed, no more than processTimeout before
+// a request was sent, and less than processTimeout ago. A connection that was dialed after the kill leads to another
+// process.
 func (p *proxyInstance) wasKilledSince(dialed, sent time.Time) bool {
 	p.mu.Lock()
 	killed := p.killedAt
@@ -86,19 +87,20 @@
 	return killed.After(dialed) && killed.After(sent.Add(-processTimeout)) && time.Since(killed) < processTimeout
 }
 
-// judgeCloseRace counts a request whose idle connection was closed as it was sent, by whether a node has seen it.
+// judgeCloseRace counts a request that was sent just as the proxy closed its idle connection: it is lost if a node has
+// seen it, and excused otherwise.
 func (w *workload) judgeCloseRace(p *proxyInstance, id string) {
 	if w.fleet.seenByNode(id) {
-		w.recorder.lost("proxy %d took %s and closed its connection", p.index, id)
+		w.recorder.lost("proxy %d accepted %s and closed its connection unanswered", p.index, id)
 		return
 	}
 	w.recorder.crossedClose()
 }
 
-// longAgo is far more than closeRaceTime.
+// longAgo is much longer than closeRaceTime.
 const longAgo = time.Minute
 
-// watchLateAnswer watches a connection whose client has given up.
+// watchLateAnswer waits on a connection whose client has given up for a late answer, and counts what arrives.
 func (w *workload) watchLateAnswer(p *proxyInstance, conn *clientConn, id string, sent, deadline time.Time) {
 	defer conn.socket.Close()
 	conn.socket.SetDeadline(deadline.Add(lateWatchTime + w.recorder.tolerance()))
@@ -113,21 +115,21 @@
 	case isTimeout(err):
 		w.recorder.lost("proxy %d never answered %s", p.index, id)
 	default:
-		w.judgeConnectionLost(p, conn, id, deadline.Add(-longAgo), err) // too late for a race with a close
+		w.judgeConnectionLost(p, conn, id, deadline.Add(-longAgo), err) // too late for a close race
 	}
 }
 
-// judgeAnswer judges an answer, and releases its connection.
+// judgeAnswer checks an answer. It releases the connection, or closes it after a wrong answer.
 func (w *workload) judgeAnswer(
 	p *proxyInstance, conn *clientConn, q *clientRequest, id string, a *meta.AnswerLine, value []byte,
-) (as outcome, retryAfter time.Duration) {
+) (result outcome, retryAfter time.Duration) {
 	if conn.reader.Buffered() > 0 {
 		conn.socket.Close()
 		w.recorder.wrongAnswer("proxy %d sent more than one answer to %s", p.index, id)
 		return failed, 0
 	}
 	if conn.binary {
-		a.ID = []byte(id) // its opaque was the command's
+		a.ID = []byte(id) // readBinaryAnswer has compared the opaque
 	}
 	if a.Kind == request.Value || a.Kind == request.Stored {
 		if !q.isAnsweredBy(a, id, value) {
@@ -145,7 +147,7 @@
 	return failed, 0
 }
 
-// isAnsweredBy reports whether a positive answer is the one to the request with this id.
+// isAnsweredBy reports whether a positive answer belongs to the request, which was sent with this id.
 func (q *clientRequest) isAnsweredBy(a *meta.AnswerLine, id string, value []byte) bool {
 	if string(a.ID) != id {
 		return false
@@ -156,8 +158,8 @@
 	return a.Kind == request.Value && bytes.HasPrefix(value, append([]byte(q.key), ' '))
 }
 
-// isExcused reports whether an attempt's answer could not come in time because the process was stopped or the link to
-// it cut, and counts it.
+// isExcused reports whether an attempt could not be answered in time because the process was stopped or the link to it
+// failed, and counts it if so.
 func (w *workload) isExcused(p *proxyInstance, sent, deadline time.Time) bool {
 	if p.wasStopped(deadline, resumeTime+w.extraTolerance()) {
 		w.recorder.atStoppedProxy()
--- a/internal/fleettest/links.go
+++ b/internal/fleettest/links.go
@@ -12,10 +12,11 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// linkHost is where links listen: a loopback address whose ports are not taken while their owners are down.
+// linkHost is the loopback address on which links listen. Its ports are not taken by other sockets while their owners
+// are down.
 const linkHost = "127.0.0.4"
 
-// The other ends of links of proxies, as scenarios name them.
+// The other ends of the proxies' links, as scenarios name them.
 const (
 	linkToClients = "clients"
 	linkToNodes   = "nodes"
@@ -25,17 +26,17 @@
 // linkReset is the fault that resets all connections of a link.
 const linkReset = "reset"
 
-// linkSet holds the links between parts of the fleet, one for each pair. Pairs whose link never fails in a scenario
-// have none, and connect directly.
+// linkSet holds the links between the parts of a fleet, one for each pair of parts. If no link of a kind fails in the
+// scenario, there are no links of that kind, and the parts connect directly.
 type linkSet struct {
-	clients map[int]*faultinject.Link // by proxy; nil for no links of the kind
-	list    map[int]*faultinject.Link // by proxy
+	clients map[int]*faultinject.Link // by proxy; nil if there are no links to clients
+	list    map[int]*faultinject.Link // by proxy; nil if there are no links to the list
 
 	mu    sync.Mutex
-	nodes map[int]map[string]*faultinject.Link // by proxy and node
+	nodes map[int]map[string]*faultinject.Link // by proxy and node name
 }
 
-// prepare finds out which links a scenario needs.
+// prepare creates the maps of the kinds of links that a scenario needs.
 func (l *linkSet) prepare(s *Scenario) {
 	for i := range s.Events {
 		if s.Events[i].Action != "link" {
@@ -52,7 +53,8 @@
 	}
 }
 
-// linkToProxy returns the address at which clients connect to a proxy.
+// linkToProxy returns the address at which clients connect to a proxy: that of a new link, or its own if links to
+// clients never fail.
 func (l *linkSet) linkToProxy(p *proxyInstance) (string, error) {
 	if l.clients == nil {
 		return p.address, nil
@@ -65,7 +67,8 @@
 	return link.Address(), nil
 }
 
-// nodeAddress returns the address at which a proxy finds a node.
+// nodeAddress returns the address at which a proxy connects to a node: that of their link, or the node's own if links
+// to nodes never fail.
 func (f *fleet) nodeAddress(proxy int, e *endpointlist.Entry) string {
 	l := &f.links
 	if l.nodes == nil {
@@ -88,13 +91,14 @@
 	return link.Address()
 }
 
-// linkToList puts a link before a proxy's list: it replaces the address in the part of the configuration about it.
+// linkToList inserts a link between a proxy and its endpoint list: it replaces the list's address in the discovery part
+// of the proxy's configuration.
 func (f *fleet) linkToList(proxy int, config string) (string, error) {
 	const key = "discovery = \""
 	before, rest, ok := strings.Cut(config, key)
 	target, after, _ := strings.Cut(rest, "\"")
 	if !ok {
-		return "", errors.New("links to a list need the platform's list")
+		return "", errors.New("links to the list need the platform's endpoint list, not Consul")
 	}
 	if f.links.list[proxy] == nil {
 		link, err := faultinject.NewLink(linkHost, target)
@@ -106,7 +110,7 @@
 	return before + key + f.links.list[proxy].Address() + "\"" + after, nil
 }
 
-// nodeLinkFaulty reports whether what came from a proxy to a node may have waited on its link since a time.
+// nodeLinkFaulty reports whether a fault of the link may have delayed a request from a proxy to a node since a time.
 func (l *linkSet) nodeLinkFaulty(proxy int, node string, since time.Time) bool {
 	l.mu.Lock()
 	link := l.nodes[proxy][node]
@@ -114,7 +118,7 @@
 	return link != nil && link.FaultySince(since.Add(-drainGrace))
 }
 
-// listLinkFaulty reports whether a notification of a proxy may have waited on its list's link since a time.
+// listLinkFaulty reports whether a fault of the link may have delayed a notification to a proxy since a time.
 func (l *linkSet) listLinkFaulty(proxy int, since time.Time) bool {
 	link := l.list[proxy]
 	return link != nil && link.FaultySince(since.Add(-drainGrace))
@@ -134,7 +138,7 @@
 	}
 }
 
-// matching returns the links that an event is about. names are those of the nodes.
+// matching returns the links that an event affects. names are the names of all nodes, by number.
 func (l *linkSet) matching(e *Event, names []string) (list []*faultinject.Link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,12 +159,12 @@
 	return list
 }
 
-// concernsNode reports whether an event of links to nodes is about one of them.
+// concernsNode reports whether an event of links to nodes affects the links to the node with this name.
 func (e *Event) concernsNode(name string, names []string) bool {
 	return len(e.Nodes) == 0 || slices.ContainsFunc(e.Nodes, func(i int) bool { return names[i] == name })
 }
 
-// failLinks makes links fail for a time.
+// failLinks injects the fault of an event into its links, and ends it after the event's duration or when ctx ends.
 func (f *fleet) failLinks(ctx context.Context, e *Event) {
 	names := make([]string, len(f.nodes))
 	for i, n := range f.nodes {
@@ -178,7 +182,7 @@
 	f.setFaults(links, faultinject.Fault{})
 }
 
-// setFaults sets the fault of several links at once, because to fill a backlog takes 50 ms.
+// setFaults sets the fault of several links concurrently, because filling a backlog takes 50 ms.
 func (f *fleet) setFaults(links []*faultinject.Link, fault faultinject.Fault) {
 	var tasks sync.WaitGroup
 	for _, l := range links {
--- a/internal/fleettest/pauses.go
+++ b/internal/fleettest/pauses.go
@@ -13,16 +13,17 @@
 	"time"
 )
 
-// This file plays paused processes and failing links, one fault at a time, and reports what each cost.
+// This file tests paused processes and failing links, one fault or pair of faults per test, and reports the effects of
+// each.
 
-// PauseOptions say what to play.
+// PauseOptions select the faults, and say how to run their tests.
 type PauseOptions struct {
 	Options
-	ProxyCounts []int  // at how many proxies each fault is played; 3 if left out
-	OnlyFault   string // only faults whose names contain it
-	Seed        uint64
-	AllPairs    bool // all pairs of faults, in place of the default ones
-	Parallel    int  // how many tests run at a time
+	ProxyCounts []int  // at how many proxies each fault is tested; empty means 3
+	OnlyFault   string // only faults whose names contain this
+	Seed        uint64 // 0 means 1
+	AllPairs    bool   // all pairs of faults instead of the default faults
+	Parallel    int    // how many tests run at a time; 0 means 1
 }
 
 const (
@@ -32,11 +33,11 @@
 	pauseHandoverShare   = 0.3
 	beforePause          = 3 * time.Second
 	afterPause           = 6 * time.Second
-	recoveredShare       = 0.98 // of requests in time, in an interval of the timeline
+	recoveredShare       = 0.98 // of requests in time, below which an interval is not recovered
 	maxProblemsPerReport = 5
 )
 
-// scenario is a fault at so many proxies.
+// scenario returns a scenario with the fault at a number of proxies.
 func (t pauseFault) scenario(count int, seed uint64) (*Scenario, error) {
 	s, err := LoadScenario("still")
 	if err != nil {
@@ -66,28 +67,29 @@
 	return s, s.check()
 }
 
-// PauseRow is what one fault cost.
+// PauseRow is the result of one fault at a number of proxies.
 type PauseRow struct {
 	Fault           string  `json:"trouble"`
 	Proxies         int     `json:"proxies"`
-	InTimePercent   float64 `json:"in_time_percent"` // from the start of the fault on
+	InTimePercent   float64 `json:"in_time_percent"` // of requests from the start of the fault
 	RecoverySeconds float64 `json:"back_s"`          // from the end of the fault until requests are in time again
 	Report          *Report `json:"report"`
 }
 
-// PauseReport is the result of all faults.
+// PauseReport holds the results of all faults.
 type PauseReport struct {
 	Rows        []PauseRow `json:"rows"`
 	VerdictLine string     `json:"verdict"` // the last line of the printed report
 }
 
-// pauseTest is one test to be run.
+// pauseTest is a test that is to be run.
 type pauseTest struct {
 	scenario *Scenario
-	faultEnd time.Duration
+	faultEnd time.Duration // since the start of the test
 }
 
-// RunPauses plays all faults.
+// RunPauses runs a test for each selected fault and number of proxies. An error means that some tests could not be run;
+// broken rules are in the report.
 func RunPauses(ctx context.Context, o PauseOptions) (*PauseReport, error) {
 	r := &PauseReport{}
 	tests, err := r.plan(&o)
@@ -102,7 +104,7 @@
 			for i := range next {
 				options := o.Options
 				options.Folder = filepath.Join(o.Folder, fmt.Sprint("still-", i))
-				errs[i] = r.Rows[i].play(ctx, tests[i], options)
+				errs[i] = r.Rows[i].run(ctx, tests[i], options)
 			}
 		})
 	}
@@ -118,7 +120,7 @@
 	return r, nil
 }
 
-// plan returns the tests to be run, and adds a row for each.
+// plan returns the tests to be run, and adds a row to the report for each.
 func (r *PauseReport) plan(o *PauseOptions) (tests []pauseTest, err error) {
 	counts := o.ProxyCounts
 	if len(counts) == 0 {
@@ -144,8 +146,8 @@
 	return tests, nil
 }
 
-// play runs a test and fills its row.
-func (row *PauseRow) play(ctx context.Context, test pauseTest, o Options) error {
+// run runs a test and fills in its row.
+func (row *PauseRow) run(ctx context.Context, test pauseTest, o Options) error {
 	if ctx.Err() != nil {
 		return nil // RunPauses reports it once
 	}
@@ -156,14 +158,14 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", row.Fault, err)
 	}
-	row.InTimePercent = inTimeShare(report.Phases[1:])
+	row.InTimePercent = inTimePercent(report.Phases[1:])
 	row.RecoverySeconds = report.recoveryAfter(test.faultEnd)
 	row.Report = report
 	return nil
 }
 
-// inTimeShare is the share of requests of some phases that were in time, in percent.
-func inTimeShare(phases []PhaseReport) float64 {
+// inTimePercent returns the percentage of the requests in some phases that were answered in time.
+func inTimePercent(phases []PhaseReport) float64 {
 	total := PhaseReport{}
 	for _, p := range phases {
 		total.Offered += p.Offered
@@ -172,8 +174,8 @@
 	return total.InTimePercent()
 }
 
-// recoveryAfter is how long after a time the last interval of the timeline ends in which too few requests were in time,
-// in seconds.
+// recoveryAfter returns the seconds from a time to the end of the last interval of the timeline in which too few
+// requests were answered in time; 0 if there is no such interval.
 func (r *Report) recoveryAfter(end time.Duration) (recovery float64) {
 	for i, c := range r.Timeline {
 		from := time.Duration(i) * timelineTick
@@ -184,7 +186,7 @@
 	return recovery
 }
 
-// sum sums up a figure of all reports.
+// sum adds up a figure over all reports.
 func (r *PauseReport) sum(of func(*Report) int) (n int) {
 	for _, row := range r.Rows {
 		n += of(row.Report)
--- a/internal/fleettest/ports.go
+++ b/internal/fleettest/ports.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// newHost is a loopback address that no connection goes out from and no other fleet listens at: while a proxy is down,
-// no other socket can take its port by chance.
+// newHost returns a loopback address that no outgoing connection uses and no other fleet listens on, so that no other
+// socket can be given the port of a proxy that is down.
 func newHost() string {
 	pid, n := os.Getpid(), int(hostCount.Add(1))
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid%250, 1+pid/250%250, 1+n%250)
@@ -16,21 +16,23 @@
 
 var hostCount atomic.Int64
 
-// portReserver reserves ports of a host, each once: the kernel may deal a port again as soon as it is closed.
+// portReserver reserves ports of a host, each only once, although the kernel may assign a port again as soon as it is
+// closed.
 type portReserver struct {
 	host     string
-	reserved map[string]bool // addresses
+	reserved map[string]bool // by address
 }
 
 func newPortReserver() *portReserver {
 	return &portReserver{host: newHost(), reserved: make(map[string]bool)}
 }
 
-// reserve opens an address that was not reserved before. Its caller closes it for what is to listen there.
+// reserve opens a listener at an address that was not reserved before. The caller closes it before the owner of the
+// address listens there.
 func (p *portReserver) reserve() (net.Listener, error) {
-	var again []net.Listener // closed only after another one was found
+	var rejected []net.Listener // closed only once another address was found
 	defer func() {
-		for _, l := range again {
+		for _, l := range rejected {
 			l.Close()
 		}
 	}()
@@ -44,6 +46,6 @@
 			p.reserved[address] = true
 			return l, nil
 		}
-		again = append(again, l)
+		rejected = append(rejected, l)
 	}
 }
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -17,38 +17,38 @@
 	"mulleinpier/internal/lifecycle"
 )
 
-// processTimeout bounds the waits for a process: for its start, a reload and its end.
+// processTimeout limits each wait for a process: for its start, a reload and its end.
 const processTimeout = 20 * time.Second
 
-// process is one process of a proxy's program; this package is its service manager.
+// process is one process of a proxy. This package acts as its service manager.
 type process struct {
 	cmd          *exec.Cmd
 	notifySocket *net.UnixConn
-	logPath      string // path of what it writes
+	logPath      string // receives standard output and standard error
 	ready        chan struct{}
 	draining     chan struct{}
 	exited       chan struct{}
-	// awaitingPermit is closed once the process has been told to end and waits for a permit.
+	// awaitingPermit is closed once the process has been told to end and waits for a restart permit.
 	awaitingPermit chan struct{}
 	tasks          sync.WaitGroup
 
 	startedAt  time.Time
-	readyAt    time.Time // after ready is closed
-	drainingAt time.Time // after drains is closed
-	exitedAt   time.Time // after exited is closed
-	err        error     // after exited is closed
+	readyAt    time.Time // valid once ready is closed
+	drainingAt time.Time // valid once draining is closed
+	exitedAt   time.Time // valid once exited is closed
+	err        error     // valid once exited is closed
 
 	mu          sync.Mutex
 	status      string
-	reloads     int // ended
+	reloads     int // completed
 	reloading   bool
-	endExpected bool // its end is
+	endExpected bool // the test has told the process to end
 }
 
 var processSerial atomic.Int64
 
-// startProcess starts a program under the service manager's protocol. It inherits listener, unless that is nil. What it
-// writes is appended to a log.
+// startProcess starts a program under the service manager's protocol. The process inherits listener, unless that is
+// nil. Its output is appended to the file log.
 func startProcess(argv []string, listener *os.File, log string) (*process, error) {
 	name := fmt.Sprintf("@fleettest-%d-%d", os.Getpid(), processSerial.Add(1))
 	notify, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: name, Net: "unixgram"})
@@ -73,7 +73,8 @@
 	p.cmd = exec.Command(argv[0], argv[1:]...)
 	p.cmd.Env = append(os.Environ(), "NOTIFY_SOCKET="+name, "WATCHDOG_USEC=2000000", "GW_CONFIG=")
 	if listener != nil {
-		// Only the process itself knows its id.
+		// LISTEN_PID must be the id of the process, which is known only once it runs: a shell sets it and executes the
+		// program in its own place.
 		p.cmd.Args = append([]string{"sh", "-c", `LISTEN_PID=$$ LISTEN_FDS=1 exec "$0" "$@"`}, argv...)
 		p.cmd.Path = "/bin/sh"
 		p.cmd.ExtraFiles = []*os.File{listener}
@@ -94,7 +95,7 @@
 	return p, nil
 }
 
-// readNotifications reads what the process sends to its service manager.
+// readNotifications handles the notifications of the process until the socket is closed.
 func (p *process) readNotifications() {
 	buf := make([]byte, 4<<10)
 	for {
@@ -110,10 +111,11 @@
 	}
 }
 
-// awaitingPermitStatus begins the status of a process that has been told to end and waits for a permit.
+// awaitingPermitStatus is the prefix of the status of a process that has been told to end and waits for a restart
+// permit.
 var awaitingPermitStatus = lifecycle.AwaitingPermit.String()
 
-// handleNotification takes one line to the service manager. p.mu is held.
+// handleNotification handles one line of a notification. p.mu must be held.
 func (p *process) handleNotification(line string) {
 	name, value, _ := strings.Cut(line, "=")
 	switch name {
@@ -153,7 +155,7 @@
 
 var errEnded = errors.New("the program ended")
 
-// end ends the process by a signal, and waits for it.
+// end ends the process by a signal, and waits until it has exited. If it does not exit in processTimeout, it is killed.
 func (p *process) end(signal syscall.Signal) error { return p.endWithin(signal, processTimeout) }
 
 func (p *process) endWithin(signal syscall.Signal, limit time.Duration) error {
@@ -175,7 +177,7 @@
 	return p.err
 }
 
-// hasCrashed reports whether the process has ended by itself.
+// hasCrashed reports whether the process has exited without having been told to.
 func (p *process) hasCrashed() bool {
 	select {
 	case <-p.exited:
@@ -187,14 +189,14 @@
 	return !p.endExpected
 }
 
-// reloadCount counts the reloads that have ended.
+// reloadCount returns how many reloads have completed.
 func (p *process) reloadCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reloads
 }
 
-// Footprint is what a process uses.
+// Footprint is the resources that a process uses.
 type Footprint struct {
 	ResidentMB  float64 `json:"resident_mb"`
 	Descriptors int     `json:"descriptors"`
@@ -225,7 +227,7 @@
 	return residentMB, descriptors
 }
 
-// logTail returns the last part of what a process wrote.
+// logTail returns the last 500 bytes of a log, or the text of the error if it cannot be read.
 func logTail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fleettest/proxy.go
+++ b/internal/fleettest/proxy.go
@@ -10,39 +10,38 @@
 	"time"
 )
 
-// proxyInstance is one proxy of the fleet, through all its processes.
+// proxyInstance is one proxy of the fleet. Restarts replace its process.
 type proxyInstance struct {
 	fleet                 *fleet
 	index                 int
 	address               string
 	clientAddress         string // where clients connect: address, or a link to it
-	peerAddress           string // where it listens for its peers
-	advertisedPeerAddress string // where its peers find it
+	peerAddress           string // where it listens for peers
+	advertisedPeerAddress string // where its peers connect
 	configPath            string
-	passedListener        *os.File // that each process inherits; nil for none
+	passedListener        *os.File // listener that each process inherits; nil for none
 
-	changing sync.Mutex // held while it is being restarted or reloaded
+	changing sync.Mutex // held during a restart or reload
 
 	mu             sync.Mutex
 	process        *process
-	acceptsClients bool       // clients open connections to it
-	stops          []interval // of its process, the latest last
+	acceptsClients bool       // clients may open connections to it
+	stops          []interval // when its process was stopped, oldest first
 	killedAt       time.Time
 	tenantQuota    int
 	restarts       int
 	reloads        int
-	downtimes      []interval // by permits: from a drain's start until the next process was ready
+	downtimes      []interval // in restarts by permit: from the start of the drain until the next process was ready
 }
 
-// interval is a span of time.
 type interval struct{ from, to time.Time }
 
 const (
-	// drainNoticeTime is how long after a drain has started clients still open connections.
+	// drainNoticeTime is how long clients still open connections after a drain has started.
 	drainNoticeTime = 300 * time.Millisecond
-	// killNoticeTime is the same after a process was killed.
+	// killNoticeTime is how long clients still open connections after a process was killed.
 	killNoticeTime = time.Second
-	// unknownKillTime is how far ahead the time of a kill is taken to be while it is not known.
+	// unknownKillTime is how far in the future the time of a kill is assumed to be until it is known.
 	unknownKillTime = time.Hour
 )
 
@@ -87,7 +86,7 @@
 	return startProcess(argv, p.passedListener, log)
 }
 
-// start starts the proxy where there is no process.
+// start starts the proxy's process and waits until it is ready. There must be no other process.
 func (p *proxyInstance) start() error {
 	process, err := p.launch()
 	if err != nil {
@@ -119,21 +118,21 @@
 	return p.process
 }
 
-// reportCrash notes a process that has ended by itself.
+// reportCrash records a crash if the process has exited unexpectedly.
 func (p *proxyInstance) reportCrash(process *process) {
 	if process.hasCrashed() {
-		p.fleet.addCrash("proxy %d had ended unasked: %v: %s", p.index, process.err, logTail(process.logPath))
+		p.fleet.addCrash("proxy %d exited unexpectedly: %v: %s", p.index, process.err, logTail(process.logPath))
 	}
 }
 
-// drain ends an old process gracefully.
+// drain ends an old process gracefully, and records a crash if that fails.
 func (p *proxyInstance) drain(old *process) {
 	if err := old.end(syscall.SIGTERM); err != nil {
 		p.fleet.addCrash("proxy %d: old process: %v: %s", p.index, err, logTail(old.logPath))
 	}
 }
 
-// startNext starts a process in place of an old one, and reports whether it became ready.
+// startNext starts a process to replace an old one, and reports whether it became ready.
 func (p *proxyInstance) startNext() bool {
 	process, err := p.launch()
 	if err == nil {
@@ -149,7 +148,8 @@
 	return true
 }
 
-// restart replaces the proxy's process as operators do.
+// restart replaces the proxy's process in the way that operators do: by a restart permit, with a shared listener, or by
+// mode.
 func (p *proxyInstance) restart(mode string) {
 	p.changing.Lock()
 	defer p.changing.Unlock()
@@ -161,7 +161,7 @@
 	switch {
 	case p.fleet.scenario.Fleet.RestartPermits > 0:
 		p.restartByPermit(old)
-	case p.passedListener != nil: // both processes hold it, and clients notice no gap
+	case p.passedListener != nil: // both processes hold the listener, so that clients see no gap
 		if p.startNext() {
 			p.drain(old)
 		}
@@ -172,7 +172,7 @@
 	}
 }
 
-// restartOverlapping starts the new process at once; it waits until the old one has left the address.
+// restartOverlapping starts the new process at once. That process waits until the old one has released the address.
 func (p *proxyInstance) restartOverlapping(old *process) {
 	ended := make(chan struct{})
 	go func() {
@@ -187,7 +187,7 @@
 	<-ended
 }
 
-// restartWithGap starts the new process when the old one has ended.
+// restartWithGap starts the new process after the old one has ended.
 func (p *proxyInstance) restartWithGap(old *process) {
 	notice := time.AfterFunc(drainNoticeTime, func() { p.setAcceptsClients(false) })
 	p.drain(old)
@@ -198,8 +198,8 @@
 	}
 }
 
-// killProcess kills the proxy's process. The time of the kill is that of the process's end: until then it accepts
-// connections, however long after the decision to kill it that is.
+// killProcess kills the proxy's process. killedAt is the time at which the process exited, because it may accept
+// connections until then, however long the signal takes.
 func (p *proxyInstance) killProcess() {
 	p.mu.Lock()
 	p.killedAt = time.Now().Add(unknownKillTime)
@@ -211,7 +211,7 @@
 	p.mu.Unlock()
 }
 
-// kill kills the proxy, and starts it again.
+// kill kills the proxy's process and starts a new one.
 func (p *proxyInstance) kill() {
 	p.changing.Lock()
 	defer p.changing.Unlock()
@@ -224,7 +224,7 @@
 	}
 }
 
-// stopGracefully ends the proxy for good.
+// stopGracefully shuts the proxy down at the end of the test.
 func (p *proxyInstance) stopGracefully() {
 	p.changing.Lock()
 	defer p.changing.Unlock()
@@ -237,6 +237,6 @@
 		return
 	}
 	if err := p.endWithoutPermit(process); err != nil {
-		p.fleet.addCrash("proxy %d: at the end: %v: %s", p.index, err, logTail(process.logPath))
+		p.fleet.addCrash("proxy %d: final shutdown: %v: %s", p.index, err, logTail(process.logPath))
 	}
 }
--- a/internal/fleettest/proxyconfig.go
+++ b/internal/fleettest/proxyconfig.go
@@ -11,23 +11,24 @@
 	"time"
 )
 
-// The variants of a configuration, as scenarios name them.
+// The variants of a proxy's configuration, as scenarios name them.
 const (
 	configSame   = "same"
-	configQuota  = "quota"  // with another quota of the tenants
+	configQuota  = "quota"  // with another tenant quota
 	configBroken = "broken" // not TOML
-	configGone   = "gone"   // there is no file
-	configHalf   = "half"   // half written
-	configMoved  = "moved"  // with another address of the list
-	configFixed  = "fixed"  // with another setting that needs a restart
+	configGone   = "gone"   // the file is removed
+	configHalf   = "half"   // the file is truncated, as while it is being written
+	configMoved  = "moved"  // with another address of the directory
+	configFixed  = "fixed"  // with a changed setting that takes effect only after a restart
 )
 
-// isGood reports whether a process could start with a variant.
-func isGood(variant string) bool {
+// staysAfterReload reports whether a variant remains the configuration of the proxy. The others are invalid, or change
+// a setting that needs a restart, and are replaced by configSame after the reload.
+func staysAfterReload(variant string) bool {
 	return variant == configSame || variant == configQuota || variant == configMoved
 }
 
-// configText is a variant of the proxy's configuration.
+// configText returns a variant of the proxy's configuration.
 func (p *proxyInstance) configText(variant string) ([]byte, error) {
 	var b bytes.Buffer
 	s := p.fleet.scenario
@@ -57,7 +58,7 @@
 	return text, nil
 }
 
-// listConfig is the part of the configuration about the list of nodes.
+// listConfig returns the discovery part of the configuration.
 func (p *proxyInstance) listConfig() (string, error) {
 	text, err := p.fleet.directory.config(p.index)
 	if err != nil || p.fleet.links.list == nil {
@@ -66,7 +67,7 @@
 	return p.fleet.linkToList(p.index, text)
 }
 
-// writeLimits writes resources, degradation and the test's clocks.
+// writeLimits writes the sections on resource limits, degradation and simulated clocks.
 func (p *proxyInstance) writeLimits(b io.Writer, variant string) {
 	s := &p.fleet.scenario.Fleet
 	sockets := s.MaxSockets
@@ -88,7 +89,7 @@
 	}
 }
 
-// writeBinary writes the binary protocol's part. Without tenants the default routes are right.
+// writeBinary writes the sections of the binary protocol. Without tenants the default routes apply.
 func (p *proxyInstance) writeBinary(b io.Writer) {
 	s := p.fleet.scenario
 	fmt.Fprintf(b, "[binary]\nclients = %v\ntypes = [\"b1\"]\n", s.Fleet.Binary)
@@ -100,7 +101,7 @@
 	}
 }
 
-// quoted is a list of strings in TOML.
+// quoted returns a TOML array of strings.
 func quoted(texts []string) string {
 	list := make([]string, len(texts))
 	for i, t := range texts {
@@ -111,7 +112,8 @@
 
 const reloadPollInterval = 5 * time.Millisecond
 
-// reload writes the configuration again and has the proxy read it, so many times.
+// reload writes a variant of the configuration and signals the proxy to reload it, for a number of times. It waits
+// until at least one reload has completed.
 func (p *proxyInstance) reload(variant string, times int, every time.Duration) {
 	p.changing.Lock()
 	defer p.changing.Unlock()
@@ -129,16 +131,17 @@
 	until := time.Now().Add(processTimeout)
 	for ; process.reloadCount() == before; time.Sleep(reloadPollInterval) {
 		if process.hasCrashed() || time.Now().After(until) {
-			p.fleet.addCrash("proxy %d: no reload was told after SIGHUP: %s", p.index, logTail(process.logPath))
+			p.fleet.addCrash("proxy %d: reported no reload after SIGHUP: %s", p.index, logTail(process.logPath))
 			return
 		}
 	}
-	if !isGood(variant) { // the next start needs a good one
+	if !staysAfterReload(variant) { // the next process has to start with the usual configuration
 		p.tryWriteConfig(configSame)
 	}
 }
 
-// signalReload writes the configuration and signals the process. An error ends the reload.
+// signalReload writes the configuration and signals the process. It returns an error only if the directory could not be
+// moved; a file that could not be written is recorded as a problem.
 func (p *proxyInstance) signalReload(process *process, variant string) error {
 	p.mu.Lock()
 	p.reloads++
@@ -148,7 +151,7 @@
 	p.mu.Unlock()
 	if variant == configMoved {
 		if err := p.fleet.directory.move(p.index); err != nil {
-			return fmt.Errorf("list: %w", err)
+			return fmt.Errorf("move the list: %w", err)
 		}
 	}
 	p.tryWriteConfig(variant)
@@ -156,7 +159,7 @@
 	return nil
 }
 
-// tryWriteConfig writes the configuration, and notes an error.
+// tryWriteConfig writes the configuration, and records an error as a problem.
 func (p *proxyInstance) tryWriteConfig(variant string) {
 	if err := p.writeConfig(variant); err != nil {
 		p.fleet.addProblem("proxy %d: %v", p.index, err)
@@ -171,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	if variant == configHalf { // in place, as while it is being written
+	if variant == configHalf { // written in place, so that the proxy can read an incomplete file
 		return os.WriteFile(p.configPath, text, 0o600)
 	}
 	if err := os.WriteFile(p.configPath+".new", text, 0o600); err != nil {
--- a/internal/fleettest/recorder.go
+++ b/internal/fleettest/recorder.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// recorder counts what became of requests, by the phase in which they started.
+// recorder counts the outcomes of requests, by the phase in which they started. It is safe for concurrent use.
 type recorder struct {
 	phases    []Phase
-	startedAt time.Time // of the first phase
+	startedAt time.Time // start of the first phase
 
 	mu              sync.Mutex
 	counts          []phaseCounts
-	timeline        []TimelineInterval // of timelineTick each
+	timeline        []TimelineInterval // one for each timelineTick
 	events          eventCounts
 	notOfferedCount int
 	failedDials     int
-	lag             time.Duration // of this process, the longest recently
+	lag             time.Duration // longest recent wake-up delay of this process
 	lagAt           time.Time
 	maxLag          time.Duration
 }
 
-// TimelineInterval counts the requests that started in a short interval, and those of them that were in time.
+// TimelineInterval counts the requests that started in an interval of 250 ms, and how many of them were answered in
+// time.
 type TimelineInterval struct {
 	Offered int `json:"offered"`
 	InTime  int `json:"in_time"`
@@ -33,7 +34,7 @@
 const (
 	timelineTick = 250 * time.Millisecond
 	lagTick      = 10 * time.Millisecond
-	lagMemory    = 5 * time.Second
+	lagRetention = 5 * time.Second
 	maxSamples   = 20
 )
 
@@ -41,8 +42,8 @@
 	return &recorder{phases: phases, startedAt: start, counts: make([]phaseCounts, len(phases))}
 }
 
-// watchLag measures how late this process wakes up, until ctx ends: a machine without a free core delays the proxies
-// as well.
+// watchLag measures how late this process wakes up, until ctx ends: if the machine has no free core, the proxies are
+// delayed as well.
 func (r *recorder) watchLag(ctx context.Context) {
 	for ctx.Err() == nil {
 		before := time.Now()
@@ -55,36 +56,36 @@
 func (r *recorder) addLag(now time.Time, lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if lag > r.lag || now.Sub(r.lagAt) > lagMemory {
+	if lag > r.lag || now.Sub(r.lagAt) > lagRetention {
 		r.lag = lag
 		r.lagAt = now
 	}
 	r.maxLag = max(r.maxLag, lag)
 }
 
-// tolerance is how late an answer may be now, which is more if this process was late recently.
+// tolerance returns how late an answer may currently be. It is larger if this process recently woke up late.
 func (r *recorder) tolerance() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return baseTolerance + 2*r.lag
 }
 
-// phaseCounts are the counts of one phase.
 type phaseCounts struct {
 	offered, inTime, late, refused, failed, retries int
-	latencies                                       []float32 // of served requests, in seconds
+	latencies                                       []float32 // of served requests in seconds, late ones included
 	handovers, handoversInTime                      int
 	offeredWeight, servedWeight                     float64
 }
 
-// The weights of requests: handovers weigh more, late ones and those over their tenant's quota less.
+// Weights of requests: a handover counts more than a read; late requests and requests over their tenant's quota count
+// less.
 const (
 	handoverWeight  = 2
 	lateFactor      = 0.3
 	overQuotaFactor = 0.2
 )
 
-// weight is the weight of a request that is answered in time.
+// weight returns the weight of a request if it is answered in time.
 func (q *clientRequest) weight() float64 {
 	weight := 1.0
 	if q.class.isWrite {
@@ -96,25 +97,25 @@
 	return weight
 }
 
-// eventCounts counts what the rules forbid, and what looks like it but is excused.
+// eventCounts counts breaches of the rules, and events that look like a breach but are excused.
 type eventCounts struct {
-	requests        int // attempts that were sent
+	requests        int // attempts sent
 	lost            int
-	wrongAnswers    int // answers that are not the request's
-	crossedClose    int // attempts whose idle connection was closed as they were sent
+	wrongAnswers    int // answers that do not match the request or are malformed
+	crossedClose    int // attempts sent just as the proxy closed the idle connection
 	atKilledProxy   int // attempts in flight when their proxy was killed
-	atStoppedProxy  int // attempts in flight at a stopped process beyond their deadlines
-	unknownOutcomes int // handovers whose clients never learnt what became of them
+	atStoppedProxy  int // attempts still in flight at a stopped process at their deadlines
+	unknownOutcomes int // handovers whose clients never learned the outcome
 	atCutLink       int // attempts in flight over a link that was cut
-	overdue         int // attempts that were answered shortly after their deadlines
+	overdue         int // attempts answered after their deadlines, but within the tolerance
 	maxOverdue      time.Duration
 	samples         []string
 }
 
-// recordedRequest is a request's place in the counts.
+// recordedRequest says where a started request was counted.
 type recordedRequest struct {
 	phase      int
-	interval   int // of the timeline
+	interval   int // index in the timeline
 	isHandover bool
 	weight     float64
 }
@@ -128,7 +129,7 @@
 	return &r.phases[i], since
 }
 
-// phaseAt returns the number of the phase at a time, the last one for any time after it.
+// phaseAt returns the index of the phase at a time; any time after the last phase counts as part of it.
 func (r *recorder) phaseAt(at time.Time) int {
 	since := at.Sub(r.startedAt)
 	for i, p := range r.phases {
@@ -169,15 +170,15 @@
 	r.counts[recorded.phase].retries++
 }
 
-// requestEnded counts the end of a request.
-func (r *recorder) requestEnded(recorded recordedRequest, took time.Duration, as outcome, objective time.Duration) {
+// requestEnded counts a request by its result and, if it was served, by whether that took longer than the objective.
+func (r *recorder) requestEnded(recorded recordedRequest, took time.Duration, result outcome, objective time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := &r.counts[recorded.phase]
 	switch {
-	case as == refused:
+	case result == refused:
 		c.refused++
-	case as != served:
+	case result != served:
 		c.failed++
 	case took > objective:
 		c.latencies = append(c.latencies, float32(took.Seconds()))
@@ -194,32 +195,32 @@
 	}
 }
 
-func (r *recorder) attemptSent()    { r.add(func(e *eventCounts) { e.requests++ }) }
-func (r *recorder) crossedClose()   { r.add(func(e *eventCounts) { e.crossedClose++ }) }
-func (r *recorder) atStoppedProxy() { r.add(func(e *eventCounts) { e.atStoppedProxy++ }) }
-func (r *recorder) unknownOutcome() { r.add(func(e *eventCounts) { e.unknownOutcomes++ }) }
-func (r *recorder) atCutLink()      { r.add(func(e *eventCounts) { e.atCutLink++ }) }
-func (r *recorder) atKilledProxy()  { r.add(func(e *eventCounts) { e.atKilledProxy++ }) }
-func (r *recorder) notOffered()     { r.add(func(*eventCounts) { r.notOfferedCount++ }) }
-func (r *recorder) dialFailed()     { r.add(func(*eventCounts) { r.failedDials++ }) }
+func (r *recorder) attemptSent()    { r.update(func(e *eventCounts) { e.requests++ }) }
+func (r *recorder) crossedClose()   { r.update(func(e *eventCounts) { e.crossedClose++ }) }
+func (r *recorder) atStoppedProxy() { r.update(func(e *eventCounts) { e.atStoppedProxy++ }) }
+func (r *recorder) unknownOutcome() { r.update(func(e *eventCounts) { e.unknownOutcomes++ }) }
+func (r *recorder) atCutLink()      { r.update(func(e *eventCounts) { e.atCutLink++ }) }
+func (r *recorder) atKilledProxy()  { r.update(func(e *eventCounts) { e.atKilledProxy++ }) }
+func (r *recorder) notOffered()     { r.update(func(*eventCounts) { r.notOfferedCount++ }) }
+func (r *recorder) dialFailed()     { r.update(func(*eventCounts) { r.failedDials++ }) }
 
 func (r *recorder) overdue(by time.Duration) {
-	r.add(func(e *eventCounts) {
+	r.update(func(e *eventCounts) {
 		e.overdue++
 		e.maxOverdue = max(e.maxOverdue, by)
 	})
 }
 
 func (r *recorder) lost(format string, a ...any) {
-	r.add(func(e *eventCounts) { e.lost++ }, fmt.Sprintf(format, a...))
+	r.update(func(e *eventCounts) { e.lost++ }, fmt.Sprintf(format, a...))
 }
 
 func (r *recorder) wrongAnswer(format string, a ...any) {
-	r.add(func(e *eventCounts) { e.wrongAnswers++ }, fmt.Sprintf(format, a...))
+	r.update(func(e *eventCounts) { e.wrongAnswers++ }, fmt.Sprintf(format, a...))
 }
 
-// add changes the counts, and keeps some descriptions of what was wrong.
-func (r *recorder) add(change func(*eventCounts), samples ...string) {
+// update changes the counts, and keeps the first maxSamples descriptions of problems.
+func (r *recorder) update(change func(*eventCounts), samples ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.events)
@@ -231,7 +232,7 @@
 	}
 }
 
-// quantile returns a quantile of a sorted list of seconds, in milliseconds.
+// quantile returns a quantile of a sorted list of seconds, in milliseconds; 0 for an empty list.
 func quantile(sorted []float32, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -239,7 +240,7 @@
 	return float64(sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]) * 1000
 }
 
-// summary describes a phase in one line.
+// summary describes a phase in one line, with the requests that were lost so far in all phases.
 func (r *recorder) summary(phase int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -247,7 +248,7 @@
 	return fmt.Sprintf("%s: %d offered, %d in time; %d lost", r.phases[phase].Name, c.offered, c.inTime, r.events.lost)
 }
 
-// phaseReports returns the counts as a report has them.
+// phaseReports returns the counts in the form that reports use.
 func (r *recorder) phaseReports() (list []PhaseReport, events eventCounts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleettest/recorder_test.go
+++ b/internal/fleettest/recorder_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestRecorderCountsByPhase guards the figures of the reports.
+// A request counts in the phase in which it started, by its result, its latency objective and its weight; a request
+// after the last phase counts in the last phase.
 func TestRecorderCountsByPhase(t *testing.T) {
 	start := time.Now()
 	second := tomlDuration(time.Second)
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -10,43 +10,43 @@
 	"mulleinpier/internal/fake/origin"
 )
 
-// Report is the result of playing a scenario.
+// Report is the result of running a scenario.
 type Report struct {
 	Scenario        string             `json:"scenario"`
 	Description     string             `json:"about"`
 	Proxies         int                `json:"proxies"`
 	Nodes           int                `json:"nodes"`
 	Phases          []PhaseReport      `json:"phases"`
-	Timeline        []TimelineInterval `json:"course"` // a quarter of a second each
+	Timeline        []TimelineInterval `json:"course"` // intervals of 250 ms
 	FirstFootprints []Footprint        `json:"start"`  // by proxy, at the end of the first phase
 	LastFootprints  []Footprint        `json:"end"`    // by proxy
 	LevelChanges    [][]LevelChange    `json:"levels"` // of degradation, by proxy
 	Restarts        int                `json:"restarts"`
 	Reloads         int                `json:"reloads"`
 
-	RestartPermits int `json:"permits,omitempty"`   // how many proxies may be down by permits at a time
-	MaxDown        int `json:"most_down,omitempty"` // how many were
+	RestartPermits int `json:"permits,omitempty"`   // how many proxies may be down at the same time
+	MaxDown        int `json:"most_down,omitempty"` // how many were, at most
 
-	Requests             int      `json:"requests"` // tries that were sent
+	Requests             int      `json:"requests"` // attempts sent
 	Lost                 int      `json:"lost"`
 	DuplicateWrites      int      `json:"doubled"`
-	LateDrains           int      `json:"late_drains"` // requests that came to a node too long after its drain
+	LateDrains           int      `json:"late_drains"` // requests that reached a node too late after its drain
 	Crashes              int      `json:"crashes"`
 	WrongAnswers         int      `json:"wrong"`
 	CollapsedNodes       int      `json:"fallen"` // nodes that were overloaded while cold
 	LateDrainMillis      float64  `json:"late_drains_by_ms"`
 	LastAfterDrainMillis float64  `json:"last_at_a_drained_node_ms"`
-	CrossedClose         int      `json:"crossed"` // tries whose idle connection was closed as they were sent
-	KilledInFlight       int      `json:"excused"` // tries in flight at a proxy that was killed
-	ProcessesStopped     bool     `json:"stops"`   // the scenario stops processes
-	InFlightAtStopped    int      `json:"stopped"` // tries in flight at stopped processes beyond their deadlines
-	UnknownOutcomes      int      `json:"unsure"`  // handovers whose clients never learnt what became of them
-	InFlightAtCutLink    int      `json:"severed"` // tries in flight over a cut link
-	Overdue              int      `json:"overdue"` // tries that were answered shortly after their deadlines
+	CrossedClose         int      `json:"crossed"` // attempts sent just as the proxy closed the idle connection
+	KilledInFlight       int      `json:"excused"` // attempts in flight at a proxy that was killed
+	ProcessesStopped     bool     `json:"stops"`   // the scenario has stop events
+	InFlightAtStopped    int      `json:"stopped"` // attempts in flight at a stopped process at their deadlines
+	UnknownOutcomes      int      `json:"unsure"`  // handovers whose clients never learned the outcome
+	InFlightAtCutLink    int      `json:"severed"` // attempts in flight over a cut link
+	Overdue              int      `json:"overdue"` // attempts answered after their deadlines, but within the tolerance
 	MaxOverdueMillis     float64  `json:"overdue_by_ms"`
-	MaxLagMillis         float64  `json:"lag_ms"` // of the test process itself
+	MaxLagMillis         float64  `json:"lag_ms"` // longest wake-up delay of the test process itself
 	FailedDials          int      `json:"unopened"`
-	NotOffered           int      `json:"not_offered"` // requests that were not sent because too many were in flight
+	NotOffered           int      `json:"not_offered"` // requests not sent because too many were in flight
 	Effects              int      `json:"effects"`     // distinct writes at the origin
 	OriginFull           int      `json:"origin_full"`
 	MaxConnsPerNode      int      `json:"most_connections_of_a_node"`
@@ -54,7 +54,7 @@
 	VerdictLine          string   `json:"verdict"` // the last line of the printed report
 }
 
-// PhaseReport counts the requests that started in one phase; each ended in time, late, refused or failed. Latencies are
+// PhaseReport counts the requests that started in one phase, by result: in time, late, refused or failed. Latencies are
 // those of served requests.
 type PhaseReport struct {
 	Name    string  `json:"name"`
@@ -66,25 +66,25 @@
 	Failed  int     `json:"failed"`
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
-	Fetches int     `json:"fetches"` // at the origin
+	Fetches int     `json:"fetches"` // by nodes at the origin
 	Retries int     `json:"retries"`
 
 	Handovers       int `json:"handovers"`
 	HandoversInTime int `json:"handovers_in_time"`
 
 	OfferedWeight float64 `json:"worth"`  // sum of the requests' weights
-	ServedWeight  float64 `json:"earned"` // the part of it that was served
+	ServedWeight  float64 `json:"earned"` // weight of those served; late ones count less
 }
 
-// InTimePercent is the part of the offered requests that were answered in time.
+// InTimePercent returns the percentage of the offered requests that were answered in time.
 func (p *PhaseReport) InTimePercent() float64 {
 	return 100 * float64(p.InTime) / float64(max(p.Offered, 1))
 }
 
-// maxDuplicateSamples bounds the descriptions of duplicate writes.
+// maxDuplicateSamples is how many duplicate writes are described.
 const maxDuplicateSamples = 20
 
-// fill fills in the counts after a test.
+// fill fills in the counts and the verdict after a test. fetches are the origin's counts at the phase boundaries.
 func (r *Report) fill(f *fleet, t *recorder, fetches []int) {
 	r.fillRequests(t, fetches)
 	stats := f.origin.Stats()
@@ -120,7 +120,7 @@
 	r.VerdictLine = r.Verdict()
 }
 
-// fillRequests fills in what clients saw.
+// fillRequests fills in the counts that the clients recorded.
 func (r *Report) fillRequests(t *recorder, fetches []int) {
 	phases, events := t.phaseReports()
 	for i := range phases {
@@ -152,7 +152,7 @@
 	return broken == 0 && r.MaxDown <= r.RestartPermits
 }
 
-// verdictWord is the word of verdict lines.
+// verdictWord returns the word in verdict lines that says whether the rules held.
 func verdictWord(r interface{ OK() bool }) string {
 	if r.OK() {
 		return "ok"
@@ -160,7 +160,7 @@
 	return "BROKEN"
 }
 
-// Verdict is the last line of the printed report.
+// Verdict returns the last line of the printed report, which scripts read.
 func (r *Report) Verdict() string {
 	line := fmt.Sprintf("verdict: %s requests=%d lost=%d doubled=%d late_drains=%d crashes=%d",
 		verdictWord(r), r.Requests, r.Lost, r.DuplicateWrites, r.LateDrains, r.Crashes)
@@ -222,7 +222,6 @@
 	w.Flush()
 }
 
-// describeDuplicate describes a write that took effect more than once.
 func describeDuplicate(e *origin.Effect) string {
 	return fmt.Sprintf("handover %s of %s was carried out again %v after the first time",
 		e.Key, e.Record, e.Last.Sub(e.First).Round(time.Millisecond))
--- a/internal/fleettest/request.go
+++ b/internal/fleettest/request.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// clientRequest is one request of a client, through all its attempts.
+// clientRequest is one request of a client, with the state of all its attempts.
 type clientRequest struct {
 	retryState
 	key, idempotency, tenant string
-	value                    string  // of a write; no other request has it
-	attemptShare             float64 // of the deadline that an attempt waits
+	value                    string  // of a write; unique to the request
+	attemptShare             float64 // fraction of the deadline that one attempt waits
 	marksRetries             bool
-	overQuota                bool // of its tenant
+	overQuota                bool // its tenant had no quota left
 	binary                   bool
-	library                  bool   // it is sent by the client library
-	ticket                   uint64 // of a binary write; 0 for none yet
-	retriesLate              bool   // only seconds later
+	library                  bool   // it is sent through the client library
+	ticket                   uint64 // of a binary write; 0 until one is fetched
+	retriesLate              bool   // retries an unknown outcome only by late retries
 	lateRetries              int
 }
 
-// The client's habits, as the operators describe them.
+// How clients choose backoffs and attempt timeouts, as the platform's operators describe them.
 const (
 	minBackoff      = 20 * time.Millisecond
-	backoffRange    = 140 // milliseconds
+	backoffRange    = 140 // in milliseconds
 	minAttemptShare = 0.3
-	attemptRange    = 0.25 // of the attempt share
+	attemptRange    = 0.25 // range of the attempt share
 )
 
 // drawRequest draws the next request, and the time until the one after it.
@@ -34,7 +34,7 @@
 	defer w.mu.Unlock()
 	r := w.rng
 	q := &clientRequest{retryState: retryState{class: w.classes[0], maxRetries: w.load.Retries}}
-	// The order of the draws is part of a scenario's seed.
+	// The same seed gives the same requests only if the order of the draws stays the same.
 	q.backoff = minBackoff + time.Duration(r.IntN(backoffRange))*time.Millisecond
 	q.honoursRetryAfter = r.Float64() < w.load.HonourRetryAfterShare
 	q.attemptShare = minAttemptShare + r.Float64()*attemptRange
@@ -55,7 +55,7 @@
 	return q, time.Duration(r.ExpFloat64() / rate * float64(time.Second))
 }
 
-// drawWrite makes a request a write. w.mu is held.
+// drawWrite turns a request into a write. w.mu must be held.
 func (w *workload) drawWrite(q *clientRequest) {
 	q.class = w.classes[1]
 	q.key = fmt.Sprint("h", w.rng.IntN(w.load.Keys))
@@ -67,14 +67,14 @@
 	}
 }
 
-// drawTenant draws the tenant of a request, if there are tenants. w.mu is held.
+// drawTenant draws the tenant of a request, if there are tenants. w.mu must be held.
 func (w *workload) drawTenant(q *clientRequest, phase *Phase) {
 	count := len(w.load.Tenants)
 	if count == 0 {
 		return
 	}
 	tenant := w.rng.IntN(count)
-	// In a flood the first tenant sends several times its part, the others send theirs.
+	// In a flood the first tenant sends several times its share; the rates of the others stay the same.
 	factor := phase.FirstTenantFactor
 	if factor > 1 && w.rng.Float64() < (factor-1)/(factor-1+float64(count)) {
 		tenant = 0
@@ -83,7 +83,8 @@
 	q.overQuota = !w.withinQuota(tenant)
 }
 
-// withinQuota counts a request of a tenant, and reports whether it is within the quota. w.mu is held.
+// withinQuota counts a request of a tenant against its quota, and reports whether it is within the quota. w.mu must be
+// held.
 func (w *workload) withinQuota(tenant int) bool {
 	q, now := &w.quotas[tenant], time.Now()
 	perSecond := float64(w.load.TenantQuota)
--- a/internal/fleettest/retrystate.go
+++ b/internal/fleettest/retrystate.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// outcome is how an attempt ended, as its client saw it.
+// outcome is the result of an attempt as its client saw it.
 type outcome uint8
 
 // The outcomes.
 const (
 	served       outcome = iota
-	refused              // busy: trying again is harmless
-	failed               // any other answer, which promises nothing
-	timedOut             // no answer in the attempt's time
-	crossedClose         // an idle connection was closed as the request was sent
-	notConnected         // no connection came up; nothing was sent
+	refused              // rejected as busy: a retry is harmless
+	failed               // any other answer, after which the request may have been executed
+	timedOut             // no answer within the attempt's wait
+	crossedClose         // the idle connection was closed just as the request was sent
+	notConnected         // no connection could be opened; nothing was sent
 )
 
-// requestClass is a class of requests as clients have it.
+// requestClass is a class of requests as clients configure it.
 type requestClass struct {
 	name             string
 	isWrite          bool
 	latencyObjective time.Duration
 	deadline         time.Duration
-	dedupWindow      time.Duration // of writes: nodes drop repeats for so long
+	dedupWindow      time.Duration // of writes: how long nodes drop duplicates
 }
 
 const (
-	// safetyMargin is the part of the deduplication window that is left for clocks and queues: an attempt may start at
-	// a node as late as its own wait ends.
+	// safetyMargin is subtracted from the dedup window to allow for clocks and queues, because an attempt may be
+	// executed at a node as late as the end of its own wait.
 	safetyMargin = 100 * time.Millisecond
-	// minWait is the time that an attempt needs at least to be worth sending.
+	// minWait is the shortest wait with which an attempt is worth sending.
 	minWait = 50 * time.Millisecond
 )
 
-// retryState decides whether a request is retried, without I/O and clock. Times count from the request's start.
+// retryState decides whether a request is retried. It does no I/O and reads no clock; times count from the start of the
+// request.
 type retryState struct {
 	class             requestClass
 	maxRetries        int
@@ -41,24 +42,24 @@
 
 	attempts         int
 	mayHaveRun       bool
-	firstPossibleRun time.Duration // when the first attempt that may have run was sent
+	firstPossibleRun time.Duration // when the first attempt that may have been executed was sent
 	lastSent         time.Duration
 }
 
-// retryDecision says what follows an attempt. The zero value is no further attempt.
+// retryDecision says what follows an attempt. The zero value means no further attempt.
 type retryDecision struct {
 	again   bool
 	backoff time.Duration
 	maxWait time.Duration // of the next attempt
 }
 
-// next decides what follows an attempt that ended at now. retryAfter is a refusal's advice.
+// next decides what follows an attempt that ended at now. retryAfter is the delay that a rejection advises.
 //
-// A write that may have run is sent again only while its repeats are surely dropped, with a wait that ends before they
-// are not: after that only its client could find out whether it was carried out.
-func (s *retryState) next(now time.Duration, as outcome, retryAfter time.Duration) retryDecision {
+// A write that may have been executed is sent again only while nodes are certain to drop duplicates, with a wait that
+// ends before the dedup window does. After that only the client could find out whether the write was executed.
+func (s *retryState) next(now time.Duration, result outcome, retryAfter time.Duration) retryDecision {
 	var d retryDecision
-	switch as {
+	switch result {
 	case served:
 		return retryDecision{}
 	case failed, timedOut, crossedClose:
@@ -67,14 +68,14 @@
 			s.firstPossibleRun = s.lastSent
 		}
 	}
-	if as != crossedClose && as != notConnected { // a real client does not count those
+	if result != crossedClose && result != notConnected { // real clients do not count these as retries
 		s.attempts++
 		if s.attempts > s.maxRetries {
 			return retryDecision{}
 		}
 		d.backoff = s.backoff
 	}
-	if as == refused && s.honoursRetryAfter {
+	if result == refused && s.honoursRetryAfter {
 		d.backoff = max(d.backoff, retryAfter)
 	}
 	d.maxWait = s.class.deadline - now - d.backoff
--- a/internal/fleettest/retrystate_test.go
+++ b/internal/fleettest/retrystate_test.go
@@ -28,7 +28,7 @@
 		name       string
 		state      retryState
 		now        time.Duration
-		as         outcome
+		result     outcome
 		retryAfter time.Duration
 		want       retryDecision
 	}{
@@ -68,7 +68,7 @@
 		s := c.state
 		s.maxRetries = 3
 		s.backoff = 50 * ms
-		if got := s.next(c.now, c.as, c.retryAfter); got != c.want {
+		if got := s.next(c.now, c.result, c.retryAfter); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -11,18 +11,18 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// Options say how to play a scenario.
+// Options say how to run a scenario.
 type Options struct {
-	// ProxyCommand starts a proxy; the path of its configuration follows.
+	// ProxyCommand starts a proxy. The path of the proxy's configuration is appended.
 	ProxyCommand []string
-	// Folder takes configurations and logs. It must exist.
+	// Folder receives configurations and logs. It must exist.
 	Folder string
-	// Progress, if set, is called with what happens while it happens.
+	// Progress, if set, is called with messages about the progress. Calls may be concurrent.
 	Progress func(format string, a ...any)
 }
 
-// RunScenario plays a scenario to its end, or until ctx ends. An error means that it could not be played; broken rules
-// are in the report.
+// RunScenario runs a scenario to its end, or until ctx ends. An error means that it could not be run; broken rules are
+// in the report.
 func RunScenario(ctx context.Context, s *Scenario, o Options) (*Report, error) {
 	if o.Progress == nil {
 		o.Progress = func(string, ...any) {}
@@ -56,13 +56,14 @@
 	report.LastFootprints = f.footprints()
 	report.LevelChanges = f.levelChanges(start)
 	f.stop()
-	// Requests that were in flight at nodes may still take effect.
+	// Requests that are still in flight at nodes may take effect after the proxies have ended.
 	waitUntilSteady(func() int { return f.origin.Stats().Writes })
 	report.fill(f, r, fetches)
 	return report, nil
 }
 
-// awaitPhases waits for the end of each phase. It returns the origin's count of fetches at the start and at those ends.
+// awaitPhases waits for the end of each phase. It returns the origin's count of fetches at the start and at the end of
+// each phase.
 func (f *fleet) awaitPhases(ctx context.Context, r *recorder, report *Report) (fetches []int) {
 	fetches = []int{0}
 	end := r.startedAt
@@ -85,7 +86,7 @@
 	steadyPoll    = 50 * time.Millisecond
 )
 
-// waitUntilSteady waits until a count has not changed for a while.
+// waitUntilSteady waits until a count has not changed for steadyTime, at most steadyTimeout.
 func waitUntilSteady(count func() int) {
 	last, since := count(), time.Now()
 	timeout := time.Now().Add(steadyTimeout)
@@ -99,7 +100,7 @@
 
 func sleep(ctx context.Context, d time.Duration) { faultinject.Sleep(ctx, d) }
 
-// footprints returns those of all proxies.
+// footprints returns the footprints of all proxies, by number.
 func (f *fleet) footprints() (list []Footprint) {
 	for _, p := range f.proxies {
 		list = append(list, p.currentProcess().footprint())
@@ -107,7 +108,8 @@
 	return list
 }
 
-// HoldFleet holds a fleet until ctx ends. It prints the addresses of proxies and nodes by printLine.
+// HoldFleet starts a fleet and keeps it running until ctx ends. It passes the addresses of the proxies and nodes to
+// printLine, and "ready" once all run.
 func HoldFleet(ctx context.Context, s *Scenario, o Options, printLine func(line string)) error {
 	f, err := startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {})
 	if err != nil {
@@ -127,12 +129,12 @@
 	<-ctx.Done()
 	f.stop()
 	if f.crashes > 0 {
-		return fmt.Errorf("%d proxies ended badly: %s", f.crashes, f.problems)
+		return fmt.Errorf("%d proxies crashed or did not shut down cleanly: %s", f.crashes, f.problems)
 	}
 	return nil
 }
 
-// TempFolder creates a folder for a test.
+// TempFolder creates a temporary folder for a test. remove deletes it with its content.
 func TempFolder() (path string, remove func(), err error) {
 	path, err = os.MkdirTemp("", "fleettest-")
 	return path, func() { os.RemoveAll(path) }, err
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -1,9 +1,9 @@
-// Package fleettest plays fleets of real proxy processes between fake nodes, origins and lists on loopback, with a
-// simulated workload and injected faults, and reports whether the rules held. A scenario says what fleet and workload
-// there are, and what happens when.
+// Package fleettest runs fleets of real proxy processes on loopback, between fake nodes, origins and endpoint lists,
+// with a simulated workload and injected faults, and reports whether the rules held. A scenario describes the fleet,
+// the workload, and which events happen when.
 //
-// The checker (judge.go, drains.go, leasechecker in lease.go) trusts no proxy: it sees requests at the clients, at the
-// nodes and at the origin, and counts a fault's effects as excused only while the fault lasts. A test owns all its
+// The checks (judge.go, drains.go, fencingchecker.go) do not trust the proxies: they observe requests at the clients,
+// the nodes and the origin, and excuse the effects of a fault only while the fault lasts. A test owns all its
 // processes, links and goroutines, and ends them before it returns.
 package fleettest
 
@@ -20,7 +20,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// tomlDuration is a duration as a scenario writes it: "1.5s".
+// tomlDuration is a duration that a scenario file gives as a string such as "1.5s". It cannot be negative.
 type tomlDuration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -33,7 +33,7 @@
 	return err
 }
 
-// Scenario is one test. The tags are the keys of scenario files.
+// Scenario describes one test. The toml tags are the keys of scenario files.
 type Scenario struct {
 	Name        string        `toml:"-"`
 	Description string        `toml:"about"`
@@ -44,105 +44,106 @@
 	Events      []Event       `toml:"event"`
 }
 
-// FleetSettings describe the fleet.
+// FleetSettings are the number and the settings of the proxies, the nodes and the origin.
 type FleetSettings struct {
 	Proxies int      `toml:"proxies"`
 	Nodes   int      `toml:"nodes"`
 	Zones   []string `toml:"zones"`
 
-	// Of a node.
-	Slots            int          `toml:"slots"` // requests in work at a time
+	// Settings of each node.
+	Slots            int          `toml:"slots"` // requests executed at a time
 	Queue            int          `toml:"queue"`
-	ServiceTime      tomlDuration `toml:"work"`         // of a request
+	ServiceTime      tomlDuration `toml:"work"`         // per request
 	Capacity         int          `toml:"capacity"`     // keys in its cache
-	Connections      int          `toml:"connections"`  // that it accepts
-	DedupWindow      tomlDuration `toml:"window"`       // in which nodes drop repeats
-	BinaryNodeEvery  int          `toml:"binary_nodes"` // every so many-th node speaks binary; 0 for none
-	MissingKeyPrefix string       `toml:"lacks"`        // the origin has no key that starts with it
+	Connections      int          `toml:"connections"`  // open at a time; more are reset
+	DedupWindow      tomlDuration `toml:"window"`       // within which nodes drop duplicate writes
+	BinaryNodeEvery  int          `toml:"binary_nodes"` // every n-th node speaks binary; 0 means none
+	MissingKeyPrefix string       `toml:"lacks"`        // the origin has no keys with this prefix
 
 	OriginSlots       int          `toml:"origin_slots"`
 	OriginQueue       int          `toml:"origin_queue"`
 	OriginServiceTime tomlDuration `toml:"origin_work"`
 
-	// Of a proxy.
+	// Settings of each proxy.
 	MemoryMB            int  `toml:"memory_mb"`
 	MaxSockets          int  `toml:"sockets"`
 	ConnectionsPerNode  int  `toml:"connections_per_node"`
-	PassedListenerEvery int  `toml:"passed_socket"` // every so many-th proxy inherits its listener; 0 for none
-	Binary              bool `toml:"binary"`        // it accepts binary clients too
-	Consul              bool `toml:"consul"`        // it follows a Consul agent, one a zone
-	DegradationOff      bool `toml:"unreduced"`     // it never reduces its service
+	PassedListenerEvery int  `toml:"passed_socket"` // every n-th proxy inherits its listener; 0 means none
+	Binary              bool `toml:"binary"`        // accepts binary clients too
+	Consul              bool `toml:"consul"`        // discovers nodes from the Consul agent of its zone
+	DegradationOff      bool `toml:"unreduced"`     // never leaves the full degradation level
 
-	// SuspendAt is how long after a proxy's start its machine seems to be suspended, SuspendDuration for how long; 0
-	// for no suspension.
+	// SuspendAt is the time after a proxy's start at which its machine appears to be suspended, SuspendDuration for
+	// how long; a SuspendDuration of 0 means no suspension.
 	SuspendAt       tomlDuration `toml:"sleep_at"`
 	SuspendDuration tomlDuration `toml:"sleep_for"`
-	// ClockDrift is the share by which the clock that counts suspensions drifts from the other; at every other proxy
-	// it lags.
+	// ClockDrift is the fraction by which the clock that includes suspensions runs faster than the monotonic clock;
+	// at proxies with odd numbers it runs slower instead.
 	ClockDrift float64 `toml:"drift"`
-	// RestartPermits is how many proxies may restart at once, by permits of the fleet, of which the first three are
-	// voters; 0 for proxies that do not know each other.
+	// RestartPermits is how many proxies may restart at the same time under the fleet's restart permits. The first
+	// three proxies are the voters. 0 means that the proxies are no members of a fleet and do not know each other.
 	RestartPermits int `toml:"permits"`
-	// TakeoverMode, plain or strict, has the proxies of such a fleet record writes at TakeoverHolders others.
+	// TakeoverMode, plain or strict, has each proxy of a fleet with restart permits record its writes at
+	// TakeoverHolders other proxies.
 	TakeoverMode    string `toml:"takeover"`
 	TakeoverHolders int    `toml:"holders"`
-	// Leaderless has the proxies of such a fleet find no voter.
+	// Leaderless starts no voters in a fleet with restart permits, so that its proxies can reach none.
 	Leaderless bool `toml:"leaderless"`
 }
 
-// LoadSettings describe the workload.
+// LoadSettings are the settings of the workload. The fields named Share are fractions from 0 to 1.
 type LoadSettings struct {
-	Rate           float64 `toml:"rate"`      // requests a second, without retries
-	HandoverShare  float64 `toml:"handovers"` // of requests
-	Keys           int     `toml:"keys"`      // that are read
-	Skew           float64 `toml:"skew"`      // of their popularity, above 1
-	OneOffKeyShare float64 `toml:"one_off"`   // of reads: for keys that are read once
+	Rate           float64 `toml:"rate"`      // requests per second, retries not included
+	HandoverShare  float64 `toml:"handovers"` // of requests that are handovers
+	Keys           int     `toml:"keys"`      // number of keys to read, and of keys to write
+	Skew           float64 `toml:"skew"`      // exponent of the Zipf distribution of the keys; above 1
+	OneOffKeyShare float64 `toml:"one_off"`   // of reads whose key is read only once
 
 	Retries               int     `toml:"retries"`
-	MarkedRetryShare      float64 `toml:"marked"` // of clients: they mark retries
-	HonourRetryAfterShare float64 `toml:"honour"` // of clients: they observe a refusal's advice
-	// LateRetries is how often a client asks again for a write with an unknown outcome, 2 to 10 s later each time;
-	// LateRetryShare the share of clients that retry only then.
+	MarkedRetryShare      float64 `toml:"marked"` // of clients that mark retries
+	HonourRetryAfterShare float64 `toml:"honour"` // of clients that wait as long as a rejection advises
+	// LateRetries is how often a client repeats a write with an unknown outcome, 2 to 10 s later each time.
+	// LateRetryShare is the share of clients that retry such a write only in this way, never sooner.
 	LateRetries    int     `toml:"again"`
 	LateRetryShare float64 `toml:"late"`
 
-	Pipelines     int `toml:"pipelines"` // connections that pipeline reads, in addition
+	Pipelines     int `toml:"pipelines"` // additional connections that pipeline reads
 	PipelineDepth int `toml:"depth"`
 
 	Tenants      []string `toml:"tenants"`
-	TenantQuota  int      `toml:"quota"`   // of a tenant, requests a second over all proxies
-	BinaryShare  float64  `toml:"binary"`  // of requests: from binary clients, as every other pipeline
-	LibraryShare float64  `toml:"library"` // of the others: through the client library
+	TenantQuota  int      `toml:"quota"`   // of each tenant, in requests per second over all proxies
+	BinaryShare  float64  `toml:"binary"`  // of requests from binary clients; above 0, also every second pipeline
+	LibraryShare float64  `toml:"library"` // of the other requests that use the client library
 }
 
-// The shares that the flags --binary and --library stand for.
+// The settings that the flags --binary and --library select.
 const (
 	binaryShare     = 0.25
 	binaryNodeEvery = 4
 	libraryShare    = 0.25
 )
 
-// WithBinary has one client in four, if there are clients, and one node in four speak binary.
+// WithBinary makes one request in four and one node in four use the binary protocol.
 func (s *Scenario) WithBinary() {
 	s.Fleet.Binary = true
 	s.Fleet.BinaryNodeEvery = binaryNodeEvery
 	s.Load.BinaryShare = binaryShare
 }
 
-// WithLibrary has one client in four use the client library.
+// WithLibrary makes one client in four, of those that do not speak binary, use the client library.
 func (s *Scenario) WithLibrary() { s.Load.LibraryShare = libraryShare }
 
 // Phase is a part of the workload whose results are counted together.
 type Phase struct {
 	Name              string       `toml:"name"`
 	Duration          tomlDuration `toml:"for"`
-	RateFactor        float64      `toml:"rate"`   // of the load's rate; 0 stands for 1
-	RateSwing         float64      `toml:"swing"`  // amplitude of a sine, as a share of the rate
+	RateFactor        float64      `toml:"rate"`   // multiplies the load's rate; 0 means 1
+	RateSwing         float64      `toml:"swing"`  // amplitude of a sine added to the rate, as a fraction of it
 	SwingPeriod       tomlDuration `toml:"period"` // of the sine
-	FirstTenantFactor float64      `toml:"flood"`  // by which the first tenant exceeds its part; 0 stands for 1
+	FirstTenantFactor float64      `toml:"flood"`  // multiplies the first tenant's rate; 0 means 1
 }
 
-// rate is the rate at a time since the phase started, as a factor of the load's.
+// rate returns the factor by which the load's rate is multiplied at a time since the start of the phase.
 func (p *Phase) rate(since time.Duration, tenants int) float64 {
 	rate := p.RateFactor
 	if rate == 0 {
@@ -157,29 +158,30 @@
 	return rate
 }
 
-// Event is what happens to the fleet at a time. See eventActions for the actions and the fields that they use.
+// Event is something that happens to the fleet at a given time. eventActions lists the actions and the fields that they
+// use.
 type Event struct {
 	At            tomlDuration `toml:"at"`
 	Action        string       `toml:"do"`
-	Proxy         int          `toml:"proxy"` // number of a proxy; -1 for all
+	Proxy         int          `toml:"proxy"` // number of a proxy; -1 means all
 	Node          int          `toml:"node"`  // number of a node
-	Mode          string       `toml:"mode"`  // of restarts; "" for both by turns
+	Mode          string       `toml:"mode"`  // of restarts; "" means that a wave alternates between both
 	Interval      tomlDuration `toml:"every"`
 	Count         int          `toml:"times"`
 	ConfigVariant string       `toml:"with"`
 	FaultKind     string       `toml:"kind"`
 	Delay         tomlDuration `toml:"by"`
-	OneIn         int          `toml:"part"` // a fault concerns one request in so many
+	OneIn         int          `toml:"part"` // a fault affects one request in this many
 	Zone          string       `toml:"zone"`
 	Duration      tomlDuration `toml:"for"`
-	// Proxies, of stop, link, starve and crowd, are several proxies in place of Proxy.
+	// Proxies lists several proxies and replaces Proxy, for restart, kill, hangup, stop, link, starve and crowd.
 	Proxies []int `toml:"proxies"`
-	// Nodes, of links to nodes, are some nodes; none for all.
+	// Nodes limits a fault of the links to nodes to some nodes; empty means all.
 	Nodes  []int  `toml:"nodes"`
-	LinkTo string `toml:"between"` // clients, nodes or list: the other end of links of proxies
+	LinkTo string `toml:"between"` // other end of the proxies' links: clients, nodes or list
 }
 
-// proxies are the numbers of the proxies that a fault concerns.
+// proxies returns the numbers of the proxies that a fault affects.
 func (e *Event) proxies() []int {
 	if len(e.Proxies) > 0 {
 		return e.Proxies
@@ -198,7 +200,7 @@
 //go:embed scenarios/*.toml
 var builtIn embed.FS
 
-// BuiltInScenarios returns the names of the built-in scenarios, with what they are about.
+// BuiltInScenarios returns the name and the description of each built-in scenario.
 func BuiltInScenarios() (list [][2]string) {
 	files, err := fs.Glob(builtIn, "scenarios/*.toml")
 	if err != nil {
@@ -213,7 +215,7 @@
 	return list
 }
 
-// defaultScenario has the settings that a file leaves out.
+// defaultScenario returns the defaults of the settings that a scenario file leaves out.
 func defaultScenario(name string) *Scenario {
 	return &Scenario{
 		Name: name,
@@ -254,7 +256,7 @@
 	text, err := builtIn.ReadFile("scenarios/" + name + ".toml")
 	if err != nil {
 		if text, err = os.ReadFile(name); err != nil {
-			return nil, fmt.Errorf("scenario %s: neither built in nor a file that can be read", name)
+			return nil, fmt.Errorf("scenario %s: neither a built-in scenario nor a readable file", name)
 		}
 	}
 	s := defaultScenario(strings.TrimSuffix(path.Base(name), ".toml"))
@@ -271,7 +273,7 @@
 	return s, nil
 }
 
-// length is the duration of all phases.
+// length returns the total duration of the phases.
 func (s *Scenario) length() (total time.Duration) {
 	for _, p := range s.Phases {
 		total += time.Duration(p.Duration)
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestBuiltInScenariosAreGood guards every scenario that is shipped.
+// Every built-in scenario loads, has a description and is listed.
 func TestBuiltInScenariosAreGood(t *testing.T) {
 	files, err := os.ReadDir("scenarios")
 	if err != nil || len(files) == 0 {
@@ -34,11 +34,11 @@
 		{"[load]\nrate = -1\n" + phase, "load.rate cannot be -1"},
 		{"[load]\nskew = 1.0\n" + phase, "want skew above 1"},
 		{"[[phase]]\nfor = \"-1s\"\n", "is negative"},
-		{phase + "[[event]]\ndo = \"dance\"\n", `nothing is done by "dance"`},
-		{phase + "[[event]]\ndo = \"wave\"\nmode = \"odd\"\n", `mode cannot be "odd"`},
+		{phase + "[[event]]\ndo = \"dance\"\n", `unknown action "dance"`},
+		{phase + "[[event]]\ndo = \"wave\"\nmode = \"odd\"\n", `unknown mode "odd"`},
 		{phase + "[[event]]\ndo = \"kill\"\nproxy = 3\n", "there is no proxy 3"},
 		{phase + "[[event]]\ndo = \"fault\"\nkind = \"odd\"\n", `no fault is named "odd"`},
-		{phase + "[[event]]\ndo = \"kill\"\nat = \"2s\"\n", "comes after the end"},
+		{phase + "[[event]]\ndo = \"kill\"\nat = \"2s\"\n", "at is later than the end of the last phase"},
 	} {
 		path := filepath.Join(t.TempDir(), "s.toml")
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestVerdictNamesEachBreach guards the last line of reports.
+// The last line of a report counts what broke the rules, and each kind of breach makes it BROKEN.
 func TestVerdictNamesEachBreach(t *testing.T) {
 	const ok = "verdict: ok requests=5 lost=0 doubled=0 late_drains=0 crashes=0"
 	if r := (&Report{Requests: 5}); !r.OK() || r.Verdict() != ok {
--- a/internal/fleettest/scenariocheck.go
+++ b/internal/fleettest/scenariocheck.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// The bounds of scenarios.
+// Upper bounds of the settings in scenarios.
 const (
 	maxProxies       = 99
 	maxNodes         = 1000
@@ -29,13 +29,12 @@
 	"", configSame, configQuota, configBroken, configGone, configHalf, configMoved, configFixed,
 }
 
-// linkEnds are the other ends of links of proxies.
+// linkEnds lists the valid other ends of the proxies' links.
 var linkEnds = []string{linkToClients, linkToNodes, linkToList}
 
-// isShare reports whether a number is a share of a whole.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
-// check returns the first thing that is wrong with a scenario, by the keys of its file.
+// check returns an error for the first invalid setting, which it names by its key in the scenario file.
 func (s *Scenario) check() error {
 	if err := s.Fleet.check(); err != nil {
 		return err
@@ -69,9 +68,10 @@
 	case f.Nodes < 1 || f.Nodes > maxNodes:
 		return fmt.Errorf("fleet.nodes cannot be %d: want 1 to %d", f.Nodes, maxNodes)
 	case f.BinaryNodeEvery < 0:
-		return fmt.Errorf("fleet.binary_nodes cannot be %d: want no less than 0", f.BinaryNodeEvery)
+		return fmt.Errorf("fleet.binary_nodes cannot be %d: want 0 or more", f.BinaryNodeEvery)
 	case f.RestartPermits < 0 || f.RestartPermits > 0 && f.Proxies < permitVoters:
-		return fmt.Errorf("fleet.permits cannot be %d: want 0 or more, and %d proxies", f.RestartPermits, permitVoters)
+		return fmt.Errorf("fleet.permits cannot be %d: want 0, or more with at least %d proxies",
+			f.RestartPermits, permitVoters)
 	case f.ClockDrift < 0 || f.ClockDrift > maxClockDrift:
 		return fmt.Errorf("fleet.drift cannot be %v: want 0 to %v", f.ClockDrift, maxClockDrift)
 	case len(f.Zones) == 0:
@@ -86,7 +86,7 @@
 	}
 	known := f.TakeoverMode == takeoverPlain || f.TakeoverMode == takeoverStrict
 	if !known || f.RestartPermits == 0 || f.TakeoverHolders < 1 || f.TakeoverHolders > 2 {
-		return fmt.Errorf("fleet.takeover cannot be %q with %d holders: want plain or strict, 1 or 2, and permits",
+		return fmt.Errorf("fleet.takeover cannot be %q with holders %d: want plain or strict, 1 or 2 holders, permits",
 			f.TakeoverMode, f.TakeoverHolders)
 	}
 	return nil
@@ -97,13 +97,13 @@
 	case l.Rate < 0 || l.Rate > maxRate:
 		return fmt.Errorf("load.rate cannot be %v: want 0 to %d", l.Rate, maxRate)
 	case !isShare(l.BinaryShare) || l.BinaryShare > 0 && !f.Binary:
-		return fmt.Errorf("load.binary cannot be %v: want 0 to 1, and fleet.binary", l.BinaryShare)
+		return fmt.Errorf("load.binary cannot be %v: want 0 to 1, and fleet.binary if above 0", l.BinaryShare)
 	case !isShare(l.LibraryShare):
 		return fmt.Errorf("load.library cannot be %v: want 0 to 1", l.LibraryShare)
-	case l.Skew <= 1 || l.Keys < 1 || !l.hasGoodPipelines():
-		return errors.New("load: want skew above 1, keys from 1, depth 1 to 100, pipelines 0 to 100")
+	case l.Skew <= 1 || l.Keys < 1 || !l.pipelinesInRange():
+		return errors.New("load: want skew above 1, keys 1 or more, depth 1 to 100, pipelines 0 to 100")
 	case l.TenantQuota < 0:
-		return fmt.Errorf("load.quota cannot be %d: want no less than 0", l.TenantQuota)
+		return fmt.Errorf("load.quota cannot be %d: want 0 or more", l.TenantQuota)
 	case l.LateRetries < 0 || l.LateRetries > maxLateRetries || !isShare(l.LateRetryShare):
 		return fmt.Errorf("load: again %d, late %v: want again 0 to %d, late 0 to 1",
 			l.LateRetries, l.LateRetryShare, maxLateRetries)
@@ -111,16 +111,17 @@
 	return nil
 }
 
-func (l *LoadSettings) hasGoodPipelines() bool {
-	goodDepth := l.PipelineDepth >= 1 && l.PipelineDepth <= maxPipelineDepth
-	return goodDepth && l.Pipelines >= 0 && l.Pipelines <= maxPipelines
+func (l *LoadSettings) pipelinesInRange() bool {
+	depthInRange := l.PipelineDepth >= 1 && l.PipelineDepth <= maxPipelineDepth
+	return depthInRange && l.Pipelines >= 0 && l.Pipelines <= maxPipelines
 }
 
 func (p *Phase) check(tenants []string) error {
 	isFactor := func(x float64) bool { return x >= 0 && x <= maxFactor }
 	floodWithoutTenants := p.FirstTenantFactor > 1 && len(tenants) == 0
 	if !isFactor(p.RateFactor) || !isShare(p.RateSwing) || !isFactor(p.FirstTenantFactor) || floodWithoutTenants {
-		return fmt.Errorf("phase %s: want rate 0 to 100, swing 0 to 1, flood 0 to 100 and tenants for it", p.Name)
+		return fmt.Errorf("phase %s: want rate 0 to 100, swing 0 to 1, flood 0 to 100, and tenants if flood is above 1",
+			p.Name)
 	}
 	return nil
 }
@@ -135,11 +136,11 @@
 	case isZoneEvent && !slices.Contains(f.Zones, e.Zone):
 		return fmt.Errorf("there is no zone %q", e.Zone)
 	case eventActions[e.Action] == "":
-		return fmt.Errorf("nothing is done by %q", e.Action)
+		return fmt.Errorf("unknown action %q", e.Action)
 	case !slices.Contains(restartModes, e.Mode) || !slices.Contains(configVariants, e.ConfigVariant):
-		return fmt.Errorf("mode cannot be %q, or with cannot be %q", e.Mode, e.ConfigVariant)
+		return fmt.Errorf("unknown mode %q, or unknown configuration variant %q", e.Mode, e.ConfigVariant)
 	case time.Duration(e.At) > s.length():
-		return errors.New("comes after the end")
+		return errors.New("at is later than the end of the last phase")
 	}
 	if err := f.checkTargets(e); err != nil {
 		return err
@@ -155,30 +156,31 @@
 	switch {
 	case e.Proxy < -1 || e.Proxy >= f.Proxies || e.Node < 0 || e.Node >= f.Nodes:
 		return fmt.Errorf("there is no proxy %d, or no node %d", e.Proxy, e.Node)
-	case slices.ContainsFunc(e.Proxies, without(f.Proxies)):
+	case slices.ContainsFunc(e.Proxies, outOfRange(f.Proxies)):
 		return fmt.Errorf("there is no such proxy: %v", e.Proxies)
 	case e.Count < 0 || e.Count > f.Nodes && (e.Action == "leave" || e.Action == "return"):
-		return fmt.Errorf("times cannot be %d", e.Count)
+		return fmt.Errorf("times cannot be %d: want 0 or more, and at most the number of nodes for leave and return",
+			e.Count)
 	}
 	return nil
 }
 
-// without reports whether a number is none of so many.
-func without(count int) func(i int) bool { return func(i int) bool { return i < 0 || i >= count } }
+// outOfRange returns a function that reports whether a number is outside 0 to count-1.
+func outOfRange(count int) func(i int) bool { return func(i int) bool { return i < 0 || i >= count } }
 
-// checkFault checks an event that injects a fault into processes or links.
+// checkFault checks an event that injects a fault into processes or links. It accepts all other events.
 func (s *Scenario) checkFault(e *Event) error {
 	if !slices.Contains([]string{"stop", "link", "starve", "crowd"}, e.Action) {
 		return nil
 	}
 	duration := time.Duration(e.Duration)
 	switch {
-	case slices.ContainsFunc(e.proxies(), without(s.Fleet.Proxies)):
+	case slices.ContainsFunc(e.proxies(), outOfRange(s.Fleet.Proxies)):
 		return fmt.Errorf("%s: there is no such proxy: %v", e.Action, e.proxies())
-	case slices.ContainsFunc(e.Nodes, without(s.Fleet.Nodes)):
+	case slices.ContainsFunc(e.Nodes, outOfRange(s.Fleet.Nodes)):
 		return fmt.Errorf("%s: there is no such node: %v", e.Action, e.Nodes)
 	case duration <= 0 && e.FaultKind != linkReset || duration > maxFaultDuration:
-		return fmt.Errorf("%s: for cannot be %v: want above 0, to 10m", e.Action, duration)
+		return fmt.Errorf("%s: for cannot be %v: want more than 0 and at most 10m", e.Action, duration)
 	case e.Count > maxFaultCount:
 		return fmt.Errorf("%s: times cannot be %d: want %d at most", e.Action, e.Count, maxFaultCount)
 	case e.Action == "link":
@@ -194,7 +196,7 @@
 	case e.FaultKind != linkReset && faultinject.LinkFaults[e.FaultKind] == nil:
 		return fmt.Errorf("link: there is no fault %q", e.FaultKind)
 	case e.LinkTo != linkToClients && s.Fleet.Consul:
-		return errors.New("link: with Consul only those to clients can fail")
+		return errors.New("link: between must be clients if the fleet uses Consul")
 	}
 	return nil
 }
--- a/internal/fleettest/stops.go
+++ b/internal/fleettest/stops.go
@@ -9,13 +9,13 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// resumeTime is how long before a deadline a stopped process has to continue at least to answer in time.
+// resumeTime is how long before a deadline a stopped process has to continue to be expected to answer in time.
 const resumeTime = 50 * time.Millisecond
 
-// unknownStopEnd is the end of a stop while it is not known.
+// unknownStopEnd is how far after its start a stop is assumed to end until its end is known.
 const unknownStopEnd = time.Hour
 
-// injectFault injects a fault into processes, until its end.
+// injectFault injects the fault of an event into processes, and returns when it has ended.
 func (f *fleet) injectFault(ctx context.Context, e *Event) {
 	var tasks sync.WaitGroup
 	for _, i := range e.proxies() {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// stopBySchedule stops the proxy's process by a schedule, and notes the stops.
+// stopBySchedule stops the proxy's process by a schedule, and records the stops.
 func (p *proxyInstance) stopBySchedule(ctx context.Context, schedule faultinject.StopSchedule) error {
 	pid := p.currentProcess().cmd.Process.Pid
 	if schedule.Count > 1 {
@@ -57,7 +57,7 @@
 			p.stops = append(p.stops, interval{from, to})
 		})
 	}
-	// A single long stop is noted before it ends, for those who judge a request meanwhile.
+	// A single stop may be long: it is recorded before it ends, for requests that are checked meanwhile.
 	now := time.Now()
 	p.mu.Lock()
 	index := len(p.stops)
@@ -70,7 +70,7 @@
 	})
 }
 
-// wasStopped reports whether the process was stopped at a deadline, or until less than margin before it.
+// wasStopped reports whether the process was stopped at a deadline, or had continued less than margin before it.
 func (p *proxyInstance) wasStopped(deadline time.Time, margin time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleettest/workload.go
+++ b/internal/fleettest/workload.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// baseTolerance is how much after its client's deadline an answer still is in time, because the rule is measured
-	// over sockets on a busy machine; a later one counts as lost.
+	// baseTolerance is how long after its client's deadline an answer is still accepted, because the test measures over
+	// sockets on a busy machine. A later answer counts as lost.
 	baseTolerance = 250 * time.Millisecond
 	// lateWatchTime is how long an attempt is watched for a late answer after its deadline.
 	lateWatchTime = time.Second
-	// closeRaceTime is how soon after a request was sent an idle connection may end because it was closed before the
-	// request arrived, unless a node has seen the request.
+	// closeRaceTime is how long after a request was sent the end of an idle connection can be explained by a close
+	// before the request arrived, unless a node has seen the request.
 	closeRaceTime = 300 * time.Millisecond
-	// nodeArrivalTime is how long it takes at most until a request that a proxy has read is at a node or waits for one.
+	// nodeArrivalTime is how long it takes at most until a request that a proxy has read reaches a node or waits for
+	// one.
 	nodeArrivalTime = 150 * time.Millisecond
 	// idleTimeout is how long clients keep idle connections.
 	idleTimeout = 1500 * time.Millisecond
-	// maxInFlight bounds the requests over all clients.
+	// maxInFlight limits the concurrent requests of all clients together.
 	maxInFlight = 8192
 )
 
 const (
-	workloadStream = 5 // second seed of the workload's generator
-	zipfOffset     = 4 // flattens the popularity of the first keys
+	workloadStream = 5 // second part of the seed of the workload's random generator
+	zipfOffset     = 4 // makes the popularity of the first keys more even
 )
 
-// workload is the client side of a test: arrivals that do not wait for answers, each with its own retries, over
-// connections that are kept.
+// workload is the client side of a test. Requests start at a given rate whether or not earlier ones have been answered,
+// are retried independently, and share a pool of connections.
 type workload struct {
 	fleet    *fleet
 	load     LoadSettings
@@ -47,24 +48,24 @@
 	inFlight atomic.Int64
 	tasks    sync.WaitGroup
 
-	// Of requests that use the client library: a client for each tenant.
+	// For requests through the client library: one client per tenant.
 	library []*client.Client
 	auditor *loadgen.TraceAuditor
 
 	mu        sync.Mutex
 	rng       *rand.Rand
 	zipf      *rand.Zipf
-	idleConns map[poolKey][]*clientConn // the latest last
+	idleConns map[poolKey][]*clientConn // most recently used last
 	quotas    []tenantQuota
 }
 
-// poolKey names the idle connections to a proxy in one dialect.
+// poolKey identifies the pool of idle connections to a proxy in one dialect.
 type poolKey struct {
 	proxy  int
 	binary bool
 }
 
-// tenantQuota is what a tenant has left of its quota, a second's worth at most.
+// tenantQuota is a token bucket with the remaining quota of a tenant, one second's worth at most.
 type tenantQuota struct {
 	left float64 // requests
 	at   time.Time
@@ -74,11 +75,11 @@
 type clientConn struct {
 	socket    net.Conn
 	reader    *bufio.Reader
-	dialedAt  time.Time // when opening it began
+	dialedAt  time.Time // when the dial began
 	idleSince time.Time
-	used      bool // it has carried a request
+	used      bool // it has carried a request before
 	binary    bool
-	opaque    uint32 // of the last command of a binary connection
+	opaque    uint32 // of the last command, on a binary connection
 }
 
 func newWorkload(f *fleet, r *recorder) *workload {
@@ -113,7 +114,7 @@
 	return w
 }
 
-// run sends requests until ctx ends, and returns when all of them have ended.
+// run sends requests until ctx ends. It returns when all of them have ended, and closes the idle connections.
 func (w *workload) run(ctx context.Context) {
 	defer w.closeLibrary()
 	for i := range w.load.Pipelines {
@@ -148,7 +149,7 @@
 			w.inFlight.Add(1)
 			w.tasks.Go(func() {
 				defer w.inFlight.Add(-1)
-				w.play(q)
+				w.runRequest(q)
 			})
 		}
 		next = next.Add(interval)
