--- a/internal/fleettest/faultinject/backlog.go
+++ b/internal/fleettest/faultinject/backlog.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// backlogDialTimeout is after how long a connection that does not come up shows that the backlog is full.
+// backlogDialTimeout is how long a dial may take before the backlog counts as full.
 const backlogDialTimeout = 100 * time.Millisecond
 
-// FillBacklog opens up to limit connections to an address, and holds them silently until ctx ends: at a stopped process
-// they fill the backlog. It returns how many came up.
+// FillBacklog opens up to limit connections to an address, and keeps them idle until ctx ends. If the process there is
+// stopped, they fill its backlog. It returns the number of connections that were opened.
 func FillBacklog(ctx context.Context, address string, limit int) (count int) {
 	var conns []net.Conn
 	defer func() {
--- a/internal/fleettest/faultinject/cpu.go
+++ b/internal/fleettest/faultinject/cpu.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// StarveCPU keeps a process on one core and takes most of that core from it, by so many busy processes, until ctx ends.
-// Then the process may use all cores that it could use before.
+// StarveCPU restricts a process to one core, on which it runs a number of busy processes, until ctx ends. Then the
+// process may use the same cores as before.
 func StarveCPU(ctx context.Context, pid, busyProcesses int) error {
 	var before, core unix.CPUSet
 	if err := unix.SchedGetaffinity(pid, &before); err != nil {
@@ -19,7 +19,7 @@
 	}
 	cores := listCores(&before)
 	core.Set(cores[pid%len(cores)]) // different cores for processes that are starved together
-	if err := eachThread(pid, &core); err != nil {
+	if err := setAffinity(pid, &core); err != nil {
 		return err
 	}
 	var busy []*exec.Cmd
@@ -39,10 +39,10 @@
 		}
 	}
 	<-ctx.Done()
-	return eachThread(pid, &before)
+	return setAffinity(pid, &before)
 }
 
-// listCores returns the numbers of the cores of a set.
+// listCores returns the numbers of the cores in a set.
 func listCores(set *unix.CPUSet) (cores []int) {
 	for core := 0; len(cores) < set.Count(); core++ {
 		if set.IsSet(core) {
@@ -52,8 +52,8 @@
 	return cores
 }
 
-// startBusyProcess starts a process that uses all of a core. It is a process of its own, because busy threads of this
-// one would delay the clients and the checks of the test. It ends with this process, however that ends.
+// startBusyProcess starts a process that keeps a core busy. Busy threads of the present process would delay the clients
+// and the checks of the test. The started process ends when the present one does, even if that is killed.
 func startBusyProcess(core *unix.CPUSet) (*exec.Cmd, error) {
 	c := exec.Command("sh", "-c", `while kill -0 "$0" 2>/dev/null; do :; done`, strconv.Itoa(os.Getpid()))
 	if err := c.Start(); err != nil {
--- a/internal/fleettest/faultinject/disk.go
+++ b/internal/fleettest/faultinject/disk.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// FullDisk has a process write nothing to files for a time or until ctx ends, as on a full disk: each write fails (with
-// EFBIG in place of ENOSPC), and a write in progress is cut short. That includes the process's log.
+// FullDisk simulates a full disk for a process, for a time or until ctx ends: each write to a file fails (with EFBIG
+// instead of ENOSPC), and a write in progress is cut short. This applies to the process's log too.
 func FullDisk(ctx context.Context, pid int, d time.Duration) error {
 	var before unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &before); err != nil {
@@ -20,6 +20,6 @@
 		return fmt.Errorf("full disk of process %d: %w", pid, err)
 	}
 	Sleep(ctx, d)
-	unix.Prlimit(pid, unix.RLIMIT_FSIZE, &before, nil) // it fails if the process has ended, which is no matter
+	unix.Prlimit(pid, unix.RLIMIT_FSIZE, &before, nil) // fails only if the process has ended
 	return nil
 }
--- a/internal/fleettest/faultinject/helpers_test.go
+++ b/internal/fleettest/faultinject/helpers_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// startLineServer starts a server that calls handle with each line.
+// startLineServer starts a server that calls handle with each line that it receives.
 func startLineServer(t *testing.T, handle func(c net.Conn, line string)) string {
 	t.Helper()
 	return testutil.ServeConnections(t, func(c net.Conn) {
@@ -74,17 +74,17 @@
 	}
 }
 
-// wantSilence fails the test if a line comes within a tenth of a second.
+// wantSilence fails the test if a line arrives within 100 ms.
 func wantSilence(t *testing.T, c net.Conn, in *bufio.Reader) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if got, err := in.ReadString('\n'); err == nil {
-		t.Fatalf("%q came", got)
+		t.Fatalf("got %q, want no line", got)
 	}
 	c.SetReadDeadline(time.Now().Add(testutil.Timeout))
 }
 
-// startProcess starts a process that is killed at the end of the test. It returns its id.
+// startProcess starts a process that is killed at the end of the test. It returns the process id.
 func startProcess(t *testing.T, name string, args ...string) (pid int) {
 	t.Helper()
 	cmd := exec.Command(name, args...)
--- a/internal/fleettest/faultinject/link.go
+++ b/internal/fleettest/faultinject/link.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// maxLinkConns bounds the connections of a link; more are closed at once. Each has two ends.
+	// maxLinkConns limits the connections of a link; further ones are closed at once. Each has two ends.
 	maxLinkConns = 1024
-	// linkDialTimeout bounds the dial of the target.
+	// linkDialTimeout limits how long the target may take to accept a connection.
 	linkDialTimeout = 2 * time.Second
-	// maxFillers is how many connections fill the backlog at most; the kernel takes one or two more than it is told.
+	// maxFillers is the maximum number of connections that fill the backlog. The kernel queues one or two more than the
+	// backlog's length, which is 0.
 	maxFillers        = 8
 	fillerDialTimeout = 50 * time.Millisecond
 	normalBacklog     = 128
 )
 
-// longPast is a deadline that ends a call at once.
-var longPast = time.Unix(1, 0)
+// pastDeadline is a deadline in the past, which ends a blocked call at once.
+var pastDeadline = time.Unix(1, 0)
 
-// Link passes connections from its address on to a target, and can block, delay, slow or cut them. It is safe for
-// concurrent use.
+// Link forwards connections to its address to a target, and can block, delay, slow, duplicate or reset them. It is safe
+// for concurrent use.
 type Link struct {
 	target   string
 	address  string
 	listener *net.TCPListener
 
 	mu        sync.Mutex
-	changed   sync.Cond // of fault and closed
+	changed   sync.Cond // signals changes of fault and closed
 	fault     Fault
-	changedAt time.Time  // of fault, or the last reset
-	fillers   []net.Conn // that keep the backlog full
-	conns     map[net.Conn]struct{}
+	changedAt time.Time             // when fault was last set, or the connections last reset
+	fillers   []net.Conn            // connections that keep the backlog full
+	conns     map[net.Conn]struct{} // both ends of each connection
 	closed    bool
 	tasks     sync.WaitGroup
 }
 
-// NewLink opens a link to a target at a free port of a loopback host.
+// NewLink opens a link to a target. It listens on a free port of host, which must be a loopback address.
 func NewLink(host, target string) (*Link, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -57,10 +58,10 @@
 	return l, nil
 }
 
-// Address is where the link listens.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string { return l.address }
 
-// SetFault sets the fault of the link, or ends it with the zero value.
+// SetFault replaces the fault of the link. The zero Fault ends it.
 func (l *Link) SetFault(f Fault) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// FaultySince reports whether the link has a fault, or had one at a time or later.
+// FaultySince reports whether the link has a fault now, or whether its fault was changed or its connections were reset
+// after a time.
 func (l *Link) FaultySince(at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +99,7 @@
 	}
 }
 
-// setBacklogLocked sets the length of the listener's backlog. l.mu is held.
+// setBacklogLocked sets the length of the listener's backlog. l.mu must be held.
 func (l *Link) setBacklogLocked(length int) error {
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
@@ -110,13 +112,13 @@
 	return listenErr
 }
 
-// fillBacklogLocked fills the backlog of the listener, from which nothing is accepted any more: whoever connects gets
-// no answer. l.mu is held.
+// fillBacklogLocked stops accepting connections and fills the backlog of the listener, so that further connection
+// attempts get no answer. l.mu must be held.
 func (l *Link) fillBacklogLocked() error {
 	if err := l.setBacklogLocked(0); err != nil {
 		return err
 	}
-	l.listener.SetDeadline(longPast) // ends accept; the socket stays
+	l.listener.SetDeadline(pastDeadline) // ends accept, but leaves the socket open
 	for range maxFillers {
 		c, err := net.DialTimeout("tcp", l.address, fillerDialTimeout)
 		if err != nil {
@@ -124,10 +126,10 @@
 		}
 		l.fillers = append(l.fillers, c)
 	}
-	return errors.New("link: the backlog does not fill")
+	return errors.New("link: the backlog is not full after the maximum number of connections")
 }
 
-// reopenLocked accepts connections again. l.mu is held.
+// reopenLocked empties the backlog and accepts connections again. l.mu must be held.
 func (l *Link) reopenLocked() error {
 	for _, c := range l.fillers {
 		c.Close()
@@ -141,7 +143,7 @@
 	return nil
 }
 
-// Close ends the link and all its connections.
+// Close closes the link and all its connections, and waits for its goroutines.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -157,7 +159,7 @@
 	l.tasks.Wait()
 }
 
-// accept accepts connections until the link is closed or its backlog is to be full.
+// accept accepts connections until the link is closed or fillBacklogLocked stops it.
 func (l *Link) accept() {
 	for {
 		in, err := l.listener.Accept()
@@ -168,8 +170,8 @@
 	}
 }
 
-// add notes one end of a connection, and reports whether the link accepts it.
-func (l *Link) add(c net.Conn) bool {
+// addConn registers one end of a connection. It closes it and returns false if the link is closed or has too many.
+func (l *Link) addConn(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || len(l.conns) >= 2*maxLinkConns {
@@ -180,42 +182,43 @@
 	return true
 }
 
-func (l *Link) remove(c net.Conn) {
+func (l *Link) removeConn(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 	c.Close()
 }
 
-// serve passes one connection on to the target.
+// serve forwards one connection to the target, until both directions have ended.
 func (l *Link) serve(in net.Conn) {
-	if !l.add(in) {
+	if !l.addConn(in) {
 		return
 	}
-	defer l.remove(in)
+	defer l.removeConn(in)
 	out, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
 	if err != nil {
 		in.(*net.TCPConn).SetLinger(0) // as if the target had refused it
 		return
 	}
-	if !l.add(out) {
+	if !l.addConn(out) {
 		return
 	}
-	defer l.remove(out)
+	defer l.removeConn(out)
 	var tasks sync.WaitGroup
-	back := transfer{link: l, from: out, to: in, direction: backward}
-	tasks.Go(back.run)
+	backwardTransfer := transfer{link: l, from: out, to: in, direction: backward}
+	tasks.Go(backwardTransfer.run)
 	duplicate := l.dialDuplicate(&tasks)
-	forth := transfer{link: l, from: in, to: out, duplicate: duplicate, direction: forward}
-	forth.run()
+	forwardTransfer := transfer{link: l, from: in, to: out, duplicate: duplicate, direction: forward}
+	forwardTransfer.run()
 	if duplicate != nil {
 		duplicate.(*net.TCPConn).CloseWrite()
 	}
 	tasks.Wait()
 }
 
-// awaitPassable waits while a direction is blocked. It reports whether it was, and whether the link is open still.
-func (l *Link) awaitPassable(direction func(*Fault) *Direction) (blocked, open bool) {
+// awaitUnblocked waits while a direction is blocked. It reports whether it was blocked, and whether the link is still
+// open.
+func (l *Link) awaitUnblocked(direction func(*Fault) *Direction) (blocked, open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for direction(&l.fault).Blocked && !l.closed {
@@ -225,7 +228,7 @@
 	return blocked, !l.closed
 }
 
-// state returns the fault of a direction now.
+// state returns the current fault of a direction.
 func (l *Link) state(direction func(*Fault) *Direction) Direction {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleettest/faultinject/link_test.go
+++ b/internal/fleettest/faultinject/link_test.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// Invariant 2: what a fault holds back arrives completely and in order once the fault ends, and nothing arrives before.
+// Invariant 2: data that a fault holds back arrives completely and in order once the fault ends, and none before.
 func TestBlockedLinkDeliversLater(t *testing.T) {
 	for _, name := range []string{"forth", "back", "cut"} {
 		t.Run(name, func(t *testing.T) {
@@ -26,14 +26,14 @@
 			if name == "cut" {
 				if n, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
 					n.Close()
-					t.Error("a connection came up")
+					t.Error("a connection was opened over a cut link")
 				}
 			}
 			setFault(t, l, Fault{})
 			wantLine(t, in, "b\n")
 			wantLine(t, in, "c\n")
 			if !l.FaultySince(before) || l.FaultySince(time.Now()) {
-				t.Error("FaultySince does not know the time of the fault")
+				t.Error("FaultySince is wrong about the time of the fault")
 			}
 			c, in = dial(t, l.Address())
 			send(t, c, "d\n")
@@ -50,15 +50,15 @@
 	send(t, c, "a\n")
 	wantLine(t, in, "a\n")
 	if took := time.Since(start); took < 100*time.Millisecond {
-		t.Errorf("there and back in %v", took)
+		t.Errorf("round trip in %v, want at least 100ms", took)
 	}
 	l.Reset()
 	if _, err := in.ReadByte(); err == nil {
-		t.Error("open after a reset")
+		t.Error("the connection is still open after a reset")
 	}
 }
 
-// What arrives on a new connection reaches the target on two.
+// A link that duplicates sends what it receives on a new connection to the target twice, on two connections.
 func TestLinkDuplicates(t *testing.T) {
 	received := make(chan string, 10)
 	target := startLineServer(t, func(c net.Conn, line string) {
@@ -78,8 +78,8 @@
 	wantSilence(t, c, in) // the answer to the duplicate is dropped
 }
 
-// A connection may come up in the moment before the backlog is full, and wait there with all that its sender writes.
-// If the sender gives it up with a reset, nothing of it is delivered when the link accepts connections again.
+// A connection may be opened just before the backlog is full, and wait there with all that its sender writes. If the
+// sender then resets the connection, none of that is delivered once the link accepts connections again.
 func TestResetConnectionInBacklogIsNotDelivered(t *testing.T) {
 	giveUp := func(c *net.TCPConn) {
 		c.SetLinger(0)
@@ -90,8 +90,8 @@
 	checkBacklog(t, target, giveUp, received)
 }
 
-// The same for a sender that closes the connection: the end arrives together with what it wrote, so that the reader can
-// see that nobody waits for an answer.
+// The same for a sender that closes its connection: the end of the connection arrives together with the data, so that
+// the reader can see that nobody waits for an answer.
 func TestClosedConnectionInBacklogIsSeenClosed(t *testing.T) {
 	giveUp := func(c *net.TCPConn) { c.Close() }
 	received := make(chan string, 1000)
@@ -103,15 +103,15 @@
 	checkBacklog(t, target, giveUp, received)
 }
 
-// checkBacklog cuts and reopens links while connections come up, and gives up these. Only lines of connections that
-// were opened after the cut may be received.
+// checkBacklog cuts links while connections are being opened, ends these connections by giveUp, and ends the cut. Only
+// lines of connections that were opened after the cut may be received.
 func checkBacklog(t *testing.T, target string, giveUp func(*net.TCPConn), received <-chan string) {
 	t.Helper()
 	written := 0
 	for range 10 {
 		l := openLink(t, target)
 		conns := dialUntilCut(t, l)
-		for _, c := range conns { // the latest of them may wait in the backlog
+		for _, c := range conns { // the last of them may wait in the backlog
 			if _, err := io.WriteString(c, "given up\n"); err == nil {
 				written++
 			}
@@ -131,7 +131,7 @@
 	}
 }
 
-// dialUntilCut opens connections, several at a time, while it cuts the link. It returns those that came up.
+// dialUntilCut opens connections, four at a time, until it has cut the link. It returns those that were opened.
 func dialUntilCut(t *testing.T, l *Link) (conns []*net.TCPConn) {
 	t.Helper()
 	var tasks sync.WaitGroup
--- a/internal/fleettest/faultinject/linkfault.go
+++ b/internal/fleettest/faultinject/linkfault.go
@@ -4,23 +4,24 @@
 
 // Direction is a fault of one direction of a link.
 type Direction struct {
-	Blocked        bool          // nothing passes; what comes waits and is delivered when the fault ends
-	Delay          time.Duration // by which each piece passes later
-	BytesPerSecond int           // 0 for no bound
+	Blocked        bool          // nothing is forwarded; received data is delivered when the fault ends
+	Delay          time.Duration // of each chunk of data
+	BytesPerSecond int           // 0 means unlimited
 }
 
-// Fault is a fault of a link. The zero value passes everything on.
+// Fault is a fault of a link. The zero value forwards everything at once.
 type Fault struct {
-	Forward, Backward Direction // from who connects to the target, and back
-	BacklogFull       bool      // no new connection comes up
-	// Duplicate sends what goes forward on a new connection on a second one too, whose answers are dropped.
+	Forward, Backward Direction // from the connecting side to the target, and back
+	BacklogFull       bool      // no new connections can be opened
+	// Duplicate opens a second connection to the target for each new connection. It sends the forward data on both, and
+	// drops the answers on the second.
 	Duplicate bool
 }
 
-// slowRate is the rate of a slow link in bytes a second.
+// slowRate is the rate of a slow link in bytes per second.
 const slowRate = 4 << 10
 
-// LinkFaults are the faults by the names that scenarios have for them. by is the delay of those that delay.
+// LinkFaults maps the names that scenarios use to faults. by is the delay of the fault "delay".
 var LinkFaults = map[string]func(by time.Duration) Fault{
 	"": func(time.Duration) Fault { return Fault{} },
 	"cut": func(time.Duration) Fault {
--- a/internal/fleettest/faultinject/process_test.go
+++ b/internal/fleettest/faultinject/process_test.go
@@ -10,7 +10,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// Invariant 1: a process is stopped for the time of the schedule and continues, also when the context ends before.
+// Invariant 1: a process is stopped for the duration of the schedule and then continues, also if the context ends
+// early.
 func TestStopEnds(t *testing.T) {
 	pid := startProcess(t, "sleep", "60")
 	var stops []time.Duration
@@ -36,7 +37,7 @@
 	}
 }
 
-// Invariant 1.
+// Invariant 1: StarveCPU and FillBacklog end with their contexts.
 func TestStarvingAndFullBacklogEnd(t *testing.T) {
 	pid := startProcess(t, "sleep", "60")
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -51,7 +52,7 @@
 	}
 }
 
-// A process that writes to a file writes nothing while its disk is full, and goes on afterwards.
+// A process writes nothing to a file while its disk is full, and can write again afterwards.
 func TestFullDiskEnds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "out")
 	pid := startProcess(t, "sh", "-c", "trap '' XFSZ; while :; do echo line >> "+path+"; sleep 0.01; done")
--- a/internal/fleettest/faultinject/stop.go
+++ b/internal/fleettest/faultinject/stop.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// StopSchedule describes stops of a process, as of a paused virtual machine, a swapping host or a debugger.
+// StopSchedule describes stops of a process, as they are caused by a paused virtual machine, a swapping host or a
+// debugger.
 type StopSchedule struct {
-	Duration time.Duration // of each stop
+	Duration time.Duration // length of each stop
 	Interval time.Duration // from the start of one stop to that of the next
-	Count    int           // at least one
+	Count    int           // number of stops; below 1 counts as 1
 }
 
-// stopTimeout bounds the wait until a process has stopped.
+// stopTimeout limits the wait until a process has stopped.
 const stopTimeout = time.Second
 
-// Run stops a process by the schedule. It always continues the process, also when ctx ends. stopped is called after
-// each stop.
+// Run stops a process by the schedule. It always continues the process, even if ctx ends or a stop fails. It calls
+// stopped after each stop.
 func (s StopSchedule) Run(ctx context.Context, pid int, stopped func(from, to time.Time)) error {
 	for i := range max(s.Count, 1) {
 		from := time.Now()
@@ -43,25 +44,25 @@
 		return fmt.Errorf("stop process %d: %w", pid, err)
 	}
 	defer func() {
-		syscall.Kill(pid, syscall.SIGCONT) // it fails if the process has ended, which is no matter
+		syscall.Kill(pid, syscall.SIGCONT) // fails only if the process has ended
 		stopped(from, time.Now())
 	}()
 	for until := from.Add(stopTimeout); !IsStopped(pid); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) || ctx.Err() != nil {
-			return fmt.Errorf("stop process %d: it still runs", pid)
+			return fmt.Errorf("stop process %d: it is still running", pid)
 		}
 	}
 	Sleep(ctx, d-time.Since(from))
 	return nil
 }
 
-// IsStopped reports whether a process is stopped.
+// IsStopped reports whether a process is stopped by a signal. It returns false if there is no such process.
 func IsStopped(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return false
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // after the name, which may contain anything
+	_, rest, _ := strings.Cut(string(text), ") ") // the state follows the program's name, which may contain spaces
 	return strings.HasPrefix(rest, "T")
 }
 
--- a/internal/fleettest/faultinject/threads.go
+++ b/internal/fleettest/faultinject/threads.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// eachThread sets the cores on which the threads of a process may run.
-func eachThread(pid int, set *unix.CPUSet) error {
+// setAffinity sets the cores on which the threads of a process may run.
+func setAffinity(pid int, set *unix.CPUSet) error {
 	threads, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
 		return fmt.Errorf("threads of process %d: %w", pid, err)
@@ -20,7 +20,7 @@
 		if err != nil {
 			continue
 		}
-		// A thread that has ended meanwhile is no matter.
+		// The thread may have ended meanwhile (ESRCH).
 		if err := unix.SchedSetaffinity(id, set); err != nil && !errors.Is(err, unix.ESRCH) {
 			return fmt.Errorf("thread %d: %w", id, err)
 		}
--- a/internal/fleettest/faultinject/transfer.go
+++ b/internal/fleettest/faultinject/transfer.go
@@ -9,47 +9,47 @@
 )
 
 const (
-	maxPieceBytes = 16 << 10
-	// maxTransferDelay bounds the delay of a piece.
+	maxChunkBytes = 16 << 10
+	// maxTransferDelay limits the delay of a chunk.
 	maxTransferDelay = 30 * time.Second
-	// duplicateTimeout bounds the life of a duplicate connection after the original has ended.
+	// duplicateTimeout limits the lifetime of a duplicate connection, counted from its dial.
 	duplicateTimeout = time.Minute
 )
 
 func forward(f *Fault) *Direction  { return &f.Forward }
 func backward(f *Fault) *Direction { return &f.Backward }
 
-// transfer passes one direction of a connection on.
+// transfer forwards one direction of a connection.
 type transfer struct {
 	link      *Link
 	from, to  net.Conn
-	duplicate net.Conn // gets everything too; nil for none
+	duplicate net.Conn // second connection that gets everything too; nil if there is none
 	direction func(*Fault) *Direction
 }
 
-// run passes everything on, as the fault of the direction allows, until the connection ends.
+// run forwards data, as the fault of the direction allows, until the connection or the link ends.
 func (t *transfer) run() {
-	piece := make([]byte, maxPieceBytes)
-	// Before the first read the connection may have waited in the backlog, for as long as the link was cut.
+	chunk := make([]byte, maxChunkBytes)
+	// It is zero before the first read, as the connection may have waited in the backlog through any earlier fault.
 	var lastRead time.Time
 	for {
-		n, err := t.from.Read(piece)
-		blocked, open := t.link.awaitPassable(t.direction)
+		n, err := t.from.Read(chunk)
+		blocked, open := t.link.awaitUnblocked(t.direction)
 		if !open {
 			return
 		}
 		blocked = blocked || t.link.FaultySince(lastRead)
 		lastRead = time.Now()
-		if blocked && wasReset(t.from) { // the data of a sender that gave up with a reset is lost
+		if blocked && wasReset(t.from) { // data that was held back is lost if its sender resets the connection
 			reset(t.to)
 			return
 		}
 		ok, ended := true, false
 		switch {
 		case n > 0 && blocked:
-			ok, ended = t.passWithEnd(piece[:n])
+			ok, ended = t.forwardWithEnd(chunk[:n])
 		case n > 0:
-			ok = t.pass(piece[:n])
+			ok = t.forwardChunk(chunk[:n])
 		}
 		if !ok {
 			return
@@ -64,35 +64,35 @@
 	}
 }
 
-// pass passes a piece on; false if the connection has ended.
-func (t *transfer) pass(piece []byte) bool {
-	t.delay(len(piece))
+// forwardChunk forwards a chunk. It returns false if the connection has ended.
+func (t *transfer) forwardChunk(chunk []byte) bool {
+	t.delay(len(chunk))
 	if t.duplicate != nil {
-		t.duplicate.Write(piece) // it fails if that one has ended, which is no matter
+		t.duplicate.Write(chunk) // fails if the duplicate has ended, which does not affect the original
 	}
-	if _, err := t.to.Write(piece); err != nil {
+	if _, err := t.to.Write(chunk); err != nil {
 		t.from.Close()
 		return false
 	}
 	return true
 }
 
-// passWithEnd passes a piece on that waited for the end of a fault. If the sender has closed the connection, the end is
-// to arrive together with the piece, as it does from a kernel that sends again what waited; ended is true then. ok is
+// forwardWithEnd forwards a chunk that a fault held back. If the sender has closed the connection meanwhile, ended is
+// true, and the end is to arrive together with the chunk, as it does when a kernel retransmits held-back data. ok is
 // false if the connection has ended otherwise.
-func (t *transfer) passWithEnd(piece []byte) (ok, ended bool) {
-	holdBack(t.to)
-	if !t.pass(piece) {
+func (t *transfer) forwardWithEnd(chunk []byte) (ok, ended bool) {
+	cork(t.to)
+	if !t.forwardChunk(chunk) {
 		return false, false
 	}
 	if wasClosed(t.from) {
 		return true, true
 	}
-	letGo(t.to)
+	uncork(t.to)
 	return true, false
 }
 
-// delay takes the time that a piece of some bytes needs.
+// delay sleeps for the time that the fault of the direction adds to a chunk of this size.
 func (t *transfer) delay(size int) {
 	direction := t.link.state(t.direction)
 	d := direction.Delay
@@ -102,7 +102,7 @@
 	time.Sleep(min(d, maxTransferDelay))
 }
 
-// end passes the end of the connection on.
+// end forwards the end of the connection: a close as a close, anything else as a reset.
 func (t *transfer) end(err error) {
 	if errors.Is(err, io.EOF) {
 		t.to.(*net.TCPConn).CloseWrite()
@@ -111,7 +111,8 @@
 	reset(t.to)
 }
 
-// dialDuplicate opens a second connection to the target if everything is to arrive twice; nil otherwise.
+// dialDuplicate opens a second connection to the target and discards its answers. It returns nil if the link does not
+// duplicate, or the connection cannot be opened.
 func (l *Link) dialDuplicate(tasks *sync.WaitGroup) net.Conn {
 	l.mu.Lock()
 	wanted := l.fault.Duplicate
@@ -120,11 +121,11 @@
 		return nil
 	}
 	c, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
-	if err != nil || !l.add(c) {
+	if err != nil || !l.addConn(c) {
 		return nil
 	}
 	tasks.Go(func() {
-		defer l.remove(c)
+		defer l.removeConn(c)
 		c.SetReadDeadline(time.Now().Add(duplicateTimeout))
 		io.Copy(io.Discard, c)
 	})
