--- a/cmd/fleettest/commands.go
+++ b/cmd/fleettest/commands.go
@@ -10,38 +10,38 @@
 	"mulleinpier/internal/fleettest"
 )
 
-// commands are the verbs. The names of fields in this and the structs of the verbs are names of verbs, flags and
-// arguments.
+// commands are the commands and common flags. kong derives the names of commands, flags and arguments from the names of
+// the fields here and in the structs of the commands.
 type commands struct {
 	commonFlags
 	List listFlag `help:"List the built-in scenarios."`
 
 	Wave     waveCommand     `cmd:"" help:"Restart twenty proxies in rolling waves."`
-	Play     playCommand     `cmd:"" help:"Play any scenario."`
-	Up       upCommand       `cmd:"" help:"Hold a small fleet until interrupted."`
+	Play     playCommand     `cmd:"" help:"Run any scenario."`
+	Up       upCommand       `cmd:"" help:"Run a small fleet until interrupted."`
 	Cost     costCommand     `cmd:"" help:"Measure the CPU time of a proxy and of a byte relay."`
 	Times    timesCommand    `cmd:"" help:"Measure the time from exec to ready, and from SIGTERM to exit."`
-	Agents   consulCommand   `cmd:"" name:"consul" help:"A fleet whose list comes from failing Consul agents."`
-	Degrade  degradeCommand  `cmd:"" help:"Overloads without and with degradation levels, same seeds."`
-	Clients  clientsCommand  `cmd:"" help:"Clients that use the library beside naive ones, in five faults."`
-	Still    stillCommand    `cmd:"" help:"Paused processes and cut links: each fault at some of twelve proxies."`
-	Lease    leaseCommand    `cmd:"" help:"One task among eight processes, with faults between them, two minutes."`
-	Takeover takeoverCommand `cmd:"" help:"Proxies killed, stopped and cut off with handovers in flight."`
-	Peers    peersCommand    `cmd:"" help:"Members of a fleet: how soon failures are detected, and what idling costs."`
-	Members  membersCommand  `cmd:"" help:"Measure what following 2,000 nodes with 50 changes a second costs."`
-	Conform  conformCommand  `cmd:"" help:"The conformance suite: both client dialects by both node dialects."`
-	Sight    sightCommand    `cmd:"" help:"Play a proxy with a planted defect, which has to be detected."`
+	Agents   consulCommand   `cmd:"" name:"consul" help:"Run a fleet that discovers nodes from failing Consul agents."`
+	Degrade  degradeCommand  `cmd:"" help:"Run overloads without and with degradation levels, on the same seeds."`
+	Clients  clientsCommand  `cmd:"" help:"Compare clients that use the library with naive ones, under five faults."`
+	Still    stillCommand    `cmd:"" help:"Paused processes and failing links: each fault at some of twelve proxies."`
+	Lease    leaseCommand    `cmd:"" help:"Eight processes compete for one task for two minutes, under faults."`
+	Takeover takeoverCommand `cmd:"" help:"Kill, stop and cut off proxies while handovers are in flight."`
+	Peers    peersCommand    `cmd:"" help:"Measure how soon fleet members detect failures, and their idle cost."`
+	Members  membersCommand  `cmd:"" help:"Measure the cost of following 2,000 nodes with 50 changes per second."`
+	Conform  conformCommand  `cmd:"" help:"Run the conformance suite with both client and both node dialects."`
+	Sight    sightCommand    `cmd:"" help:"Run proxies with a planted defect, to show that it is detected."`
 
 	// Processes that a test starts from this program.
-	AsDouble doubleCommand `cmd:"" name:"double" hidden:"" help:"Be a proxy with a planted defect."`
-	AsRelay  relayCommand  `cmd:"" name:"relay" hidden:"" help:"Be a byte relay."`
-	AsHolder holderCommand `cmd:"" name:"holder" hidden:"" help:"Acquire a task over and over."`
+	AsDouble doubleCommand `cmd:"" name:"double" hidden:"" help:"Run as a proxy with a planted defect."`
+	AsRelay  relayCommand  `cmd:"" name:"relay" hidden:"" help:"Run as a byte relay."`
+	AsHolder holderCommand `cmd:"" name:"holder" hidden:"" help:"Run as a process that repeatedly acquires a task."`
 }
 
-// play carries out a verb, and returns its report, nil for none.
-func (c *commands) play(ctx context.Context, verb string, test *testRun) (report, error) {
+// run runs a command, and returns its report; nil if it has none.
+func (c *commands) run(ctx context.Context, verb string, test *testRun) (report, error) {
 	verbs := map[string]interface {
-		play(ctx context.Context, test *testRun) (report, error)
+		run(ctx context.Context, test *testRun) (report, error)
 	}{
 		"wave":     &c.Wave,
 		"play":     &c.Play,
@@ -63,10 +63,10 @@
 	if v == nil {
 		return nil, fmt.Errorf("%w: unknown command %q", errUsage, verb)
 	}
-	return v.play(ctx, test)
+	return v.run(ctx, test)
 }
 
-// listFlag prints the built-in scenarios in place of a command.
+// listFlag prints the built-in scenarios instead of running a command.
 type listFlag bool
 
 // BeforeReset implements kong's hook, which runs before a missing command is reported.
@@ -79,11 +79,11 @@
 }
 
 type waveCommand struct {
-	Short   bool `help:"Six proxies, under a minute."`
-	Permits bool `help:"Restart by permits of the fleet, two at a time, while voters fail; under a minute."`
+	Short   bool `help:"Run a smaller fleet, in under a minute."`
+	Permits bool `help:"Restart by restart permits, two at a time, while voters fail; under a minute."`
 }
 
-func (c *waveCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *waveCommand) run(ctx context.Context, test *testRun) (report, error) {
 	name := "wave"
 	if c.Permits {
 		name += "-permits"
@@ -91,22 +91,22 @@
 	if c.Short {
 		name += "-short"
 	}
-	return test.playScenario(ctx, name)
+	return test.runScenario(ctx, name)
 }
 
 type playCommand struct {
-	Name string `arg:"" help:"A built-in scenario, or a file."`
+	Name string `arg:"" help:"Name of a built-in scenario, or path of a scenario file."`
 }
 
-func (c *playCommand) play(ctx context.Context, test *testRun) (report, error) {
-	return test.playScenario(ctx, c.Name)
+func (c *playCommand) run(ctx context.Context, test *testRun) (report, error) {
+	return test.runScenario(ctx, c.Name)
 }
 
 type upCommand struct {
-	Scenario string `default:"up" help:"Scenario of the fleet to hold."`
+	Scenario string `default:"up" help:"Scenario that describes the fleet."`
 }
 
-func (c *upCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *upCommand) run(ctx context.Context, test *testRun) (report, error) {
 	scenario, err := test.loadScenario(c.Scenario)
 	if err != nil {
 		return nil, err
@@ -116,16 +116,16 @@
 
 type consulCommand struct{}
 
-func (consulCommand) play(ctx context.Context, test *testRun) (report, error) {
-	return test.playScenario(ctx, "consul")
+func (consulCommand) run(ctx context.Context, test *testRun) (report, error) {
+	return test.runScenario(ctx, "consul")
 }
 
 type degradeCommand struct {
-	Short    bool   `help:"One scenario, 25 s."`
-	Scenario string `help:"One scenario alone."`
+	Short    bool   `help:"Run one short scenario, 25 s."`
+	Scenario string `help:"Run only this scenario."`
 }
 
-func (c *degradeCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *degradeCommand) run(ctx context.Context, test *testRun) (report, error) {
 	names := fleettest.DegradationScenarios
 	if c.Short {
 		names = []string{"degrade-short"}
@@ -137,12 +137,12 @@
 }
 
 type clientsCommand struct {
-	Short   bool   `help:"Two faults, 30 s."`
-	Tills   int    `default:"1000" help:"Clients of each kind."`
-	Trouble string `help:"One fault alone: restart, only, kill, gone or outage."`
+	Short   bool   `help:"Run two faults, 30 s."`
+	Tills   int    `default:"1000" help:"Number of clients of each kind."`
+	Trouble string `help:"Run only this fault: restart, only, kill, gone or outage."`
 }
 
-func (c *clientsCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *clientsCommand) run(ctx context.Context, test *testRun) (report, error) {
 	return fleettest.RunClients(ctx, fleettest.ClientsOptions{
 		Options:   test.options,
 		Clients:   c.Tills,
@@ -152,10 +152,10 @@
 }
 
 type leaseCommand struct {
-	Short    bool   `help:"25 s in place of two minutes."`
+	Short    bool   `help:"Run 25 s instead of two minutes."`
 	Seed     uint64 `default:"1"`
-	Careless bool   `help:"At a resource that checks no fencing tokens."`
-	Gaps     int    `help:"Instead, measure so many times of each kind how long a task is without a holder."`
+	Careless bool   `help:"Use a resource that does not check fencing tokens."`
+	Gaps     int    `help:"Measure instead how long a task is without a holder, this often for each cause."`
 }
 
 const (
@@ -163,7 +163,7 @@
 	leaseDurationShort = 25 * time.Second
 )
 
-func (c *leaseCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *leaseCommand) run(ctx context.Context, test *testRun) (report, error) {
 	holder := []string{test.self, "holder"}
 	if c.Gaps > 0 {
 		return fleettest.MeasureLeaseGaps(ctx, fleettest.LeaseGapsOptions{
@@ -186,10 +186,10 @@
 }
 
 type takeoverCommand struct {
-	Short   bool          `help:"25 s of faults in place of two minutes, at a quarter of the rate."`
-	Holders int           `default:"1" help:"Other proxies that record a write, 0 to 2."`
+	Short   bool          `help:"Run 25 s of faults instead of two minutes, at a quarter of the rate."`
+	Holders int           `default:"1" help:"Number of other proxies that record each write, 0 to 2."`
 	Mode    string        `default:"strict" enum:"plain,strict" help:"plain (late retries are not safe) or strict."`
-	Rate    float64       `default:"1700" help:"Requests a second."`
+	Rate    float64       `default:"1700" help:"Requests per second."`
 	For     time.Duration `default:"2m" help:"Duration of the faults."`
 	Seed    uint64        `default:"1"`
 }
@@ -199,7 +199,7 @@
 	takeoverRateShort     = 0.25 // of the rate
 )
 
-func (c *takeoverCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *takeoverCommand) run(ctx context.Context, test *testRun) (report, error) {
 	if err := checkBounds("holders", c.Holders, 0, 2); err != nil {
 		return nil, err
 	}
@@ -219,11 +219,11 @@
 }
 
 type peersCommand struct {
-	Instances int `default:"12" help:"4 to 99, three of which vote."`
-	Times     int `default:"20" help:"Repetitions of each fault; 0 to measure idling alone."`
+	Instances int `default:"12" help:"Members of the fleet, 4 to 99, of which three are voters."`
+	Times     int `default:"20" help:"Repetitions of each fault; 0 measures only the idle cost."`
 }
 
-func (c *peersCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *peersCommand) run(ctx context.Context, test *testRun) (report, error) {
 	if err := checkBounds("instances", c.Instances, 4, 99); err != nil {
 		return nil, err
 	}
@@ -239,6 +239,6 @@
 
 type conformCommand struct{}
 
-func (conformCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (conformCommand) run(ctx context.Context, test *testRun) (report, error) {
 	return fleettest.RunConformance(ctx, test.options)
 }
--- a/cmd/fleettest/main.go
+++ b/cmd/fleettest/main.go
@@ -1,6 +1,6 @@
-// Command fleettest plays a fleet of real proxy processes between fakes on loopback, with faults, and reports whether
-// the rules held. Verbs, flags, JSON reports and exit codes are interfaces for scripts, which the files in
-// testdata/recorded guard.
+// Command fleettest runs a fleet of real proxy processes between fakes on loopback, with faults, and reports whether
+// the rules held. Scripts depend on its commands, flags, JSON reports and exit codes; tests compare them with the files
+// in testdata/recorded.
 package main
 
 import (
@@ -18,17 +18,17 @@
 
 // The exit codes.
 const (
-	exitBroken = 1 // a rule broke, or the test failed
+	exitBroken = 1 // a rule was broken, or the test failed
 	exitUsage  = 2
 )
 
 var (
 	errUsage  = cli.ErrUsage
-	errBroken = errors.New("a rule broke")
+	errBroken = errors.New("a rule was broken")
 )
 
-const description = "Plays a fleet of real proxy processes between fakes on loopback, and reports whether the rules " +
-	"held. Exit: 0 they did, 1 one broke or the test failed, 2 bad usage."
+const description = "Runs a fleet of real proxy processes between fakes on loopback, and reports whether the rules " +
+	"held. Exit codes: 0 the rules held, 1 a rule was broken or the test failed, 2 bad usage."
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -39,7 +39,7 @@
 	case errors.Is(err, errUsage):
 		fmt.Fprintf(os.Stderr, "fleettest: %v; see fleettest --help\n", err)
 		os.Exit(exitUsage)
-	case errors.Is(err, errBroken): // the report says which
+	case errors.Is(err, errBroken): // the printed report says which rule
 		os.Exit(exitBroken)
 	default:
 		fmt.Fprintln(os.Stderr, "fleettest:", err)
@@ -47,14 +47,14 @@
 	}
 }
 
-// run carries out the command in args.
+// run parses args and runs the command in them.
 func run(ctx context.Context, args []string, out, progress io.Writer) error {
 	var c commands
 	chosen, err := cli.Parse(&c, "fleettest", description, args, out, progress)
-	if err != nil || chosen == "" { // "": help or the list was printed
+	if err != nil || chosen == "" { // "": the help or the list of scenarios was printed
 		return err
 	}
-	verb, _, _ := strings.Cut(chosen, " ") // what follows are names of arguments
+	verb, _, _ := strings.Cut(chosen, " ") // names of arguments follow
 	switch verb {
 	case "double":
 		return c.AsDouble.run(ctx, progress)
@@ -68,7 +68,7 @@
 		return err
 	}
 	defer done()
-	report, err := c.play(ctx, verb, test)
+	report, err := c.run(ctx, verb, test)
 	if err != nil || report == nil {
 		return err
 	}
--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -17,7 +17,7 @@
 	"mulleinpier/internal/overload"
 )
 
-// bin is the folder of the programs, built as they are shipped.
+// bin is the folder into which TestMain builds the programs.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -45,7 +45,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer stop()
 	path := filepath.Join(t.TempDir(), "report.json")
-	args = append([]string{args[0], "--quiet", "--json", path}, args[1:]...) // of two --json flags the later counts
+	args = append([]string{args[0], "--quiet", "--json", path}, args[1:]...) // a later --json wins
 	cmd := exec.CommandContext(ctx, filepath.Join(bin, "fleettest"), args...)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState == nil {
@@ -69,7 +69,8 @@
 var verdict = regexp.MustCompile(`^verdict: (ok|BROKEN) requests=(\d+) lost=(\d+) doubled=(\d+) ` +
 	`late_drains=(\d+) crashes=(\d+)( stopped=\d+)?$`)
 
-// TestRulesHold plays what operators do to real processes, and what happens to them meanwhile.
+// The rules hold while real processes are restarted, reloaded and killed and the services around them fail, and the
+// report counts all restarts and reloads.
 func TestRulesHold(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -101,8 +102,7 @@
 	}
 }
 
-// TestLease plays one task among eight processes, with faults between them: no two actions overlap at a resource that
-// checks fencing tokens.
+// Eight processes compete for one task, under faults: no two actions overlap at a resource that checks fencing tokens.
 func TestLease(t *testing.T) {
 	out, code, _ := runFleetTest(t, "lease", "--short", "--json", filepath.Join(t.TempDir(), "report.json"))
 	want := regexp.MustCompile(`^verdict: ok acts=\d{2,} overlaps=0 backward=0 lost=0 doubled=0 crashes=0$`)
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestPeers plays the members of a fleet: no live one is reported dead, and every death is detected by all.
+// In a fleet of five members no live member is reported dead, and every death is detected by all others.
 func TestPeers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	out, code, _ := runFleetTest(t, "peers", "--instances", "5", "--times", "1", "--json", path)
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestDegrade plays two overloads together, without and with degradation levels: the rules hold, every proxy reduces
-// its service with a cause where it may, and none does where it may not.
+// Two overloads at the same time, without and with degradation levels: the rules hold, every proxy with levels changes
+// its level and records a cause, and none without levels does.
 func TestDegrade(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	out, code, _ := runFleetTest(t, "degrade", "--short", "--json", path)
@@ -153,15 +153,14 @@
 	}
 }
 
-// TestConformance plays the same cases with both dialects of clients and of nodes.
+// The conformance suite passes with both dialects of clients and of nodes.
 func TestConformance(t *testing.T) {
 	if out, code, _ := runFleetTest(t, "conform"); code != 0 || !strings.HasSuffix(out, "verdict: ok, 140 played\n") {
 		t.Errorf("exit %d:\n%s", code, out)
 	}
 }
 
-// TestPlantedDefectsAreDetected guards against a checker that accepts everything: each defect is detected as often as
-// it was put in.
+// Guards against a checker that accepts everything: each defect is detected exactly as often as it was injected.
 func TestPlantedDefectsAreDetected(t *testing.T) {
 	injected := regexp.MustCompile(`injected=(\d+)`)
 	for fault, count := range map[string]func(fleettest.Report) int{
@@ -176,7 +175,7 @@
 			t.Parallel()
 			keep := t.TempDir()
 			out, code, r := runFleetTest(t, "sight", "--fault", fault, "--every", "100", "--keep", keep)
-			put := 0
+			injectedCount := 0
 			for i := range r.Proxies {
 				log, err := os.ReadFile(filepath.Join(keep, fmt.Sprintf("p%d.log", i)))
 				if err != nil {
@@ -184,27 +183,26 @@
 				}
 				for _, m := range injected.FindAllStringSubmatch(string(log), -1) {
 					n, _ := strconv.Atoi(m[1])
-					put += n
+					injectedCount += n
 				}
 			}
 			want := 1
 			if fault == "none" {
 				want = 0
-			} else if put == 0 {
-				t.Fatalf("the fault was never put in:\n%s", out)
+			} else if injectedCount == 0 {
+				t.Fatalf("the defect was never injected:\n%s", out)
 			}
 			all := r.Lost + r.DuplicateWrites + r.LateDrains + r.Crashes + r.WrongAnswers
-			if code != want || count(r) != put || all != put {
-				t.Errorf("exit %d, %d breaches of the kind and %d in all; %d were put in:\n%s",
-					code, count(r), all, put, out)
+			if code != want || count(r) != injectedCount || all != injectedCount {
+				t.Errorf("exit %d, %d breaches of the kind and %d in all; %d were injected:\n%s",
+					code, count(r), all, injectedCount, out)
 			}
 		})
 	}
 }
 
-// TestLibraryClients restarts a proxy of four, then the only one, under clients of both kinds: those of the library
-// lose nothing, write nothing twice and retry little. How evenly they reconnect is checked by the tests of package
-// balance.
+// A proxy of four restarts, then the only one, under clients of both kinds: those that use the library lose nothing,
+// write nothing twice and need at most 1.2 attempts per request. How evenly they reconnect is not checked here.
 func TestLibraryClients(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	args := []string{"clients", "--short", "--quiet", "--tills", "300", "--json", path}
@@ -236,7 +234,7 @@
 	}
 }
 
-// TestMeasurementsMeasure guards cost and times, on runs too short to be quoted.
+// The commands cost and times produce their results. The runs are too short for the figures to mean anything.
 func TestMeasurementsMeasure(t *testing.T) {
 	out, code, _ := runFleetTest(t, "cost", "--runs", "1", "--requests", "2000")
 	if code != 0 || strings.Count(out, " connections ") != 3 || !strings.Contains(out, "% ") {
--- a/cmd/fleettest/measure.go
+++ b/cmd/fleettest/measure.go
@@ -9,15 +9,15 @@
 )
 
 type costCommand struct {
-	Runs     int  `default:"5" help:"1 to 1000."`
-	Requests int  `default:"20000" help:"1 to 10000000."`
-	Peers    bool `help:"The proxy is a member of a fleet, with three voters beside it."`
+	Runs     int  `default:"5" help:"Number of runs, 1 to 1000."`
+	Requests int  `default:"20000" help:"Number of requests in each measurement, 1 to 10000000."`
+	Peers    bool `help:"The proxy is a member of a fleet with three voters."`
 }
 
-// costConns are the numbers of connections at which costs are measured.
+// costConns lists the numbers of connections for which costs are measured.
 var costConns = []int{1, 8, 64}
 
-func (c *costCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *costCommand) run(ctx context.Context, test *testRun) (report, error) {
 	err := errors.Join(checkBounds("runs", c.Runs, 1, 1000), checkBounds("requests", c.Requests, 1, 1e7))
 	if err != nil {
 		return nil, err
@@ -39,10 +39,10 @@
 }
 
 type timesCommand struct {
-	Runs int `default:"5" help:"1 to 1000."`
+	Runs int `default:"5" help:"Number of runs, 1 to 1000."`
 }
 
-func (c *timesCommand) play(_ context.Context, test *testRun) (report, error) {
+func (c *timesCommand) run(_ context.Context, test *testRun) (report, error) {
 	if err := checkBounds("runs", c.Runs, 1, 1000); err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 
 type membersCommand struct{}
 
-func (membersCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (membersCommand) run(ctx context.Context, test *testRun) (report, error) {
 	return fleettest.MeasureMembership(ctx, fleettest.MembersOptions{
 		Options:          test.options,
 		Nodes:            2000,
@@ -61,17 +61,17 @@
 }
 
 type stillCommand struct {
-	Short   bool   `help:"One scenario, 45 s."`
-	At      []int  `default:"3" help:"At how many of the twelve proxies, by commas."`
-	Trouble string `help:"Only faults whose names contain this."`
+	Short   bool   `help:"Run one short scenario, 45 s."`
+	At      []int  `default:"3" help:"At how many of the twelve proxies to inject each fault, separated by commas."`
+	Trouble string `help:"Run only faults whose names contain this."`
 	Seed    uint64 `default:"1"`
-	Pairs   bool   `help:"All pairs of faults in place of the usual ones."`
-	Beside  int    `default:"1" help:"How many tests run at a time."`
+	Pairs   bool   `help:"Run all pairs of faults instead of the default faults."`
+	Beside  int    `default:"1" help:"How many tests to run at a time."`
 }
 
-func (c *stillCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *stillCommand) run(ctx context.Context, test *testRun) (report, error) {
 	if c.Short {
-		return test.playScenario(ctx, "still-short")
+		return test.runScenario(ctx, "still-short")
 	}
 	errs := []error{checkBounds("beside", c.Beside, 1, 16)}
 	for _, at := range c.At {
--- a/cmd/fleettest/recorded_test.go
+++ b/cmd/fleettest/recorded_test.go
@@ -17,8 +17,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// The files in testdata/recorded are outputs of the version before the programs were renamed. Scripts and
-// dashboards read verbs, flags, JSON, exit codes and the text of stats, so this version must still produce them.
+// The files in testdata/recorded are outputs of an earlier version. Scripts and dashboards depend on its commands,
+// flags, JSON, exit codes and text of stats, so this version must still produce them.
 
 func TestVerbsAndFlagsAsRecorded(t *testing.T) {
 	var got bytes.Buffer
@@ -35,7 +35,7 @@
 		}
 	}
 	if want := testutil.Recorded(t, "testdata/recorded/flags.txt"); !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("verbs and flags differ from those recorded; got\n%s\nwant\n%s", got.Bytes(), want)
+		t.Errorf("commands and flags differ from those recorded; got\n%s\nwant\n%s", got.Bytes(), want)
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// Each line of exit-codes.txt is an exit code and the arguments, of commands that end before a fleet is started.
+// Each line of exit-codes.txt is an exit code and the arguments of a command that ends before it starts a fleet.
 func TestExitCodesAsRecorded(t *testing.T) {
 	lines := bufio.NewScanner(bytes.NewReader(testutil.Recorded(t, "testdata/recorded/exit-codes.txt")))
 	for lines.Scan() {
@@ -97,8 +97,8 @@
 	}
 }
 
-// figure matches a number in the text of stats.
-var figure = regexp.MustCompile(`^-?\d+(\.\d+)?$`)
+// number matches a number in the text of stats.
+var number = regexp.MustCompile(`^-?\d+(\.\d+)?$`)
 
 // readStats asks a proxy for its stats, and returns the answers with each number replaced by N.
 func readStats(t *testing.T, address string) string {
@@ -120,7 +120,7 @@
 				t.Fatal(err)
 			}
 			words := strings.Split(strings.TrimSuffix(line, "\r\n"), " ")
-			if last := len(words) - 1; figure.MatchString(words[last]) {
+			if last := len(words) - 1; number.MatchString(words[last]) {
 				words[last] = "N"
 			}
 			text.WriteString(strings.Join(words, " ") + "\n")
@@ -146,11 +146,11 @@
 }
 
 func TestStatsAsRecorded(t *testing.T) {
-	fleet := holdFleet(t)
+	fleet := runFleet(t)
 	defer fleet.interrupt(t)
 	address := fleet.proxies[0]
 	write(t, address)
-	// The figures are there once the proxy has sampled itself and has seen a request.
+	// Some statistics appear only once the proxy has sampled its own load and has executed a request.
 	testutil.WaitUntil(t, "all figures", func() bool {
 		text := readStats(t, address)
 		return strings.Contains(text, "STAT service_memory ") && strings.Contains(text, "STAT service_late_handovers ")
--- a/cmd/fleettest/roles.go
+++ b/cmd/fleettest/roles.go
@@ -19,8 +19,8 @@
 	"mulleinpier/internal/sdnotify"
 )
 
-// The hidden verbs are processes of a test, started from this program: a proxy with a planted defect, a byte relay, a
-// holder of a task.
+// The hidden commands run processes that a test starts from this program: a proxy with a planted defect, a byte relay,
+// or a process that acquires a task.
 
 type doubleCommand struct {
 	Fault  string `arg:"" enum:"none,lose,double,drain"`
@@ -28,7 +28,7 @@
 	Config string `arg:""`
 }
 
-// nodesDedupWindow is the window in which the nodes of the scenario sight drop repeats.
+// nodesDedupWindow is the window within which the nodes of the scenario sight drop duplicate writes.
 const nodesDedupWindow = 1500 * time.Millisecond
 
 func (c *doubleCommand) run(ctx context.Context, log io.Writer) error {
@@ -78,8 +78,8 @@
 
 type holderCommand struct {
 	Task   string   `required:""`
-	Stay   bool     `help:"It gives the task back only at SIGUSR1."`
-	Drift  float64  `help:"Of its clock."`
+	Stay   bool     `help:"Release the task only on SIGUSR1."`
+	Drift  float64  `help:"Drift of the process's clock, as a fraction."`
 	Judge  string   `arg:""`
 	Who    uint64   `arg:""`
 	Fleet  string   `arg:""`
--- a/cmd/fleettest/sight.go
+++ b/cmd/fleettest/sight.go
@@ -12,11 +12,11 @@
 
 type sightCommand struct {
 	Fault string `required:"" enum:"none,lose,double,drain" help:"The defect: none, lose, double or drain."`
-	Every int    `help:"In one request of so many."`
+	Every int    `help:"Inject the defect into one request in this many; by default 1 to 500, by defect."`
 }
 
-// defaultDefectInterval is in one of how many requests a defect is by default: lose and drain are possible in any
-// request, double only in handovers.
+// defaultDefectInterval maps each defect to its default interval: it is injected into one request in this many. The
+// interval of double is shorter because only handovers can be duplicated, whereas lose and drain affect any request.
 var defaultDefectInterval = map[string]int{
 	faultyproxy.NoFault:        1,
 	faultyproxy.LoseAnswer:     500,
@@ -24,7 +24,7 @@
 	faultyproxy.UseDraining:    500,
 }
 
-func (c *sightCommand) play(ctx context.Context, test *testRun) (report, error) {
+func (c *sightCommand) run(ctx context.Context, test *testRun) (report, error) {
 	every := c.Every
 	if every == 0 {
 		every = defaultDefectInterval[c.Fault]
@@ -33,17 +33,18 @@
 		return nil, err
 	}
 	test.options.ProxyCommand = []string{test.self, "double", c.Fault, fmt.Sprint(every)}
-	report, err := test.playScenario(ctx, "sight")
+	report, err := test.runScenario(ctx, "sight")
 	if count, known := countInjected(test.options.Folder); known {
-		fmt.Fprintf(test.progress, "put in: %d\n", count)
+		fmt.Fprintf(test.progress, "defects injected: %d\n", count)
 	}
 	return report, err
 }
 
-// injectedFormat is the last line of a faulty proxy's log.
+// injectedFormat is the format of the last line of a faulty proxy's log.
 const injectedFormat = "injected=%d"
 
-// countInjected sums up the defects that faulty proxies have logged; known is false if none has logged any number.
+// countInjected adds up the numbers of injected defects in the logs of the faulty proxies. known is false if no log
+// contains a number.
 func countInjected(folder string) (count int, known bool) {
 	logs, err := filepath.Glob(filepath.Join(folder, "p*.log"))
 	if err != nil {
--- a/cmd/fleettest/testrun.go
+++ b/cmd/fleettest/testrun.go
@@ -12,30 +12,30 @@
 	"mulleinpier/internal/fleettest"
 )
 
-// commonFlags are the flags of all commands.
+// commonFlags are the flags that all commands have.
 type commonFlags struct {
-	Program string `help:"The proxy; mulleinpier beside this program if left out."`
-	JSON    string `help:"Write the report to this file too."`
+	Program string `help:"Path of the proxy program; by default mulleinpier beside this program."`
+	JSON    string `help:"Also write the report to this file, as JSON."`
 	Keep    string `help:"Keep configurations and logs in this folder."`
 	Quiet   bool   `help:"Print no progress."`
-	Consul  bool   `help:"Proxies follow fake Consul agents, one a zone."`
+	Consul  bool   `help:"Proxies discover nodes from fake Consul agents, one per zone."`
 	Binary  bool   `help:"One client and one node in four speak the binary protocol."`
 	Library bool   `help:"One client in four uses the client library."`
 }
 
-// report is the report of any command. A report with an OK method says whether the rules held.
+// report is the report of any command. If it has a method OK() bool, that says whether the rules held.
 type report interface{ Print(io.Writer) }
 
-// testRun is what a command needs to play a fleet.
+// testRun holds the settings with which a command runs a fleet.
 type testRun struct {
 	flags    *commonFlags
 	options  fleettest.Options
-	self     string // path of this program, which plays parts in tests
+	self     string // path of this program, which also runs as processes of tests
 	out      io.Writer
 	progress io.Writer
 }
 
-// newTest returns a test as the flags say. done removes its folder, unless that is to be kept.
+// newTest returns a testRun for the flags. done removes its folder, unless --keep is set.
 func (f *commonFlags) newTest(out, progress io.Writer) (t *testRun, done func(), err error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -46,7 +46,7 @@
 		program = filepath.Join(filepath.Dir(self), "mulleinpier")
 	}
 	if _, err := os.Stat(program); err != nil {
-		return nil, nil, fmt.Errorf("%w: the proxy: %w (build it, or name it with --program)", errUsage, err)
+		return nil, nil, fmt.Errorf("%w: the proxy program: %w (build it, or set --program)", errUsage, err)
 	}
 	t = &testRun{flags: f, self: self, out: out, progress: progress}
 	t.options.ProxyCommand = []string{program, "serve", "--config"}
@@ -59,7 +59,7 @@
 	return t, done, err
 }
 
-// openFolder creates the folder for configurations and logs.
+// openFolder creates the folder for configurations and logs. done removes it if it is temporary.
 func (f *commonFlags) openFolder() (path string, done func(), err error) {
 	if f.Keep == "" {
 		return fleettest.TempFolder()
@@ -67,7 +67,7 @@
 	return f.Keep, func() {}, os.MkdirAll(f.Keep, 0o755)
 }
 
-// loadScenario loads a scenario and changes it as the flags say.
+// loadScenario loads a scenario and applies the flags to it.
 func (t *testRun) loadScenario(name string) (*fleettest.Scenario, error) {
 	scenario, err := fleettest.LoadScenario(name)
 	if err != nil {
@@ -85,8 +85,7 @@
 	return scenario, nil
 }
 
-// playScenario plays one scenario.
-func (t *testRun) playScenario(ctx context.Context, name string) (report, error) {
+func (t *testRun) runScenario(ctx context.Context, name string) (report, error) {
 	scenario, err := t.loadScenario(name)
 	if err != nil {
 		return nil, err
@@ -94,7 +93,7 @@
 	return fleettest.RunScenario(ctx, scenario, t.options)
 }
 
-// finish prints a report, writes it to the file that was asked for, and returns errBroken if a rule broke.
+// finish prints a report, writes it to the file that --json names, and returns errBroken if a rule was broken.
 func (t *testRun) finish(r report) error {
 	r.Print(t.out)
 	if t.flags.JSON != "" {
@@ -112,7 +111,7 @@
 	return nil
 }
 
-// checkBounds checks the value of a flag.
+// checkBounds returns a usage error if the value of a flag is out of bounds.
 func checkBounds(flag string, value, lowest, highest int) error {
 	if value < lowest || value > highest {
 		return fmt.Errorf("%w: --%s cannot be %d: want %d to %d", errUsage, flag, value, lowest, highest)
--- a/cmd/fleettest/up_test.go
+++ b/cmd/fleettest/up_test.go
@@ -19,18 +19,18 @@
 	"mulleinpier/internal/testutil"
 )
 
-// heldFleet is a fleet that the program holds.
-type heldFleet struct {
+// runningFleet is a fleet that the program runs until it is interrupted.
+type runningFleet struct {
 	cmd      *exec.Cmd
 	problems bytes.Buffer // what the program wrote to standard error
 	proxies  []string     // addresses
 	nodes    int
 }
 
-// holdFleet has the program hold a fleet, and waits until it is ready.
-func holdFleet(t *testing.T, args ...string) *heldFleet {
+// runFleet has the program run a fleet, and waits until it is ready.
+func runFleet(t *testing.T, args ...string) *runningFleet {
 	t.Helper()
-	f := &heldFleet{cmd: exec.Command(filepath.Join(bin, "fleettest"), append([]string{"up"}, args...)...)}
+	f := &runningFleet{cmd: exec.Command(filepath.Join(bin, "fleettest"), append([]string{"up"}, args...)...)}
 	f.cmd.Stderr = &f.problems
 	out, err := f.cmd.StdoutPipe()
 	if err != nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// interrupt ends the fleet, and fails the test if it does not end well.
-func (f *heldFleet) interrupt(t *testing.T) {
+// interrupt interrupts the program, and fails the test if it exits with an error.
+func (f *runningFleet) interrupt(t *testing.T) {
 	t.Helper()
 	f.cmd.Process.Signal(syscall.SIGINT)
 	if err := f.cmd.Wait(); err != nil {
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestUpHoldsAFleet guards the fleet that is held for people.
+// The command up runs a fleet that serves clients of both dialects until it is interrupted.
 func TestUpHoldsAFleet(t *testing.T) {
-	fleet := holdFleet(t, "--binary")
+	fleet := runFleet(t, "--binary")
 	if len(fleet.proxies) == 0 || fleet.nodes == 0 {
 		t.Fatalf("%d proxies and %d nodes", len(fleet.proxies), fleet.nodes)
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-// checkBinaryClient reads and writes any key, without authentication.
+// checkBinaryClient checks that a binary client can read and write a key without authentication.
 func checkBinaryClient(t *testing.T, address string) {
 	t.Helper()
 	c, err := rawclient.Dial(scriptednode.Binary, address, testutil.Timeout)
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestUpPrintsConsulAgents guards the fleet that is held with Consul agents.
+// With --consul, up prints the addresses of Consul agents that list the nodes.
 func TestUpPrintsConsulAgents(t *testing.T) {
 	cmd := exec.Command(filepath.Join(bin, "fleettest"), "up", "--consul")
 	out, err := cmd.StdoutPipe()
@@ -140,7 +140,7 @@
 	defer answer.Body.Close()
 	var list []any
 	if err := json.NewDecoder(answer.Body).Decode(&list); err != nil || len(list) != 4 {
-		t.Errorf("the agent told of %d nodes, %v", len(list), err)
+		t.Errorf("the agent listed %d nodes, want 4: %v", len(list), err)
 	}
 	cmd.Process.Signal(syscall.SIGINT)
 	if err := cmd.Wait(); err != nil {
