--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -9,7 +9,7 @@
 	"mulleinpier/policy"
 )
 
-// oneNodeConfig configures a core for one node and one class, with timeouts that are too long to affect a test.
+// oneNodeConfig configures a core for one node and one class. Its timeouts are too long to affect a test.
 func oneNodeConfig(nodeAddress string, class policy.Class) *Config {
 	class.LatencyObjective = 20 * time.Second
 	class.Deadline = time.Minute
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -7,8 +7,8 @@
 	"mulleinpier/policy"
 )
 
-// TestOverloadLevelsMatchPolicyLevels guards that the levels of package overload have the same numbers as those of
-// package policy, since the core converts them by number.
+// TestOverloadLevelsMatchPolicyLevels checks that the levels of package overload have the same numbers as those of
+// package policy, since the core converts between them by number.
 func TestOverloadLevelsMatchPolicyLevels(t *testing.T) {
 	for level, want := range map[overload.Level]policy.DegradationLevel{
 		overload.Full:      policy.LevelFull,
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -21,9 +21,9 @@
 func (r *atomicReply) Finish(*request.Answer) { r.finished.Add(1) }
 func (r *atomicReply) Release()               {}
 
-// TestDeferredSendsAreReleasedInBatches guards guarantee 5: sends that are decided while the list is fetched after a
-// pause are deferred. Then they are released in batches. Each is written as soon as it is released, and none is
-// deferred a second time.
+// TestDeferredSendsAreReleasedInBatches checks that sends that are decided while the list is fetched after a pause are
+// deferred, because they must be checked against the new list (guarantee 5). Then they are released in batches. Each is
+// written as soon as it is released, and none is deferred a second time.
 func TestDeferredSendsAreReleasedInBatches(t *testing.T) {
 	var written atomic.Int64
 	address := testutil.ServeConnections(t, func(connection net.Conn) {
@@ -42,7 +42,7 @@
 		ReleaseBatch:    4,
 		ReleaseInterval: time.Minute,
 	}
-	now := 2 * time.Minute // ahead of the core's clock, so that its own checks have no effect
+	now := 2 * time.Minute // ahead of the core's clock: the core's own checks have no effect
 	handle := func(event pause.Event) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/core/refresh_test.go
+++ b/internal/core/refresh_test.go
@@ -6,8 +6,9 @@
 	"mulleinpier/internal/membership"
 )
 
-// TestOutdatedListAfterPauseIsIgnored guards that a proxy that reconciles its sources ignores an outdated list: it
-// requests the complete list after a pause, a watch reports a drain, and then the list arrives, which is older.
+// TestOutdatedListAfterPauseIsIgnored checks that a proxy that reconciles its sources ignores an outdated list. The
+// proxy requests the complete list after a pause, then a watch reports a drain, and then the complete list arrives,
+// which is older than the drain.
 func TestOutdatedListAfterPauseIsIgnored(t *testing.T) {
 	source := startSource(t)
 	config := oneSourceConfig(false, source.addr)
@@ -22,13 +23,13 @@
 	list.sendList(8, true, "up")
 	list.Close()
 	signal(c.pause.refresh)
-	source.next(t, "one more fetch of the list").Close() // fetches are sequential: the previous list was handled
+	source.next(t, "one more fetch of the list").Close() // fetches are sequential: the previous list has been handled
 	if c.HasServingNodes() {
 		t.Error("an outdated list has undone the drain of the node")
 	}
 	watch.sendList(10, false, "up")
 	c.expectServing(t, "a newer list to take effect", true)
-	// The versions of a restarted service count from the start again.
+	// A restarted service begins again with a low version.
 	watch.Close()
 	watch = source.next(t, "a new watch")
 	watch.sendHeader()
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -14,8 +14,9 @@
 func (r *countingReply) Finish(*request.Answer) { r.finished++ }
 func (r *countingReply) Release()               { r.released++ }
 
-// TestRequestIsReleasedOnce guards guarantee 1 and the budget of request bodies: the end of one attempt can cause the
-// end of another, and the request must still return its share of the budget only once.
+// TestRequestIsReleasedOnce checks that the reply of a request is released exactly once (guarantee 1), even if the end
+// of one attempt causes the end of another. Releasing it twice would return its share of the budget for request bodies
+// twice.
 func TestRequestIsReleasedOnce(t *testing.T) {
 	reply := &countingReply{}
 	req := &InFlightRequest{id: 7, request: &request.Request{ID: "x"}, reply: reply, openAttempts: 1}
@@ -40,14 +41,14 @@
 	}
 }
 
-// answerRecorder is a Reply that keeps its answers.
+// answerRecorder is a Reply that records its answers.
 type answerRecorder struct{ answers []*request.Answer }
 
 func (r *answerRecorder) Finish(answer *request.Answer) { r.answers = append(r.answers, answer) }
 func (r *answerRecorder) Release()                      {}
 
-// TestRequestsAfterAbortAreRejected guards the end of a drain: requests that are read after all requests were aborted
-// and before all connections are closed must be answered immediately, or closing the connections would lose them.
+// TestRequestsAfterAbortAreRejected checks that requests that are read after AbortAll, and before all connections are
+// closed at the end of a drain, are answered immediately. Otherwise closing the connections would lose them.
 func TestRequestsAfterAbortAreRejected(t *testing.T) {
 	for name, idempotency := range map[string]policy.Idempotency{
 		"idempotent":          policy.Idempotent,
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -21,7 +21,7 @@
 
 // fakeCoordinator is a TakeoverCoordinator that records the claims and outcomes of writes.
 type fakeCoordinator struct {
-	full     bool // it has no capacity for claims
+	full     bool // there is no capacity for claims
 	required bool // writes without a claim are rejected
 
 	mu       sync.Mutex
@@ -46,14 +46,14 @@
 
 func (f *fakeCoordinator) RequiresReplica() bool { return f.required }
 
-// outcome returns the outcome that a write was completed with, or 0 if it was not completed yet.
+// outcome returns the outcome that a write was completed with, or 0 if it has not been completed.
 func (f *fakeCoordinator) outcome(id uint64) takeover.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.outcomes[id]
 }
 
-// recordedReply is a Reply that keeps the answer.
+// recordedReply is a Reply that sends its answers to a channel.
 type recordedReply struct{ answers chan request.Answer }
 
 func newRecordedReply() *recordedReply { return &recordedReply{make(chan request.Answer, 4)} }
@@ -61,8 +61,8 @@
 func (r *recordedReply) Finish(answer *request.Answer) { r.answers <- *answer }
 func (r *recordedReply) Release()                      {}
 
-// coreWithCoordinator runs a core whose only node stores every write. received returns the writes that the node has
-// received.
+// coreWithCoordinator runs a core whose only node stores every write. The function received returns the lines of the
+// writes that the node has received.
 func coreWithCoordinator(t *testing.T, coordinator *fakeCoordinator) (c *Core, received func() []string) {
 	t.Helper()
 	var mu sync.Mutex
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestNothingIsSentWithoutClaim guards that a keyed write whose claim is not granted is never sent to a node, and is
-// answered once, for each verdict that grants no claim.
+// TestNothingIsSentWithoutClaim checks, for each verdict that grants no claim, that the keyed write is never sent to a
+// node and is answered once.
 func TestNothingIsSentWithoutClaim(t *testing.T) {
 	coordinator := &fakeCoordinator{}
 	c, received := coreWithCoordinator(t, coordinator)
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestClaimedWriteIsSentUntilItsClaimExpires guards that a write with a granted claim is sent and completed, and that
-// a write whose claim has expired is completed without being sent.
+// TestClaimedWriteIsSentUntilItsClaimExpires checks that a write with a granted claim is sent and completed, and that a
+// write whose claim has expired is completed without being sent.
 func TestClaimedWriteIsSentUntilItsClaimExpires(t *testing.T) {
 	coordinator := &fakeCoordinator{}
 	c, received := coreWithCoordinator(t, coordinator)
@@ -165,7 +165,7 @@
 	reply = newRecordedReply()
 	c.Submit(keyedWrite("late"), reply)
 	id = coordinator.claims[1]
-	c.ClaimDecided(id, takeover.Proceed, 0, "") // its claim expires before anything can be sent
+	c.ClaimDecided(id, takeover.Proceed, 0, "") // the claim expires before the write can be sent
 	if answer := testutil.Receive(t, "an answer", reply.answers); answer.Kind == request.Stored {
 		t.Errorf("sent after its claim expired: %+v", answer)
 	}
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestWriteWithoutCapacityForItsClaim guards that a write for whose claim there is no capacity is rejected if a replica
-// is required, and sent without a claim otherwise.
+// TestWriteWithoutCapacityForItsClaim checks what happens to a write if there is no capacity for its claim: it is
+// rejected if a replica is required, and sent without a claim otherwise.
 func TestWriteWithoutCapacityForItsClaim(t *testing.T) {
 	coordinator := &fakeCoordinator{full: true, required: true}
 	c, _ := coreWithCoordinator(t, coordinator)
@@ -193,19 +193,19 @@
 	}
 }
 
-// TestClaimedWriteOutlivesItsClient guards that a write goes on and is completed without a client: one whose client
-// disconnects after the claim was granted, and one that is resumed for another proxy.
+// TestClaimedWriteOutlivesItsClient checks that a write is sent and completed without a client if the client
+// disconnects after the claim was granted, or if the write is resumed for another proxy.
 func TestClaimedWriteOutlivesItsClient(t *testing.T) {
 	coordinator := &fakeCoordinator{}
 	c, received := coreWithCoordinator(t, coordinator)
 	early := c.Submit(keyedWrite("early"), newRecordedReply())
-	c.ClientDisconnected([]*InFlightRequest{early}) // before the verdict: nothing may be sent
+	c.ClientDisconnected([]*InFlightRequest{early}) // the client disconnects before the verdict, so nothing may be sent
 	if c.ClaimDecided(coordinator.claims[0], takeover.Proceed, time.Minute, "") {
 		t.Error("a request whose client had disconnected still waited for its verdict")
 	}
 	reply := newRecordedReply()
 	claimed := c.Submit(keyedWrite("a"), reply)
-	c.mu.Lock() // its client disconnects before its node can answer
+	c.mu.Lock() // the client disconnects before the node can answer
 	claimed.claim, claimed.sendBefore = claimGranted, c.policyTime()+time.Minute
 	c.mu.Unlock()
 	c.ClientDisconnected([]*InFlightRequest{claimed})
--- a/internal/core/watch_test.go
+++ b/internal/core/watch_test.go
@@ -20,20 +20,20 @@
 	"mulleinpier/policy"
 )
 
-// tolerableSilence is a silence that is too short to count as the loss of a watch.
+// tolerableSilence is shorter than the silence after which a watch counts as lost.
 const tolerableSilence = 2 * time.Second
 
-// scriptedSource is a source of the endpoint list. A test answers each of its calls.
+// scriptedSource is a source of the endpoint list whose calls are answered by the test.
 type scriptedSource struct {
 	addr  string
 	calls chan *sourceCall
 }
 
-// sourceCall is a call of a scriptedSource by the proxy.
+// sourceCall is a call that the proxy makes to a scriptedSource.
 type sourceCall struct {
 	net.Conn
 	watch       bool   // true for a watch, false for a fetch of the complete list
-	fromVersion string // the version that the proxy knows
+	fromVersion string // version of the latest list that the proxy has applied
 }
 
 func startSource(t *testing.T) *scriptedSource {
@@ -54,13 +54,14 @@
 	return source
 }
 
-// next waits for the next call.
+// next waits for the next call; what describes the call in the error if there is none.
 func (s *scriptedSource) next(t *testing.T, what string) *sourceCall {
 	t.Helper()
 	return testutil.Receive(t, what, s.calls)
 }
 
-// firstWatch waits for the first watch, reports over it that the node is up, and waits until the core knows.
+// firstWatch waits for the first watch, reports over it that the node is up, and waits until the core has applied the
+// list.
 func (s *scriptedSource) firstWatch(t *testing.T, c *Core, index int) *sourceCall {
 	t.Helper()
 	first := s.next(t, "a watch")
@@ -164,7 +165,7 @@
 	return c
 }
 
-// notifyClosed returns a channel that receives true when c is closed.
+// notifyClosed returns a channel that receives true once c is closed.
 func notifyClosed(c <-chan struct{}) <-chan bool {
 	out := make(chan bool, 1)
 	go func() {
@@ -174,15 +175,15 @@
 	return out
 }
 
-// expectServing waits until there is a serving node, or with serves false until there is none.
+// expectServing waits until the core has a serving node, or until it has none if serves is false.
 func (c *Core) expectServing(t *testing.T, what string, serves bool) {
 	t.Helper()
 	testutil.WaitUntil(t, what, func() bool { return c.HasServingNodes() == serves })
 }
 
-// TestSilentWatchIsReopened guards that a watch that falls silent, ends, is reset or stops in the middle of an
-// object is reopened, whether lists are pushed or requested, and that the new watch reports the drain that the old one
-// missed, and the return of the node.
+// TestSilentWatchIsReopened checks that a watch that falls silent, ends, is reset or stops in the middle of an object
+// is reopened, whether lists are pushed or requested. The new watch must report the drain that the old one missed, and
+// the return of the node.
 func TestSilentWatchIsReopened(t *testing.T) {
 	for name, end := range map[string]func(*sourceCall){
 		"silent": func(*sourceCall) {},
@@ -216,7 +217,7 @@
 	}
 }
 
-// TestSilentAgentIsRetriedAtBoundedRate guards that an agent that does not answer, for example while discovery is down,
+// TestSilentAgentIsRetriedAtBoundedRate checks that an agent that does not answer, for example while discovery is down,
 // is called repeatedly, but at a limited rate and with a limited number of open calls. The list is taken from the call
 // that the agent answers, and the other calls end.
 func TestSilentAgentIsRetriedAtBoundedRate(t *testing.T) {
@@ -249,7 +250,8 @@
 	c.expectServing(t, "the return to take effect", true)
 }
 
-// TestAgentWithoutChangesIsNotRetried guards that an agent that answers, but reports no change, is not called again.
+// TestAgentWithoutChangesIsNotRetried checks that an agent that answers a watch but reports no change is not called
+// again.
 func TestAgentWithoutChangesIsNotRetried(t *testing.T) {
 	source := startSource(t)
 	c := startCore(t, false, source.addr)
@@ -268,8 +270,8 @@
 	c.expectServing(t, "the drain to take effect", false)
 }
 
-// TestOutdatedListIsIgnored guards guarantee 4: a complete list that was requested before a watch reported a drain, and
-// arrives after that, does not undo the drain.
+// TestOutdatedListIsIgnored checks that a complete list that was requested before a watch reported a drain, and arrives
+// after the report, does not undo the drain (guarantee 4).
 func TestOutdatedListIsIgnored(t *testing.T) {
 	for _, status := range []string{"draining", "removed"} {
 		source := startSource(t)
@@ -294,7 +296,7 @@
 		list.sendList(10, true, "up")
 		list.Close()
 		c.expectServing(t, "a newer list to take effect", true)
-		// The versions of a restarted service count from the start again.
+		// A restarted service begins again with a low version.
 		watch.Close()
 		watch = source.next(t, "a new watch")
 		watch.sendHeader()
@@ -305,8 +307,9 @@
 	}
 }
 
-// TestSourceChangeKeepsReportingWatch guards that the watch of the old source is kept until a new source has reported
-// a list: while the new source does not answer, and when the source changes again before it has answered.
+// TestSourceChangeKeepsReportingWatch checks that the watch of the old source is kept until a new source has reported a
+// list: while the new source does not answer, and when the source changes again before the new one has answered.
+// Otherwise a drain that the old source announces would be missed.
 func TestSourceChangeKeepsReportingWatch(t *testing.T) {
 	for _, onRequest := range []bool{false, true} {
 		t.Run(fmt.Sprint("on request ", onRequest), func(t *testing.T) {
@@ -342,7 +345,7 @@
 	}
 }
 
-// TestFlappingAgentIsNotRetriedInALoop guards that an agent that answers each watch and ends it immediately is called
+// TestFlappingAgentIsNotRetriedInALoop checks that an agent that answers each watch and ends it immediately is called
 // again only after a delay.
 func TestFlappingAgentIsNotRetriedInALoop(t *testing.T) {
 	source := startSource(t)
@@ -360,8 +363,8 @@
 	}
 }
 
-// TestSubscribeDuringSourceChangeKeepsItsWatch guards that a watch that is queued at a new source keeps its place, and
-// stays the only one, when the decision module requests a watch.
+// TestSubscribeDuringSourceChangeKeepsItsWatch checks that a watch that is queued at a new source keeps its place in
+// the queue, and stays the only watch of that source, when the decision module requests a watch.
 func TestSubscribeDuringSourceChangeKeepsItsWatch(t *testing.T) {
 	old, newest := startSource(t), startSource(t)
 	c := startCore(t, true, old.addr)
@@ -379,8 +382,8 @@
 	c.expectServing(t, "the new source to take effect", false)
 }
 
-// TestSourceChangeDuringRetryDelayIsFollowed guards that a second change of the source takes effect if it comes during
-// the retry delay after the first new source's watch was lost, even if the second source loses its first watch too.
+// TestSourceChangeDuringRetryDelayIsFollowed checks that a second change of the source takes effect if it comes during
+// the retry delay after the first new source's watch was lost, even if the second new source loses its first watch too.
 func TestSourceChangeDuringRetryDelayIsFollowed(t *testing.T) {
 	old, dead, newest := startSource(t), startSource(t), startSource(t)
 	c := startCore(t, true, old.addr)
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -25,7 +25,7 @@
 // The verbs that the core handles.
 const (
 	Get Verb = iota // reads a key
-	Set             // writes a key
+	Set             // writes the value of a key
 )
 
 // Request is a client's request for one key.
@@ -33,18 +33,18 @@
 	Verb           Verb
 	Key            string
 	ID             string // unique to this attempt of the client; matches the answer to it
-	Value          []byte // of a Set
+	Value          []byte // the value that a Set writes
 	Class          string
 	Tenant         string
 	IdempotencyKey string        // "" for none
 	Timeout        time.Duration // how long the client waits; negative if not specified
-	Arrival        pause.Arrival // when its last byte may have arrived, by the core's monotonic clock; zero for now
+	Arrival        pause.Arrival // when its last byte may have arrived, by the core's monotonic clock; zero means now
 	Retry          bool          // marked by the client as a retry
-	Flags          uint32        // of a Set: stored with the value by nodes whose dialect has flags
+	Flags          uint32        // for a Set: nodes whose dialect has flags store them with the value
 	HeaderRoom     int           // the maximum number of bytes that the client's frontend writes before a value
 	Raw            RawLine
 
-	SideEffects bool   // set by the core: its class is not idempotent, so executing it twice may do harm
+	SideEffects bool   // set by the core: the class is not idempotent, so executing the request twice may do harm
 	Serial      uint32 // set by the core: matches answers to requests in dialects that can't carry the ID
 }
 
@@ -54,7 +54,7 @@
 	// TimeoutStart and TimeoutEnd delimit the number in Line that is the client's timeout. Without one, both are
 	// the position where it is to be inserted.
 	TimeoutStart, TimeoutEnd int
-	InsertTimeout            bool // Line has no timeout
+	InsertTimeout            bool // Line contains no timeout
 }
 
 // AnswerKind is the kind of an answer.
@@ -65,10 +65,10 @@
 const (
 	Value    AnswerKind = iota // the value of a key, for a Get
 	Stored                     // a Set was executed
-	Busy                       // rejected; safe to retry
-	Failed                     // failed; it may have been executed
+	Busy                       // the request was rejected; a retry is safe
+	Failed                     // the request failed, but may have been executed
 	NotFound                   // the key of a Get does not exist
-	Invalid                    // not sent to any node
+	Invalid                    // the request is invalid and was not sent to a node
 )
 
 var answerKindNames = [...]string{
@@ -86,17 +86,17 @@
 // Answer is the answer to a request.
 type Answer struct {
 	Kind       AnswerKind
-	Receipt    string        // of Stored
-	RetryAfter time.Duration // of Busy: the delay before a retry, 0 for no advice
-	Reason     string        // of Invalid
-	Flags      uint32        // of Value
+	Receipt    string        // for Stored; "" for none
+	RetryAfter time.Duration // for Busy: the delay before a retry, 0 for no advice
+	Reason     string        // for Invalid: what is wrong with the request
+	Flags      uint32        // for Value: the flags stored with the value
 	Hit        bool          // the node had the key cached
-	Miss       bool          // the node did not have it cached
-	Coalesced  bool          // of a miss: another fetch of the key was under way
+	Miss       bool          // the node did not have the key cached
+	Coalesced  bool          // for a miss: another fetch of the key was already under way
 	LoadReport []byte        // the node's load report; nil for none
 
 	buffer     []byte
-	start, end int // of the value in buffer
+	start, end int // bounds of the value in buffer
 }
 
 // maxTailLen is the space reserved after a value in its buffer, in bytes.
@@ -117,8 +117,8 @@
 // ValueLen returns the length of the value in bytes.
 func (a *Answer) ValueLen() int { return a.end - a.start }
 
-// Tail returns the two bytes of space after the value. A reader whose dialect ends values with two bytes can read
-// the value and these bytes at once, see [Answer.ValueAndTail].
+// Tail returns the two bytes of space after the value. A reader whose dialect ends values with two bytes can read the
+// value and these bytes with one call, see [Answer.ValueAndTail].
 func (a *Answer) Tail() []byte { return a.buffer[a.end:] }
 
 // ValueAndTail returns the value and the space after it as one slice.
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestFrameIsWrittenInPlace guards invariant 1: a frame is written around the value without a copy if there is room for
-// it, and is still correct if there is not.
+// TestFrameIsWrittenInPlace checks that a frame is written around the value without copying it if there is room for the
+// frame (invariant 1), and that the framed value is still correct if there is not.
 func TestFrameIsWrittenInPlace(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestValueIsReadWithItsTail guards that a value and the two bytes after it can be read with one call.
+// TestValueIsReadWithItsTail checks that a value and the two bytes after it can be read with one call.
 func TestValueIsReadWithItsTail(t *testing.T) {
 	var answer Answer
 	answer.AllocateValue(3, 2)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -24,22 +24,22 @@
 // Verb selects the kind of requests that a rule matches.
 type Verb uint8
 
-// Verbs of rules. No rule matches both reads and writes, because a class that is safe to repeat for one is not for the
-// other.
+// The verbs of rules. No rule matches both reads and writes, because reads are safe to repeat and writes are not, so
+// they need different classes.
 const (
 	Reads      Verb = iota
 	Writes          // with or without a ticket
-	Ticketed        // writes with a ticket, whose repeats can be recognized
+	Ticketed        // writes with a ticket, so that a retry can be recognized
 	Unticketed      // writes without a ticket
 )
 
 // Rule sets the class, tenant and timeout of the requests that match its verb, prefix, listener and user. An empty
 // prefix, listener or user matches any.
 type Rule struct {
-	Prefix   string // of the key
+	Prefix   string // prefix of the key
 	Verb     Verb
 	Listener string // name of the listener that the client connected to
-	User     string // that the client has authenticated as
+	User     string // user that the client has authenticated as
 
 	Class   string
 	Tenant  string
@@ -49,16 +49,16 @@
 // Class holds the properties of a class that New checks rules against.
 type Class struct {
 	Deadline     time.Duration
-	Idempotent   bool          // requests of it are safe to repeat, as reads require
-	DedupWindow  time.Duration // in which nodes drop repeats; 0 for a class that is not keyed
-	PartialDedup bool          // nodes drop repeats only among the nodes of one zone or cell
+	Idempotent   bool          // requests of the class are safe to repeat; reads require such a class
+	DedupWindow  time.Duration // for how long nodes drop duplicates; 0 for a class that is not keyed
+	PartialDedup bool          // a node drops duplicates only of writes sent to its own zone or cell
 }
 
 // Table is a routing table. It does not change after New, and is safe for concurrent use.
 type Table struct{ rules []Rule }
 
-// New returns a routing table of rules, which are tried in their order. Without tenants no rule may name one. The error
-// joins one error for each defect, with the number of its rule and the configuration key.
+// New returns a routing table that tries rules in the given order. If tenants is empty, no rule may name a tenant. The
+// error joins one error for each defect, which names the rule's number and the configuration key.
 func New(rules []Rule, classes map[string]Class, tenants map[string]bool) (*Table, error) {
 	var defects []error
 	report := func(i int, defect error) {
@@ -99,7 +99,7 @@
 	case isKeyed && rule.Verb == Unticketed:
 		return classError("plain writes have no idempotency key and need a class that is not keyed")
 	case class.PartialDedup && rule.Verb != Reads:
-		// A client may repeat a write at any proxy, which does not know where the first attempt was sent.
+		// A client may retry a write at any proxy, and that proxy does not know where the first attempt was sent.
 		return classError("its nodes drop repeats in parts only (zone or cell); a client's repeat may reach any node")
 	case isKeyed && class.DedupWindow <= 2*ticket.Margin:
 		return classError(fmt.Sprintf("its window of %v leaves no time in which a ticket is valid; want more than %v",
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// checkReachable returns an error if a rule before it covers a rule, which is then never reached.
+// checkReachable returns an error if one of the rules before a rule covers it, so that it is never reached.
 func checkReachable(rule *Rule, before []Rule) error {
 	for i := range before {
 		if before[i].covers(rule) {
@@ -147,7 +147,7 @@
 // Route sets a request's class, tenant and timeout by the first rule that matches. ticketed is true for a write with a
 // ticket. Route returns false, and sets nothing, if no rule matches.
 func (t *Table) Route(r *request.Request, ticketed bool, from Client) bool {
-	// The narrowest rule that matches the request: every rule that matches the request covers it, and no other does.
+	// narrowest is the narrowest rule that matches the request: a rule covers it exactly if it matches the request.
 	narrowest := Rule{Prefix: r.Key, Listener: from.Listener, User: from.User}
 	switch {
 	case r.Verb == request.Get:
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -19,7 +19,9 @@
 	tenants = map[string]bool{"north": true, "south": true}
 )
 
-// TestFirstMatchingRuleDecides guards invariants 1 and 3.
+// TestFirstMatchingRuleDecides checks that the first matching rule sets class and tenant, that a request without a
+// matching rule is not served (invariant 1), and that a rule without a timeout gets the deadline of its class
+// (invariant 3).
 func TestFirstMatchingRuleDecides(t *testing.T) {
 	table, err := New([]Rule{
 		{Prefix: "order:", User: "till", Verb: Reads, Class: "read", Tenant: "south", Timeout: time.Second},
@@ -57,7 +59,9 @@
 	}
 }
 
-// TestDefectsAreNamed guards invariants 2 and 3, and that an error names the rule and the key.
+// TestDefectsAreNamed checks that New rejects rules whose class does not exist or suit the verb, rules that are never
+// reached (invariant 2) and timeouts longer than the deadline of the class (invariant 3), and that the error names the
+// rule and the configuration key.
 func TestDefectsAreNamed(t *testing.T) {
 	rule := func(verb Verb, class string) []Rule { return []Rule{{Verb: verb, Class: class, Tenant: "north"}} }
 	for want, rules := range map[string][]Rule{
@@ -93,7 +97,7 @@
 	unticketedWrite
 )
 
-// ruleMatches reports whether a rule matches a request. It compares each field by itself.
+// ruleMatches reports whether a rule matches a request. Unlike Table.Route it compares each field separately.
 func ruleMatches(rule *Rule, key string, kind requestKind, from Client) bool {
 	var verbMatches bool
 	switch rule.Verb {
@@ -111,8 +115,8 @@
 	return verbMatches && listenerMatches && userMatches && strings.HasPrefix(key, rule.Prefix)
 }
 
-// TestRoutesAgreeWithAPlainReading guards invariants 1 and 3 on random tables: the first rule that ruleMatches accepts
-// decides, and no timeout is longer than the deadline of its class.
+// TestRoutesAgreeWithAPlainReading checks on random tables that the first rule that ruleMatches accepts decides
+// (invariant 1), and that no timeout is longer than the deadline of its class (invariant 3).
 func TestRoutesAgreeWithAPlainReading(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	pick := func(choices ...string) string { return choices[random.IntN(len(choices))] }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -31,14 +31,14 @@
 	switch {
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
 		return false
-	case err != nil, n == 0: // a reset is returned as an error, with n = -1
+	case err != nil, n == 0: // recvfrom returns a reset as an error, with n = -1
 		return true
 	}
 	return hangUpPending(c)
 }
 
-// hangUpPending reports whether the end of a connection follows its unread bytes. Peeking returns only those bytes, so
-// the connection is polled for its state.
+// hangUpPending reports whether the peer has ended the connection after bytes that are still unread. Peeking returns
+// only those bytes, so it polls the state of the connection.
 func hangUpPending(c *net.TCPConn) bool {
 	const hangUp = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	raw, err := c.SyscallConn()
@@ -54,7 +54,8 @@
 	return pending || err != nil
 }
 
-// peek reads one byte of a connection without consuming it or waiting for it.
+// peek reads one byte of a connection without consuming it and without waiting. It returns EAGAIN if no byte is
+// available.
 func peek(c *net.TCPConn) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -7,7 +7,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// connectedPair returns both ends of a connection.
+// connectedPair returns both ends of a TCP connection.
 func connectedPair(t *testing.T) (local, peer *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,8 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// checkPeerClosed checks that PeerClosed returns false until the peer, after these unread bytes, ends the connection.
+// checkPeerClosed checks that PeerClosed returns false until the peer, after sending the unread bytes, ends the
+// connection.
 func checkPeerClosed(t *testing.T, unread string, end func(*net.TCPConn)) {
 	local, peer := connectedPair(t)
 	if PeerClosed(local) || Readable(local) {
@@ -45,8 +46,8 @@
 	testutil.WaitUntil(t, "the end to be detected", func() bool { return PeerClosed(local) })
 }
 
-// TestPeerClosed guards against a closed connection that counts as open: each way of closing it must be detected, with
-// and without unread bytes before it.
+// TestPeerClosed checks that PeerClosed detects a close, a half close and a reset by the peer, with and without unread
+// bytes before it, and a close by this end. Otherwise a closed connection would be used as if it were open.
 func TestPeerClosed(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"close":      func(c *net.TCPConn) { c.Close() },
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -42,26 +42,26 @@
 	return max(ticket, 1)
 }
 
-// Remaining returns for how long a ticket is still valid at now, where window is the nodes' deduplication window. It is
-// zero or less for a ticket that has expired or was never issued.
+// Remaining returns for how long a ticket is still valid at now, where window is the nodes' deduplication window. The
+// result is zero or less for a ticket that has expired or that New did not issue recently.
 func Remaining(ticket uint64, now time.Time, window time.Duration) time.Duration {
 	sinceIssue := age(ticket, now)
 	if sinceIssue < -Margin/2 {
-		return 0 // from the future, so no reliable clock issued it
+		return 0 // issued in the future, so the clock of the issuer is wrong or New did not issue the ticket
 	}
 	return window - Margin - sinceIssue
 }
 
-// age returns the time since a ticket's issue, negative for one from the future. As times wrap, two differences are
-// possible; it returns the one closer to zero.
+// age returns the time since a ticket's issue, which is negative for a ticket from the future. Times of issue wrap, so
+// two differences are possible; age returns the one closer to zero.
 func age(ticket uint64, now time.Time) time.Duration {
 	issuedAt := ticket &^ randomMask
 	difference := uint64(now.UnixMilli())<<randomBits - issuedAt
-	millis := int64(difference) >> randomBits // keeps the sign
+	millis := int64(difference) >> randomBits // an arithmetic shift keeps the sign
 	return time.Duration(millis) * time.Millisecond
 }
 
-// IdempotencyKey returns the idempotency key of a write with a ticket, which is 32 hexadecimal characters.
+// IdempotencyKey returns the idempotency key of a write that returns ticket: 32 hexadecimal characters.
 func IdempotencyKey(ticket uint64, cacheKey string, value []byte) string {
 	hash := sha256.New()
 	var header [16]byte
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -8,8 +8,9 @@
 
 const dedupWindow = 1500 * time.Millisecond
 
-// TestNoRepeatOutlivesTheWindow guards invariant 2 for proxies whose clocks are off: by the true time, a ticket is
-// accepted, and its remaining time ends, within one window after its issue.
+// TestNoRepeatOutlivesTheWindow checks that by the true time a ticket is accepted, and its remaining time ends, within
+// one deduplication window after its issue (invariant 2), even if the clocks of the proxies are wrong by up to a
+// quarter of Margin. Otherwise a retry could be sent to nodes that no longer drop it.
 func TestNoRepeatOutlivesTheWindow(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	accepted := 0
@@ -34,7 +35,8 @@
 	}
 }
 
-// TestForeignTicketsAreRejected guards invariant 3.
+// TestForeignTicketsAreRejected checks that a ticket whose time of issue is not recent is rejected: an old one, one
+// from the future and a number issued by another server (invariant 3).
 func TestForeignTicketsAreRejected(t *testing.T) {
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	for name, ticket := range map[string]uint64{
@@ -54,7 +56,7 @@
 	if remaining := Remaining(New(now, 7), now, dedupWindow); remaining != dedupWindow-Margin {
 		t.Errorf("a new ticket is valid for %v, want %v", remaining, dedupWindow-Margin)
 	}
-	// The time of issue wraps 2^40 ms after 1970-01-01, in 2004, and again in 2039. Tickets stay valid across that.
+	// The time of issue wraps 2^40 ms after 1970-01-01, in 2004, and again in 2039. A wrap does not invalidate tickets.
 	wrapped := time.UnixMilli(1 << 41)
 	remaining := Remaining(New(wrapped.Add(-time.Millisecond), 7), wrapped, dedupWindow)
 	if want := dedupWindow - Margin - time.Millisecond; remaining != want {
@@ -62,7 +64,8 @@
 	}
 }
 
-// TestKeysTellWritesApart guards invariant 1.
+// TestKeysTellWritesApart checks that writes that differ in ticket, cache key or value have different idempotency keys,
+// and that a retry has the same key as the first write (invariant 1).
 func TestKeysTellWritesApart(t *testing.T) {
 	seen := map[string]bool{}
 	for _, write := range []struct {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The classes and tenants of newSheddingBalancer.
+// Indices of the classes and tenants that newSheddingBalancer configures.
 const (
 	readClass     = 0 // idempotent, of weight 1
 	handoverClass = 1 // with an idempotency key, of weight 2
@@ -15,7 +15,7 @@
 	tenantWithoutQuota = 1
 )
 
-// newSheddingBalancer returns a balancer whose gates admit about a share of requests.
+// newSheddingBalancer returns a balancer whose gates admit about the given share of requests.
 func newSheddingBalancer(t *testing.T, share float64) (*Balancer, time.Duration) {
 	t.Helper()
 	b, now := newTestBalancer(t)
@@ -47,7 +47,8 @@
 	return b, now
 }
 
-// admittedShare offers n requests to gates that admit a share, and returns the share that was sent to a server.
+// admittedShare offers n requests while the gates admit the given share, and returns the share of the requests that was
+// sent to a server.
 func admittedShare(b *Balancer, now time.Duration, share float64, n int, arrival func(i int) Arrival) float64 {
 	sends := 0
 	for i := range n {
@@ -63,15 +64,16 @@
 	return float64(sends) / float64(n)
 }
 
-// TestAdmissionIsByWeight guards against gates that shed at random: handovers, and tenants within their quota, must be
-// admitted before other requests, and the total share admitted must not change.
+// TestAdmissionIsByWeight checks that gates that shed load admit handovers, and reads of tenants within their quota,
+// before other requests, and that the total share admitted stays that of the gate. Gates that shed at random would
+// reject valuable requests.
 func TestAdmissionIsByWeight(t *testing.T) {
 	const gateShare = 0.5
 	b, now := newSheddingBalancer(t, gateShare)
 	kinds := []struct {
 		name              string
 		arrival           Arrival
-		every             int // in rounds
+		every             int // the kind arrives in one of this many rounds
 		offered, admitted float64
 	}{
 		{
@@ -116,8 +118,8 @@
 	}
 }
 
-// TestAdmissionWithoutWeights guards against settings without weights: all requests are equal then, and are shed at
-// random.
+// TestAdmissionWithoutWeights checks that gates shed at random if no class has a priority weight, because all requests
+// are equal then.
 func TestAdmissionWithoutWeights(t *testing.T) {
 	b, now := newSheddingBalancer(t, 0.5)
 	for i := range b.settings.Classes {
@@ -131,8 +133,8 @@
 	}
 }
 
-// TestQuotasRefill guards the tenants' quotas: they refill with time, up to one burst, and not while the clock stands
-// still.
+// TestQuotasRefill checks that a tenant's quota refills as the clock advances, up to one burst, and does not refill
+// while the clock stands still.
 func TestQuotasRefill(t *testing.T) {
 	b, now := newSheddingBalancer(t, 1)
 	charge := func(tenant int) (over bool) {
@@ -164,8 +166,8 @@
 	}
 }
 
-// TestGateClosesAndReopens guards against gates that stay open while retries keep the queues full, and against gates
-// that stay closed after the cause has ended.
+// TestGateClosesAndReopens checks that a gate closes when requests complete late, because retries would otherwise keep
+// the queues full, and that it reopens after the cause has ended.
 func TestGateClosesAndReopens(t *testing.T) {
 	b, now := newTestBalancer(t)
 	id := uint64(0)
@@ -195,8 +197,8 @@
 	}
 }
 
-// runAtLowRate gives a balancer n requests, two a second, whose attempts all end with the same result. It returns the
-// share of the second half that was sent.
+// runAtLowRate gives a balancer n requests, two a second, whose attempts all end with the given result. It returns the
+// share of the second half of the requests that was sent.
 func runAtLowRate(b *Balancer, now time.Duration, n int, result Result) float64 {
 	sends := 0
 	for i := range n {
@@ -215,8 +217,9 @@
 	return float64(sends) / float64((n+1)/2)
 }
 
-// TestGateOfFewRequestsCloses guards against many proxies with few requests each, none of which sees enough requests
-// within the gate's decay time to close the gate when the origin fails.
+// TestGateOfFewRequestsCloses checks that the gate of a proxy with two requests a second closes when all fetches fail.
+// Where many proxies get few requests each, none observes enough of them within the gate's decay time unless the gate
+// keeps a minimum share of its counts.
 func TestGateOfFewRequestsCloses(t *testing.T) {
 	b, now := newTestBalancer(t)
 	if share := runAtLowRate(b, now, 200, Errored); share > 0.25 {
@@ -224,8 +227,8 @@
 	}
 }
 
-// TestFailedConnectionsKeepTheGateOpen guards against gates that close because a site is cut off: results from there
-// say nothing about the load elsewhere.
+// TestFailedConnectionsKeepTheGateOpen checks that failed connections do not close the gates. When a site is cut off,
+// the connections to it fail, which says nothing about the load elsewhere.
 func TestFailedConnectionsKeepTheGateOpen(t *testing.T) {
 	b, now := newTestBalancer(t)
 	if share := runAtLowRate(b, now, 200, ConnectFailed); share < 0.9 {
@@ -233,8 +236,8 @@
 	}
 }
 
-// TestLostAnswersAreNoOverload guards against a server that accepts requests and never answers: it must not close the
-// gates for all servers although none is busy.
+// TestLostAnswersAreNoOverload checks that a server that accepts requests and never answers does not close the gates
+// for all servers, as none of them is busy.
 func TestLostAnswersAreNoOverload(t *testing.T) {
 	b, now := newTestBalancer(t)
 	const (
@@ -266,9 +269,9 @@
 	}
 }
 
-// TestGatesSpareOnlyEjectedServers guards the gates in an overload. A queue that stays full for a second makes its
-// server look faulty. It must close the gates all the same, and its requests must not be retried at another server,
-// whose queue they would fill.
+// TestGatesSpareOnlyEjectedServers checks that a failure counts at the gates unless its server is ejected. A queue that
+// stays full for a second makes its server look faulty, but must close the gates all the same. The requests in such a
+// queue must not be retried at another server, because they would fill its queue too.
 func TestGatesSpareOnlyEjectedServers(t *testing.T) {
 	for _, c := range []struct {
 		logOdds float64 // before the failure; the fault probabilities after it are about 0.27, 0.73 and 0.95
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkDecision handles one request per iteration: its arrival, its attempt's outcome and the timers that it set,
-// with 4096 keys and the number of servers in the name.
+// BenchmarkDecision handles one request per iteration: its arrival, the outcome of its attempt and the timers that it
+// set. There are 4096 keys; the name of a sub-benchmark is the number of servers.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{20, 80, 320, 1280} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/policy/degradation_test.go
+++ b/policy/degradation_test.go
@@ -20,11 +20,11 @@
 	}
 }
 
-// allInTime is a gate share at which everything completes in time.
+// allInTime is a gate share that simulates that every request completes in time.
 const allInTime = 1000
 
-// TestEconomySendsNoHedgedRequests guards against hedged requests, and retries without a budget, that add load during a
-// fault, at every level from LevelEconomy on.
+// TestEconomySendsNoHedgedRequests checks that from LevelEconomy on no hedged request is sent and retries need the
+// retry budget. Both would add load during a fault.
 func TestEconomySendsNoHedgedRequests(t *testing.T) {
 	for level := LevelFull; level <= LevelShelter; level++ {
 		t.Run(fmt.Sprint(level), func(t *testing.T) {
@@ -59,8 +59,9 @@
 	}
 }
 
-// TestLateReadsCountAsInTime guards the level at which reads may be late: gates must not close because of late answers
-// that clients still wait for, nor reject requests whose expected latency exceeds the objective.
+// TestLateReadsCountAsInTime checks that at LevelLate, but not at LevelEconomy, late answers that clients still wait
+// for count as in time. Otherwise gates would close because of them, or requests would be rejected because their
+// expected latency exceeds the objective.
 func TestLateReadsCountAsInTime(t *testing.T) {
 	for _, level := range []DegradationLevel{LevelEconomy, LevelLate} {
 		b, now := newSheddingBalancer(t, 1)
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestLateFetchesDoNotCountInAQueue guards against a queue at the servers that makes everything late: a late fetch must
-// not count as in time then, not even at LevelLate.
+// TestLateFetchesDoNotCountInAQueue checks that a late fetch does not count as in time while a queue at the servers
+// makes all answers late, not even at LevelLate.
 func TestLateFetchesDoNotCountInAQueue(t *testing.T) {
 	b, now := newSheddingBalancer(t, 1)
 	setLevel(b, now, LevelLate)
@@ -131,8 +132,8 @@
 	}
 }
 
-// TestHandoversPassGatesAndKeepARetryReserve guards the levels from LevelHandovers on: a gate that is nearly closed
-// admits all keyed requests, and a part of the retry budget is reserved for them.
+// TestHandoversPassGatesAndKeepARetryReserve checks that from LevelHandovers on a gate that is nearly closed admits all
+// keyed requests, and that a part of the retry budget is reserved for them.
 func TestHandoversPassGatesAndKeepARetryReserve(t *testing.T) {
 	const nearlyClosed = 0.01
 	b, now := newSheddingBalancer(t, nearlyClosed)
@@ -155,13 +156,13 @@
 	}
 }
 
-// TestFetchesLeaveCapacityForHandovers guards the levels that give priority to handovers: reads that fetch must be held
-// back as soon as handovers are late, but not before, and not at lower levels.
+// TestFetchesLeaveCapacityForHandovers checks that from LevelHandovers on reads that fetch from the origin are rejected
+// when handovers are late, but not while handovers are in time, and not at lower levels.
 func TestFetchesLeaveCapacityForHandovers(t *testing.T) {
 	for _, c := range []struct {
 		level           DegradationLevel
-		handoversInTime float64 // share
-		minReads        float64 // lowest share that is admitted
+		handoversInTime float64 // share of the handovers that complete in time
+		minReads        float64 // bounds of the share of reads that is admitted
 		maxReads        float64
 	}{
 		{LevelLate, 0.5, 1, 1},
@@ -190,9 +191,9 @@
 	}
 }
 
-// TestShelterServesCachedKeys guards LevelShelter: reads that would fetch are rejected, but for a few that show a
-// recovery. Handovers, and reads of keys that a filter contains, are admitted. Requests that the level rejects must not
-// count as a sign of overload, which would keep the level in force.
+// TestShelterServesCachedKeys checks that LevelShelter rejects reads that would fetch, except for a few that show
+// whether the origin has recovered. It admits handovers, and reads of keys that a filter contains. Requests that the
+// level rejects must not count as rejected at the gates: that would look like an overload and keep the level in force.
 func TestShelterServesCachedKeys(t *testing.T) {
 	b, now := newSheddingBalancer(t, 1)
 	setGates(b, now, allInTime)
@@ -220,8 +221,8 @@
 	}
 }
 
-// TestLevelChangesBetweenArrivalAndRetry guards requests that are in flight when the level changes: each gets exactly
-// one answer, and a keyed request that may have run is not repeated after its dedup window.
+// TestLevelChangesBetweenArrivalAndRetry checks that a request that is in flight when the level changes gets exactly
+// one answer, and that a keyed request that may have run is not repeated after its dedup window.
 func TestLevelChangesBetweenArrivalAndRetry(t *testing.T) {
 	for level := LevelEconomy; level <= LevelShelter; level++ {
 		t.Run(fmt.Sprint(level), func(t *testing.T) {
@@ -245,15 +246,15 @@
 			setLevel(b, now, LevelFull)
 			second := Outcome{ID: 1, Attempt: 1, Server: retries[0], Result: Reset}
 			actions = b.Handle(now+1500*time.Millisecond, second, nil)
-			if len(actions) != 1 || actions[0].Kind != Fail { // not safe: the repeat would no longer be dropped
+			if len(actions) != 1 || actions[0].Kind != Fail { // the server would no longer drop a retry as a duplicate
 				t.Errorf("after the dedup window: %+v, want one Fail", actions)
 			}
 		})
 	}
 }
 
-// TestRetryAfterGrowsAndIsSpread guards against clients that are rejected together and return together, also where the
-// limit bounds the wait.
+// TestRetryAfterGrowsAndIsSpread checks that Retry-After grows with the degradation level and is random, even where
+// MaxRetryAfter bounds it. Otherwise clients that are rejected together would return together.
 func TestRetryAfterGrowsAndIsSpread(t *testing.T) {
 	for _, limit := range []time.Duration{10 * time.Second, 300 * time.Millisecond} {
 		b, now := newSheddingBalancer(t, 1)
@@ -281,8 +282,8 @@
 	}
 }
 
-// TestCountersCountRequests guards the signals of package overload: each request that was served late or not at all is
-// counted once under its kind, and requests whose clients left early are not counted.
+// TestCountersCountRequests checks the counters that package overload gets its signals from: a request that was served
+// late or not at all counts once under its kind, and a request whose client left early does not count.
 func TestCountersCountRequests(t *testing.T) {
 	b, now := newSheddingBalancer(t, 1)
 	setGates(b, now, allInTime)
@@ -313,7 +314,7 @@
 	b.Handle(now+time.Millisecond, ClientLeft{ID: 5}, nil)
 	b.Handle(now+time.Millisecond, Outcome{ID: 5, Server: servers[0], Result: Cancelled, Final: true}, nil)
 	got := b.TakeCounters()
-	if got.TimedFetches != 0 || got.FetchTimeSum != 0 { // no server has answered a hit, so their own latency is unknown
+	if got.TimedFetches != 0 || got.FetchTimeSum != 0 { // without a hit the latency of servers is unknown
 		t.Errorf("measured %d fetches with a sum of %v objectives", got.TimedFetches, got.FetchTimeSum)
 	}
 	want := Counters{
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -8,7 +8,8 @@
 	"mulleinpier/internal/bloom"
 )
 
-// TestDrainingServerGetsNothing guards against requests to a draining or removed server right after the update.
+// TestDrainingServerGetsNothing checks that a draining or removed server gets no request from the update on that
+// reports its state.
 func TestDrainingServerGetsNothing(t *testing.T) {
 	b, now := newTestBalancer(t)
 	b.Handle(now, EndpointUpdate{Kind: EndpointsDelta, Endpoints: []Endpoint{
@@ -27,7 +28,8 @@
 	}
 }
 
-// TestRestartEmptiesTheFilter guards against expecting hits from a cache that was emptied by a restart.
+// TestRestartEmptiesTheFilter checks that the filter of a server that has restarted is empty. The restart has emptied
+// the server's cache, so hits must not be expected.
 func TestRestartEmptiesTheFilter(t *testing.T) {
 	b, now := newTestBalancer(t)
 	s := b.servers["a"]
@@ -39,8 +41,8 @@
 	}
 }
 
-// TestRemovedServersAreForgotten guards against a map that grows with every server replaced, if each replacement has a
-// new name.
+// TestRemovedServersAreForgotten checks that servers that were removed are deleted from the map of servers. If each
+// replacement has a new name, the map would grow with every server replaced.
 func TestRemovedServersAreForgotten(t *testing.T) {
 	b, now := newTestBalancer(t)
 	for i := range 200 {
@@ -55,10 +57,10 @@
 	}
 }
 
-// TestSubscribeBackoffLeavesTimeForDrains guards against a proxy that learns of a drain too late. A subscription counts
-// as silent 3 s after its last message, and changes that it missed count as known 6 s after it fell silent. The wait
-// before the next call must leave a good part of the remaining time, whatever the polling interval in the settings.
-// Waits grow with consecutive failures, and calls are spread.
+// TestSubscribeBackoffLeavesTimeForDrains checks that the delay before the next call for the endpoint list is short
+// enough to learn of a drain in time, whatever the polling interval in the settings. A subscription counts as silent 3
+// s after its last message, and changes that it missed count as known 6 s after it fell silent. The delay must grow
+// with consecutive failures, and be random so that calls are spread.
 func TestSubscribeBackoffLeavesTimeForDrains(t *testing.T) {
 	const (
 		silentAfter = 3 * time.Second
@@ -72,7 +74,7 @@
 				waits := subscribeBackoffs(t, poll, seed)
 				shortest, longest = min(shortest, waits[0]), max(longest, waits[0])
 				longestSecond = max(longestSecond, waits[1])
-				// However many calls have failed, another slow call must end before a change counts as known.
+				// Even after many failed calls, a further slow call must end before a change counts as known.
 				for _, wait := range waits[2:] {
 					if wait > knownAfter-callTimeout {
 						t.Fatalf("the wait after further failures is %v", wait)
@@ -89,7 +91,7 @@
 	}
 }
 
-// subscribeBackoffs returns the waits after six consecutive failed calls for the endpoint list.
+// subscribeBackoffs returns the delays after each of six consecutive failed calls for the endpoint list.
 func subscribeBackoffs(t *testing.T, poll time.Duration, seed uint64) (waits [6]time.Duration) {
 	t.Helper()
 	b, err := New(Settings{
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -6,13 +6,13 @@
 	"mulleinpier/internal/bloom"
 )
 
-// TestSilentServerIsHedgedElsewhere guards against lost answers: without a hedged request the client would time out
-// with the attempt.
+// TestSilentServerIsHedgedElsewhere checks that a hedged request is sent to another server if an answer does not
+// arrive. Without it, the client of a lost answer would time out.
 func TestSilentServerIsHedgedElsewhere(t *testing.T) {
 	b, now := newTestBalancer(t)
 	b.settings.Limits.AllowHedging = true
 	objective := b.settings.Classes[0].LatencyObjective
-	for _, name := range []string{"a", "b"} { // both hold the key
+	for _, name := range []string{"a", "b"} { // both caches hold the key
 		positions := bloom.PositionsOf(bloom.Hash("k"))
 		b.servers[name].filter.Add(&positions)
 	}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newTestBalancer returns a balancer with the servers a to d, and the current time. The servers in warmingUp have just
-// started.
+// newTestBalancer returns a balancer with the servers a to d, and the current time. The servers named in warmingUp have
+// just started.
 func newTestBalancer(t *testing.T, warmingUp ...string) (*Balancer, time.Duration) {
 	t.Helper()
 	now := time.Hour
@@ -54,7 +54,7 @@
 	return b
 }
 
-// sendTargets returns the servers to which actions send.
+// sendTargets returns the names of the servers that the Send actions name.
 func sendTargets(actions []Action) (servers []string) {
 	for _, a := range actions {
 		if a.Kind == Send {
@@ -64,8 +64,9 @@
 	return servers
 }
 
-// runRequests gives a balancer n requests for new keys, 50 ms apart, and ends each attempt with the result that result
-// returns for its server. It returns the number of first attempts by server, and the time after the last request.
+// runRequests gives a balancer n requests for new keys, 50 ms apart, and ends each attempt with the result that the
+// function result returns for its server. It returns the number of first attempts by server, and the time after the
+// last request.
 func runRequests(b *Balancer, now time.Duration, id uint64, n int, result func(server string) Result) (
 	firstAttempts map[string]int, end time.Duration) {
 	firstAttempts = make(map[string]int)
@@ -100,7 +101,7 @@
 	return sum
 }
 
-// resultWhere returns a function that gives attempts at matching servers a result; others are served.
+// resultWhere returns a function that returns the given result for the servers that match, and Served for all others.
 func resultWhere(result Result, match func(server string) bool) func(server string) Result {
 	return func(server string) Result {
 		if match(server) {
@@ -116,7 +117,8 @@
 	return []*admissionGate{&b.paths[hitPath].gate, &b.paths[fetchPath].gate}
 }
 
-// setGates makes the gates of both paths admit a share, as if after many requests, and resets the servers' gates.
+// setGates makes the gates of both paths admit the given share, as if after many requests, and resets the servers'
+// gates.
 func setGates(b *Balancer, now time.Duration, share float64) {
 	for _, g := range gates(b) {
 		*g = admissionGate{
--- a/policy/history_test.go
+++ b/policy/history_test.go
@@ -63,7 +63,7 @@
 
 type trackedRequest struct {
 	policy.Arrival
-	settings  policy.Settings // in force when it arrived
+	settings  policy.Settings // in force when the request arrived
 	attempts  []trackedAttempt
 	ended     bool
 	streaming bool
@@ -76,7 +76,7 @@
 	token uint64
 }
 
-// history feeds valid random events to a balancer and checks each action against the rules, using its own records.
+// history feeds valid random events to a balancer and checks each action by its own records.
 type history struct {
 	t           testing.TB
 	settings    policy.Settings
@@ -84,7 +84,7 @@
 	balancer    *policy.Balancer
 	now         time.Duration
 	requests    map[uint64]*trackedRequest
-	ids         []uint64 // of recent requests
+	ids         []uint64 // IDs of recent requests
 	lastID      uint64
 	endpoints   map[string]policy.Endpoint
 	names       []string
@@ -168,7 +168,7 @@
 	}
 }
 
-// isDeduplicated reports whether a server drops a repeat after an earlier attempt.
+// isDeduplicated reports whether target drops a repeat of an earlier attempt as a duplicate.
 func (h *history) isDeduplicated(class *policy.Class, earlier trackedAttempt, target policy.Endpoint) bool {
 	if class.Idempotency != policy.IdempotentWithKey || h.now-earlier.sentAt >= class.DedupWindow {
 		return false
@@ -215,7 +215,7 @@
 	h.handle(a)
 }
 
-// completeOne starts the stream of a random attempt in flight, or ends it.
+// completeOne chooses a random attempt in flight, and either starts the stream of its answer or ends it.
 func (h *history) completeOne() {
 	if len(h.ids) == 0 {
 		return
@@ -262,7 +262,7 @@
 	outcome.Final = r.ended
 	h.handle(outcome)
 	if h.rng.IntN(20) == 0 {
-		h.handle(outcome) // an outcome reported twice
+		h.handle(outcome) // report the same outcome twice
 	}
 }
 
@@ -315,7 +315,7 @@
 	return changed
 }
 
-// completeList returns all endpoints, each twice, except for some that are dropped at random.
+// completeList returns all endpoints, each of them twice, without some endpoints that are dropped at random.
 func (h *history) completeList() (list []policy.Endpoint) {
 	for _, name := range h.names {
 		endpoint := h.endpoints[name]
@@ -341,7 +341,7 @@
 	}
 }
 
-// checkAnswered checks that no request is unanswered after its deadline.
+// checkAnswered checks that each request that is not streaming has ended in time (guarantee 2).
 func (h *history) checkAnswered() {
 	for _, id := range h.ids {
 		r := h.requests[id]
@@ -354,7 +354,7 @@
 	}
 }
 
-// reconfigure applies settings with other limits and with other classes in another order.
+// reconfigure applies settings with other limits and with other classes in a random order.
 func (h *history) reconfigure() {
 	next := testSettings()
 	next.EndpointsOnRequest = h.settings.EndpointsOnRequest
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestUnsentAttemptsSayNothing guards against conclusions from clients that leave before anything of their requests was
-// sent: gates must stay open, no server may count as having responded, and none as healthy or faulty.
+// TestUnsentAttemptsSayNothing checks that attempts of which nothing was sent, because their clients left first, change
+// no estimate: gates stay open, and no server counts as having responded, as healthy or as faulty.
 func TestUnsentAttemptsSayNothing(t *testing.T) {
 	b, now := newTestBalancer(t)
 	for i := range 200 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestBrokenConnectionIsOneFailure guards against a server that is avoided for long because many attempts waited on the
-// one connection that broke.
+// TestBrokenConnectionIsOneFailure checks that a broken connection counts as one failure of its server, however many
+// attempts waited on it. Otherwise the server would be avoided for long.
 func TestBrokenConnectionIsOneFailure(t *testing.T) {
 	b, now := newTestBalancer(t)
 	servers := map[uint64]string{}
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestFailingServerIsAvoided guards against a server that answers errors at once: it looks idle because of that, and
-// makes the gates shed requests that other servers could serve.
+// TestFailingServerIsAvoided checks that a server that immediately answers with errors is avoided. It looks idle
+// because of its fast answers, and its failures would make the gates shed requests that other servers could serve.
 func TestFailingServerIsAvoided(t *testing.T) {
 	b, now := newTestBalancer(t)
 	failures, unserved := 0, 0
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestRejectingServerIsAvoided guards against a server that rejects one class at once, and so looks idle for that
-// class, while it serves the other classes.
+// TestRejectingServerIsAvoided checks that a server that immediately rejects the requests of one class, and so looks
+// idle for that class, is avoided for it while it serves the other classes.
 func TestRejectingServerIsAvoided(t *testing.T) {
 	b, now := newTestBalancer(t)
 	rejected, shed := 0, 0
--- a/policy/outlier_baseline_test.go
+++ b/policy/outlier_baseline_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// TestBaselineCountsFailuresThatPass guards the failure rate of healthy servers. If a fifth of all servers fails
-// permanently, that must not count as a failure rate of a fifth at all servers, or ejecting the faulty ones takes
-// minutes.
+// TestBaselineCountsFailuresThatPass checks that permanent failures of a fifth of all servers do not count in the
+// failure rate of healthy servers. With a rate of a fifth, ejecting the faulty servers would take minutes.
 func TestBaselineCountsFailuresThatPass(t *testing.T) {
 	b := newFleetBalancer(t, 4)
 	_, now := runRequests(b, time.Hour, 0, 600, resultWhere(Served, matchNone))
@@ -30,8 +29,8 @@
 	}
 }
 
-// TestFailuresBeforeASuccessCountAsChance guards which failures count as chance: consecutive failures before a success,
-// up to maxChanceFailures, and none in a sequence without a success.
+// TestFailuresBeforeASuccessCountAsChance checks that consecutive failures before a success count as chance, up to
+// maxChanceFailures, and that failures without a later success do not.
 func TestFailuresBeforeASuccessCountAsChance(t *testing.T) {
 	b := newFleetBalancer(t, 6)
 	s, now := b.serving[0], time.Hour
@@ -62,8 +61,9 @@
 	}
 }
 
-// TestManyFaultyServersAreEjected guards a fault of a third of all servers, for example of one machine kind: the other
-// servers answer all their requests, so the failures do not affect all servers.
+// TestManyFaultyServersAreEjected checks that faulty servers are ejected even if they are a third of all servers, for
+// example all servers of one machine kind. The other servers answer all their requests, so the failures do not affect
+// all servers.
 func TestManyFaultyServersAreEjected(t *testing.T) {
 	b := newFleetBalancer(t, 7)
 	isFaulty := func(server string) bool {
@@ -72,13 +72,13 @@
 	result := resultWhere(Errored, isFaulty)
 	_, now := runRequests(b, time.Hour, 0, 1200, result)
 	firstAttempts, _ := runRequests(b, now, 2000, 600, result)
-	if got := sumWhere(firstAttempts, isFaulty); got > 100 { // their fair share is 200
+	if got := sumWhere(firstAttempts, isFaulty); got > 100 { // the fair share of the faulty servers is 200
 		t.Errorf("%d of 600 requests still go to twenty faulty servers of sixty", got)
 	}
 }
 
-// TestFailuresEverywhereOfOneClass guards against mixing up classes: failures of one class at all servers must not make
-// a faulty server of another class look like chance.
+// TestFailuresEverywhereOfOneClass checks that failures of one class at all servers do not hide a server that is faulty
+// for another class. A failure rate shared by all classes would attribute its failures to chance.
 func TestFailuresEverywhereOfOneClass(t *testing.T) {
 	b := newFleetBalancer(t, 8)
 	settings := *b.settings
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -9,8 +9,9 @@
 	"mulleinpier/internal/outlier"
 )
 
-// TestFaultyServersAreLearntFromFewRequests guards a proxy that sends to each server once in three seconds: servers
-// that fail permanently must get few requests within half a minute, however healthy they were before.
+// TestFaultyServersAreLearntFromFewRequests checks that a proxy that sends to each server once in three seconds gives
+// few requests to servers that fail permanently, from half a minute after the failures began, however healthy the
+// servers were before.
 func TestFaultyServersAreLearntFromFewRequests(t *testing.T) {
 	b := newFleetBalancer(t, 1)
 	isFaulty := func(s string) bool { return s == "s03" || s == "s17" || s == "s31" || s == "s44" }
@@ -18,7 +19,7 @@
 	_, now = runRequests(b, now, 1000, 600, resultWhere(Errored, isFaulty))
 	firstAttempts, _ := runRequests(b, now, 2000, 600, resultWhere(Errored, isFaulty))
 	got := sumWhere(firstAttempts, isFaulty)
-	if got > 20 { // their fair share is 40
+	if got > 20 { // the fair share of the faulty servers is 40
 		t.Errorf("%d of 600 requests still go to four faulty servers of sixty", got)
 	}
 	if got == 0 {
@@ -26,19 +27,21 @@
 	}
 }
 
-// TestLostZoneIsLearntAsOne guards against a proxy that has to detect each server of a lost zone separately.
+// TestLostZoneIsLearntAsOne checks that a proxy stops sending to all servers of a lost zone after a few failures,
+// instead of detecting each server separately.
 func TestLostZoneIsLearntAsOne(t *testing.T) {
 	b := newFleetBalancer(t, 2)
 	isLost := func(server string) bool { return b.servers[server].Zone == 2 }
 	_, now := runRequests(b, time.Hour, 0, 200, resultWhere(Served, matchNone))
 	_, now = runRequests(b, now, 1000, 20, resultWhere(ConnectFailed, isLost))
 	firstAttempts, _ := runRequests(b, now, 2000, 100, resultWhere(ConnectFailed, isLost))
-	if got := sumWhere(firstAttempts, isLost); got > 2 { // its fair share is 25
+	if got := sumWhere(firstAttempts, isLost); got > 2 { // the fair share of the zone is 25
 		t.Errorf("a second after a zone was lost %d of 100 requests still go there", got)
 	}
 }
 
-// TestFailuresEverywhereEjectNoServer guards the gates: failures at all servers are due to load, and must count.
+// TestFailuresEverywhereEjectNoServer checks that failures at all servers make no server look faulty. Such failures are
+// due to load and must count at the gates, which ignore the failures of faulty servers.
 func TestFailuresEverywhereEjectNoServer(t *testing.T) {
 	b := newFleetBalancer(t, 3)
 	now, n := time.Hour, 0
@@ -65,8 +68,9 @@
 	}
 }
 
-// TestAttemptsInFlightTogetherFailOnce guards healthy servers that pause, or lose a connection, with many requests in
-// flight: each such event would otherwise move all keys of a server for seconds.
+// TestAttemptsInFlightTogetherFailOnce checks that attempts that were in flight together count as one failure of their
+// server. Otherwise a healthy server that pauses, or loses a connection, with many requests in flight would lose all
+// its keys for seconds.
 func TestAttemptsInFlightTogetherFailOnce(t *testing.T) {
 	b := newFleetBalancer(t, 4)
 	now := time.Hour + time.Second
@@ -88,8 +92,9 @@
 	}
 }
 
-// faultProbabilityAfter records thirty attempts a second at one server, for a number of seconds. Attempts that fail do
-// so after half a second, the others are answered after 50 ms. It returns the fault probability at the end.
+// faultProbabilityAfter records thirty attempts a second at one server, for the given number of seconds, and returns
+// the server's fault probability at the end. Attempts that fail do so after half a second; the others are answered
+// after 50 ms.
 func faultProbabilityAfter(t *testing.T, seconds int, fails func(i int) bool) float64 {
 	b := newFleetBalancer(t, 5)
 	type completion struct {
@@ -118,8 +123,9 @@
 	return b.faultProbability(s, 0)
 }
 
-// TestSlowServerOfManyRequestsIsEjected guards a busy proxy: most answers of a server are late and the rest are not, so
-// of two failures that were in flight together the later must count if something was answered between them.
+// TestSlowServerOfManyRequestsIsEjected checks that a busy proxy ejects a server most of whose answers are late. Some
+// answers are in time, so of two failures that were in flight together the later one must count if an answer arrived
+// between them.
 func TestSlowServerOfManyRequestsIsEjected(t *testing.T) {
 	p := faultProbabilityAfter(t, 4, func(i int) bool { return i*7%10 < 7 })
 	if p < ejectionProbability-outlier.PriorProbability {
@@ -128,7 +134,7 @@
 	if p := faultProbabilityAfter(t, 4, func(i int) bool { return i%12 == 0 }); p > singleFailureProbability {
 		t.Errorf("a server that fails one in twelve has a fault probability of %.2f", p)
 	}
-	// A pause of 0.3 s: all requests sent during the pause are late, and nothing is answered meanwhile.
+	// The server pauses for 0.3 s: all requests sent during the pause are late, and none is answered until it ends.
 	if p := faultProbabilityAfter(t, 1, func(i int) bool { return i >= 21 }); p > singleFailureProbability {
 		t.Errorf("a server that paused once has a fault probability of %.2f", p)
 	}
@@ -136,12 +142,12 @@
 
 // answer is how a simulated server answers an attempt.
 type answer struct {
-	latency time.Duration // 0 for never
+	latency time.Duration // 0 if the server never answers
 	status  CacheStatus
 }
 
-// runShortObjective sends requests to twelve servers, one every 5 ms, of a class whose latency objective is little more
-// than a fetch takes. Timers fire on time. It returns the balancer.
+// runShortObjective returns a balancer after requests to twelve servers, one every 5 ms, of a class whose latency
+// objective is little longer than a fetch takes. Timers fire on time.
 func runShortObjective(t *testing.T, length time.Duration, answers func(server string, request int) answer) *Balancer {
 	t.Helper()
 	const clientTimeout = 670 * time.Millisecond
@@ -194,7 +200,7 @@
 	q.events = append(q.events, timedEvent{at, event})
 }
 
-// isDue reports whether an event is due at now, and moves the earliest event to the front.
+// isDue sorts the events by time, and reports whether the earliest is due at now.
 func (q *eventQueue) isDue(now time.Duration) bool {
 	slices.SortStableFunc(q.events, func(x, y timedEvent) int { return int(x.at - y.at) })
 	return len(q.events) > 0 && q.events[0].at <= now
@@ -230,8 +236,8 @@
 	}
 }
 
-// TestFetchesOfAShortObjectiveAreNoFailures guards healthy fleets whose latency objective is little more than a fetch
-// takes: a fetch of the usual duration must not count as a failure, or healthy servers would be avoided and their keys
+// TestFetchesOfAShortObjectiveAreNoFailures checks that fetches of the usual duration do not count as failures where
+// the latency objective is little longer than a fetch takes. Otherwise healthy servers would be avoided, and their keys
 // fetched at other servers.
 func TestFetchesOfAShortObjectiveAreNoFailures(t *testing.T) {
 	usual := func(_ string, i int) answer {
@@ -254,7 +260,7 @@
 	}
 	b = runShortObjective(t, 6*time.Second, func(server string, i int) answer {
 		if server == "s03" && i > 400 {
-			return answer{} // it does not answer from then on
+			return answer{} // the server no longer answers
 		}
 		return usual(server, i)
 	})
@@ -263,11 +269,12 @@
 	}
 }
 
-// TestSuspectsAreAvoidedWhereMetSeldom guards the origin: a server that pauses may look faulty for seconds, and each of
-// its keys that another server is asked for meanwhile costs a fetch. A busy proxy can wait for more evidence; one that
-// sends to a server only every few seconds cannot.
+// TestSuspectsAreAvoidedWhereMetSeldom checks that a proxy that sends to a server only every few seconds avoids it on
+// weak evidence, and a busy proxy only on strong evidence. A server that pauses may look faulty for seconds, and each
+// of its keys that another server is asked for during that time costs a fetch from the origin. A busy proxy can wait
+// for more evidence, the other cannot.
 func TestSuspectsAreAvoidedWhereMetSeldom(t *testing.T) {
-	const often, seldom = time.Millisecond, 50 * time.Millisecond // between two requests of the proxy
+	const often, seldom = time.Millisecond, 50 * time.Millisecond // time between two requests of the proxy
 	for _, c := range []struct {
 		name     string
 		interval time.Duration
--- a/policy/pause_test.go
+++ b/policy/pause_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestPauseSaysNothingOfServers guards a proxy's estimates against a pause of its own process. Attempts in flight
-// complete late and all at once: this must not count against any server, or let a gate forget what was offered.
+// TestPauseSaysNothingOfServers checks that a pause of this process does not change the estimates. Attempts in flight
+// complete late and all at once after the pause; that must not count against any server, and gates must not forget what
+// was offered.
 func TestPauseSaysNothingOfServers(t *testing.T) {
 	t.Run("notified", func(t *testing.T) {
 		p := newPausedProxy(t)
@@ -33,7 +34,7 @@
 	balancer *Balancer
 	now      time.Duration
 	lastID   uint64
-	inFlight map[uint64]string // server by request ID
+	inFlight map[uint64]string // names of servers by request ID
 
 	processingTimeBefore, offeredBefore float64
 }
@@ -99,7 +100,7 @@
 
 func (p *pausedProxy) pause() { p.now += pauseLength }
 
-// completeAll ends the attempts that were in flight during the pause: half of them timed out, the rest were answered.
+// completeAll ends the attempts that were in flight during the pause: half of them time out, the others are answered.
 func (p *pausedProxy) completeAll() {
 	for id, server := range p.inFlight {
 		if id%2 == 0 {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-// TestRulesHoldOnRandomHistories guards guarantees 2 to 5 of the package.
+// TestRulesHoldOnRandomHistories checks on random events that each arrival ends exactly once and in time (guarantee 2),
+// that repeats are safe (3), that attempts are limited (4), and that servers that are draining, removed or not listed
+// get none (5).
 func TestRulesHoldOnRandomHistories(t *testing.T) {
 	for seed := range uint64(60) {
 		settings := testSettings()
@@ -26,8 +28,8 @@
 	}
 }
 
-// TestRulesHoldThroughReconfigurations guards guarantee 6: after a reload, open requests must keep the rules that they
-// arrived under.
+// TestRulesHoldThroughReconfigurations checks that open requests keep the class and the limits that were in force when
+// they arrived when the settings are replaced (guarantee 6).
 func TestRulesHoldThroughReconfigurations(t *testing.T) {
 	for seed := range uint64(40) {
 		h := newHistory(t, testSettings(), seed)
@@ -44,10 +46,11 @@
 	}
 }
 
-// TestSameEventsGiveSameActions guards guarantee 1.
+// TestSameEventsGiveSameActions checks that the same settings, seed and events always give the same actions (guarantee
+// 1).
 func TestSameEventsGiveSameActions(t *testing.T) {
 	a, b := newHistory(t, testSettings(), 9), newHistory(t, testSettings(), 9)
-	for range 2000 { // alternately, so that any shared state would show
+	for range 2000 { // alternating between the two detects shared state
 		a.step()
 		b.step()
 	}
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestKeyStaysWithItsServer guards against copies of a key at several servers.
+// TestKeyStaysWithItsServer checks that requests for a key go to one server, so that not several servers hold copies of
+// it.
 func TestKeyStaysWithItsServer(t *testing.T) {
 	b, now := newTestBalancer(t)
 	servers := map[string]bool{}
@@ -30,7 +31,8 @@
 	}
 }
 
-// TestNoServerIsRejectedInTime guards against requests that are lost while no server is listed.
+// TestNoServerIsRejectedInTime checks that a request that arrives while no server is listed is rejected. Otherwise its
+// client would get no answer.
 func TestNoServerIsRejectedInTime(t *testing.T) {
 	b, now := newTestBalancer(t)
 	b.Handle(now, EndpointUpdate{Kind: EndpointsFull}, nil)
@@ -51,11 +53,11 @@
 	t.Error("never rejected")
 }
 
-// TestErrorKeepsKeysAtTheirServer guards against keys that move to servers without them because a slow origin causes
-// errors.
+// TestErrorKeepsKeysAtTheirServer checks that an error does not move the keys of its server. A slow origin causes
+// errors, and other servers do not hold the keys.
 func TestErrorKeepsKeysAtTheirServer(t *testing.T) {
 	b, now := newTestBalancer(t)
-	for i := range uint64(10) { // enough that one error does not close a gate
+	for i := range uint64(10) { // with ten answers, one error does not close a gate
 		id := 10 + i
 		actions := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint("other", i), Deadline: now + time.Second}, nil)
 		for _, server := range sendTargets(actions) {
@@ -70,8 +72,8 @@
 	}
 }
 
-// TestAbandonedWorkCounts guards against servers that look idle after clients have given up: they are still working on
-// the abandoned attempts.
+// TestAbandonedWorkCounts checks that attempts whose clients have given up still count as load, because the server
+// works on them for some time. Otherwise it would look idle.
 func TestAbandonedWorkCounts(t *testing.T) {
 	b, now := newTestBalancer(t)
 	s := b.servers["a"]
--- a/policy/rendezvous_test.go
+++ b/policy/rendezvous_test.go
@@ -7,8 +7,8 @@
 
 const testZones = 4
 
-// newZonalBalancer returns a balancer for one of eighty proxies with sixty servers in four zones, each of which keeps
-// the given number of connections to it.
+// newZonalBalancer returns a balancer for one of eighty proxies with sixty servers in four zones. Each server keeps the
+// given number of connections for the proxy.
 func newZonalBalancer(t *testing.T, connections float64) *Balancer {
 	t.Helper()
 	b := newFleetBalancer(t, 1)
@@ -26,7 +26,8 @@
 	return b
 }
 
-// requestsByZone gives a balancer n requests for new keys and returns how many go to each zone, starting with its own.
+// requestsByZone gives a balancer n requests for new keys and returns the number of requests that go to each zone. The
+// first zone is the balancer's own.
 func requestsByZone(b *Balancer, n int) (zones [testZones]int) {
 	firstAttempts, _ := runRequests(b, time.Hour, 0, n, func(string) Result { return Served })
 	for server, got := range firstAttempts {
@@ -35,9 +36,9 @@
 	return zones
 }
 
-// TestZonalHomesFollowConnections guards against unnecessary handshakes where connections are few, and unnecessary
-// fetches where they are many: keys have a home in each zone only if the handshakes and zone crossings saved outweigh
-// the additional fetches.
+// TestZonalHomesFollowConnections checks that keys have a home in each zone only if the handshakes and zone crossings
+// that this saves outweigh the additional fetches. This prevents unnecessary handshakes where connections are few, and
+// unnecessary fetches where they are many.
 func TestZonalHomesFollowConnections(t *testing.T) {
 	if got := requestsByZone(newZonalBalancer(t, 0.2), 400); got[0] < 350 {
 		t.Errorf("with connections to a fifth of the servers the zones get %v requests", got)
@@ -63,8 +64,8 @@
 	}
 }
 
-// TestLostZoneOfZonalHomesIsAvoided guards the proxies of a zone whose servers cannot be reached: they must not keep
-// sending there, nor reject requests that other zones could serve.
+// TestLostZoneOfZonalHomesIsAvoided checks that a proxy whose own zone's servers cannot be reached sends its requests
+// to other zones, instead of rejecting them or still sending them to its own zone.
 func TestLostZoneOfZonalHomesIsAvoided(t *testing.T) {
 	b := newZonalBalancer(t, 0.2)
 	isOwnZone := func(server string) bool { return b.servers[server].Zone == 0 }
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestQueueAtOriginMovesKeysToOneHome guards the origin: while fetches take much longer than the baseline, keys go to
-// the home that all proxies share.
+// TestQueueAtOriginMovesKeysToOneHome checks that keys go to the home that all proxies share while fetches take much
+// longer than the baseline. This reduces the load of the origin.
 func TestQueueAtOriginMovesKeysToOneHome(t *testing.T) {
 	b := newZonalBalancer(t, 0.2)
 	b.missPenalty, b.baselineMissPenalty = 0.4, 0.1
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFailedFetchIsNotRetried guards against retries that load a full origin. After a failure without a key or without
-// a connection another server is tried.
+// TestFailedFetchIsNotRetried checks that a request whose fetch failed is not retried, because retries would load an
+// origin that is full, and that a request without a key, or without a connection, is retried at another server.
 func TestFailedFetchIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -32,12 +32,12 @@
 	}
 }
 
-// TestConnectionLimitSaysNothingOfLoad guards against gates that close, and requests that fail, because other proxies
-// use all connections of some servers.
+// TestConnectionLimitSaysNothingOfLoad checks that gates stay open and requests are served while other proxies use all
+// connections of some servers.
 func TestConnectionLimitSaysNothingOfLoad(t *testing.T) {
 	b, now := newTestBalancer(t)
 	for id := uint64(1); id <= 200; id++ {
-		now += 2 * minServerBackoff // so that the server is no longer avoided
+		now += 2 * minServerBackoff // after this time the server is no longer in backoff
 		actions := b.Handle(now, Arrival{ID: id, Key: fmt.Sprint("k", id), Deadline: now + time.Second}, nil)
 		first := sendTargets(actions)
 		if len(first) != 1 {
--- a/policy/safety_test.go
+++ b/policy/safety_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestServersWithoutDeduplicationGetNoKeyedRequest guards the promise that a repeat of a keyed request is dropped. If
-// no server supports that, the client is rejected at once; other requests are still served.
+// TestServersWithoutDeduplicationGetNoKeyedRequest checks that keyed requests go only to servers that drop duplicates
+// by idempotency key. If no server does, they are rejected immediately; other requests are still served.
 func TestServersWithoutDeduplicationGetNoKeyedRequest(t *testing.T) {
 	const keyed = 1
 	b, err := New(Settings{
@@ -45,7 +45,7 @@
 		t.Errorf("an idempotent request: %+v", actions)
 	}
 	update(EndpointsDelta, Endpoint{Server: "c"})
-	for id := uint64(3); id < 10; id++ { // few, because a server that never answers is soon avoided
+	for id := uint64(3); id < 10; id++ { // few requests, because a server that never answers is soon avoided
 		actions = b.Handle(now, Arrival{ID: id, Class: keyed, Write: true, Deadline: now + time.Second}, nil)
 		if to := sendTargets(actions); len(to) != 1 || to[0] != "c" {
 			t.Errorf("sent to %v: %+v", to, actions)
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestReconfigureRejectsImmutableSettings guards against a reload that changes what indices refer to, or that is
-// applied in part.
+// TestReconfigureRejectsImmutableSettings checks that Reconfigure rejects settings that change what indices refer to,
+// and that it then applies no part of them.
 func TestReconfigureRejectsImmutableSettings(t *testing.T) {
 	settings := Settings{
 		Classes:      []Class{{Name: "x", LatencyObjective: 1, Deadline: 1}},
@@ -59,7 +59,8 @@
 	}
 }
 
-// TestReconfigureKeepsEstimatesByClass guards against a reload that assigns one class's failures to another.
+// TestReconfigureKeepsEstimatesByClass checks that Reconfigure matches estimates by the class's name. Otherwise the
+// failures of one class would count for another.
 func TestReconfigureKeepsEstimatesByClass(t *testing.T) {
 	b, now := newTestBalancer(t)
 	b.settings.Classes[0].Name = "x"
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestWarmingServerGetsItsShare guards against a burst of requests to a server that has just started: it looks idle and
-// fast, and would get all requests.
+// TestWarmingServerGetsItsShare checks that a server that has just started gets only its share of the requests. It
+// looks idle and fast, and would otherwise get a burst of all requests.
 func TestWarmingServerGetsItsShare(t *testing.T) {
 	b, now := newTestBalancer(t, "d")
 	toWarming, all := 0, 0
@@ -24,13 +24,15 @@
 			b.Handle(now, outcome, nil)
 		}
 	}
-	// 2 s at a fifth of a warm server's hundred or so requests, times slowStartMargin, plus one by chance.
+	// In these 2 s a warm server gets about 100 requests. The limit is a fifth of them times slowStartMargin, and some
+	// more by chance.
 	if all != 400 || toWarming > 30 || toWarming == 0 {
 		t.Errorf("the warming server got %d of %d", toWarming, all)
 	}
 }
 
-// TestWarmingServerIsNotFaulty guards new servers: they are slow and fetch from the origin because they are cold.
+// TestWarmingServerIsNotFaulty checks that the failures of a server that is warming up do not make it faulty: it is
+// slow, and fetches from the origin, because its cache is cold.
 func TestWarmingServerIsNotFaulty(t *testing.T) {
 	b, now := newTestBalancer(t, "d")
 	s := b.servers["d"]
@@ -43,8 +45,8 @@
 	}
 }
 
-// TestMostServersWarmingUp guards the warm servers: if six in ten servers have just started, the requests that these
-// may not get go to the others. It also guards the warming ones: in no window of requests may one of them get more than
+// TestMostServersWarmingUp checks a fleet in which six in ten servers have just started. The requests that the warming
+// servers may not get must go to the warm ones, and in no window of requests may a warming server get more than
 // overloadMultiple times its fair share.
 func TestMostServersWarmingUp(t *testing.T) {
 	const (
@@ -52,7 +54,7 @@
 		warm    = 24
 		share   = 0.3
 
-		window           = 1000 // requests
+		window           = 1000 // number of requests in a window
 		overloadMultiple = 3
 	)
 	b := newFleetBalancer(t, 5)
@@ -84,16 +86,16 @@
 			clear(inWindow)
 		}
 	}
-	// Some tokens are never used, because no request for a key of the warming server arrives while it has them.
+	// Some tokens are never used, because no request for a key of the warming server arrives while there are tokens.
 	fairShare := warming * fairShareEach
 	if got := float64(toWarming) / float64(all); got < fairShare/2 || got > 1.5*fairShare {
 		t.Errorf("%.2f of all sends go to warming servers, want 0.5 to 1.5 times their share of %.2f", got, fairShare)
 	}
 }
 
-// TestWarmingServerGetsItsShareOfFewRequests guards a warming server among sixty, with proxies that get twenty requests
-// a second each: together they must send it some of its fair share from the first seconds on, but no more than that.
-// The rest is unused, because a proxy that has tokens left seldom gets a request for a key of the server.
+// TestWarmingServerGetsItsShareOfFewRequests checks a warming server among sixty, with proxies that get twenty requests
+// a second each. Together the proxies must send it some of its fair share from the first seconds on, but no more than
+// that. The rest is unused, because a proxy that has tokens left seldom gets a request for a key of the server.
 func TestWarmingServerGetsItsShareOfFewRequests(t *testing.T) {
 	const requests = 100 // per proxy, in 5 s
 	toNew, all := 0, 0
@@ -113,9 +115,9 @@
 	}
 }
 
-// TestZonalHomesGrantSlowStartTokens guards warming servers that get requests only from the proxies of their own zone:
-// these proxies also grant what the others do not, but never so much that the server is overloaded if all clients are
-// in one zone.
+// TestZonalHomesGrantSlowStartTokens checks the tokens of a warming server that gets requests only from the proxies of
+// its own zone. These proxies grant the tokens of the other zones' proxies as well, but never so many that the server
+// is overloaded if all clients are in one zone.
 func TestZonalHomesGrantSlowStartTokens(t *testing.T) {
 	const (
 		requests  = 100
