--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -14,12 +14,12 @@
 // nodeAttempt is one attempt to send a request to a node. It is guarded by Core.mu, and ends exactly once.
 type nodeAttempt struct {
 	upstream.Attempt
-	client       DisconnectChecker // nil if its reply can't tell whether it has disconnected
-	started      bool              // its first byte may have been written
+	client       DisconnectChecker // nil if the reply can't report whether its client has disconnected
+	started      bool              // the first byte of the attempt may have been written
 	nodeName     string
 	dispatchedAt time.Duration // by Core.policyTime
 	ended        bool
-	deferred     bool // it waits to be released during the recovery from a pause
+	deferred     bool // the attempt is held back during the recovery from a pause
 }
 
 // dispatch executes a Send action: it passes a new attempt to the connection pool, or defers it. An attempt that
@@ -158,10 +158,10 @@
 	return req, req.attempts[sent.Number]
 }
 
-// BeforeWrite implements upstream.Handler. An attempt may have waited for its connection, behind others, or
-// while this process was paused, and may no longer be wanted. Its client may also have disconnected before the
-// reader of the client's connection noticed. Then nobody waits for the answer, whatever the request's class, so
-// each client is checked right before the write.
+// BeforeWrite implements upstream.Handler. An attempt may have waited for its connection, behind other attempts, or
+// while this process was paused, and may no longer be wanted. Its client may also have disconnected without the reader
+// of the client's connection having noticed. Then nobody waits for the answer, whatever the request's class, so each
+// client is checked right before the write.
 func (c *Core) BeforeWrite(batch []*upstream.Attempt) []*upstream.Attempt {
 	sideEffects := false
 	batch = slices.DeleteFunc(batch, func(sent *upstream.Attempt) bool {
@@ -215,7 +215,7 @@
 	}
 }
 
-// Answered implements upstream.Handler.
+// Answered implements upstream.Handler. It answers the request of an attempt and ends the attempt, unless it has ended.
 func (c *Core) Answered(sent *upstream.Attempt, answer *request.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -228,7 +228,7 @@
 	}
 }
 
-// Ended implements upstream.Handler.
+// Ended implements upstream.Handler. It ends an attempt that got no answer for its client, unless it has ended.
 func (c *Core) Ended(sent *upstream.Attempt, answer *request.Answer, result upstream.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,7 +246,7 @@
 	}
 }
 
-// policyResultOf maps the result of an attempt on its connection to that of the decision module.
+// policyResultOf maps the result of an attempt on its connection to the corresponding result of the decision module.
 var policyResultOf = [...]policy.Result{
 	upstream.Busy:                   policy.Rejected,
 	upstream.Failed:                 policy.Errored,
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -68,7 +68,7 @@
 	fetchRequested     chan struct{}
 	refetchRequested   chan string // names of sources
 
-	mu       sync.Mutex // guards the fields below
+	mu       sync.Mutex // guards all following fields
 	rules    *rules
 	balancer *policy.Balancer
 	actions  []policy.Action // reused between events
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -11,8 +11,8 @@
 
 const countInterval = time.Second
 
-// counts are what became of requests since the last log line. The counts of one proxy say little; their sums over a
-// fleet show its behaviour.
+// counts are the numbers of requests, attempts and lists since the last log line. The counts of one proxy say little;
+// the sums over all proxies show how the fleet behaves.
 type counts struct {
 	accepted, served, rejected, failed, abandoned int // requests
 
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -5,8 +5,8 @@
 	"mulleinpier/policy"
 )
 
-// handle passes an event to the decision module and executes the resulting actions, then handles the events that
-// these actions caused. When an action calls it, it only queues the event. c.mu is held.
+// handle passes an event to the decision module and executes the resulting actions, then handles the events that these
+// actions caused. If executing an action calls handle again, the inner call only queues its event. c.mu is held.
 func (c *Core) handle(event policy.Event) {
 	c.pendingEvents = append(c.pendingEvents, event)
 	if c.handling {
@@ -49,7 +49,7 @@
 		signal(c.fetchRequested)
 	case policy.CloseIdle:
 		c.pool.CloseIdle(action.Server)
-	case policy.HealthCheck: // nodes have no command for it
+	case policy.HealthCheck: // nodes have no command for a health check
 	}
 }
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -19,11 +19,11 @@
 // endpointState is the state of the endpoint list and its sources. It is guarded by Core.mu.
 type endpointState struct {
 	sources         []discovery.SourceConfig
-	source          discovery.Source  // the first one, opened; used where there is exactly one
-	confirmedSource discovery.Source  // the one whose list was last applied
+	source          discovery.Source  // the first of sources, opened; used where there is exactly one source
+	confirmedSource discovery.Source  // the source that reported the list that was last applied
 	received        bool              // Core.listReceived is closed
 	version         uint64            // of the list in force, where there is exactly one source
-	sourceVersions  map[string]uint64 // of the latest list of each of several sources, by its name
+	sourceVersions  map[string]uint64 // by source name: version of its latest list, where there are several sources
 	reconciler      *membership.Reconciler
 	actions         []membership.Action // reused between events
 	failedNodes     map[string]bool     // nodes whose latest connection failed
@@ -83,12 +83,12 @@
 type listCall struct {
 	name         string
 	source       discovery.Source
-	knownVersion uint64 // at the call's start, then of its latest list; zero right after a change of sources
+	knownVersion uint64 // at the call's start, then of the call's latest list; zero right after a change of sources
 }
 
 // isOutdated reports whether a list from a call is older than the list known by now, so that it must not undo a drain
-// that was reported since the call began. A version below the one known at the call's start is not outdated: the
-// service has restarted, and its versions count from the start again.
+// that was reported since the call began. A version below the one known at the call's start is not outdated: it means
+// that the service has restarted and begun again with a low version.
 func (call listCall) isOutdated(version, known uint64) bool {
 	return version < known && version >= call.knownVersion
 }
@@ -217,7 +217,8 @@
 }
 
 // requestRefetch requests a refetch of a source's list. It drops the request if too many are pending: package
-// membership stops waiting for confirmation after a time even without a refetch. c.mu is held.
+// membership stops waiting for confirmation after Limits.ConfirmTimeout or FailedConfirmTimeout even without a refetch.
+// c.mu is held.
 func (c *Core) requestRefetch(source string) {
 	unconfirmed := len(c.endpoints.reconciler.Unconfirmed(source))
 	c.log.Warn("endpoint list collapsed", "source", source, "unconfirmed", unconfirmed)
--- a/internal/core/overload.go
+++ b/internal/core/overload.go
@@ -23,7 +23,7 @@
 	ReservedDivisor = 4
 	// historyLength is the number of transitions that are kept for statistics.
 	historyLength = 64
-	// statScale rounds signals in statistics to four decimal places.
+	// statScale is the factor for rounding signals in statistics to four decimal places.
 	statScale = 1e4
 )
 
@@ -40,15 +40,15 @@
 	enabled       bool
 	controller    *overload.Controller
 	meter         overload.Meter
-	level         overload.Level // the latest that the decision module was notified of
+	level         overload.Level // the level that the decision module was last notified of
 	timerLag      time.Duration  // the largest delay of a timer since the last sample
 	lastListAt    time.Duration  // when a list source last reported, by Core.policyTime
 	listsPeriodic bool           // a list source reports periodically, so the time since its last report is a signal
 	pinnedLevel   overload.Level
-	pinnedUntil   time.Time // of the pin in force
+	pinnedUntil   time.Time // end of the pin in force
 
-	transitionCount int                                // since the start
-	history         [historyLength]overload.Transition // ring buffer: number i is at i%historyLength
+	transitionCount int                                // number of transitions since the start
+	history         [historyLength]overload.Transition // ring buffer: transition number i is at index i%historyLength
 }
 
 func newOverloadState(config *Config) overloadState {
@@ -69,7 +69,7 @@
 // pin that is in force already is not restarted. c.mu is held.
 func (c *Core) configureOverload(next *OverloadConfig, now time.Duration) (transitions []overload.Transition) {
 	state := &c.overload
-	if next.Enabled && !state.enabled { // discard the counts from the time without samples
+	if next.Enabled && !state.enabled { // discard the counts from while overload control was disabled
 		c.balancer.TakeCounters()
 		state.meter, state.timerLag = overload.Meter{}, 0
 	}
--- a/internal/core/pause.go
+++ b/internal/core/pause.go
@@ -42,11 +42,11 @@
 	stallCount     int
 	stalledTotal   time.Duration
 	cpuTime        time.Duration // CPU time used by the process up to the latest periodic check
-	lastStallLog   time.Duration // when a stall was last logged
-	unloggedStalls int           // since then
+	lastStallLog   time.Duration // time of the latest log line about stalls
+	unloggedStalls int           // stalls since lastStallLog
 
-	rejectedByAge int // requests
-	writtenLate   int // attempts
+	rejectedByAge int // requests that were rejected as too old
+	writtenLate   int // attempts that were written late
 }
 
 // deferredSend is an attempt that is held back during the recovery from a pause.
--- a/internal/core/refresh.go
+++ b/internal/core/refresh.go
@@ -14,7 +14,7 @@
 )
 
 // runListRefresh fetches the endpoint lists after each pause of the process, until ctx ends: the proxy is assumed to
-// know what the sources reported during the pause, but it may not have read it yet.
+// know what the sources reported during the pause, but may not have read their reports yet.
 func (c *Core) runListRefresh(ctx context.Context) {
 	for {
 		select {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -28,11 +28,11 @@
 	acceptedAt   time.Duration // by Core.policyTime
 	request      *request.Request
 	deadline     time.Duration // when its answer is due, by Core.policyTime
-	expiresAt    time.Time     // the same by the wall clock
+	expiresAt    time.Time     // the deadline by the wall clock
 	reply        Reply
 	attempts     []*nodeAttempt
 	openAttempts int  // attempts that have not ended
-	finished     bool // it was answered, or its client has disconnected
+	finished     bool // the request was answered, or its client has disconnected
 	claim        claimState
 	sendBefore   time.Duration // with claimGranted: attempts must start before it, by Core.policyTime
 }
@@ -94,15 +94,15 @@
 	return req
 }
 
-// checkRequest returns the index of a request's tenant, or what makes the request invalid, "" if it is valid. c.mu is
-// held.
+// checkRequest returns the index of a request's tenant. If the request is invalid, defect says what is wrong; otherwise
+// it is "". c.mu is held.
 func (c *Core) checkRequest(in *request.Request, class *policy.Class) (tenant int, defect string) {
 	tenant, known := c.rules.tenant(in.Tenant)
 	if !known {
 		return 0, "unknown tenant"
 	}
 	if class.Idempotency == policy.IdempotentWithKey && in.IdempotencyKey == "" {
-		return 0, "missing k" // without a key nodes can't drop its repeats
+		return 0, "missing k" // without a key nodes can't drop retries of the request
 	}
 	// Answers and duplicates are matched to requests by the ID alone.
 	if _, inUse := c.requestIDs[in.ID]; inUse {
@@ -175,7 +175,8 @@
 	c.answerRejected(in, reply, "draining", retryAfter)
 }
 
-// IsKeyed reports whether nodes drop repeats of a class's writes by their idempotency keys.
+// IsKeyed reports whether a class is idempotent with key, so that nodes drop repeats of its writes by idempotency key.
+// It returns false for an unknown class.
 func (c *Core) IsKeyed(class string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,7 +191,7 @@
 	return len(c.requests)
 }
 
-// LongestRemaining returns the time until the last of the unanswered requests expires, zero for none.
+// LongestRemaining returns the time until the last of the unanswered requests expires, zero if there are none.
 func (c *Core) LongestRemaining() (longest time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -8,7 +8,8 @@
 	"mulleinpier/policy"
 )
 
-// This file has keyed writes claimed before they are sent, so that another proxy can resume them if this one fails.
+// This file requests claims for keyed writes before they are sent, so that another proxy can resume the writes if this
+// one fails.
 
 // takeoverRejectionDelay is the retry delay for a client whose write is rejected because it can't be replicated.
 const takeoverRejectionDelay = time.Second
@@ -19,8 +20,9 @@
 // TakeoverCoordinator claims writes and is notified of their outcomes. Its methods are called with the core's lock
 // held: they must not block, and must not call the core before they return.
 type TakeoverCoordinator interface {
-	// Claim requests permission to send a write; [Core.ClaimDecided] is called before the write expires. It
-	// returns false, and does nothing, if there is no capacity to replicate the write.
+	// Claim requests permission to send a write; window is the dedup window of its class. [Core.ClaimDecided] is called
+	// with the verdict before the write expires. Claim returns false, and does nothing, if there is no capacity to
+	// replicate the write.
 	Claim(id uint64, in *request.Request, window time.Duration, expires time.Time) bool
 	// Complete reports the outcome of a write whose claim was granted.
 	Complete(id uint64, outcome takeover.Outcome, receipt string)
@@ -28,8 +30,8 @@
 	RequiresReplica() bool
 }
 
-// SetTakeoverCoordinator has keyed writes claimed from now on; nil ends that. It is called with a coordinator before
-// the first request.
+// SetTakeoverCoordinator sets the coordinator that claims keyed writes from now on. With nil they are sent without a
+// claim. It is called with a coordinator before the first request.
 func (c *Core) SetTakeoverCoordinator(coordinator TakeoverCoordinator) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,9 +42,9 @@
 type claimState uint8
 
 const (
-	claimNone    claimState = iota // no claim is needed, or it has been settled
-	claimPending                   // not decided yet
-	claimGranted                   // until InFlightRequest.sendBefore
+	claimNone    claimState = iota // no claim is needed, or the claim has been settled
+	claimPending                   // the coordinator has not decided yet
+	claimGranted                   // attempts may start until InFlightRequest.sendBefore
 )
 
 // requestClaim requests a claim for a request that has just been accepted, if it needs one. It returns
@@ -65,9 +67,9 @@
 	return false
 }
 
-// ClaimDecided passes on the verdict on a claim. With takeover.Proceed attempts of the write may start during the
-// time within, and with takeover.ReturnReceipt it is answered with receipt. It returns false if the request no longer
-// waits for the verdict.
+// ClaimDecided passes on the verdict on the claim of a write. With takeover.Proceed, attempts of the write may start
+// until the duration within has passed. With takeover.ReturnReceipt, the write is answered with receipt. ClaimDecided
+// returns false if the request no longer waits for the verdict.
 func (c *Core) ClaimDecided(id uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,13 +100,13 @@
 	return true
 }
 
-// claimExpired reports whether the time in which a claimed write may be sent is over. c.mu is held.
+// claimExpired reports whether a request has a granted claim whose time to start attempts is over. c.mu is held.
 func (c *Core) claimExpired(req *InFlightRequest) bool {
 	return req.claim == claimGranted && c.policyTime() >= req.sendBefore
 }
 
-// admit passes a request to the decision module some time after it was accepted. It rejects the request if its class
-// or tenant has been removed or its deadline has passed. c.mu is held.
+// admit passes a request to the decision module once its claim has been granted, or if it is resumed for another proxy.
+// It rejects the request if its class or tenant has been removed or its deadline has passed. c.mu is held.
 func (c *Core) admit(req *InFlightRequest) {
 	class, classKnown := c.rules.classes[req.request.Class]
 	tenant, tenantKnown := c.rules.tenant(req.request.Tenant)
@@ -130,9 +132,9 @@
 	}
 }
 
-// ResumeWrite sends a write that another proxy had claimed and not completed. Its attempts may start during the time
-// within. The outcome is reported to TakeoverCoordinator.Complete under the returned id. ResumeWrite returns false
-// for a write that can't be sent any more.
+// ResumeWrite sends a write that another proxy had claimed and not completed. Its attempts may start until the duration
+// within has passed. The outcome is reported to TakeoverCoordinator.Complete under the returned id. ResumeWrite returns
+// false for a write that can't be sent any more.
 func (c *Core) ResumeWrite(in *request.Request, within time.Duration) (id uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +168,7 @@
 		return
 	}
 	req.claim = claimNone
-	if c.takeover == nil { // it was removed meanwhile
+	if c.takeover == nil { // the coordinator was removed in the meantime
 		return
 	}
 	switch answer.Kind {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -27,7 +27,7 @@
 	clockTimer                       // a check of the clocks for package pause
 )
 
-// timer is a task that is due at a time.
+// timer is a task that is due at the time at.
 type timer struct {
 	at      time.Duration // by Core.policyTime
 	id      uint64
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -19,12 +19,13 @@
 	// agentAnswerTimeout is how long a local agent may take to answer a new watch before another is opened in
 	// parallel. A working agent answers immediately, and the proxy is assumed to know what the agent knows.
 	agentAnswerTimeout = 400 * time.Millisecond
-	// newSourceAnswerTimeout is the same after a change of the source's address. There a call may be queued, but its
-	// list must take effect 4 s later. More calls would flood the service, as all proxies change their source at
-	// the same time.
+	// newSourceAnswerTimeout is the corresponding timeout after a change of the source's address. The new source may
+	// queue the call, but its list must take effect no later than 4 s after the change. More calls would flood the
+	// service, as all proxies change their source at the same time.
 	newSourceAnswerTimeout = 3 * time.Second
-	// agentRetryDelay and newSourceRetryDelay are the mean delays before a watch that has ended is reopened: of an
-	// agent, if the watch got no answer or was opened just before, and of a new source that has not reported a list.
+	// agentRetryDelay is the mean delay before the watch of an agent is reopened if it ended without an answer, or
+	// within agentAnswerTimeout after it was opened. newSourceRetryDelay is the mean delay before the watch of a new
+	// source is reopened if it ended before the source has reported a list.
 	agentRetryDelay     = 100 * time.Millisecond
 	newSourceRetryDelay = 500 * time.Millisecond
 	// maxSubscriptions limits the watches that are open at a time: the one that has reported a list, and
@@ -38,8 +39,8 @@
 	call     listCall
 	cancel   context.CancelFunc
 	openedAt time.Time
-	answered bool // its source has answered, even if nothing has changed
-	hasList  bool // it has reported a list
+	answered bool // the source has answered the watch, even if the list has not changed
+	hasList  bool // the watch has reported a list
 }
 
 // subscriptionEvent is an event that a subscription reports to the goroutine of watchList.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -19,8 +19,8 @@
 	serverAdmissionPrior = 5
 
 	admissionSlack = 1.1
-	recoveryBoost  = 6.0  // additional multiple of the share while all is in time, so that gates reopen within seconds
-	minAdmitShare  = 0.03 // always admitted, so that a recovery is noticed
+	recoveryBoost  = 6.0  // additional multiple of the share while all answers are in time: gates reopen within seconds
+	minAdmitShare  = 0.03 // this share of requests is always admitted, because their answers show a recovery
 
 	// The longest expected latency that is accepted, as shares of the time until the deadline and of the latency
 	// objective. Both are below 1 because latencies vary around the expected value.
@@ -32,7 +32,7 @@
 	maxShelterFetchShare = 0.25 // highest share of likely misses that is admitted at LevelShelter
 
 	weightBuckets   = 16
-	weightRetention = 0.995 // share of a histogram that is kept at each sample: it remembers about 200 samples
+	weightRetention = 0.995 // share of its counts that a histogram keeps at each sample, to remember about 200
 )
 
 // admissionGate holds decaying counts of the requests offered, completed and completed in time.
@@ -113,7 +113,7 @@
 // shed rejects a request and counts it at the gates.
 func (b *Balancer) shed(r *request, s *server, path servingPath, reason Reason) {
 	b.counters.Rejected++
-	// Shed requests count as offered, so sends settle at admissionSlack times what completes in time.
+	// Shed requests count as offered, so the rate of sends settles at admissionSlack times the rate of answers in time.
 	s.gate.observe(b.now, gateSample{offered: 1})
 	b.paths[path].gate.observe(b.now, gateSample{offered: 1})
 	b.endUnserved(r, reason)
@@ -174,11 +174,12 @@
 }
 
 // isUnattainable reports whether s is unlikely to answer a request before its client gives up or, unless it is a
-// handover from LevelHandovers on, within maxObjectiveShare of its latency objective. Such a request is rejected at
-// once: the server would work on it with nobody waiting, and clients that retry after a timeout would fill servers with
-// such work. The miss penalty is not included, since a fetch that is too late for one attempt fills the cache for the
-// next. Estimates may be too high, so a server with nothing in flight still gets a request, which corrects them. A
-// server with fewer than minSamples answers is not judged by assumed values.
+// handover from LevelHandovers on, within maxObjectiveShare of its latency objective. Such a request is rejected
+// immediately: the server would work on a request that nobody waits for, and clients that retry after a timeout would
+// fill servers with such work. The miss penalty is not included, since a fetch that is too late for one attempt fills
+// the cache for the next. Estimates may be too high, so a server with nothing in flight still gets a request, which
+// corrects them. For a server with fewer than minSamples answers the result is false, because its expected latency is
+// assumed rather than measured.
 func (b *Balancer) isUnattainable(r *request, s *server) bool {
 	limit := maxExpectedShare * (r.Deadline - b.now).Seconds()
 	if b.level < LevelHandovers || r.class.Idempotency != IdempotentWithKey {
@@ -188,9 +189,10 @@
 }
 
 // RetryAfter returns the delay after which a rejected request of a class should be retried. It is random so that
-// clients that are rejected together do not come back together. Its mean is half a latency objective, plus a quarter
-// for each degradation level: a queue that can be answered in time is empty within a latency objective. The mean is at
-// most two thirds of the limit, the highest value that jitter does not carry over the limit.
+// clients that are rejected together do not retry together. Its mean is half a latency objective, plus a quarter for
+// each degradation level: a queue that can be answered in time is empty within a latency objective. The mean is at most
+// two thirds of Limits.MaxRetryAfter, the highest value that jitter does not carry over that limit. For an unknown
+// class the mean is half of the limit.
 func (b *Balancer) RetryAfter(class int) time.Duration {
 	limit := b.settings.Limits.MaxRetryAfter
 	if class < 0 || class >= len(b.settings.Classes) {
--- a/policy/api.go
+++ b/policy/api.go
@@ -35,7 +35,7 @@
 	State           EndpointState
 	Weight          float64       // registered size, used with Settings.RegisteredWeights
 	StartedAt       time.Duration // time of its last start; 0 if that was long ago
-	NoDeduplication bool          // it does not deduplicate by idempotency key, so it gets no keyed request
+	NoDeduplication bool          // the server has no deduplication by idempotency key, so it gets no keyed request
 }
 
 // DegradationLevel says how far service is reduced. Package overload decides the level from the signals of the whole
@@ -46,14 +46,14 @@
 // on a late fetch no longer counts as served in time, because late fetches are what delays handovers.
 const (
 	LevelFull      DegradationLevel = iota
-	LevelEconomy                    // no hedged requests; retries need the budget, but for failures unrelated to load
+	LevelEconomy                    // no hedged requests; retries need the budget, unless load did not cause them
 	LevelLate                       // likely cache misses may exceed their latency objective
-	LevelHandovers                  // keyed requests pass all gates; reads fetch only while those are in time
+	LevelHandovers                  // keyed requests pass all gates; reads fetch only while keyed requests are in time
 	LevelShelter                    // at most a quarter of other likely cache misses are admitted
 )
 
 // ProcessPaused reports that this process was paused for Duration and has just resumed. Latencies of attempts that were
-// in flight say nothing about servers, and the counts of the admission gates do not decay by the pause.
+// in flight say nothing about servers, and the counts of the admission gates do not decay during the pause.
 type ProcessPaused struct{ Duration time.Duration }
 
 // LevelChange sets the degradation level.
@@ -66,11 +66,11 @@
 	Endpoints []Endpoint // shared; must not be modified
 }
 
-// Arrival is a new request. The Balancer ends each exactly once: see guarantee 2 of the package.
+// Arrival is a new request. The Balancer ends each Arrival exactly once (guarantee 2 of the package).
 type Arrival struct {
 	ID       uint64
 	Class    int           // index into Settings.Classes
-	Tenant   int           // index into Settings.Tenants; any other value for none
+	Tenant   int           // index into Settings.Tenants; any other value means no tenant
 	Key      string        // "" for none
 	Deadline time.Duration // time at which the client stops waiting; its retry is a new Arrival
 	Write    bool
@@ -92,7 +92,7 @@
 const (
 	Served Result = iota
 	Errored
-	Rejected // by the server, before it did any work
+	Rejected // rejected by the server before it did any work
 	TimedOut
 	ConnectFailed
 	Reset
@@ -185,7 +185,7 @@
 	CloseIdle                        // Server: close the idle connections to it
 )
 
-// Action is an instruction of a Balancer to its caller, who carries actions out at once and in order.
+// Action is an instruction of a Balancer to its caller, who carries actions out immediately and in order.
 type Action struct {
 	Kind    ActionKind
 	ID      uint64
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -8,7 +8,7 @@
 	"mulleinpier/internal/outlier"
 )
 
-// Balancer decides for one proxy. It is not safe for concurrent use.
+// Balancer makes the decisions of one proxy. Create it with [New]. It is not safe for concurrent use.
 type Balancer struct {
 	settings *Settings // in force for requests that arrive now
 	rng      *rand.Rand
@@ -45,9 +45,9 @@
 
 	// Outlier detection: outlier.go.
 	failureRates        []outlier.FailureRate // of all servers, by class
-	healthyFailureRates []outlier.FailureRate // by class: successes, and failures followed by one at the server
-	zoneSuspicions      []outlier.Suspicion   // by zone: whether it is unreachable
-	connectionFailures  outlier.FailureRate   // of attempts at all servers; a failure is one whose connection failed
+	healthyFailureRates []outlier.FailureRate // by class: successes, and failures followed by a success of the server
+	zoneSuspicions      []outlier.Suspicion   // by zone: the suspicion that it is unreachable
+	connectionFailures  outlier.FailureRate   // share of attempts at all servers whose connection failed
 }
 
 // Initial estimates of a Balancer that has seen no answer yet, in seconds.
--- a/policy/counters.go
+++ b/policy/counters.go
@@ -16,7 +16,7 @@
 	Fetches, FailedFetches int
 
 	TimedFetches int     // fetches and writes whose latency was measured
-	FetchTimeSum float64 // latency that the origin added to them, in latency objectives of their classes
+	FetchTimeSum float64 // sum of the latencies that the origin added to these, in latency objectives of their classes
 
 	Servers, Ejected   int // servers listed now, and those of them that serve but are in backoff
 	DeadlineRejections int // requests rejected because the chosen server was unlikely to answer in time
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -15,11 +15,11 @@
 	nameHash      uint64
 	listed        bool
 	unlistedSince time.Duration
-	filter        bloom.Filter // of the keys that it is known to hold
+	filter        bloom.Filter // contains the keys that the server is assumed to hold
 
 	// Connections and attempts of this proxy.
 	inFlight    float64
-	abandoned   float64 // decaying count of abandoned attempts that it may still work on
+	abandoned   float64 // decaying count of abandoned attempts that the server may still work on
 	abandonedAt time.Duration
 	lastSend    time.Duration // 0 after its idle connections were closed
 
@@ -35,19 +35,20 @@
 	consecutiveFailures int
 	lastFailure         time.Duration       // time of the last failure of a connection
 	lastHealthFailure   time.Duration       // time of the last failure that counted for its health, 0 after a success
-	backoffUntil        time.Duration       // not chosen before this time, if others are left
+	backoffUntil        time.Duration       // until this time it is chosen only if no other server can be
 	suspicions          []outlier.Suspicion // by class
 	lastResponse        time.Duration       // time of the last response of any kind
 
-	slowStartTokens float64 // sends that it may get while it is warming up
+	slowStartTokens float64 // sends that the server may get while it is warming up
 	gate            admissionGate
 }
 
-// The backoff between calls for the endpoint list. Changes that a broken subscription misses count as known to the
-// proxy after 6 s: 1.5 times maxSubscribeBackoff, the longest wait with jitter, and a call of 3 s stay within that.
+// The backoff between calls for the endpoint list. The proxy is assumed to know a change 6 s after a broken
+// subscription has missed it. The longest wait, which is 1.5 times maxSubscribeBackoff because of jitter, and a call of
+// 3 s take no longer than that.
 const (
-	firstSubscribeBackoff = 1600 * time.Millisecond // after a first failure
-	maxSubscribeBackoff   = 2 * time.Second         // after further ones
+	firstSubscribeBackoff = 1600 * time.Millisecond // after the first failure
+	maxSubscribeBackoff   = 2 * time.Second         // after further consecutive failures
 
 	maxSubscribeDoublings = 3
 )
@@ -76,7 +77,7 @@
 func (b *Balancer) scheduleSubscribe(kind EndpointUpdateKind) bool {
 	poll := b.settings.Rules.MaxPollInterval
 	switch {
-	case !b.listReceived: // spread the calls: all proxies start at once, and the registry is small
+	case !b.listReceived: // spread the calls: all proxies start at the same time, and the registry is small
 		b.setTimer(timerSubscribe, 0, b.jitter(poll/4))
 	case kind == EndpointsUnavailable:
 		b.subscribing = false
@@ -136,7 +137,7 @@
 }
 
 // resetServer discards the estimates of a server that is new or has restarted. Its slow-start allowance begins at a
-// random fraction of one send, so that the proxies do not all send their first request at once.
+// random fraction of one send, so that the proxies do not all send their first request to it at the same time.
 func (b *Balancer) resetServer(s *server) {
 	s.filter = bloom.Filter{}
 	s.minLatency, s.processingTime, s.lastSample, s.samples = 0, 0, 0, 0
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -14,10 +14,11 @@
 	loadSampleWeight     = 0.05
 	fleetSampleWeight    = 0.01
 	kindSampleWeight     = 0.02
-	minLatencyRiseWeight = 0.002 // raises the minimum again, so that one fast answer does not count for ever
+	minLatencyRiseWeight = 0.002 // raises the minimum again, as one fast answer must not set it permanently
 	baselineSampleWeight = 0.002
 
-	// baselineTolerance is the multiple of the baseline up to which the miss penalty shows no queue at the origin.
+	// baselineTolerance is the multiple of its baseline up to which the miss penalty does not indicate a queue at the
+	// origin.
 	baselineTolerance = 1.3
 
 	// originQueueCostFactor is the delay that a fetch which joins a queue at the origin adds for all fetches behind it,
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// recordOverdue counts the only open attempt of a request against its server if it is slow, without waiting for the
+// recordOverdue counts a failure of the server if the only open attempt of a request is slow, without waiting for the
 // client to give up. If the attempt can still become slow before the deadline, the timer is set again for that time.
 func (b *Balancer) recordOverdue(r *request, a *attempt) {
 	switch {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -24,7 +24,7 @@
 	s := a.server
 	b.updateLoad(s, e.Result)
 	switch {
-	case e.Result == NotSent: // the server has not received it, so it says nothing about the server
+	case e.Result == NotSent: // the server has not received the attempt, so the result says nothing about the server
 		b.observeGates(a, gateSample{offered: -1})
 		return
 	case a.sentAt < s.StartedAt: // sent before the server's restart
@@ -93,14 +93,14 @@
 		effect.failed, effect.maybeFaulty = 1, true
 	case Malformed:
 		effect.failed = 1
-	case Cancelled: // its request ended first: at the deadline, by its client or by a faster hedged request
+	case Cancelled: // the request ended first: at the deadline, by its client or by a faster hedged request
 		if b.isSlow(a) {
 			effect.failed, effect.maybeFaulty = 1, true
 		}
 	case ConnectFailed, Reset:
 		b.countBrokenConnection(s, a, e.Result)
 		effect.failed, effect.connectionFailed = 1, 1
-	case ConnectionLimitReached: // a healthy server whose connections are all used by other proxies
+	case ConnectionLimitReached: // the server is healthy, but other proxies use all its connections
 		s.backoffUntil = b.now + b.jitter(minServerBackoff)
 	}
 	return effect
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -16,7 +16,7 @@
 // not reach their servers.
 
 const (
-	maxHealthDecayTime = 20 * time.Second // if a server gets too few attempts for minHealthSamples
+	maxHealthDecayTime = 20 * time.Second // limit where a server gets few attempts
 
 	// minHealthSamples is how many samples of a server are remembered, if they arrive within maxHealthDecayTime.
 	minHealthSamples = 6.0
@@ -123,16 +123,16 @@
 	unreached float64 // the attempt did not reach its server
 }
 
-// recordHealth counts an attempt for the health of its server and zone, once.
+// recordHealth counts an attempt for the health of its server and zone. It counts each attempt only once.
 func (b *Balancer) recordHealth(s *server, a *attempt, class int, sample healthSample) {
 	if a.healthRecorded {
 		return
 	}
 	a.healthRecorded = true
 	if sample.failed > 0 {
-		// Attempts in flight together fail together: a pause, or the end of a connection, counts as one failure until
-		// something is answered again. A warming server is slow and asks the origin, which does not make it faulty
-		// either.
+		// Attempts in flight together fail together, so a pause or a broken connection counts as one failure until the
+		// server answers again. A warming server is slow because it fetches from the origin, so its failures do not
+		// count.
 		if a.sentAt < s.lastHealthFailure || b.capacityShare(s) < 1 {
 			return
 		}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -14,8 +14,8 @@
 	refilled time.Duration
 }
 
-// chargeQuota charges a request to its tenant's quota and reports whether the tenant is over it. Each proxy grants an
-// equal part of the quota, with a burst of quotaBurstSeconds.
+// chargeQuota charges a request to its tenant's quota and reports whether the tenant is over its quota. Each proxy
+// grants an equal part of the quota, with a burst of quotaBurstSeconds.
 func (b *Balancer) chargeQuota(r *request) (over bool) {
 	if r.Tenant < 0 || r.Tenant >= len(b.settings.Tenants) {
 		return false
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -16,7 +16,7 @@
 type candidates uint8
 
 const (
-	preferredCandidates candidates = iota // neither ejected nor tried before
+	preferredCandidates candidates = iota // servers that are neither ejected nor tried before
 	allCandidates
 )
 
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -11,10 +11,10 @@
 	ReasonHedge               // the previous attempt is overdue
 	ReasonUnattainable        // the chosen server is not expected to answer in time
 	ReasonAdmission           // overload: too few requests complete in time
-	ReasonDegraded            // the degradation level rejects it
-	ReasonNoServer            // it may be sent to no server
+	ReasonDegraded            // the degradation level rejects the request
+	ReasonNoServer            // there is no server that may get the request
 	ReasonNoRetry             // an attempt failed, and no further one is made
-	ReasonDeadline            // its deadline was reached
+	ReasonDeadline            // the request's deadline was reached
 )
 
 var reasonNames = [...]string{
--- a/policy/request.go
+++ b/policy/request.go
@@ -13,10 +13,10 @@
 	done           bool
 	mayHaveRun     bool
 	path           servingPath   // the path on which it was admitted
-	hedgeAt        time.Duration // if it is unanswered by then, a hedged request may be sent
-	slowAt         time.Duration // if it is unanswered by then, its server is slow even if it answers others
-	healthRecorded bool          // it has been counted for its server's health
-	spannedPause   bool          // the process was paused while it was in flight
+	hedgeAt        time.Duration // from then on a hedged request may be sent if the attempt is unanswered
+	slowAt         time.Duration // from then on an unanswered attempt is slow, even if the server answers others
+	healthRecorded bool          // the attempt has been counted for the health of its server
+	spannedPause   bool          // the process was paused while the attempt was in flight
 }
 
 // request is what a Balancer knows of a request that has not ended, or that has attempts in flight.
@@ -24,21 +24,21 @@
 	Arrival
 	arrivedAt       time.Duration
 	class           *Class
-	settings        *Settings // in force when it arrived; they apply until it ends
+	settings        *Settings // in force when the request arrived; they apply until it ends
 	keyHash         uint64
 	filterPositions bloom.Positions
-	cacheable       bool // it is a read with a key, which caches may hold
+	cacheable       bool // the request is a read with a key, so caches may hold its value
 	overQuota       bool
 	ended           bool
 	streaming       bool
 	served          bool
-	spannedPause    bool // the process was paused while it was open
+	spannedPause    bool // the process was paused while the request was open
 	openAttempts    int
 	attempts        []attempt
 }
 
-// deadlineMargin is how many event intervals before its deadline a request without an answer is ended, so that its
-// client gets the answer in time.
+// deadlineMargin is the number of event intervals before its deadline at which a request without an answer is ended, so
+// that its client is answered in time.
 const deadlineMargin = 2
 
 func (b *Balancer) handleArrival(a Arrival) {
@@ -161,7 +161,7 @@
 	}
 }
 
-// endUnserved rejects or fails a request that gets no answer from a server. No other function does so.
+// endUnserved rejects or fails a request that gets no answer from a server. Every Reject and Fail action comes from it.
 func (b *Balancer) endUnserved(r *request, reason Reason) {
 	switch {
 	case r.ended || r.streaming:
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,7 +5,7 @@
 	retryTokensPerSuccess = 0.1
 	maxRetryTokens        = 10.0
 
-	// retryMargin is how many event intervals before its deadline a request is no longer retried.
+	// retryMargin is the number of event intervals before its deadline in which a request is not retried.
 	retryMargin = 4
 
 	// handoverRetryReserve is the part of the retry budget that is reserved for keyed requests from LevelHandovers on.
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -31,7 +31,7 @@
 	Name             string
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotentWithKey
-	DedupWindow      time.Duration // for IdempotentWithKey: how long repeats are dropped
+	DedupWindow      time.Duration // for IdempotentWithKey: how long servers drop repeats
 	LatencyObjective time.Duration // an answer within it earns the full PriorityWeight
 	Deadline         time.Duration // how long a client waits across all its attempts
 	PriorityWeight   float64       // requests with a low weight are rejected first when load is shed
@@ -65,10 +65,10 @@
 }
 
 // Rules are bounds that no decision may violate. No decision uses ResponseGrace, DrainGrace and OverloadWindow, because
-// requests end by their deadline and draining servers get none; tests and simulations check them.
+// requests end by their deadline and draining servers get no requests; tests and simulations check them.
 type Rules struct {
 	ResponseGrace    time.Duration // how long after its deadline a final answer may still be given
-	MaxPollInterval  time.Duration // after this long without a call for the list, its changes count as known
+	MaxPollInterval  time.Duration // changes of the endpoint list count as known after this time without a call for it
 	DrainGrace       time.Duration // how long requests may still be sent to a draining server
 	SlowStartShare   float64       // capacity of a server that has just started, as a share of its full capacity
 	SlowStartWindow  time.Duration // time after which a started server has its full capacity
@@ -107,7 +107,7 @@
 	ConnectionsPerServer float64       // connections that each server keeps for this proxy; 0 for no bound
 }
 
-// validate returns an error that names the setting that is invalid.
+// validate returns an error that names the invalid setting, or nil if all settings are valid.
 func (s *Settings) validate() error {
 	switch {
 	case len(s.Classes) == 0:
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -5,11 +5,12 @@
 	// servers are overloaded first where most servers are warming up.
 	slowStartMargin = 1.4
 
-	// maxSlowStartTokens is how many sends an unused allowance may accumulate.
+	// maxSlowStartTokens is the highest number of sends that an unused allowance accumulates.
 	maxSlowStartTokens = 2.0
 )
 
-// capacityShare returns the lowest share of its full capacity that a server has: less than 1 while it is warming up.
+// capacityShare returns the share of its full capacity that a server has at least. It is less than 1 while the server
+// is warming up.
 func (b *Balancer) capacityShare(s *server) float64 {
 	age, window := b.now-s.StartedAt, b.settings.Rules.SlowStartWindow
 	if s.StartedAt <= 0 || age >= window {
@@ -20,8 +21,8 @@
 }
 
 // grantSlowStartTokens grants each server its fair share of an arriving request, which is its capacity divided by the
-// fleet's, times slowStartMargin. Since every proxy does so, no warming server gets more of its present capacity than
-// the fleet as a whole, but for the margin.
+// fleet's, times slowStartMargin. Since every proxy does so, the load of a warming server relative to its present
+// capacity exceeds that of the whole fleet at most by the margin.
 func (b *Balancer) grantSlowStartTokens() {
 	fleet, anyWarmingUp := 0.0, false
 	for _, s := range b.serving {
