--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,7 +23,7 @@
 	// ListSources are the sources of the endpoint list, in order of precedence. On the platform there is
 	// exactly one.
 	ListSources []discovery.SourceConfig
-	Seed        uint64         // of the decision module's random numbers
+	Seed        uint64         // seed of the decision module's random numbers
 	InitialList discovery.List // saved by an earlier run; may be empty
 	Policy      policy.Settings
 	Upstream    upstream.Limits
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -20,7 +20,7 @@
 type endpointState struct {
 	sources         []discovery.SourceConfig
 	source          discovery.Source  // the first of sources, opened; used where there is exactly one source
-	confirmedSource discovery.Source  // the source that reported the list that was last applied
+	confirmedSource discovery.Source  // the source whose list was last applied; nil until one has reported
 	received        bool              // Core.listReceived is closed
 	version         uint64            // of the list in force, where there is exactly one source
 	sourceVersions  map[string]uint64 // by source name: version of its latest list, where there are several sources
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -85,7 +85,7 @@
 		c.handleMembership(membership.TimerFired{})
 	case requestTimer:
 		if req := c.requests[t.id]; req != nil {
-			for i := 0; i < len(req.attempts); i++ { // cancelling one may dispatch another
+			for i := 0; i < len(req.attempts); i++ { // cancelling an attempt may dispatch another one
 				c.cancelAttempt(req, req.attempts[i], policy.TimedOut)
 			}
 		}
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -63,7 +63,7 @@
 	ctx             context.Context
 	tasks           sync.WaitGroup
 	events          chan subscriptionEvent
-	open            []*subscription // in order of opening
+	open            []*subscription // open watches, in the order of opening
 	awaitsNewSource bool            // the source was changed, and the new one has not reported a list yet
 	retry           *time.Timer     // fires when one more watch is to be opened
 	retryPending    bool            // retry is set because the last subscription was lost
--- a/policy/api.go
+++ b/policy/api.go
@@ -46,7 +46,7 @@
 // on a late fetch no longer counts as served in time, because late fetches are what delays handovers.
 const (
 	LevelFull      DegradationLevel = iota
-	LevelEconomy                    // no hedged requests; retries need the budget, unless load did not cause them
+	LevelEconomy                    // no hedging; retries need the budget, except after failures unrelated to load
 	LevelLate                       // likely cache misses may exceed their latency objective
 	LevelHandovers                  // keyed requests pass all gates; reads fetch only while keyed requests are in time
 	LevelShelter                    // at most a quarter of other likely cache misses are admitted
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -23,7 +23,7 @@
 	serving           []*server // all servers listed as serving, sorted by name
 	listReceived      bool
 	subscribing       bool // a call for the list is in flight, or a subscription is open
-	subscribeFailures int  // consecutive, up to maxSubscribeDoublings
+	subscribeFailures int  // consecutive failed calls, counted up to maxSubscribeDoublings
 
 	// The selection of a server: ranking.go, rendezvous.go.
 	zonalHomes             bool      // keys have a home server in each zone
@@ -39,12 +39,12 @@
 
 	// Load shedding: admission.go, quota.go, retry.go.
 	paths        [pathCount]admissionPath
-	handoverGate admissionGate // of keyed requests, at all servers
+	handoverGate admissionGate // gate of keyed requests at all servers
 	quotas       []tokenBucket // by tenant
 	retryTokens  float64
 
 	// Outlier detection: outlier.go.
-	failureRates        []outlier.FailureRate // of all servers, by class
+	failureRates        []outlier.FailureRate // by class: failure rate at all servers
 	healthyFailureRates []outlier.FailureRate // by class: successes, and failures followed by a success of the server
 	zoneSuspicions      []outlier.Suspicion   // by zone: the suspicion that it is unreachable
 	connectionFailures  outlier.FailureRate   // share of attempts at all servers whose connection failed
--- a/policy/degradation_test.go
+++ b/policy/degradation_test.go
@@ -156,8 +156,9 @@
 	}
 }
 
-// TestFetchesLeaveCapacityForHandovers checks that from LevelHandovers on reads that fetch from the origin are rejected
-// when handovers are late, but not while handovers are in time, and not at lower levels.
+// TestFetchesLeaveCapacityForHandovers checks that from LevelHandovers on nearly all reads that fetch from the origin
+// are rejected when half of the handovers are late. At LevelHandovers nearly all of these reads pass while handovers
+// are in time, and at lower levels all pass.
 func TestFetchesLeaveCapacityForHandovers(t *testing.T) {
 	for _, c := range []struct {
 		level           DegradationLevel
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -35,7 +35,7 @@
 	consecutiveFailures int
 	lastFailure         time.Duration       // time of the last failure of a connection
 	lastHealthFailure   time.Duration       // time of the last failure that counted for its health, 0 after a success
-	backoffUntil        time.Duration       // until this time it is chosen only if no other server can be
+	backoffUntil        time.Duration       // until then the server is chosen only if no other is available
 	suspicions          []outlier.Suspicion // by class
 	lastResponse        time.Duration       // time of the last response of any kind
 
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -58,9 +58,9 @@
 }
 
 // TestSubscribeBackoffLeavesTimeForDrains checks that the delay before the next call for the endpoint list is short
-// enough to learn of a drain in time, whatever the polling interval in the settings. A subscription counts as silent 3
-// s after its last message, and changes that it missed count as known 6 s after it fell silent. The delay must grow
-// with consecutive failures, and be random so that calls are spread.
+// enough to learn of a drain in time, whatever polling interval is set. A subscription counts as silent 3 s after its
+// last message, and changes that it missed count as known 6 s after it fell silent. The delay must grow with
+// consecutive failures, and be random so that calls are spread.
 func TestSubscribeBackoffLeavesTimeForDrains(t *testing.T) {
 	const (
 		silentAfter = 3 * time.Second
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestBrokenConnectionIsOneFailure checks that a broken connection counts as one failure of its server, however many
-// attempts waited on it. Otherwise the server would be avoided for long.
+// attempts waited on it. Otherwise the server would get a long backoff.
 func TestBrokenConnectionIsOneFailure(t *testing.T) {
 	b, now := newTestBalancer(t)
 	servers := map[uint64]string{}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -116,7 +116,7 @@
 	for _, c := range completions {
 		b.now = c.at
 		b.recordHealth(s, c.attempt, 0, c.sample)
-		for _, other := range b.serving[1:] { // the others are healthy
+		for _, other := range b.serving[1:] { // all other servers answer
 			b.recordHealth(other, &attempt{server: other, sentAt: b.now}, 0, healthSample{})
 		}
 	}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestRulesHoldThroughReconfigurations checks that open requests keep the class and the limits that were in force when
-// they arrived when the settings are replaced (guarantee 6).
+// TestRulesHoldThroughReconfigurations replaces the settings while requests are open, and checks that these requests
+// keep the class and the limits that were in force when they arrived (guarantee 6).
 func TestRulesHoldThroughReconfigurations(t *testing.T) {
 	for seed := range uint64(40) {
 		h := newHistory(t, testSettings(), seed)
@@ -46,8 +46,7 @@
 	}
 }
 
-// TestSameEventsGiveSameActions checks that the same settings, seed and events always give the same actions (guarantee
-// 1).
+// TestSameEventsGiveSameActions checks guarantee 1: the same settings, seed and events always give the same actions.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	a, b := newHistory(t, testSettings(), 9), newHistory(t, testSettings(), 9)
 	for range 2000 { // alternating between the two detects shared state
--- a/policy/rendezvous_test.go
+++ b/policy/rendezvous_test.go
@@ -43,7 +43,7 @@
 	if got := requestsByZone(newZonalBalancer(t, 0.2), 400); got[0] < 350 {
 		t.Errorf("with connections to a fifth of the servers the zones get %v requests", got)
 	}
-	for _, connections := range []float64{0, 1, 5} { // 0: no bound
+	for _, connections := range []float64{0, 1, 5} { // 0 means no bound
 		for zone, n := range requestsByZone(newZonalBalancer(t, connections), 400) {
 			if n < 60 || n > 140 {
 				t.Errorf("with %v connections zone %d of four gets %d of 400 requests", connections, zone, n)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -88,14 +88,14 @@
 // Class.Streamed, Limits.AllowHealthChecks and Costs.HealthCheck, which only describe the deployment.
 type Settings struct {
 	ProxyCount           int // proxies in this tier
-	ProxyIndex           int // index of this one
+	ProxyIndex           int // index of this proxy
 	Zones                []string
 	Zone                 int // this proxy's zone, an index into Zones
 	MachineKinds         []string
 	Classes              []Class
 	Tenants              []Tenant
 	OverQuotaFactor      float64 // multiplies the priority weight of a request over its tenant's quota
-	EndpointsOnRequest   bool    // the endpoint list comes only after a Subscribe
+	EndpointsOnRequest   bool    // the endpoint list is sent only after a Subscribe action
 	RegisteredWeights    bool    // Endpoint.Weight is a registered size
 	CacheAside           bool    // the balancer forwards a miss to the origin
 	OriginKind           int     // machine kind of the origin with CacheAside, else -1
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -97,7 +97,7 @@
 // a second each. Together the proxies must send it some of its fair share from the first seconds on, but no more than
 // that. The rest is unused, because a proxy that has tokens left seldom gets a request for a key of the server.
 func TestWarmingServerGetsItsShareOfFewRequests(t *testing.T) {
-	const requests = 100 // per proxy, in 5 s
+	const requests = 100 // requests per proxy in 5 s
 	toNew, all := 0, 0
 	for seed := range uint64(80) {
 		b := newFleetBalancer(t, seed)
@@ -108,7 +108,7 @@
 		toNew += firstAttempts["new"]
 		all += requests
 	}
-	const meanCapacity = 0.45 // during these 5 s
+	const meanCapacity = 0.45 // mean capacity of the new server during these 5 s
 	allowance := slowStartMargin * float64(all) * meanCapacity / (60 + meanCapacity)
 	if got := float64(toNew); got < allowance/6 || got > allowance*1.25 {
 		t.Errorf("a warming server got %d of %d, its allowance is %.0f", toNew, all, allowance)
@@ -127,7 +127,7 @@
 		name             string
 		connections      float64
 		overloadMultiple float64
-		own, others      float64 // in fair shares
+		own, others      float64 // tokens granted to servers of the own zone and of other zones, in fair shares
 	}{
 		{"no zonal homes", 0, 3, slowStartMargin, slowStartMargin},
 		{"four zones", 0.2, 9, 4 * slowStartMargin, 0},
