--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,7 +23,7 @@
 	// ListSources are the sources of the endpoint list, in order of precedence. On the platform there is
 	// exactly one.
 	ListSources []discovery.SourceConfig
-	Seed        uint64         // of the decision module's random numbers
+	Seed        uint64         // seed of the decision module's random numbers
 	InitialList discovery.List // saved by an earlier run; may be empty
 	Policy      policy.Settings
 	Upstream    upstream.Limits
@@ -68,7 +68,7 @@
 	fetchRequested     chan struct{}
 	refetchRequested   chan string // names of sources
 
-	mu       sync.Mutex // guards the fields below
+	mu       sync.Mutex // guards all following fields
 	rules    *rules
 	balancer *policy.Balancer
 	actions  []policy.Action // reused between events
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -27,7 +27,7 @@
 	clockTimer                       // a check of the clocks for package pause
 )
 
-// timer is a task that is due at a time.
+// timer is a task that is due at the time at.
 type timer struct {
 	at      time.Duration // by Core.policyTime
 	id      uint64
@@ -85,7 +85,7 @@
 		c.handleMembership(membership.TimerFired{})
 	case requestTimer:
 		if req := c.requests[t.id]; req != nil {
-			for i := 0; i < len(req.attempts); i++ { // cancelling one may dispatch another
+			for i := 0; i < len(req.attempts); i++ { // cancelling an attempt may dispatch another one
 				c.cancelAttempt(req, req.attempts[i], policy.TimedOut)
 			}
 		}
