--- a/internal/proxy/backlog_test.go
+++ b/internal/proxy/backlog_test.go
@@ -12,13 +12,14 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestTimeInBacklogCounts guards against a response that comes after the timeout of its request. All places are taken,
-// so the connection waits in the backlog with an unread request, and that time must count towards the timeout.
+// TestTimeInBacklogCounts checks that the time that a connection waits in the backlog counts towards the timeout of its
+// request. All places for clients are taken, so the connection waits with an unread request; without counting that
+// time, the response would come after the timeout.
 func TestTimeInBacklogCounts(t *testing.T) {
 	const (
 		wait    = 600 * time.Millisecond
 		unread  = 350 * time.Millisecond
-		allowed = wait + 200*time.Millisecond // a timeout that starts at the reading ends after wait+unread
+		allowed = wait + 200*time.Millisecond // a timeout counted from the read would end after wait+unread
 	)
 	h := startHarnessWith(t, 64, withUnsafeClass, startNode(t, func(c nodeCommand) {
 		if strings.HasPrefix(c.id, "warm") {
@@ -51,8 +52,8 @@
 	}
 }
 
-// TestOnlyCloseOrDeadlineEndsAccepting guards against an accept loop that ends on a network error that accept(2)
-// returns, such as ETIMEDOUT: no client would ever be served again.
+// TestOnlyCloseOrDeadlineEndsAccepting checks that only a closed listener or its deadline ends the accept loop. If a
+// network error that accept(2) returns, such as ETIMEDOUT, ended the loop, no further client would be served.
 func TestOnlyCloseOrDeadlineEndsAccepting(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/binary_commands_test.go
+++ b/internal/proxy/binary_commands_test.go
@@ -51,12 +51,12 @@
 	return text, want
 }
 
-// TestQuietPipeline sends 200 quiet commands at once: hits, misses, rejections, errors and unsupported commands. All
-// responses must come in order, and no other commands may be answered.
+// TestQuietPipeline checks that the responses to 200 quiet commands sent at once (hits, misses, rejections, errors and
+// unsupported commands) come in order, and that commands that must stay silent get no response.
 func TestQuietPipeline(t *testing.T) {
 	f := startNodes(t)
 	c := startProxy(t, f.addresses, "[binary]\n").dial()
-	for i := range 200 { // a proxy that has just started rejects some of many requests at once
+	for i := range 200 { // a proxy that has just started rejects some requests of a large burst
 		c.send(getCommand(fmt.Sprint("k", i%20), 1))
 		c.next(codec.OK, 1)
 	}
--- a/internal/proxy/binary_test.go
+++ b/internal/proxy/binary_test.go
@@ -28,8 +28,8 @@
 	return nodes
 }
 
-// TestStalledReaderIsClosed guards against a client that sends a pipeline of large reads and reads no response: its
-// connection is closed, which frees its place and the memory reserved for it.
+// TestStalledReaderIsClosed checks that a client that sends a pipeline of large reads and reads no response is
+// disconnected, which frees its place and the memory reserved for its responses.
 func TestStalledReaderIsClosed(t *testing.T) {
 	nodes := startScriptedNodes(t, scriptednode.Binary, 2)
 	addresses := fmt.Sprintf("%q, %q", nodes.Address(0), nodes.Address(1))
@@ -74,8 +74,8 @@
 		return open == 0 && f.origin.Stats().Fetches >= 2
 	})
 	p.stop()
-	idle.expectEnd() // the drain has started and closes connections that wait for nothing
-	// Longer than any other connection may keep sending in a drain.
+	idle.expectEnd() // the drain has started and closes connections that wait for no response
+	// LingerTimeout is longer than any other connection may keep sending in a drain.
 	time.Sleep(frontend.LingerTimeout)
 	waiting.send(emptyCommand(codec.Noop, 3))
 	waiting.next(codec.OK, 3)
@@ -108,8 +108,9 @@
 	c.expectEnd()
 }
 
-// TestMemoryExhaustionIsReportedInBinary guards against an error response in another dialect, which would break the
-// framing, when the values for clients that read no responses exhaust the memory for responses.
+// TestMemoryExhaustionIsReportedInBinary checks that binary clients get binary error responses when values for clients
+// that read no responses exhaust the memory for responses. An error response in another dialect would break the
+// framing.
 func TestMemoryExhaustionIsReportedInBinary(t *testing.T) {
 	const clientCount, gets, valueSize = 12, 100, 60000
 	f := startNodesWithValueSize(t, valueSize)
@@ -135,7 +136,7 @@
 	}
 }
 
-// waitUntilSteady waits until a count has not changed for a time.
+// waitUntilSteady waits until count has returned the same value for the duration steady.
 func waitUntilSteady(count func() int, steady time.Duration) {
 	last, since := -1, time.Now()
 	for time.Since(since) < steady {
--- a/internal/proxy/commands_test.go
+++ b/internal/proxy/commands_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMalformedCommandsAreRejected guards against invalid commands: each gets an error response soon, and no part of it
+// TestMalformedCommandsAreRejected checks that an invalid command gets an error response soon and that no part of it
 // reaches a node.
 func TestMalformedCommandsAreRejected(t *testing.T) {
 	h := startHarness(t, 256, startNode(t, func(c nodeCommand) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestConnectionOfNoiseIsClosed guards against a client that sends only invalid commands: after a few error responses
-// its connection is closed.
+// TestConnectionOfNoiseIsClosed checks that the connection of a client that sends only invalid commands is closed after
+// a few error responses.
 func TestConnectionOfNoiseIsClosed(t *testing.T) {
 	h := startHarness(t, 256)
 	u := h.connect()
@@ -58,8 +58,8 @@
 	u.expect("")
 }
 
-// TestOversizedValueIsRejected guards against a client that keeps sending a value far over the limit: the value is not
-// read to its end, and the connection is not reset before its client has received the error.
+// TestOversizedValueIsRejected checks that a value far over the limit is not read to its end, and that the connection
+// is not reset before its client has received the error, even if the client keeps sending.
 func TestOversizedValueIsRejected(t *testing.T) {
 	h := startHarness(t, 256)
 	u := h.connect()
@@ -79,8 +79,8 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestRequestIDInUseIsRejected guards against a client that sends the id of another client's request in flight: a
-// response could go to either client.
+// TestRequestIDInUseIsRejected checks that a command with the id of another client's request in flight is rejected,
+// since a response with that id could go to either client.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	arrived, proceed := make(chan struct{}), make(chan struct{})
 	h := startHarness(t, 256, startNode(t, func(c nodeCommand) {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -16,8 +16,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// These tests check that a request is no longer sent once its client has disconnected, whatever it waited for and
-// whatever its class.
+// These tests check that a request is no longer sent once its client has disconnected, for every class and every
+// resource that the request waited for.
 
 // requestsByEffect has a function for each effect, which returns a request with an id. The effect is that of the class,
 // whatever the verb.
@@ -83,7 +83,7 @@
 	return append([]string(nil), r.ids...)
 }
 
-// waitReleased waits until nothing is in flight at the proxy and the budget for bodies is released.
+// waitReleased waits until no request is in flight at the proxy and the body budget has bodyBudget free bytes again.
 func (h *harness) waitReleased(t *testing.T, bodyBudget int) {
 	t.Helper()
 	testutil.WaitUntil(t, "nothing to be in flight", func() bool { return h.server.core.InFlight() == 0 })
@@ -124,9 +124,9 @@
 	return out
 }
 
-// TestPipelinedRequestsOfDisconnectedClientAreDropped guards against sending unread commands after their client has
-// disconnected. The limit on commands in flight blocks the connection's reader, so the reader does not reach the end of
-// the connection behind the unread commands.
+// TestPipelinedRequestsOfDisconnectedClientAreDropped checks that commands that are unread when their client
+// disconnects are not sent. The limit on commands in flight blocks the connection's reader, so the reader does not
+// reach the end of the connection behind the unread commands.
 func TestPipelinedRequestsOfDisconnectedClientAreDropped(t *testing.T) {
 	effects := slices.Collect(maps.Keys(requestsByEffect))
 	forEachDisconnect(t, effects, func(t *testing.T, request func(string) string, disconnect func(net.Conn)) {
@@ -189,8 +189,8 @@
 	return lines
 }
 
-// TestNothingIsSentOnLateConnectionAfterDisconnect has a request wait for a connection to a node, which is established
-// after the client has disconnected, also during a drain. The request must not be sent.
+// TestNothingIsSentOnLateConnectionAfterDisconnect checks that a request that waits for a connection to a node is not
+// sent if the connection is established after the client has disconnected, also during a drain.
 func TestNothingIsSentOnLateConnectionAfterDisconnect(t *testing.T) {
 	effects := []string{"safe", "keyed", "unsafe"}
 	t.Run("in a drain false", func(t *testing.T) {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -6,8 +6,8 @@
 	// drainAcceptTime is how long connections are still accepted after a drain starts, because clients keep connecting
 	// for some tenths of a second.
 	drainAcceptTime = 500 * time.Millisecond
-	// abortGrace is the time between aborting all requests and closing all connections. The responses to the aborted
-	// requests are written in it. A shortened drain also waits this long between the last deadline and the abort.
+	// abortGrace is the time between aborting all requests and closing all connections, in which the responses to the
+	// aborted requests are written. A shortened drain also waits abortGrace between the last deadline and the abort.
 	abortGrace = 50 * time.Millisecond
 	// unarmedTimerDelay is the initial delay of a timer that is set later. It is longer than any drain.
 	unarmedTimerDelay = time.Hour
@@ -23,8 +23,8 @@
 	abortTimer  *time.Timer // aborts the requests in flight; nil until drainClients
 }
 
-// startDrain limits the time in which connections are accepted. An inherited listener stops accepting at once: another
-// process may hold it too and accept later connections.
+// startDrain limits the time in which connections are accepted. An inherited listener stops accepting immediately:
+// another process may hold the listener too and accept later connections.
 func (s *Server) startDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,8 +43,8 @@
 	}
 }
 
-// endAccept ends the wait in makeRoom. When all places are taken, only draining the clients is sure to free one, and
-// that starts after accepting has ended.
+// endAccept ends the wait in makeRoom. When all places are taken, only closing clients in drainClients is sure to free
+// one, and that starts after accepting has ended.
 func (s *Server) endAccept() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestDrainStartsWithAllPlacesTaken starts a drain while the accept loop waits for a free place. No place ever becomes
-// free, as all clients keep sending, so the drain must end that wait.
+// TestDrainStartsWithAllPlacesTaken starts a drain while the accept loop waits for a free place. No place becomes free,
+// as all clients keep sending, so the drain must end the wait.
 func TestDrainStartsWithAllPlacesTaken(t *testing.T) {
 	h := startHarness(t, 64, startNode(t, nodeCommand.serve))
 	var clients sync.WaitGroup
@@ -98,8 +98,8 @@
 	waiting.socket.Close()
 }
 
-// TestPendingConnectionsDoNotDelayDrain starts a drain while requests wait for a connection to a node that is still
-// pending and would stay so for an hour.
+// TestPendingConnectionsDoNotDelayDrain starts a drain while requests wait for a connection to a node that would stay
+// pending for an hour.
 func TestPendingConnectionsDoNotDelayDrain(t *testing.T) {
 	d, err := unresponsive.Start()
 	if err != nil {
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -29,9 +29,10 @@
 	})
 }
 
-// TestRepeatedHandoverTakesEffectOnce has clients repeat handovers at another proxy with the same ticket, after the
-// first got a failure or lost its response with the connection: within the deduplication window and long after it. The
-// order is that of the table in the design note.
+// TestRepeatedHandoverTakesEffectOnce checks that a handover that a client repeats at another proxy with the same
+// ticket takes effect once. The first attempt got a failure or lost its response with the connection; the client
+// repeats it within the deduplication window and long after it. The order of the cases is that of the table in the
+// design note.
 func TestRepeatedHandoverTakesEffectOnce(t *testing.T) {
 	f := startNodes(t)
 	a, b := startProxy(t, f.addresses, "[binary]\n"), startProxy(t, f.addresses, "[binary]\n")
@@ -53,8 +54,8 @@
 }
 
 // expectRepeatAfterFailure has all nodes execute a handover and then reset the connection. The proxy retries and fails,
-// so the client repeats the handover at the other proxy. Long afterwards no node drops the repeat any more, so it must
-// not reach one.
+// so the client repeats the handover at the other proxy. Long afterwards no node detects the duplicate any more, so the
+// repeated handover must not reach a node.
 func expectRepeatAfterFailure(f *nodeFleet, a, b *testProxy) {
 	f.t.Helper()
 	first, second := a.dial(), b.dial()
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -14,13 +14,13 @@
 	// reservedDescriptors is the number of descriptors for everything but client and node connections: discovery,
 	// listeners, poller, log.
 	reservedDescriptors = 32
-	// bytesPerRequest is the memory assumed for each request in flight, which bounds their number.
+	// bytesPerRequest is the memory assumed for each request in flight, which limits how many requests may be in
+	// flight.
 	bytesPerRequest = 16 << 10
 	// budgetDivisor sets the budgets for the values of requests and of responses: each is 1/budgetDivisor of the
 	// memory.
 	budgetDivisor = 8
-	// minLongestDeadline is the lowest value that is used as the longest deadline when SilenceTimeout is derived from
-	// it.
+	// minLongestDeadline is the lowest value used as the longest deadline when computing SilenceTimeout.
 	minLongestDeadline = time.Second
 )
 
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -26,7 +26,7 @@
 // clientListener is a listener for clients, with the host that their connections share.
 type clientListener struct {
 	*net.TCPListener
-	inherited bool // another process may hold it too
+	inherited bool // another process may hold the listener too
 	// shared is a duplicate of an inherited listener, used to accept its connections. It is nil for a listener that
 	// this process opened. It is needed because package net does not let callers wait for connections on a
 	// net.TCPListener and run accept4 themselves.
@@ -109,7 +109,7 @@
 		socket, err := l.accept(s.core.Now)
 		switch {
 		case err == nil:
-			<-s.core.Resumed() // a short, bounded wait: after a pause, sends are deferred
+			<-s.core.Resumed() // after a pause, sends are deferred for a short, bounded time
 			s.serveClient(l, socket)
 		case endsAccepting(err):
 			return
@@ -127,8 +127,8 @@
 	return errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// serveClient starts the goroutine that serves a client. It ends with the client's connection, at the latest in the
-// drain.
+// serveClient starts the goroutine that serves a client. The goroutine ends when the client's connection is closed, at
+// the latest in the drain.
 func (s *Server) serveClient(l *clientListener, socket *net.TCPConn) {
 	c := frontend.New(l.host, socket, l.backlogEmptyAt)
 	s.mu.Lock()
@@ -189,8 +189,8 @@
 }
 
 // acceptBacklog accepts all connections in the backlog, without waiting. The listener must be closed immediately
-// afterwards, because a connection that arrives in between is reset together with its request. This window is some
-// microseconds long; a listener that the service manager holds has none.
+// afterwards, because a connection that arrives between the two calls is reset together with its request. This window
+// is some microseconds long; a listener that the service manager holds has none.
 func (s *Server) acceptBacklog(l *clientListener) {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestUnknownStatisticsAreAnError guards against invalid input: stats of an unknown or invalid kind gets an error at
-// once.
+// TestUnknownStatisticsAreAnError checks that a stats command with an unknown or invalid kind gets an error
+// immediately.
 func TestUnknownStatisticsAreAnError(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "")
--- a/internal/proxy/platform_test.go
+++ b/internal/proxy/platform_test.go
@@ -117,8 +117,9 @@
 	"lists pushed": func(s map[string]any) { s["RegistryMode"] = "pushed" },
 }
 
-// TestOtherPlatformSettings guards against code that works with one customer's settings only: with other names,
-// numbers, effects and deadlines, and without optional settings, requests of every class are served.
+// TestOtherPlatformSettings checks that requests of every class are served when the settings have other names, numbers,
+// effects and deadlines, and lack the optional settings. Code that works with one customer's settings only would fail
+// here.
 func TestOtherPlatformSettings(t *testing.T) {
 	for name, change := range otherSettings {
 		t.Run(name, func(t *testing.T) {
@@ -142,8 +143,8 @@
 	}
 }
 
-// expectServed sends a command until it is served, each time under a new id with a prefix. On a busy machine some may
-// be late.
+// expectServed sends a command until it is served, each time under a new id with a prefix. On a busy machine some
+// responses may be late.
 func expectServed(u *client, class, idPrefix, format, want string) {
 	u.t.Helper()
 	const maxTries = 20
@@ -196,7 +197,7 @@
 	"limits are no list": func(s map[string]any) { s["Limits"] = []any{} },
 }
 
-// TestInvalidPlatformSettings guards against a start with invalid settings: each leads to an error of one line.
+// TestInvalidPlatformSettings checks that invalid settings prevent the start with an error of one line.
 func TestInvalidPlatformSettings(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestSilentClientsAreClosedToMakeRoom guards against hundreds of clients that send nothing, or send one request and
-// stay: they must be closed, so that they do not keep others out.
+// TestSilentClientsAreClosedToMakeRoom checks that clients that send nothing, or send one request and stay connected,
+// are closed when other clients connect. Hundreds of such clients would otherwise keep others out.
 func TestSilentClientsAreClosedToMakeRoom(t *testing.T) {
 	h := startHarness(t, 96, startNode(t, nodeCommand.serve))
 	var silent []*client
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestIdleConnectionsAreBounded guards against clients that send one request on each of many connections and keep all
-// connections open: most are closed long before the idle timeout, and the most recent stay.
+// TestIdleConnectionsAreBounded checks that most connections of clients that send one request on each and keep all of
+// them open are closed long before the idle timeout, and that the most recent stay open.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	h := startHarness(t, 256, startNode(t, nodeCommand.serve))
 	for i := range 60 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestBufferedResponsesAreBounded guards against values that accumulate behind a slow first response: those beyond the
-// response budget become failures, and all that was reserved is released.
+// TestBufferedResponsesAreBounded checks that values that accumulate behind a slow first response and exceed the
+// response budget become failures, and that all reserved bytes are released.
 func TestBufferedResponsesAreBounded(t *testing.T) {
 	value := strings.Repeat("v", 60000)
 	waiting, proceed := make(chan struct{}), make(chan struct{})
@@ -92,20 +92,21 @@
 	}
 }
 
-// TestMalformedResponseIsRetried guards against malformed responses on the whole path from a node's socket to the
-// client: a read is retried at another node, and nothing malformed is passed on.
+// TestMalformedResponseIsRetried checks that a read that gets a malformed response is retried at another node and that
+// nothing malformed is passed on to the client, over the whole path from the node's socket.
 func TestMalformedResponseIsRetried(t *testing.T) {
 	malformed := func(c nodeCommand) { c.respond("VA 3000000000 O%s h1\r\nnoise", c.id) }
 	h := startHarness(t, 256, startNode(t, malformed), startNode(t, nodeCommand.serve))
-	for i := range 8 { // the initial retry budget covers each
+	for i := range 8 { // the initial retry budget covers all eight retries
 		u := h.connect()
 		u.sendRead(fmt.Sprint(i))
 		u.expectValue(fmt.Sprint(i))
 	}
 }
 
-// TestBrokenNodeConnectionsFailNoRequest guards against failed requests when every other connection breaks with a
-// request in flight: nodes that otherwise respond must not be ejected for it, and it must not use up the retry budget.
+// TestBrokenNodeConnectionsFailNoRequest checks that no request fails when every other connection to a node breaks with
+// a request in flight. Nodes that otherwise respond must not be ejected for these breaks, and the breaks must not use
+// up the retry budget.
 func TestBrokenNodeConnectionsFailNoRequest(t *testing.T) {
 	var commands atomic.Int64
 	node := func(c nodeCommand) {
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestShortDeadlinesCauseNoRejectionOfOthers guards against rejecting some clients because others give up before a
-// response can be expected.
+// TestShortDeadlinesCauseNoRejectionOfOthers checks that no client is rejected because others give up before a response
+// can be expected.
 func TestShortDeadlinesCauseNoRejectionOfOthers(t *testing.T) {
 	h := startHarness(t, 256, startNode(t, func(c nodeCommand) {
 		if !strings.HasPrefix(c.id, "short") {
@@ -151,13 +152,14 @@
 	}
 }
 
-// TestHopelessRequestsAreRejectedAtOnce guards against an overload that waiting requests sustain: a request that a busy
-// node cannot answer before its client gives up is not sent there, and the client gets a Retry-After.
+// TestHopelessRequestsAreRejectedAtOnce checks that a request that a busy node cannot answer before its client gives up
+// is not sent to that node, and that the client gets a Retry-After. Sending such requests would keep the node
+// overloaded.
 func TestHopelessRequestsAreRejectedAtOnce(t *testing.T) {
 	const waiting, short = 60, 20
 	arrived := make(chan string, waiting+short)
 	h := startHarness(t, 512, startNode(t, func(c nodeCommand) { arrived <- c.id }))
-	for i := range waiting { // each keeps its connection, and the node answers none
+	for i := range waiting { // each client keeps its connection open; the node answers no request
 		h.connect().sendRead(fmt.Sprint("waiting", i))
 	}
 	<-arrived
@@ -178,7 +180,7 @@
 			sent++
 		}
 	}
-	if sent > short/2 { // a few are always admitted, to detect a recovery
+	if sent > short/2 { // a few requests are always admitted, to detect a recovery
 		t.Errorf("%d of %d sent to a node that cannot answer them in time", sent, short)
 	}
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -50,7 +50,7 @@
 	mu              sync.Mutex
 	changed         sync.Cond // broadcast when clients or the state of the drain change
 	clients         map[*frontend.Conn]struct{}
-	longestDeadline time.Duration // of any request that may be open
+	longestDeadline time.Duration // the longest deadline of any request that may be in flight
 	drain           drainState
 }
 
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -143,7 +143,7 @@
 			testutil.WaitUntil(t, "a request to the node of the new source", func() bool {
 				return lastRequest(nodes, move.newNode).After(movedAt)
 			})
-			time.Sleep(drainGrace) // the list is in force already
+			time.Sleep(drainGrace) // the new list already applies
 			quietFrom := time.Now()
 			load.awaitServed()
 			if at := lastRequest(nodes, move.formerNode); at.After(quietFrom) {
@@ -196,7 +196,7 @@
 	return response.Kind
 }
 
-// expectServed expects all reads to be served for a time.
+// expectServed expects all reads to be served for the duration d.
 func (c sequentialClient) expectServed(d time.Duration) {
 	c.t.Helper()
 	for until, i := time.Now().Add(d), 0; time.Now().Before(until); i++ {
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// sweepInterval is how often clients are checked for being idle or stuck, and the clocks for pauses and stalls. It
-	// is the interval that pause detection expects.
+	// sweepInterval is how often clients are checked for being idle or stuck, and the clocks for pauses and stalls.
+	// Pause detection assumes this interval.
 	sweepInterval = 50 * time.Millisecond
 	// idleShareDivisor sets how many clients may stay idle: 1/idleShareDivisor of the maximum number of clients.
 	idleShareDivisor = 8
@@ -58,7 +58,7 @@
 	return total - released
 }
 
-// idleClient is a client that has been idle since a time.
+// idleClient is a client with the time since when it has been idle.
 type idleClient struct {
 	conn  *frontend.Conn
 	since time.Time
