--- a/client/call_test.go
+++ b/client/call_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Calls of each kind carry their class and tenant, and are traced and counted.
+// TestCallsAreTracedAndCounted checks that calls of each kind carry their class and tenant, and are traced and counted.
 func TestCallsAreTracedAndCounted(t *testing.T) {
 	var reported, incomplete atomic.Int64
 	trace := Trace{CallDone: func(i CallInfo) {
@@ -95,8 +95,8 @@
 	{reaction: scriptednode.EndlessValue, unsafe: ErrUnknown},
 }
 
-// For each outcome of the first attempt of a read, a keyed and an unsafe write: whether the proxies see further
-// attempts, and the error of the call.
+// TestErrorForEachFirstOutcome checks, for each outcome of the first attempt of a read, a keyed and an unsafe write,
+// whether the proxies receive further attempts, and the error of the call.
 func TestErrorForEachFirstOutcome(t *testing.T) {
 	unsafeClass := Class{Name: "plain", Effect: Unsafe, Wait: 700 * ms}
 	for _, c := range outcomeCases {
@@ -105,7 +105,7 @@
 			checkOutcome(t, c.reaction, Request{Key: "k"}, c.read)
 		})
 		if c.reaction == scriptednode.EndlessValue {
-			continue // a receipt has no length: to a write, the scripted value would be an answer to another command
+			continue // the answer to a write has no length, so the scripted value would answer another command
 		}
 		t.Run(string(c.reaction)+"/keyed", func(t *testing.T) {
 			t.Parallel()
@@ -129,7 +129,7 @@
 		if i == 0 {
 			continue
 		}
-		// After an attempt without an answer less time is left.
+		// An attempt that got no answer leaves less time for the next one.
 		if x.ID == requests[0].ID || x.Timeout >= requests[0].Timeout && reaction == scriptednode.Hang {
 			t.Fatalf("try %d: %+v after %+v", i, x, requests[0])
 		}
@@ -155,8 +155,9 @@
 	}
 }
 
-// The answer to a keyed write is lost late in its dedup window of 1.5 s. While an attempt can still end within the
-// window, the write is retried with the same key; after that the call ends with ErrUnknown, and nothing more is sent.
+// TestWriteWhoseAnswerIsLost checks what follows when the answer to a keyed write is lost late in its dedup window of
+// 1.5 s. While an attempt can still end within the window, the write is retried with the same key; after that the call
+// ends with ErrUnknown, and nothing more is sent.
 func TestWriteWhoseAnswerIsLost(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -213,7 +214,8 @@
 	}
 }
 
-// Resolve waits until no attempt can start any more, and then reads the key.
+// TestResolveWaitsUntilSettledAndReads checks that Resolve waits until no attempt can start any more, and then reads
+// the key.
 func TestResolveWaitsUntilSettledAndReads(t *testing.T) {
 	o := Options{Window: 300 * ms, RetryRatio: -1}
 	c, ns := newTestClient(t, 1, o, func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
@@ -240,7 +242,8 @@
 	}
 }
 
-// If the wall clock is set forward while a write is in flight, its dedup window may be over, so it is not sent again.
+// TestClockStepsCloseTheWindow checks that a write in flight is not sent again if the wall clock is set forward,
+// because its dedup window may be over.
 func TestClockStepsCloseTheWindow(t *testing.T) {
 	var step atomic.Int64
 	clock := systemClock()
@@ -268,7 +271,8 @@
 	}
 }
 
-// Invalid requests are refused before anything is sent, and all errors in options are reported together.
+// TestInvalidRequestsAndOptionsAreRefused checks that invalid requests are refused before anything is sent, and that
+// all errors in options are reported together.
 func TestInvalidRequestsAndOptionsAreRefused(t *testing.T) {
 	c, ns := newTestClient(t, 1, Options{}, always(scriptednode.Serve))
 	for _, r := range []Request{
--- a/client/catalogue/catalogue_test.go
+++ b/client/catalogue/catalogue_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A client follows the catalogue: a proxy in maintenance gets no new requests, one that joins gets some, and an empty
-// list changes nothing.
+// TestClientFollowsTheCatalogue checks that a proxy in maintenance gets no new requests, that one that joins the
+// catalogue gets some, and that an empty list changes nothing.
 func TestClientFollowsTheCatalogue(t *testing.T) {
 	var served [2]atomic.Int64
 	react := func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
@@ -81,7 +81,7 @@
 	fakeCatalogue.Set(instance(nodes, 1))
 	testutil.WaitUntil(t, "the second proxy", func() bool { return lists.Load() == 2 })
 	testutil.WaitUntil(t, "a request at the second proxy", func() bool {
-		c.GetMulti(context.Background(), manyKeys()) // one request at a time would stay at the first
+		c.GetMulti(context.Background(), manyKeys()) // with one request at a time, all would go to the first proxy
 		return served[1].Load() > 0
 	})
 	draining := instance(nodes, 0)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// cancelWhileWriting cancels a call while so many requests are queued that its own can't be written yet.
+// cancelWhileWriting cancels a call while so many requests are queued on its connection that its own request can't be
+// written yet.
 func cancelWhileWriting(t *testing.T, write Request, o Options) {
 	t.Helper()
 	o.Conns, o.Depth = 1, 256
@@ -51,9 +52,9 @@
 	others.Wait()
 }
 
-// A call whose context is cancelled ends and reports what is known about it: before the first list has arrived, while
-// connecting, while waiting for a connection, while the request is written, while its answer is awaited, and during
-// backoff.
+// TestContextCancelledInEachState checks that a call whose context is cancelled ends and reports what is known about it
+// in each of its states: before the first list has arrived, while connecting, while waiting for a connection, while its
+// request is written, while its answer is awaited, and during backoff.
 func TestContextCancelledInEachState(t *testing.T) {
 	write := Request{
 		Key:   "k",
@@ -104,7 +105,8 @@
 	})
 }
 
-// An empty list does not take effect; a proxy that leaves the list gets no new requests.
+// TestEmptyListIsIgnored checks that an empty list does not take effect, and that a proxy that leaves the list gets no
+// new requests.
 func TestEmptyListIsIgnored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "proxies")
 	var lists, emptyLists atomic.Int64
@@ -154,7 +156,8 @@
 	}
 }
 
-// Close ends active calls, a write with ErrUnknown; Shutdown waits for them.
+// TestCloseEndsCallsAndShutdownWaits checks that Close ends active calls, a write with ErrUnknown, and that Shutdown
+// waits for them.
 func TestCloseEndsCallsAndShutdownWaits(t *testing.T) {
 	for _, c := range []struct {
 		set  bool
@@ -190,7 +193,8 @@
 	}
 }
 
-// The hooks report each step of a call, and an answer that arrives after its attempt was given up.
+// TestHooksReportEachStep checks that the hooks report each step of a call, and an answer that arrives after its
+// attempt was given up.
 func TestHooksReportEachStep(t *testing.T) {
 	var mu sync.Mutex
 	var seen []string
--- a/client/connection_test.go
+++ b/client/connection_test.go
@@ -13,7 +13,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// One proxy accepts connections but never answers: reads are retried at the other one, and soon go there directly.
+// TestSilentProxy checks that reads are retried at the other proxy if one of two accepts connections but never answers,
+// and that later reads soon go directly to the proxy that answers.
 func TestSilentProxy(t *testing.T) {
 	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: time.Second}, RetryRatio: 1}
 	c, ns := newTestClient(t, 2, o, func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
@@ -38,7 +39,8 @@
 	}
 }
 
-// All proxies are down for a while: calls end by their deadline, and are served again once the proxies are back.
+// TestAllProxiesGoneAndBack checks that calls end by their deadline while all proxies are down, and are served again
+// once the proxies are back.
 func TestAllProxiesGoneAndBack(t *testing.T) {
 	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: 500 * ms}}
 	c, ns := newTestClient(t, 2, o, always(scriptednode.Serve))
@@ -73,7 +75,8 @@
 	})
 }
 
-// No call fails because a proxy half-closes idle connections, not even an unsafe write.
+// TestHalfClosedConnectionsFailNoCall checks that no call fails because a proxy half-closes idle connections, not even
+// an unsafe write.
 func TestHalfClosedConnectionsFailNoCall(t *testing.T) {
 	c, ns := newTestClient(t, 2, Options{Write: Plain, Spread: ms}, always(scriptednode.Serve))
 	for range 20 {
@@ -86,7 +89,7 @@
 	}
 }
 
-// Idle connections are closed, and calls after that are served on new ones.
+// TestIdleConnectionsAreClosed checks that idle connections are closed and that later calls are served on new ones.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	c, _ := newTestClient(t, 2, Options{Idle: 20 * ms}, always(scriptednode.Serve))
 	for range 3 {
@@ -97,8 +100,8 @@
 	}
 }
 
-// An unsafe write is not sent on an idle connection that the proxy has closed, even if no sweep has noticed the close
-// before.
+// TestClosedConnectionIsNoticedBeforeAWrite checks that an unsafe write is not sent on an idle connection that the
+// proxy has closed, even if no sweep has noticed the close before.
 func TestClosedConnectionIsNoticedBeforeAWrite(t *testing.T) {
 	for range 20 {
 		c, ns := newTestClient(t, 1, Options{Write: Plain, Spread: ms, Idle: time.Hour}, always(scriptednode.Serve))
@@ -106,17 +109,17 @@
 			t.Fatal(err)
 		}
 		ns.HalfClose(0)
-		time.Sleep(5 * ms) // until the close has arrived
+		time.Sleep(5 * ms) // the proxy's close has arrived after this time
 		if _, err := c.Set(context.Background(), "k", nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// A request that was not written when its connection ended never ran: an unsafe write is sent again then, but not if it
-// was written.
+// TestUnwrittenRequestIsSentAgain checks that an unsafe write that was not written when its connection ended is sent
+// again, since it never ran, and that one that was written is not.
 func TestUnwrittenRequestIsSentAgain(t *testing.T) {
-	clientEnd, proxyEnd := net.Pipe() // a write blocks until it is read
+	clientEnd, proxyEnd := net.Pipe() // a write blocks until the other end reads it
 	var dials atomic.Int64
 	ns, err := scriptednode.Start(scriptednode.Meta, 1, always(scriptednode.Serve))
 	if err != nil {
@@ -143,7 +146,7 @@
 	}
 	go set("first")
 	testutil.WaitUntil(t, "the first is in flight", func() bool { return c.Stats().InFlight == 1 })
-	go set("second") // queued behind the first, which nobody reads
+	go set("second") // queued behind the first request, which the proxy does not read
 	testutil.WaitUntil(t, "the second is in flight", func() bool { return c.Stats().InFlight == 2 })
 	buf := make([]byte, 1024)
 	n, err := proxyEnd.Read(buf)
@@ -168,7 +171,8 @@
 	}
 }
 
-// A connection on which an attempt timed out takes no more requests, because they would wait behind it.
+// TestNoRequestsAfterATimeout checks that a connection on which an attempt timed out takes no more requests, because
+// they would wait behind the unanswered one.
 func TestNoRequestsAfterATimeout(t *testing.T) {
 	o := Options{Conns: 2, Read: Class{Name: "read", Effect: Safe, Wait: 300 * ms}, RetryRatio: -1}
 	c, ns := newTestClient(t, 1, o, first(scriptednode.Hang))
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -45,7 +45,7 @@
 	// 7 <nil>
 }
 
-// The caller reacts to each kind of error.
+// This example reacts to each kind of error.
 func ExampleClient_Set() {
 	addresses, done := startProxies(func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
 		return scriptednode.BusyRetryAfter
@@ -75,7 +75,7 @@
 	// not recorded; again in 1s
 }
 
-// The caller resolves a write with an unknown outcome before it sends the write again.
+// This example resolves a write with an unknown outcome before it sends the write again.
 func ExampleClient_Resolve() {
 	addresses, done := startProxies(func(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
 		if r.Value != "" {
--- a/client/fuzz_test.go
+++ b/client/fuzz_test.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// FuzzAnswers has a proxy answer a read or a write with arbitrary bytes: each call ends, a value that is served is the
-// one in a complete answer to this attempt, and a write that was stored is not reported as refused.
+// FuzzAnswers has a proxy answer a read or a write with arbitrary bytes. It checks that each call ends, that a value
+// that is served is the one in a complete answer to this attempt, and that a write that was stored is not reported as
+// refused.
 func FuzzAnswers(f *testing.F) {
 	for _, s := range answerSeeds {
 		f.Add([]byte(s), true)
--- a/client/helpers_test.go
+++ b/client/helpers_test.go
@@ -48,7 +48,7 @@
 	}
 	t.Cleanup(func() {
 		c.Close()
-		if openClients.Add(-1) == 0 { // Close has waited for the goroutines of each client
+		if openClients.Add(-1) == 0 { // no client is open, and Close has waited for the goroutines of each
 			if stacks := clientGoroutines(); stacks != "" {
 				t.Errorf("left after Close:\n%s", stacks)
 			}
--- a/client/internal/balance/balancer_test.go
+++ b/client/internal/balance/balancer_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// Invariant 1: many clients with three proxies each use forty proxies evenly, and a proxy that joins moves few of them.
+// TestSubsetsAreEvenAndStable checks that many clients with three proxies each use forty proxies evenly, and that a
+// proxy that joins moves few of the clients (invariant 1).
 func TestSubsetsAreEvenAndStable(t *testing.T) {
 	uses := map[string]int{}
 	moved := 0
@@ -85,7 +86,8 @@
 	}
 }
 
-// Invariant 2: the choice between two proxies depends on the requests in flight and on recent failures.
+// TestChoiceByRequestsInFlightAndFailures checks that the choice between two proxies depends on the requests in flight
+// and on recent failures (invariant 2).
 func TestChoiceByRequestsInFlightAndFailures(t *testing.T) {
 	settings := Settings{SubsetSize: 2, MaxConns: 1, PipelineDepth: 1000, ReconnectSpread: ms, MaxReconnectSpread: ms}
 	b := newBalancer(settings, 1, 2)
@@ -122,7 +124,8 @@
 	}
 }
 
-// Invariant 2: a client with few requests needs only one connection.
+// TestLowLoadUsesOneConnection checks that a client with few requests needs only one connection, since proxies with
+// idle connections are preferred (invariant 2).
 func TestLowLoadUsesOneConnection(t *testing.T) {
 	b := newBalancer(usualSettings, 1, 3)
 	for range 100 {
@@ -144,7 +147,7 @@
 	}
 }
 
-// busiest returns the largest number of times that lie within one span, and the average number.
+// busiest returns the largest number of times that lie within one span, and the average number per span.
 func busiest(times []time.Duration, span, total time.Duration) (highest int, mean float64) {
 	slices.Sort(times)
 	for i, j := 0, 0; j < len(times); j++ {
@@ -175,7 +178,8 @@
 	return 0
 }
 
-// Invariant 3: a thousand clients that lose their only proxy, or start, at the same moment spread their dials.
+// TestReconnectsAreSpread checks that a thousand clients that lose their only proxy, or start, at the same moment
+// spread their dials over the span (invariant 3).
 func TestReconnectsAreSpread(t *testing.T) {
 	for name, lost := range map[string]bool{"restart": true, "cold start": false} {
 		var times []time.Duration
@@ -198,7 +202,8 @@
 	}
 }
 
-// Invariant 3: each failed dial doubles the span, up to its bound.
+// TestFailedDialsDoubleTheSpan checks that each failed dial doubles the span of the next one, up to its bound
+// (invariant 3).
 func TestFailedDialsDoubleTheSpan(t *testing.T) {
 	var spans []time.Duration
 	for range 6 {
@@ -222,8 +227,8 @@
 	}
 }
 
-// A proxy that is down at the start does not delay the dials of the others. After one failed dial of each, all wait
-// together.
+// TestUnreachableProxyDelaysNothing checks that a proxy that is down at the start does not delay the dials of the
+// others, and that after one failed dial to each proxy no proxy is dialed before a common time.
 func TestUnreachableProxyDelaysNothing(t *testing.T) {
 	b := newBalancer(usualSettings, 1, 3)
 	for i := range 3 {
@@ -245,7 +250,8 @@
 	}
 }
 
-// Invariant 3: the proxies that replace a lost one are not dialed at once by all clients that lost it.
+// TestDialsOfReplacementsAreSpread checks that the proxies that replace a lost one are not dialed at the same time by
+// all clients that lost it (invariant 3).
 func TestDialsOfReplacementsAreSpread(t *testing.T) {
 	var times []time.Duration
 	for seed := range uint64(1000) {
@@ -259,14 +265,14 @@
 		}
 		times = append(times, firstDial(t, b, now)-now)
 	}
-	// Each is the first of four uniform times, so most are early: the busiest span has two to four times the mean.
+	// Each time is the first of four uniform times, so most are early: the busiest span has two to four times the mean.
 	if highest, mean := busiest(times, 50*ms, time.Second); float64(highest) > 5*mean {
 		t.Fatalf("%d in the busiest 50 ms, %.1f on average", highest, mean)
 	}
 }
 
-// Invariant 4: a proxy that rejects three requests in a row is blocked until its Retry-After has passed, and then gets
-// a single request first.
+// TestRejectingProxyIsBlocked checks that a proxy that rejects three requests in a row is blocked until its Retry-After
+// has passed, and then gets a single request first (invariant 4).
 func TestRejectingProxyIsBlocked(t *testing.T) {
 	settings := Settings{SubsetSize: 1, MaxConns: 1, PipelineDepth: 32, ReconnectSpread: ms, MaxReconnectSpread: ms}
 	b := newBalancer(settings, 1, 1)
@@ -304,7 +310,8 @@
 	}
 }
 
-// An empty list changes nothing; a proxy that leaves the list gets no new requests from then on.
+// TestListChangesAreFollowed checks that an empty list changes nothing, and that a proxy that leaves the list gets no
+// new requests from then on.
 func TestListChangesAreFollowed(t *testing.T) {
 	b := newBalancer(usualSettings, 1, 3)
 	connect(b, 0)
--- a/client/internal/balance/random_test.go
+++ b/client/internal/balance/random_test.go
@@ -17,8 +17,9 @@
 	now  time.Duration
 }
 
-// In random histories counts are never negative or above their bounds, nothing is sent to a proxy that has no capacity
-// or is not in the list, and a request that waits has a time or an event to wait for.
+// TestRandomHistories checks that in random histories counts are never negative or above their bounds, that nothing is
+// sent to a proxy that has no capacity or is not in the list, and that a request that waits has a time or an event to
+// wait for.
 func TestRandomHistories(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 2))
--- a/client/internal/retry/linearizability_test.go
+++ b/client/internal/retry/linearizability_test.go
@@ -29,7 +29,7 @@
 type trackedWrite struct {
 	startedAt time.Duration
 	done      bool
-	waiting   []func() // called when it takes effect; those after the first are of duplicates
+	waiting   []func() // called when the write takes effect; all but the first belong to duplicates
 }
 
 type event struct {
@@ -75,7 +75,7 @@
 	}
 	fails := s.rng.IntN(10) == 0
 	s.after(work, func() {
-		if fails { // no effect, and nodes forget the write
+		if fails { // the write has no effect, and nodes forget its key
 			if s.writes[key] == w {
 				delete(s.writes, key)
 			}
@@ -201,7 +201,7 @@
 func (c *simulatedClient) finish(start time.Duration, result Result) {
 	end := c.now
 	if result == ResultUnknown {
-		end = c.now + time.Hour // it may take effect at any time from its call on
+		end = c.now + time.Hour // the write may take effect at any time from its call on
 	}
 	c.operations = append(c.operations, porcupine.Operation{
 		ClientId: c.id,
@@ -268,7 +268,7 @@
 	},
 }
 
-// violations counts what breaks the guarantees in many histories, and the writes with an unknown outcome.
+// violations counts violations of the guarantees over many histories, and the writes with an unknown outcome.
 type violations struct {
 	notLinearizable int // histories that no order explains
 	duplicates      int // writes that took effect twice
@@ -301,7 +301,8 @@
 	return found
 }
 
-// Attempts of writes fail in every way: no write takes effect twice, and each history has an order that explains it.
+// TestWritesAreLinearizable checks that no write takes effect twice and that each history has an order that explains
+// it, while attempts of writes fail in every way.
 func TestWritesAreLinearizable(t *testing.T) {
 	found := checkHistories(t, *histories, &DefaultPolicy)
 	if found.notLinearizable+found.duplicates > 0 {
@@ -312,8 +313,8 @@
 	}
 }
 
-// The check detects duplicate writes: they occur if the dedup window is believed to be longer than it is, or if there
-// is no safety margin for the network.
+// TestCheckDetectsDuplicateWrites checks that checkHistories finds duplicate writes. They occur if the policy's dedup
+// window is longer than the nodes', or if there is no safety margin for the network.
 func TestCheckDetectsDuplicateWrites(t *testing.T) {
 	longWindow := DefaultPolicy
 	longWindow.DedupWindow = 3 * time.Second
--- a/client/internal/retry/retry_test.go
+++ b/client/internal/retry/retry_test.go
@@ -102,7 +102,7 @@
 	return expectedResults[c.outcome]
 }
 
-// final reports whether no second attempt may follow, whatever time is left.
+// final reports whether no second attempt may follow, regardless of the time left.
 func (c attemptCase) final() bool {
 	switch c.outcome {
 	case Served, NotFound, Invalid, Canceled:
@@ -150,7 +150,8 @@
 	}
 }
 
-// The decision for each outcome of a first attempt, each effect and each time left.
+// TestDecisionForEachOutcomeEffectAndTime checks the decision for each outcome of a first attempt, each effect and each
+// time left.
 func TestDecisionForEachOutcomeEffectAndTime(t *testing.T) {
 	cases := attemptCases()
 	for _, c := range cases {
@@ -161,7 +162,8 @@
 	}
 }
 
-// Invariant 3 over two attempts: a rejection of the second does not change that the first may have run.
+// TestRejectionAfterPossibleRunIsUnknown checks that a request whose first attempt may have run does not end as
+// rejected if its second attempt is rejected (invariant 3).
 func TestRejectionAfterPossibleRunIsUnknown(t *testing.T) {
 	r := NewRequest(&DefaultPolicy, Keyed, 0, 2500*ms)
 	r.StartAttempt(at(0), fullBudget())
@@ -177,8 +179,8 @@
 	}
 }
 
-// The first attempt of a keyed request must end within the dedup window too: otherwise its own late start at a node
-// would be the second effect.
+// TestFirstKeyedAttemptEndsWithinDedupWindow checks that the first attempt of a keyed request must end within the dedup
+// window too. Otherwise the first attempt could start late at a node, after a retry, and have a second effect.
 func TestFirstKeyedAttemptEndsWithinDedupWindow(t *testing.T) {
 	r := NewRequest(&DefaultPolicy, Keyed, 0, 10*time.Second)
 	if wait, _ := r.StartAttempt(at(0), &Budget{}); wait != 1400*ms {
@@ -186,7 +188,8 @@
 	}
 }
 
-// A rejected request is not sent again where that would miss its latency objective; a failed one is.
+// TestNoRetryOfRejectionPastLatencyObjective checks that a rejected request is not sent again if that would miss its
+// latency objective, and that a failed one is.
 func TestNoRetryOfRejectionPastLatencyObjective(t *testing.T) {
 	for _, c := range []struct {
 		outcome    Outcome
@@ -210,8 +213,8 @@
 	}
 }
 
-// A suspended machine, or a clock that was set forward, ends the window; a clock that was set back does not lengthen
-// it.
+// TestDedupWindowWhenClocksStep checks that suspending the machine or setting the wall clock forward ends the window,
+// and that setting the clock back does not lengthen it.
 func TestDedupWindowWhenClocksStep(t *testing.T) {
 	for _, c := range []struct {
 		now  Timestamp
@@ -231,7 +234,8 @@
 	}
 }
 
-// However many attempts fail, the average number of attempts per request stays below 1+Ratio.
+// TestBudgetBoundsAttempts checks that the average number of attempts per request stays below 1+Ratio, however many
+// attempts fail.
 func TestBudgetBoundsAttempts(t *testing.T) {
 	b, rng := NewBudget(0.1, 3), rng()
 	requests, attempts := 0, 0
@@ -261,7 +265,8 @@
 	}
 }
 
-// Keyed requests may overdraw the budget, by Burst at most; safe ones wait until that is paid back.
+// TestKeyedRequestsMayOverdrawBudget checks that keyed requests may overdraw the budget by at most Burst, and that safe
+// requests get no retry until the overdraft is paid back.
 func TestKeyedRequestsMayOverdrawBudget(t *testing.T) {
 	b := NewBudget(0.5, 2)
 	for i := range 4 {
@@ -281,7 +286,8 @@
 	}
 }
 
-// The first lost connection of a request costs no budget, the second does.
+// TestOneLostConnectionIsFree checks that the first lost connection of a request costs no budget, and that the second
+// does.
 func TestOneLostConnectionIsFree(t *testing.T) {
 	b := &Budget{}
 	r := NewRequest(&DefaultPolicy, Safe, 0, 2*time.Second)
@@ -295,7 +301,7 @@
 	}
 }
 
-// A request that can never be sent is not retried forever.
+// TestUnsentAttemptsAreBounded checks that a request that can never be sent is not retried forever.
 func TestUnsentAttemptsAreBounded(t *testing.T) {
 	r, n := NewRequest(&DefaultPolicy, Safe, 0, time.Hour), 0
 	for ; n < 1000; n++ {
@@ -309,8 +315,8 @@
 	}
 }
 
-// Throttle allows all requests while less than half are rejected, rejects most of them while all are rejected, and
-// recovers within seconds.
+// TestThrottleFollowsRejections checks that Throttle allows all requests while less than half are rejected, rejects
+// most of them while all are rejected, and recovers within seconds.
 func TestThrottleFollowsRejections(t *testing.T) {
 	var throttle Throttle
 	rng := rng()
--- a/client/overload_test.go
+++ b/client/overload_test.go
@@ -13,8 +13,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// A proxy that rejects everything with a Retry-After of 1 s for three seconds gets few requests, however many calls
-// there are. Once it serves again, calls are served.
+// TestRetryAfterHoldsForTheProcess checks that a proxy that rejects everything with a Retry-After of 1 s for three
+// seconds gets few requests, however many calls are made, and that calls are served once the proxy serves again.
 func TestRetryAfterHoldsForTheProcess(t *testing.T) {
 	var recovered atomic.Bool
 	c, ns := newTestClient(t, 1, Options{}, func(int, scriptednode.ReceivedRequest) scriptednode.Reaction {
@@ -33,12 +33,12 @@
 		if !errors.Is(err, ErrRefused) || !errors.As(err, &e) || e.RetryAfter <= 0 {
 			t.Fatalf("got %v", err)
 		}
-		if took := time.Since(start); took > 400*ms { // a second is too long, which is known at once
+		if took := time.Since(start); took > 400*ms { // refused early: 1 s exceeds the 500 ms
 			t.Fatalf("refused after %v", took)
 		}
 		refused++
 	}
-	if n := len(ns.Requests()); n > 10 || refused < 30 { // three at first, then one per second
+	if n := len(ns.Requests()); n > 10 || refused < 30 { // expected: three requests at first, then one per second
 		t.Fatalf("%d requests for %d calls", n, refused)
 	}
 	recovered.Store(true)
@@ -48,7 +48,7 @@
 	})
 }
 
-// A call with enough time waits for the Retry-After and is served.
+// TestRetryAfterHoldsForTheCall checks that a call with enough time waits for the Retry-After and is then served.
 func TestRetryAfterHoldsForTheCall(t *testing.T) {
 	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: 2 * time.Second}, RetryRatio: 1}
 	c, ns := newTestClient(t, 1, o, first(scriptednode.Serve, scriptednode.BusyRetryAfter))
@@ -64,8 +64,8 @@
 	}
 }
 
-// If a proxy rejects nine in ten requests without a Retry-After, the client rejects at least a third of the calls
-// itself. Once the proxy accepts everything, everything is sent.
+// TestThrottleSparesAnOverloadedService checks that the client rejects at least a third of the calls itself if a proxy
+// rejects nine in ten requests without a Retry-After, and that it sends everything once the proxy accepts everything.
 func TestThrottleSparesAnOverloadedService(t *testing.T) {
 	var recovered atomic.Bool
 	o := Options{Tries: 1, Conns: 1}
@@ -99,7 +99,8 @@
 	})
 }
 
-// Ten thousand goroutines use one client: the connections are bounded, and each call gets its own answer.
+// TestTenThousandGoroutines checks that the connections of a client used by ten thousand goroutines are bounded, and
+// that each call gets its own answer.
 func TestTenThousandGoroutines(t *testing.T) {
 	o := Options{Read: Class{Name: "read", Effect: Safe, Wait: time.Minute}}
 	c, ns := newTestClient(t, 3, o, always(scriptednode.Serve))
@@ -121,7 +122,7 @@
 	}
 }
 
-// Calls beyond MaxWaiting are refused at once.
+// TestWaitingIsBounded checks that calls beyond MaxWaiting are refused and that the others wait until their deadline.
 func TestWaitingIsBounded(t *testing.T) {
 	read := Class{Name: "read", Effect: Safe, Wait: 300 * ms}
 	c := open(t, Options{Proxies: silentSource{}, MaxWaiting: 10, Read: read})
--- a/internal/binary/header_test.go
+++ b/internal/binary/header_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestValidate checks invariant 1.
+// TestValidate checks that Validate accepts the body of a request only if its lengths are within the limits and fit the
+// opcode (invariant 1).
 func TestValidate(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -91,7 +92,8 @@
 	}
 }
 
-// FuzzParse checks invariants 1 and 3: no header may crash the parser or exceed the limits.
+// FuzzParse checks that no header crashes the parser or exceeds the limits (invariant 1), and that Append writes a
+// parsed header with the same bytes (invariant 3).
 func FuzzParse(f *testing.F) {
 	get := Header{Opcode: Get, KeyLen: 3, BodyLen: 3}
 	set := Header{Opcode: Set, KeyLen: 1, ExtrasLen: 8, BodyLen: 100, CAS: 1 << 60}
--- a/internal/binary/opcode_test.go
+++ b/internal/binary/opcode_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestEveryOpcodeHasAHandling checks invariant 2 for all 256 opcodes, against an independent list.
+// TestEveryOpcodeHasAHandling checks that each of the 256 opcodes has the expected handling (invariant 2) and is quiet
+// or not as expected, against an independent list.
 func TestEveryOpcodeHasAHandling(t *testing.T) {
 	wantHandling := map[Opcode]Handling{}
 	for handling, opcodes := range map[Handling][]Opcode{
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestProxiesLeaveCapacityAtEachNode checks guarantee 2: eighty proxies that each keep their budget of connections to a
-// random choice of sixty nodes do not exceed the limit of any node.
+// TestProxiesLeaveCapacityAtEachNode checks that eighty proxies that each keep their budget of connections to a random
+// choice of sixty nodes do not exceed the limit of any node (guarantee 2).
 func TestProxiesLeaveCapacityAtEachNode(t *testing.T) {
 	const proxies, nodes, perNode = 80, 60, 30
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestBudgetFallsToWhatNodesAccept checks guarantee 3: if the configured number of proxies is wrong, or nodes accept
-// fewer connections than configured, the budgets fall to what the nodes accept.
+// TestBudgetFallsToWhatNodesAccept checks that the budgets fall to what the nodes accept if the configured number of
+// proxies is wrong, or nodes accept fewer connections than configured (guarantee 3).
 func TestBudgetFallsToWhatNodesAccept(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -43,7 +43,7 @@
 		{"twice as many configured", 160, 30, 0.05},
 		{"fewer connections", 80, 18, 0.05},
 		{"half of the proxies and fewer connections", 40, 18, 0.05},
-		// A proxy that dials first is never rejected and keeps its budget; those of the others fall.
+		// A proxy that dials first is never rejected and keeps its budget; the budgets of the other proxies fall.
 		{"one proxy configured", 1, 30, 0.25},
 		{"none configured", 0, 30, 0.25},
 	} {
@@ -86,8 +86,8 @@
 	return float64(rejected) / float64(opened)
 }
 
-// TestBudgetRecovers checks guarantee 3: the budget keeps its minimum through any number of rejections, and is full
-// again RecoveryTime after the last one.
+// TestBudgetRecovers checks that the budget keeps its minimum through any number of rejections, and is full again
+// RecoveryTime after the last one (guarantee 3).
 func TestBudgetRecovers(t *testing.T) {
 	var b Budget
 	b.SetCapacity(Capacity{ConnectionsPerNode: 30, Proxies: 20})
@@ -105,7 +105,8 @@
 	}
 }
 
-// TestRejectionsTogetherCountOnce guards against a burst of rejections that closes most of a proxy's connections.
+// TestRejectionsTogetherCountOnce checks that rejections within a short time reduce the budget once, so that a burst of
+// them does not close most of a proxy's connections.
 func TestRejectionsTogetherCountOnce(t *testing.T) {
 	var b Budget
 	b.SetCapacity(Capacity{ConnectionsPerNode: 30, Proxies: 10})
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestInvalidCapacities checks guarantee 1 for missing, negative and extreme values.
+// TestInvalidCapacities checks that the budget is at least MinConnections and at most the nodes' connections for
+// missing, negative and extreme capacities (guarantee 1).
 func TestInvalidCapacities(t *testing.T) {
 	for _, capacity := range []Capacity{
 		{},
--- a/internal/frontend/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -14,7 +14,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// upperEcho is a dialect whose commands are lines, each answered at once with the same line in upper case.
+// upperEcho is a dialect whose commands are lines; each is answered immediately with the same line in upper case.
 type upperEcho struct{ conn *Conn }
 
 func (e upperEcho) ServeCommand() (bool, error) {
@@ -61,8 +61,9 @@
 	c.markGone("test ends")
 }
 
-// TestUnreadCommandIsNotIdle checks invariant 1 for a process that was not scheduled for a while: a connection whose
-// command has arrived but is unread must not be closed.
+// TestUnreadCommandIsNotIdle checks that a connection is not closed while a command on it has arrived but is unread, as
+// happens in a process that was not scheduled for a while: closing never loses a command that has arrived (invariant
+// 1).
 func TestUnreadCommandIsNotIdle(t *testing.T) {
 	c, client := connectedClient(t)
 	fmt.Fprint(client, "mn\r\n")
@@ -77,9 +78,9 @@
 	}
 }
 
-// TestCommandBeingReadIsNotIdle checks invariant 1 for a command that the reader has read from the socket just before
-// the connection is closed as idle or drained, while the reader waits for the connection's lock or for the core:
-// the command must still be answered.
+// TestCommandBeingReadIsNotIdle checks that a command that the reader has read from the socket just before the
+// connection is closed as idle or drained is still answered: closing never loses a command that has arrived (invariant
+// 1). The reader is then waiting for the connection's lock or for the core.
 func TestCommandBeingReadIsNotIdle(t *testing.T) {
 	for name, end := range map[string]func(*Conn){"idle": (*Conn).CloseIdle, "drain": (*Conn).Drain} {
 		t.Run(name, func(t *testing.T) { testCommandBeingRead(t, end) })
--- a/internal/frontend/lockorder_test.go
+++ b/internal/frontend/lockorder_test.go
@@ -24,7 +24,7 @@
 func (r *lockedReply) Finish(*request.Answer) {
 	r.started <- true
 	for deadline := time.Now().Add(200 * time.Millisecond); time.Now().Before(deadline); {
-		if !r.conn.mu.TryLock() { // the connection's reader holds it
+		if !r.conn.mu.TryLock() { // the connection's reader holds the lock
 			break
 		}
 		r.conn.mu.Unlock()
@@ -57,9 +57,9 @@
 	return c
 }
 
-// TestFullPipelineDuringAStallDoesNotDeadlock guards against a deadlock by lock order: a reader that waits for a slot
-// reads the core's clock, which takes the core's lock after a stall, while the core, with its lock held, answers one
-// of the connection's commands, which takes the connection's lock.
+// TestFullPipelineDuringAStallDoesNotDeadlock checks that a reader and the core do not deadlock on each other's locks.
+// While a reader waits for a slot, it reads the core's clock, which takes the core's lock after a stall. At the same
+// time the core, with its lock held, answers one of the connection's commands, which takes the connection's lock.
 func TestFullPipelineDuringAStallDoesNotDeadlock(t *testing.T) {
 	proxy := newCore(t)
 	c, client := connectedClient(t)
@@ -67,7 +67,7 @@
 	for range maxPipelined {
 		c.AddSlot(new(Slot))
 	}
-	time.Sleep(pause.MinStall + 10*time.Millisecond) // the core's clock is not read in the meantime: it sees a stall
+	time.Sleep(pause.MinStall + 10*time.Millisecond) // the core's clock is not read meanwhile and detects a stall
 	reply := &lockedReply{c, make(chan bool, 1)}
 	answered, added := make(chan bool, 1), make(chan bool, 1)
 	go func() {
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/request"
 )
 
-// FuzzParseCommand checks guarantees 1 and 2: no line may panic, exceed the limits, or reach a node in a form that is
-// parsed differently.
+// FuzzParseCommand checks that no line panics, exceeds the limits (guarantee 2), or reaches a node in a form that is
+// parsed differently (guarantee 1).
 func FuzzParseCommand(f *testing.F) {
 	for _, line := range []string{
 		"mg k v O1 Pc=read,t=acme,d=480",
@@ -82,7 +82,8 @@
 	}
 }
 
-// TestAnswersPassThroughUnaltered checks guarantee 3, and the path of an answer from node to client.
+// TestAnswersPassThroughUnaltered checks that reading a node's answer returns the answer to the request or an error
+// (guarantee 3), and how the answer is written to the client.
 func TestAnswersPassThroughUnaltered(t *testing.T) {
 	get := &request.Request{ID: "7", HeaderRoom: AnswerHeaderRoom("7")}
 	set := &request.Request{Verb: request.Set, ID: "7"}
@@ -147,7 +148,8 @@
 	}
 }
 
-// FuzzParseAnswer checks guarantee 2 for lines of nodes: none may panic, or give a value or a figure beyond its limits.
+// FuzzParseAnswer checks that no line of a node panics or gives a value or a load figure beyond its limits (guarantee
+// 2).
 func FuzzParseAnswer(f *testing.F) {
 	for _, line := range []string{
 		"VA 5 O1 h1 Linflight=7,queue=2",
--- a/internal/sasl/sasl_test.go
+++ b/internal/sasl/sasl_test.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// TestGuessesAreBounded checks invariant 2 for one source, several, and more than maxSources.
+// TestGuessesAreBounded checks that each source gets at most GuessBurst wrong guesses at once and one per
+// GuessRefillInterval after that, and that at most maxSources sources are kept (invariant 2).
 func TestGuessesAreBounded(t *testing.T) {
 	limiter, now := NewGuessLimiter(), time.Unix(1000, 0)
 	countAllowed := func(source string, guesses int) (allowed int) {
--- a/internal/upstream/answers_test.go
+++ b/internal/upstream/answers_test.go
@@ -11,7 +11,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestAbandonedAttemptDelaysNobody checks guarantee 4 for a node that never answers the abandoned attempt.
+// TestAbandonedAttemptDelaysNobody checks that a new attempt does not wait behind an abandoned one that the node never
+// answers (guarantee 4).
 func TestAbandonedAttemptDelaysNobody(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	pool, handler := startPool(t, func(id string, connection net.Conn) {
@@ -38,8 +39,9 @@
 	}
 }
 
-// TestMalformedAnswerCostsOneAttempt checks guarantee 3: a malformed answer ends its attempt as Malformed, since the
-// node may have executed it, and the next attempt uses a new connection.
+// TestMalformedAnswerCostsOneAttempt checks that a malformed answer ends its attempt as Malformed, since the node may
+// have executed it, and that the next attempt uses a new connection: an answer is matched to the right attempt, or the
+// connection ends (guarantee 3).
 func TestMalformedAnswerCostsOneAttempt(t *testing.T) {
 	for name, answer := range map[string]string{
 		"noise":           "\x00\x17\xff\r\n",
@@ -73,8 +75,9 @@
 	}
 }
 
-// TestBytesAfterAnAnswerAreNotBelieved checks guarantee 3 for a valid answer that contains a malformed load report and
-// is followed by a second copy or garbage: the answer counts, and the next attempt is not answered with the rest.
+// TestBytesAfterAnAnswerAreNotBelieved checks that a valid answer that contains a malformed load report and is followed
+// by a second copy or garbage counts, and that the next attempt is not answered with the remaining bytes: everything
+// after the first unexpected byte is ignored (guarantee 3).
 func TestBytesAfterAnAnswerAreNotBelieved(t *testing.T) {
 	for name, more := range map[string]string{
 		"second copy": "VA 2 Ogood h1\r\nhi\r\n",
@@ -97,7 +100,7 @@
 }
 
 // TestErrorLineKeepsTheConnection checks that an error line with an unusual text, which is a complete answer, does not
-// end the connection and with it other attempts, and that it is not taken for a busy rejection.
+// end the connection and with it other attempts, and that it is not considered a busy rejection.
 func TestErrorLineKeepsTheConnection(t *testing.T) {
 	for line, want := range map[string]Result{
 		"CLIENT_ERROR Odd thing":        Failed,
@@ -110,7 +113,7 @@
 			t.Parallel()
 			accepted := map[net.Conn]bool{}
 			pool, handler := startPool(t, func(id string, connection net.Conn) {
-				accepted[connection] = true // no lock: with one connection only its goroutine runs this
+				accepted[connection] = true // needs no lock: with one connection, only one goroutine runs the script
 				if id == "bad" {
 					fmt.Fprintf(connection, "%s\r\n", line)
 					return
@@ -129,8 +132,8 @@
 	}
 }
 
-// TestConnectionLimitIsNotOverload guards against a fleet of proxies that takes nodes at their connection limit for
-// overloaded nodes, and sheds load.
+// TestConnectionLimitIsNotOverload checks that a busy answer from a node at its connection limit ends the attempt as
+// ConnectionLimitReached, not as Busy. Proxies that considered such nodes overloaded would shed load.
 func TestConnectionLimitIsNotOverload(t *testing.T) {
 	pool, handler := startPool(t, func(id string, connection net.Conn) {
 		switch id {
@@ -144,7 +147,7 @@
 		}
 	})
 	pool.mu.Lock()
-	pool.closeCheckTimeout = testTimeout // so that the end of the connection is always seen
+	pool.closeCheckTimeout = testTimeout // long enough to always detect that the node closed the connection
 	pool.mu.Unlock()
 	sendRead(t, pool, "limit")
 	if got := handler.next(t); got.result != ConnectionLimitReached {
@@ -161,8 +164,9 @@
 	}
 }
 
-// TestIdleConnectionsBeyondTheShareAreClosed guards against a fleet of proxies whose idle connections use up the
-// connection limits of all nodes.
+// TestIdleConnectionsBeyondTheShareAreClosed checks that idle connections beyond this proxy's share are closed and that
+// the connection in use stays open. The idle connections of many proxies would otherwise use up the connection limits
+// of all nodes.
 func TestIdleConnectionsBeyondTheShareAreClosed(t *testing.T) {
 	pool, handler := startPool(t, serve)
 	pool.mu.Lock()
@@ -224,8 +228,9 @@
 	slow.expectServed(t, a)
 }
 
-// TestLateSecondAnswerIsNotBelieved checks guarantee 3 for a copy of an answer that arrives after the next request has
-// been sent: the request must not be answered with it, and the connection must not be used again.
+// TestLateSecondAnswerIsNotBelieved checks that a request is not answered with a second copy of the previous request's
+// answer that arrives after the request has been sent, and that the connection is not used again: an answer is matched
+// to the right attempt, or the connection ends (guarantee 3).
 func TestLateSecondAnswerIsNotBelieved(t *testing.T) {
 	pool, handler := startPool(t, func(id string, connection net.Conn) {
 		if id == "b" {
--- a/internal/upstream/blocked_test.go
+++ b/internal/upstream/blocked_test.go
@@ -49,7 +49,7 @@
 	if batch := b.nextCheck(t, "the check of the others"); len(batch) != want {
 		t.Fatalf("%d in the batch, want %d", len(batch), want)
 	}
-	// This check keeps all attempts, as if a reason to drop one arose just after it.
+	// This check keeps all attempts, as if a reason to drop one arose just after the check.
 	b.proceed <- struct{}{}
 	b.waitLocked(t, "what was not started to wait again", func() bool {
 		return len(b.connection().queued) > 0 || len(b.checks) > 0
@@ -92,8 +92,8 @@
 	return times
 }
 
-// TestUnstartedPartOfABatchIsCheckedAgain checks guarantee 2: when a node that had stopped reading reads again, the
-// attempts of a batch that it had not accepted are sent only if they pass another check.
+// TestUnstartedPartOfABatchIsCheckedAgain checks that when a node that had stopped reading reads again, the attempts of
+// a batch that the node had not accepted are sent only if they pass another check (guarantee 2).
 func TestUnstartedPartOfABatchIsCheckedAgain(t *testing.T) {
 	for _, mayStart := range []bool{false, true} {
 		t.Run(fmt.Sprint("may start ", mayStart), func(t *testing.T) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// served waits for all attempts to end, and returns those that were served. It fails the test if any other attempt
-// than those that the handler drops was not served.
+// served waits for all attempts to end, and returns those that were served. Only attempts that the handler drops may
+// end unserved; any other fails the test.
 func (b *blockedPool) served(t *testing.T) map[*Attempt]bool {
 	t.Helper()
 	served := map[*Attempt]bool{}
@@ -142,10 +142,10 @@
 	return served
 }
 
-// TestResetInTheMiddleOfABatch checks guarantee 1: when the connection is reset, some attempts of a batch have been
-// written, one in part, and others not at all. Each must end exactly once, with a result that says whether the node
-// may have executed it: ConnectionLost for those that were written, NotWritten for the partial one. Those that were
-// not started move to another connection, at most once.
+// TestResetInTheMiddleOfABatch checks that when the connection is reset in the middle of a batch, each attempt is
+// written at most once and ends exactly once (guarantee 1). Some attempts have then been written, one in part, and
+// others not at all. The result says whether the node may have executed the attempt: ConnectionLost for those that were
+// written, NotWritten for the partial one. Attempts that were not started move to another connection, at most once.
 func TestResetInTheMiddleOfABatch(t *testing.T) {
 	b := startBlocked(t)
 	b.mu.Lock()
@@ -179,8 +179,9 @@
 	}
 }
 
-// TestEndBetweenCheckAndWrite checks guarantees 1 and 2 for a connection that ends after the check of an attempt and
-// before its first byte is written. The attempt moves to another connection once, where it is checked again.
+// TestEndBetweenCheckAndWrite checks that an attempt whose connection ends after the check and before the first byte is
+// written moves to another connection once, where it is checked again: it is written at most once and checked right
+// before its first byte (guarantees 1 and 2).
 func TestEndBetweenCheckAndWrite(t *testing.T) {
 	g := startGated(t, testLimits)
 	a := sendRead(t, g.Pool, "a")
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -65,7 +65,7 @@
 	g.proceed <- struct{}{}
 	in.ReadString('\n')
 	in.ReadString('\n')
-	serve("first", node) // the handler blocks in Answered, so that the next answer is not read
+	serve("first", node) // the handler blocks in Answered, which keeps the next answer unread
 	g.expectServed(t, first)
 	third := sendRead(t, g.Pool, "third")
 	g.nextCheck(t, "its check")
@@ -76,7 +76,7 @@
 	c := g.connection()
 	g.mu.Unlock()
 	testutil.WaitUntil(t, "the reset to arrive", func() bool { return socket.PeerClosed(c.socket) })
-	g.proceed <- struct{}{} // the write of the third fails
+	g.proceed <- struct{}{} // the write of the third attempt fails
 	g.waitLocked(t, "the write to fail", func() bool { return c.writeFailed || c.closed })
 	close(g.answered)
 	ended := map[*Attempt]attemptEnd{}
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(silent.Close) // runs after the pool's cleanup, so when all connections have ended
+	t.Cleanup(silent.Close) // runs after the pool's cleanup, when all connections have ended
 	limits := testLimits
 	limits.ConnectTimeout = time.Hour
 	g := startGated(t, limits)
@@ -112,7 +112,7 @@
 }
 
 // TestAbandonedSideEffectsEndWithAReset checks that the kernel does not deliver an abandoned request with side effects
-// later. The class decides whether a request has side effects, not the verb.
+// later. Whether a request has side effects depends on its class, not on its verb.
 func TestAbandonedSideEffectsEndWithAReset(t *testing.T) {
 	for _, sideEffects := range []bool{false, true} {
 		for name, send := range map[string]func(*testing.T, *Pool) *Attempt{
