--- a/client/acquire.go
+++ b/client/acquire.go
@@ -15,10 +15,10 @@
 type acquisition struct {
 	conn    *connection   // nil if the call has ended
 	sentAt  time.Duration // on the client's clock
-	timeout time.Duration // of the attempt
+	timeout time.Duration // timeout of the attempt
 	isRetry bool
 
-	result     retry.Result // of a call that has ended
+	result     retry.Result // result of a call that has ended
 	retryAfter time.Duration
 	cause      error
 }
@@ -69,7 +69,7 @@
 }
 
 // throttledRetryAfter is the mean Retry-After of a call that the client's own throttle rejects. The actual value is
-// drawn from half to one and a half times that.
+// drawn from half to one and a half times the mean.
 const throttledRetryAfter = 500 * time.Millisecond
 
 // callErrorLocked returns why no attempt of a call can be sent at now, or nil. c.mu is held.
@@ -152,7 +152,7 @@
 	if !woken {
 		c.mu.Lock()
 		select {
-		case <-w.woken: // woken at the same moment; a call that ends now passes the wake-up on
+		case <-w.woken: // woken after the wait ended; a call whose context has ended wakes another call
 			if ctx.Err() != nil {
 				c.wakeLocked(1)
 			}
--- a/client/answer.go
+++ b/client/answer.go
@@ -85,7 +85,8 @@
 // maxRetryAfter bounds the Retry-After of a rejection.
 const maxRetryAfter = time.Hour
 
-// parseRetryAfter parses the Retry-After of a rejection: a space and milliseconds, or nothing if there is none.
+// parseRetryAfter parses the Retry-After of a rejection: a space and milliseconds, or nothing if the rejection has
+// none.
 func parseRetryAfter(text []byte) (time.Duration, bool) {
 	if len(text) == 0 {
 		return 0, true
--- a/client/command.go
+++ b/client/command.go
@@ -47,7 +47,7 @@
 // maxAnswerTransit bounds the part of a timeout that is reserved for the answer's way back to the client.
 const maxAnswerTransit = 20 * time.Millisecond
 
-// answerTransitDivisor determines that part: the timeout divided by it, at most maxAnswerTransit.
+// answerTransitDivisor determines the reserved part: timeout/answerTransitDivisor, at most maxAnswerTransit.
 const answerTransitDivisor = 20
 
 // announcedTimeout returns the timeout that a request carries. It is shorter than the attempt's own timeout, so that an
--- a/client/connread.go
+++ b/client/connread.go
@@ -55,7 +55,7 @@
 	c.socket.SetReadDeadline(time.Now().Add(at - c.client.options.clock().Monotonic))
 }
 
-// longPast is a read deadline that makes a read return at once.
+// longPast is a read deadline in the past, which makes a read return immediately.
 var longPast = time.Unix(1, 0)
 
 // readOwnAnswer reads the answer to the first pending request in the goroutine of its caller, until the attempt times
--- a/client/connwrite.go
+++ b/client/connwrite.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// writeTimeout is how long writeLoop may take to write one batch. A peer that does not read for so long loses its
-	// connection.
+	// writeTimeout is how long writeLoop may take to write one batch. The connection ends if the peer does not read the
+	// batch within writeTimeout.
 	writeTimeout = 5 * time.Second
 	// maxKeptBufferBytes is the largest write buffer that a connection keeps while there is nothing to write.
 	maxKeptBufferBytes = 64 << 10
@@ -46,8 +46,8 @@
 	}
 }
 
-// flush writes the queued requests, unless that could block or another goroutine is writing; writeLoop writes them
-// then.
+// flush writes the queued requests, unless that could block or another goroutine is writing; in these cases writeLoop
+// writes them.
 func (c *connection) flush() {
 	c.mu.Lock()
 	if c.queuedBytes-c.answeredBytes > maxDirectBytes {
--- a/client/internal/balance/choice.go
+++ b/client/internal/balance/choice.go
@@ -25,7 +25,7 @@
 	RetryAt time.Duration // set for Wait and AllRejecting
 }
 
-// never is the time at which a proxy becomes usable if only a change can make it so.
+// never stands for the time at which a proxy becomes usable if only a change can make it usable.
 const never = time.Duration(math.MaxInt64)
 
 // Choose decides where the next request goes. avoid, if not nil, is the proxy at which the last attempt failed; it is
@@ -96,7 +96,7 @@
 	case p.isBlocked(now):
 		return false, p.blockedUntil
 	case p.rejections >= rejectionsToBlock && p.inFlight > 0:
-		return false, never // a single request tests whether it still rejects
+		return false, never // a single request tests whether the proxy still rejects requests
 	case p.hasCapacity(&b.settings):
 		return true, 0
 	case p.conns+p.draining+p.dialing >= b.settings.MaxConns || p.dialing > 0:
--- a/client/internal/balance/connections.go
+++ b/client/internal/balance/connections.go
@@ -36,7 +36,7 @@
 	span := min(b.settings.ReconnectSpread<<rounds, b.settings.MaxReconnectSpread)
 	b.failedDials++
 	p.dialNotBefore = now + b.drawTime(span)
-	// After a whole round of failed dials all proxies are probably down together, so the others wait as long.
+	// After a whole round of failed dials all proxies are probably down together, so no other proxy is dialed before p.
 	if b.failedDials >= round && !b.hasConnection() {
 		for _, q := range b.proxies {
 			q.dialNotBefore = max(q.dialNotBefore, p.dialNotBefore)
@@ -78,7 +78,7 @@
 	if p.conns > 0 {
 		return
 	}
-	// The proxies that replace it must not all be dialed at once either.
+	// The proxies that replace the lost one must not all be dialed at once either.
 	for _, q := range b.proxies {
 		if q != p && q.conns+q.dialing == 0 {
 			b.postponeDial(q, now)
--- a/client/internal/balance/proxy.go
+++ b/client/internal/balance/proxy.go
@@ -20,7 +20,7 @@
 	dialing       int
 	dialNotBefore time.Duration
 
-	failureWeight    float64 // at failureDecayedAt
+	failureWeight    float64 // weight of the failures at failureDecayedAt
 	failureDecayedAt time.Duration
 	rejections       int // in a row
 	blockedUntil     time.Duration
--- a/client/internal/retry/outcome.go
+++ b/client/internal/retry/outcome.go
@@ -6,7 +6,7 @@
 // Values of [Effect].
 const (
 	Safe   Effect = iota // idempotent: running it again does no harm
-	Keyed                // idempotent with key: nodes drop duplicates by it within the dedup window
+	Keyed                // idempotent with key: nodes drop duplicates with the same key within the dedup window
 	Unsafe               // not idempotent: it takes effect again
 )
 
--- a/client/internal/retry/policy.go
+++ b/client/internal/retry/policy.go
@@ -28,8 +28,8 @@
 // while the machine is suspended; Wall may step but advances during suspension.
 type Timestamp struct{ Monotonic, Wall time.Duration }
 
-// since returns the time from earlier to t, by the clock on which it is longer: taking a dedup window for closed too
-// early costs an answer, taking it for open too long causes a duplicate effect.
+// since returns the time from earlier to t, by the clock on which it is longer: considering a dedup window closed too
+// early costs an answer, considering it open too long causes a duplicate effect.
 func (t Timestamp) since(earlier Timestamp) time.Duration {
 	return max(t.Monotonic-earlier.Monotonic, t.Wall-earlier.Wall)
 }
--- a/client/internal/retry/request.go
+++ b/client/internal/retry/request.go
@@ -33,9 +33,9 @@
 // never sent or whose connection was lost.
 const maxFreeRetries = 16
 
-// NewRequest returns a request that ends by deadline. Once it was rejected it is not sent again after latencyObjective,
-// unless that is 0: a service without capacity would answer it late in place of another request that is in time. Both
-// are times on the monotonic clock.
+// NewRequest returns a request that ends by deadline. Once rejected, the request is not sent again after
+// latencyObjective, unless that is 0: a service without capacity would answer it late in place of another request that
+// is in time. Both are times on the monotonic clock.
 func NewRequest(policy *Policy, effect Effect, latencyObjective, deadline time.Duration) Request {
 	return Request{policy: policy, effect: effect, latencyObjective: latencyObjective, deadline: deadline}
 }
--- a/client/internal/retry/throttle.go
+++ b/client/internal/retry/throttle.go
@@ -43,8 +43,8 @@
 	return min(max(0, excess/(t.requests+1)), maxRejectProbability)
 }
 
-// Allow reports whether one more request, first attempt or retry, may be sent at now. A request that it rejects counts
-// at once; one that is sent counts when it ends, because its outcome is not known before.
+// Allow reports whether one more request, first attempt or retry, may be sent at now. A request that Allow rejects
+// counts immediately; one that is sent counts when it ends, because its outcome is not known before.
 func (t *Throttle) Allow(now time.Duration, rng *rand.Rand) bool {
 	probability := t.RejectProbability(now)
 	if probability == 0 || rng.Float64() >= probability {
--- a/client/options.go
+++ b/client/options.go
@@ -15,7 +15,7 @@
 // Values of [Effect].
 const (
 	Safe   = retry.Safe   // idempotent: running it again does no harm
-	Keyed  = retry.Keyed  // idempotent with key: nodes drop duplicates by it within the dedup window
+	Keyed  = retry.Keyed  // idempotent with key: nodes drop duplicates with the same key within the dedup window
 	Unsafe = retry.Unsafe // not idempotent: it takes effect again, so it is never retried once it may have run
 )
 
@@ -51,13 +51,13 @@
 	Tries int
 	// RetryRatio is the number of retries that each success adds to the retry budget; default 0.1. RetryBurst is the
 	// number of retries that can be saved up; default 3. Keyed writes may overdraw the budget by RetryBurst. A negative
-	// RetryRatio allows no retries except of a call whose connection ended.
+	// RetryRatio allows no retries except for calls whose connection ended.
 	RetryRatio, RetryBurst float64
 
 	// Subset is the number of proxies that the client uses at a time; default 3.
 	Subset int
-	// Conns is the maximum number of connections to one proxy, default 4; Depth that of requests on one connection at a
-	// time, default 32.
+	// Conns is the maximum number of connections to one proxy; default 4. Depth is the maximum number of requests on
+	// one connection at a time; default 32.
 	Conns, Depth int
 	// MaxWaiting is the maximum number of calls that wait for a connection; default 16384. Further calls are refused.
 	MaxWaiting int
--- a/client/pool.go
+++ b/client/pool.go
@@ -90,7 +90,7 @@
 	if err != nil || c.closed {
 		c.balancer.DialFailed(proxy, now)
 		c.counters.dialFails.Add(1)
-		c.wakeLocked(c.waiters.Len()) // they choose again
+		c.wakeLocked(c.waiters.Len()) // the woken calls choose a proxy again
 		c.mu.Unlock()
 		if err == nil {
 			socket.Close()
@@ -106,8 +106,8 @@
 	c.mu.Unlock()
 }
 
-// growthThreshold is the number of requests on each connection to a proxy from which on another one is opened. Answers
-// come in the order of the requests, so a slow one delays those behind it.
+// growthThreshold is the number of requests on each connection to a proxy at which the client opens another connection.
+// Answers come in the order of the requests, so a slow one delays those behind it.
 const growthThreshold = 2
 
 // pickConnLocked returns the connection to a proxy with the fewest requests, or nil if none has capacity. It starts to
@@ -115,7 +115,7 @@
 // held.
 func (c *Client) pickConnLocked(proxy *balance.Proxy, now time.Duration) (best *connection) {
 	for _, conn := range c.conns[proxy] {
-		// Including abandoned requests, a connection may hold twice its depth.
+		// A connection may hold up to twice options.Depth requests, including abandoned ones.
 		if conn.draining || conn.inFlight >= 2*c.options.Depth {
 			continue
 		}
--- a/client/source.go
+++ b/client/source.go
@@ -14,9 +14,9 @@
 
 // Source provides the list of proxies.
 type Source interface {
-	// Follow calls update with the complete list of host:port addresses, first at once and then after each change,
-	// until ctx ends or an error occurs; after an error the client calls it again with a delay. An empty list does not
-	// take effect: the previous one stays in use.
+	// Follow calls update with the complete list of host:port addresses, once immediately and then after each change,
+	// until ctx ends or an error occurs; after an error the client calls Follow again with a delay. An empty list does
+	// not take effect: the previous one stays in use.
 	Follow(ctx context.Context, update func(addresses []string)) error
 }
 
@@ -64,7 +64,7 @@
 
 // File returns a source that reads its list from a file: one address per line, with comments from # on. The file is
 // read again each second. A change takes effect once two reads in a row have returned it, because the first one may
-// have met a half-written file.
+// have read a half-written file.
 func File(path string) Source { return fileSource{path, filePollInterval} }
 
 const maxFileBytes = 1 << 20
--- a/internal/binary/opcode.go
+++ b/internal/binary/opcode.go
@@ -44,7 +44,7 @@
 type Handling uint8
 
 // The ways of handling. Unsupported commands need operations that a read-through node cannot execute: a condition on
-// the stored value, or a change of it without an idempotency key by which repeats could be dropped.
+// the stored value, or a change of it without an idempotency key by which nodes could drop duplicates.
 const (
 	Unknown     Handling = iota // no such command
 	Unsupported                 // known, but never sent to a node
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -37,7 +37,8 @@
 	quietPeriod = 250 * time.Millisecond
 
 	// minFraction is the fraction of the share, or of one connection per node if that is less, that remains after any
-	// number of rejections: a node that rejects for another reason must not cost the connections to other nodes too.
+	// number of rejections: a node that rejects for another reason must not make the proxy lose its connections to
+	// other nodes too.
 	minFraction = 0.25
 
 	// unboundedPerNode is the budget per node if nodes have no known limit; a proxy never opens that many.
@@ -59,7 +60,7 @@
 // now as the duration since a fixed start.
 type Budget struct {
 	capacity      Capacity
-	fraction      float64 // of the share, initially 1
+	fraction      float64 // fraction of the share that may be used, initially 1
 	updated       time.Duration
 	lastRejection time.Duration
 	started       bool
@@ -87,7 +88,7 @@
 }
 
 // Limit returns the number of connections to all nodes that may stay open. Callers close idle connections in excess of
-// it, but must not delay or reject a request because of it.
+// the limit, but must not delay or reject a request because of it.
 func (b *Budget) Limit(now time.Duration, nodes int) int {
 	if b.capacity.ConnectionsPerNode <= 0 {
 		return max(nodes, 1) * unboundedPerNode
--- a/internal/frontend/binary/binary.go
+++ b/internal/frontend/binary/binary.go
@@ -7,8 +7,8 @@
 //
 //  1. Answers are sent in the order of the commands. A quiet command is not answered if it succeeds, a quiet get if it
 //     misses; everything else is answered.
-//  2. A write reaches a keyed class only with a valid ticket, and with an idempotency key derived from it, so its
-//     repeat through any proxy is dropped or rejected.
+//  2. A write reaches a keyed class only with a valid ticket, and with an idempotency key derived from it, so a
+//     duplicate of the write through any proxy is dropped or rejected.
 //  3. If users are configured, clients that have not authenticated as a user in the current users file can only
 //     execute SASL, VERSION, NOOP and QUIT commands.
 //  4. No length is used before the codec has validated it, and bodies are read only within the budget.
@@ -49,7 +49,7 @@
 // Frontend is the state that all binary clients of a proxy share.
 type Frontend struct {
 	rules    atomic.Pointer[Rules] // nil while the frontend is disabled
-	idPrefix string                // of request ids; random, so that it differs between proxies and their restarts
+	idPrefix string                // prefix of request ids; random, to differ between proxies and between restarts
 	lastID   atomic.Uint64
 	stats    func(kind string) []core.Stat
 
--- a/internal/frontend/binary/requests.go
+++ b/internal/frontend/binary/requests.go
@@ -80,11 +80,11 @@
 	case !isKeyed:
 		return codec.OK
 	case !hasTicket:
-		return codec.InvalidArguments // without a ticket nodes could not drop repeats
+		return codec.InvalidArguments // without a ticket, nodes could not drop duplicates of the write
 	}
 	remaining := ticket.Remaining(cas, time.Now(), window)
 	if remaining <= 0 {
-		return codec.Exists // may be a late repeat; the client has to read again for a new ticket
+		return codec.Exists // may be a late duplicate; the client has to read again for a new ticket
 	}
 	in.Timeout = min(in.Timeout, remaining)
 	in.IdempotencyKey = ticket.IdempotencyKey(cas, in.Key, in.Value)
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -57,7 +57,7 @@
 	mu      sync.Mutex // guards the fields below
 	changed sync.Cond  // signals changes of slots, gone and writingSince
 
-	slots           []*Slot   // of the commands whose answers have not been taken for writing, in command order
+	slots           []*Slot   // slots whose answers have not been taken for writing, in the order of the commands
 	inCommand       bool      // the reader is reading or executing a command
 	commandDeadline time.Time // for reading the rest of that command; zero between commands
 	hasReceived     bool      // the first byte of a command has been received
@@ -134,7 +134,7 @@
 	c.host.Core.ClientDisconnected(unanswered)
 }
 
-// Close closes the connection at once, even if commands are in flight. The reason is for the event log.
+// Close closes the connection immediately, even if commands are in flight. The reason is for the event log.
 func (c *Conn) Close(reason string) {
 	c.mu.Lock()
 	c.noteReason(reason)
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -40,7 +40,7 @@
 // Command is a client's command: a request, a Noop or a Stats. The value of a Set follows its line.
 type Command struct {
 	request.Request
-	Noop     bool // mn
+	Noop     bool // the command mn
 	Stats    bool // requests statistics of the kind named by Key, the general ones for ""
 	ValueLen int  // of a Set's value, in bytes
 }
@@ -161,7 +161,7 @@
 	if strings.HasSuffix(list, ",") {
 		return "bad P" // an inserted timeout would follow an empty parameter
 	}
-	seen := "" // one-letter names so far
+	seen := "" // the one-letter parameter names read so far
 	for start := end - len(list); list != ""; {
 		param, rest, _ := strings.Cut(list, ",")
 		name, value, ok := strings.Cut(param, "=")
@@ -250,8 +250,8 @@
 	return name != "" && len(name) <= MaxID && printable(name) && !strings.ContainsAny(name, ",=")
 }
 
-// printable reports whether a text has no spaces or control characters: a peer that is not strict would take a lone CR
-// in a forwarded line for the end of the line.
+// printable reports whether a text has no spaces or control characters: a peer that is not strict would treat a lone CR
+// in a forwarded line as the end of the line.
 func printable(s string) bool {
 	const del = 0x7f
 	for i := range len(s) {
--- a/internal/meta/node.go
+++ b/internal/meta/node.go
@@ -19,8 +19,8 @@
 // NodeDialect is the dialect towards cache nodes.
 type NodeDialect struct{}
 
-// AppendHead appends a request up to its value. If the request has a client's line, that line is appended with the time
-// that the proxy waits instead of the client's timeout; else a new line.
+// AppendHead appends a request up to its value. If the request has a client's line, AppendHead appends that line with
+// the time that the proxy waits instead of the client's timeout. Otherwise it formats a new line.
 func (NodeDialect) AppendHead(dst []byte, r *request.Request, timeout time.Duration) []byte {
 	millis := max(int64(timeout/time.Millisecond), 1)
 	raw := &r.Raw
--- a/internal/sasl/limiter.go
+++ b/internal/sasl/limiter.go
@@ -6,8 +6,8 @@
 const (
 	GuessBurst          = 8
 	GuessRefillInterval = 2 * time.Second
-	// maxSources bounds the sources that have their own bucket. All others share one, so that a guesser with many
-	// addresses cannot exhaust the memory.
+	// maxSources bounds the sources that have their own bucket. All other sources share one bucket, so that a guesser
+	// with many addresses cannot exhaust the memory.
 	maxSources = 1024
 )
 
@@ -24,7 +24,7 @@
 	updatedAt time.Time
 }
 
-// NewGuessLimiter returns a GuessLimiter that has seen no guess.
+// NewGuessLimiter returns a GuessLimiter with a full bucket for every source.
 func NewGuessLimiter() *GuessLimiter { return &GuessLimiter{sources: make(map[string]*guessBucket)} }
 
 // Allow takes one guess from the bucket of a source, and reports whether there was one.
--- a/internal/sasl/users.go
+++ b/internal/sasl/users.go
@@ -24,7 +24,7 @@
 	"sync"
 )
 
-// User is a user of the file. Two User values are equal if name and hashed secret are.
+// User is a user of the file. Two User values are equal if their names and hashed secrets are equal.
 type User struct {
 	Name       string
 	iterations int
@@ -39,7 +39,7 @@
 
 	verifiedKey []byte // key of the hashes in verified
 	mu          sync.Mutex
-	verified    map[string][]byte // fast hashes of secrets that were correct, by name; guarded by mu
+	verified    map[string][]byte // fast hashes of secrets that were correct, by user name; guarded by mu
 }
 
 // ParseUsers parses a users file. It has a line NAME:pbkdf2-sha256:ITERATIONS:SALT:HASH for each user, with salt and
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -36,18 +36,18 @@
 	abandoned bool   // nobody waits for the answer
 }
 
-// Handler checks attempts before they are written and is told how they end. The package holds no lock while it
+// Handler checks attempts before they are written and is notified of how they end. The package holds no lock while it
 // calls the handler.
 type Handler interface {
-	// BeforeWrite returns the attempts of a batch that may still be written. The handler drops the others,
-	// which thereby end without a call of Ended. It may reuse the batch's memory.
+	// BeforeWrite returns the attempts of a batch that may still be written. The handler drops the others, for which
+	// Ended is not called. The result may reuse the batch's memory.
 	BeforeWrite(batch []*Attempt) []*Attempt
 	// WrittenLate reports that the first bytes of a batch were written long after BeforeWrite had returned it,
 	// because the process was paused in between or the node accepted no data.
 	WrittenLate(batch []*Attempt, delay time.Duration)
 	// Answered ends an attempt with a served answer. The handler owns the answer from then on.
 	Answered(a *Attempt, answer *request.Answer)
-	// Ended ends an attempt that was not served. answer is the node's busy or error answer, nil if there is none.
+	// Ended ends an attempt that was not served. answer is the node's busy or error answer, nil without one.
 	Ended(a *Attempt, answer *request.Answer, result Result)
 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -18,7 +18,7 @@
 	openedAt   time.Time
 	lastActive time.Time // when an answer last began or ended, or an idle connection got an attempt
 
-	queued       []*Attempt // no byte written yet
+	queued       []*Attempt // attempts of which no byte has been written
 	beingChecked int        // number of attempts that the writer has taken and the handler is checking
 	inFlight     []*Attempt // written or being written, in the order in which their answers come
 	incomplete   int        // number of attempts at the end of inFlight whose last byte has not been written
@@ -73,8 +73,8 @@
 	c.writerWake.Signal()
 }
 
-// retire stops assigning attempts to the connection, and closes it once it is no longer in use. The reason is
-// for the event log if the connection closes now.
+// retire stops assigning attempts to the connection, and closes it once it is no longer in use. If the connection
+// closes now, reason goes to the event log.
 func (c *conn) retire(reason string) {
 	c.retired = true
 	if !c.inUse() {
@@ -82,8 +82,7 @@
 	}
 }
 
-// close closes the connection. Its reader and writer then stop and end its attempts. The reason is for the event
-// log.
+// close closes the connection. Its reader and writer then stop and end its attempts. reason goes to the event log.
 func (c *conn) close(reason string) {
 	if c.closed {
 		return
@@ -107,10 +106,10 @@
 	c.writerWake.Signal()
 }
 
-// discardUndelivered makes the kernel reset the connection on close, and discard the data that it has not
-// delivered, if an attempt in flight has side effects. Otherwise the kernel would deliver that data once a broken
-// network link is restored, long after the window in which nodes drop repeats. The drawback is that a node that
-// was just about to answer sees a reset.
+// discardUndelivered makes the kernel reset the connection on close and discard the data that it has not delivered, if
+// an attempt in flight has side effects. Otherwise the kernel would deliver that data once a broken network link is
+// restored, long after the window in which nodes drop duplicates. The drawback is that a node that was just about to
+// answer gets a reset.
 func (c *conn) discardUndelivered() {
 	if slices.ContainsFunc(c.inFlight, func(a *Attempt) bool { return a.Request.SideEffects }) {
 		c.socket.SetLinger(0)
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -8,9 +8,9 @@
 )
 
 // Bounds of the backoff after a failed dial to a node. The first failure causes no backoff: networks reset single
-// connections, and on the few connections that are left attempts would wait for one another and end together.
-// The backoff doubles with each further failure, so a node at its connection limit still sees a few dials before
-// the backoff is long.
+// connections, and attempts on the few remaining connections would wait for one another and end together. The backoff
+// doubles with each further failure, so a node at its connection limit still gets a few dials before the backoff is
+// long.
 const (
 	minDialBackoff = 50 * time.Millisecond
 	maxDialBackoff = 4 * time.Second
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -133,8 +133,8 @@
 	return true
 }
 
-// makeCapacity reports whether the limit allows one more connection. At the limit it closes an idle one, if there
-// is any. p.mu is held.
+// makeCapacity reports whether the limit allows one more connection. At the limit it closes an idle connection, if
+// there is any, to make this possible. p.mu is held.
 func (p *Pool) makeCapacity() bool {
 	return p.connections < p.limits.MaxConnections || p.closeOldest("connection limit")
 }
@@ -152,8 +152,8 @@
 }
 
 // handleConnectionLimit retires a connection that was rejected by a node at its connection limit, and reduces the
-// connection budget. The node is healthy, but other proxies use its connections; every proxy that meets such
-// nodes keeps fewer connections.
+// connection budget. The node is healthy, but other proxies use its connections; each proxy that such nodes reject then
+// keeps fewer connections.
 func (p *Pool) handleConnectionLimit(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -65,8 +65,8 @@
 	connections        int  // open or being established, to all nodes
 	closed             bool // Run is ending: nothing is sent or dialed any more
 	counts             Counts
-	lastWarning        time.Time     // of a malformed answer
-	suppressedWarnings int           // since lastWarning
+	lastWarning        time.Time     // time of the last warning about a malformed answer
+	suppressedWarnings int           // malformed answers since lastWarning that were not logged
 	closeCheckTimeout  time.Duration // the constant closeCheckTimeout, except in tests, which need longer
 }
 
@@ -98,8 +98,8 @@
 // SetRecorder sets the event log for connection events. It must be called before the first attempt is sent.
 func (p *Pool) SetRecorder(recorder *eventlog.Recorder) { p.recorder = recorder }
 
-// SetLimits replaces the limits. Connections in excess of the new limits are closed when they become idle, not at
-// once.
+// SetLimits replaces the limits. Connections in excess of the new limits are not closed immediately, but when they
+// become idle.
 func (p *Pool) SetLimits(limits Limits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,8 +138,8 @@
 	}
 }
 
-// RemoveNodes removes nodes and ignores unknown names. Attempts already sent to a node still end as usual; its state
-// is kept until its last connection and dial have ended.
+// RemoveNodes removes nodes and ignores unknown names. Attempts already sent to a node still end as usual; the state of
+// the node is kept until its last connection and dial have ended.
 func (p *Pool) RemoveNodes(names []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// firstInFlight returns the oldest attempt in flight, which the next answer belongs to. It fails if there is none or
-// the connection is closed.
+// firstInFlight returns the oldest attempt in flight, which the next answer belongs to. It returns an error if no
+// attempt is in flight or the connection is closed.
 func (c *conn) firstInFlight() (*Attempt, error) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -104,8 +104,8 @@
 	return c.inFlight[0], nil
 }
 
-// completeFirst removes the attempt that was just answered. If data beyond its answer has arrived and nothing else
-// is in flight, the connection gets no new attempts, since the data could be taken for the answer to the next one.
+// completeFirst removes the attempt that was just answered. If data beyond its answer has arrived and nothing else is
+// in flight, the connection gets no new attempts, since the data could be read as the answer to the next attempt.
 func (c *conn) completeFirst(in *bufio.Reader) {
 	moreArrived := in.Buffered() > 0 || socket.Readable(c.socket)
 	c.pool.mu.Lock()
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -21,7 +21,7 @@
 	lateWriteThreshold = 300 * time.Millisecond
 )
 
-// runWriter writes queued attempts until the connection is closed, all that are queued in one batch.
+// runWriter writes the queued attempts, all that are queued at a time in one batch, until the connection is closed.
 func (c *conn) runWriter() {
 	var buffer []byte // reused between batches
 	c.pool.mu.Lock()
@@ -59,7 +59,7 @@
 	batch = c.writeBatch(parts, batch, checkedAt)
 	c.writing = false
 	if slices.ContainsFunc(batch, func(a *Attempt) bool { return a.abandoned }) {
-		c.retired = true // one was abandoned while it was being written
+		c.retired = true // an attempt was abandoned while it was being written
 	}
 	if c.retired && !c.writeFailed && !c.inUse() {
 		c.close("no attempt waited for")
@@ -83,7 +83,7 @@
 		if timedOut && !c.closed {
 			batch = c.requeueNotStarted(batch, written)
 			parts = firstBytes(parts, batchSize(batch)-written)
-			if c.retired && !c.hasWaiters() { // nobody waits for the rest
+			if c.retired && !c.hasWaiters() { // nobody waits for the remaining attempts
 				c.close("attempt abandoned while written")
 			}
 		}
@@ -119,8 +119,8 @@
 	return batch[:count]
 }
 
-// failWrites retires a connection that can't be written to. Answers that came before the failure may be unread, so
-// the reader may read on for answerTimeout until it meets the end. Pool.mu is held.
+// failWrites retires a connection that can't be written to. Answers that came before the failure may be unread, so the
+// reader may continue for up to answerTimeout until it reads the end of the connection. Pool.mu is held.
 func (c *conn) failWrites() {
 	c.writeFailed, c.retired = true, true
 	if !c.closed {
