--- a/client/connection.go
+++ b/client/connection.go
@@ -60,8 +60,8 @@
 	valueRead    int           // bytes of partial's value that were read
 
 	// Guarded by the client's mu.
-	inFlight  int // requests on it, including abandoned ones
-	awaited   int // requests on it whose callers still wait
+	inFlight  int // requests on the connection, including abandoned ones
+	awaited   int // requests on the connection whose callers still wait
 	draining  bool
 	idleSince time.Duration // when the last caller stopped waiting
 
@@ -158,7 +158,7 @@
 // writing.
 func (c *connection) checkBeforeWrite(deadline time.Duration) bool {
 	err := c.checkAlive()
-	if isTimeout(err) { // the context of an earlier caller was cancelled at that moment
+	if isTimeout(err) { // an earlier caller's cancelled context has changed the read deadline
 		c.setReadDeadline(deadline)
 		err = c.checkAlive()
 	}
@@ -203,7 +203,7 @@
 }
 
 // deliver sets the outcome of an attempt. A caller that still waits counts the end of the attempt itself; for an
-// abandoned one deliver does.
+// abandoned attempt, deliver counts it.
 func (c *connection) deliver(t *attempt, a *answer) {
 	if t.state.Load() == attemptWaiting {
 		t.outcome = a.outcome
@@ -270,7 +270,7 @@
 			a.outcome = retry.NotSent
 		case t.sentAt+t.timeout <= now:
 			a.outcome = retry.TimedOut
-		case i == 0 && malformed: // the others have received no answer
+		case i == 0 && malformed: // the other attempts have received no answer
 			a.outcome = retry.MalformedAnswer
 		}
 		c.deliver(t, &a)
--- a/client/connread.go
+++ b/client/connread.go
@@ -75,7 +75,7 @@
 				c.yieldReading()
 				return a
 			}
-			<-t.done // the connection ended at the same moment, but the answer is complete
+			<-t.done // the connection ended just now, but the answer is complete
 			return a
 		}
 		if !isTimeout(err) {
@@ -88,7 +88,7 @@
 			a = contextAnswer(ctx)
 		case deadline <= c.client.options.clock().Monotonic:
 			a = answer{outcome: retry.TimedOut, cause: context.DeadlineExceeded}
-		default: // the deadline of an earlier reader
+		default: // an earlier reader's deadline expired
 			c.setReadDeadline(deadline)
 			continue
 		}
@@ -98,7 +98,7 @@
 
 // abandonReading gives up waiting for an answer. The outcome is a, unless the connection has set another one before.
 func (c *connection) abandonReading(t *attempt, a answer) answer {
-	// Change the state before releasing reading, because the next reader may find the answer at once.
+	// Change the state before releasing reading, because the next reader may find the answer immediately.
 	if !t.state.CompareAndSwap(attemptWaiting, attemptAbandoned) {
 		<-t.done
 		return t.answer()
@@ -144,7 +144,7 @@
 			c.setReadDeadline(0)
 		}
 		err := c.readAnswer(t)
-		if isTimeout(err) { // the deadline of an earlier reader
+		if isTimeout(err) { // an earlier reader's deadline expired
 			c.setReadDeadline(0)
 			continue
 		}
--- a/client/internal/retry/linearizability_test.go
+++ b/client/internal/retry/linearizability_test.go
@@ -116,7 +116,7 @@
 		s.after(s.upTo(wait), func() { end(ConnectionLost, 0) })
 	case 3:
 		s.after(s.upTo(wait), func() { end(Failed, 0) })
-	case 4: // the connection is lost at once, before a node starts the write
+	case 4: // the connection is lost immediately, before a node starts the write
 		s.after(s.upTo(ms), func() { end(ConnectionLost, 0) })
 	case 5:
 		s.after(s.upTo(wait), func() { end(MalformedAnswer, 0) })
@@ -163,7 +163,7 @@
 		return
 	}
 	start := c.now
-	if c.rng.IntN(3) == 0 { // a read, which returns the current count at once
+	if c.rng.IntN(3) == 0 { // a read, which returns the current count immediately
 		c.operations = append(c.operations, porcupine.Operation{
 			ClientId: c.id,
 			Input:    opRead,
--- a/internal/frontend/binary/binary.go
+++ b/internal/frontend/binary/binary.go
@@ -94,7 +94,8 @@
 	return &session{frontend: f, host: host, conn: c, listener: listener}
 }
 
-// TimeoutAnswer implements frontend.Session. It returns nil: an incomplete command has no opaque to answer with.
+// TimeoutAnswer implements frontend.Session. It returns nil: an incomplete command is not answered, and if its header
+// is incomplete there is no opaque to answer with.
 func (s *session) TimeoutAnswer() []byte { return nil }
 
 // ServeCommand implements frontend.Session.
--- a/internal/proxy/binary_commands_test.go
+++ b/internal/proxy/binary_commands_test.go
@@ -77,8 +77,8 @@
 	codec.GetQ: codec.OK, codec.GetKQ: codec.OK,
 }
 
-// TestEveryOpcodeIsAnswered sends all opcodes on one connection: each gets a response, and the next command is still
-// parsed correctly.
+// TestEveryOpcodeIsAnswered checks that each opcode except SetQ and QuitQ, whose success is silent, gets a response,
+// and that the next command on the same connection is still parsed correctly.
 func TestEveryOpcodeIsAnswered(t *testing.T) {
 	f := startNodes(t)
 	c := startProxy(t, f.addresses, "[binary]\n").dial()
@@ -134,8 +134,8 @@
 	return codec.UnknownCommand
 }
 
-// TestUnreadableBinaryCommands sends invalid and incomplete commands. If an opaque has arrived there must be a response
-// with it, and the connection must be closed. Other clients are still served.
+// TestUnreadableBinaryCommands checks that a command with an invalid header gets a response with its opaque, that an
+// incomplete command gets none, and that the connection is closed in both cases. Other clients are still served.
 func TestUnreadableBinaryCommands(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "[binary]\n")
--- a/internal/proxy/binary_test.go
+++ b/internal/proxy/binary_test.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestDrainWaitsForQuietCommands starts a drain between a quiet get that missed and its Noop. The client has no
-// response to the get yet, so its connection must not be closed.
+// TestDrainWaitsForQuietCommands checks that a drain that starts between a quiet get that missed and its Noop does not
+// close the connection before the Noop: the client has no response to the get yet.
 func TestDrainWaitsForQuietCommands(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "[binary]\n")
@@ -82,8 +82,8 @@
 	waiting.expectEnd()
 }
 
-// TestBinaryListenerServesBinaryClients has binary clients connect to a listener for them only. That listener must not
-// serve meta clients, nor the main listener binary ones.
+// TestBinaryListenerServesBinaryClients checks that a listener for binary clients only serves them and no meta clients,
+// and that the main listener then serves no binary clients.
 func TestBinaryListenerServesBinaryClients(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses,
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -52,7 +52,7 @@
 // disconnectTest is a test with a kind of request and a way to disconnect.
 type disconnectTest func(t *testing.T, request func(id string) string, disconnect func(net.Conn))
 
-// forEachDisconnect runs a test for each of some effects and each way to disconnect.
+// forEachDisconnect runs a test for each of the given effects and each way to disconnect.
 func forEachDisconnect(t *testing.T, effects []string, test disconnectTest) {
 	for _, effect := range effects {
 		request := requestsByEffect[effect]
@@ -267,8 +267,9 @@
 	}
 }
 
-// TestBurstsReleaseAllResources has hundreds of clients send requests of every kind, invalid and incomplete ones too,
-// and disconnect all at once. Other clients still get responses, and places, budgets and descriptors are released.
+// TestBurstsReleaseAllResources checks that places, budgets and descriptors are released after hundreds of clients have
+// sent requests of every kind, invalid and incomplete ones too, and disconnected all at the same time. Other clients
+// still get responses.
 func TestBurstsReleaseAllResources(t *testing.T) {
 	h := startHarnessWith(t, 1024, withUnsafeClass, startNode(t, func(c nodeCommand) {
 		if !strings.HasPrefix(c.id, "burst") {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -28,8 +28,9 @@
 	})
 }
 
-// TestLateRequestsInDrainAreRejected has a client keep sending commands on a connection that stays open for a response
-// that hangs. They are rejected at once, since closing a connection with unread commands would lose that response.
+// TestLateRequestsInDrainAreRejected checks that commands that a client keeps sending in a drain are rejected
+// immediately while their connection stays open for a response that hangs. Closing a connection with unread commands
+// would lose that response.
 func TestLateRequestsInDrainAreRejected(t *testing.T) {
 	for effect, request := range requestsByEffect {
 		t.Run(effect, func(t *testing.T) {
@@ -65,8 +66,8 @@
 	}
 }
 
-// TestDrainStartsWithAllPlacesTaken starts a drain while the accept loop waits for a free place. No place becomes free,
-// as all clients keep sending, so the drain must end the wait.
+// TestDrainStartsWithAllPlacesTaken checks that a drain that starts while the accept loop waits for a free place ends
+// this wait. No place becomes free by itself, as all clients keep sending.
 func TestDrainStartsWithAllPlacesTaken(t *testing.T) {
 	h := startHarness(t, 64, startNode(t, nodeCommand.serve))
 	var clients sync.WaitGroup
@@ -98,8 +99,8 @@
 	waiting.socket.Close()
 }
 
-// TestPendingConnectionsDoNotDelayDrain starts a drain while requests wait for a connection to a node that would stay
-// pending for an hour.
+// TestPendingConnectionsDoNotDelayDrain checks that a drain is not delayed by requests that wait for a connection to a
+// node that would stay pending for an hour.
 func TestPendingConnectionsDoNotDelayDrain(t *testing.T) {
 	d, err := unresponsive.Start()
 	if err != nil {
@@ -127,8 +128,9 @@
 	testutil.Receive(t, "the end of Serve", h.serveEnded())
 }
 
-// TestUnfinishedRequestsAreAnswered has the drain time out before the requests do, as in a process that was stalled.
-// Each request still gets a response, and only those that are safe to repeat get one that invites a retry.
+// TestUnfinishedRequestsAreAnswered checks that each request still gets a response if the drain times out before the
+// requests do, as in a process that was stalled. Only requests that are safe to retry get a response that invites a
+// retry.
 func TestUnfinishedRequestsAreAnswered(t *testing.T) {
 	arrived := make(chan string, 100)
 	h := startHarnessWith(t, 256, withUnsafeClass, startNode(t, func(c nodeCommand) { arrived <- c.id }))
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// expectDifferentHandovers sends handovers that differ by value or by ticket: all take effect. A handover whose CAS is
-// not a ticket, or is a number of another server, reaches no node.
+// expectDifferentHandovers sends handovers that differ by value or by ticket, all of which must take effect. A handover
+// whose CAS is not a ticket, or is a number that another server issued, must reach no node.
 func expectDifferentHandovers(f *nodeFleet, a, b *testProxy) {
 	f.t.Helper()
 	first, second := a.dial(), b.dial()
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -33,11 +33,11 @@
 // ResourceLimits are the limits on connections and requests that come from the configuration, not from the resources of
 // the process.
 type ResourceLimits struct {
-	ConnectTimeout       time.Duration // of a connection to a node
-	NodeIdleTimeout      time.Duration // after which a node closes an idle connection
-	StreamsPerConnection int           // requests in flight on one connection to a node
-	ConnectionsPerNode   int           // opened by this proxy
-	MaxInFlight          int           // requests
+	ConnectTimeout       time.Duration // for establishing a connection to a node
+	NodeIdleTimeout      time.Duration // time after which a node closes an idle connection
+	StreamsPerConnection int           // maximum number of requests in flight on one connection to a node
+	ConnectionsPerNode   int           // maximum number of connections from this proxy to one node
+	MaxInFlight          int           // maximum number of requests in flight
 	ConnectionShare      connlimit.Capacity
 }
 
@@ -63,7 +63,7 @@
 		MaxConnections: nodeConnections,
 		MaxPipelined:   limits.StreamsPerConnection,
 		ConnectTimeout: limits.ConnectTimeout,
-		IdleTimeout:    limits.NodeIdleTimeout / 2, // well before the node closes it
+		IdleTimeout:    limits.NodeIdleTimeout / 2, // well before the node closes the connection
 		SilenceTimeout: longest + longest/2,
 		FleetShare:     limits.ConnectionShare,
 	}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// earlyCloseMargin is the number of free places at which idle connections begin to be closed. That is before all
-	// places are taken, because a closed connection counts until its client closes it too.
+	// earlyCloseMargin is the number of free places (client connections that maxClients still allows) at which idle
+	// connections begin to be closed. That is before all places are taken, because a closed connection counts until
+	// its client closes it too.
 	earlyCloseMargin = 16
 	// minIdleToEvict is how long a connection must have been idle before it is closed to make room.
 	minIdleToEvict = 100 * time.Millisecond
--- a/internal/proxy/nodefailures_test.go
+++ b/internal/proxy/nodefailures_test.go
@@ -12,9 +12,9 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestBrokenNodeConnectionsRepeatNoUnsafeRequest breaks connections to nodes in every way with requests of every effect
-// in flight. Each request gets one response, no request of an unsafe class reaches nodes twice, and every request of a
-// keyed class that reaches a node has its key.
+// TestBrokenNodeConnectionsRepeatNoUnsafeRequest checks that each request gets one response when connections to nodes
+// break in every way with requests of every effect in flight, that no request of an unsafe class reaches nodes twice,
+// and that every request of a keyed class that reaches a node has its key.
 func TestBrokenNodeConnectionsRepeatNoUnsafeRequest(t *testing.T) {
 	react := func(_ int, request scriptednode.ReceivedRequest) scriptednode.Reaction {
 		_, kind, _ := strings.Cut(request.ID, "-")
@@ -68,7 +68,8 @@
 	scriptednode.DuplicateAnswer, scriptednode.EndlessValue, scriptednode.Fail, scriptednode.Hang,
 }
 
-// expectOneResponse sends a request to which the node reacts in a way, and expects one response that fits the reaction.
+// expectOneResponse sends a request to which the node reacts with kind, and expects one response that fits this
+// reaction.
 func expectOneResponse(u *client, id, command string, kind scriptednode.Reaction) {
 	u.t.Helper()
 	mayBeServed := kind == scriptednode.DuplicateAnswer || kind == scriptednode.TruncatedAnswer
@@ -87,12 +88,12 @@
 		u.t.Errorf("%s: got %q", id, got)
 	}
 	u.send("mn\r\n")
-	u.expect("MN") // there was no second response before it
+	u.expect("MN") // no second response arrived before MN
 	u.socket.Close()
 }
 
-// TestQueuedRequestOfDisconnectedClientIsDropped has a client disconnect while its request waits between attempts, as
-// there is no node. The request must not be sent once there is one.
+// TestQueuedRequestOfDisconnectedClientIsDropped checks that a request whose client disconnects while the request waits
+// between attempts, as there is no node, is not sent once there is a node.
 func TestQueuedRequestOfDisconnectedClientIsDropped(t *testing.T) {
 	effects := []string{"safe", "keyed", "unsafe"}
 	forEachDisconnect(t, effects, func(t *testing.T, request func(string) string, disconnect func(net.Conn)) {
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -72,14 +72,14 @@
 // whole process with the limit, and the test binary under the race detector has reached 105 % of the default 64 MB.
 const highMemoryLimit = "[limits]\nmemory_mb = 640\n"
 
-// pinConfig returns a configuration that pins the overload level until a time.
+// pinConfig returns a configuration that pins the overload level; the pin ends at until.
 func pinConfig(until time.Time) string {
 	return "[service]\npin = \"handovers\"\npin_until = \"" + until.Format(time.RFC3339) + "\"\n[binary]\n" +
 		highMemoryLimit
 }
 
-// TestOverloadLevelIsReportedAndPinned checks what operators use: the overload level with its statistics and its
-// records of transitions, in both dialects, a pin that a reload sets, and the end of the pin.
+// TestOverloadLevelIsReportedAndPinned checks what operators use: the statistics of the overload level and the records
+// of its transitions, in both dialects, a pin that a reload sets, and the end of the pin.
 func TestOverloadLevelIsReportedAndPinned(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "[binary]\n"+highMemoryLimit)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -40,11 +40,11 @@
 type Server struct {
 	core        *core.Core
 	binary      *binary.Frontend
-	config      *Config // in force; written by Reload and ReloadSources only
+	config      *Config // the configuration in force; written by Reload and ReloadSources only
 	log         *slog.Logger
-	maxClients  int // places for client connections
+	maxClients  int // maximum number of client connections, also called places
 	memoryBytes int
-	listeners   []*clientListener // the main one first
+	listeners   []*clientListener // the main listener comes first
 	startedAt   time.Time
 
 	mu              sync.Mutex
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// awaitServed waits until more than 500 further requests have been served.
+// awaitServed waits until more than 500 requests have been served since its call.
 func (l *loadClients) awaitServed() {
 	l.t.Helper()
 	before := l.served.Load()
@@ -121,9 +121,10 @@
 	l.running.Wait()
 }
 
-// TestReloadBetweenSources switches a proxy under load from the platform's source to Consul and back. Both sources list
-// the same first node and different second ones, which shows the switch. No request is lost, and a node that only the
-// former source lists gets no request once the new source has delivered its list.
+// TestReloadBetweenSources checks that no request is lost when a proxy under load is switched from the platform's
+// source to Consul and back, and that a node that only the former source lists gets no request from drainGrace after
+// the new source has delivered its list. Both sources list the same first node and different second ones, which shows
+// the switch.
 func TestReloadBetweenSources(t *testing.T) {
 	nodes := startScriptedNodes(t, scriptednode.Meta, 3)
 	_, agent := startConsul(t, nodes, 0, 2)
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -98,7 +98,7 @@
 }
 
 // maxIdleClients returns how many clients may stay idle. From the overload level that prefers handovers on it is half
-// as many, so that a new handover finds a free place at once.
+// as many, so that a new handover finds a free place immediately.
 func (s *Server) maxIdleClients() int {
 	maxIdle := s.maxClients / idleShareDivisor
 	if s.core.OverloadLevel() >= overload.Handovers {
--- a/internal/proxy/users_test.go
+++ b/internal/proxy/users_test.go
@@ -45,8 +45,8 @@
 	return rawclient.AppendSASLPlain(nil, user, secret, authOpaque)
 }
 
-// TestReloadWithConnectionsOpen changes the routing table and a secret while connections are open: routes apply from
-// the next command, and a session of the former secret must authenticate again.
+// TestReloadWithConnectionsOpen checks that changed routes apply from the next command on open connections, and that a
+// session whose user's secret has changed must authenticate again.
 func TestReloadWithConnectionsOpen(t *testing.T) {
 	f := startNodes(t)
 	file := filepath.Join(t.TempDir(), "users")
@@ -64,7 +64,7 @@
 	boss := p.dial()
 	boss.send(authCommand("boss", "lily"), getCommand("k", 4))
 	boss.next(codec.OK, authOpaque)
-	boss.next(codec.NotSupported, 4) // it has no route
+	boss.next(codec.NotSupported, 4) // boss has no route
 	p.reload(text + "[[route]]\nprefix = \"k\"\nuser = \"boss\"\nclass = \"read\"\n")
 	boss.send(getCommand("k", 5), getCommand("other", 6))
 	boss.next(codec.OK, 5)
@@ -76,12 +76,12 @@
 	till.next(codec.AuthError, authOpaque)
 	till.next(codec.OK, authOpaque)
 	till.next(codec.OK, 8)
-	boss.send(getCommand("k", 7)) // the same secret, and the first table again
+	boss.send(getCommand("k", 7)) // the secret is unchanged, and the first routing table applies again
 	boss.next(codec.NotSupported, 7)
 }
 
-// TestPasswordGuessing guesses secrets on many connections. Each connection is closed after three guesses, and known
-// and unknown users get the same response. Once the allowance is used up not even the right secret is checked, so
+// TestPasswordGuessing checks that a connection is closed after three guesses, that known and unknown users get the
+// same response, and that once the allowance for guesses is used up not even the right secret is checked, so that
 // further guesses are of no use.
 func TestPasswordGuessing(t *testing.T) {
 	f := startNodes(t)
