--- a/internal/proxy/binary_test.go
+++ b/internal/proxy/binary_test.go
@@ -28,8 +28,8 @@
 	return nodes
 }
 
-// TestStalledReaderIsClosed guards against a client that sends a pipeline of large reads and reads no response: its
-// connection is closed, which frees its place and the memory reserved for it.
+// TestStalledReaderIsClosed checks that a client that sends a pipeline of large reads and reads no response is
+// disconnected, which frees its place and the memory reserved for its responses.
 func TestStalledReaderIsClosed(t *testing.T) {
 	nodes := startScriptedNodes(t, scriptednode.Binary, 2)
 	addresses := fmt.Sprintf("%q, %q", nodes.Address(0), nodes.Address(1))
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestDrainWaitsForQuietCommands starts a drain between a quiet get that missed and its Noop. The client has no
-// response to the get yet, so its connection must not be closed.
+// TestDrainWaitsForQuietCommands checks that a drain that starts between a quiet get that missed and its Noop does not
+// close the connection before the Noop: the client has no response to the get yet.
 func TestDrainWaitsForQuietCommands(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses, "[binary]\n")
@@ -74,16 +74,16 @@
 		return open == 0 && f.origin.Stats().Fetches >= 2
 	})
 	p.stop()
-	idle.expectEnd() // the drain has started and closes connections that wait for nothing
-	// Longer than any other connection may keep sending in a drain.
+	idle.expectEnd() // the drain has started and closes connections that wait for no response
+	// LingerTimeout is longer than any other connection may keep sending in a drain.
 	time.Sleep(frontend.LingerTimeout)
 	waiting.send(emptyCommand(codec.Noop, 3))
 	waiting.next(codec.OK, 3)
 	waiting.expectEnd()
 }
 
-// TestBinaryListenerServesBinaryClients has binary clients connect to a listener for them only. That listener must not
-// serve meta clients, nor the main listener binary ones.
+// TestBinaryListenerServesBinaryClients checks that a listener for binary clients only serves them and no meta clients,
+// and that the main listener then serves no binary clients.
 func TestBinaryListenerServesBinaryClients(t *testing.T) {
 	f := startNodes(t)
 	p := startProxy(t, f.addresses,
@@ -108,8 +108,9 @@
 	c.expectEnd()
 }
 
-// TestMemoryExhaustionIsReportedInBinary guards against an error response in another dialect, which would break the
-// framing, when the values for clients that read no responses exhaust the memory for responses.
+// TestMemoryExhaustionIsReportedInBinary checks that binary clients get binary error responses when values for clients
+// that read no responses exhaust the memory for responses. An error response in another dialect would break the
+// framing.
 func TestMemoryExhaustionIsReportedInBinary(t *testing.T) {
 	const clientCount, gets, valueSize = 12, 100, 60000
 	f := startNodesWithValueSize(t, valueSize)
@@ -135,7 +136,7 @@
 	}
 }
 
-// waitUntilSteady waits until a count has not changed for a time.
+// waitUntilSteady waits until count has returned the same value for the duration steady.
 func waitUntilSteady(count func() int, steady time.Duration) {
 	last, since := -1, time.Now()
 	for time.Since(since) < steady {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -16,8 +16,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// These tests check that a request is no longer sent once its client has disconnected, whatever it waited for and
-// whatever its class.
+// These tests check that a request is no longer sent once its client has disconnected, for every class and every
+// resource that the request waited for.
 
 // requestsByEffect has a function for each effect, which returns a request with an id. The effect is that of the class,
 // whatever the verb.
@@ -52,7 +52,7 @@
 // disconnectTest is a test with a kind of request and a way to disconnect.
 type disconnectTest func(t *testing.T, request func(id string) string, disconnect func(net.Conn))
 
-// forEachDisconnect runs a test for each of some effects and each way to disconnect.
+// forEachDisconnect runs a test for each of the given effects and each way to disconnect.
 func forEachDisconnect(t *testing.T, effects []string, test disconnectTest) {
 	for _, effect := range effects {
 		request := requestsByEffect[effect]
@@ -83,7 +83,7 @@
 	return append([]string(nil), r.ids...)
 }
 
-// waitReleased waits until nothing is in flight at the proxy and the budget for bodies is released.
+// waitReleased waits until no request is in flight at the proxy and the body budget has bodyBudget free bytes again.
 func (h *harness) waitReleased(t *testing.T, bodyBudget int) {
 	t.Helper()
 	testutil.WaitUntil(t, "nothing to be in flight", func() bool { return h.server.core.InFlight() == 0 })
@@ -124,9 +124,9 @@
 	return out
 }
 
-// TestPipelinedRequestsOfDisconnectedClientAreDropped guards against sending unread commands after their client has
-// disconnected. The limit on commands in flight blocks the connection's reader, so the reader does not reach the end of
-// the connection behind the unread commands.
+// TestPipelinedRequestsOfDisconnectedClientAreDropped checks that commands that are unread when their client
+// disconnects are not sent. The limit on commands in flight blocks the connection's reader, so the reader does not
+// reach the end of the connection behind the unread commands.
 func TestPipelinedRequestsOfDisconnectedClientAreDropped(t *testing.T) {
 	effects := slices.Collect(maps.Keys(requestsByEffect))
 	forEachDisconnect(t, effects, func(t *testing.T, request func(string) string, disconnect func(net.Conn)) {
@@ -189,8 +189,8 @@
 	return lines
 }
 
-// TestNothingIsSentOnLateConnectionAfterDisconnect has a request wait for a connection to a node, which is established
-// after the client has disconnected, also during a drain. The request must not be sent.
+// TestNothingIsSentOnLateConnectionAfterDisconnect checks that a request that waits for a connection to a node is not
+// sent if the connection is established after the client has disconnected, also during a drain.
 func TestNothingIsSentOnLateConnectionAfterDisconnect(t *testing.T) {
 	effects := []string{"safe", "keyed", "unsafe"}
 	t.Run("in a drain false", func(t *testing.T) {
@@ -267,8 +267,9 @@
 	}
 }
 
-// TestBurstsReleaseAllResources has hundreds of clients send requests of every kind, invalid and incomplete ones too,
-// and disconnect all at once. Other clients still get responses, and places, budgets and descriptors are released.
+// TestBurstsReleaseAllResources checks that places, budgets and descriptors are released after hundreds of clients have
+// sent requests of every kind, invalid and incomplete ones too, and disconnected all at the same time. Other clients
+// still get responses.
 func TestBurstsReleaseAllResources(t *testing.T) {
 	h := startHarnessWith(t, 1024, withUnsafeClass, startNode(t, func(c nodeCommand) {
 		if !strings.HasPrefix(c.id, "burst") {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -40,17 +40,17 @@
 type Server struct {
 	core        *core.Core
 	binary      *binary.Frontend
-	config      *Config // in force; written by Reload and ReloadSources only
+	config      *Config // the configuration in force; written by Reload and ReloadSources only
 	log         *slog.Logger
-	maxClients  int // places for client connections
+	maxClients  int // maximum number of client connections, also called places
 	memoryBytes int
-	listeners   []*clientListener // the main one first
+	listeners   []*clientListener // the main listener comes first
 	startedAt   time.Time
 
 	mu              sync.Mutex
 	changed         sync.Cond // broadcast when clients or the state of the drain change
 	clients         map[*frontend.Conn]struct{}
-	longestDeadline time.Duration // of any request that may be open
+	longestDeadline time.Duration // the longest deadline of any request that may be in flight
 	drain           drainState
 }
 
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// awaitServed waits until more than 500 further requests have been served.
+// awaitServed waits until more than 500 requests have been served since its call.
 func (l *loadClients) awaitServed() {
 	l.t.Helper()
 	before := l.served.Load()
@@ -121,9 +121,10 @@
 	l.running.Wait()
 }
 
-// TestReloadBetweenSources switches a proxy under load from the platform's source to Consul and back. Both sources list
-// the same first node and different second ones, which shows the switch. No request is lost, and a node that only the
-// former source lists gets no request once the new source has delivered its list.
+// TestReloadBetweenSources checks that no request is lost when a proxy under load is switched from the platform's
+// source to Consul and back, and that a node that only the former source lists gets no request from drainGrace after
+// the new source has delivered its list. Both sources list the same first node and different second ones, which shows
+// the switch.
 func TestReloadBetweenSources(t *testing.T) {
 	nodes := startScriptedNodes(t, scriptednode.Meta, 3)
 	_, agent := startConsul(t, nodes, 0, 2)
@@ -143,7 +144,7 @@
 			testutil.WaitUntil(t, "a request to the node of the new source", func() bool {
 				return lastRequest(nodes, move.newNode).After(movedAt)
 			})
-			time.Sleep(drainGrace) // the list is in force already
+			time.Sleep(drainGrace) // the new list already applies
 			quietFrom := time.Now()
 			load.awaitServed()
 			if at := lastRequest(nodes, move.formerNode); at.After(quietFrom) {
@@ -196,7 +197,7 @@
 	return response.Kind
 }
 
-// expectServed expects all reads to be served for a time.
+// expectServed expects all reads to be served for the duration d.
 func (c sequentialClient) expectServed(d time.Duration) {
 	c.t.Helper()
 	for until, i := time.Now().Add(d), 0; time.Now().Before(until); i++ {
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// sweepInterval is how often clients are checked for being idle or stuck, and the clocks for pauses and stalls. It
-	// is the interval that pause detection expects.
+	// sweepInterval is how often clients are checked for being idle or stuck, and the clocks for pauses and stalls.
+	// Pause detection assumes this interval.
 	sweepInterval = 50 * time.Millisecond
 	// idleShareDivisor sets how many clients may stay idle: 1/idleShareDivisor of the maximum number of clients.
 	idleShareDivisor = 8
@@ -58,7 +58,7 @@
 	return total - released
 }
 
-// idleClient is a client that has been idle since a time.
+// idleClient is a client with the time since when it has been idle.
 type idleClient struct {
 	conn  *frontend.Conn
 	since time.Time
@@ -98,7 +98,7 @@
 }
 
 // maxIdleClients returns how many clients may stay idle. From the overload level that prefers handovers on it is half
-// as many, so that a new handover finds a free place at once.
+// as many, so that a new handover finds a free place immediately.
 func (s *Server) maxIdleClients() int {
 	maxIdle := s.maxClients / idleShareDivisor
 	if s.core.OverloadLevel() >= overload.Handovers {
