--- a/cmd/mulleinpier/commandline_test.go
+++ b/cmd/mulleinpier/commandline_test.go
@@ -9,8 +9,8 @@
 	"mulleinpier/internal/daemon"
 )
 
-// TestCountsAndReduceAreExclusive guards against running with both options: counts and degradation levels read the same
-// samples, and each would take those of the other.
+// TestCountsAndReduceAreExclusive checks that the options --counts and --reduce together are a usage error. Counts and
+// degradation levels read the same samples, so each would consume samples that the other needs.
 func TestCountsAndReduceAreExclusive(t *testing.T) {
 	options := daemon.Options{Getenv: func(string) string { return "" }}
 	err := run([]string{"platform", "--reduce", "--counts"}, io.Discard, options)
@@ -19,7 +19,7 @@
 	}
 }
 
-// TestHelpSucceeds guards against help that fails or is not printed.
+// TestHelpSucceeds checks that --help, with and without a command, prints the usage and returns no error.
 func TestHelpSucceeds(t *testing.T) {
 	for _, args := range [][]string{{"--help"}, {"serve", "--help"}} {
 		var out strings.Builder
--- a/cmd/mulleinpier/drain_test.go
+++ b/cmd/mulleinpier/drain_test.go
@@ -12,14 +12,14 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestDrainWithEndlessPipeline guards against a client that keeps pipelining commands: the drain must end nevertheless,
-// and each request that a node has received must be answered.
+// TestDrainWithEndlessPipeline checks that a drain ends although a client keeps pipelining commands, and that each
+// request that a node has received is answered.
 func TestDrainWithEndlessPipeline(t *testing.T) {
 	d := newTestDaemon(t, node.Config{ServiceTime: 5 * time.Millisecond})
 	d.start()
 	d.awaitNotified("READY=1")
 	c := d.connect()
-	go func() { // until the connection is closed
+	go func() { // send requests until the connection is closed
 		for i := 0; ; i++ {
 			if _, err := fmt.Fprintf(c.socket, "mg k%d v O%d Pc=read,d=2000\r\n", i%10, i); err != nil {
 				return
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestDrainWithClientThatNeverReads guards against a client that does not read its responses: it must not delay a drain
-// for longer than any response may take.
+// TestDrainWithClientThatNeverReads checks that a client that does not read its responses delays a drain no longer than
+// any response may take.
 func TestDrainWithClientThatNeverReads(t *testing.T) {
 	d := newTestDaemon(t, node.Config{ValueSize: 60 << 10})
 	d.start()
@@ -90,8 +90,9 @@
 	d.awaitExit()
 }
 
-// TestSecondTerminationShortensDrain guards against a shortened drain that drops accepted requests, that accepts new
-// ones, or that waits for a client that does not read.
+// TestSecondTerminationShortensDrain checks that a second termination bounds the drain by the deadlines of the requests
+// in flight: an accepted request is still answered, no new ones are accepted, and a client that does not read its
+// responses does not delay the exit.
 func TestSecondTerminationShortensDrain(t *testing.T) {
 	d := newTestDaemon(t, node.Config{ValueSize: 60 << 10})
 	d.configure("[[class]]\nname = \"read\"\ndeadline = \"60s\"\n")
@@ -100,7 +101,7 @@
 	// This client does not read its responses, and the deadline of its class would let it delay the drain for a minute.
 	stuck := d.connect()
 	stuck.socket.(*net.TCPConn).SetReadBuffer(4 << 10)
-	for i, blocked := 0, false; !blocked; i++ { // until the proxy stops reading from this connection
+	for i, blocked := 0, false; !blocked; i++ { // send requests until the proxy stops reading from this connection
 		stuck.socket.SetWriteDeadline(time.Now().Add(500 * time.Millisecond))
 		_, err := fmt.Fprintf(stuck.socket, "mg k v Od%d Pc=read,d=60000\r\n", i)
 		blocked = err != nil
@@ -114,7 +115,7 @@
 	d.signal(syscall.SIGTERM)
 	d.awaitNotified("STOPPING=1")
 	d.signal(syscall.SIGTERM)
-	c.expect("SERVER_ERROR ") // at the request's deadline, not at that of the class
+	c.expect("SERVER_ERROR ") // sent at the request's deadline, not at that of its class
 	c.expect("")
 	c.socket.Close()
 	d.awaitExit()
--- a/cmd/mulleinpier/peers_test.go
+++ b/cmd/mulleinpier/peers_test.go
@@ -15,8 +15,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// freeAddress returns an address with a free port. Its host is not the source of any connection, so that no connection
-// takes the port.
+// freeAddress returns an address with a free port. No connection uses its host as the source address, so no connection
+// can occupy the port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.3:0")
@@ -41,8 +41,8 @@
 	return text
 }
 
-// TestDrainWithoutVoters guards against a daemon that cannot drain because the fleet has lost its voters. With permit =
-// "go" it drains without a permit after the timeout. With "wait" it keeps serving until a second termination.
+// TestDrainWithoutVoters checks that a daemon can drain although the fleet has lost its voters. With permit = "go" the
+// daemon drains without a permit after the timeout. With "wait" it keeps serving until a second termination.
 func TestDrainWithoutVoters(t *testing.T) {
 	fleet := agent.Fleet{Name: "test"}
 	for i := range 3 {
@@ -77,8 +77,9 @@
 	}
 }
 
-// TestTerminationIsAcknowledged guards the shutdown of a whole fleet: the kernel merges two terminations that arrive
-// while a process is stopped, so the daemon's status must tell the sender when the first has been received.
+// TestTerminationIsAcknowledged checks that the daemon's status tells the sender of a termination that it was received.
+// The sender needs this to know when to send a second one: the kernel merges two terminations that arrive while the
+// process is stopped.
 func TestTerminationIsAcknowledged(t *testing.T) {
 	fleet := agent.Fleet{Name: "test", Voters: []agent.VoterAddress{{Name: "v0", Address: freeAddress(t)}}}
 	d := newTestDaemon(t, node.Config{})
@@ -95,8 +96,8 @@
 	d.awaitExit()
 }
 
-// TestVoterMovesDuringLease reloads the only voter with another address while a task is held: the grant must keep its
-// token, and client connections must stay open.
+// TestVoterMovesDuringLease checks that a reload can move the only voter to another address while a task is held: the
+// grant keeps its token, a later grant gets a higher one, and client connections stay open.
 func TestVoterMovesDuringLease(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	statePath := filepath.Join(t.TempDir(), "memory")
@@ -132,7 +133,7 @@
 	if err != nil || next.Token <= reply.Token {
 		t.Errorf("%+v after %+v, %v", next, reply, err)
 	}
-	c.send("mg a v O0 Pc=read\r\n") // on the connection from before the reload
+	c.send("mg a v O0 Pc=read\r\n") // send on the connection that was opened before the reload
 	c.expect("VA ")
 	d.signal(syscall.SIGTERM)
 	d.awaitExit()
@@ -149,8 +150,8 @@
 	return c
 }
 
-// TestSuccessorReleasesPermit restarts a daemon repeatedly in a fleet that permits one restart at a time: the permit of
-// each process must be released as soon as its successor is ready, long before it expires.
+// TestSuccessorReleasesPermit checks that the permit of each restarted process is released as soon as its successor is
+// ready, long before the permit expires. It restarts a daemon repeatedly in a fleet that permits one restart at a time.
 func TestSuccessorReleasesPermit(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	v := newTestDaemon(t, node.Config{})
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -11,8 +11,8 @@
 )
 
 // TotalSleep returns how long the machine has slept since boot: the difference of CLOCK_BOOTTIME and CLOCK_MONOTONIC,
-// or zero if either cannot be read. If the process is preempted between the two readings, this one result is too small
-// by the time of the preemption. It is never too large.
+// or zero if either cannot be read. If the process is preempted between the two readings, the result is too small by
+// the length of the preemption. It is never too large.
 func TotalSleep() time.Duration {
 	var boot, monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
@@ -24,10 +24,10 @@
 	return time.Duration(boot.Nano() - monotonic.Nano())
 }
 
-// SimulatedSleep returns a replacement for TotalSleep in fault tests. Once the time after
-// has elapsed since this call, its results include one sleep of the given duration. They always include drift times the
-// elapsed time, as if CLOCK_BOOTTIME ran faster or slower than the monotonic clock. Unlike in a real sleep, the
-// monotonic clock and all timers go on.
+// SimulatedSleep returns a replacement for TotalSleep for fault tests. Its results include one sleep of the given
+// duration once the interval after has passed since the call to SimulatedSleep. They always include drift times the
+// time since that call, as if CLOCK_BOOTTIME ran faster (drift above 0) or slower than the monotonic clock. Unlike in a
+// real sleep, the monotonic clock and all timers go on.
 func SimulatedSleep(after, duration time.Duration, drift float64) func() time.Duration {
 	start := time.Now()
 	return func() time.Duration {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestTotalSleepIsSteady guards against a difference of two readings that looks like sleep on a machine that does not
-// sleep.
+// TestTotalSleepIsSteady checks that TotalSleep grows by at most 100 ms over 1000 calls on a machine that does not
+// sleep. The delay between the two clock readings must not look like sleep.
 func TestTotalSleepIsSteady(t *testing.T) {
 	first, largest := TotalSleep(), time.Duration(0)
 	for range 1000 {
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -24,15 +24,14 @@
 // queueLength bounds the events that wait to be written.
 const queueLength = 4096
 
-// Event is one of the event types of this package.
+// Event is one of the event types of this package. Callers pass events to [Recorder.Record] or [Recorder.Warn].
 type Event interface {
 	// describe returns the event's log message and attributes.
 	describe() (message string, attributes []slog.Attr)
 }
 
-// entry is a recorded event.
 type entry struct {
-	at    time.Time // when it was recorded
+	at    time.Time // when the event was recorded
 	level slog.Level
 	event Event
 }
@@ -42,7 +41,7 @@
 type Recorder struct {
 	log     *slog.Logger
 	queue   chan entry
-	dropped atomic.Int64 // events that found the queue full, since this was last logged
+	dropped atomic.Int64 // events dropped because the queue was full, since their number was last logged
 }
 
 // New returns a Recorder that writes to log while [Recorder.Run] runs.
@@ -74,7 +73,7 @@
 	}
 }
 
-// Run writes events until ctx ends, and then the events that are still queued.
+// Run writes events until ctx is done, then writes the events that are still queued and returns.
 func (r *Recorder) Run(ctx context.Context) {
 	for {
 		select {
@@ -87,7 +86,7 @@
 	}
 }
 
-// drain writes the events that are queued now.
+// drain writes the events that are queued when it is called.
 func (r *Recorder) drain() {
 	for {
 		select {
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// recorderAt returns a Recorder at a log level, and the buffer that it writes to.
+// recorderAt returns a Recorder whose logger has the given level, and the buffer that the logger writes to.
 func recorderAt(level slog.Level) (*Recorder, *bytes.Buffer) {
 	var out bytes.Buffer
 	return New(slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level}))), &out
@@ -22,7 +22,8 @@
 	r.Run(ctx)
 }
 
-// TestEventsKeepTheirTime checks guarantee 2.
+// TestEventsKeepTheirTime checks that an event is logged with the time at which it was recorded, even if it is written
+// 20 ms later (guarantee 2).
 func TestEventsKeepTheirTime(t *testing.T) {
 	r, out := recorderAt(slog.LevelDebug)
 	r.Record(RequestAbandoned{ID: "a1", Duration: 40 * time.Millisecond})
@@ -39,7 +40,8 @@
 	}
 }
 
-// TestDroppedEventsAreCounted checks guarantees 1 and 3: Record returns even if the queue is full and nothing writes.
+// TestDroppedEventsAreCounted checks that Record returns although the queue is full and nothing writes events
+// (guarantee 1), and that the events that found the queue full are dropped and their number is logged (guarantee 3).
 func TestDroppedEventsAreCounted(t *testing.T) {
 	r, out := recorderAt(slog.LevelDebug)
 	for range queueLength + 3 {
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -11,8 +11,8 @@
 	Class     string
 	Client    string        // address of its connection
 	Timeout   time.Duration // requested by the client; negative for none
-	Age       time.Duration // since its last byte arrived, as far as the proxy knows
-	Remaining time.Duration // until the deadline that the proxy uses
+	Age       time.Duration // since the request's last byte arrived, as far as the proxy knows
+	Remaining time.Duration // until the request's deadline as the proxy applies it
 }
 
 func (e RequestAccepted) describe() (string, []slog.Attr) {
@@ -45,9 +45,9 @@
 type RequestAnswered struct {
 	ID        string
 	Answer    string        // kind of answer
-	Reason    string        // of a rejection or failure
+	Reason    string        // why the request was rejected or failed
 	Duration  time.Duration // since it was accepted
-	Remaining time.Duration // until its deadline; negative if it is late
+	Remaining time.Duration // until the request's deadline; negative if the answer is late
 }
 
 func (e RequestAnswered) describe() (string, []slog.Attr) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// AttemptDispatched reports that the decision module chose a node for a request.
+// AttemptDispatched reports that the decision module chose a node for an attempt at a request.
 type AttemptDispatched struct {
 	RequestID string
 	Attempt   int // counted from zero
@@ -115,7 +115,7 @@
 	Attempt   int
 	Node      string
 	Result    string
-	Duration  time.Duration // since it was dispatched
+	Duration  time.Duration // since the attempt was dispatched
 }
 
 func (e AttemptEnded) describe() (string, []slog.Attr) {
@@ -141,7 +141,7 @@
 type ClientDisconnected struct {
 	Client     string // its address
 	Reason     string
-	Unanswered int           // commands that were read and got no answer
+	Unanswered int           // commands that were read but not answered
 	Duration   time.Duration // since it was accepted
 }
 
@@ -183,8 +183,8 @@
 type NodeDisconnected struct {
 	Node     string
 	Reason   string
-	InFlight int // attempts that were written to it and not answered
-	Queued   int // attempts that were not yet written to it
+	InFlight int // attempts that were written to the connection but not answered
+	Queued   int // attempts that were not yet written to the connection
 }
 
 func (e NodeDisconnected) describe() (string, []slog.Attr) {
@@ -199,7 +199,7 @@
 // NodeUpdated reports a change of a node in the current endpoint list.
 type NodeUpdated struct {
 	Node, Status string
-	Version      uint64 // of the list
+	Version      uint64 // of the endpoint list
 }
 
 func (e NodeUpdated) describe() (string, []slog.Attr) {
@@ -213,9 +213,9 @@
 // ProcessStalled reports that the process did not run for a time that is too short for a pause.
 type ProcessStalled struct {
 	Duration time.Duration
-	CPUTime  time.Duration // used by the process since the previous periodic check
+	CPUTime  time.Duration // CPU time used by the process since the previous periodic check
 	Count    int           // stalls since the last such event, including this one
-	InFlight int           // requests
+	InFlight int           // requests in flight
 }
 
 func (e ProcessStalled) describe() (string, []slog.Attr) {
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -10,8 +10,8 @@
 // transitions are the expected transitions of a state.
 type transitions map[Event]transition
 
-// startingTransitions are those of a daemon that is not ready. The event Started leads to the state started with
-// actions.
+// startingTransitions are the transitions of self, a state in which the daemon is not ready. The event Started leads to
+// the state started with actions.
 func startingTransitions(self, started State, actions ...Action) transitions {
 	return transitions{
 		Hangup:         {StartingReloadQueued, nil},
@@ -26,7 +26,8 @@
 	}
 }
 
-// reloadingTransitions are those of a daemon that reads a configuration. The end of the read leads to next.
+// reloadingTransitions are the transitions of self, a state in which the daemon reads a configuration. The events
+// ConfigValid and ConfigInvalid, with the actions valid and invalid, lead to the state next.
 func reloadingTransitions(self, next State, valid, invalid []Action) transitions {
 	return transitions{
 		Hangup:         {ReloadingReloadQueued, nil},
@@ -41,7 +42,8 @@
 	}
 }
 
-// drainingTransitions are those of a daemon that drains. A termination leads to the state terminated with actions.
+// drainingTransitions are the transitions of self, a state in which the daemon drains. A termination leads to the state
+// terminated with actions.
 func drainingTransitions(self, terminated State, actions ...Action) transitions {
 	return transitions{
 		Hangup:         {self, []Action{LogReloadIgnored}},
@@ -56,7 +58,7 @@
 	}
 }
 
-// expectedTransitions is a second, independent version of the table.
+// expectedTransitions is a second version of the table, written independently.
 var expectedTransitions = map[State]transitions{
 	Starting: startingTransitions(Starting, Serving, NotifyReady),
 	StartingReloadQueued: startingTransitions(StartingReloadQueued, Reloading,
@@ -101,7 +103,8 @@
 	},
 }
 
-// TestEveryStateAnswersEveryEvent compares the complete table with expectedTransitions. It guards invariant 1.
+// TestEveryStateAnswersEveryEvent checks that each state handles each event (invariant 1), with the next state and the
+// actions in expectedTransitions.
 func TestEveryStateAnswersEveryEvent(t *testing.T) {
 	for s := range stateCount {
 		for e := range eventCount {
@@ -120,7 +123,7 @@
 
 // history records the random events of a machine, and their results.
 type history struct {
-	states  []State // after each event
+	states  []State // state after each event
 	events  []Event
 	actions [][]Action
 }
@@ -160,8 +163,8 @@
 	return e
 }
 
-// TestDrainIsFinal guards invariants 2, 5 and 6: no configuration is read or applied once the drain has begun, and a
-// configuration is applied only after it was requested.
+// TestDrainIsFinal checks that a daemon that drains never serves again and never reads or applies a configuration
+// (invariant 2), and that a configuration is applied only after it was requested (invariant 6).
 func TestDrainIsFinal(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := randomHistory(seed, 60)
@@ -187,8 +190,8 @@
 	}
 }
 
-// TestHangupsAreServed guards invariant 1: after a hangup, the configuration is read again before the daemon is in the
-// state Serving.
+// TestHangupsAreServed checks that no hangup is lost (invariant 1): after a hangup, the configuration is read again
+// before the daemon is in the state Serving.
 func TestHangupsAreServed(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := randomHistory(seed, 60)
@@ -207,8 +210,9 @@
 	}
 }
 
-// TestReadyIsNotifiedAfterEachReload guards invariant 4: a service manager that waits for READY after RELOADING does
-// not wait forever.
+// TestReadyIsNotifiedAfterEachReload checks that the daemon notifies readiness once before any reload, and again before
+// it is in the state Serving after a reload (invariant 4). Otherwise a service manager that has received RELOADING
+// would wait forever for READY.
 func TestReadyIsNotifiedAfterEachReload(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := randomHistory(seed, 60)
@@ -235,7 +239,8 @@
 	}
 }
 
-// TestTwoTerminationsStopEveryState guards invariant 3.
+// TestTwoTerminationsStopEveryState checks that the events Terminate, Terminate, ServingEnded lead from every state to
+// Stopped (invariant 3).
 func TestTwoTerminationsStopEveryState(t *testing.T) {
 	for s := range stateCount {
 		m := Machine{state: s}
