--- a/cmd/mulleinpier/binary_test.go
+++ b/cmd/mulleinpier/binary_test.go
@@ -15,8 +15,8 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// TestThirdPartyClient has a third-party client authenticate, read and write through the daemon, without a ticket and
-// with the ticket that a read returned as CAS.
+// TestThirdPartyClient checks that a third-party client can authenticate, read and write through the daemon. It writes
+// without a ticket and, three times, with the ticket that a read returned as CAS.
 func TestThirdPartyClient(t *testing.T) {
 	d := newTestDaemon(t, node.Config{MissingKeyPrefix: "none"})
 	replaceFile(t, filepath.Join(filepath.Dir(d.path), "users"), secretLine(t, "till", "rose"))
@@ -39,7 +39,7 @@
 	}
 	written, err := c.Set(0, "order", 0, 0, []byte("plain"))
 	expectSuccess(t, written, err)
-	for range 3 { // the writes with one ticket must take effect once
+	for range 3 { // the three writes with one ticket must take effect once
 		written, err := c.SetCas(0, "order", 0, 0, got.Cas, []byte("with a ticket"))
 		expectSuccess(t, written, err)
 	}
--- a/cmd/mulleinpier/deploy_test.go
+++ b/cmd/mulleinpier/deploy_test.go
@@ -12,9 +12,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// TestDeployBuildHasInterpreter guards against a deployment that is linked statically: the platform loads a library of
-// its own into the program, which only the C library's dynamic loader does. So the program needs an interpreter entry
-// (PT_INTERP), and the run line must exec the program.
+// TestDeployBuildHasInterpreter checks that the deployment's build line links the program dynamically, so that it has
+// an interpreter entry (PT_INTERP), and that the run line execs the program. The platform loads a library of its own
+// into the program, which only the C library's dynamic loader does, so a statically linked program would run without
+// that library.
 func TestDeployBuildHasInterpreter(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("the platform is Linux")
--- a/cmd/mulleinpier/harness_test.go
+++ b/cmd/mulleinpier/harness_test.go
@@ -25,10 +25,10 @@
 	t        *testing.T
 	nodes    []*node.Node
 	origin   *origin.Origin
-	path     string // of the configuration file
-	address  string // that clients connect to
+	path     string // path of the configuration file
+	address  string // address that clients connect to
 	process  *exec.Cmd
-	lines    <-chan string // of the log
+	lines    <-chan string // lines of the daemon's log
 	notified chan string   // lines that the service manager has received
 	exited   chan error
 
--- a/cmd/mulleinpier/main_test.go
+++ b/cmd/mulleinpier/main_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// waitTimeout bounds each wait of these tests. No result depends on how long a wait takes.
+// waitTimeout bounds each wait in these tests. No result depends on how long a wait takes.
 const waitTimeout = 30 * time.Second
 
 // TestMain runs the program instead of the tests if MULLEINPIER_RUN is 1, so that tests can start it as a process.
@@ -29,8 +29,8 @@
 	os.Exit(m.Run())
 }
 
-// startDiscovery starts a discovery service with an empty list. It sends on the channel watched for each request that
-// it receives.
+// startDiscovery starts a discovery service with an empty list. The service sends on the channel watched for each
+// request that it receives.
 func startDiscovery(t *testing.T) (address string, watched <-chan struct{}) {
 	t.Helper()
 	calls := make(chan struct{}, 16)
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestHangupChangesDiscovery guards against a reload that ends the program, that keeps the former address of the
-// discovery service, or that applies an invalid file.
+// TestHangupChangesDiscovery checks that a reload changes the address of the discovery service while the program keeps
+// serving, and that a reload with an invalid file fails.
 func TestHangupChangesDiscovery(t *testing.T) {
 	first, firstWatched := startDiscovery(t)
 	second, secondWatched := startDiscovery(t)
@@ -173,7 +173,8 @@
 	}
 }
 
-// TestFailedPlatformStartNamesCause guards against a failed start whose error does not name the cause.
+// TestFailedPlatformStartNamesCause checks that a start with an invalid platform configuration fails, with an error
+// that names the invalid key.
 func TestFailedPlatformStartNamesCause(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	replaceFile(t, path, []byte(`{"name":"n1","listen":"nowhere"}`))
@@ -184,8 +185,8 @@
 	}
 }
 
-// TestTerminationDuringPlatformStart guards against a start that cannot be terminated: the signal arrives at various
-// times during the start, while the discovery service accepts connections but does not respond.
+// TestTerminationDuringPlatformStart checks that the program can be terminated during its start: the signal arrives 0
+// to 80 ms after the start, while the discovery service accepts connections but does not respond.
 func TestTerminationDuringPlatformStart(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -198,8 +199,8 @@
 	}
 }
 
-// expectTerminationDuringStart terminates the program some time after its start. It must exit with success or be ended
-// by the signal.
+// expectTerminationDuringStart terminates the program at the duration after its start. The program must exit with
+// success or be ended by the signal.
 func expectTerminationDuringStart(t *testing.T, discovery string, after time.Duration) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/mulleinpier/manager_test.go
+++ b/cmd/mulleinpier/manager_test.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// TestUnresponsiveServiceManager guards against a daemon that is blocked by a service manager that does not read, or
-// that does not exist.
+// TestUnresponsiveServiceManager checks that a service manager that does not read, or whose socket does not exist, does
+// not block the daemon: it serves, reloads and terminates.
 func TestUnresponsiveServiceManager(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "unresponsive")
 	manager, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	defer filler.Close()
-	for full := false; !full; { // until the socket's buffer is full
+	for full := false; !full; { // write until the socket's buffer is full
 		filler.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 		_, err := filler.Write(make([]byte, 1024))
 		full = err != nil
--- a/cmd/mulleinpier/nodefile_test.go
+++ b/cmd/mulleinpier/nodefile_test.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestNodeFileIsFollowed guards the watching of the node file: a node that it reports as draining gets no more
-// requests, and a file that is invalid, empty or partially written changes nothing.
+// TestNodeFileIsFollowed checks that the proxy follows changes of the node file: a node that the file reports as
+// draining gets no more requests, and a file that is invalid, empty or partially written changes nothing.
 func TestNodeFileIsFollowed(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	nodes := filepath.Join(filepath.Dir(d.path), "nodes.toml")
--- a/cmd/mulleinpier/passedlistener_test.go
+++ b/cmd/mulleinpier/passedlistener_test.go
@@ -38,9 +38,9 @@
 	waitLine(d.t, d.lines, "listener opened")
 }
 
-// TestBlockingPassedListenerDoesNotDelayDrain guards against an accept that cannot be interrupted: a service manager
-// that passes the listener to the next process may make it blocking, also for this process, as both share the flags of
-// the open file.
+// TestBlockingPassedListenerDoesNotDelayDrain checks that the daemon drains in time although its passed listener is
+// blocking. A service manager that passes the listener to the next process may make it blocking for this process too,
+// as both share the flags of the open file; an accept on it could then not be interrupted.
 func TestBlockingPassedListenerDoesNotDelayDrain(t *testing.T) {
 	// A process may be killed 0.7 s plus the longest deadline of a class after SIGTERM.
 	const killTime = 3200 * time.Millisecond
--- a/cmd/mulleinpier/pause_test.go
+++ b/cmd/mulleinpier/pause_test.go
@@ -36,10 +36,11 @@
 	testutil.WaitUntil(d.t, "the daemon to be paused", func() bool { return faults.IsStopped(d.process.Process.Pid) })
 }
 
-// signalIfRunning is like signal, but the process may have exited.
+// signalIfRunning sends a signal to the process. Unlike signal it ignores errors, as the process may have exited.
 func (d *testDaemon) signalIfRunning(s syscall.Signal) { d.process.Process.Signal(s) }
 
-// connectBusy returns n clients. Each has had a read of its key answered, so the nodes have cached the keys.
+// connectBusy returns n clients with one connection each. Each client has read its own key, so the nodes have cached
+// the keys.
 func (d *testDaemon) connectBusy(n int) (list []*client) {
 	for i := range n {
 		c := d.connect()
@@ -53,11 +54,11 @@
 // pauseTime is long enough to be detected as a pause, and longer than the deadlines of the requests that must expire.
 const pauseTime = 1500 * time.Millisecond
 
-// TestExpiredRequestsAreRejectedAfterPause guards rule 2: a request that was sent to a paused process and has expired
-// when the process resumes is rejected at once and never reaches a node. A request that has not expired is served.
+// TestExpiredRequestsAreRejectedAfterPause checks that a request that was sent to a paused process and has expired when
+// the process resumes is rejected as busy and never reaches a node (rule 2). A request that has not expired is served.
 func TestExpiredRequestsAreRejectedAfterPause(t *testing.T) {
 	d, c := startPaused(t, "")
-	expired := []*client{c, d.connect(), d.connect()} // one existing connection, two new ones
+	expired := []*client{c, d.connect(), d.connect()} // clients with one existing connection and two new ones
 	expired[0].send("ms a 1 Oold0 Pc=write,k=k0,d=300\r\nx\r\n")
 	expired[1].send("ms a 1 Oold1 Pc=write,k=k1,d=300\r\nx\r\n")
 	expired[2].send("mg a v Oold2 Pc=read,d=300\r\n")
@@ -84,8 +85,8 @@
 	d.awaitExit()
 }
 
-// TestRequestsOfDisconnectedClientsAreDropped guards rule 2 for requests whose age is not known, and the rule on
-// clients that disconnect: a request whose client has closed the connection is not started, whatever its class.
+// TestRequestsOfDisconnectedClientsAreDropped checks that a request whose client has closed the connection during a
+// pause is not sent to a node, whatever its class (rule 2). The proxy cannot know the age of these requests.
 func TestRequestsOfDisconnectedClientsAreDropped(t *testing.T) {
 	d, c := startPaused(t, "")
 	c.send("ms a 1 Ogone0 Pc=write,k=k0,d=20000\r\nx\r\n")
@@ -110,7 +111,7 @@
 	last.send("mg a v Olast Pc=read\r\n")
 	last.expect("VA ")
 	d.signal(syscall.SIGTERM)
-	d.awaitExit() // after it no request can reach a node any more
+	d.awaitExit() // after the exit no request can reach a node
 	for i := range 6 {
 		if n := d.timesSeen(fmt.Sprint("gone", i)); n > 0 {
 			t.Errorf("request %d of a disconnected client reached nodes %d times", i, n)
@@ -118,8 +119,8 @@
 	}
 }
 
-// TestHalfWrittenCommandSurvivesPause guards rule 1: the timeout for reading a complete command does not include a
-// pause, during which the proxy could not read.
+// TestHalfWrittenCommandSurvivesPause checks that a command whose second half arrives during a pause is served. The
+// timeout for reading a complete command does not include a pause, during which the proxy could not read (rule 1).
 func TestHalfWrittenCommandSurvivesPause(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.start()
@@ -128,7 +129,7 @@
 	c.send("mg warm v Owarm Pc=read\r\n")
 	c.expect("VA ")
 	c.send("ms a 5 Ohalf Pc=write,k=k0,d=20000\r\nab")
-	time.Sleep(100 * time.Millisecond) // so that the first half is likely read; the result does not depend on it
+	time.Sleep(100 * time.Millisecond) // the proxy has probably read the first half; the result does not depend on it
 	d.pause()
 	time.Sleep(3 * time.Second) // longer than the timeout for a command
 	c.send("cde\r\n")
@@ -138,8 +139,8 @@
 	d.awaitExit()
 }
 
-// TestDrainNotifiedDuringPauseIsObeyed guards rule 3: after a pause, a drain that the endpoint list reported during the
-// pause takes effect before any request is sent, whatever the process reads first.
+// TestDrainNotifiedDuringPauseIsObeyed checks that a drain that the endpoint list reported during a pause takes effect
+// before any request is sent after the pause, whatever the process reads first (rule 3).
 func TestDrainNotifiedDuringPauseIsObeyed(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	entry := func(i int, status string) endpointlist.Entry {
@@ -160,7 +161,7 @@
 	}
 	d.pause()
 	change := []endpointlist.Entry{entry(1, "draining")}
-	for i := range 3000 { // so many entries that reading them takes a while
+	for i := range 3000 { // 3000 more entries, so that reading the list takes long
 		change = append(change, endpointlist.Entry{
 			Name: fmt.Sprint("filler", i), Address: "127.0.0.1:1", Status: "draining", Weight: 1,
 		})
@@ -179,7 +180,7 @@
 	for _, c := range waiting {
 		if got := c.line(); strings.HasPrefix(got, "VA ") {
 			c.line()
-		} else if !strings.HasPrefix(got, "SERVER_ERROR busy") { // one node may reject some of 40 requests at once
+		} else if !strings.HasPrefix(got, "SERVER_ERROR busy") { // a single node may reject some of 40 simultaneous requests
 			t.Errorf("got %q", got)
 		}
 	}
@@ -190,7 +191,8 @@
 	d.awaitExit()
 }
 
-// TestUnresponsiveListDelaysNoRequest guards rule 1: the wait for a list service that does not respond is bounded.
+// TestUnresponsiveListDelaysNoRequest checks that after a pause requests are answered although the list service does
+// not respond, as the wait for the list is bounded (rule 1).
 func TestUnresponsiveListDelaysNoRequest(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	entry := endpointlist.Entry{Name: d.nodes[0].Name(), Address: d.nodes[0].Address(), Status: "up", Weight: 1}
@@ -210,7 +212,7 @@
 	d.awaitNotified("READY=1")
 	waiting := d.connectBusy(40) // as many connections as may be idle
 	for i, c := range waiting {
-		for j := range 10 { // so that admission observes how many requests are answered in time
+		for j := range 10 { // admission has to observe how many requests are answered in time
 			c.send("mg k%d v Owarm%d.%d Pc=read\r\n", i, i, j)
 			c.expect("VA ")
 		}
@@ -220,7 +222,7 @@
 	}
 	d.pause()
 	time.Sleep(pauseTime)
-	for i, c := range waiting { // together more requests than are released at a time
+	for i, c := range waiting { // the clients send more requests than the proxy releases at a time
 		for j := range 3 {
 			c.send("mg k%d v Oa%d.%d Pc=read,d=20000\r\n", i, i, j)
 		}
@@ -240,8 +242,9 @@
 	d.awaitExit()
 }
 
-// TestRequestsExpireDuringMachineSleep guards rule 2 for a pause that the monotonic clock does not show: after the
-// machine has slept, here simulated, requests that may have expired meanwhile are rejected.
+// TestRequestsExpireDuringMachineSleep checks that a sleep of the machine, here simulated, is detected as a pause
+// although the monotonic clock does not show it, so that requests that may have expired meanwhile are rejected (rule
+// 2).
 func TestRequestsExpireDuringMachineSleep(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure("[test]\nsleep_at = \"1s\"\nsleep_for = \"30s\"\n")
--- a/cmd/mulleinpier/reload_test.go
+++ b/cmd/mulleinpier/reload_test.go
@@ -11,8 +11,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestReloadDuringDrainIsIgnored guards against a reload that makes a draining daemon serve again, or that aborts its
-// drain.
+// TestReloadDuringDrainIsIgnored checks that a hangup during a drain does not reload the configuration: the daemon
+// completes its drain, answers the request in flight and does not serve again.
 func TestReloadDuringDrainIsIgnored(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.start()
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestReloadsInQuickSuccession guards against reloads that are lost, or that end the daemon, when hangups arrive faster
-// than reloads complete: the last file must come into force.
+// TestReloadsInQuickSuccession checks that the last file comes into force when hangups arrive faster than reloads
+// complete. No reload may be lost or end the daemon.
 func TestReloadsInQuickSuccession(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.start()
@@ -60,9 +60,9 @@
 	d.awaitExit()
 }
 
-// TestInvalidReloadChangesNothing guards against a configuration that is applied in part: if the file is invalid,
-// missing, partially written or empty, or changes a setting that requires a restart, the reload must be logged as
-// failed, and the former configuration must stay in force.
+// TestInvalidReloadChangesNothing checks that no configuration is applied in part. If the file is invalid, missing,
+// partially written or empty, or changes a setting that requires a restart, the reload is logged as failed or rejected,
+// and the former configuration stays in force.
 func TestInvalidReloadChangesNothing(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure("[[class]]\nname = \"old\"\n")
@@ -96,7 +96,8 @@
 	reloadRejected = "configuration reload rejected"
 )
 
-// invalidReloads are changes of the file after which a reload must fail, with a part of the expected log line.
+// invalidReloads are changes of the file after which a reload must fail, each with a text that the log line must
+// contain.
 var invalidReloads = []struct {
 	name, logged string
 	write        func(d *testDaemon)
@@ -124,8 +125,8 @@
 	}},
 }
 
-// TestReloadLeavesOpenRequestsTheirConfiguration guards against a reload that removes the class of a request in flight
-// or shortens its deadline.
+// TestReloadLeavesOpenRequestsTheirConfiguration checks that a request in flight keeps its class and deadline although
+// a reload removes the class.
 func TestReloadLeavesOpenRequestsTheirConfiguration(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure("[[class]]\nname = \"old\"\ndeadline = \"30s\"\n")
--- a/cmd/mulleinpier/stall_storm_test.go
+++ b/cmd/mulleinpier/stall_storm_test.go
@@ -18,7 +18,7 @@
 	stormClients = 12
 	// requestsPerLate is the operators' bound: at most one request in 500 may be late.
 	requestsPerLate = 500
-	// machineDelay is the delay of the test itself above which a late response may be due to the machine, and not to
+	// machineDelay is the delay of the test process above which a late response may be due to the machine and not to
 	// the program.
 	machineDelay = 30 * time.Millisecond
 )
@@ -56,7 +56,7 @@
 	m.task.Wait()
 }
 
-// delayedBetween reports whether the machine delayed the test between two times, or shortly after.
+// delayedBetween reports whether a delay of the test ended between from and to, or within twice machineDelay after to.
 func (m *delayMonitor) delayedBetween(from, to time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +86,7 @@
 		case <-time.After(time.Duration(300+r.IntN(700)) * time.Millisecond):
 		}
 		if p.process.Signal(syscall.SIGSTOP) != nil {
-			return // it has exited
+			return // the program has exited
 		}
 		time.Sleep(time.Duration(60+r.IntN(90)) * time.Millisecond)
 		p.process.Signal(syscall.SIGCONT)
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestRepeatedStalls guards rules 1 and 6 with stalls at random times until the program has exited: at most one request
-// in 500 is answered late, as the operators allow, each request that was sent before the termination gets a response,
-// and the program exits before it would be killed.
+// TestRepeatedStalls checks the program under stalls at random times until it exits: at most one request in 500 is
+// answered late, as the operators allow (rule 1), each request that was sent before the termination gets a response,
+// and the program exits before it would be killed (rule 6).
 func TestRepeatedStalls(t *testing.T) {
 	p := newStalledProgram(t)
 	p.stallOnce(nil)
--- a/cmd/mulleinpier/stall_test.go
+++ b/cmd/mulleinpier/stall_test.go
@@ -22,7 +22,7 @@
 
 const (
 	stallTime      = 160 * time.Millisecond
-	clientDeadline = 600 * time.Millisecond // of each request
+	clientDeadline = 600 * time.Millisecond // deadline of each request
 	// responseSlack is how late a response may be: clients wait slightly longer than their deadline. A response that a
 	// stall delays without a safety margin is later than that.
 	responseSlack = 80 * time.Millisecond
@@ -162,8 +162,8 @@
 	}
 }
 
-// sendDuringStall has clients send requests while the program is stalled, on existing connections and on new ones. It
-// returns all these clients.
+// sendDuringStall has clients send requests while the program is stalled, on the existing connections and on new ones.
+// It returns the clients of all these connections.
 func (p *stalledProgram) sendDuringStall(existing []*stallClient) []*stallClient {
 	p.t.Helper()
 	p.stop()
@@ -176,7 +176,7 @@
 	return clients
 }
 
-// stallOnce stalls the program once, so that it has observed a stall.
+// stallOnce stalls the program once, so that the program has observed a stall before the test.
 func (p *stalledProgram) stallOnce(existing []*stallClient) {
 	p.t.Helper()
 	for _, c := range p.sendDuringStall(existing) {
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestResponseInTimeWhenSentDuringStall guards rule 1: the deadline of a request counts from when it was received, and
-// not from when the process read it.
+// TestResponseInTimeWhenSentDuringStall checks that requests that arrive during a stall get a response before their
+// deadline (rule 1): the deadline counts from when a request was received, not from when the process read it.
 func TestResponseInTimeWhenSentDuringStall(t *testing.T) {
 	p := newStalledProgram(t)
 	existing := []*stallClient{p.client(), p.client(), p.client(), p.client()}
@@ -194,8 +194,8 @@
 	}
 }
 
-// TestResponseInTimeWhenDueDuringStall guards rule 1: a process that is stalled repeatedly responds early enough that a
-// stall at the deadline makes no response late.
+// TestResponseInTimeWhenDueDuringStall checks that a process that has observed a stall responds early enough that
+// another stall at the deadline makes no response late (rule 1).
 func TestResponseInTimeWhenDueDuringStall(t *testing.T) {
 	p := newStalledProgram(t)
 	existing := []*stallClient{p.client(), p.client(), p.client(), p.client()}
@@ -205,8 +205,8 @@
 	}
 }
 
-// stallAtDeadline has clients send requests, and stalls the program shortly before their deadline until after it. It
-// returns the clients.
+// stallAtDeadline has clients send requests, and stalls the program from shortly before their deadline until after it.
+// It returns clients.
 func (p *stalledProgram) stallAtDeadline(clients []*stallClient) []*stallClient {
 	p.t.Helper()
 	for _, c := range clients {
@@ -219,8 +219,8 @@
 	return clients
 }
 
-// TestResponseInTimeWhenDueDuringFirstStall checks the same for a process that has not observed a stall yet. It is
-// known to fail: see KNOWN-RED.txt.
+// TestResponseInTimeWhenDueDuringFirstStall checks that a stall at the deadline makes no response late even if the
+// process has not observed a stall before. It is known to fail: see KNOWN-RED.txt.
 func TestResponseInTimeWhenDueDuringFirstStall(t *testing.T) {
 	p := newStalledProgram(t)
 	clients := []*stallClient{p.client(), p.client(), p.client(), p.client()}
--- a/cmd/mulleinpier/start_test.go
+++ b/cmd/mulleinpier/start_test.go
@@ -14,7 +14,8 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// TestTerminationBeforeListening guards against a termination that is lost while the daemon waits for its address.
+// TestTerminationBeforeListening checks that a daemon that waits for its address, which another process uses, can be
+// terminated.
 func TestTerminationBeforeListening(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	other, err := net.Listen("tcp", d.address)
@@ -30,7 +31,8 @@
 	d.awaitExit()
 }
 
-// TestHangupDuringStart guards against a reload that is lost because the hangup arrives before the daemon is ready.
+// TestHangupDuringStart checks that a hangup that arrives before the daemon is ready leads to a reload once it is
+// ready.
 func TestHangupDuringStart(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	other, err := net.Listen("tcp", d.address)
@@ -54,7 +56,7 @@
 	d.awaitExit()
 }
 
-// TestHangupsFromExecOn guards against hangups that end the process or are lost in the time from exec until it serves.
+// TestHangupsFromExecOn checks that hangups between exec and the start of serving neither end the process nor are lost.
 // The program is started with SIGHUP ignored; it catches the signal first and reads its configuration afterwards.
 func TestHangupsFromExecOn(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
@@ -62,7 +64,7 @@
 		d.configure("")
 		d.process = exec.Command(os.Args[0], "serve", "--config", d.path)
 		d.process.Env = append(os.Environ(), "MULLEINPIER_RUN=1", "GW_CONFIG=")
-		signal.Ignore(syscall.SIGHUP) // inherited by the process
+		signal.Ignore(syscall.SIGHUP) // the process inherits this setting
 		d.run()
 		signal.Reset(syscall.SIGHUP)
 		ready, stopped := make(chan struct{}), make(chan struct{})
@@ -95,9 +97,9 @@
 type failedStart struct {
 	name string
 	args []string // FILE stands for the path of the file
-	file string   // text of the file; TAKEN stands for an address in use
-	env  string   // a variable for the environment, NAME=VALUE; "" for none
-	want string   // part of the error
+	file string   // text of the file, in which TAKEN stands for an address in use
+	env  string   // an environment variable to set, NAME=VALUE; "" for none
+	want string   // text that the error must contain
 }
 
 const nodesLine = "nodes.addresses = [\"127.0.0.1:1\"]\n"
@@ -121,8 +123,7 @@
 	{"no command", nil, "", "", "no command, and GW_CONFIG is not set"},
 }
 
-// TestFailedStartsNameCauseInOneLine guards against a failed start whose error does not name the cause, or is longer
-// than one line.
+// TestFailedStartsNameCauseInOneLine checks that each failed start prints an error of one line that names the cause.
 func TestFailedStartsNameCauseInOneLine(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,7 +135,7 @@
 	}
 }
 
-// expect runs the command line and fails the test unless it fails with the expected error. The address taken is in use.
+// expect runs the command line and fails the test unless it fails with the expected error. taken is an address in use.
 func (s *failedStart) expect(t *testing.T, taken string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
@@ -160,7 +161,7 @@
 	}
 }
 
-// TestCheckPrintsAllErrors guards against a check that stops at the first error.
+// TestCheckPrintsAllErrors checks that the command check prints all errors of a configuration, not only the first.
 func TestCheckPrintsAllErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bad.toml")
 	replaceFile(t, path, []byte("listen = 3\nport = 3\n[limits]\nmemory_mb = 1\n"))
--- a/cmd/mulleinpier/successor_test.go
+++ b/cmd/mulleinpier/successor_test.go
@@ -14,8 +14,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestSuccessorAtSameAddress guards against a new process that fails because the former one still uses the address, and
-// against a former process that drops its requests once the new one serves.
+// TestSuccessorAtSameAddress checks that a new process starts although the former one still uses the address, and that
+// the former process answers its requests although the new one serves.
 func TestSuccessorAtSameAddress(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	d.configure("[start]\nwait_for_address = \"60s\"\n")
@@ -48,8 +48,8 @@
 	d.awaitExit()
 }
 
-// TestPassedListenerLosesNoConnection guards restarts with a listener that the service manager holds: while processes
-// replace one another, each connection must be established, and its first request answered.
+// TestPassedListenerLosesNoConnection checks restarts with a listener that the service manager holds: while processes
+// replace one another, each connection is established and its first request is answered.
 func TestPassedListenerLosesNoConnection(t *testing.T) {
 	d := newTestDaemon(t, node.Config{})
 	file := d.listenerFile()
--- a/cmd/mulleinpier/takeover_test.go
+++ b/cmd/mulleinpier/takeover_test.go
@@ -20,7 +20,7 @@
 )
 
 // startTakeoverFleet starts a voter and the named proxies of one fleet. The proxies share their nodes and replicate
-// writes to each other. It also returns their addresses for replication.
+// writes to each other. addresses are the proxies' addresses for replication.
 func startTakeoverFleet(t *testing.T, names ...string) (proxies []*testDaemon, addresses []string) {
 	t.Helper()
 	v := newTestDaemon(t, node.Config{})
@@ -73,15 +73,15 @@
 		defer c.socket.Close()
 		attemptID := fmt.Sprint(id, ".", attempts)
 		c.send("ms order %d O%s Pc=write,k=%s,d=5000%s\r\n%s\r\n", len(value), attemptID, key, flags, value)
-		response = strings.Replace(c.line(), " O"+attemptID, " O"+id, 1) // not in the receipt, which names its attempt
+		response = strings.Replace(c.line(), " O"+attemptID, " O"+id, 1) // the receipt keeps the ID of the attempt that it names
 		return !strings.HasPrefix(response, "SERVER_ERROR busy")
 	})
 	return response
 }
 
-// TestReceiptSurvivesProxy kills a proxy that has completed a handover, and repeats it at another proxy for longer than
-// nodes drop repeats: each repeat must get the same receipt, nothing may take effect twice, and the key must not be
-// accepted for another value.
+// TestReceiptSurvivesProxy checks that the outcome of a handover outlives the proxy that completed it. The test kills
+// that proxy and retries the write at another proxy for longer than nodes drop duplicates: each retry gets the same
+// receipt, nothing takes effect twice, and the key is not accepted for another value.
 func TestReceiptSurvivesProxy(t *testing.T) {
 	proxies, addresses := startTakeoverFleet(t, "a", "b")
 	a, b := proxies[0], proxies[1]
@@ -116,8 +116,8 @@
 	b.awaitExit()
 }
 
-// TestWriteIsTakenOver kills a proxy whose handover is in flight at a stalled node: the other proxy must complete it,
-// and a repeat there must get the outcome.
+// TestWriteIsTakenOver checks that another proxy completes a handover whose proxy was killed while the write was in
+// flight at a stalled node, and that a retry at the other proxy gets the outcome.
 func TestWriteIsTakenOver(t *testing.T) {
 	proxies, _ := startTakeoverFleet(t, "a", "b")
 	a, b := proxies[0], proxies[1]
--- a/cmd/mulleinpier/termination_test.go
+++ b/cmd/mulleinpier/termination_test.go
@@ -27,8 +27,8 @@
 	t       *testing.T
 	nodes   *scriptednode.Nodes
 	address string
-	hanging int       // number of requests of sendToNode that hang at nodes
-	done    chan bool // a value for each request of sendToNode that has ended
+	hanging int       // number of requests sent by sendToNode that hang at nodes
+	done    chan bool // receives a value when a request sent by sendToNode has ended
 	waiting sync.WaitGroup
 	senders sync.WaitGroup
 }
@@ -67,12 +67,14 @@
 	return fmt.Sprintf(format, reaction, id, effect, terminationDeadlineMillis)
 }
 
-// isAnswerTo reports whether a line is a response to a request, or a server error, which names no request.
+// isAnswerTo reports whether line is a response to the request with an ID. Any server error counts, as it names no
+// request.
 func isAnswerTo(line, id string) bool {
 	return strings.HasPrefix(line, "SERVER_ERROR") || strings.Contains(line, "O"+id)
 }
 
-// warmUp waits until the nodes are known, and sends so many requests that admission accepts those that will hang.
+// warmUp waits until the nodes are known, and then sends 500 requests that are served, so that admission accepts the
+// requests that will hang.
 func (e *terminationTest) warmUp() {
 	e.t.Helper()
 	c := e.dial()
@@ -87,7 +89,7 @@
 	}
 }
 
-// sendToNode sends a request to which the node reacts as given, and expects exactly one response.
+// sendToNode sends a request whose key makes the node react as given, and expects exactly one response.
 func (e *terminationTest) sendToNode(effect string, reaction scriptednode.Reaction) {
 	c := e.dial()
 	id := fmt.Sprintf("%s-%s", effect, reaction)
