--- a/cmd/fleettest/commands.go
+++ b/cmd/fleettest/commands.go
@@ -38,7 +38,7 @@
 	AsHolder holderCommand `cmd:"" name:"holder" hidden:"" help:"Run as a process that repeatedly acquires a task."`
 }
 
-// run runs a command, and returns its report; nil if it has none.
+// run runs a command, and returns its report, or nil if the command has none.
 func (c *commands) run(ctx context.Context, verb string, test *testRun) (report, error) {
 	verbs := map[string]interface {
 		run(ctx context.Context, test *testRun) (report, error)
@@ -196,7 +196,7 @@
 
 const (
 	takeoverDurationShort = 25 * time.Second
-	takeoverRateShort     = 0.25 // of the rate
+	takeoverRateShort     = 0.25 // share of the rate
 )
 
 func (c *takeoverCommand) run(ctx context.Context, test *testRun) (report, error) {
--- a/cmd/fleettest/main.go
+++ b/cmd/fleettest/main.go
@@ -39,7 +39,7 @@
 	case errors.Is(err, errUsage):
 		fmt.Fprintf(os.Stderr, "fleettest: %v; see fleettest --help\n", err)
 		os.Exit(exitUsage)
-	case errors.Is(err, errBroken): // the printed report says which rule
+	case errors.Is(err, errBroken): // the printed report says which rule was broken
 		os.Exit(exitBroken)
 	default:
 		fmt.Fprintln(os.Stderr, "fleettest:", err)
@@ -51,10 +51,10 @@
 func run(ctx context.Context, args []string, out, progress io.Writer) error {
 	var c commands
 	chosen, err := cli.Parse(&c, "fleettest", description, args, out, progress)
-	if err != nil || chosen == "" { // "": the help or the list of scenarios was printed
+	if err != nil || chosen == "" { // chosen is "" after the help or the list of scenarios was printed
 		return err
 	}
-	verb, _, _ := strings.Cut(chosen, " ") // names of arguments follow
+	verb, _, _ := strings.Cut(chosen, " ") // the names of the arguments follow the verb
 	switch verb {
 	case "double":
 		return c.AsDouble.run(ctx, progress)
--- a/cmd/fleettest/main_test.go
+++ b/cmd/fleettest/main_test.go
@@ -17,7 +17,7 @@
 	"mulleinpier/internal/overload"
 )
 
-// bin is the folder into which TestMain builds the programs.
+// bin is the directory in which TestMain builds the programs.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -39,13 +39,13 @@
 	os.Exit(code)
 }
 
-// runFleetTest runs the program to its end and returns its output, its exit code and its report.
+// runFleetTest runs the program until it exits, and returns its output, its exit code and its report.
 func runFleetTest(t *testing.T, args ...string) (string, int, fleettest.Report) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer stop()
 	path := filepath.Join(t.TempDir(), "report.json")
-	args = append([]string{args[0], "--quiet", "--json", path}, args[1:]...) // a later --json wins
+	args = append([]string{args[0], "--quiet", "--json", path}, args[1:]...) // a --json in args overrides this one
 	cmd := exec.CommandContext(ctx, filepath.Join(bin, "fleettest"), args...)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState == nil {
@@ -69,8 +69,8 @@
 var verdict = regexp.MustCompile(`^verdict: (ok|BROKEN) requests=(\d+) lost=(\d+) doubled=(\d+) ` +
 	`late_drains=(\d+) crashes=(\d+)( stopped=\d+)?$`)
 
-// The rules hold while real processes are restarted, reloaded and killed and the services around them fail, and the
-// report counts all restarts and reloads.
+// TestRulesHold checks that the rules hold while real processes are restarted, reloaded and killed and the services
+// around them fail, and that the report counts all restarts and reloads.
 func TestRulesHold(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -102,7 +102,8 @@
 	}
 }
 
-// Eight processes compete for one task, under faults: no two actions overlap at a resource that checks fencing tokens.
+// TestLease checks that no two actions overlap at a resource that checks fencing tokens while eight processes compete
+// for one task under faults.
 func TestLease(t *testing.T) {
 	out, code, _ := runFleetTest(t, "lease", "--short", "--json", filepath.Join(t.TempDir(), "report.json"))
 	want := regexp.MustCompile(`^verdict: ok acts=\d{2,} overlaps=0 backward=0 lost=0 doubled=0 crashes=0$`)
@@ -111,7 +112,8 @@
 	}
 }
 
-// In a fleet of five members no live member is reported dead, and every death is detected by all others.
+// TestPeers checks that in a fleet of five members no live member is reported dead, and every death is detected by all
+// other members.
 func TestPeers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	out, code, _ := runFleetTest(t, "peers", "--instances", "5", "--times", "1", "--json", path)
@@ -120,8 +122,8 @@
 	}
 }
 
-// Two overloads at the same time, without and with degradation levels: the rules hold, every proxy with levels changes
-// its level and records a cause, and none without levels does.
+// TestDegrade checks two simultaneous overloads, without and with degradation levels: the rules hold, every proxy with
+// levels changes its level and records a cause, and no proxy without levels changes its level.
 func TestDegrade(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	out, code, _ := runFleetTest(t, "degrade", "--short", "--json", path)
@@ -153,14 +155,15 @@
 	}
 }
 
-// The conformance suite passes with both dialects of clients and of nodes.
+// TestConformance checks that the conformance suite passes with both dialects of clients and of nodes.
 func TestConformance(t *testing.T) {
 	if out, code, _ := runFleetTest(t, "conform"); code != 0 || !strings.HasSuffix(out, "verdict: ok, 140 played\n") {
 		t.Errorf("exit %d:\n%s", code, out)
 	}
 }
 
-// Guards against a checker that accepts everything: each defect is detected exactly as often as it was injected.
+// TestPlantedDefectsAreDetected checks that each planted defect is detected exactly as often as it was injected, and
+// that nothing is reported without one. A checker that accepts everything would let the other tests pass.
 func TestPlantedDefectsAreDetected(t *testing.T) {
 	injected := regexp.MustCompile(`injected=(\d+)`)
 	for fault, count := range map[string]func(fleettest.Report) int{
@@ -201,8 +204,9 @@
 	}
 }
 
-// A proxy of four restarts, then the only one, under clients of both kinds: those that use the library lose nothing,
-// write nothing twice and need at most 1.2 attempts per request. How evenly they reconnect is not checked here.
+// TestLibraryClients checks clients of both kinds while one proxy of four restarts, then the only one: clients that use
+// the library lose nothing, write nothing twice and need at most 1.2 tries per request. How evenly the clients
+// reconnect is not checked here.
 func TestLibraryClients(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	args := []string{"clients", "--short", "--quiet", "--tills", "300", "--json", path}
@@ -234,7 +238,8 @@
 	}
 }
 
-// The commands cost and times produce their results. The runs are too short for the figures to mean anything.
+// TestMeasurementsMeasure checks that the commands cost and times print their results. The runs are too short for the
+// figures to mean anything.
 func TestMeasurementsMeasure(t *testing.T) {
 	out, code, _ := runFleetTest(t, "cost", "--runs", "1", "--requests", "2000")
 	if code != 0 || strings.Count(out, " connections ") != 3 || !strings.Contains(out, "% ") {
--- a/cmd/fleettest/recorded_test.go
+++ b/cmd/fleettest/recorded_test.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// Each line of exit-codes.txt is an exit code and the arguments of a command that ends before it starts a fleet.
+// TestExitCodesAsRecorded checks the exit codes of the commands in exit-codes.txt. Each line of the file has an exit
+// code and the arguments of a command that ends before it starts a fleet.
 func TestExitCodesAsRecorded(t *testing.T) {
 	lines := bufio.NewScanner(bytes.NewReader(testutil.Recorded(t, "testdata/recorded/exit-codes.txt")))
 	for lines.Scan() {
@@ -97,10 +98,10 @@
 	}
 }
 
-// number matches a number in the text of stats.
+// number matches the value of a statistic that is a number.
 var number = regexp.MustCompile(`^-?\d+(\.\d+)?$`)
 
-// readStats asks a proxy for its stats, and returns the answers with each number replaced by N.
+// readStats requests the statistics of the proxy at an address, and returns the answers with each number replaced by N.
 func readStats(t *testing.T, address string) string {
 	t.Helper()
 	socket, err := net.Dial("tcp", address)
--- a/cmd/fleettest/sight.go
+++ b/cmd/fleettest/sight.go
@@ -15,8 +15,9 @@
 	Every int    `help:"Inject the defect into one request in this many; by default 1 to 500, by defect."`
 }
 
-// defaultDefectInterval maps each defect to its default interval: it is injected into one request in this many. The
-// interval of double is shorter because only handovers can be duplicated, whereas lose and drain affect any request.
+// defaultDefectInterval maps each defect to its default interval: a defect with interval n is injected into one request
+// in n. The interval of double is shorter because only handovers can be duplicated, whereas lose and drain affect any
+// request.
 var defaultDefectInterval = map[string]int{
 	faultyproxy.NoFault:        1,
 	faultyproxy.LoseAnswer:     500,
--- a/cmd/fleettest/testrun.go
+++ b/cmd/fleettest/testrun.go
@@ -23,19 +23,19 @@
 	Library bool   `help:"One client in four uses the client library."`
 }
 
-// report is the report of any command. If it has a method OK() bool, that says whether the rules held.
+// report is the report of any command. If it also has a method OK() bool, that method reports whether the rules held.
 type report interface{ Print(io.Writer) }
 
 // testRun holds the settings with which a command runs a fleet.
 type testRun struct {
 	flags    *commonFlags
 	options  fleettest.Options
-	self     string // path of this program, which also runs as processes of tests
+	self     string // path of this program, which tests also start as a proxy, relay or lease holder
 	out      io.Writer
 	progress io.Writer
 }
 
-// newTest returns a testRun for the flags. done removes its folder, unless --keep is set.
+// newTest returns a testRun for the flags. done removes the test's folder, unless --keep is set.
 func (f *commonFlags) newTest(out, progress io.Writer) (t *testRun, done func(), err error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -59,7 +59,7 @@
 	return t, done, err
 }
 
-// openFolder creates the folder for configurations and logs. done removes it if it is temporary.
+// openFolder creates the folder for configurations and logs. done removes the folder if it is temporary.
 func (f *commonFlags) openFolder() (path string, done func(), err error) {
 	if f.Keep == "" {
 		return fleettest.TempFolder()
--- a/cmd/fleettest/up_test.go
+++ b/cmd/fleettest/up_test.go
@@ -23,11 +23,11 @@
 type runningFleet struct {
 	cmd      *exec.Cmd
 	problems bytes.Buffer // what the program wrote to standard error
-	proxies  []string     // addresses
+	proxies  []string     // addresses of the proxies
 	nodes    int
 }
 
-// runFleet has the program run a fleet, and waits until it is ready.
+// runFleet starts the command up, and waits until the fleet is ready.
 func runFleet(t *testing.T, args ...string) *runningFleet {
 	t.Helper()
 	f := &runningFleet{cmd: exec.Command(filepath.Join(bin, "fleettest"), append([]string{"up"}, args...)...)}
@@ -71,7 +71,8 @@
 	}
 }
 
-// The command up runs a fleet that serves clients of both dialects until it is interrupted.
+// TestUpHoldsAFleet checks that the command up runs a fleet that serves clients of both dialects until it is
+// interrupted.
 func TestUpHoldsAFleet(t *testing.T) {
 	fleet := runFleet(t, "--binary")
 	if len(fleet.proxies) == 0 || fleet.nodes == 0 {
@@ -117,7 +118,8 @@
 	}
 }
 
-// With --consul, up prints the addresses of Consul agents that list the nodes.
+// TestUpPrintsConsulAgents checks that with --consul the command up prints the address of a Consul agent that lists the
+// nodes.
 func TestUpPrintsConsulAgents(t *testing.T) {
 	cmd := exec.Command(filepath.Join(bin, "fleettest"), "up", "--consul")
 	out, err := cmd.StdoutPipe()
--- a/cmd/mulleinctl/exitcode.go
+++ b/cmd/mulleinctl/exitcode.go
@@ -14,7 +14,7 @@
 	exitFailed  = 1 // the command failed, or no proxy could be reached; a retry is harmless
 	exitUsage   = 2
 	exitMiss    = 3 // the key does not exist
-	exitRefused = 4 // rejected; a later retry is harmless
+	exitRefused = 4 // the request was rejected; a later retry is harmless
 	exitUnknown = 5 // the write may have been carried out
 	exitHeld    = 6 // another process holds the task, and --wait was not set or has passed
 	exitLost    = 7 // the lease was lost, and the command terminated
--- a/cmd/mulleinctl/fleet.go
+++ b/cmd/mulleinctl/fleet.go
@@ -22,7 +22,7 @@
 	JSON bool `help:"Print JSON."`
 }
 
-// maxMembersWait bounds the wait for the answers of all voters.
+// maxMembersWait bounds how long the command waits for the answers of all voters.
 const maxMembersWait = 500 * time.Millisecond
 
 var errNoVoter = errors.New("no voter answered")
--- a/cmd/mulleinctl/getset.go
+++ b/cmd/mulleinctl/getset.go
@@ -10,7 +10,7 @@
 	"mulleinpier/client"
 )
 
-// proxyFlags select the proxies, and configure requests to them.
+// proxyFlags select the proxies, and configure the requests to them.
 type proxyFlags struct {
 	Proxies []string      `short:"p" help:"Proxies, host:port, separated by commas."`
 	File    string        `help:"Instead of --proxies: a file that lists them, one per line."`
@@ -42,7 +42,8 @@
 	return c, nil
 }
 
-// trace returns hooks that print errors of the list of proxies and, with --trace, each try and each new connection.
+// trace returns hooks that print failures to read the list of proxies and, with --trace, each try and each new
+// connection.
 func (f *proxyFlags) trace(log io.Writer) (hooks client.Trace) {
 	hooks.List = func(_ []string, err error) {
 		if err != nil {
@@ -67,7 +68,8 @@
 	Keys []string `arg:"" help:"Keys to read."`
 }
 
-// run reads the keys one after another. It returns the last error that is not a missing key, or else the first error.
+// run reads the keys one after another. It returns the last error other than a missing key, or, if there is none, the
+// first error.
 func (c *getCommand) run(ctx context.Context, out, log io.Writer) error {
 	proxies, err := c.open(log)
 	if err != nil {
@@ -105,7 +107,8 @@
 	"safe":   client.Safe,
 }
 
-// maxInputBytes bounds a value that is read from standard input. Proxies reject values above their own, lower limit.
+// maxInputBytes bounds the part of standard input that is read as a value. Proxies reject values above a lower limit of
+// their own.
 const maxInputBytes = 1 << 20
 
 func (c *setCommand) run(ctx context.Context, in io.Reader, out, log io.Writer) error {
--- a/cmd/mulleinctl/hold.go
+++ b/cmd/mulleinctl/hold.go
@@ -24,7 +24,7 @@
 	Grace   time.Duration `default:"500ms" help:"Time between SIGTERM and SIGKILL when the lease ends."`
 }
 
-// The environment variables of the command that runs under a lease.
+// Environment variables that are set for the command that runs under a lease.
 const (
 	tokenVariable = "MULLEIN_LEASE" // the fencing token
 	taskVariable  = "MULLEIN_TASK"
@@ -41,7 +41,7 @@
 	}
 	name := c.Name
 	if name == "" {
-		name, _ = os.Hostname() // may stay empty: the agent adds what makes holder names unique
+		name, _ = os.Hostname() // the name may be empty: the agent makes holder names unique
 	}
 	voters, err := c.open()
 	if err != nil {
@@ -56,15 +56,16 @@
 	if err := c.await(ctx, holder); err != nil {
 		return err
 	}
-	// runCommand terminates the command itself: when a signal ends ctx, or some time before the lease ends, by
-	// LostBefore. The guard must outlast both, so its context has no cancellation. The context that the guard passes to
-	// its action would end too late.
+	// runCommand itself terminates the command: when a signal cancels ctx, or, by LostBefore, some time before the
+	// lease ends. RunGuarded must run until that is done, so its context is not canceled with ctx. The context that
+	// RunGuarded passes to its action would be canceled too late.
 	return holder.RunGuarded(context.WithoutCancel(ctx), func(_ context.Context, token uint64) error {
 		return c.runCommand(ctx, holder, argv, token, out, log)
 	})
 }
 
-// await waits until the lease is held. If --wait passes first, the error is lease.ErrHeld.
+// await waits until the lease is held. If others hold the task for the longer of --wait and --within, and --wait is
+// set, the error is lease.ErrHeld.
 func (c *holdCommand) await(ctx context.Context, holder *agent.Holder) error {
 	ctx, cancel := context.WithTimeout(ctx, max(c.Wait, c.Within))
 	defer cancel()
@@ -78,8 +79,8 @@
 // killMargin is the time between the end of the grace period and the end of the lease.
 const killMargin = 50 * time.Millisecond
 
-// runCommand runs the command under a grant, and terminates it before the lease ends: without a renewal, it starts to
-// do so when only the grace period and killMargin are left.
+// runCommand runs the command under a grant, and terminates it before the lease ends: if the lease is not renewed,
+// runCommand sends SIGTERM when only the grace period and killMargin are left.
 func (c *holdCommand) runCommand(
 	ctx context.Context, holder *agent.Holder, argv []string, token uint64, out, log io.Writer,
 ) (err error) {
@@ -105,7 +106,8 @@
 	return err
 }
 
-// endCommand terminates the command's process group, with SIGKILL after the grace period, and waits for the command.
+// endCommand sends SIGTERM to the command's process group, and SIGKILL if the command has not exited after the grace
+// period. It returns when the command has exited.
 func (c *holdCommand) endCommand(pid int, ended <-chan error) {
 	syscall.Kill(-pid, syscall.SIGTERM)
 	select {
--- a/cmd/mulleinctl/lease.go
+++ b/cmd/mulleinctl/lease.go
@@ -51,7 +51,7 @@
 	Seat   uint64 `help:"Seat that enrol printed; omitted for the first voters of a new fleet."`
 }
 
-// run executes one of the verbs.
+// run executes the verb of mulleinctl lease.
 func (c *leaseCommand) run(ctx context.Context, verb string, out, log io.Writer) error {
 	switch verb {
 	case "hold":
@@ -81,7 +81,7 @@
 	return fmt.Errorf("%w: unknown command \"lease %s\"", errUsage, verb)
 }
 
-// command returns a command for the grant.
+// command returns a lease command of the given kind for the selected grant.
 func (c *grantCommand) command(kind lease.CommandKind) lease.Command {
 	return lease.Command{Kind: kind, Task: c.Task, Token: c.Token}
 }
@@ -95,7 +95,7 @@
 	return agent.InitVoter(c.Memory, &fleet)
 }
 
-// add adds a voter, and prints how to create its storage.
+// add adds a voter to the fleet, and prints its seat and how to create its storage.
 func (c *voterCommand) add(ctx context.Context, out io.Writer) error {
 	if err := c.execute(ctx, lease.Command{Kind: lease.AddVoter, To: c.Name}); err != nil {
 		return err
--- a/cmd/mulleinctl/lease_test.go
+++ b/cmd/mulleinctl/lease_test.go
@@ -61,13 +61,14 @@
 	return flags
 }
 
-// result is the output and the exit code of a command.
+// result is the output and the exit code of a run of mulleinctl.
 type result struct {
 	out  string
 	code int
 }
 
-// mulleinctl runs a command, and returns all that it printed, with its error, and its exit code.
+// mulleinctl runs a command in this process. It returns everything that the command printed, followed by its error, and
+// the exit code.
 func mulleinctl(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
 	var b bytes.Buffer
@@ -80,10 +81,10 @@
 	return b.String(), exitCode(err)
 }
 
-// leaseVerb runs a verb of mulleinctl lease.
+// leaseVerb runs a verb of mulleinctl lease with arguments.
 type leaseVerb func(verb string, args ...string) (out string, code int)
 
-// want runs a verb, fails the test unless it ends with this exit code, and returns what it printed.
+// want runs a verb, fails the test unless the verb ends with the exit code code, and returns what the verb printed.
 func (v leaseVerb) want(t *testing.T, code int, verb string, args ...string) string {
 	t.Helper()
 	out, got := v(verb, args...)
@@ -93,7 +94,8 @@
 	return out
 }
 
-// heldFor returns the number of the grant of task backup that show prints with a duration, "" for none.
+// heldFor returns the number of the grant of the task backup that the verb show lists with the given duration, or "" if
+// there is none.
 func (v leaseVerb) heldFor(duration string) string {
 	out, _ := v("show", "backup")
 	for line := range strings.Lines(out) {
@@ -105,7 +107,8 @@
 	return ""
 }
 
-// TestLeaseVerbs runs verbs against real voters, and checks their output and exit codes.
+// TestLeaseVerbs checks the output and the exit codes of the lease verbs against three real voters: hold, show, revoke,
+// limit and list.
 func TestLeaseVerbs(t *testing.T) {
 	flags := startVoters(t)
 	var verb leaseVerb = func(verb string, args ...string) (string, int) {
@@ -115,7 +118,7 @@
 	if out != "backup 1\n" {
 		t.Fatalf("the command printed %q", out)
 	}
-	// The lease is released, or expires if the release was lost.
+	// The task becomes free when the lease is released, or expires if the release was lost.
 	testutil.WaitUntil(t, "the task to be free", func() bool {
 		out, code := verb("show", "backup")
 		return code == 0 && strings.Contains(out, "free")
--- a/cmd/mulleinctl/leaselist.go
+++ b/cmd/mulleinctl/leaselist.go
@@ -55,7 +55,7 @@
 	return w.Flush()
 }
 
-// printTask prints the grants and the waiters of a task, one per row, or one row for a free task.
+// printTask prints the grants and the waiters of a task, one per row. A free task has one row that says so.
 func printTask(w io.Writer, name string, state *agent.VoterState) {
 	t := state.StateMachine.Tasks[name]
 	for _, g := range t.Grants {
--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -15,8 +15,8 @@
 	"mulleinpier/internal/cli"
 )
 
-// commands are the verbs. kong derives the names of verbs, flags and arguments from the names of the fields here and in
-// the structs of the verbs.
+// commands are the verbs of the command line. kong derives the names of verbs, flags and arguments from the names of
+// the fields here and in the structs of the verbs.
 type commands struct {
 	Get  getCommand  `cmd:"" help:"Read keys."`
 	Set  setCommand  `cmd:"" help:"Write a key."`
@@ -37,15 +37,15 @@
 	os.Exit(exitCode(err))
 }
 
-// run carries out the command in args.
+// run executes the command in args.
 func run(ctx context.Context, args []string, in io.Reader, out, log io.Writer) error {
 	var c commands
 	const description = "Reads and writes keys through mulleinpier proxies, generates load, and manages leases."
 	chosen, err := cli.Parse(&c, "mulleinctl", description, args, out, log)
-	if err != nil || chosen == "" { // "": help was printed
+	if err != nil || chosen == "" { // chosen is "" after help was printed
 		return err
 	}
-	verb, rest, _ := strings.Cut(chosen, " ") // rest has a second verb and the names of arguments
+	verb, rest, _ := strings.Cut(chosen, " ") // rest has the second verb, if any, and the names of the arguments
 	switch verb {
 	case "get":
 		return c.Get.run(ctx, out, log)
--- a/cmd/mulleinctl/main_test.go
+++ b/cmd/mulleinctl/main_test.go
@@ -13,7 +13,7 @@
 	"mulleinpier/internal/loadgen"
 )
 
-// reactByKey is the reaction of the scripted proxy to a key.
+// reactByKey returns the reaction of the scripted proxy to a request, which depends on its key.
 func reactByKey(_ int, r scriptednode.ReceivedRequest) scriptednode.Reaction {
 	switch r.Key {
 	case "none":
@@ -28,7 +28,7 @@
 	return scriptednode.Serve
 }
 
-// startProxy starts a scripted proxy, and returns it with the path of a file that lists it.
+// startProxy starts a scripted proxy. It returns the proxy and the path of a file that lists its address.
 func startProxy(t *testing.T) (proxy *scriptednode.Nodes, list string) {
 	t.Helper()
 	proxy, err := scriptednode.Start(scriptednode.Meta, 1, reactByKey)
@@ -43,14 +43,15 @@
 	return proxy, list
 }
 
-// TestOutputAndExitCodeOfEachCommand runs each command against a scripted proxy.
+// TestOutputAndExitCodeOfEachCommand checks the output and the exit code of get, set and invalid commands against a
+// scripted proxy.
 func TestOutputAndExitCodeOfEachCommand(t *testing.T) {
 	proxy, list := startProxy(t)
 	at := "--proxies=" + proxy.Address(0)
 	for _, c := range []struct {
 		args     string
 		code     int
-		out, log string // substrings of the output
+		out, log string // texts that standard output and the log must contain
 	}{
 		{"get " + at + " a b", 0, "v:a\nv:b\n", ""},
 		{"get --file=" + list + " a", 0, "v:a\n", ""},
--- a/cmd/mulleinctl/recorded_test.go
+++ b/cmd/mulleinctl/recorded_test.go
@@ -46,7 +46,7 @@
 	for _, c := range []struct {
 		file   string
 		into   any
-		indent string // of the outputs that are written to a file
+		indent string // indentation of JSON that the command writes to a file; "" for standard output
 	}{
 		{"fleet-list.json", &[]peer.MemberState{}, ""},
 		{"lease-list.json", &agent.VoterState{}, ""},
@@ -62,7 +62,8 @@
 	}
 }
 
-// Each line of exit-codes.txt is an exit code, the quoted standard output and the arguments.
+// TestExitCodesAsRecorded runs the commands in exit-codes.txt and checks their exit codes and output. Each line of the
+// file has an exit code, the quoted standard output and the arguments.
 func TestExitCodesAsRecorded(t *testing.T) {
 	proxy, list := startProxy(t)
 	placeholders := strings.NewReplacer("{proxy}", proxy.Address(0), "{list}", list)
--- a/cmd/mulleinctl/voters.go
+++ b/cmd/mulleinctl/voters.go
@@ -10,14 +10,14 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// voterFlags select the voters that requests go to.
+// voterFlags select the voters that receive the requests.
 type voterFlags struct {
 	Fleet  string        `required:"" env:"MULLEIN_FLEET" help:"Name of the fleet."`
 	Voters []string      `required:"" env:"MULLEIN_VOTERS" help:"Voters, name=host:port,..., in the configured order."`
 	Within time.Duration `default:"5s" help:"How long to try to reach the leader of the voters."`
 }
 
-// fleet returns the fleet and its voters. Addresses are checked by the agent package.
+// fleet returns the fleet with its voters. The agent package validates the addresses.
 func (f *voterFlags) fleet() agent.Fleet {
 	fleet := agent.Fleet{Name: f.Fleet}
 	for _, voter := range f.Voters {
--- a/cmd/mulleinctl/work.go
+++ b/cmd/mulleinctl/work.go
@@ -14,7 +14,7 @@
 	"mulleinpier/internal/takeover/coordinator"
 )
 
-// workCommand has the verbs for the writes that a proxy has recorded.
+// workCommand has the verbs that show the writes that a proxy has recorded.
 type workCommand struct {
 	List workListCommand `cmd:"" help:"List the writes that a proxy has recorded, those with unknown outcomes first."`
 }
--- a/cmd/mulleinpier/main.go
+++ b/cmd/mulleinpier/main.go
@@ -50,14 +50,15 @@
 	Counts bool `xor:"taken" help:"Log a line of counts each second."`
 }
 
-// stableInterval is the time between two reads of a configuration file, which must return the same text before it is
-// reloaded.
+// stableInterval is the time between two reads of a configuration file. A reload applies the file only after two
+// successive reads have returned the same text.
 const stableInterval = 50 * time.Millisecond
 
 var errUsage = cli.ErrUsage
 
 func main() {
-	// This comes first: until signals are caught, they end the program, and so does a write to a log that nobody reads.
+	// Signals must be caught first: until then they end the program, and so does a write to a log pipe that nobody
+	// reads.
 	signal.Ignore(syscall.SIGPIPE)
 	hangups, terminations := make(chan os.Signal, 1), make(chan os.Signal, 2)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -78,7 +79,7 @@
 	}
 }
 
-// oneLine returns one line for an error: the first of the joined errors, and the number of the others.
+// oneLine returns the text of an error as one line: the first of the joined errors, and the number of the others.
 func oneLine(err error) string {
 	list := config.Errors(err)
 	if len(list) == 1 {
@@ -145,7 +146,7 @@
 		if started {
 			return config.ReadStable(options.Config, func() { time.Sleep(stableInterval) })
 		}
-		started = true // at the start the file is read once, as the wait of ReadStable would only delay it
+		started = true // the start reads the file once: the wait in ReadStable would delay it
 		return config.Read(options.Config)
 	}
 	return daemon.Run(o)
--- a/cmd/mulleinpier/pause_test.go
+++ b/cmd/mulleinpier/pause_test.go
@@ -180,7 +180,7 @@
 	for _, c := range waiting {
 		if got := c.line(); strings.HasPrefix(got, "VA ") {
 			c.line()
-		} else if !strings.HasPrefix(got, "SERVER_ERROR busy") { // a single node may reject some of 40 simultaneous requests
+		} else if !strings.HasPrefix(got, "SERVER_ERROR busy") { // a single node may reject some of the 40 requests
 			t.Errorf("got %q", got)
 		}
 	}
--- a/cmd/mulleinpier/platform.go
+++ b/cmd/mulleinpier/platform.go
@@ -20,8 +20,8 @@
 	formerLevelVariable = "YARROWSPAN_LOG_LEVEL"
 )
 
-// runPlatformDefault serves with the platform's configuration and without options. The platform starts the program
-// without a command, so no command line has to be parsed.
+// runPlatformDefault runs the daemon with the platform's configuration and without options. The platform starts the
+// program without a command, so no command line has to be parsed.
 func runPlatformDefault(o daemon.Options) error {
 	if o.Getenv(configVariable) == "" {
 		return fmt.Errorf("%w: no command, and %s is not set", errUsage, configVariable)
@@ -31,7 +31,7 @@
 	return daemon.Run(o)
 }
 
-// runPlatform serves with the platform's configuration and the options of the command platform.
+// runPlatform runs the daemon with the platform's configuration and the options of the command platform.
 func runPlatform(o daemon.Options, options platformOptions) error {
 	load := platformLoader(o.Getenv)
 	o.Platform = true
@@ -47,7 +47,7 @@
 }
 
 // platformLoader returns a function that reads the platform's configuration. Environment variables take precedence over
-// the file only at the start: they cannot change in a running process, so a reload must not let them override the file.
+// the file only at the start: they cannot change in a running process, so after a reload the file must take precedence.
 func platformLoader(getenv func(string) string) func() (*config.Config, error) {
 	started := false
 	level, deprecated := logLevel(getenv)
--- a/cmd/mulleinpier/secret.go
+++ b/cmd/mulleinpier/secret.go
@@ -11,8 +11,8 @@
 	"mulleinpier/internal/sasl"
 )
 
-// printSecret reads a secret from the first line of in, and prints the user's line for a users file, with a salted hash
-// of the secret.
+// printSecret reads a secret from the first line of in, and prints the line for the user in a users file, which
+// contains a salted hash of the secret.
 func printSecret(user string, in io.Reader, out io.Writer) error {
 	limited := io.LimitReader(in, sasl.MaxSecret+int64(len("\r\n")))
 	text, err := bufio.NewReader(limited).ReadString('\n')
--- a/cmd/mulleinpier/takeover_test.go
+++ b/cmd/mulleinpier/takeover_test.go
@@ -73,7 +73,7 @@
 		defer c.socket.Close()
 		attemptID := fmt.Sprint(id, ".", attempts)
 		c.send("ms order %d O%s Pc=write,k=%s,d=5000%s\r\n%s\r\n", len(value), attemptID, key, flags, value)
-		response = strings.Replace(c.line(), " O"+attemptID, " O"+id, 1) // the receipt keeps the ID of the attempt that it names
+		response = strings.Replace(c.line(), " O"+attemptID, " O"+id, 1) // the receipt keeps the attempt's ID
 		return !strings.HasPrefix(response, "SERVER_ERROR busy")
 	})
 	return response
--- a/cmd/simadapter/fleet_test.go
+++ b/cmd/simadapter/fleet_test.go
@@ -19,9 +19,9 @@
 	sessionProxies  = 3
 	millisPerSecond = 1000
 	ticksPerSession = sessionSeconds * millisPerSecond / tickMillis
-	faultTicks      = 100                     // length of a fault of a node
-	restartTick     = ticksPerSession * 3 / 4 // one proxy restarts, with other settings
-	relistTicks     = 40                      // longest time until a change of the list is announced
+	faultTicks      = 100                     // duration of a node's fault
+	restartTick     = ticksPerSession * 3 / 4 // tick at which one proxy restarts with other settings
+	relistTicks     = 40                      // longest delay until a change of the list is announced
 	writeAttribute  = 1 << 2                  // marks a request as a write
 )
 
@@ -32,7 +32,7 @@
 	tick    int
 	nodes   []simNode
 	version int
-	pending map[int][]string // lines to send, by tick; each begins with the index of its proxy
+	pending map[int][]string // lines to send, by tick; each line begins with the index of its proxy
 	open    map[uint64]*simRequest
 	nextID  uint64
 	rate    float64 // arrivals per tick and proxy
@@ -43,7 +43,7 @@
 	address     string
 	zone, kind  int
 	mode        string
-	started     int // tick; 0 for before the session
+	started     int // tick of the last start; 0 if the node started before the session
 	faultUntil  int
 	faultResult string
 	cached      map[string]bool
@@ -120,7 +120,7 @@
 	return f
 }
 
-// settings draws the settings of an instance. The same seed gives all instances the same draws.
+// settings returns the settings of an instance, drawn from a seed. The same seed gives all instances the same draws.
 func (f *fleet) settings(seed uint64, proxy int) string {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	draw := func(choices ...string) string { return choices[rng.IntN(len(choices))] }
@@ -204,7 +204,8 @@
 	return b.String()
 }
 
-// drawFaults draws faults, drains and restarts of nodes, and losses of discovery.
+// drawFaults draws faults, drains and restarts of nodes, and whether discovery reports each change or its loss of the
+// list.
 func (f *fleet) drawFaults() {
 	if f.rng.IntN(120) == 0 {
 		n := &f.nodes[f.rng.IntN(len(f.nodes))]
@@ -227,7 +228,7 @@
 	}
 }
 
-// announce sends a proxy the current list after some ticks.
+// announce schedules an update with the current list for a proxy, the given number of ticks from now.
 func (f *fleet) announce(proxy, ticks int, form string) {
 	f.later(proxy, ticks, fmt.Sprintf("%s\nupdate\t%d\t%s\t0", f.census(), f.version, form))
 }
@@ -236,10 +237,11 @@
 	f.pending[f.tick+max(ticks, 1)] = append(f.pending[f.tick+max(ticks, 1)], fmt.Sprintf("%d\t%s", proxy, text))
 }
 
-// arrivals draws new requests at a proxy, and clients that disconnect.
+// arrivals draws new requests at a proxy, and which of their clients will disconnect. It returns the lines of the
+// requests.
 func (f *fleet) arrivals(proxy int) (lines []string) {
 	rate := f.rate
-	if f.tick > ticksPerSession/2 && f.tick < ticksPerSession*2/3 { // a burst
+	if f.tick > ticksPerSession/2 && f.tick < ticksPerSession*2/3 { // four times the rate during a burst
 		rate *= 4
 	}
 	for ; rate > 0 && f.rng.Float64() < rate; rate-- {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// run answers each batch of in with one write to out, until the end of in.
+// run answers each batch that it reads from in with one write to out, until in ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	a := adapter{balancers: make(map[string]*policy.Balancer)}
@@ -39,14 +39,14 @@
 	}
 }
 
-// adapter holds the balancers of all instances, and buffers that are reused for each batch.
+// adapter holds the balancers of all instances, and the buffers that are reused for each batch.
 type adapter struct {
 	balancers map[string]*policy.Balancer
 	reply     simwire.Reply
 	actions   []policy.Action
 }
 
-// answer returns the reply to a batch, which is valid until the next call.
+// answer returns the reply to a batch. The reply is valid until the next call.
 func (a *adapter) answer(batch *simwire.Batch) []byte {
 	a.reply.Reset()
 	for i := range batch.Items {
@@ -55,7 +55,7 @@
 	return a.reply.Finish(batch.Sequence)
 }
 
-// handle starts or stops an instance, or passes it an event. Events of instances that do not run are ignored.
+// handle starts or stops an instance, or passes an event to it. It ignores events for instances that do not run.
 func (a *adapter) handle(now time.Duration, item *simwire.Item) {
 	switch {
 	case item.Stop:
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestInvalidInputIsNamedAndNotAnswered checks that an error names line and field, and that its batch gets no reply.
+// TestInvalidInputIsNamedAndNotAnswered checks that an error names the line and the field of the invalid input, and
+// that the batch with that input gets no reply.
 func TestInvalidInputIsNamedAndNotAnswered(t *testing.T) {
 	var out bytes.Buffer
 	err := run(strings.NewReader(opening+"batch\t1020\t2\nabout\tproxy/0\ndemand\t8\nend\n"), &out)
@@ -41,7 +42,8 @@
 	}
 }
 
-// TestInvalidSettingsAreReportedForTheirInstance checks that invalid settings fail their instance, not the adapter.
+// TestInvalidSettingsAreReportedForTheirInstance checks that invalid settings end only the instance that they belong
+// to, not the adapter.
 func TestInvalidSettingsAreReportedForTheirInstance(t *testing.T) {
 	for _, settings := range []string{
 		`{}`,
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,7 +17,8 @@
 type exit struct{}
 
 // Parse parses args into the struct that into points to, whose kong tags define the commands. It returns the selected
-// command followed by the names of its arguments, such as "do <what>", or "" if help was printed instead.
+// command followed by the names of the command's arguments, such as "do <what>", or "" if help was printed instead.
+// Help goes to out.
 func Parse(into any, name, description string, args []string, out, log io.Writer) (command string, err error) {
 	parser, err := kong.New(into,
 		kong.Name(name),
--- a/internal/daemon/actions.go
+++ b/internal/daemon/actions.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// readConfig is the task that reads a new configuration. It waits for the fleet's permit first.
+// readConfig is the task that reads a new configuration. It first waits for a permit to reload, if one is needed.
 func (d *daemon) readConfig() {
 	permit := d.fleet.awaitPermit("reload")
 	defer permit.release()
@@ -70,7 +70,7 @@
 }
 
 // requestDrainPermit starts the task that waits for a permit to drain, if one is needed. It also sends the status to
-// the service manager: the kernel merges pending signals, so whoever sends a second termination must know that the
+// the service manager: the kernel merges pending signals, so the sender of a second termination has to know that the
 // first has been received.
 func (d *daemon) requestDrainPermit() {
 	if !d.fleet.needsPermit() {
@@ -84,8 +84,8 @@
 	})
 }
 
-// applyConfig puts a configuration into force, completely or not at all. With Platform set, only the address of the
-// endpoint list can change.
+// applyConfig applies a configuration completely or, if it is rejected, not at all. With Platform set, it applies only
+// the address of the endpoint list.
 func (d *daemon) applyConfig(c *config.Config) {
 	d.pending = nil
 	if d.Platform {
@@ -101,8 +101,8 @@
 	d.log.Info("configuration reloaded", "sources", c.Proxy.SourceNames())
 }
 
-// status returns the message with the status text. Reading the counts takes the locks that all requests take, so a
-// proxy that is deadlocked there does not notify the watchdog.
+// status returns the message with the status text. It reads counts under the locks that all requests take, so a daemon
+// whose requests are deadlocked there does not notify the watchdog.
 func (d *daemon) status() string {
 	text := d.machine.State().String()
 	if d.server != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,7 +29,7 @@
 
 // Options configure Run. LoadConfig, Getenv and Log are required.
 type Options struct {
-	// LoadConfig reads the configuration, at the start and at each hangup.
+	// LoadConfig reads the configuration at the start, and again for each reload.
 	LoadConfig func() (*config.Config, error)
 	// Platform restricts a reload to what the platform changes at run time: the address of the endpoint list. If it is
 	// false, a new configuration is applied completely or rejected.
@@ -38,11 +38,11 @@
 	Getenv func(string) string
 	// Log receives the log lines.
 	Log io.Writer
-	// Hangups delivers SIGHUP. It must have a buffer of one so that no hangup is lost while Run is busy: one is enough,
-	// as a read of the configuration covers all hangups before it.
+	// Hangups delivers SIGHUP. The channel must have a buffer of one, so that no hangup is lost while Run is busy. One
+	// is enough, as one read of the configuration covers all hangups before it.
 	Hangups <-chan os.Signal
-	// Terminations delivers SIGTERM and SIGINT. It must have a buffer of two for the same reason; a third signal has no
-	// effect.
+	// Terminations delivers SIGTERM and SIGINT. The channel must have a buffer of two, so that neither of two
+	// terminations is lost while Run is busy; a third one has no effect.
 	Terminations <-chan os.Signal
 }
 
@@ -53,21 +53,21 @@
 	manager  *sdnotify.Notifier
 	logLevel slog.LevelVar // safe for concurrent use
 	log      *slog.Logger  // nil until a configuration has been read
-	server   *proxy.Server // nil until it listens
+	server   *proxy.Server // nil until the proxy listens
 	drain    context.CancelFunc
 	tasks    sync.WaitGroup
-	reports  chan taskReport // from tasks; safe for concurrent use
-	pending  *config.Config  // valid, but not applied yet
-	exitErr  error           // returned by Run
+	reports  chan taskReport // reports of tasks; safe for concurrent use
+	pending  *config.Config  // valid configuration that has not been applied yet
+	exitErr  error           // error that Run returns
 	// notifyFailureLogged is set once a failed notification has been logged.
 	notifyFailureLogged bool
 	fleet               fleetMember // safe for concurrent use
 }
 
-// taskReport is a report of a task to the goroutine of Run: either an event, or the server that now listens.
+// taskReport is a report of a task to the goroutine of Run: either an event, or the server once it listens.
 type taskReport struct {
 	event  lifecycle.Event
-	server *proxy.Server // set together with log once it listens; event is then unused
+	server *proxy.Server // set together with log once the server listens; event is then unused
 	log    *slog.Logger
 	config *config.Config // set for ConfigValid
 	err    error          // set for ConfigInvalid and StartFailed
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -15,28 +15,28 @@
 )
 
 // fleetMember is the membership of this process in the fleet: it sends heartbeats to the voters, votes if configured
-// to, takes part in takeover and requests permits. No client request waits for any of that. The zero value is a process
-// without peers. It is safe for concurrent use.
+// to, takes part in takeover and requests permits. No client request waits for any of these. The zero value is a
+// process without peers. It is safe for concurrent use.
 type fleetMember struct {
 	mu          sync.Mutex
 	config      *config.Peers // nil without peers
-	name        string        // of the proxy
-	incarnation uint64        // of this process, never 0
+	name        string        // name of the proxy
+	incarnation uint64        // incarnation of this process, never 0
 	core        *core.Core
 	log         *slog.Logger
 	leases      *agent.Client
 	heartbeats  *transport.Client
-	leave       func()  // undoes join; nil before start
-	drainPermit *permit // nil if none is held
+	leave       func()  // stops what join started; nil before start
+	drainPermit *permit // permit to drain that this process holds; nil if it holds none
 
-	ctx    context.Context // canceled by stop
+	ctx    context.Context // stop cancels ctx
 	cancel context.CancelFunc
-	// permitCtx is canceled when the drain begins, which ends all waits for permits.
+	// permitCtx is canceled when the drain begins. That ends all waits for permits.
 	permitCtx       context.Context
 	cancelPermitCtx context.CancelFunc
 }
 
-// start joins the fleet with a new incarnation.
+// start joins the fleet with a new, random incarnation.
 func (f *fleetMember) start(c *config.Config, requests *core.Core, log *slog.Logger) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// member returns this process as it announces itself to the fleet. The caller holds f.mu.
+// member returns the description of this process that is announced to the fleet. The caller holds f.mu.
 func (f *fleetMember) member(c *config.Config) peer.Member {
 	self := peer.Member{Name: f.name, Incarnation: f.incarnation, Address: c.Peers.Advertise}
 	if policy := &c.Proxy.Policy; policy.Zone < len(policy.Zones) {
@@ -99,8 +99,8 @@
 	return list
 }
 
-// reconfigure applies a new configuration: if its peers differ, the process leaves the fleet and joins it again. A
-// voter then restarts from its stored state, as after a crash.
+// reconfigure applies a new configuration: if the settings of its peers differ, the process leaves the fleet and joins
+// it again. If the process is a voter, the voter then restarts from its stored state, as after a crash.
 func (f *fleetMember) reconfigure(c *config.Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +111,7 @@
 	f.join(c)
 }
 
-// samePeers reports whether two configurations are equal; either can be nil. TotalSleep is not compared, as functions
+// samePeers reports whether the settings a and b are equal, or both nil. It does not compare TotalSleep, as functions
 // are not comparable.
 func samePeers(a, b *config.Peers) bool {
 	if a == nil || b == nil {
@@ -134,8 +134,8 @@
 	}
 }
 
-// stop leaves the fleet. It releases the permit to drain if a successor has already taken the place of this process.
-// Otherwise the successor releases the permit, or it expires.
+// stop leaves the fleet. If a successor has already replaced this process, stop releases the permit to drain. Otherwise
+// the successor releases the permit, or the permit expires.
 func (f *fleetMember) stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/daemon/permit.go
+++ b/internal/daemon/permit.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// leaseCallTimeout bounds calls to the voters other than the wait for a permit.
+	// leaseCallTimeout bounds calls to the voters, except the wait for a permit.
 	leaseCallTimeout = 2 * time.Second
 	// permitRetryInterval is the delay before a permit is requested again after an error.
 	permitRetryInterval = leaseCallTimeout / 10
@@ -36,9 +36,9 @@
 	return f.config != nil && f.config.Permit.Enabled
 }
 
-// awaitPermit waits for a permit for an operation, up to the configured timeout or, if the permit is required, without
-// limit. This process keeps serving meanwhile. It returns nil if no permit is needed or the operation proceeds without
-// one: after the timeout or an error of the lease client, or because the drain has begun.
+// awaitPermit waits for a permit for an operation: up to the configured timeout, or without limit if the permit is
+// required. This process keeps serving meanwhile. It returns nil if no permit is needed, or if the operation proceeds
+// without one: after the timeout, after an error of the lease client, or because the drain has begun.
 func (f *fleetMember) awaitPermit(operation string) *permit {
 	if !f.needsPermit() {
 		return nil
@@ -70,7 +70,7 @@
 			f.log.Warn("permit skipped", "operation", operation, "duration", elapsed(), "error", err)
 			return nil
 		}
-		if !errors.Is(err, context.DeadlineExceeded) { // the place in the queue was lost
+		if !errors.Is(err, context.DeadlineExceeded) { // the request has lost its place in the queue of waiters
 			sleep(ctx, permitRetryInterval)
 		}
 	}
@@ -85,16 +85,15 @@
 	}
 }
 
-// keepPermit stores the permit to drain, or nil, until stop.
+// keepPermit stores p, the permit to drain, for stop. p may be nil.
 func (f *fleetMember) keepPermit(p *permit) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drainPermit = p
 }
 
-// releasePredecessorPermits releases the permits that earlier processes of the same name, which have exited, did not
-// release: the restart that such a permit covers is complete once this process serves. A permit that cannot be released
-// expires.
+// releasePredecessorPermits releases the permits that earlier processes with the same name held when they exited. Such
+// a permit covers a restart, which is complete once this process serves. A permit that cannot be released expires.
 func (f *fleetMember) releasePredecessorPermits(ctx context.Context) {
 	if !f.needsPermit() {
 		return
@@ -118,5 +117,5 @@
 	}
 }
 
-// processExists reports whether a process with this ID runs on this machine.
+// processExists reports whether a process with the ID pid runs on this machine.
 func processExists(pid int) bool { return !errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -22,9 +22,9 @@
 	// bindRetryInterval is the delay between attempts to bind an address that another process uses.
 	bindRetryInterval = 20 * time.Millisecond
 	// gcPercent makes garbage collections rare, which saves CPU while memory is plentiful. When memory is short, the
-	// memory limit triggers them.
+	// memory limit triggers collections.
 	gcPercent = 400
-	// memoryLimitTenths is the part of the configured memory, in tenths, that the Go runtime may use. The rest is for
+	// memoryLimitTenths is the share of the configured memory, in tenths, that the Go runtime may use. The rest is for
 	// memory that the runtime does not count.
 	memoryLimitTenths = 6
 )
@@ -84,8 +84,8 @@
 	return slog.New(handler).With("proxy", c.Proxy.Name)
 }
 
-// listen opens the listener, or uses inherited if it is not nil. If another process uses the address, it retries for up
-// to BindTimeout or until ctx is done.
+// listen opens the listener, or uses inherited if it is not nil. If another process uses the address, listen retries
+// for up to BindTimeout, or until ctx is done.
 func listen(
 	ctx context.Context, c *config.Config, inherited *net.TCPListener, log *slog.Logger,
 ) (*proxy.Server, error) {
@@ -99,8 +99,8 @@
 	}
 }
 
-// startRegistration keeps the proxy registered in Consul from when its endpoint list is ready until ctx is done. The
-// returned function waits for that and deregisters the proxy.
+// startRegistration registers the proxy in Consul once its endpoint list is ready, and keeps it registered until ctx is
+// done. The returned function waits for ctx to be done and deregisters the proxy.
 func startRegistration(
 	ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger,
 ) (deregister func()) {
@@ -125,8 +125,8 @@
 	}
 }
 
-// awaitStarted waits until clients can be served: until the endpoint list is known, or EndpointListTimeout has passed.
-// On the platform, or with an initial list, it does not wait. It returns false if ctx is done.
+// awaitStarted waits until clients can be served: until the endpoint list is known or EndpointListTimeout has passed.
+// It does not wait on the platform or if the configuration has an initial list. It returns false if ctx is done.
 func (d *daemon) awaitStarted(
 	ctx context.Context, server *proxy.Server, c *config.Config, log *slog.Logger,
 ) (started bool) {
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -14,8 +14,8 @@
 )
 
 // startTakeover starts the replication of keyed writes to other proxies, if it is configured, and returns a function
-// that stops it. If its listener cannot be opened, that is logged, and writes are sent without replicas. The caller
-// holds f.mu.
+// that stops it. If its listener cannot be opened, startTakeover logs the error, and the proxy sends writes without
+// replicas. The caller holds f.mu.
 func (f *fleetMember) startTakeover(c *config.Peers, self peer.Member, heartbeats *transport.Client) (stop func()) {
 	if !c.Takeover.Enabled {
 		return func() {}
--- a/internal/daemon/voter.go
+++ b/internal/daemon/voter.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// startVoter starts this process's voter on the leases of the fleet, if one is configured, and returns a function that
-// stops it. A failure is logged, and the proxy keeps serving, as no request waits for a voter.
+// startVoter starts this process's voter, which votes on the leases of the fleet, if one is configured, and returns a
+// function that stops it. A failure is logged, and the proxy keeps serving, as no request waits for a voter.
 func startVoter(c *config.Peers, log *slog.Logger) (stop func()) {
 	if c == nil || c.VoterName == "" {
 		return func() {}
--- a/internal/doccheck/logs_test.go
+++ b/internal/doccheck/logs_test.go
@@ -16,11 +16,11 @@
 // | level | message | attributes | what it means | what to do |
 const logPage = "docs/operators/logs.md"
 
-// levels maps the methods of a logger to the levels as the page names them.
+// levels maps the methods of a logger to the names of the levels on the page.
 var levels = map[string]string{"Info": "info", "Warn": "warn", "Error": "error"}
 
-// TestLogPageMatchesCode checks that the page lists each log line at level info and above with its level and its
-// attributes, and no others.
+// TestLogPageMatchesCode checks that the page lists exactly the log lines at level info and above, each with its level
+// and its attributes.
 func TestLogPageMatchesCode(t *testing.T) {
 	want := loggedLines(t)
 	if *update {
@@ -70,7 +70,8 @@
 	return slices.Compact(lines)
 }
 
-// loggedLine returns the first three cells of the row of a call that logs, and nil for any other call.
+// loggedLine returns the first three cells of the row that the page must have for a call that logs, and nil for any
+// other call.
 func loggedLine(t *testing.T, files *token.FileSet, call *ast.CallExpr) []string {
 	t.Helper()
 	level, ok := logLevel(call)
@@ -119,7 +120,7 @@
 // recorder.
 var loggerSuffixes = []string{"log", "logger", "recorder"}
 
-// logLevel returns the level at which a call logs. ok is false if the call is not that of a logger.
+// logLevel returns the level at which a call logs. ok is false if the call does not log at level info or above.
 func logLevel(call *ast.CallExpr) (level string, ok bool) {
 	method, isMethod := call.Fun.(*ast.SelectorExpr)
 	if !isMethod {
--- a/internal/doccheck/names_test.go
+++ b/internal/doccheck/names_test.go
@@ -17,8 +17,8 @@
 // root is the path of the repository relative to this package.
 const root = "../.."
 
-// pageDirs are the directories of the pages that must match the current code. Incident reports are not among them:
-// they stay as they were written.
+// pageDirs are the directories of the pages that must match the current code. Incident reports are excluded: they stay
+// as they were written.
 var pageDirs = []string{"docs/design", "docs/operators"}
 
 // singlePages are other pages that must match the current code.
@@ -73,7 +73,7 @@
 	}
 	parts := identifier.FindStringSubmatch(span)
 	if parts == nil || otherFile.MatchString(span) || n.packages[path.Base(parts[1])] == nil {
-		return true // a configuration key, a word of a protocol and the like
+		return true // not a name in the code: a configuration key, a word of a protocol or similar
 	}
 	declared := n.packages[path.Base(parts[1])]
 	return declared[parts[2]] && (parts[3] == "" || declared[parts[3]])
--- a/internal/doccheck/packages_test.go
+++ b/internal/doccheck/packages_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// packageLines returns the README's line for each package with non-test files, sorted by path.
+// packageLines returns the line that the README must have for each package with non-test files, sorted by path.
 func packageLines(t *testing.T) (lines []string) {
 	t.Helper()
 	comments := map[string]string{}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -17,10 +17,10 @@
 
 import "fmt"
 
-// State is the state of a daemon.
+// State is the state of a daemon. The zero value is Starting.
 type State uint8
 
-// The states. In those with ReloadQueued a hangup has been received that still requires a reload.
+// The states. In a state whose name ends in ReloadQueued, a hangup has been received that still requires a reload.
 const (
 	Starting              State = iota // not ready yet
 	StartingReloadQueued               // like Starting
@@ -28,13 +28,13 @@
 	Reloading                          // serving while a configuration is being read
 	ReloadingReloadQueued              // like Reloading
 	AwaitingPermit                     // serving until the drain is permitted
-	Draining                           // nothing new is accepted, requests in flight are answered
-	Stopping                           // like Draining, but bounded by the deadlines of the requests now in flight
+	Draining                           // no new requests are accepted, requests in flight are answered
+	Stopping                           // like Draining, but bounded by the deadlines of the requests in flight
 	Stopped                            // the final state
 	stateCount
 )
 
-// Event is something that happens to a daemon.
+// Event is a signal, a result of a task or another occurrence that a daemon handles.
 type Event uint8
 
 // The events.
@@ -51,7 +51,8 @@
 	eventCount
 )
 
-// Action is something that a daemon has to do. Actions are performed at once, in the order that Handle returns.
+// Action is something that a daemon has to do. It must perform the actions immediately, in the order in which Handle
+// returns them.
 type Action uint8
 
 // The actions.
@@ -60,25 +61,25 @@
 	NotifyReloading                // to the service manager
 	NotifyStopping                 // to the service manager
 	NotifyWatchdog                 // to the service manager
-	ReadConfig                     // ConfigValid or ConfigInvalid follows
+	ReadConfig                     // start to read the configuration; ConfigValid or ConfigInvalid follows
 	ApplyConfig                    // apply the configuration that was read, completely or, if rejected, not at all
 	DiscardConfig                  // discard the configuration that was read
-	LogReloadIgnored               // a hangup has no effect any more
+	LogReloadIgnored               // log that a hangup during the drain has no effect
 	RequestPermit                  // request the fleet's permit to drain; DrainPermitted follows
-	StartDrain                     // ServingEnded follows
-	ShortenDrain                   // to the deadlines of the requests in flight
-	Exit                           // with status 0
-	ExitFailed                     // with status 1
+	StartDrain                     // start the drain; ServingEnded follows
+	ShortenDrain                   // bound the drain by the deadlines of the requests in flight
+	Exit                           // exit with status 0
+	ExitFailed                     // exit with status 1
 )
 
 // Machine is the state machine of one daemon. The zero value is in state Starting. It is not safe for concurrent use.
 type Machine struct{ state State }
 
-// State returns the state after the last event.
+// State returns the state after the last event, and Starting before the first.
 func (m *Machine) State() State { return m.state }
 
-// Handle applies an event to the state and returns the actions to perform. The result is shared and must not be
-// changed.
+// Handle applies an event to the state and returns the actions to perform, in order. The caller must not change the
+// returned slice, which is shared.
 func (m *Machine) Handle(e Event) []Action {
 	t := table[m.state][e]
 	m.state = t.next
@@ -97,7 +98,7 @@
 	Stopped:               "stopped",
 }
 
-// String returns the name of the state, as the status text for the service manager shows it.
+// String returns the name of the state as shown in the status text for the service manager.
 func (s State) String() string {
 	if s < stateCount {
 		return stateNames[s]
--- a/internal/lifecycle/table.go
+++ b/internal/lifecycle/table.go
@@ -39,7 +39,7 @@
 		StartFailed:    to(Stopped, ExitFailed),
 		ConfigValid:    to(Serving, DiscardConfig),
 		ConfigInvalid:  to(Serving),
-		ServingEnded:   to(Stopped, ExitFailed), // without a termination
+		ServingEnded:   to(Stopped, ExitFailed), // serving ended without a termination
 		WatchdogTick:   to(Serving, NotifyWatchdog),
 		DrainPermitted: to(Serving),
 	},
--- a/internal/sdnotify/listener.go
+++ b/internal/sdnotify/listener.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// firstPassedDescriptor is the first file descriptor that a service manager passes in: SD_LISTEN_FDS_START.
+// firstPassedDescriptor is the first file descriptor that a service manager passes to a process (SD_LISTEN_FDS_START).
 const firstPassedDescriptor = 3
 
 // Listener returns the TCP listener that the service manager passed to this process, or nil if it passed none. More
@@ -29,7 +29,7 @@
 		return nil, errors.New("LISTEN_FDS: no descriptor was passed")
 	}
 	defer file.Close()
-	listener, err := net.FileListener(file) // a duplicate, non-blocking
+	listener, err := net.FileListener(file) // duplicates the descriptor and makes it non-blocking
 	if err != nil {
 		return nil, fmt.Errorf("LISTEN_FDS: %w", err)
 	}
--- a/internal/sdnotify/sdnotify.go
+++ b/internal/sdnotify/sdnotify.go
@@ -27,8 +27,8 @@
 	WatchdogPing = "WATCHDOG=1"
 )
 
-// Reloading returns the message that announces a reload. It contains the monotonic clock's time, unless that cannot be
-// read.
+// Reloading returns the message that announces a reload. The message contains the time of the monotonic clock, unless
+// the clock cannot be read.
 func Reloading() string {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
@@ -71,7 +71,8 @@
 	return n, nil
 }
 
-// Notify sends a message. It waits at most writeTimeout for the write; without a manager it does nothing.
+// Notify sends a message. The write is canceled with an error after writeTimeout (100 ms). Without a manager, Notify
+// does nothing.
 func (n *Notifier) Notify(message string) error {
 	if n.address == nil {
 		return nil
--- a/internal/sdnotify/sdnotify_test.go
+++ b/internal/sdnotify/sdnotify_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// environment returns a getenv function for alternating names and values.
+// environment returns a getenv function for pairs, a list of alternating names and values.
 func environment(pairs ...string) func(string) string {
 	return func(name string) string {
 		for i := 0; i < len(pairs); i += 2 {
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestWatchdogOfAnotherProcess guards against notifying a watchdog that the manager set up for another process, such as
-// the parent.
+// TestWatchdogOfAnotherProcess checks that a watchdog that the manager set up for another process, such as the parent,
+// is ignored.
 func TestWatchdogOfAnotherProcess(t *testing.T) {
 	n, err := FromEnvironment(environment("NOTIFY_SOCKET", "/x", "WATCHDOG_USEC", "1", "WATCHDOG_PID", "1"))
 	if err != nil || n.WatchdogInterval != 0 {
--- a/internal/testutil/address.go
+++ b/internal/testutil/address.go
@@ -33,8 +33,8 @@
 	return listener.Addr().String()
 }
 
-// ReserveAddress returns an address with a free port. The host must be a loopback address that is not the source of any
-// connection of the tests, such as 127.0.0.6: otherwise a connection could take the port before the test listens on it.
+// ReserveAddress returns an address with a free port. host must be a loopback address that no connection of the tests
+// uses as its source, such as 127.0.0.6: otherwise a connection could occupy the port before the test listens on it.
 func ReserveAddress(t testing.TB, host string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
--- a/internal/testutil/recorded.go
+++ b/internal/testutil/recorded.go
@@ -22,8 +22,9 @@
 	return recorded
 }
 
-// CheckRecordedCBOR guards against a change of the encoding of a message: the file at path, which an earlier version
-// wrote, must decode to want, and want must encode to the same bytes, so that the earlier version can read them.
+// CheckRecordedCBOR checks that the encoding of a message is unchanged: the file at path, which an earlier version
+// wrote, must decode to want, and want must encode to the same bytes, so that the earlier version can read messages of
+// this one.
 func CheckRecordedCBOR[T any](t *testing.T, path string, want T) {
 	t.Helper()
 	recorded := Recorded(t, path)
@@ -40,7 +41,7 @@
 }
 
 // CheckRecordedJSON decodes a recorded JSON output into the value that into points to, and fails the test unless
-// encoding it again gives the same bytes: no field may have changed its name, type or position.
+// encoding that value gives the same bytes: no field may have changed its name, type or position.
 func CheckRecordedJSON(t testing.TB, path string, into any, indent string) {
 	t.Helper()
 	text := Recorded(t, path)
@@ -72,7 +73,7 @@
 	for line := range strings.Lines(help) {
 		line = strings.TrimRight(line, "\n")
 		if usage, ok := strings.CutPrefix(line, "Usage: "); ok {
-			_, usage, _ = strings.Cut(usage, " ") // without the program's name
+			_, usage, _ = strings.Cut(usage, " ") // the usage without the program's name
 			lines = append(lines, "usage "+usage)
 		}
 		if m := helpFlag.FindStringSubmatch(line); m != nil {
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Timeout bounds each wait of WaitUntil and Receive.
+// Timeout bounds each wait in WaitUntil and Receive.
 const Timeout = 30 * time.Second
 
 const pollInterval = 2 * time.Millisecond
 
-// WaitUntil polls ok until it returns true. After Timeout it fails the test with the description what.
+// WaitUntil polls ok until it returns true. After Timeout it fails the test with a message that contains what.
 func WaitUntil(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(pollInterval) {
@@ -23,7 +23,8 @@
 	}
 }
 
-// Receive returns the next value of a channel. It fails the test if the channel is closed, or after Timeout.
+// Receive returns the next value of the channel from. It fails the test if the channel is closed, or if no value
+// arrives within Timeout. what describes the value in the message.
 func Receive[T any](t testing.TB, what string, from <-chan T) (value T) {
 	t.Helper()
 	select {
