--- a/internal/config/binary.go
+++ b/internal/config/binary.go
@@ -14,7 +14,7 @@
 	"mulleinpier/policy"
 )
 
-// usersKeyBytes is the length of the random key of the hashes by which secrets of users are compared.
+// usersKeyBytes is the length of the random key of the hashes by which users' secrets are compared.
 const usersKeyBytes = 32
 
 // readBinary reads the table binary and the tables route: the settings for clients and nodes that use the binary
@@ -134,7 +134,7 @@
 	"plain":    route.Unticketed,
 }
 
-// readRoutes reads the tables route. checkRoutes and routeTable validate the rules.
+// readRoutes reads the tables route without validating the rules, which is done by checkRoutes and routeTable.
 func readRoutes(top *table) (rules []route.Rule) {
 	for _, t := range top.tables("route") {
 		rule := route.Rule{
@@ -152,7 +152,7 @@
 	return rules
 }
 
-// defaultRoutes returns the routes for a file without tables route: for each verb one to the first suitable class.
+// defaultRoutes returns the routes for a file without tables route: one for each verb, to the first suitable class.
 func defaultRoutes(classes []policy.Class) (rules []route.Rule) {
 	for _, verb := range []struct {
 		verb        route.Verb
@@ -172,8 +172,9 @@
 	return rules
 }
 
-// fitsTickets reports whether tickets can make writes of a class repeatable: all nodes together must drop repeats, for
-// long enough that a ticket is valid at all. It is true for classes that are not keyed.
+// fitsTickets reports whether writes of a class can be retried safely with a ticket: all nodes together must drop
+// duplicates, for longer than twice ticket.Margin, so that a ticket is valid for longer than that margin. It is true
+// for classes that are not keyed.
 func fitsTickets(class *policy.Class) bool {
 	if class.Idempotency != policy.IdempotentWithKey {
 		return true
--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -12,7 +12,7 @@
 // anything accepts every string.
 func anything(string) string { return "" }
 
-// printable accepts strings that can be sent as a token of the protocol: they contain no separators.
+// printable accepts strings that can be sent as a token of the protocol: 1 to 64 bytes without separators.
 func printable(text string) string {
 	isSeparator := func(r rune) bool { return r <= ' ' || r == 0x7f || r == ',' || r == '=' }
 	if text == "" || len(text) > maxNameLength || strings.ContainsFunc(text, isSeparator) {
@@ -21,7 +21,7 @@
 	return ""
 }
 
-// isAddress accepts HOST:PORT. A comma is not allowed, as it separates the addresses of a static list.
+// isAddress accepts HOST:PORT. The host must not contain a comma, which separates the addresses of a static list.
 func isAddress(text string) string {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || port == "" || strings.Contains(host, ",") {
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -7,7 +7,7 @@
 	"mulleinpier/policy"
 )
 
-// defaultClasses are the classes for a file without tables class.
+// defaultClasses are the classes of a configuration whose file has no tables class.
 var defaultClasses = []policy.Class{
 	{
 		Name:             "read",
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,17 +29,17 @@
 // Config is the configuration of the daemon.
 type Config struct {
 	Proxy        *proxy.Config
-	Registration *consul.Registration // of the proxy in Consul; nil if it is not registered
+	Registration *consul.Registration // registration of the proxy in Consul; nil if it is not registered
 	Log          Log
 	Startup      Startup
 	Peers        *Peers // nil if the proxy is not part of a fleet
-	// Deprecated lists the environment variables that were read under a deprecated name. The daemon logs them once it
-	// listens.
+	// Deprecated lists the environment variables that were read under a deprecated name. The daemon logs these
+	// variables once it listens.
 	Deprecated []DeprecatedVariable
 }
 
-// defaultName is the former name of the program. It must not change: it identifies a proxy in Consul's catalogue, and
-// the lease holders that a process left before an upgrade.
+// defaultName is the proxy's name if the file sets none. It is the former name of the program and must not change: it
+// identifies a proxy in Consul's catalogue, and the lease holders that a process left before an upgrade.
 const defaultName = "yarrowspan"
 
 // Peers configures the fleet: the voters of its leases, and the roles of this process.
@@ -77,13 +77,13 @@
 	JSON  bool // JSON format; if false, text
 }
 
-// Startup bounds how long a start waits.
+// Startup bounds the waits during a start.
 type Startup struct {
-	EndpointListTimeout time.Duration // after which the daemon reports ready without an endpoint list
-	BindTimeout         time.Duration // for another process to release the address
+	EndpointListTimeout time.Duration // wait for the endpoint list; then the daemon reports ready without it
+	BindTimeout         time.Duration // wait for another process to release the address
 }
 
-// Read reads the file at path, and the node file that it may name. Its error joins one error for each defect; see
+// Read reads the file at path, and the node file that the file may name. Its error joins one error for each defect; see
 // [Errors].
 func Read(path string) (*Config, error) {
 	text, err := readFile(path)
@@ -96,9 +96,9 @@
 // maxStableReads is the number of reads after which a file that keeps changing is an error.
 const maxStableReads = 20
 
-// ReadStable is like Read for a file that may be being written: the part written so far may be valid, but incomplete.
-// So the file is read until two successive reads return the same text; wait is called between them. It fails at the
-// first read that fails.
+// ReadStable is like Read for a file that another process may be writing: the part written so far may be valid, but
+// incomplete. It reads the file until two successive reads return the same text, and calls wait between reads. It
+// returns an error if a read fails, or if the file still changes after 20 reads.
 func ReadStable(path string, wait func()) (*Config, error) {
 	last, err := readFile(path)
 	for range maxStableReads {
@@ -115,7 +115,7 @@
 	return nil, fmt.Errorf("%s: is still being written", path)
 }
 
-// Errors returns the errors that Read has joined, or err alone if it joins none.
+// Errors returns the errors that Read has joined in err, or a list of err alone if it joins none.
 func Errors(err error) []error {
 	var joined interface{ Unwrap() []error }
 	if errors.As(err, &joined) {
@@ -198,7 +198,7 @@
 	t.rejectUnknown()
 }
 
-// readStartup reads the table start. Without a timeout for the address, an address in use fails the start at once.
+// readStartup reads the table start. Without wait_for_address, a start fails immediately if the address is in use.
 func (r *reader) readStartup() {
 	t := r.top.table("start")
 	r.config.Startup = Startup{
@@ -208,7 +208,7 @@
 	t.rejectUnknown()
 }
 
-// readTest reads the table test, with which fault tests simulate a machine that sleeps.
+// readTest reads the table test, by which fault tests simulate a machine that sleeps.
 func (r *reader) readTest() {
 	p := r.config.Proxy
 	p.TotalSleep = clock.TotalSleep
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"mulleinpier/policy"
 )
 
-// writeFile writes a file in a temporary directory of its own and returns its path.
+// writeFile writes a file in a new temporary directory and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.toml")
@@ -26,7 +26,8 @@
 	}
 }
 
-// TestDefaultsOfMinimalFile guards the defaults: a file of three lines is a valid configuration.
+// TestDefaultsOfMinimalFile checks that a file of three lines, with an address and two nodes, is a valid configuration,
+// and that the other settings have their defaults.
 func TestDefaultsOfMinimalFile(t *testing.T) {
 	const file = "listen = \"127.0.0.1:11211\"\n[nodes]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n"
 	c, err := Read(writeFile(t, file))
@@ -53,7 +54,8 @@
 	}
 }
 
-// TestExampleIsValid guards against a commented example that no longer matches the keys that are read.
+// TestExampleIsValid checks that the commented example in deploy/mulleinpier.toml is a valid configuration with classes
+// and tenants, so that it cannot diverge from the keys that are read.
 func TestExampleIsValid(t *testing.T) {
 	c, err := Read("../../deploy/mulleinpier.toml")
 	if err != nil {
@@ -81,7 +83,8 @@
 	"[[node]]\naddress = \"h:1\"\nstatus = \"odd\"\n",
 }
 
-// TestNodeFileIsPartOfConfiguration guards against accepting a configuration whose node file is invalid.
+// TestNodeFileIsPartOfConfiguration checks that a configuration whose node file is invalid is rejected, and that the
+// nodes of a valid node file are the initial list.
 func TestNodeFileIsPartOfConfiguration(t *testing.T) {
 	path := writeFile(t, "listen = \"h:1\"\n[nodes]\nfile = \"nodes.toml\"\n")
 	nodes := filepath.Join(filepath.Dir(path), "nodes.toml")
@@ -103,8 +106,8 @@
 	}
 }
 
-// TestHalfWrittenFileIsNotApplied guards against a reload that applies a partially written file: its first half is
-// valid, but lacks a class.
+// TestHalfWrittenFileIsNotApplied checks that ReadStable returns the complete file although its first half, which lacks
+// a class, is valid, and that it fails if the file keeps changing or is removed.
 func TestHalfWrittenFileIsNotApplied(t *testing.T) {
 	const half = "listen = \"h:1\"\n[nodes]\naddresses = [\"h:1\"]\n[[class]]\nname = \"a\"\n"
 	const complete = half + "[[class]]\nname = \"b\"\n"
@@ -134,7 +137,8 @@
 	}
 }
 
-// FuzzRead guards against files that crash Read, and against files that Read accepts but package policy rejects.
+// FuzzRead checks that Read returns a configuration that package policy accepts, or an error without a configuration,
+// for any file.
 func FuzzRead(f *testing.F) {
 	f.Add("listen = \"127.0.0.1:0\"\n[nodes]\naddresses = [\"127.0.0.1:1\"]\n" +
 		"[[class]]\nname = \"a\"\n[limits]\ncores = 2\n")
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -13,7 +13,7 @@
 	consulNodes = listenLine + "[nodes]\nconsul = \"h:1\"\n"
 )
 
-// invalidFiles are files with one error each, and a part of the error's text.
+// invalidFiles are files with one error each, and a text that the error must contain.
 var invalidFiles = []struct{ text, want string }{
 	{nodesTable, "listen is missing: want HOST:PORT"},
 	{"listen = 7\n" + nodesTable, "listen cannot be 7: want a string"},
@@ -109,8 +109,8 @@
 	{listenLine + "tenants = 3\n" + nodesTable, "tenants is unknown: want one of"},
 }
 
-// TestEveryErrorNamesItsKey guards against an invalid value that is accepted, or reported without its key, its value or
-// what is allowed.
+// TestEveryErrorNamesItsKey checks that each invalid value is rejected with exactly one error, which names the file,
+// the key, the value and what is allowed.
 func TestEveryErrorNamesItsKey(t *testing.T) {
 	for _, c := range invalidFiles {
 		path := writeFile(t, c.text)
--- a/internal/config/identity.go
+++ b/internal/config/identity.go
@@ -8,7 +8,7 @@
 	"mulleinpier/policy"
 )
 
-// noOriginKind is the machine kind that tells package policy that no node is the origin.
+// noOriginKind is the value of OriginKind with which package policy considers no node the origin.
 const noOriginKind = -1
 
 // readIdentity reads the top-level keys (name, listen, zone, zones, types), and sets the settings that have no key in
--- a/internal/config/overload.go
+++ b/internal/config/overload.go
@@ -6,7 +6,7 @@
 	"mulleinpier/internal/overload"
 )
 
-// maxPin is the maximum time from now to the end of a pinned level.
+// maxPin is the longest time from now until the end of a pinned level.
 const maxPin = 24 * time.Hour
 
 // readOverload reads the table service: the degradation levels under overload.
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -16,7 +16,7 @@
 	bytesPerMB     = 1 << 20
 )
 
-// readLimits reads the table limits. It returns those by which AllocateResources divides descriptors and memory.
+// readLimits reads the table limits. It returns the limits by which AllocateResources divides descriptors and memory.
 func (r *reader) readLimits() proxy.ResourceLimits {
 	p := r.config.Proxy
 	t := r.top.table("limits")
--- a/internal/config/sources.go
+++ b/internal/config/sources.go
@@ -11,8 +11,8 @@
 	"mulleinpier/internal/discovery"
 )
 
-// addSource adds a source of the endpoint list. The list of the first source, empty if it is not known yet, is the
-// proxy's initial list.
+// addSource adds a source of the endpoint list. The list of the first source is the proxy's initial list; it is empty
+// if the source has not been read yet.
 func (r *reader) addSource(source discovery.SourceConfig, list discovery.List) {
 	p := r.config.Proxy
 	p.ListSources = append(p.ListSources, source)
@@ -116,8 +116,8 @@
 	t.rejectUnknown()
 }
 
-// readMembership reads the table consul.list: the limits that decide whether a list that lost many nodes is believed,
-// and for how long a node that returns repeatedly is held down.
+// readMembership reads the table consul.list: the limits that decide whether a list that has lost many nodes is
+// accepted, and how long a node that returns repeatedly is held down.
 func (r *reader) readMembership(t *table) {
 	limits := &r.config.Proxy.Membership
 	limits.MinRemainingShare = t.number("collapse_share", limits.MinRemainingShare, 0, 1)
@@ -141,7 +141,7 @@
 	if !t.has("service") {
 		t.add("service", "is missing: want the name of the proxies' service")
 	}
-	host, port, _ := net.SplitHostPort(address) // valid, or empty after an error: isAddress has checked it
+	host, port, _ := net.SplitHostPort(address) // isAddress has checked address, which is empty after an error
 	number, err := strconv.Atoi(port)
 	if err != nil || number < 1 {
 		t.add("address", "cannot be %q: want HOST:PORT with a port number above 0", address)
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -12,8 +12,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// maxFileBytes is the maximum size of a file: the daemon serves while it reads one, and an endless file must not
-// exhaust its memory.
+// maxFileBytes is the maximum size of a file. The daemon keeps serving while it reads a file, and an endless file must
+// not exhaust its memory.
 const maxFileBytes = 4 << 20
 
 // errorList collects the errors of a file.
@@ -32,7 +32,7 @@
 	l.errors = append(l.errors, fmt.Errorf("%s: %w", l.file, err))
 }
 
-// addDuplicates adds an error for each name that occurs earlier in the list of a key. Empty names are ignored.
+// addDuplicates adds an error for each name that occurs earlier in names, the list at key. Empty names are ignored.
 func (l *errorList) addDuplicates(key string, names []string) {
 	for i, name := range names {
 		if name != "" && slices.Contains(names[:i], name) {
@@ -59,7 +59,7 @@
 func readFile(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return "", err // already names the file
+		return "", err // err already names the file
 	}
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
@@ -70,7 +70,7 @@
 		return "", fmt.Errorf("%s: is larger than %d bytes", path, maxFileBytes)
 	}
 	if len(text) == 0 {
-		return "", fmt.Errorf("%s: is empty", path) // as while it is being written
+		return "", fmt.Errorf("%s: is empty", path) // a file can be empty while it is being written
 	}
 	return string(text), nil
 }
@@ -95,14 +95,14 @@
 
 func (t *table) add(name, format string, args ...any) { t.errors.add(t.key(name), format, args...) }
 
-// get returns the value of a key, and false if the file does not have the key. The key counts as read either way.
+// get returns the value of a key, or false if the file does not have the key. In both cases the key counts as read.
 func (t *table) get(name string) (any, bool) {
 	t.read = append(t.read, name)
 	v, ok := t.value[name]
 	return v, ok
 }
 
-// reject adds an error for a value, with what is allowed instead.
+// reject adds an error for a value. want describes the values that are allowed.
 func (t *table) reject(name string, value any, want string) {
 	if text, ok := value.(string); ok {
 		value = fmt.Sprintf("%q", text)
@@ -110,7 +110,7 @@
 	t.add(name, "cannot be %v: want %s", value, want)
 }
 
-// check validates a string. It returns "" if the string is valid, or else a description of the valid ones.
+// check validates a string. It returns "" if the string is valid, or else a description of the valid strings.
 type check func(text string) (want string)
 
 // text reads a string that passes check.
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -51,8 +51,8 @@
 	eventCount
 )
 
-// Action is something that a daemon has to do. It must perform the actions immediately, in the order in which Handle
-// returns them.
+// Action is something that a daemon has to do. A daemon must perform the actions immediately, in the order in which
+// Handle returns them.
 type Action uint8
 
 // The actions.
--- a/internal/loadgen/auditor.go
+++ b/internal/loadgen/auditor.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// overdueLimit is how long after the deadline of its try an answer counts as overdue; a later one counts as lost.
+	// overdueLimit is how long after the deadline of its try an answer may arrive and count as overdue. A later answer
+	// counts as lost.
 	overdueLimit = 500 * time.Millisecond
 	// nodeReportTime is the longest time until SeenByNode knows whether a node received a request.
 	nodeReportTime = time.Second
@@ -16,21 +17,22 @@
 	lateAnswerTime = 2 * time.Second
 )
 
-// TraceAuditor checks, by the traces of a library client, that proxies answer the requests that they receive in time.
-// All its functions must be set, and are called on several goroutines.
+// TraceAuditor checks, by the traces of a library client, that proxies answer in time the requests that they receive.
+// All its functions must be set. They are called from several goroutines.
 type TraceAuditor struct {
-	// SeenByNode reports whether a node has received a try, RecentlyKilled whether a proxy's process was just killed.
+	// SeenByNode reports whether a node has received the try with an ID. RecentlyKilled reports whether the process of
+	// a proxy has just been killed.
 	SeenByNode     func(id string) bool
 	RecentlyKilled func(proxy string) bool
 
 	OnTry            func()                        // a try was sent
-	OnCrossedClose   func()                        // a proxy closed an idle connection while a try was sent on it
+	OnCrossedClose   func()                        // a proxy closed an idle connection as a try was sent on it
 	OnKilledInFlight func()                        // a try was in flight at a proxy that was killed
 	OnOverdue        func(by time.Duration)        // a try was answered shortly after its deadline
 	OnLost           func(format string, a ...any) // a try was lost, with a description
 
 	mu       sync.Mutex
-	timedOut map[string]string // proxies of the tries that timed out, by the ids of the tries
+	timedOut map[string]string // proxies of the tries that timed out, by ID of the try
 	tasks    sync.WaitGroup
 }
 
@@ -42,7 +44,7 @@
 	outcomeMalformed      = "spoilt"
 )
 
-// TryDone must be called by the TryDone hook of [client.Trace].
+// TryDone counts a try that has ended. The TryDone hook of [client.Trace] must call it.
 func (a *TraceAuditor) TryDone(i client.TryInfo) {
 	switch i.Outcome {
 	case outcomeNotSent:
@@ -62,8 +64,8 @@
 	a.OnTry()
 }
 
-// checkConnectionLost finds out why a connection ended. If it was reused and no node received the try, the proxy has
-// closed it while it was idle, and the try counts as crossed, not as lost.
+// checkConnectionLost determines why the connection of a try ended. If the connection had been used before and no node
+// received the try, the proxy closed the connection while it was idle, and the try counts as crossed, not as lost.
 func (a *TraceAuditor) checkConnectionLost(i client.TryInfo) {
 	if a.RecentlyKilled(i.Proxy) {
 		a.OnKilledInFlight()
@@ -80,7 +82,7 @@
 	})
 }
 
-// LateAnswer must be called by the LateAnswer hook of [client.Trace].
+// LateAnswer counts an answer to a try that has timed out. The LateAnswer hook of [client.Trace] must call it.
 func (a *TraceAuditor) LateAnswer(i client.TryInfo) {
 	a.mu.Lock()
 	_, awaited := a.timedOut[i.ID]
@@ -97,7 +99,8 @@
 	a.OnOverdue(by)
 }
 
-// Finish waits for late answers, and reports the tries that have still no answer. No call may be in progress.
+// Finish waits 2 s for late answers, and then reports the tries that still have no answer as lost, or as in flight at a
+// killed proxy. No other method may be running.
 func (a *TraceAuditor) Finish() {
 	time.Sleep(lateAnswerTime)
 	a.tasks.Wait()
--- a/internal/loadgen/config.go
+++ b/internal/loadgen/config.go
@@ -26,21 +26,21 @@
 // Config describes a load. Fields without a default are required, except Tenant, Seed, Options and the functions.
 type Config struct {
 	Kind           Kind
-	Addresses      []string // of the proxies
+	Addresses      []string // addresses of the proxies
 	Clients        int      // 1 to 10,000
 	Rate           float64  // requests per second over all clients; at most 20,000
-	Phases         []Phase  // together at most an hour
+	Phases         []Phase  // the phases together last at most an hour
 	HandoverShare  float64  // share of requests that are handovers, which are keyed writes
 	Keys           int      // number of keys that are read
 	Skew           float64  // exponent of the keys' popularity (Zipf), above 1
 	Tenant         string
 	Seed           uint64
-	Options        client.Options // of library clients; Proxies, Tenant and Trace are set here
-	ReadObjective  time.Duration  // reads answered later count as late; 500 ms by default
+	Options        client.Options // options of library clients; Run sets Proxies, Tenant and Trace
+	ReadObjective  time.Duration  // reads that take longer count as late; 500 ms by default
 	WriteObjective time.Duration  // the same for handovers; 750 ms by default
 
-	// SeenByNode reports whether a node has received a try, RecentlyKilled whether a proxy's process was just killed.
-	// Fault tests know both; without SeenByNode nothing counts as lost.
+	// SeenByNode reports whether a node has received the try with an ID. RecentlyKilled reports whether the process of
+	// a proxy has just been killed. Fault tests set both; without SeenByNode, no try counts as lost.
 	SeenByNode     func(id string) bool
 	RecentlyKilled func(proxy string) bool
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// check returns the first error. Its conditions on floating-point numbers are written to reject NaN too.
+// check returns the first error in c. Its conditions on floating-point numbers also reject NaN.
 func (c *Config) check() error {
 	total := c.duration()
 	switch {
--- a/internal/loadgen/config_test.go
+++ b/internal/loadgen/config_test.go
@@ -9,7 +9,7 @@
 
 func TestBusiestSpanIsFound(t *testing.T) {
 	times := []time.Duration{100, 0, 10, 51, 99, 200, 149}
-	if n := busiest(slices.Clone(times), 50); n != 3 { // 100, 99, 51 and 149, 100
+	if n := busiest(slices.Clone(times), 50); n != 3 { // 51, 99 and 100; 99 and 149 are too far apart
 		t.Fatal(n)
 	}
 	if n := busiest(nil, 50); n != 0 {
--- a/internal/loadgen/naive.go
+++ b/internal/loadgen/naive.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	naiveIdleTimeout = 1500 * time.Millisecond // of connections
+	naiveIdleTimeout = 1500 * time.Millisecond // a connection that was idle for longer is not reused
 	naiveDialTimeout = time.Second
 	naiveBufferBytes = 2 << 10
 	lineEnd          = "\r\n"
 )
 
-// naiveClient behaves as the operators describe clients without the library, see the package comment.
+// naiveClient behaves as the operators describe clients without the library; see the package comment.
 type naiveClient struct {
 	recorder *recorder
 	idPrefix uint64
@@ -65,8 +65,8 @@
 	return &naiveConn{socket: socket, reader: bufio.NewReaderSize(socket, naiveBufferBytes)}, nil
 }
 
-// takeIdle returns the most recently used connection that has not been idle for too long, or else the address of a
-// random proxy to connect to.
+// takeIdle returns the most recently used connection that has been idle for less than naiveIdleTimeout, or else the
+// address of a random proxy to connect to.
 func (c *naiveClient) takeIdle() (conn *naiveConn, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +83,7 @@
 	return nil, addresses[c.rng.IntN(len(addresses))]
 }
 
-// release returns a connection to the idle ones for later requests.
+// release keeps an idle connection for later requests, or closes it if the client is closed.
 func (c *naiveClient) release(conn *naiveConn) {
 	conn.idleSince = time.Now()
 	c.mu.Lock()
@@ -133,7 +133,8 @@
 	return fmt.Sprintf("b%x-%x", c.idPrefix, c.serial)
 }
 
-// try sends a request once. If no connection can be opened, the result is refused, because nothing was sent.
+// try sends a request once and returns its outcome. If no connection can be opened, the outcome is refused, because
+// nothing was sent.
 func (c *naiveClient) try(q *request, class string, wait time.Duration, number int) outcome {
 	conn, err := c.connect()
 	if err != nil {
@@ -169,7 +170,7 @@
 	return result
 }
 
-// readAnswer reads the answer to a request, and reports whether the connection can be reused.
+// readAnswer reads the answer to the request id, and reports whether the connection can be reused.
 func (c *naiveConn) readAnswer(id string, verb wire.Verb) (result outcome, usable bool) {
 	line, err := c.reader.ReadSlice('\n')
 	if err != nil {
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -27,8 +27,8 @@
 	mu        sync.Mutex
 	start     time.Time
 	phases    []PhaseResult
-	latencies []*hdrhistogram.Histogram // by phase, of microseconds
-	dials     []time.Duration           // times since start
+	latencies []*hdrhistogram.Histogram // latencies in microseconds, one histogram for each phase
+	dials     []time.Duration           // times of the dials since start
 	samples   []string                  // descriptions of lost requests
 }
 
@@ -49,7 +49,7 @@
 	return r
 }
 
-// newAuditor returns an auditor that counts in r. Without SeenByNode nothing counts as lost.
+// newAuditor returns an auditor that counts in r. Without SeenByNode, no try counts as lost.
 func (r *recorder) newAuditor() *TraceAuditor {
 	a := &TraceAuditor{
 		SeenByNode:       r.config.SeenByNode,
@@ -77,7 +77,8 @@
 	r.start = time.Now()
 }
 
-// phaseAt returns the index of the phase at a time, the last one after the end. The caller holds r.mu.
+// phaseAt returns the index of the phase at the time at, or of the last phase if at is after the end of the load. The
+// caller holds r.mu.
 func (r *recorder) phaseAt(at time.Time) int {
 	elapsed := at.Sub(r.start)
 	for i, p := range r.config.Phases {
@@ -96,7 +97,7 @@
 	change(&r.phases[r.phaseAt(time.Now())])
 }
 
-// countOffered counts a request that starts at a time.
+// countOffered counts a request in the phase in which it started.
 func (r *recorder) countOffered(start time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +127,7 @@
 	})
 }
 
-// countEnded counts the result of a request that started at a time.
+// countEnded counts the outcome of a request in the phase in which the request started.
 func (r *recorder) countEnded(start time.Time, q *request, result outcome) {
 	took := time.Since(start)
 	objective := r.config.ReadObjective
@@ -160,7 +161,7 @@
 	}
 }
 
-// result returns the counts. All requests must have ended.
+// result returns the result of the load. All requests must have ended.
 func (r *recorder) result(notOffered int) *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,7 +187,7 @@
 	return result
 }
 
-// dialsBetween returns the times of the dials in [from, to). The caller holds r.mu.
+// dialsBetween returns the times since r.start of the dials in [from, to). The caller holds r.mu.
 func (r *recorder) dialsBetween(from, to time.Duration) (within []time.Duration) {
 	for _, at := range r.dials {
 		if at >= from && at < to {
@@ -196,7 +197,7 @@
 	return within
 }
 
-// busiest returns the highest number of times within any span of this length. It sorts the times.
+// busiest returns the highest number of elements of times within any interval of length span. It sorts times.
 func busiest(times []time.Duration, span time.Duration) (highest int) {
 	slices.Sort(times)
 	first := 0
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -16,13 +16,13 @@
 	value        string // "" for a read
 	retries      int
 	retryDelay   time.Duration // before each retry
-	tryShare     float64       // share of the deadline that a try waits
+	tryShare     float64       // share of the class's deadline for which a try waits
 	marksRetries bool          // whether retries are marked as such
 }
 
 func (q *request) isHandover() bool { return q.value != "" }
 
-// simulatedClient is one of the clients of a load.
+// simulatedClient is a client that sends requests of a load.
 type simulatedClient interface {
 	// call executes one request and returns its outcome.
 	call(q *request) outcome
@@ -34,23 +34,23 @@
 	config  *Config
 	rng     *rand.Rand
 	zipf    *rand.Zipf
-	prefix  string // of values: the first letter of the kind
+	prefix  string // prefix of values: the first letter of the kind of client, in upper case
 	drawn   int    // number of requests drawn
 	clients []simulatedClient
 }
 
 const (
-	generatorStream = 7 // second seed of the random generator
+	generatorStream = 7 // second seed of the generator of requests
 	zipfOffset      = 4 // flattens the popularity of the first keys
 )
 
 // How naive clients retry. Each request draws its own values.
 const (
 	naiveRetries        = 3
-	minTryShare         = 0.3  // of the deadline
-	tryShareSpan        = 0.25 // above minTryShare
-	minRetryDelayMs     = 20   // for requests that are not retried at once
-	retryDelaySpanMs    = 140  // above minRetryDelayMs
+	minTryShare         = 0.3  // share of the deadline
+	tryShareSpan        = 0.25 // range of the share above minTryShare
+	minRetryDelayMs     = 20   // for requests whose retries are delayed
+	retryDelaySpanMs    = 140  // range of the delay above minRetryDelayMs
 	markedRetriesOneIn  = 2    // one request in this many marks its retries
 	delayedRetriesOneIn = 2    // one request in this many is retried after a delay
 )
@@ -101,7 +101,8 @@
 	s.clients = nil
 }
 
-// Run generates a load until its phases or ctx end, and waits for the requests in flight.
+// Run generates a load until its phases end or ctx is done, and waits for the requests in flight. It returns an error
+// if c is invalid.
 func Run(ctx context.Context, c Config) (*Result, error) {
 	c.applyDefaults()
 	if err := c.check(); err != nil {
@@ -130,8 +131,8 @@
 	return r.result(notOffered), nil
 }
 
-// offer sends requests until ctx ends, and waits until all have ended. It returns how many were not sent because too
-// many were in flight.
+// offer sends requests until ctx is done, and waits until all have ended. It returns how many requests were not sent
+// because maxInFlight requests were in flight.
 func (r *recorder) offer(ctx context.Context, source *requestSource) (notOffered int) {
 	var tasks sync.WaitGroup
 	var inFlight atomic.Int64
@@ -156,7 +157,7 @@
 	return notOffered
 }
 
-// sleepUntil waits for a time or the end of ctx.
+// sleepUntil waits until the time at or until ctx is done.
 func sleepUntil(ctx context.Context, at time.Time) {
 	wait := time.Until(at)
 	if wait <= 0 {
--- a/internal/loadgen/run_test.go
+++ b/internal/loadgen/run_test.go
@@ -10,10 +10,11 @@
 	"mulleinpier/internal/fake/scriptednode"
 )
 
-// reaction returns what scripted proxies do with a request, by its number over all proxies.
+// reaction returns how the scripted proxies react to a request. number counts the requests at all proxies.
 type reaction = func(number int, r scriptednode.ReceivedRequest) scriptednode.Reaction
 
-// runLoad puts a load of one second on two scripted proxies. It returns the result and the requests that they received.
+// runLoad sends a load of one second to two scripted proxies. It returns the result and the requests that the proxies
+// received.
 func runLoad(t *testing.T, c Config, react reaction) (*Result, []scriptednode.ReceivedRequest) {
 	t.Helper()
 	proxies, err := scriptednode.Start(scriptednode.Meta, 2, react)
@@ -45,8 +46,8 @@
 	return reactions[number%len(reactions)]
 }
 
-// TestCountsAddUp checks the counts for both kinds of clients: each offered request has one outcome, and the tries are
-// those that proxies received and, with pipelining, those on a connection that ended before the proxy read them.
+// TestCountsAddUp checks the counts for both kinds of clients: each offered request has one outcome, and each try was
+// received by a proxy or, with pipelining, sent on a connection that ended before the proxy read the try.
 func TestCountsAddUp(t *testing.T) {
 	for _, kind := range []Kind{Library, Naive} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -122,7 +123,7 @@
 				lost += p.Lost
 				crossed += p.CrossedClose
 			}
-			if name == "crossed" { // the first request of a connection cannot cross a close
+			if name == "crossed" { // the first request on a connection cannot cross a close
 				lost -= strings.Count(strings.Join(r.LostSamples, " "), "used before: false")
 				crossed += len(r.LostSamples)
 			}
@@ -133,7 +134,7 @@
 	}
 }
 
-// onceAtEach returns the special reaction to the twentieth request at each proxy, and serves the others.
+// onceAtEach returns a reaction that reacts with special to the twentieth request at each proxy and serves all others.
 func onceAtEach(special scriptednode.Reaction) reaction {
 	var mu sync.Mutex
 	received := map[int]int{}
