--- a/cmd/mulleinctl/hold.go
+++ b/cmd/mulleinctl/hold.go
@@ -56,9 +56,9 @@
 	if err := c.await(ctx, holder); err != nil {
 		return err
 	}
-	// runCommand itself terminates the command: when a signal cancels ctx, or, by LostBefore, some time before the
-	// lease ends. RunGuarded must run until that is done, so its context is not canceled with ctx. The context that
-	// RunGuarded passes to its action would be canceled too late.
+	// runCommand itself terminates the command: when a signal cancels ctx, or, by LostBefore, when the lease is due to
+	// end after the grace period and killMargin. RunGuarded must run until the command has ended, so its context is not
+	// canceled with ctx. The context that RunGuarded passes to its action would be canceled too late.
 	return holder.RunGuarded(context.WithoutCancel(ctx), func(_ context.Context, token uint64) error {
 		return c.runCommand(ctx, holder, argv, token, out, log)
 	})
--- a/cmd/mulleinpier/catalogue_test.go
+++ b/cmd/mulleinpier/catalogue_test.go
@@ -11,8 +11,9 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestRegistrationInConsul checks the daemon's registration in Consul: its check passes while it serves, it is in
-// maintenance while it drains and deregistered when it exits, and after a crash its check is critical.
+// TestRegistrationInConsul checks the daemon's registration in Consul: the registration's check passes while the daemon
+// serves and is critical after a crash. While the daemon drains, the registration is in maintenance, and it is gone
+// after the exit.
 func TestRegistrationInConsul(t *testing.T) {
 	c := consul.New()
 	agent, err := c.Start("here", "")
--- a/cmd/mulleinpier/harness_test.go
+++ b/cmd/mulleinpier/harness_test.go
@@ -104,7 +104,7 @@
 		for line := range strings.SplitSeq(string(buffer[:n]), "\n") {
 			select {
 			case d.notified <- line:
-			default: // the buffer is full: the test does not read notifications any more
+			default: // the buffer is full: the test has stopped reading notifications
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 	d.run()
 }
 
-// run starts d.process, and passes the lines of its log to d.lines and the result of its exit to d.exited.
+// run starts d.process, sends the lines of its log to d.lines, and sends the result of its exit to d.exited.
 func (d *testDaemon) run() {
 	d.t.Helper()
 	out, err := d.process.StderrPipe()
--- a/cmd/mulleinpier/pause_test.go
+++ b/cmd/mulleinpier/pause_test.go
@@ -210,7 +210,7 @@
 	replaceFile(t, d.path, fmt.Appendf(nil, "listen = %q\nnodes.discovery = %q\n", d.address, link.Address()))
 	d.start()
 	d.awaitNotified("READY=1")
-	waiting := d.connectBusy(40) // as many connections as may be idle
+	waiting := d.connectBusy(40) // the largest number of connections that may be idle
 	for i, c := range waiting {
 		for j := range 10 { // admission has to observe how many requests are answered in time
 			c.send("mg k%d v Owarm%d.%d Pc=read\r\n", i, i, j)
--- a/cmd/mulleinpier/platform_test.go
+++ b/cmd/mulleinpier/platform_test.go
@@ -13,8 +13,8 @@
 	"mulleinpier/internal/fake/scriptednode"
 )
 
-// startPlatformProgramWith starts the program as the platform does, with scripted nodes and one class for each effect,
-// each with a deadline in milliseconds. It returns the lines of the program's log.
+// startPlatformProgramWith starts the program as the platform does, with count scripted nodes and one class for each
+// effect, whose deadline is given in milliseconds. It returns the lines of the program's log.
 func startPlatformProgramWith(
 	t *testing.T, nodes *scriptednode.Nodes, count, deadline int,
 ) (cmd *exec.Cmd, lines <-chan string) {
@@ -69,7 +69,8 @@
 	return address
 }
 
-// TestLogLevelFromEnvironment checks the variable, its former name, their precedence and an invalid level.
+// TestLogLevelFromEnvironment checks that the log level is read from its environment variable, or from the variable's
+// former name if that one is unset, and is info if it is invalid.
 func TestLogLevelFromEnvironment(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/cmd/mulleinpier/stall_test.go
+++ b/cmd/mulleinpier/stall_test.go
@@ -56,7 +56,7 @@
 	p := &stalledProgram{t: t, process: cmd.Process, wait: cmd.Wait, address: address}
 	warm := p.client()
 	testutil.WaitUntil(t, "the nodes to be known", func() bool { return warm.sendServed() })
-	for range 500 { // without them the hanging requests would reduce admission, and all be rejected at once
+	for range 500 { // without these 500, hanging requests would reduce admission and be rejected
 		warm.sendServed()
 	}
 	return p
--- a/cmd/mulleinpier/termination_test.go
+++ b/cmd/mulleinpier/termination_test.go
@@ -22,7 +22,8 @@
 	killTime = (terminationDeadlineMillis + 700) * time.Millisecond
 )
 
-// terminationTest holds the clients of a program that is terminated, with a request at each step of its handling.
+// terminationTest holds the clients of a program that the test terminates. Together they have a request at each step of
+// its handling.
 type terminationTest struct {
 	t       *testing.T
 	nodes   *scriptednode.Nodes
@@ -108,7 +109,7 @@
 	})
 }
 
-// sendHalf sends an incomplete command, which must not be served: the client gets an error or the end of its
+// sendHalf sends an incomplete command and expects that it is not served: the client gets an error or the end of the
 // connection.
 func (e *terminationTest) sendHalf(effect string) {
 	c := e.dial()
@@ -152,7 +153,8 @@
 	})
 }
 
-// waitHanging waits until the requests that hang have reached nodes, or, as on a busy machine, as many have ended.
+// waitHanging waits until the requests that hang have reached nodes. On a busy machine they may end before that, so it
+// also stops waiting once as many requests have ended.
 func (e *terminationTest) waitHanging() {
 	e.t.Helper()
 	testutil.WaitUntil(e.t, "the hanging requests to reach nodes", func() bool {
@@ -201,9 +203,9 @@
 	}
 }
 
-// TestTerminationAtEachStepOfRequests terminates the program as the platform does, with requests of each effect at each
-// step, nodes that hang, and clients that keep sending until the exit: each accepted request must get exactly one
-// response, no request of the class unsafe may reach nodes twice, and the program must exit with success.
+// TestTerminationAtEachStepOfRequests checks that after the platform's termination each accepted request gets exactly
+// one response, no request of the class unsafe reaches nodes twice, and the program exits with success. At that moment
+// there are requests of each effect at each step, nodes that hang, and clients that keep sending until the exit.
 func TestTerminationAtEachStepOfRequests(t *testing.T) {
 	react := func(_ int, request scriptednode.ReceivedRequest) scriptednode.Reaction {
 		kind, _, _ := strings.Cut(request.Key, ":")
--- a/internal/doccheck/logs_test.go
+++ b/internal/doccheck/logs_test.go
@@ -88,7 +88,7 @@
 }
 
 // describedEvent returns the message and the attribute keys of an event of package eventlog that is logged as a
-// warning. They are the string literals in the first method of its type.
+// warning. The message and the keys are the string literals in the first method of the event's type.
 func describedEvent(t *testing.T, event *ast.CompositeLit) (message, keys string) {
 	t.Helper()
 	name := event.Type.(*ast.SelectorExpr).Sel.Name
--- a/internal/doccheck/names_test.go
+++ b/internal/doccheck/names_test.go
@@ -32,7 +32,7 @@
 	identifier = regexp.MustCompile(`^((?:[a-z]+/)*[a-z]+)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?$`)
 )
 
-// TestPagesNameWhatExists checks that tests, source files and identifiers that pages name in code spans exist.
+// TestPagesNameWhatExists checks that the tests, source files and identifiers in code spans of the pages exist.
 func TestPagesNameWhatExists(t *testing.T) {
 	declared := declaredNames(t)
 	for _, page := range pages(t) {
--- a/internal/eventlog/events.go
+++ b/internal/eventlog/events.go
@@ -9,10 +9,10 @@
 type RequestAccepted struct {
 	ID        string
 	Class     string
-	Client    string        // address of its connection
+	Client    string        // client address of the connection
 	Timeout   time.Duration // requested by the client; negative for none
-	Age       time.Duration // since the request's last byte arrived, as far as the proxy knows
-	Remaining time.Duration // until the request's deadline as the proxy applies it
+	Age       time.Duration // time since the request's last byte arrived, as far as the proxy knows
+	Remaining time.Duration // time until the request's deadline as the proxy applies it
 }
 
 func (e RequestAccepted) describe() (string, []slog.Attr) {
@@ -29,7 +29,7 @@
 // RequestRejected reports a request that was answered without being accepted.
 type RequestRejected struct {
 	ID     string
-	Client string // address of its connection
+	Client string // client address of the connection
 	Reason string
 }
 
@@ -46,8 +46,8 @@
 	ID        string
 	Answer    string        // kind of answer
 	Reason    string        // why the request was rejected or failed
-	Duration  time.Duration // since it was accepted
-	Remaining time.Duration // until the request's deadline; negative if the answer is late
+	Duration  time.Duration // time since the request was accepted
+	Remaining time.Duration // time until the request's deadline; negative if the answer is late
 }
 
 func (e RequestAnswered) describe() (string, []slog.Attr) {
@@ -63,8 +63,8 @@
 // RequestAbandoned reports a request whose client disconnected before the answer.
 type RequestAbandoned struct {
 	ID        string
-	Duration  time.Duration // since it was accepted
-	Remaining time.Duration // until its deadline
+	Duration  time.Duration // time since the request was accepted
+	Remaining time.Duration // time until the deadline of the request
 }
 
 func (e RequestAbandoned) describe() (string, []slog.Attr) {
@@ -97,7 +97,7 @@
 	RequestID string
 	Attempt   int
 	Node      string
-	Remaining time.Duration // until the deadline that is sent to the node
+	Remaining time.Duration // time until the deadline that is sent to the node
 }
 
 func (e AttemptStarted) describe() (string, []slog.Attr) {
@@ -115,7 +115,7 @@
 	Attempt   int
 	Node      string
 	Result    string
-	Duration  time.Duration // since the attempt was dispatched
+	Duration  time.Duration // time since the attempt was dispatched
 }
 
 func (e AttemptEnded) describe() (string, []slog.Attr) {
@@ -130,7 +130,7 @@
 
 // ClientConnected reports a new connection from a client.
 type ClientConnected struct {
-	Client string // its address
+	Client string // address of the client
 }
 
 func (e ClientConnected) describe() (string, []slog.Attr) {
@@ -139,10 +139,10 @@
 
 // ClientDisconnected reports the end of a connection from a client.
 type ClientDisconnected struct {
-	Client     string // its address
+	Client     string // address of the client
 	Reason     string
 	Unanswered int           // commands that were read but not answered
-	Duration   time.Duration // since it was accepted
+	Duration   time.Duration // time since the connection was accepted
 }
 
 func (e ClientDisconnected) describe() (string, []slog.Attr) {
@@ -157,17 +157,17 @@
 // NodeConnected reports a new connection to a node.
 type NodeConnected struct {
 	Node     string
-	Duration time.Duration // of the dial
+	Duration time.Duration // duration of the dial
 }
 
 func (e NodeConnected) describe() (string, []slog.Attr) {
 	return "node connected", []slog.Attr{slog.String("node", e.Node), slog.Duration("duration", e.Duration)}
 }
 
-// NodeDialFailed reports a connection to a node that was not established.
+// NodeDialFailed reports that a connection to a node could not be established.
 type NodeDialFailed struct {
 	Node     string
-	Duration time.Duration // of the dial
+	Duration time.Duration // duration of the dial
 	Err      error
 }
 
@@ -199,7 +199,7 @@
 // NodeUpdated reports a change of a node in the current endpoint list.
 type NodeUpdated struct {
 	Node, Status string
-	Version      uint64 // of the endpoint list
+	Version      uint64 // version of the endpoint list
 }
 
 func (e NodeUpdated) describe() (string, []slog.Attr) {
@@ -210,7 +210,7 @@
 	}
 }
 
-// ProcessStalled reports that the process did not run for a time that is too short for a pause.
+// ProcessStalled reports a stall: an interval in which the process did not run, too short to count as a pause.
 type ProcessStalled struct {
 	Duration time.Duration
 	CPUTime  time.Duration // CPU time used by the process since the previous periodic check
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -4,7 +4,7 @@
 //
 // Invariants, each guarded by a test:
 //
-//  1. Every state handles every event, and no event is lost: a hangup that cannot be handled at once leads to a reload
+//  1. Every state handles every event, and no event is lost: a hangup that cannot be handled yet leads to a reload
 //     as soon as possible.
 //  2. A daemon that drains never returns to serving, and never reads a configuration again.
 //  3. From every state the events Terminate, Terminate, ServingEnded lead to Stopped.
@@ -57,10 +57,10 @@
 
 // The actions.
 const (
-	NotifyReady      Action = iota // to the service manager
-	NotifyReloading                // to the service manager
-	NotifyStopping                 // to the service manager
-	NotifyWatchdog                 // to the service manager
+	NotifyReady      Action = iota // notify the service manager that the daemon is ready
+	NotifyReloading                // notify the service manager that a reload begins
+	NotifyStopping                 // notify the service manager that the drain begins
+	NotifyWatchdog                 // notify the watchdog of the service manager
 	ReadConfig                     // start to read the configuration; ConfigValid or ConfigInvalid follows
 	ApplyConfig                    // apply the configuration that was read, completely or, if rejected, not at all
 	DiscardConfig                  // discard the configuration that was read
--- a/internal/lifecycle/table.go
+++ b/internal/lifecycle/table.go
@@ -82,7 +82,7 @@
 		Hangup:         to(Draining, LogReloadIgnored),
 		Terminate:      to(Stopping, ShortenDrain),
 		Started:        to(Draining),
-		StartFailed:    to(Stopped, Exit), // there was nothing to drain
+		StartFailed:    to(Stopped, Exit), // no proxy had started, so nothing had to be drained
 		ConfigValid:    to(Draining, DiscardConfig),
 		ConfigInvalid:  to(Draining),
 		ServingEnded:   to(Stopped, Exit),
--- a/internal/loadgen/config.go
+++ b/internal/loadgen/config.go
@@ -37,7 +37,7 @@
 	Seed           uint64
 	Options        client.Options // options of library clients; Run sets Proxies, Tenant and Trace
 	ReadObjective  time.Duration  // reads that take longer count as late; 500 ms by default
-	WriteObjective time.Duration  // the same for handovers; 750 ms by default
+	WriteObjective time.Duration  // handovers that take longer count as late; 750 ms by default
 
 	// SeenByNode reports whether a node has received the try with an ID. RecentlyKilled reports whether the process of
 	// a proxy has just been killed. Fault tests set both; without SeenByNode, no try counts as lost.
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -51,8 +51,8 @@
 	tryShareSpan        = 0.25 // range of the share above minTryShare
 	minRetryDelayMs     = 20   // for requests whose retries are delayed
 	retryDelaySpanMs    = 140  // range of the delay above minRetryDelayMs
-	markedRetriesOneIn  = 2    // one request in this many marks its retries
-	delayedRetriesOneIn = 2    // one request in this many is retried after a delay
+	markedRetriesOneIn  = 2    // one in this number of requests marks its retries
+	delayedRetriesOneIn = 2    // one in this number of requests is retried after a delay
 )
 
 // next draws a request.
