--- a/internal/consul/client_test.go
+++ b/internal/consul/client_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// TestTokenIsReadForEachCall guards against the use of an old token after the token was rotated.
+// TestTokenIsReadForEachCall checks that each call uses the current content of the token file. Otherwise calls
+// would fail after the token was rotated.
 func TestTokenIsReadForEachCall(t *testing.T) {
 	_, agent := startAgent(t, "second")
 	file := filepath.Join(t.TempDir(), "token")
--- a/internal/consul/instances_test.go
+++ b/internal/consul/instances_test.go
@@ -152,7 +152,8 @@
 	}
 }
 
-// TestHalfListIsNoList guards against a body that ends between two entries and is read as a shorter list.
+// TestHalfListIsNoList checks that a body that ends between two entries is an error. If it were read as a shorter
+// list, nodes would be removed.
 func TestHalfListIsNoList(t *testing.T) {
 	const one = `{"Node":{"Node":"n","Address":"10.0.0.1"},"Service":{"ID":"a","Port":1000}}`
 	for text, valid := range map[string]bool{
--- a/internal/consul/source_test.go
+++ b/internal/consul/source_test.go
@@ -65,7 +65,8 @@
 	fakeconsul.NoResponse:    noResponse,
 }
 
-// TestFailuresDeliverNoList checks invariant 1, and that each failure ends the watch in time.
+// TestFailuresDeliverNoList checks that a response that is not a fresh, complete and unfiltered list is a failure
+// of the source (invariant 1), and that each failure ends the watch in time.
 func TestFailuresDeliverNoList(t *testing.T) {
 	for kind, want := range failures {
 		expectFailure(t, kind, want)
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -39,8 +39,8 @@
 	"<html>", "\x00\xff",
 }
 
-// TestInvalidListsDeliverNothing guards against an invalid response that is accepted as an empty or short list, which
-// would remove nodes. A response that is not a list, or is truncated at any length, is an error and delivers nothing.
+// TestInvalidListsDeliverNothing checks that a response that is not a list, or is truncated at any length, is an
+// error and delivers nothing. If it were accepted as an empty or short list, nodes would be removed.
 func TestInvalidListsDeliverNothing(t *testing.T) {
 	responses := make(chan string, 1)
 	c := startService(t, responses)
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestObjectsAreBounded guards against unbounded memory for an object or white space that does not end: the object is
-// an error once it is too long, and white space is not stored.
+// TestObjectsAreBounded checks that an object without an end is an error once it is too long, and that white space
+// is not stored. Otherwise either would take unbounded memory.
 func TestObjectsAreBounded(t *testing.T) {
 	whiteSpace := strings.Repeat("\n", 3*maxListBytes)
 	endless := `{"a":"` + strings.Repeat("x", 2*maxListBytes)
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestSilenceLeavesTimeForDrain checks the timeout of a silent watch against the drain rule: a drain that it misses
-// counts as notified 6 s after the watch fell silent, and must be obeyed half a second later. The wait before the next
-// call is tested in the package that decides on it.
+// TestSilenceLeavesTimeForDrain checks that the timeout of a silent watch leaves enough time to obey a drain. The
+// proxy counts as notified of a drain 6 s after the watch fell silent, and must obey it within another 500 ms. The
+// wait before the next call is tested in the package that decides on it.
 func TestSilenceLeavesTimeForDrain(t *testing.T) {
 	const heartbeatInterval, countsAsNotified = 2 * time.Second, 6 * time.Second
 	if silenceTimeout <= heartbeatInterval || silenceTimeout > countsAsNotified/2 {
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestHalfWrittenFileIsNotUsed guards against the use of a file while it is being overwritten: its first half may be
+// TestHalfWrittenFileIsNotUsed checks that a file is not used while it is being overwritten. Its first half may be
 // valid and contain fewer nodes.
 func TestHalfWrittenFileIsNotUsed(t *testing.T) {
 	var r fileReads
--- a/internal/membership/confirm_test.go
+++ b/internal/membership/confirm_test.go
@@ -117,7 +117,8 @@
 	}},
 }
 
-// TestCollapsedLists checks rules 2 and 3.
+// TestCollapsedLists checks that nodes missing from a collapsed list are unconfirmed until the loss is confirmed or
+// times out (rule 2), and that an empty list alone does not remove nodes (rule 3).
 func TestCollapsedLists(t *testing.T) {
 	for _, c := range collapseCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestSilentSourceChangesNothing checks rule 5.
+// TestSilentSourceChangesNothing checks that the last list of a source stays in force however old it is (rule 5).
 func TestSilentSourceChangesNothing(t *testing.T) {
 	h := newHarness(t, consulSettings())
 	h.handle(completeList("c", "abC"))
@@ -32,7 +32,8 @@
 	h.expect("ab", "after ten minutes of silence")
 }
 
-// TestMemoryIsBounded checks invariant 5 with a source that lists new names all the time.
+// TestMemoryIsBounded checks that nodes that left are forgotten (invariant 5), with a source that lists new names
+// all the time.
 func TestMemoryIsBounded(t *testing.T) {
 	h := newHarness(t, consulSettings())
 	for i := range 5000 {
--- a/internal/membership/sources_test.go
+++ b/internal/membership/sources_test.go
@@ -47,8 +47,9 @@
 	h.expect("a", "back to the first source")
 }
 
-// TestNewSourceMayBeginWithChanges guards against a proxy that keeps only the few changed nodes when it moves to
-// another discovery service, which may begin with changes to the list of the old one.
+// TestNewSourceMayBeginWithChanges checks that the nodes of the old discovery service are kept when a proxy moves
+// to another service that first delivers only changes to the old one's list. Otherwise the proxy would keep only
+// the few changed nodes.
 func TestNewSourceMayBeginWithChanges(t *testing.T) {
 	h := newHarness(t, Settings{Limits: DefaultLimits, Sources: []Source{{Name: "old"}}})
 	h.handle(completeList("old", "abCd"))
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -78,8 +78,9 @@
 	}
 }
 
-// TestSwingsAroundAThresholdChangeLittle checks invariant 3: ten minutes of load that swings by 5% around each entry
-// and exit threshold, as square and sine waves with periods from 0.2 to 60 s.
+// TestSwingsAroundAThresholdChangeLittle checks that load that swings by 5% around a threshold changes the level at
+// most twice a minute (invariant 3). Each run is ten minutes of a square or sine wave around an entry or exit
+// threshold, with a period from 0.2 to 60 s.
 func TestSwingsAroundAThresholdChangeLittle(t *testing.T) {
 	sine := func(phase float64) float64 { return math.Sin(phase) }
 	square := func(phase float64) float64 { return math.Copysign(1, math.Sin(phase)) }
@@ -129,8 +130,8 @@
 	})...)
 }
 
-// TestSwingsOverAllLevelsAreSlowedDown checks invariant 3 for load that swings between none and full overload: minimum
-// stays grow until the level changes at most twice a minute on average.
+// TestSwingsOverAllLevelsAreSlowedDown checks that load that swings between none and full overload changes the
+// level at most twice a minute on average (invariant 3), because minimum stays grow.
 func TestSwingsOverAllLevelsAreSlowedDown(t *testing.T) {
 	for _, seconds := range []int{2, 5, 10, 20, 30, 45, 60} {
 		period := time.Duration(seconds) * second
@@ -148,7 +149,9 @@
 	}
 }
 
-// TestLevelsAreEnteredAndLeft checks invariants 1 and 2 for each signal and level.
+// TestLevelsAreEnteredAndLeft checks for each signal and level that the level is entered after ConfirmFor at the
+// entry threshold (invariant 1), stays while the signal is between the exit and the entry threshold, and improves
+// by two levels at a time at most once the signal is gone (invariant 2).
 func TestLevelsAreEnteredAndLeft(t *testing.T) {
 	eachEntry(func(signal Signal, level Level, enter float64) {
 		c := New(DefaultTimings)
@@ -176,7 +179,8 @@
 	})
 }
 
-// TestShortPeakRaisesNoLevel checks the ConfirmFor of invariant 1.
+// TestShortPeakRaisesNoLevel checks that a signal above an entry threshold for less than ConfirmFor does not change
+// the level (invariant 1).
 func TestShortPeakRaisesNoLevel(t *testing.T) {
 	c := New(DefaultTimings)
 	transitions := run(t, c, 0, 60*second, func(now time.Duration) values {
@@ -190,7 +194,7 @@
 	}
 }
 
-// TestLevelStaysForTheFaultThatLasts guards against leaving a level when the first of two faults ends.
+// TestLevelStaysForTheFaultThatLasts checks that a level is not left when only the first of two faults ends.
 func TestLevelStaysForTheFaultThatLasts(t *testing.T) {
 	for _, test := range []struct {
 		name              string
@@ -231,8 +235,9 @@
 	}
 }
 
-// TestReturningClientsDoNotMakeTheLevelSwing guards against a level that swings during recovery: if all waiting
-// clients return as soon as a level is left, the level must stay for longer the next time.
+// TestReturningClientsDoNotMakeTheLevelSwing checks that the level changes at most ten times until it is back at
+// Full if all waiting clients return as soon as a level is left. The minimum stay must grow with each re-entry, or
+// the level would swing during recovery.
 func TestReturningClientsDoNotMakeTheLevelSwing(t *testing.T) {
 	c := New(DefaultTimings)
 	backlog := 30.0 // clients that wait to be admitted
@@ -256,7 +261,8 @@
 	checkTransitions(t, transitions)
 }
 
-// TestMissingSignalsRaiseNoLevel checks invariant 4.
+// TestMissingSignalsRaiseNoLevel checks that a missing or invalid signal raises no level, and holds one for
+// SignalTimeout at most (invariant 4).
 func TestMissingSignalsRaiseNoLevel(t *testing.T) {
 	for _, invalid := range []float64{Unknown, math.Inf(1), math.Inf(-1), -1} {
 		t.Run(fmt.Sprint(invalid), func(t *testing.T) {
@@ -280,8 +286,9 @@
 	}
 }
 
-// TestClockJumpsEndNoStay checks invariant 5: a jump of an hour forward ends no minimum stay and confirms no signal,
-// and a jump of an hour back does not hold a level for an hour.
+// TestClockJumpsEndNoStay checks that a clock jump counts as MaxStep at most (invariant 5): a jump of an hour
+// forward ends no minimum stay and confirms no signal, and a jump of an hour back does not hold a level for an
+// hour.
 func TestClockJumpsEndNoStay(t *testing.T) {
 	for _, jump := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(jump.String(), func(t *testing.T) {
@@ -308,7 +315,8 @@
 	}
 }
 
-// TestPinRulesAndEndsDuringAFault checks invariant 6.
+// TestPinRulesAndEndsDuringAFault checks that a pin alone determines the level, and that the level that the signals
+// require takes effect when the pin ends (invariant 6).
 func TestPinRulesAndEndsDuringAFault(t *testing.T) {
 	c := New(DefaultTimings)
 	transitions := c.Handle(0, Pin{Level: Economy, Duration: 30 * second}, nil)
--- a/internal/overload/meter_test.go
+++ b/internal/overload/meter_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestFewRequestsRaiseNoLevel guards against a level raised by single late requests at a proxy with few requests.
+// TestFewRequestsRaiseNoLevel checks that single late requests raise no level at a proxy with few requests.
 func TestFewRequestsRaiseNoLevel(t *testing.T) {
 	var meter Meter
 	c := New(DefaultTimings)
--- a/internal/pause/arrival_test.go
+++ b/internal/pause/arrival_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestDrainedAtAccept checks that a pause, a stall or a wait during which a connection may have waited to be
-// accepted counts, and that an old one does not.
+// TestDrainedAtAccept checks that the latest pause, the latest stall and the interval before the accept are taken
+// into account if the connection may have waited during them, and that an old pause or stall is not.
 func TestDrainedAtAccept(t *testing.T) {
 	const now = 100 * time.Second
 	longAgo := Interval{Start: 10 * time.Second, End: 16 * time.Second}
--- a/internal/pause/detector_test.go
+++ b/internal/pause/detector_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestArrivingListExtendsDeferral checks guarantee 4: nothing is released while a list is arriving, even after another
-// list was fetched, until the list is in force or MaxArrival has passed.
+// TestArrivingListExtendsDeferral checks that no send is released while a list is arriving, even after another list
+// was fetched, until the list is in force or MaxArrival has passed (guarantee 4).
 func TestArrivingListExtendsDeferral(t *testing.T) {
 	for name, steps := range map[string][]struct {
 		at       time.Duration
@@ -184,8 +184,10 @@
 	return nil
 }
 
-// TestPausesAreReported checks guarantees 1 to 4 in random runs: checks of the clocks at random times, at most
-// one check interval apart, with pauses and sleeps of the machine between them.
+// TestPausesAreReported checks in random runs that pauses are reported with the right length, that shorter gaps are
+// not, and that the wait for the endpoint lists ends MaxDeferral after the pause at the latest (guarantees 1 to 4).
+// The clocks are checked at random times, at most one check interval apart, with pauses and sleeps of the machine
+// between the checks.
 func TestPausesAreReported(t *testing.T) {
 	for seed := range uint64(2000) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/pause/exhaustive_test.go
+++ b/internal/pause/exhaustive_test.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestNoPauseRepeatsAnEffect checks guarantee 5: no pause makes a write take effect twice, except for a pause
-// between the last check and the write. Without either rule, some pause does.
+// TestNoPauseRepeatsAnEffect checks that no pause makes a write take effect twice (guarantee 5), except for a pause
+// between the last check and the write. Without the rule on the request's age or the last check, some pause does.
 func TestNoPauseRepeatsAnEffect(t *testing.T) {
 	counts := exhaust(modelRules{age: true, lastCheck: true})
 	t.Logf("%+v", counts)
--- a/internal/peer/detector_test.go
+++ b/internal/peer/detector_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestConnectionReplacedInTime guards against a broken connection that counts as the end of a process: a member that
-// reconnects within ReconnectGrace stays alive, even if the end of the old connection is noticed after that.
+// TestConnectionReplacedInTime checks that a broken connection does not count as the end of a process: a member
+// that reconnects within ReconnectGrace stays alive, even if the end of the old connection is noticed after that.
 func TestConnectionReplacedInTime(t *testing.T) {
 	d := NewDetector(DefaultParameters, 0)
 	d.Handle(0, Heartbeat{Member{Name: "a", Incarnation: 1}, 7})
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestMembersAreBounded guards against unbounded growth: members beyond MaxMembers are rejected, and members that are
-// gone are forgotten.
+// TestMembersAreBounded checks that members beyond MaxMembers are rejected, and that members that are gone are
+// forgotten. Otherwise memory would grow without bound.
 func TestMembersAreBounded(t *testing.T) {
 	parameters := DefaultParameters
 	parameters.MaxMembers = 3
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestEndedAndSilentMembersAreGoneInTime guards guarantees 1 and 2: how soon a member whose process ends, or that is
-// silent, is gone; and that a pause of 300 ms does not make it gone.
+// TestEndedAndSilentMembersAreGoneInTime checks how soon a member is gone whose process has ended (guarantee 1) or
+// that is silent (guarantee 2), and that a silence of 300 ms does not make a member gone.
 func TestEndedAndSilentMembersAreGoneInTime(t *testing.T) {
 	f := newFleet(3, "a", "b", "c")
 	f.run(time.Second)
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestPausedWatcherTakesNobodyForGone guards guarantee 3, with one, two and all three watchers paused.
+// TestPausedWatcherTakesNobodyForGone checks that watchers do not consider a member gone because they were paused
+// themselves (guarantee 3), with one, two and all three watchers paused.
 func TestPausedWatcherTakesNobodyForGone(t *testing.T) {
 	for _, paused := range [][]int{{0}, {0, 1}, {0, 1, 2}} {
 		f := newFleet(3, "a", "b")
@@ -68,7 +69,8 @@
 	}
 }
 
-// TestStateFollowsMajority guards guarantee 5, and that the opinion of a single watcher decides nothing.
+// TestStateFollowsMajority checks that the opinion of a single watcher decides nothing, and that an instance that
+// reaches no majority of the watchers keeps the last known states (guarantee 5).
 func TestStateFollowsMajority(t *testing.T) {
 	f := newFleet(3, "a", "b")
 	f.run(time.Second)
@@ -99,7 +101,8 @@
 	}
 }
 
-// TestFirstProcessOfANameCounts guards guarantee 4 with three processes of one name.
+// TestFirstProcessOfANameCounts checks with three processes of one name that the first counts until it is gone or
+// leaves, and that a replaced process never counts again (guarantee 4).
 func TestFirstProcessOfANameCounts(t *testing.T) {
 	f := newFleet(3, "a")
 	f.run(time.Second)
@@ -132,9 +135,9 @@
 	}
 }
 
-// TestRandomFaults guards against a view that does not recover from faults. Members end, pause, are cut off and return
-// with new incarnations, and watchers pause. After two seconds without further faults, a member must be alive if it
-// runs and reaches a majority of the watchers, and gone otherwise.
+// TestRandomFaults checks that a view recovers from faults. Members end, pause, are cut off and return with new
+// incarnations, and watchers pause. After two seconds without further faults, a member must be alive if it runs and
+// reaches a majority of the watchers, and gone otherwise.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -190,8 +193,8 @@
 	return n
 }
 
-// TestThreeHundredInstances guards the reaction time and the size of reports in a large fleet: 30 of 300 instances end
-// at once. They must be gone after 100 ms, the others alive, and the reports may have changed members only.
+// TestThreeHundredInstances checks the reaction time and the size of reports in a large fleet: 30 of 300 instances
+// end together. They must be gone after 100 ms, the others alive, and the reports may have changed members only.
 func TestThreeHundredInstances(t *testing.T) {
 	var names []string
 	for i := range 300 {
--- a/internal/peer/rpc/recorded_test.go
+++ b/internal/peer/rpc/recorded_test.go
@@ -8,8 +8,9 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestRecordedMessages guards fleets of mixed versions. The header's encoding must match messages recorded from an
-// earlier version, and a message of a later version must be accepted if its MinVersion allows it.
+// TestRecordedMessages checks that the header's encoding matches messages recorded from an earlier version, and
+// that a message of a later version is accepted if its MinVersion allows it. A fleet runs mixed versions during an
+// upgrade.
 func TestRecordedMessages(t *testing.T) {
 	recordedHeader := Header{Version: 1, Fleet: "shop", MinVersion: 1}
 	testutil.CheckRecordedCBOR(t, "testdata/message.cbor", message{recordedHeader, "x"})
--- a/internal/peer/rpc/rpc_test.go
+++ b/internal/peer/rpc/rpc_test.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestVersionsAreCompatible guards fleets that run mixed versions during an upgrade: an older and a newer program
-// accept each other's messages as far as the newer one declares them compatible.
+// TestVersionsAreCompatible checks that an older and a newer program accept each other's messages as far as the
+// newer one declares them compatible, since a fleet runs mixed versions during an upgrade.
 func TestVersionsAreCompatible(t *testing.T) {
 	for _, c := range []struct {
 		name                string
@@ -67,8 +67,8 @@
 	}
 }
 
-// FuzzParse guards against malformed messages from peers: any input is either rejected with a reason or decoded, and a
-// decoded message can be encoded again.
+// FuzzParse checks that any input from a peer is either rejected with a reason or decoded, and that a decoded
+// message can be encoded again.
 func FuzzParse(f *testing.F) {
 	good, _ := cbor.Marshal(message{NewHeader("shop"), "x"})
 	f.Add(good)
--- a/internal/peer/transport/recorded_test.go
+++ b/internal/peer/transport/recorded_test.go
@@ -53,8 +53,8 @@
 	"report-too-many-members.cbor": {Result: peer.TooManyMembers, ServerIncarnation: 5, Version: 2},
 }
 
-// TestRecordedHeartbeats guards fleets of mixed versions: the encoding of heartbeats and reports, and the HTTP path,
-// must match those of earlier versions.
+// TestRecordedHeartbeats checks that the encoding of heartbeats and reports, and the HTTP path, match those of
+// earlier versions, since a fleet runs mixed versions during an upgrade.
 func TestRecordedHeartbeats(t *testing.T) {
 	for name, want := range recordedHeartbeats {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -100,7 +100,7 @@
 	})
 }
 
-// TestInstancesKnowEachOther guards the membership over real connections while instances start, end, return and are
+// TestInstancesKnowEachOther checks the membership over real connections while instances start, end, return and are
 // replaced, and a watcher ends and restarts without its state.
 func TestInstancesKnowEachOther(t *testing.T) {
 	f := newFleet(t)
@@ -126,8 +126,8 @@
 	f.waitForState(a, "b", peer.Alive)
 }
 
-// TestIsolatedWithoutMajority ends two of three watchers: the last known states are kept, and reported as possibly
-// outdated.
+// TestIsolatedWithoutMajority checks that the last known states are kept, and reported as possibly outdated, after
+// two of three watchers end.
 func TestIsolatedWithoutMajority(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.join("a", 1)
@@ -148,7 +148,7 @@
 	}
 }
 
-// TestOtherFleetsAreIgnored guards against instances of another fleet that send heartbeats to this one's watchers.
+// TestOtherFleetsAreIgnored checks that this fleet's watchers ignore the heartbeats of instances of another fleet.
 func TestOtherFleetsAreIgnored(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.join("a", 1)
--- a/internal/simulation/fleet_size_test.go
+++ b/internal/simulation/fleet_size_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestReplacedNodesMoveFewKeys guards against keys that move off healthy nodes wrongly taken for faulty, in a fleet of
-// few busy proxies. One node of twelve is replaced every two seconds and no other has a fault, so the share of
-// misses must stay low.
+// TestReplacedNodesMoveFewKeys checks that the share of misses stays low while one node of twelve is replaced every
+// two seconds and no other has a fault. In a fleet of few busy proxies, healthy nodes that are wrongly considered
+// faulty would lose keys.
 func TestReplacedNodesMoveFewKeys(t *testing.T) {
 	for seed := range uint64(3) {
 		steady := run(t, planOfFewBusyProxies(seed), 20*time.Second, nil).Sum(6, 19)
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestFleetsOfAllSizesAreServed runs few proxies over many nodes and many over few, at the same share of capacity, with
-// known costs and connection limits. Each fleet must be served, and connections must stay within their limit.
+// TestFleetsOfAllSizesAreServed checks that each fleet is served and connections stay within their limit, with few
+// proxies over many nodes and many over few, at the same share of capacity, with known costs and connection limits.
 func TestFleetsOfAllSizesAreServed(t *testing.T) {
 	for _, c := range []struct {
 		proxies, nodes int
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestRetriesLeaveCapacityUsed removes a third of the nodes, which leaves a capacity of 0.9 times the request rate,
-// while clients ignore Retry-After and send two to three attempts for each request. The remaining nodes must still
-// spend most of their capacity on requests whose clients still wait.
+// TestRetriesLeaveCapacityUsed checks that the remaining nodes spend most of their capacity on requests whose
+// clients still wait, after a third of the nodes is removed. That leaves a capacity of 0.9 times the request rate,
+// while clients ignore Retry-After and send two to three attempts for each request.
 func TestRetriesLeaveCapacityUsed(t *testing.T) {
 	p := plan80(1)
 	p.Clients.IgnoreRetryAfter, p.Clients.RetryPause = true, 400*ms
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -8,8 +8,8 @@
 	"mulleinpier/policy"
 )
 
-// TestAllProxiesStartTogether restarts all 80 proxies at once while the endpoint list service answers 20 calls a
-// second. All proxies must subscribe within eleven seconds, with at most three calls for each proxy on average.
+// TestAllProxiesStartTogether checks that 80 proxies that restart together, while the endpoint list service answers
+// 20 calls a second, all subscribe within eleven seconds, with at most three calls for each proxy on average.
 func TestAllProxiesStartTogether(t *testing.T) {
 	p := plan80(1)
 	p.EndpointList.CallsPerSecond = 20
@@ -39,8 +39,9 @@
 	}
 }
 
-// TestDrainIsLearntOnceAListCallSucceeds drains two nodes while nearly all calls to the endpoint list service fail. A
-// proxy must respect the drain from its first successful call on; the fleet records a violation otherwise.
+// TestDrainIsLearntOnceAListCallSucceeds checks that a proxy respects a drain from its first successful call on.
+// Two nodes are drained while nearly all calls to the endpoint list service fail; the fleet records a violation if
+// a proxy sends to them after that call.
 func TestDrainIsLearntOnceAListCallSucceeds(t *testing.T) {
 	p := plan80(1)
 	p.EndpointList.CallsPerSecond = minCallRate
@@ -90,8 +91,8 @@
 	}
 }
 
-// TestNodesWithoutFreeConnections uses up the connections of one node in three for four seconds. The nodes are not
-// faulty and there is no overload, so their requests must be served by other nodes instead of being rejected.
+// TestNodesWithoutFreeConnections checks that requests are served by other nodes, instead of being rejected, while
+// one node in three has no free connection for four seconds. These nodes are not faulty and there is no overload.
 func TestNodesWithoutFreeConnections(t *testing.T) {
 	f := run(t, plan80(1), 14*time.Second, func(f *Fleet) {
 		for _, name := range f.NodeNames()[:20] {
@@ -106,8 +107,9 @@
 	}
 }
 
-// TestMostProxiesRestart kills eight in ten proxies at once, which lose all their measurements, just after three nodes
-// restarted cold. Repeated fetches must not overload the origin, and warming nodes must not collapse.
+// TestMostProxiesRestart checks that repeated fetches do not overload the origin, and that warming nodes do not
+// collapse, when eight in ten proxies are killed together and lose all their measurements, just after three nodes
+// restarted cold.
 func TestMostProxiesRestart(t *testing.T) {
 	f := run(t, plan80(1), 16*time.Second, func(f *Fleet) {
 		f.At(5*time.Second, func() { f.Crash("n001", "n002", "n003") })
@@ -124,8 +126,9 @@
 	}
 }
 
-// TestFewRequestsFindFaultyNode gives each proxy three requests a second, over twelve nodes of which one fails all
-// requests. After half a minute the faulty node must receive clearly fewer requests than at first.
+// TestFewRequestsFindFaultyNode checks that a node that fails all requests is found with few requests: each proxy
+// gets three requests a second, over twelve nodes. After half a minute the faulty node must receive clearly fewer
+// requests than at first.
 func TestFewRequestsFindFaultyNode(t *testing.T) {
 	p := plan80(1)
 	p.Clients.RequestsPerSecond = 240
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// TestLargeFleetRestartsWithoutDiscovery kills seven in ten of 300 proxies at once, while discovery answers nearly no
-// call for four seconds. The new proxies must serve with the list that they start with, and subscribe to discovery
-// later without overloading it.
+// TestLargeFleetRestartsWithoutDiscovery checks that new proxies serve with the list that they start with, and
+// subscribe to discovery later without overloading it. Seven in ten of 300 proxies are killed together, while
+// discovery answers nearly no call for four seconds.
 func TestLargeFleetRestartsWithoutDiscovery(t *testing.T) {
 	f := run(t, plan300(1), 16*time.Second, func(f *Fleet) {
 		f.At(4*time.Second, func() {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestLargeFleetRollingRestart restarts a tenth of the proxies every second while half of the nodes are drained and
-// restarted. No rule may be violated, no warming node may collapse, and the service must stay good.
+// TestLargeFleetRollingRestart checks that no rule is violated, no warming node collapses, and the service stays
+// good while a tenth of the proxies restarts every second and half of the nodes are drained and restarted.
 func TestLargeFleetRollingRestart(t *testing.T) {
 	f := run(t, plan300(1), 16*time.Second, func(f *Fleet) {
 		for i := range 10 {
@@ -67,8 +67,8 @@
 	checkInTime(t, s, 0.9, "during the restart")
 }
 
-// TestLargeFleetZoneLost crashes one zone of five and restarts it cold. The other zones must serve its load, and the
-// requests sent to the restarted nodes must not make any of them collapse.
+// TestLargeFleetZoneLost checks that four zones serve the load of a fifth that crashes, and that the requests sent
+// to its nodes after their cold restart do not make any of them collapse.
 func TestLargeFleetZoneLost(t *testing.T) {
 	f := run(t, plan300(1), 18*time.Second, func(f *Fleet) {
 		zone := nodesWhere(f, func(i int) bool { return i%5 == 2 })
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestSamePlanGivesSameEvents checks guarantee 1.
+// TestSamePlanGivesSameEvents checks that the same plan and seed give exactly the same events (guarantee 1).
 func TestSamePlanGivesSameEvents(t *testing.T) {
 	const length = 3 * time.Second
 	a, b := run(t, plan80(1), length, nil), run(t, plan80(1), length, nil)
@@ -27,7 +27,8 @@
 	checkInTime(t, f.Sum(1, 8), 0.99, "without a fault")
 }
 
-// TestZoneLostAndBackCold crashes a quarter of the nodes without notice and restarts them cold seven seconds later.
+// TestZoneLostAndBackCold checks the service while a quarter of the nodes crashes without notice and restarts cold
+// seven seconds later.
 func TestZoneLostAndBackCold(t *testing.T) {
 	f := run(t, plan80(1), 24*time.Second, func(f *Fleet) {
 		zone := nodesWhere(f, func(i int) bool { return i%4 == 1 })
--- a/internal/simulation/zonal_homes_test.go
+++ b/internal/simulation/zonal_homes_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestNearlyFullOriginGivesUpZonalHomes guards against homes in each zone that overload the origin: they need more
-// fetches, so proxies must give them up when the origin can handle only 0.9 of those fetches, little more than one home
-// needs.
+// TestNearlyFullOriginGivesUpZonalHomes checks that proxies give up homes in each zone when the origin can handle
+// only 0.9 of the fetches that these homes cause, little more than one home needs. Otherwise homes in each zone
+// would overload the origin.
 func TestNearlyFullOriginGivesUpZonalHomes(t *testing.T) {
 	idle := run(t, plan80WithZonalHomes(1), 18*time.Second, nil).Sum(10, 16)
 	f := run(t, plan80WithZonalHomes(1), 18*time.Second, func(f *Fleet) {
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// FuzzRead checks guarantee 1: each error other than io.EOF names a line and a field.
+// FuzzRead checks that each error other than io.EOF names a line and a field (guarantee 1).
 func FuzzRead(f *testing.F) {
 	f.Add(sample)
 	f.Add("batch\t1\t1\nend\n")
--- a/internal/takeover/claim_test.go
+++ b/internal/takeover/claim_test.go
@@ -15,7 +15,8 @@
 	gone      = ClaimResponse{Decision: 99}
 )
 
-// TestClaimVerdicts guards the verdict for each combination of holders' responses, and the end of the permission.
+// TestClaimVerdicts checks the verdict for each combination of holders' responses, and when the permission to send
+// ends.
 func TestClaimVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestClaimWithoutOthers guards a claim without other holders: it must wait for the own registry's response and use
-// it.
+// TestClaimWithoutOthers checks that a claim without other holders waits for the response of the proxy's own
+// registry and uses it.
 func TestClaimWithoutOthers(t *testing.T) {
 	claim := NewClaim(DefaultParameters, window, 0, 0, Options{Replicas: 1, RequireReplica: true}, ClientRetry)
 	if v, _ := claim.Verdict(); v != Undecided {
@@ -89,8 +90,8 @@
 	}
 }
 
-// TestClaimInProgressElsewhere guards that a client whose deadline passes while another owner has the write in flight
-// is told that the outcome is unknown.
+// TestClaimInProgressElsewhere checks that a client whose deadline passes while another owner has the write in
+// flight is told that the outcome is unknown.
 func TestClaimInProgressElsewhere(t *testing.T) {
 	claim := NewClaim(DefaultParameters, window, 0, 2, Options{Replicas: 2, RequireReplica: true}, ClientRetry)
 	claim.HandleResponse("own", granted)
--- a/internal/takeover/coordinator/coordinator_test.go
+++ b/internal/takeover/coordinator/coordinator_test.go
@@ -22,8 +22,8 @@
 	})
 }
 
-// TestReceiptIsSharedByHolders guards that, once a write was served by one proxy, the others return its receipt and
-// reject another write with its key.
+// TestReceiptIsSharedByHolders checks that, once one proxy has served a write, the others return its receipt and
+// reject another write with the same key.
 func TestReceiptIsSharedByHolders(t *testing.T) {
 	proxies := startProxies(t, Options{Replicas: 2, RequireReplica: true}, "a", "b", "c")
 	a, b, c := proxies[0], proxies[1], proxies[2]
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestOrphanedWriteIsTakenOver guards the takeover of a write whose owner ends while it has permission to send: exactly
-// one of the other proxies resumes the write, and later claims get its receipt.
+// TestOrphanedWriteIsTakenOver checks that a write whose owner ends while it has permission to send is taken over:
+// exactly one of the other proxies resumes the write, and later claims get its receipt.
 func TestOrphanedWriteIsTakenOver(t *testing.T) {
 	proxies := startProxies(t, Options{Replicas: 2, RequireReplica: true}, "a", "b", "c")
 	a, b, c := proxies[0], proxies[1], proxies[2]
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestNotExecutedIsSafeToRetry guards that another proxy may send a write after its owner gave it up unsent.
+// TestNotExecutedIsSafeToRetry checks that another proxy may send a write after its owner gave it up unsent.
 func TestNotExecutedIsSafeToRetry(t *testing.T) {
 	proxies := startProxies(t, Options{Replicas: 1, RequireReplica: true}, "a", "b")
 	a, b := proxies[0], proxies[1]
@@ -101,7 +101,7 @@
 	})
 }
 
-// TestVerdictsWithoutHolders guards the verdicts and counters of a proxy without other holders.
+// TestVerdictsWithoutHolders checks the verdicts and counters of a proxy without other holders.
 func TestVerdictsWithoutHolders(t *testing.T) {
 	for _, c := range []struct {
 		requireReplica bool
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestWritesAreListed guards the list of writes that operators request over HTTP.
+// TestWritesAreListed checks the list of writes that operators request over HTTP.
 func TestWritesAreListed(t *testing.T) {
 	p := startProxies(t, Options{Replicas: 1}, "a")[0]
 	p.claim("k", "v")
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestStopAnswersAllClaims guards that each pending claim is answered once when a coordinator stops.
+// TestStopAnswersAllClaims checks that each pending claim is answered exactly once when a coordinator stops.
 func TestStopAnswersAllClaims(t *testing.T) {
 	proxies := startProxies(t, Options{Replicas: 1, RequireReplica: true}, "a", "b")
 	a, b := proxies[0], proxies[1]
--- a/internal/takeover/coordinator/recorded_test.go
+++ b/internal/takeover/coordinator/recorded_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestRecordedMessages guards fleets of mixed versions: the encoding of messages between proxies, and the HTTP paths,
-// must match those of earlier versions.
+// TestRecordedMessages checks that the encoding of messages between proxies, and the HTTP paths, match those of
+// earlier versions. Otherwise proxies of mixed versions could not communicate.
 func TestRecordedMessages(t *testing.T) {
 	for name, want := range recordedMessages(t) {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestRecordedWrites guards fleets of mixed versions: the ID, digest and payload of a write must match those of an
-// earlier version, so that all versions identify a write alike and can send it again.
+// TestRecordedWrites checks that the ID, digest and payload of a write match those of an earlier version. All
+// versions in a fleet must identify a write alike and be able to send it again.
 func TestRecordedWrites(t *testing.T) {
 	testutil.CheckRecordedCBOR(t, "testdata/write.cbor", payload{
 		Key: "order", Class: "write", Tenant: "shop", IdempotencyKey: "k1", Value: []byte("v\x00\xff"), Flags: 9,
--- a/internal/takeover/holders_test.go
+++ b/internal/takeover/holders_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestHolderRankingIsSharedAndStable guards the ranking of holders: the first three are in different zones, the writes
-// are spread evenly, and the loss of an instance moves only the writes that it was the first holder of.
+// TestHolderRankingIsSharedAndStable checks the ranking of holders: the first three are in different zones, the
+// writes are spread evenly, and the loss of an instance moves only the writes that it was the first holder of.
 func TestHolderRankingIsSharedAndStable(t *testing.T) {
 	var candidates []Candidate
 	for i := range 12 {
--- a/internal/takeover/interleaving_test.go
+++ b/internal/takeover/interleaving_test.go
@@ -114,8 +114,8 @@
 	return runs, effects, violation
 }
 
-// TestInterleavings guards guarantee 1 in all simulations with at most two choices other than 0, or as many as
-// MULLEINPIER_DEPTH sets.
+// TestInterleavings checks that no write takes effect twice (guarantee 1) in all simulations with at most two
+// choices other than 0, or as many as MULLEINPIER_DEPTH sets.
 func TestInterleavings(t *testing.T) {
 	depth := 2
 	if n, err := strconv.Atoi(os.Getenv("MULLEINPIER_DEPTH")); err == nil {
@@ -155,8 +155,8 @@
 	return "", seeds, receipts, effects
 }
 
-// TestRandomFaults guards the guarantees under up to six random faults per simulation. MULLEINPIER_LIVES sets the
-// number of simulations, 20,000 by default.
+// TestRandomFaults checks the guarantees of the package under up to six random faults per simulation.
+// MULLEINPIER_LIVES sets the number of simulations, 20,000 by default.
 func TestRandomFaults(t *testing.T) {
 	seeds := 20_000
 	if n, err := strconv.Atoi(os.Getenv("MULLEINPIER_LIVES")); err == nil {
@@ -169,7 +169,8 @@
 	}
 }
 
-// TestPlantedDefectsAreFound guards against a simulation that detects nothing: it must find each planted defect.
+// TestPlantedDefectsAreFound checks that the simulation finds each planted defect. A simulation that detects
+// nothing would make the other tests pass.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for name, defects := range map[string]plantedDefects{
 		"permission after the window": {longWindow: true},
--- a/internal/takeover/recorded_test.go
+++ b/internal/takeover/recorded_test.go
@@ -34,7 +34,8 @@
 	return text.String()
 }
 
-// TestRecordedRanking guards fleets of mixed versions: every version must rank the holders of a key alike.
+// TestRecordedRanking checks that the ranking of a key's holders matches that of an earlier version. All versions
+// in a fleet must rank holders alike.
 func TestRecordedRanking(t *testing.T) {
 	if got := rankingText(); got != string(testutil.Recorded(t, "testdata/holders.txt")) {
 		t.Errorf("the ranking differs from that of an earlier version:\n%s", got)
@@ -50,7 +51,8 @@
 	},
 }
 
-// TestRecordedList guards programs that read the list of writes: its JSON must match that of an earlier version.
+// TestRecordedList checks that the JSON of the list of writes matches that of an earlier version, because other
+// programs read it.
 func TestRecordedList(t *testing.T) {
 	recorded := testutil.Recorded(t, "testdata/list.json")
 	var got []WriteStatus
--- a/internal/takeover/registry_test.go
+++ b/internal/takeover/registry_test.go
@@ -38,7 +38,8 @@
 	return only(t, r.Handle(now, ClaimRequest{RequestID: requestID, Write: write("k"), Owner: o}, nil))
 }
 
-// TestClaimsOfOneWrite guards the responses to two owners that claim one write, and to another write with its key.
+// TestClaimsOfOneWrite checks the responses to two owners that claim the same write, and to another write with the
+// same key.
 func TestClaimsOfOneWrite(t *testing.T) {
 	r := newTestRegistry()
 	got := claimAt(t, r, 0, ownerA, 1)
@@ -58,8 +59,9 @@
 	}
 }
 
-// TestFormerOwnerGetsNoPermission guards guarantees 2 and 3: the write of a lost owner is granted to its waiter. From
-// the former owner, only a completion with the outcome Served is accepted after that.
+// TestFormerOwnerGetsNoPermission checks that the write of a lost owner is granted to the waiting owner with a
+// higher epoch (guarantee 3). After that, the former owner gets no permission, and only its completion with the
+// outcome Served is accepted (guarantees 2 and 3).
 func TestFormerOwnerGetsNoPermission(t *testing.T) {
 	r := newTestRegistry()
 	claimAt(t, r, 0, ownerA, 1)
@@ -93,7 +95,8 @@
 	}
 }
 
-// TestHoldersTakeOverInTurn guards the time at which each holder takes over an orphaned write, by its rank.
+// TestHoldersTakeOverInTurn checks when each holder takes over an orphaned write, which depends on the holder's
+// rank.
 func TestHoldersTakeOverInTurn(t *testing.T) {
 	for rank := range 3 {
 		r := newTestRegistry()
@@ -118,7 +121,8 @@
 	}
 }
 
-// TestNoTakeoverAfterWindow guards against a takeover so late that nodes may no longer drop repeats.
+// TestNoTakeoverAfterWindow checks that a write is not taken over so late that nodes may no longer drop duplicates
+// of it.
 func TestNoTakeoverAfterWindow(t *testing.T) {
 	r := newTestRegistry()
 	r.Handle(0, ClaimRequest{RequestID: 1, Write: write("k"), Owner: ownerA}, nil)
@@ -132,7 +136,7 @@
 	}
 }
 
-// TestUncertaintyLasts guards against a registry that forgets that a write may have run. In its recovery period it
+// TestUncertaintyLasts checks that a registry does not forget that a write may have run. In its recovery period it
 // can't tell whether a retried write has run before, so the owner records the outcome as unknown. Claims after the
 // recovery period must get WindowExpired, until the write is known as served.
 func TestUncertaintyLasts(t *testing.T) {
@@ -155,7 +159,8 @@
 	}
 }
 
-// TestRegistryIsBounded guards guarantee 5, and that all writes are removed in the end.
+// TestRegistryIsBounded checks that a full registry declines writes, payload bytes and waiters beyond its limits
+// (guarantee 5), and that all writes are removed in the end.
 func TestRegistryIsBounded(t *testing.T) {
 	parameters := DefaultParameters
 	parameters.MaxWrites, parameters.MaxBytes, parameters.MaxWaiters = 3, 25, 2
