--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -68,7 +68,7 @@
 	agent Agent
 	base  string
 	http  http.Client
-	err   error // of reading the agent's certificates; returned by every call
+	err   error // error of reading the agent's certificates; returned by every call
 }
 
 func newClient(agent Agent) *client {
@@ -120,7 +120,7 @@
 	method, path string
 	query        url.Values
 	body         io.Reader     // nil for none
-	timeout      time.Duration // until the start of the response
+	timeout      time.Duration // bounds the wait for the start of the response
 }
 
 // do makes a call and returns its response if the status is 200. The caller closes the body. Reading it fails after
--- a/internal/consul/instances.go
+++ b/internal/consul/instances.go
@@ -55,7 +55,7 @@
 	Output  string `json:"Output"`
 }
 
-// readInstances decodes a list one entry at a time, to bound the memory that it takes.
+// readInstances decodes a list one entry at a time, which bounds the memory in use.
 func (s *source) readInstances(body io.Reader) ([]discovery.Endpoint, error) {
 	in := json.NewDecoder(io.LimitReader(body, maxListBytes))
 	if t, err := in.Token(); err != nil || t != json.Delim('[') {
--- a/internal/consul/registrar.go
+++ b/internal/consul/registrar.go
@@ -18,7 +18,7 @@
 	ID      string // unique at the agent
 	Host    string
 	Port    int
-	TTL     time.Duration // of its check: the agent marks it critical unless it is passed within this time
+	TTL     time.Duration // of the proxy's check: the agent marks the check critical unless it is passed within TTL
 	Tags    []string
 	Meta    map[string]string
 }
--- a/internal/consul/source.go
+++ b/internal/consul/source.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// MinQueryInterval is the shortest time between two queries: each returns the complete list, however many changes a
-	// second the catalogue has.
+	// MinQueryInterval is the shortest time between two queries. Each query returns the complete list, so the
+	// interval bounds the cost however often the catalogue changes.
 	MinQueryInterval = 50 * time.Millisecond
 	// idlePerReadTime is the wait before the next query, as a multiple of the time that reading the last list took. So
 	// reading takes at most a tenth of all time, unless maxQueryInterval cuts the wait short.
 	idlePerReadTime = 9
-	// maxQueryInterval bounds that wait, since a drain must be noticed within half a second of its entry.
+	// maxQueryInterval bounds the wait before the next query, since a drain must be noticed within half a second
+	// after it was entered in the catalogue.
 	maxQueryInterval = 400 * time.Millisecond
 	// pollInterval is the wait between queries of an agent that returns no index, or index 0.
 	pollInterval = 400 * time.Millisecond
@@ -91,7 +92,7 @@
 	return query, wait + wait/16 + waitSlack
 }
 
-// query sends a query and returns the list if the response meets invariant 1.
+// query sends a query and returns the list if the response is current, unfiltered and complete (invariant 1).
 func (s *source) query(ctx context.Context, query url.Values, timeout time.Duration) (queryResult, error) {
 	if s.Datacenter != "" {
 		query.Set("dc", s.Datacenter)
@@ -142,7 +143,8 @@
 }
 
 // Watch implements discovery.Source. An index is valid for one agent only, so Watch ignores from and begins with the
-// complete list. It waits before it returns an error with a Retry-After.
+// complete list. If the agent responds with a Retry-After, Watch waits between half and 1.5 times as long before it
+// returns the error.
 func (s *source) Watch(ctx context.Context, _ uint64, deliver func(discovery.List)) error {
 	index, delivered := uint64(0), false
 	for {
--- a/internal/discovery/arrival.go
+++ b/internal/discovery/arrival.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// end records that the list was delivered, or that the watch ended before.
+// end records that the list was delivered, or that the watch ended before the delivery.
 func (a *arrival) end() {
 	if a.begun {
 		a.begun = false
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -72,7 +72,7 @@
 	return l, err
 }
 
-// readWithText is ReadFile and also returns the text of the file.
+// readWithText does what ReadFile does, and also returns the text of the file.
 func readWithText(path string) (List, string, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -34,7 +34,7 @@
 	Group   int     `json:"group"`
 	Status  string  `json:"status"` // one of the keys of statuses
 	Weight  float64 `json:"weight"`
-	// StartedMillis is the time of its start in milliseconds of Unix time, 0 if that is not known.
+	// StartedMillis is the Unix time of the node's last start in milliseconds, 0 if it is not known.
 	StartedMillis float64 `json:"since_ms"`
 	// Instance changes with each start of the node, "" where the source cannot tell.
 	Instance string `json:"-"`
--- a/internal/membership/confirm.go
+++ b/internal/membership/confirm.go
@@ -8,7 +8,7 @@
 // This file decides whether nodes missing from a complete list are gone, or the list has collapsed and the source has
 // to confirm the loss (rules 2 and 3).
 
-// refetchInterval is the shortest time between the request of a refetch that failed and the next.
+// refetchInterval is the shortest time between the request of a failed refetch and the request of the next one.
 const refetchInterval = 250 * time.Millisecond
 
 // pendingRemovals are the unconfirmed nodes of a source: they are missing from its collapsed list, and their last
@@ -79,11 +79,11 @@
 	r.setTimer(p.until - r.now)
 }
 
-// extendConfirmation handles another list during a confirmation that does not confirm the loss: it shows the same
-// collapse, or lacks more nodes.
+// extendConfirmation handles a list that arrives during a confirmation and does not confirm the loss, as it shows the
+// same collapse or lacks more nodes.
 func (r *Reconciler) extendConfirmation(s *source, remaining int, missing []string) {
 	p := s.pending
-	if remaining > 0 && p.listEmpty { // no longer empty: the ordinary ConfirmTimeout applies to what is still missing
+	if remaining > 0 && p.listEmpty { // no longer empty: ConfirmTimeout applies to the nodes still missing
 		p.listEmpty = false
 		p.until = min(p.until, r.now+r.settings.Limits.ConfirmTimeout)
 		r.refetch(s)
@@ -136,8 +136,8 @@
 	}
 }
 
-// hasCollapsed reports whether less than MinRemainingShare of a list is left. A single loss within CollapseWindow is
-// never a collapse, even if it is the last node.
+// hasCollapsed reports whether less than MinRemainingShare of a list is left. The loss of a single node within
+// CollapseWindow is never a collapse, even if it was the last node.
 func (r *Reconciler) hasCollapsed(s *source, remaining, missing int) bool {
 	window := r.settings.Limits.CollapseWindow
 	maps.DeleteFunc(s.losses, func(_ string, lostAt time.Duration) bool { return r.now-lostAt > window })
--- a/internal/membership/events.go
+++ b/internal/membership/events.go
@@ -51,7 +51,7 @@
 // Change publishes the new state of a node. A node that is Gone must be dropped.
 type Change struct {
 	Node
-	Source   string // the source that decided it
+	Source   string // the source that decided the node's state
 	Previous Status // Gone for a new node
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -53,14 +53,14 @@
 
 // Node is a cache node.
 type Node struct {
-	Name    string // its identity, also across changes of address
+	Name    string // identifies the node, also after a change of its address
 	Address string // HOST:PORT
 	Zone    string
 	Type    string
 	Group   int
 	Weight  float64
 	Status  Status
-	// Started is the time of its last start as Unix time, 0 if that was long ago or is not known.
+	// Started is the Unix time of the node's last start, 0 if that was long ago or is not known.
 	Started time.Duration
 	// Instance changes with each start of the node, "" where the source cannot tell.
 	Instance string
@@ -192,8 +192,8 @@
 	return count
 }
 
-// Unconfirmed returns, sorted, the names of the nodes that a source's latest list lacks and that still keep their last
-// report from it until the loss is confirmed.
+// Unconfirmed returns the sorted names of the unconfirmed nodes. A source's latest list lacks them, but the last
+// report from that source stays in force until the loss is confirmed.
 func (r *Reconciler) Unconfirmed(sourceName string) (names []string) {
 	s := r.source(sourceName)
 	if s == nil || s.pending == nil {
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// forgetTimerSlack delays the timer beyond ForgetAfter, since a node is forgotten only once more than that has passed.
+// forgetTimerSlack delays the timer beyond ForgetAfter, since a node is forgotten only once more than ForgetAfter has
+// passed.
 const forgetTimerSlack = time.Millisecond
 
 // merge combines the reports of all sources on a node, and returns the result and the source that decided it.
@@ -22,7 +23,7 @@
 			listed = true
 			merged, from = *n, s.Name
 		}
-		// A retired source's last report that a node is draining or gone counts as long as the source's list does.
+		// A retired source's last report that a node is draining or gone counts until the source is dropped.
 		if n.Status > worst {
 			worst, worstReason, worstSource = n.Status, n.Reason, s.Name
 		}
@@ -69,7 +70,7 @@
 	return ordered
 }
 
-// publishNode publishes a node if it has changed. reason is used if its sources report none.
+// publishNode publishes a node if it has changed. reason is published if the sources report no reason.
 func (r *Reconciler) publishNode(name, reason string) {
 	merged, from := r.merge(name)
 	n := r.nodes[name]
@@ -101,7 +102,7 @@
 		n.leftAt = r.now
 		n.wasGone = merged.Status == Gone
 	}
-	if merged.Status == Gone { // after a drain, the absence starts only now
+	if merged.Status == Gone { // a drained node counts as absent only from now on
 		n.wasGone = true
 		if previous == Draining {
 			n.leftAt = r.now
--- a/internal/membership/restarts.go
+++ b/internal/membership/restarts.go
@@ -18,18 +18,18 @@
 
 // node is the state of a node: what is published, and what was inferred from its connections and returns.
 type node struct {
-	everPublished bool // as other than Gone; the node is forgotten ForgetAfter after it left
+	everPublished bool // was published as other than Gone; the node is forgotten ForgetAfter after it left
 	published     Node
 	leftAt        time.Duration // when it last stopped serving, or became Gone after a drain
-	wasGone       bool          // it has been Gone, not only Draining, since it last served
-	returns       float64       // decaying count
-	returnsAt     time.Duration // of the last return
+	wasGone       bool          // the node has been Gone, not only Draining, since it last served
+	returns       float64       // count of returns, which decays with FlapMemory
+	returnsAt     time.Duration // time of the last return
 	heldUntil     time.Duration // end of the hold-down, 0 for none
 	failures      int           // consecutive failures of connections
 	lastFailure   time.Duration
-	processEnded  bool // FailureThreshold was reached, and it has not answered or returned from Gone since
+	processEnded  bool // FailureThreshold was reached, and the node has not answered or returned from Gone since
 	instance      string
-	inferredStart time.Duration // 0 for none
+	inferredStart time.Duration // 0 if no start was inferred
 }
 
 func (r *Reconciler) connectionObserved(e ConnectionObserved) {
@@ -80,7 +80,7 @@
 // returns the reason for a new start time, "" if there is none.
 func (r *Reconciler) infer(n *node, merged *Node) (reason string) {
 	if merged.Status != Up {
-		n.heldUntil = 0 // it left again: the next return may start another hold-down
+		n.heldUntil = 0 // the node left again: its next return may start another hold-down
 	}
 	if merged.Status == Gone {
 		return ""
--- a/internal/membership/sources.go
+++ b/internal/membership/sources.go
@@ -48,9 +48,9 @@
 	r.dropRetired()
 }
 
-// dropRetired drops retired sources once all others have delivered a complete list. Until then a report of the others
-// replaces what retired ones reported of the same node: a source may begin with changes since a list that it assumes
-// the proxy already has.
+// dropRetired drops retired sources once all others have delivered a complete list. Until then a configured source's
+// report on a node replaces the retired sources' reports on it, because a source may begin with changes to a list
+// that it assumes the proxy already has.
 func (r *Reconciler) dropRetired() {
 	for _, s := range r.sources {
 		if !s.retired && !s.hasComplete {
--- a/internal/outlier/suspicion.go
+++ b/internal/outlier/suspicion.go
@@ -23,7 +23,7 @@
 // never fall below the prior: attempts that succeeded before a server became faulty are no evidence against the fault.
 // This is the CUSUM algorithm of change detection. The log odds decay without samples.
 type Suspicion struct {
-	LogOdds             float64 // above the prior's
+	LogOdds             float64 // above the log odds of PriorProbability
 	updated             time.Duration
 	ConsecutiveFailures float64 // since the last success
 }
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -12,7 +12,7 @@
 	ReentryWindow time.Duration // a level entered again within this time of being left has its minimum stay doubled
 	MaxStay       time.Duration // the longest minimum stay
 	SignalTimeout time.Duration // how long a missing signal keeps its last value
-	MaxStep       time.Duration // the most time that counts between two events; two samples alone must confirm nothing
+	MaxStep       time.Duration // most time that counts between two events, so that two samples alone confirm nothing
 }
 
 // DefaultTimings apply to a proxy without configured timings.
@@ -52,10 +52,10 @@
 	now       time.Duration // the controller's own clock, which never jumps; all times below are on it
 	signals   [signalCount]signalState
 
-	level       Level         // that the signals require, after minimum stays; a pin does not affect it
-	minStayEnds time.Duration // level does not improve before
+	level       Level         // level that the signals require, after minimum stays; a pin does not affect it
+	minStayEnds time.Duration // the level does not improve before this time
 	minStays    [levelCount]time.Duration
-	leftAt      [levelCount]time.Duration // when service last improved from a level
+	leftAt      [levelCount]time.Duration // by level, when service last improved from it
 	pinned      bool
 	pinnedLevel Level
 	pinEnds     time.Duration
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -194,12 +194,13 @@
 	}
 }
 
-// TestLevelStaysForTheFaultThatLasts checks that a level is not left when only the first of two faults ends.
+// TestLevelStaysForTheFaultThatLasts checks that, when the first of two faults ends, the level in force is the one
+// that the remaining fault requires.
 func TestLevelStaysForTheFaultThatLasts(t *testing.T) {
 	for _, test := range []struct {
 		name              string
-		originEnds        time.Duration // the origin's errors require Shelter until then
-		ejectionsEnd      time.Duration // the ejected nodes require Economy until then
+		originEnds        time.Duration // end of the origin's errors, which require Shelter
+		ejectionsEnd      time.Duration // end of the ejections, which require Economy
 		levelWithOneFault Level
 	}{
 		{"the worse ends first", 30 * second, 90 * second, Economy},
--- a/internal/overload/property_test.go
+++ b/internal/overload/property_test.go
@@ -36,7 +36,7 @@
 	controller, twin             *Controller
 	transitions, twinTransitions []Transition
 
-	now      time.Duration // on the events' clock
+	now      time.Duration // time of the last event, on the events' clock
 	elapsed  time.Duration // time as the controller counts it
 	raisedAt time.Duration // value of elapsed when the level was last raised
 	signals  Signals
--- a/internal/overload/transition.go
+++ b/internal/overload/transition.go
@@ -9,9 +9,9 @@
 	From           string        `json:"from"`
 	To             string        `json:"to"`
 	Cause          string        `json:"cause"`          // a signal's name, "pin", "pin ended" or "calm"
-	Value          float64       `json:"figure"`         // of the signal; for "calm" the largest ratio to an exit
-	Threshold      float64       `json:"bound"`          // that Value was compared with
-	MinStaySeconds float64       `json:"stay_s"`         // the level does not improve before, or the rest of a pin
+	Value          float64       `json:"figure"`         // signal's value; for "calm" largest ratio to exit threshold
+	Threshold      float64       `json:"bound"`          // threshold that Value was compared with
+	MinStaySeconds float64       `json:"stay_s"`         // seconds until the level may improve, or the rest of a pin
 	OtherCauses    []string      `json:"also,omitempty"` // further signals that require a degraded level
 	Level          Level         `json:"level"`          // To as a number
 	PreviousLevel  Level         `json:"-"`              // From as a number
--- a/internal/pause/arrival.go
+++ b/internal/pause/arrival.go
@@ -60,10 +60,10 @@
 	SingleCommand bool          // what was read is one complete command, and nothing more has arrived
 }
 
-// Arrival is the range of times when the last byte of a command may have arrived. A running process reads at
-// once, so what it reads has just arrived, unless there was a pause in between. After a pause it may have
-// arrived at any time since the pause began, or since the connection was last drained if that was later. Only
-// the kernel knows more, and only about the latest byte.
+// Arrival is the range of times when the last byte of a command may have arrived. A running process reads bytes as
+// soon as they arrive, so they have just arrived unless there was a pause in between. Bytes that are read after a
+// pause may have arrived at any time since the pause began, or since the connection was last drained if that was
+// later. Only the kernel knows more, and only about the latest byte.
 type Arrival struct {
 	Earliest, Latest time.Duration // on the monotonic clock
 }
@@ -97,23 +97,23 @@
 // The kinds of requests.
 const (
 	Idempotent        Idempotency = iota // a second execution has no further effect
-	IdempotentWithKey                    // nodes drop repeats with the same key within the dedup window
+	IdempotentWithKey                    // nodes drop duplicates with the same key within the dedup window
 	NotIdempotent                        // a second execution does harm
 )
 
 // AgeDecision says whether a request may be sent, given its age.
 type AgeDecision struct {
 	Reject     bool          // reject as busy at once: the request was never sent, so a retry is harmless
-	SendBefore time.Duration // otherwise it may be sent before this time on the monotonic clock
+	SendBefore time.Duration // otherwise the request may be sent before this time on the monotonic clock
 }
 
-// DecideByAge decides whether a request may be sent whose client waits for timeout. window is the dedup window
-// in which nodes drop repeats of a request with a key.
+// DecideByAge decides whether a request may be sent whose client waits for timeout. window is the dedup window in
+// which nodes drop duplicates of a request with a key.
 //
-// A request with side effects is assumed to be as old as it can be: its client may have retried elsewhere as
-// soon as its timeout was over. If it has a key and its age is not known, it must also be sent before the nodes
-// could forget a repeat that was sent elsewhere right after its arrival. An idempotent request is assumed to be
-// as young as it can be, as a second execution does no harm.
+// A request with side effects is assumed to be as old as it can be: its client may have retried elsewhere as soon as
+// its timeout was over. If it has a key and its age is not known, it must also be sent before the nodes could forget
+// a duplicate that was sent elsewhere right after the request arrived. An idempotent request is assumed to be as
+// young as it can be, as a second execution does no harm.
 func DecideByAge(
 	now time.Duration, idempotency Idempotency, timeout, window time.Duration, arrival Arrival,
 ) AgeDecision {
--- a/internal/pause/detector.go
+++ b/internal/pause/detector.go
@@ -42,7 +42,7 @@
 	CheckInterval   time.Duration // the clocks are checked at least this often
 	MinPause        time.Duration // the shortest pause that is reported
 	MaxDeferral     time.Duration // sends are deferred for this long at most, while no list is arriving
-	MaxArrival      time.Duration // the same while a list is arriving, from the end of the pause
+	MaxArrival      time.Duration // sends are deferred for this long after the pause at most, while a list is arriving
 	ReleaseBatch    int           // number of sends that are released at a time
 	ReleaseInterval time.Duration // time between two batches
 }
@@ -132,8 +132,8 @@
 // DefersSends reports whether new sends must be deferred.
 func (d *Detector) DefersSends() bool { return d.state != running }
 
-// DefersWrites reports whether all writes must be deferred. While deferred sends are being released it is false,
-// so that those may be written.
+// DefersWrites reports whether all writes must be deferred. It reports false while deferred sends are being released,
+// so that they can be written.
 func (d *Detector) DefersWrites() bool { return d.state == recovering }
 
 // SetDeferredSends sets the number of sends that are deferred now. It must be called before each event.
@@ -143,8 +143,8 @@
 // be called before each event.
 func (d *Detector) SetListsArriving(n int) { d.listsArriving = n }
 
-// Handle handles an event that occurs at now, and returns out with the resulting actions appended. A check of
-// the clocks that is older than the last one detects nothing, since it was overtaken.
+// Handle handles an event that occurs at now, and returns out with the resulting actions appended. A check of the
+// clocks that is older than the last one detects nothing, since the later check was handled first.
 func (d *Detector) Handle(now time.Duration, event Event, out []Action) []Action {
 	if check, ok := event.(ClockChecked); ok && now >= d.lastReading.Now {
 		if d.checkClocks(now, check.TotalSleep) {
@@ -200,8 +200,8 @@
 	return d.lastPause.End > 0 && (d.state != running || start-d.lastPause.End < 2*d.limits.CheckInterval)
 }
 
-// release releases the next batch of deferred sends. The last batch ends the recovery at once: later sends need not
-// wait for it.
+// release releases the next batch of deferred sends. The recovery ends together with the last batch: later sends need
+// not wait until the batch has been sent.
 func (d *Detector) release(now time.Duration, out []Action) []Action {
 	if d.deferredSends > 0 {
 		out = append(out, ReleaseSends{d.limits.ReleaseBatch})
--- a/internal/pause/exhaustive_test.go
+++ b/internal/pause/exhaustive_test.go
@@ -14,20 +14,20 @@
 	modelWindow = 1500 * ms
 )
 
-// modelRules are the rules that A follows. The test leaves out each of them once, to show that the model then finds
-// a repeat.
+// modelRules are the rules that A follows. The test leaves out each of them once, to show that the model then finds a
+// repeated effect.
 type modelRules struct {
 	age       bool // A rejects by age
-	lastCheck bool // A checks once more right before the write
+	lastCheck bool // A checks the clocks once more right before the write
 }
 
 // modelRun is one run of the model.
 type modelRun struct {
-	timeout            time.Duration // of the client for A
+	timeout            time.Duration // time that the client waits for A
 	closes             bool          // the client closes its connection after the timeout; A notices when it reads
 	busy               time.Duration // A is busy with other work before it reads
-	queued             time.Duration // between A's decision and its last check
-	retryDelay         time.Duration // from the client's timeout to the send through B
+	queued             time.Duration // time between A's decision and A's last check
+	retryDelay         time.Duration // time from the client's timeout to the send through B
 	pauseAt, pause     time.Duration // start and length of A's pause
 	kernelKnown        bool          // A's kernel reports the time since the last byte
 	checkedBeforePause bool          // A checked the clocks right before the pause
--- a/internal/peer/detector_test.go
+++ b/internal/peer/detector_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("the next tick is due at %v, want 70ms at the latest", next)
 	}
 	d.Handle(40*ms, Heartbeat{Member{Name: "a", Incarnation: 1}, 8})
-	d.Handle(60*ms, ConnectionLost{7}) // noticed late
+	d.Handle(60*ms, ConnectionLost{7}) // the loss is noticed late
 	d.Handle(120*ms, Tick{})
 	if s := d.Members()[0].State; s != Alive {
 		t.Errorf("after the reconnect the member is %v", s)
--- a/internal/peer/member.go
+++ b/internal/peer/member.go
@@ -11,8 +11,8 @@
 	Incarnation uint64 `cbor:"2,keyasint" json:"run"` // random number of the process, chosen at its start
 	Address     string `cbor:"3,keyasint,omitempty" json:"address,omitempty"`
 	Zone        string `cbor:"4,keyasint,omitempty" json:"zone,omitempty"`
-	Leaving     bool   `cbor:"5,keyasint,omitempty" json:"leaving,omitempty"` // it is draining
-	Version     int    `cbor:"6,keyasint,omitempty" json:"version,omitempty"` // of the protocol, package rpc
+	Leaving     bool   `cbor:"5,keyasint,omitempty" json:"leaving,omitempty"` // the instance is draining
+	Version     int    `cbor:"6,keyasint,omitempty" json:"version,omitempty"` // protocol version, see package rpc
 }
 
 // State is the liveness of a member. The numeric values are sent between processes.
--- a/internal/peer/transport/server.go
+++ b/internal/peer/transport/server.go
@@ -33,8 +33,8 @@
 // connectionKey is the context key of a connection's ID.
 type connectionKey struct{}
 
-// NewServer returns a watcher without members. The HTTP server that it handles requests of must use its ConnContext and
-// ConnState.
+// NewServer returns a watcher without members. The HTTP server that passes requests to the watcher must use the
+// watcher's ConnContext and ConnState.
 func NewServer(fleet string, clock func() time.Duration) *Server {
 	return &Server{
 		fleet:       fleet,
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -19,10 +19,10 @@
 }
 
 const (
-	// minAttemptTime is the least time before its deadline at which a client still sends an attempt.
+	// minAttemptTime is the shortest time before its deadline at which a client still sends an attempt.
 	minAttemptTime = 50 * time.Millisecond
 
-	maxConnectAttempts = 8 // at proxies that may be down
+	maxConnectAttempts = 8 // attempts to reach a proxy that is up
 
 	// forgetAfter is long enough after the end of a request that no attempt of it can still run.
 	forgetAfter = 10 * time.Second
@@ -98,7 +98,7 @@
 	f.scheduleAfter(pause, func() { f.attempt(r) })
 }
 
-// handleRejection handles a rejection. A retry is harmless then, so requests of all classes are retried.
+// handleRejection retries a rejected request. A retry is harmless then, whatever the request's class.
 func (f *Fleet) handleRejection(r *clientRequest, retryAfter time.Duration) {
 	if f.Clients.IgnoreRetryAfter {
 		retryAfter = 0
--- a/internal/simulation/counters.go
+++ b/internal/simulation/counters.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Counters count events across the fleet within some time.
+// Counters count events across the fleet within a period, such as a second.
 type Counters struct {
 	Requests       int // of clients, without retries
 	ClientAttempts int // requests of clients, including retries
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -21,8 +21,8 @@
 type Fleet struct {
 	Plan
 	PerSecond  []Counters
-	Violations []string                  // of rules; at most the first maxViolations
-	Peak       struct{ Connections int } // highest number that a node had at once
+	Violations []string                  // violated rules; at most the first maxViolations
+	Peak       struct{ Connections int } // largest number that a node had at the same time
 
 	now       time.Duration
 	rng       *rand.Rand
@@ -30,14 +30,14 @@
 	lastEvent uint64 // sequence number of the event scheduled last
 	proxies   []*proxy
 	nodes     map[string]*node
-	names     []string // of nodes, in the order of their addition
-	lastID    uint64   // of requests of clients and of proxies
+	names     []string // names of the nodes, in the order of their addition
+	lastID    uint64   // last ID given to a request of a client or of a proxy
 	keys      *rand.Zipf
 
 	originBusyUntil time.Duration
 	listVersion     uint64
 	listCalls       []time.Duration          // times of the calls answered in the last second
-	firstRunAt      map[uint64]time.Duration // of non-idempotent and keyed requests, by ID
+	firstRunAt      map[uint64]time.Duration // first executions of non-idempotent and keyed requests, by ID
 }
 
 // New creates a fleet in which all nodes are warm and listed, and all proxies have the list but no measurements.
@@ -63,10 +63,10 @@
 	return f, nil
 }
 
-// At schedules do for a time after the start of the run.
+// At schedules do to run when after has passed since the start of the run.
 func (f *Fleet) At(after time.Duration, do func()) { f.schedule(startTime+after, do) }
 
-// RunUntil runs the fleet until end, a time after the start of the run.
+// RunUntil runs the fleet until end, measured from the start of the run.
 func (f *Fleet) RunUntil(end time.Duration) {
 	for f.events.isDue(startTime + end) {
 		e := f.events.take()
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -67,7 +67,7 @@
 func TestConnectionsAreShared(t *testing.T) {
 	for _, c := range []struct {
 		configuredProxies int
-		maxRejected       float64 // connections, as a share of all sends
+		maxRejected       float64 // rejected connections, as a share of all sends
 	}{
 		{80, 0.03},
 		{40, 0.1},
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -25,7 +25,7 @@
 	policy.Endpoint
 	fault       Fault
 	workersFree []time.Duration          // time at which each worker becomes free
-	keys        map[string]time.Duration // time of the last use
+	keys        map[string]time.Duration // time of the last use, by key
 	fetches     map[string]time.Duration // end times of fetches in flight, by key
 	connections int
 	recent      []time.Duration // times of requests within the last OverloadWindow, while the node warms up
@@ -99,7 +99,7 @@
 	return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(age)/float64(rules.SlowStartWindow)
 }
 
-// capacity returns how many requests a warm node can serve in a time.
+// capacity returns how many requests a warm node can serve within d.
 func (f *Fleet) capacity(d time.Duration) float64 {
 	return float64(f.Node.Workers) * float64(d) / float64(f.Node.ServiceTime)
 }
@@ -193,7 +193,7 @@
 	n.fetches[key] = ends
 	f.schedule(ends, func() {
 		if n.fetches[key] != ends {
-			return // the node has restarted since
+			return // the node has restarted since the fetch began
 		}
 		delete(n.fetches, key)
 		n.keys[key] = f.now
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -16,13 +16,13 @@
 	Origin       OriginPlan
 	EndpointList EndpointListPlan
 	Clients      ClientPlan
-	MessageDelay time.Duration // of every message
+	MessageDelay time.Duration // delay of every message
 }
 
 // NodePlan describes the nodes, which are all alike.
 type NodePlan struct {
 	Workers          int
-	ServiceTime      time.Duration // of a worker of a warm node for one request
+	ServiceTime      time.Duration // time that a worker of a warm node takes for one request
 	MaxQueued        int           // requests that may wait for a worker
 	IdleTTL          time.Duration // time after which an unused key leaves the cache
 	MaxConnections   int           // 0 for no limit
@@ -38,14 +38,14 @@
 
 // EndpointListPlan describes the endpoint list service.
 type EndpointListPlan struct {
-	CallsPerSecond float64 // that it answers, dropping any more; 0 for no limit
+	CallsPerSecond float64 // calls that the service answers each second, dropping further ones; 0 for no limit
 }
 
 // ClientPlan describes the clients.
 type ClientPlan struct {
 	RequestsPerSecond float64
 	Keys              int       // the n-th is requested about 1/n times as often as the first
-	ClassShares       []float64 // of requests, by class
+	ClassShares       []float64 // shares of all requests, by class
 	RetryPause        time.Duration
 	HotProxyFactor    float64 // load of proxy 0 as a multiple of the mean; 0 for the same load as the others
 	IgnoreRetryAfter  bool    // retry after RetryPause, whatever the Retry-After of a rejection
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -45,7 +45,8 @@
 // seedsPerPlan separates the seeds of the instances of different plans.
 const seedsPerPlan = 1000
 
-// startProxy starts or restarts an instance. It has no state but the current endpoint list, as a cached one.
+// startProxy starts or restarts an instance. A new instance has no state but the current endpoint list, which it gets
+// as a cached list.
 func (f *Fleet) startProxy(index int) error {
 	settings := f.Settings
 	if settings.ProxyCount == 0 {
@@ -191,7 +192,7 @@
 	}
 }
 
-// answer sends a client the final answer of a Reject or a Fail. A second answer is a violation.
+// answer ends a request with a Reject or a Fail action and notifies its client. A second answer is a violation.
 func (p *proxy) answer(r *proxyRequest, a policy.Action) {
 	f := p.fleet
 	if r.ended {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -23,7 +23,7 @@
 // except remainder treat the values as absent.
 type fields struct {
 	line int
-	name string // of the message
+	name string // name of the message
 	rest string // values not yet parsed
 	more bool   // whether values are left
 	err  error
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -58,13 +58,13 @@
 	windowExpired      bool     // a holder reported that the write must not be sent any more
 	grants             int      // including that of the owner's own registry, which comes first
 	unavailableHolders int      // holders that declined or timed out
-	uninformed         []string // holders that did not respond, or may lack earlier sends
+	uninformed         []string // holders that did not respond, or may not know of earlier sends
 	previousOwner      string   // name of the owner that a holder reported
 	epoch              uint64
 	age                time.Duration // since the first possible send: the longest that a holder reported, or 0
 
 	verdict  Verdict
-	deadline time.Duration // of the permission
+	deadline time.Duration // end of the permission to send
 	receipt  string
 }
 
@@ -165,7 +165,7 @@
 	}
 }
 
-// decide reaches a verdict once no response is awaited any more: any holder may know that the write was served.
+// decide gives a verdict only once no response is awaited, since any holder may know that the write was served.
 func (c *Claim) decide() {
 	switch {
 	case c.verdict != Undecided || c.awaitedResponses > 0:
@@ -178,7 +178,7 @@
 	default:
 		c.verdict = Proceed
 		c.deadline = c.requestedAt + c.parameters.atLeast(c.parameters.PermissionDuration)
-		if c.age > 0 { // it may have run: send it only while nodes drop repeats
+		if c.age > 0 { // the write may have run: send it only while nodes drop duplicates
 			c.deadline = min(c.deadline, c.requestedAt-c.age+c.parameters.atLeast(c.window))
 		}
 	}
@@ -187,7 +187,7 @@
 // decideWithoutHolders decides when a holder is unavailable or, for a client's write, no other holder granted it.
 func (c *Claim) decideWithoutHolders() {
 	switch {
-	case c.kind != FirstAttempt || c.age > 0: // it may have run
+	case c.kind != FirstAttempt || c.age > 0: // the write may have run
 		c.verdict = OutcomeUnknown
 	case c.options.RequireReplica:
 		c.verdict = Reject
--- a/internal/takeover/coordinator/claims.go
+++ b/internal/takeover/coordinator/claims.go
@@ -18,7 +18,7 @@
 type claim struct {
 	*takeover.Claim
 	id              uint64 // unique among this proxy's claims
-	requestID       uint64 // the core's; 0 for a write that was taken over
+	requestID       uint64 // the core's request ID; 0 for a write that was taken over
 	write           takeover.Write
 	kind            takeover.ClaimKind
 	completionEpoch uint64 // the epoch in the write's completion
@@ -71,7 +71,7 @@
 		RequestID: cl.id,
 		Write:     w.write,
 		Owner:     c.options.Self,
-		Rank:      len(cl.holders), // the last to take over
+		Rank:      len(cl.holders), // this proxy is the last to take over the write
 		Retry:     w.retry,
 	})
 }
@@ -87,7 +87,7 @@
 	}
 	delete(cl.awaited, holder)
 	if r.Decision == takeover.Granted && r.Age == 0 && c.wasAbsent(holder) {
-		r.MayHaveForgotten = true // others did not ask it while it was absent, even if it does not know that it was
+		r.MayHaveForgotten = true // others did not ask the absent holder, which may not know of its absence
 	}
 	cl.HandleResponse(holder, r)
 	othersMayKnow := r.Decision == takeover.Granted || r.Decision == takeover.WindowExpired
@@ -211,8 +211,8 @@
 	}
 }
 
-// permit lets the core send a write for the time within. If its client no longer waits, the write counts as not
-// executed.
+// permit lets the core send a write until the duration within has passed. If its client no longer waits, the write
+// counts as not executed.
 func (c *Coordinator) permit(cl *claim, within time.Duration) {
 	cl.completionEpoch = max(cl.Epoch(), 1)
 	c.permittedClaims[cl.requestID] = cl
--- a/internal/takeover/coordinator/coordinator.go
+++ b/internal/takeover/coordinator/coordinator.go
@@ -28,11 +28,11 @@
 
 // Core is the part of the proxy that sends writes and answers clients.
 type Core interface {
-	// ClaimDecided passes the verdict on a write to the core. With Proceed, the core may send the write for the time
-	// within. It reports whether the request was still waiting for the verdict.
+	// ClaimDecided passes the verdict on a write to the core. With Proceed, the core may send the write until the
+	// duration within has passed. It reports whether the request was still waiting for the verdict.
 	ClaimDecided(requestID uint64, verdict takeover.Verdict, within time.Duration, receipt string) bool
-	// ResumeWrite has the core send a write that another proxy had in flight, for the time within. It returns the
-	// core's ID of the request, and whether the core accepted it.
+	// ResumeWrite makes the core send a write that another proxy had in flight, until the duration within has passed.
+	// It returns the core's ID of the request, and whether the core accepted it.
 	ResumeWrite(in *request.Request, within time.Duration) (requestID uint64, ok bool)
 }
 
@@ -47,7 +47,7 @@
 	Fleet          string
 	Self           takeover.Owner
 	Zone           string
-	Replicas       int  // holders besides this proxy
+	Replicas       int  // number of holders besides this proxy
 	RequireReplica bool // reject writes that no other holder grants
 	Clock          func() time.Duration
 	Log            *slog.Logger
@@ -66,10 +66,10 @@
 
 	// The fields below are used by Run's goroutine only.
 	registry        *takeover.Registry
-	claims          map[uint64]*claim    // undecided, by ID
+	claims          map[uint64]*claim    // undecided claims, by ID
 	lastID          uint64               // last ID given to a claim or to another proxy's request
-	requesters      map[uint64]requester // of requests without a final response from the registry, by request ID
-	permittedClaims map[uint64]*claim    // whose write the core may send, by the core's request ID
+	requesters      map[uint64]requester // senders of requests without a final registry response, by request ID
+	permittedClaims map[uint64]*claim    // claims whose write the core may send, by the core's request ID
 	members         map[string]*member   // by name
 	gone            map[takeover.Owner]bool
 	// presenceChanged is when a member was last lost or came back, by name.
--- a/internal/takeover/coordinator/inputs.go
+++ b/internal/takeover/coordinator/inputs.go
@@ -14,7 +14,7 @@
 
 // writeArrived is a claim by the core for a client's write.
 type writeArrived struct {
-	requestID uint64 // the core's
+	requestID uint64 // the core's ID of the request
 	write     takeover.Write
 	retry     bool
 	expires   time.Time // the client's deadline
--- a/internal/takeover/coordinator/members.go
+++ b/internal/takeover/coordinator/members.go
@@ -10,7 +10,8 @@
 	"mulleinpier/internal/takeover"
 )
 
-// updateMembers updates the known members from the fleet's list, and handles those that are lost, back or new.
+// updateMembers updates the known members from the fleet's list, and handles members that were lost, have returned or
+// are new.
 func (c *Coordinator) updateMembers(ctx context.Context, list []peer.MemberState, tasks *sync.WaitGroup) {
 	c.forgetMembers(list)
 	for _, s := range list {
@@ -47,8 +48,8 @@
 	}
 }
 
-// updateSelf records whether the fleet lists this process as gone. While it did, others sent it no writes, so the
-// registry has to be told of the return.
+// updateSelf records whether the fleet lists this process as gone. Other proxies sent no writes to this one while the
+// fleet listed it as gone, so the registry must be notified of the return.
 func (c *Coordinator) updateSelf(s peer.State) {
 	gone := s == peer.Gone
 	if c.selfGone && !gone {
--- a/internal/takeover/coordinator/protocol.go
+++ b/internal/takeover/coordinator/protocol.go
@@ -30,7 +30,7 @@
 
 // claimRequest is the encoded form of a [takeover.ClaimRequest].
 type claimRequest struct {
-	ClaimID uint64         `cbor:"1,keyasint"` // of the sender's claim; returned in the response
+	ClaimID uint64         `cbor:"1,keyasint"` // ID of the sender's claim; returned in the response
 	Write   takeover.Write `cbor:"2,keyasint"`
 	Rank    int            `cbor:"3,keyasint,omitempty"`
 	Epoch   uint64         `cbor:"4,keyasint,omitempty"`
--- a/internal/takeover/doc.go
+++ b/internal/takeover/doc.go
@@ -6,11 +6,11 @@
 //
 // The holders of a write follow from its ID ([RankHolders]), so any proxy can find them.
 //
-// Guarantees, as long as nodes drop repeats for the dedup window that a write names and clocks run within
+// Guarantees, as long as nodes drop duplicates for the dedup window that a write names and clocks run within
 // [Parameters.MaxClockDrift]:
 //
-//  1. A write that may have run before is sent only while nodes drop repeats of its first possible send. However many
-//     proxies send it, even during a network partition, it has one effect.
+//  1. A write that may have run before is sent only while nodes drop duplicates of its first possible send. However
+//     many proxies send it, even during a network partition, it has one effect.
 //  2. Once a write was served, every claim to it gets that outcome, for [Parameters.OutcomeRetention].
 //  3. The epoch of a write's owner only rises; a former owner gets no further permission.
 //  4. A key that is reused for another write is rejected.
--- a/internal/takeover/interleaving_test.go
+++ b/internal/takeover/interleaving_test.go
@@ -15,7 +15,7 @@
 	// Process faults may come every faultInterval ticks until lastFaultTick, while the first two clients write.
 	faultInterval  = 4
 	lastFaultTick  = 60
-	clientTicks    = 24 // that a client waits
+	clientTicks    = 24 // ticks that a client waits
 	thirdWriteTick = 100
 )
 
@@ -69,7 +69,7 @@
 
 // scriptedChooser makes the given choices, and chooses 0 at all other positions.
 type scriptedChooser struct {
-	choices map[int]int // by position
+	choices map[int]int // choices other than 0, by position
 	next    int         // position of the next choice
 	sizes   []int       // number of options, by position
 }
@@ -114,8 +114,9 @@
 	return runs, effects, violation
 }
 
-// TestInterleavings checks that no write takes effect twice (guarantee 1) in all simulations with at most two
-// choices other than 0, or as many as MULLEINPIER_DEPTH sets.
+// TestInterleavings checks that no write takes effect twice (guarantee 1), that a receipt implies an effect and that
+// no orphaned write stays in flight, in all simulations with at most two choices other than 0, or as many as
+// MULLEINPIER_DEPTH sets.
 func TestInterleavings(t *testing.T) {
 	depth := 2
 	if n, err := strconv.Atoi(os.Getenv("MULLEINPIER_DEPTH")); err == nil {
@@ -155,7 +156,7 @@
 	return "", seeds, receipts, effects
 }
 
-// TestRandomFaults checks the guarantees of the package under up to six random faults per simulation.
+// TestRandomFaults checks the same as TestInterleavings under up to six random faults per simulation.
 // MULLEINPIER_LIVES sets the number of simulations, 20,000 by default.
 func TestRandomFaults(t *testing.T) {
 	seeds := 20_000
--- a/internal/takeover/registry.go
+++ b/internal/takeover/registry.go
@@ -12,7 +12,7 @@
 	owner      Owner
 	epoch      uint64
 	ownerCount int           // owners so far, including the present one
-	rank       int           // of this holder; a lower rank takes over an orphaned write sooner
+	rank       int           // rank of this holder; a lower rank takes over an orphaned write sooner
 	firstSend  time.Duration // when the write may first have run, by this registry's clock
 	orphaned   bool          // its owner is lost or has given it up
 	takeoverAt time.Duration // when this holder takes over an orphaned write, unless another has
@@ -118,7 +118,8 @@
 	return out
 }
 
-// orphan grants a write to its first waiter. Without one, the first holder whose takeoverAt comes takes it over.
+// orphan grants a write to its first waiter. Without a waiter, the holder with the earliest takeoverAt takes the
+// write over.
 func (r *Registry) orphan(now time.Duration, e *entry, out []Action) []Action {
 	e.orphaned = true
 	e.takeoverAt = now + time.Duration(e.rank)*r.parameters.TakeoverInterval
@@ -140,8 +141,8 @@
 	}
 }
 
-// isWithinWindow reports whether nodes drop a repeat that is sent now. The owner cuts its permission to the end of the
-// window.
+// isWithinWindow reports whether nodes still drop a duplicate that is sent now. The owner ends its permission at the
+// end of the window at the latest.
 func (r *Registry) isWithinWindow(now time.Duration, e *entry) bool {
 	return now-e.firstSend < r.parameters.atLeast(e.write.DedupWindow)
 }
--- a/internal/takeover/registry_claims.go
+++ b/internal/takeover/registry_claims.go
@@ -110,7 +110,7 @@
 			out = append(out, ClaimResponse{RequestID: w.RequestID, Decision: SafeToRetry})
 		}
 		r.remove(c.ID)
-	case c.Outcome == NotExecuted: // not by this owner, but an earlier owner may have had it run
+	case c.Outcome == NotExecuted: // this owner's sends had no effect, but an earlier owner's may have
 		return r.orphan(now, e, out)
 	}
 	return out
--- a/internal/takeover/registry_messages.go
+++ b/internal/takeover/registry_messages.go
@@ -6,14 +6,15 @@
 type Event interface{ event() }
 
 type (
-	// ClaimRequest asks for a permission to send a write, or for its outcome. An owner asks its own registry first and
-	// the other holders only after that has responded, so that it has one claim to a write at a time.
+	// ClaimRequest asks for a permission to send a write, or for its outcome. An owner asks its own registry first
+	// and the other holders only after its registry has responded, so that the owner has one claim to a write at a
+	// time.
 	ClaimRequest struct {
 		RequestID uint64 // returned in the ClaimResponse
 		Write     Write
 		Owner     Owner
-		Rank      int           // of this holder among the write's holders
-		Epoch     uint64        // of a write that the owner has taken over; 0 for a client's request
+		Rank      int           // rank of this holder among the write's holders
+		Epoch     uint64        // epoch of a write that the owner has taken over; 0 for a client's request
 		Age       time.Duration // since the write may first have run; only with Epoch
 		Retry     bool          // the client marked its request as a retry, or the write was taken over
 	}
@@ -53,7 +54,7 @@
 // Decision is a registry's response to a claim. The numeric values are sent between proxies.
 type Decision uint8
 
-// InProgress is the only decision that another one follows.
+// InProgress is the only decision that is followed by another one for the same claim.
 const (
 	Granted       Decision = iota + 1 // the write may be sent for PermissionDuration, from when the owner asked
 	AlreadyServed                     // the response has the receipt
@@ -61,7 +62,7 @@
 	Conflict                          // the key was used for another write
 	Declined                          // there is no room, or a later owner has the write
 	SafeToRetry                       // the write has not run, and its owner has given it up
-	InProgress                        // another owner has the write; a further response follows once that ends
+	InProgress                        // another owner has the write; a further response follows when that changes
 )
 
 // Action is an output of a [Registry], which the caller carries out.
--- a/internal/takeover/simulation_test.go
+++ b/internal/takeover/simulation_test.go
@@ -47,7 +47,7 @@
 	up            bool
 	pausedUntil   int // tick
 	deferred      []func()
-	cutOff        bool // from the other proxies
+	cutOff        bool // no connection to the other proxies
 	responses     map[uint64]func(ClaimResponse)
 	lastRequestID uint64
 	gone          map[Owner]bool // processes that this proxy considers gone
@@ -67,7 +67,7 @@
 	processFaults    int // crashes, pauses and partitions so far
 	maxProcessFaults int
 
-	answers  []string // to clients, in order
+	answers  []string // answers to clients, in order
 	receipts int      // number of answers with a receipt
 }
 
@@ -227,7 +227,7 @@
 
 func (s *simulation) executeAtNode(answer func()) {
 	n := &s.node
-	if n.startedAt >= 0 && s.now-n.startedAt < windowTicks { // a repeat
+	if n.startedAt >= 0 && s.now-n.startedAt < windowTicks { // a duplicate
 		if n.done {
 			answer()
 		} else {
--- a/internal/takeover/simulation_writes_test.go
+++ b/internal/takeover/simulation_writes_test.go
@@ -126,7 +126,7 @@
 			answer("key conflict")
 		default:
 			answer("busy")
-			p.complete(w.holders, w.claim.Epoch(), NotExecuted) // not by this owner
+			p.complete(w.holders, w.claim.Epoch(), NotExecuted) // this owner did not send the write
 		}
 	}
 	request := func(rank int) ClaimRequest {
--- a/internal/takeover/write.go
+++ b/internal/takeover/write.go
@@ -14,7 +14,7 @@
 	ID string `cbor:"1,keyasint"`
 	// Digest is a hash of the payload, which tells apart different writes with the same ID.
 	Digest uint64 `cbor:"2,keyasint"`
-	// DedupWindow is how long nodes drop repeats, from when they began to execute the first send.
+	// DedupWindow is how long nodes drop duplicates of the write, from when they began to execute the first send.
 	DedupWindow time.Duration `cbor:"3,keyasint"`
 	// Payload is the encoded request, from which another proxy can send the write again.
 	Payload []byte `cbor:"4,keyasint"`
