--- a/internal/consul/registrar.go
+++ b/internal/consul/registrar.go
@@ -15,7 +15,7 @@
 type Registration struct {
 	Agent
 	Service string
-	ID      string // unique at the agent
+	ID      string // unique among the agent's services
 	Host    string
 	Port    int
 	TTL     time.Duration // of the proxy's check: the agent marks the check critical unless it is passed within TTL
@@ -149,8 +149,8 @@
 	*s = registrationState{registered: true, retryInterval: firstRetryInterval}
 }
 
-// noteFailure logs a failure unless it is the same as before, and returns the wait before the next call. It marks the
-// proxy as not registered: the agent may have lost the registration, and registering again does no harm.
+// noteFailure logs a failure unless it is the same as the last logged one, and returns the wait before the next call.
+// It marks the proxy as not registered: the agent may have lost the registration, and registering again does no harm.
 func (r *Registrar) noteFailure(s *registrationState, err error, interval time.Duration) time.Duration {
 	if text := err.Error(); text != s.loggedError {
 		r.log.Warn("service registration failed", "service", r.Service, "id", r.ID, "error", err)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -115,7 +115,7 @@
 type Source struct {
 	Name string
 	// NeedsConfirmation is set for sources whose lists can collapse when they fail. Other sources name the nodes that
-	// leave, and their lists take effect at once.
+	// leave, and their lists take effect without a confirmation.
 	NeedsConfirmation bool
 }
 
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -166,7 +166,9 @@
 	return statuses
 }
 
-// checkAgainstModel checks invariants 1 to 3.
+// checkAgainstModel checks that no node serves against an explicit report (invariant 1), that a node serves only if
+// it is listed or unconfirmed, the latter for FailedConfirmTimeout at most (invariant 2), and that at least one node
+// serves if one is up (invariant 3).
 func checkAgainstModel(
 	t *testing.T, h *harness, settings Settings, reports modelReports, lastChange map[string]time.Duration,
 ) {
--- a/internal/membership/restarts_test.go
+++ b/internal/membership/restarts_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFlappingNodesAreHeldDown checks that nodes that left and returned often are held down (rule 4): removal takes
-// effect at once, the return is delayed, and not all nodes are held down at the same time.
+// TestFlappingNodesAreHeldDown checks that nodes that left and returned often are held down (rule 4): the removal is
+// not delayed, the return is, and not all nodes are held down at the same time.
 func TestFlappingNodesAreHeldDown(t *testing.T) {
 	h := newHarness(t, consulSettings())
 	h.handle(completeList("c", "abcd"))
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -97,7 +97,7 @@
 	return c.level
 }
 
-// Pinned reports whether a pin is in force, and how long it still lasts.
+// Pinned reports whether a pin is in force, and for how long it remains in force.
 func (c *Controller) Pinned() (remaining time.Duration, pinned bool) {
 	return max(c.pinEnds-c.now, 0), c.pinned
 }
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -47,7 +47,7 @@
 	return largest
 }
 
-// checkTransitions checks invariant 7: each transition starts at the level that the one before ended at, and has a
+// checkTransitions checks invariant 7: each transition starts at the level at which the previous one ended, and has a
 // cause.
 func checkTransitions(t *testing.T, transitions []Transition) {
 	t.Helper()
--- a/internal/overload/level.go
+++ b/internal/overload/level.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// maxImprovement is the largest number of levels by which service improves at once.
+	// maxImprovement is the largest number of levels by which service improves in one transition.
 	maxImprovement = 2
 
 	// recoveryStayDivisor divides the minimum stay of the level that was left; the result is the minimum stay in the
--- a/internal/overload/property_test.go
+++ b/internal/overload/property_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// TestRandomHistoriesKeepTheInvariants checks the rules under random signals, gaps, clock jumps and pins. A second
-// controller gets the same events and must give the same transitions.
+// TestRandomHistoriesKeepTheInvariants checks that no level is invalid, left before MinStay or improved by more than
+// two levels at a time, under random signals, gaps, clock jumps and pins. A second controller gets the same events
+// and must give the same transitions.
 func TestRandomHistoriesKeepTheInvariants(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := newHistory(t, seed)
--- a/internal/pause/arrival.go
+++ b/internal/pause/arrival.go
@@ -103,7 +103,7 @@
 
 // AgeDecision says whether a request may be sent, given its age.
 type AgeDecision struct {
-	Reject     bool          // reject as busy at once: the request was never sent, so a retry is harmless
+	Reject     bool          // reject as busy: the request was never sent, so a retry is harmless
 	SendBefore time.Duration // otherwise the request may be sent before this time on the monotonic clock
 }
 
--- a/internal/pause/detector.go
+++ b/internal/pause/detector.go
@@ -63,7 +63,7 @@
 // Interval is an interval in which the process may not have run. The zero value stands for none.
 type Interval struct {
 	Start, End time.Duration // on the monotonic clock
-	Slept      time.Duration // time that the machine slept meanwhile, which the monotonic clock does not count
+	Slept      time.Duration // time that the machine slept in the interval, which the monotonic clock does not count
 }
 
 // Duration returns the length of the interval, including the time that the machine slept.
@@ -82,7 +82,7 @@
 func (ClockChecked) event()   {}
 func (ListsRefreshed) event() {}
 
-// Action is an output of a Detector, to be carried out at once and in order: one of the types below.
+// Action is an output of a Detector: one of the types below. The caller carries actions out immediately and in order.
 type Action interface{ action() }
 
 type (
--- a/internal/pause/exhaustive_test.go
+++ b/internal/pause/exhaustive_test.go
@@ -6,8 +6,8 @@
 )
 
 // This file checks all states of a small model: a client sends a write to proxy A and, if it gets no response, to
-// proxy B with the same key. One node drops repeats within a window. A pauses once, at any time. A reads, decides,
-// checks and writes, with time in between; B serves at once. Time advances in steps.
+// proxy B with the same key. One node drops duplicates within a window. A pauses once, at any time. A reads, decides,
+// checks and writes, with time in between; B serves without delay. Time advances in steps.
 
 const (
 	timeStep    = 50 * ms
--- a/internal/peer/detector.go
+++ b/internal/peer/detector.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// extendTimeoutsAfterPause moves the start of every timeout forward by the time for which this watcher was paused: it
-// processed no heartbeats meanwhile.
+// extendTimeoutsAfterPause moves the start of every timeout forward by the time for which this watcher was paused,
+// because it processed no heartbeats during the pause.
 func (d *Detector) extendTimeoutsAfterPause(now time.Duration) {
 	if gap := now - d.lastEvent; gap >= d.parameters.PauseThreshold {
 		for _, m := range d.members {
--- a/internal/peer/rpc/http.go
+++ b/internal/peer/rpc/http.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// ExchangeTimeout bounds a request that the server answers at once.
+	// ExchangeTimeout bounds a request that the server answers without delay.
 	ExchangeTimeout = 500 * time.Millisecond
 	// IdleTimeout is how long an idle connection is kept open.
 	IdleTimeout = 30 * time.Second
@@ -15,7 +15,7 @@
 	readHeaderTimeout  = time.Second
 	readTimeout        = 2 * time.Second
 	maxHeaderBytes     = 8 << 10
-	maxIdleConnections = 2 // to each server
+	maxIdleConnections = 2 // idle connections kept to each server
 )
 
 // NewServer returns an HTTP server for fleet messages. Connection errors are caused by clients and are not logged.
@@ -31,8 +31,8 @@
 	}
 }
 
-// NewClient returns an HTTP client for requests that the server answers at once. maxConnections bounds the connections
-// to each server; 0 means no bound.
+// NewClient returns an HTTP client for requests that the server answers without delay. maxConnections bounds the
+// connections to each server; 0 means no bound.
 func NewClient(maxConnections int) *http.Client {
 	return &http.Client{
 		Timeout: ExchangeTimeout,
--- a/internal/peer/transport/server.go
+++ b/internal/peer/transport/server.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// ServeHTTP handles a heartbeat. It responds once something has changed or a heartbeat interval has passed, and at once
-// to a rejected heartbeat.
+// ServeHTTP handles a heartbeat. It responds once something has changed or a heartbeat interval has passed, and
+// without delay to a rejected heartbeat.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var in heartbeat
 	if !rpc.ReadRequest(w, r, s.fleet, &in) {
--- a/internal/simulation/counters.go
+++ b/internal/simulation/counters.go
@@ -4,14 +4,14 @@
 
 // Counters count events across the fleet within a period, such as a second.
 type Counters struct {
-	Requests       int // of clients, without retries
-	ClientAttempts int // requests of clients, including retries
+	Requests       int // requests of clients, without retries
+	ClientAttempts int // attempts of clients, including retries
 
 	// Requests by outcome, counted in the second in which they started: served within the latency objective, served
 	// later, and not served.
 	InTime, Late, Unanswered int
 
-	Rejected, Failed int // by proxies
+	Rejected, Failed int // answers of proxies
 
 	// Sends counts attempts that reached a node, SendsToWarming and SendsToFaulty the part of them that reached a
 	// warming or a faulty one. SendsToUnreachable counts attempts at nodes that accept no connection.
@@ -22,7 +22,7 @@
 	ConnectionsRejected int
 
 	Hits, Misses             int
-	Fetches, FetchesRejected int // at the origin
+	Fetches, FetchesRejected int // fetches at the origin
 
 	EndpointListCalls, EndpointListCallsLost int
 }
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -102,7 +102,7 @@
 	return p
 }
 
-// run runs a plan for a time, with an optional script that schedules faults, and reports all violations of rules.
+// run runs a plan for length, with an optional script that schedules faults, and reports all violations of rules.
 func run(t *testing.T, p Plan, length time.Duration, script func(*Fleet)) *Fleet {
 	t.Helper()
 	f, err := New(p)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -156,7 +156,7 @@
 	return serviceTime
 }
 
-// finish answers an attempt when its worker has finished: writes and cache hits at once, misses after a fetch.
+// finish answers an attempt when its worker has finished: writes and cache hits without delay, misses after a fetch.
 func (f *Fleet) finish(n *node, a *attempt) {
 	r := a.request
 	f.recordRun(r.clientRequest)
--- a/internal/takeover/interleaving_test.go
+++ b/internal/takeover/interleaving_test.go
@@ -136,7 +136,7 @@
 type randomChooser struct{ rng *rand.Rand }
 
 func (c randomChooser) choose(_ string, n int) int {
-	const processFaults, other = 10, 5 // numbers of options
+	const processFaults, other = 10, 5 // numbers of options, which tell the kinds of choices apart
 	if n == processFaults && c.rng.IntN(3) > 0 || n < other && c.rng.IntN(4) > 0 {
 		return 0
 	}
--- a/internal/takeover/registry_claims.go
+++ b/internal/takeover/registry_claims.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// grantTo makes the claimant the owner, with a permission to send, if nodes still drop repeats of the write.
+// grantTo makes the claimant the owner, with a permission to send, if nodes still drop duplicates of the write.
 func (r *Registry) grantTo(now time.Duration, e *entry, c ClaimRequest, epoch uint64, out []Action) []Action {
 	if !r.isWithinWindow(now, e) {
 		out = r.finish(now, e, Unknown, "", out)
--- a/internal/takeover/simulation_test.go
+++ b/internal/takeover/simulation_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// This file simulates three proxies and one node group that drops repeats, in virtual time. simulation_writes_test.go
-// simulates the clients' writes and how proxies claim, send and take them over; simulation_faults_test.go simulates
-// crashes, pauses and network partitions.
+// This file simulates three proxies and one node group that drops duplicates, in virtual time.
+// simulation_writes_test.go simulates the clients' writes and how proxies claim, send and take them over;
+// simulation_faults_test.go simulates crashes, pauses and network partitions.
 
 const ms = time.Millisecond
 
@@ -71,12 +71,12 @@
 	receipts int      // number of answers with a receipt
 }
 
-// nodeGroup executes a write and drops its repeats for the window.
+// nodeGroup executes a write and drops duplicates of it for the window.
 type nodeGroup struct {
 	workTicks int
 	startedAt int // tick at which it last began to execute the write, -1 for never
 	done      bool
-	waiting   []func() // answers to send once it is done
+	waiting   []func() // answers to send once the write is done
 	effects   int
 }
 
@@ -89,7 +89,7 @@
 		maxProcessFaults: 2,
 		node:             nodeGroup{startedAt: -1, workTicks: 2},
 	}
-	s.parameters.RecoveryPeriod = 4200 * ms // the second write comes within it, the third one after it
+	s.parameters.RecoveryPeriod = 4200 * ms // the second write comes within the period, the third one after it
 	if defects.forgetfulRegistry {          // the other holders' knowledge covers a single loss
 		s.maxProcessFaults, s.faultsLeft = 4, 10
 	}
@@ -100,7 +100,7 @@
 		p := &simulatedProxy{simulation: s, clockRate: 1 + 0.05*float64(1-i)}
 		p.Name, p.Zone = fmt.Sprint("p", i), fmt.Sprint("z", i)
 		p.start(uint64(i + 1))
-		p.registry.recoveringSince = -s.parameters.OutcomeRetention // its recovery period is over
+		p.registry.recoveringSince = -s.parameters.OutcomeRetention // the registry's recovery period is over
 		s.proxies = append(s.proxies, p)
 	}
 	return s
--- a/internal/takeover/simulation_writes_test.go
+++ b/internal/takeover/simulation_writes_test.go
@@ -52,7 +52,7 @@
 	claim   *Claim
 	holders []*simulatedProxy
 	decided bool
-	// act acts on the verdict. It is called once.
+	// act is called once, with the final verdict and the end of the permission.
 	act func(Verdict, time.Duration)
 }
 
