--- a/internal/consul/registrar_test.go
+++ b/internal/consul/registrar_test.go
@@ -73,7 +73,7 @@
 	r.expect("passing")
 	drain()
 	testutil.Receive(t, "the end", r.ended)
-	r.expect("passing critical") // in maintenance
+	r.expect("passing critical") // the proxy is in maintenance
 	r.registrar.Deregister()
 	r.expect("gone")
 	// A crash: the agent gets no more calls.
--- a/internal/membership/sources.go
+++ b/internal/membership/sources.go
@@ -11,8 +11,8 @@
 	Source
 	retired     bool // no longer configured, but kept until the configured sources have delivered their lists
 	hasReported bool
-	hasComplete bool                     // it has delivered a complete list
-	nodes       map[string]*Node         // its latest reports; Gone ones are kept while another source lists the node
+	hasComplete bool                     // the source has delivered a complete list
+	nodes       map[string]*Node         // latest reports; Gone ones are kept while another source lists the node
 	losses      map[string]time.Duration // nodes that left within CollapseWindow, and when
 	pending     *pendingRemovals         // nil for none
 }
--- a/internal/outlier/suspicion.go
+++ b/internal/outlier/suspicion.go
@@ -25,7 +25,7 @@
 type Suspicion struct {
 	LogOdds             float64 // above the log odds of PriorProbability
 	updated             time.Duration
-	ConsecutiveFailures float64 // since the last success
+	ConsecutiveFailures float64 // failures since the last success
 }
 
 // Observe decays the log odds until now, then updates them with an attempt that ended: failed is 1 for a failure and 0
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -47,7 +47,7 @@
 // Controller decides the level of one proxy. It is not safe for concurrent use.
 type Controller struct {
 	timings   Timings
-	lastEvent time.Duration // on the events' clock
+	lastEvent time.Duration // time of the last event, on the events' clock
 	started   bool
 	now       time.Duration // the controller's own clock, which never jumps; all times below are on it
 	signals   [signalCount]signalState
--- a/internal/overload/signal.go
+++ b/internal/overload/signal.go
@@ -25,7 +25,7 @@
 
 // Threshold says at which values of a signal levels are entered and left.
 type Threshold struct {
-	Name  string                  // of the signal, in transitions and statistics
+	Name  string                  // name of the signal in transitions and statistics
 	Enter [levelCount - 1]float64 // entry thresholds by level, from Economy on; 0 if it never requires the level
 	Exit  float64                 // exit threshold as a share of the entry threshold
 }
@@ -79,7 +79,7 @@
 	known      bool
 	receivedAt time.Duration
 	required   Level                     // the level that the signal requires
-	overSince  [levelCount]time.Duration // by level, since when it has been at or above the entry threshold, or notOver
+	overSince  [levelCount]time.Duration // by level, since when value is at or above the entry threshold, or notOver
 }
 
 func (s *signalState) reset() {
--- a/internal/overload/transition.go
+++ b/internal/overload/transition.go
@@ -5,7 +5,7 @@
 // Transition is one change of the level in force. docs/operators/overload.md documents its JSON fields; fields may be
 // added, but none may be renamed or removed.
 type Transition struct {
-	At             time.Duration `json:"at_ns"` // on the events' clock
+	At             time.Duration `json:"at_ns"` // time of the change, on the events' clock
 	From           string        `json:"from"`
 	To             string        `json:"to"`
 	Cause          string        `json:"cause"`          // a signal's name, "pin", "pin ended" or "calm"
--- a/internal/pause/arrival_test.go
+++ b/internal/pause/arrival_test.go
@@ -8,7 +8,7 @@
 func TestEstimateArrival(t *testing.T) {
 	pause := Interval{Start: 1000 * ms, End: 7000 * ms}
 	slept := Interval{Start: 1000 * ms, End: 1040 * ms, Slept: 300 * ms}
-	unread := ReadTiming{900 * ms, 900 * ms, 7001 * ms} // not read yet when the process paused
+	unread := ReadTiming{900 * ms, 900 * ms, 7001 * ms} // the bytes were not read yet when the process paused
 	unknown := KernelInfo{}
 	singleCommand := func(sinceLastByte time.Duration) KernelInfo {
 		return KernelInfo{Known: true, SinceLastByte: sinceLastByte, SingleCommand: true}
--- a/internal/peer/detector.go
+++ b/internal/peer/detector.go
@@ -15,7 +15,7 @@
 	// Heartbeat reports that a member is alive.
 	Heartbeat struct {
 		Member       Member
-		ConnectionID uint64 // of the connection on which it arrived
+		ConnectionID uint64 // ID of the connection on which the heartbeat arrived
 	}
 	// ConnectionLost reports that a connection has closed.
 	ConnectionLost struct{ ConnectionID uint64 }
@@ -59,7 +59,7 @@
 	state          State
 	stateSince     time.Duration
 	lastHeartbeat  time.Duration
-	connectionID   uint64        // of the last heartbeat
+	connectionID   uint64        // connection of the last heartbeat
 	connectionLost time.Duration // when that connection closed, 0 while it is open
 	replaced       []uint64      // replaced incarnations, oldest first
 	changedVersion uint64        // the version of the member's last change
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -111,7 +111,7 @@
 	if second.result != NameTaken {
 		t.Errorf("the second process gets %v", second.result)
 	}
-	f.members[0].silent = true // it is paused
+	f.members[0].silent = true // the member is paused
 	f.run(time.Second)
 	if second.result != Accepted || f.state("a") != Alive {
 		t.Errorf("the first process is gone: the second gets %v, the member is %v", second.result, f.state("a"))
--- a/internal/peer/rpc/traffic.go
+++ b/internal/peer/rpc/traffic.go
@@ -5,7 +5,7 @@
 // Traffic counts the messages that this process has sent and received since its start.
 type Traffic struct {
 	Messages int64 `json:"messages"` // requests and responses
-	Bytes    int64 `json:"bytes"`    // of their bodies
+	Bytes    int64 `json:"bytes"`    // bytes of the messages' bodies
 }
 
 var messageCount, byteCount atomic.Int64
--- a/internal/peer/simulation_test.go
+++ b/internal/peer/simulation_test.go
@@ -17,7 +17,7 @@
 	pausedWatchers      map[int]bool // by index
 	unreachableWatchers map[int]bool // by index: the view does not get their reports
 	members             []*simulatedMember
-	changes             []string // in the view, as "name state"
+	changes             []string // changes in the view, as "name state"
 	reportedMembers     int      // total over all reports
 }
 
--- a/internal/peer/transport/client.go
+++ b/internal/peer/transport/client.go
@@ -41,7 +41,7 @@
 	mu         sync.Mutex
 	self       peer.Member
 	view       *peer.View
-	isolated   bool                 // as last logged
+	isolated   bool                 // the state that was last logged
 	lastResult peer.HeartbeatResult // in the latest report of any watcher
 	changed    chan struct{}        // closed on the next change of the view
 }
--- a/internal/peer/transport/protocol.go
+++ b/internal/peer/transport/protocol.go
@@ -21,7 +21,7 @@
 type report struct {
 	Result            peer.HeartbeatResult `cbor:"1,keyasint"`
 	ServerIncarnation uint64               `cbor:"2,keyasint"` // random, chosen at the watcher's start
-	Version           uint64               `cbor:"3,keyasint"` // of the watcher's opinion
+	Version           uint64               `cbor:"3,keyasint"` // version of the watcher's opinion
 	// Complete is set if Members has all members, and not only those that have changed since KnownVersion.
 	Complete bool               `cbor:"4,keyasint,omitempty"`
 	Members  []peer.MemberState `cbor:"5,keyasint,omitempty"`
--- a/internal/peer/transport/transport_test.go
+++ b/internal/peer/transport/transport_test.go
@@ -111,7 +111,7 @@
 	f.servers[0].server.Close()
 	endB()
 	f.waitForState(a, "b", peer.Gone)
-	f.startWatcher("w0", f.watchers[0].Address) // it has no members yet
+	f.startWatcher("w0", f.watchers[0].Address) // the restarted watcher has no members yet
 	b, endB = f.join("b", 3)
 	f.waitForState(a, "b", peer.Alive)
 	b.MarkLeaving()
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -183,7 +183,7 @@
 		s.State = Alive
 	case gone >= v.majority():
 		s.State = Gone
-	case known && old.Incarnation == s.Incarnation && old.State == Gone: // only a majority of Alive brings it back
+	case known && old.Incarnation == s.Incarnation && old.State == Gone: // only a majority of Alive revives a member
 		s.State = Gone
 	default:
 		s.State = Suspect
--- a/internal/simulation/fleet_size_test.go
+++ b/internal/simulation/fleet_size_test.go
@@ -72,7 +72,7 @@
 func TestFleetsOfAllSizesAreServed(t *testing.T) {
 	for _, c := range []struct {
 		proxies, nodes int
-		maxHandshakes  float64 // for a request
+		maxHandshakes  float64 // handshakes for each request
 	}{
 		{4, 60, 0.05},
 		{80, 60, 0.5},
@@ -106,7 +106,7 @@
 func TestRetriesLeaveCapacityUsed(t *testing.T) {
 	p := plan80(1)
 	p.Clients.IgnoreRetryAfter, p.Clients.RetryPause = true, 400*ms
-	p.Clients.RequestsPerSecond = 2200 // of a capacity of 3,000
+	p.Clients.RequestsPerSecond = 2200 // the nodes' capacity is 3,000
 	f := run(t, p, 22*time.Second, func(f *Fleet) {
 		lost := f.NodeNames()[:20]
 		f.At(6*time.Second, func() {
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -9,7 +9,7 @@
 // Plan describes a simulated fleet.
 type Plan struct {
 	Seed         uint64
-	Settings     policy.Settings // of each proxy; ProxyIndex and Zone are set by New, ProxyCount if it is 0
+	Settings     policy.Settings // settings of each proxy; New sets ProxyIndex and Zone, and ProxyCount if it is 0
 	Proxies      int
 	Nodes        int
 	Node         NodePlan
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -16,7 +16,7 @@
 	dead       bool
 	inFlight   map[uint64]*proxyRequest
 	endpoints  map[string]policy.Endpoint // by server, as the proxy last received them
-	subscribed bool                       // to changes of the endpoint list
+	subscribed bool                       // the proxy gets changes of the endpoint list
 
 	budget       connlimit.Budget
 	connections  map[string]*connection // by node
--- a/internal/simulation/zonal_homes_test.go
+++ b/internal/simulation/zonal_homes_test.go
@@ -12,7 +12,7 @@
 	for _, c := range []struct {
 		name          string
 		slowNodes     func(i int) bool
-		maxHandshakes float64 // for each request
+		maxHandshakes float64 // handshakes for each request
 	}{
 		{"no fault", func(int) bool { return false }, 0.35},
 		{"a third slow", func(i int) bool { return i%3 == 0 }, 0.45},
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -61,7 +61,7 @@
 	uninformed         []string // holders that did not respond, or may not know of earlier sends
 	previousOwner      string   // name of the owner that a holder reported
 	epoch              uint64
-	age                time.Duration // since the first possible send: the longest that a holder reported, or 0
+	age                time.Duration // time since the first possible send: the longest that a holder reported, or 0
 
 	verdict  Verdict
 	deadline time.Duration // end of the permission to send
--- a/internal/takeover/coordinator/coordinator.go
+++ b/internal/takeover/coordinator/coordinator.go
@@ -70,7 +70,7 @@
 	lastID          uint64               // last ID given to a claim or to another proxy's request
 	requesters      map[uint64]requester // senders of requests without a final registry response, by request ID
 	permittedClaims map[uint64]*claim    // claims whose write the core may send, by the core's request ID
-	members         map[string]*member   // by name
+	members         map[string]*member   // other proxies, by name
 	gone            map[takeover.Owner]bool
 	// presenceChanged is when a member was last lost or came back, by name.
 	presenceChanged map[string]time.Duration
@@ -227,7 +227,7 @@
 // requester is the sender of a request to the registry.
 type requester struct {
 	owner   takeover.Owner // another proxy; unset for this one
-	claimID uint64         // of the sender's claim
+	claimID uint64         // ID of the sender's claim
 	isSelf  bool           // the request belongs to this proxy's own claim
 }
 
--- a/internal/takeover/coordinator/counts.go
+++ b/internal/takeover/coordinator/counts.go
@@ -2,7 +2,7 @@
 
 // Counts are a coordinator's counters since its start.
 type Counts struct {
-	Claims         int // for clients' writes
+	Claims         int // claims for clients' writes
 	Proceeded      int // claims that were granted
 	InProgress     int // responses that another owner had the write in flight
 	Served         int // claims answered with a holder's receipt
@@ -12,7 +12,7 @@
 	TakenOver      int // orphaned writes that this proxy resumed
 	Abandoned      int // orphaned writes that this proxy took over but did not resume: outcome unknown
 	HolderTimeouts int // holders that did not respond within responseTimeout
-	Messages       int // to other proxies, failed ones too
+	Messages       int // messages to other proxies, failed ones too
 	MessageItems   int // claims, completions and responses in those messages
 }
 
--- a/internal/takeover/registry.go
+++ b/internal/takeover/registry.go
@@ -14,7 +14,7 @@
 	ownerCount int           // owners so far, including the present one
 	rank       int           // rank of this holder; a lower rank takes over an orphaned write sooner
 	firstSend  time.Duration // when the write may first have run, by this registry's clock
-	orphaned   bool          // its owner is lost or has given it up
+	orphaned   bool          // the owner is lost or has given the write up
 	takeoverAt time.Duration // when this holder takes over an orphaned write, unless another has
 	outcome    Outcome
 	receipt    string
--- a/internal/takeover/registry_messages.go
+++ b/internal/takeover/registry_messages.go
@@ -15,7 +15,7 @@
 		Owner     Owner
 		Rank      int           // rank of this holder among the write's holders
 		Epoch     uint64        // epoch of a write that the owner has taken over; 0 for a client's request
-		Age       time.Duration // since the write may first have run; only with Epoch
+		Age       time.Duration // time since the write may first have run; only with Epoch
 		Retry     bool          // the client marked its request as a retry, or the write was taken over
 	}
 	// Completion reports the outcome of a write.
@@ -33,7 +33,7 @@
 	OwnerReturned struct{ Owner Owner }
 	// WaiterLeft reports that an owner no longer waits for a write.
 	WaiterLeft struct {
-		ID        string // of the write
+		ID        string // ID of the write
 		RequestID uint64
 	}
 	// Rejoined reports that this process was paused or unreachable, and may have missed messages. It starts a new
@@ -74,7 +74,7 @@
 		RequestID uint64
 		Decision  Decision
 		Epoch     uint64        // with Granted
-		Age       time.Duration // with Granted: since the write may first have run; 0 if it is new
+		Age       time.Duration // with Granted: time since the write may first have run; 0 if it is new
 		Receipt   string        // with AlreadyServed
 		// MayHaveForgotten, with Granted, reports that the write may have run without this holder's knowledge, which
 		// has recently started or rejoined.
--- a/internal/takeover/registry_test.go
+++ b/internal/takeover/registry_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// TestRegistryIsBounded checks that a full registry declines writes, payload bytes and waiters beyond its limits
+// TestRegistryIsBounded checks that a registry declines claims beyond its limits of payload bytes and waiters
 // (guarantee 5), and that all writes are removed in the end.
 func TestRegistryIsBounded(t *testing.T) {
 	parameters := DefaultParameters
--- a/internal/takeover/write.go
+++ b/internal/takeover/write.go
@@ -25,8 +25,8 @@
 
 // The zero Outcome is InFlight.
 const (
-	InFlight    Outcome = iota // not known yet
-	Served                     // with a receipt
+	InFlight    Outcome = iota // the outcome is not known yet
+	Served                     // the write was served and has a receipt
 	Unknown                    // the write may have run and must not be sent any more
 	NotExecuted                // the owner's sends had no effect; if there was no other owner, the write is removed
 )
@@ -50,7 +50,7 @@
 // The values are part of the listing's JSON.
 const (
 	StateInFlight State = "open"
-	StateOrphaned State = "lost" // in flight, and its owner is lost or has given it up
+	StateOrphaned State = "lost" // the write is in flight, and its owner is lost or has given it up
 	StateServed   State = "served"
 	StateUnknown  State = "unknown"
 )
