--- a/internal/membership/sources.go
+++ b/internal/membership/sources.go
@@ -11,8 +11,8 @@
 	Source
 	retired     bool // no longer configured, but kept until the configured sources have delivered their lists
 	hasReported bool
-	hasComplete bool                     // it has delivered a complete list
-	nodes       map[string]*Node         // its latest reports; Gone ones are kept while another source lists the node
+	hasComplete bool                     // the source has delivered a complete list
+	nodes       map[string]*Node         // latest reports; Gone ones are kept while another source lists the node
 	losses      map[string]time.Duration // nodes that left within CollapseWindow, and when
 	pending     *pendingRemovals         // nil for none
 }
@@ -48,9 +48,9 @@
 	r.dropRetired()
 }
 
-// dropRetired drops retired sources once all others have delivered a complete list. Until then a report of the others
-// replaces what retired ones reported of the same node: a source may begin with changes since a list that it assumes
-// the proxy already has.
+// dropRetired drops retired sources once all others have delivered a complete list. Until then a configured source's
+// report on a node replaces the retired sources' reports on it, because a source may begin with changes to a list
+// that it assumes the proxy already has.
 func (r *Reconciler) dropRetired() {
 	for _, s := range r.sources {
 		if !s.retired && !s.hasComplete {
--- a/internal/outlier/suspicion.go
+++ b/internal/outlier/suspicion.go
@@ -23,9 +23,9 @@
 // never fall below the prior: attempts that succeeded before a server became faulty are no evidence against the fault.
 // This is the CUSUM algorithm of change detection. The log odds decay without samples.
 type Suspicion struct {
-	LogOdds             float64 // above the prior's
+	LogOdds             float64 // above the log odds of PriorProbability
 	updated             time.Duration
-	ConsecutiveFailures float64 // since the last success
+	ConsecutiveFailures float64 // failures since the last success
 }
 
 // Observe decays the log odds until now, then updates them with an attempt that ended: failed is 1 for a failure and 0
--- a/internal/overload/property_test.go
+++ b/internal/overload/property_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// TestRandomHistoriesKeepTheInvariants checks the rules under random signals, gaps, clock jumps and pins. A second
-// controller gets the same events and must give the same transitions.
+// TestRandomHistoriesKeepTheInvariants checks that no level is invalid, left before MinStay or improved by more than
+// two levels at a time, under random signals, gaps, clock jumps and pins. A second controller gets the same events
+// and must give the same transitions.
 func TestRandomHistoriesKeepTheInvariants(t *testing.T) {
 	for seed := range uint64(2000) {
 		h := newHistory(t, seed)
@@ -36,7 +37,7 @@
 	controller, twin             *Controller
 	transitions, twinTransitions []Transition
 
-	now      time.Duration // on the events' clock
+	now      time.Duration // time of the last event, on the events' clock
 	elapsed  time.Duration // time as the controller counts it
 	raisedAt time.Duration // value of elapsed when the level was last raised
 	signals  Signals
--- a/internal/pause/exhaustive_test.go
+++ b/internal/pause/exhaustive_test.go
@@ -6,28 +6,28 @@
 )
 
 // This file checks all states of a small model: a client sends a write to proxy A and, if it gets no response, to
-// proxy B with the same key. One node drops repeats within a window. A pauses once, at any time. A reads, decides,
-// checks and writes, with time in between; B serves at once. Time advances in steps.
+// proxy B with the same key. One node drops duplicates within a window. A pauses once, at any time. A reads, decides,
+// checks and writes, with time in between; B serves without delay. Time advances in steps.
 
 const (
 	timeStep    = 50 * ms
 	modelWindow = 1500 * ms
 )
 
-// modelRules are the rules that A follows. The test leaves out each of them once, to show that the model then finds
-// a repeat.
+// modelRules are the rules that A follows. The test leaves out each of them once, to show that the model then finds a
+// repeated effect.
 type modelRules struct {
 	age       bool // A rejects by age
-	lastCheck bool // A checks once more right before the write
+	lastCheck bool // A checks the clocks once more right before the write
 }
 
 // modelRun is one run of the model.
 type modelRun struct {
-	timeout            time.Duration // of the client for A
+	timeout            time.Duration // time that the client waits for A
 	closes             bool          // the client closes its connection after the timeout; A notices when it reads
 	busy               time.Duration // A is busy with other work before it reads
-	queued             time.Duration // between A's decision and its last check
-	retryDelay         time.Duration // from the client's timeout to the send through B
+	queued             time.Duration // time between A's decision and A's last check
+	retryDelay         time.Duration // time from the client's timeout to the send through B
 	pauseAt, pause     time.Duration // start and length of A's pause
 	kernelKnown        bool          // A's kernel reports the time since the last byte
 	checkedBeforePause bool          // A checked the clocks right before the pause
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestNoPauseRepeatsAnEffect checks guarantee 5: no pause makes a write take effect twice, except for a pause
-// between the last check and the write. Without either rule, some pause does.
+// TestNoPauseRepeatsAnEffect checks that no pause makes a write take effect twice (guarantee 5), except for a pause
+// between the last check and the write. Without the rule on the request's age or the last check, some pause does.
 func TestNoPauseRepeatsAnEffect(t *testing.T) {
 	counts := exhaust(modelRules{age: true, lastCheck: true})
 	t.Logf("%+v", counts)
--- a/internal/peer/transport/server.go
+++ b/internal/peer/transport/server.go
@@ -33,8 +33,8 @@
 // connectionKey is the context key of a connection's ID.
 type connectionKey struct{}
 
-// NewServer returns a watcher without members. The HTTP server that it handles requests of must use its ConnContext and
-// ConnState.
+// NewServer returns a watcher without members. The HTTP server that passes requests to the watcher must use the
+// watcher's ConnContext and ConnState.
 func NewServer(fleet string, clock func() time.Duration) *Server {
 	return &Server{
 		fleet:       fleet,
@@ -108,8 +108,8 @@
 	}
 }
 
-// ServeHTTP handles a heartbeat. It responds once something has changed or a heartbeat interval has passed, and at once
-// to a rejected heartbeat.
+// ServeHTTP handles a heartbeat. It responds once something has changed or a heartbeat interval has passed, and
+// without delay to a rejected heartbeat.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var in heartbeat
 	if !rpc.ReadRequest(w, r, s.fleet, &in) {
--- a/internal/takeover/interleaving_test.go
+++ b/internal/takeover/interleaving_test.go
@@ -15,7 +15,7 @@
 	// Process faults may come every faultInterval ticks until lastFaultTick, while the first two clients write.
 	faultInterval  = 4
 	lastFaultTick  = 60
-	clientTicks    = 24 // that a client waits
+	clientTicks    = 24 // ticks that a client waits
 	thirdWriteTick = 100
 )
 
@@ -69,7 +69,7 @@
 
 // scriptedChooser makes the given choices, and chooses 0 at all other positions.
 type scriptedChooser struct {
-	choices map[int]int // by position
+	choices map[int]int // choices other than 0, by position
 	next    int         // position of the next choice
 	sizes   []int       // number of options, by position
 }
@@ -114,7 +114,8 @@
 	return runs, effects, violation
 }
 
-// TestInterleavings guards guarantee 1 in all simulations with at most two choices other than 0, or as many as
+// TestInterleavings checks that no write takes effect twice (guarantee 1), that a receipt implies an effect and that
+// no orphaned write stays in flight, in all simulations with at most two choices other than 0, or as many as
 // MULLEINPIER_DEPTH sets.
 func TestInterleavings(t *testing.T) {
 	depth := 2
@@ -135,7 +136,7 @@
 type randomChooser struct{ rng *rand.Rand }
 
 func (c randomChooser) choose(_ string, n int) int {
-	const processFaults, other = 10, 5 // numbers of options
+	const processFaults, other = 10, 5 // numbers of options, which tell the kinds of choices apart
 	if n == processFaults && c.rng.IntN(3) > 0 || n < other && c.rng.IntN(4) > 0 {
 		return 0
 	}
@@ -155,8 +156,8 @@
 	return "", seeds, receipts, effects
 }
 
-// TestRandomFaults guards the guarantees under up to six random faults per simulation. MULLEINPIER_LIVES sets the
-// number of simulations, 20,000 by default.
+// TestRandomFaults checks the same as TestInterleavings under up to six random faults per simulation.
+// MULLEINPIER_LIVES sets the number of simulations, 20,000 by default.
 func TestRandomFaults(t *testing.T) {
 	seeds := 20_000
 	if n, err := strconv.Atoi(os.Getenv("MULLEINPIER_LIVES")); err == nil {
@@ -169,7 +170,8 @@
 	}
 }
 
-// TestPlantedDefectsAreFound guards against a simulation that detects nothing: it must find each planted defect.
+// TestPlantedDefectsAreFound checks that the simulation finds each planted defect. A simulation that detects
+// nothing would make the other tests pass.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	for name, defects := range map[string]plantedDefects{
 		"permission after the window": {longWindow: true},
--- a/internal/takeover/registry_claims.go
+++ b/internal/takeover/registry_claims.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// grantTo makes the claimant the owner, with a permission to send, if nodes still drop repeats of the write.
+// grantTo makes the claimant the owner, with a permission to send, if nodes still drop duplicates of the write.
 func (r *Registry) grantTo(now time.Duration, e *entry, c ClaimRequest, epoch uint64, out []Action) []Action {
 	if !r.isWithinWindow(now, e) {
 		out = r.finish(now, e, Unknown, "", out)
@@ -110,7 +110,7 @@
 			out = append(out, ClaimResponse{RequestID: w.RequestID, Decision: SafeToRetry})
 		}
 		r.remove(c.ID)
-	case c.Outcome == NotExecuted: // not by this owner, but an earlier owner may have had it run
+	case c.Outcome == NotExecuted: // this owner's sends had no effect, but an earlier owner's may have
 		return r.orphan(now, e, out)
 	}
 	return out
--- a/internal/takeover/simulation_writes_test.go
+++ b/internal/takeover/simulation_writes_test.go
@@ -52,7 +52,7 @@
 	claim   *Claim
 	holders []*simulatedProxy
 	decided bool
-	// act acts on the verdict. It is called once.
+	// act is called once, with the final verdict and the end of the permission.
 	act func(Verdict, time.Duration)
 }
 
@@ -126,7 +126,7 @@
 			answer("key conflict")
 		default:
 			answer("busy")
-			p.complete(w.holders, w.claim.Epoch(), NotExecuted) // not by this owner
+			p.complete(w.holders, w.claim.Epoch(), NotExecuted) // this owner did not send the write
 		}
 	}
 	request := func(rank int) ClaimRequest {
--- a/internal/takeover/write.go
+++ b/internal/takeover/write.go
@@ -14,7 +14,7 @@
 	ID string `cbor:"1,keyasint"`
 	// Digest is a hash of the payload, which tells apart different writes with the same ID.
 	Digest uint64 `cbor:"2,keyasint"`
-	// DedupWindow is how long nodes drop repeats, from when they began to execute the first send.
+	// DedupWindow is how long nodes drop duplicates of the write, from when they began to execute the first send.
 	DedupWindow time.Duration `cbor:"3,keyasint"`
 	// Payload is the encoded request, from which another proxy can send the write again.
 	Payload []byte `cbor:"4,keyasint"`
@@ -25,8 +25,8 @@
 
 // The zero Outcome is InFlight.
 const (
-	InFlight    Outcome = iota // not known yet
-	Served                     // with a receipt
+	InFlight    Outcome = iota // the outcome is not known yet
+	Served                     // the write was served and has a receipt
 	Unknown                    // the write may have run and must not be sent any more
 	NotExecuted                // the owner's sends had no effect; if there was no other owner, the write is removed
 )
@@ -50,7 +50,7 @@
 // The values are part of the listing's JSON.
 const (
 	StateInFlight State = "open"
-	StateOrphaned State = "lost" // in flight, and its owner is lost or has given it up
+	StateOrphaned State = "lost" // the write is in flight, and its owner is lost or has given it up
 	StateServed   State = "served"
 	StateUnknown  State = "unknown"
 )
