--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -30,7 +30,7 @@
 	Task string      `cbor:"2,keyasint,omitempty"`
 	// Holder identifies one run of a process, see [HolderName].
 	Holder string `cbor:"3,keyasint,omitempty"`
-	// Nonce distinguishes the acquisitions of one holder; a repeated Acquire carries the same nonce.
+	// Nonce distinguishes the acquisitions of one holder; a retry of an Acquire carries the same nonce.
 	Nonce    uint64        `cbor:"4,keyasint,omitempty"`
 	Duration time.Duration `cbor:"5,keyasint,omitempty"` // of the lease
 	// Wait makes an Acquire wait in the queue if others hold the task.
--- a/internal/lease/expiry.go
+++ b/internal/lease/expiry.go
@@ -24,7 +24,7 @@
 type leaseDeadline struct {
 	task     string
 	at       time.Duration
-	expiring bool // an Expire was proposed: the grant can't be renewed any more
+	expiring bool // an Expire was proposed, and the grant can't be renewed any more
 }
 
 type waiterKey struct {
@@ -51,10 +51,11 @@
 	}
 }
 
-// IsLeader reports whether this voter believes that it leads; another may already have taken over.
+// IsLeader reports whether this voter believes that it leads; another voter may already have taken over.
 func (m *ExpiryManager) IsLeader() bool { return m.leading }
 
-// TimeLeft returns the time until a grant expires, for display. It is up to date only on the leader.
+// TimeLeft returns the time until a grant expires, for display, and whether the grant has a deadline. The time is up to
+// date only on the leader.
 func (m *ExpiryManager) TimeLeft(token uint64, now time.Duration) (time.Duration, bool) {
 	d, ok := m.deadlines[token]
 	return d.at - now, ok
@@ -147,7 +148,7 @@
 	return append(out, ConfirmLeadership{m.lastSequence})
 }
 
-// confirmRenewals completes the pending renewals up to a sequence.
+// confirmRenewals answers the pending renewals up to a sequence, and extends the leases that can still be renewed.
 func (m *ExpiryManager) confirmRenewals(now time.Duration, sequence uint64, out []ExpiryAction) []ExpiryAction {
 	for len(m.unconfirmedRenewals) > 0 && m.unconfirmedRenewals[0].sequence <= sequence {
 		r := m.unconfirmedRenewals[0]
@@ -189,8 +190,8 @@
 	return out
 }
 
-// proposeWaiterReleases proposes to remove each waiter from its queue that has sent nothing for the duration of the
-// lease that it asks for. The order of two with the same nonce and equally long holder names is not fixed.
+// proposeWaiterReleases proposes to remove from the queue each waiter that has sent nothing for its waiterTimeout. Two
+// waiters with the same nonce and equally long holder names are released in no fixed order.
 func (m *ExpiryManager) proposeWaiterReleases(now time.Duration, out []ExpiryAction) []ExpiryAction {
 	var silent []waiterKey
 	for w, seen := range m.waiterLastSeen {
@@ -211,7 +212,8 @@
 	return out
 }
 
-// waiterTimeout returns how long a waiter may go without sending a request; 0 if it is not queued.
+// waiterTimeout returns how long a waiter may go without sending a request: as long as voters would keep the lease that
+// it requests; 0 if it is not queued.
 func (m *ExpiryManager) waiterTimeout(w waiterKey) time.Duration {
 	if t := m.machine.Tasks[w.task]; t != nil {
 		for _, x := range t.Waiters {
--- a/internal/lease/expiry_messages.go
+++ b/internal/lease/expiry_messages.go
@@ -4,7 +4,7 @@
 type ExpiryEvent interface{ expiryEvent() }
 
 type (
-	// LeadershipAcquired says that this voter leads, and has applied all entries committed before its term.
+	// LeadershipAcquired says that this voter leads, and has applied all entries committed before its term as leader.
 	LeadershipAcquired struct{}
 	// LeadershipLost says that this voter does not lead, or can't know whether it does.
 	LeadershipLost struct{}
@@ -24,8 +24,8 @@
 		Task, Holder string
 		Nonce        uint64
 	}
-	// LeadershipConfirmed says that this voter still led after it had emitted the ConfirmLeadership of this
-	// sequence, and all earlier ones.
+	// LeadershipConfirmed says that this voter still led after it had emitted the ConfirmLeadership with this
+	// sequence. It confirms all earlier sequences, too.
 	LeadershipConfirmed struct{ Sequence uint64 }
 	// Tick makes the manager check all deadlines and timeouts.
 	Tick struct{}
@@ -45,8 +45,8 @@
 type (
 	// ConfirmLeadership asks for a confirmation that this voter still leads now.
 	ConfirmLeadership struct{ Sequence uint64 }
-	// RenewalResult answers a Renew. With Granted, the holder counts its lease from when it sent the request;
-	// NotHeld says that it no longer holds the task, NoAnswer that this voter can't know.
+	// RenewalResult answers a Renew. With Granted, the holder counts its lease from when it sent the request. NotHeld
+	// says that there is no such grant or that it can't be renewed any more, NoAnswer that this voter can't know.
 	RenewalResult struct {
 		RequestID uint64
 		Outcome   Outcome
--- a/internal/lease/interleaving_test.go
+++ b/internal/lease/interleaving_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// nextSteps returns all steps that can follow this state. The first one lets a tick pass.
+// nextSteps returns all steps that the model can take from this state. The first step lets a tick pass.
 func (w *world) nextSteps() (list []func(*world)) {
 	step := func(do func(*world)) { list = append(list, do) }
 	step((*world).passTick)
@@ -63,7 +63,7 @@
 	if m.kind != responseMessage || m.incarnation == w.incarnations[m.contender] {
 		receivers := 1
 		if m.kind == requestMessage && w.leader == 1 {
-			receivers = 2 // it may reach either voter
+			receivers = 2 // the request may reach the old or the new leader
 		}
 		for v := range receivers {
 			list = append(list, func(c *world) { c.deliver(take(c), v) })
@@ -84,7 +84,7 @@
 	return list
 }
 
-// changeLeader makes voter 1 the leader; voter 0 may not notice.
+// changeLeader makes voter 1 the leader. Voter 0 is notified in a separate step, which may never come.
 func (w *world) changeLeader() {
 	w.faultsLeft.changeLeader--
 	w.leader = 1
@@ -139,7 +139,7 @@
 		steps := w.nextSteps()
 		i := r.IntN(len(steps))
 		if r.IntN(4) == 0 {
-			i = 0 // time passes more often than anything else
+			i = 0 // a tick, which is chosen more often than any other step
 		}
 		steps[i](w)
 		if v := w.violation(); v != "" {
@@ -159,8 +159,9 @@
 	walks     = 100_000
 )
 
-// TestInterleavings checks guarantees 1 to 3 in every state of the model's first ticks, and in random walks that go
-// further. It also checks that each planted defect is found.
+// TestInterleavings checks that at most one session of a task is valid at a time, that fencing tokens rise, and that a
+// lease ends on its holder before the task is granted again (guarantees 1 to 3). It checks every state of the model's
+// first ticks, and random walks of more ticks. It also checks that the walks find each planted defect.
 func TestInterleavings(t *testing.T) {
 	begin := time.Now()
 	states := 0
--- a/internal/lease/interleaving_world_test.go
+++ b/internal/lease/interleaving_world_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// This file is a small model of which tests explore the interleavings: two voters that lead one after the other, two
-// contenders for one task, one change of the leader that the old one may not notice, one crash and restart, one stop,
-// and messages that are lost, delayed and duplicated. The model assumes that the leader has a majority: the consensus
-// library has its own proof.
+// This file is a small model whose interleavings the tests explore: two voters that lead one after the other, two
+// contenders for one task, one change of leader that the old leader may not notice, one crash and restart of a
+// contender, one stop of a contender, and messages that are lost, delayed and duplicated. The model assumes that the
+// leader has a majority of the voters: that part of the consensus protocol is proved elsewhere.
 
 // worldTick is the time step of the model.
 const worldTick = 100 * ms
@@ -22,7 +22,7 @@
 // leaseTicks is the duration of a lease in ticks.
 const leaseTicks = 4
 
-// worldParameters have a clock drift that is large enough to show within a lease of four ticks.
+// worldParameters allow a clock drift that is large enough to make a difference within a lease of leaseTicks.
 var worldParameters = Parameters{
 	MaxClockDrift: 0.25,
 	SafetyMargin:  worldTick,
@@ -32,11 +32,11 @@
 
 // plantedDefect is a defect that a test puts into the model to check that it is found.
 type plantedDefect struct {
-	noMargin             bool // and no allowance for drift
+	noMargin             bool // SafetyMargin and MaxClockDrift are 0
 	newLeaderLacksGrants bool // the new leader does not know the old one's grants
 	countsFromResponse   bool // a holder counts its lease from the response, not from the request
-	excessiveDrift       bool // a holder's clock is slower than the bound
-	inheritedLeasesEnded bool // a new leader takes all inherited leases for expired
+	excessiveDrift       bool // holders' clocks are slower than MaxClockDrift allows
+	inheritedLeasesEnded bool // a new leader considers all inherited leases expired
 }
 
 type messageKind byte
@@ -57,22 +57,22 @@
 	sequence    uint64 // of a confirmation
 }
 
-// faults is how often each fault may occur.
+// faults says how often each fault may occur.
 type faults struct{ lose, duplicate, changeLeader, stop, crash, release int }
 
 // world is one state of the model.
 type world struct {
 	now               int // ticks
-	leader            int // the voter that really leads
+	leader            int // the voter that has a majority; voter 0 may still believe that it leads
 	machines          [2]*StateMachine
 	managers          [2]*ExpiryManager
 	sessions          [2]*Session
 	incarnations      [2]int
 	stopped           int // contender, -1 for none
 	inFlight          []message
-	renewals          map[uint64]message // being confirmed, by request ID
+	renewals          map[uint64]message // requests that wait for a confirmation of leadership, by request ID
 	lastRequestID     uint64
-	highestToken      uint64 // that a valid session had
+	highestToken      uint64 // highest fencing token that a valid session had
 	faultsLeft        faults
 	oldLeaderNotified bool // voter 0 knows that it no longer leads
 	defect            plantedDefect
@@ -108,10 +108,10 @@
 	})
 }
 
-// voterNow returns the time by the voters' clock, which is fast by the drift bound.
+// voterNow returns the time by the voters' clock, which runs fast by MaxClockDrift.
 func (w *world) voterNow() time.Duration { return w.scale(1 + worldParameters.MaxClockDrift) }
 
-// holderNow returns the time by the contenders' clock, which is slow by the drift bound.
+// holderNow returns the time by the contenders' clock, which runs slow by MaxClockDrift.
 func (w *world) holderNow() time.Duration {
 	if w.defect.excessiveDrift {
 		return w.scale(0.25)
@@ -183,7 +183,7 @@
 func (w *world) send(m message) {
 	if len(w.inFlight) < maxMessagesInFlight {
 		w.inFlight = append(w.inFlight, m)
-	} // else it is lost
+	} // else the message is lost
 }
 
 func (w *world) respond(to message, r Response) {
@@ -195,7 +195,7 @@
 	for _, a := range w.managers[v].Handle(w.voterNow(), event, nil) {
 		switch a := a.(type) {
 		case ConfirmLeadership:
-			if v == w.leader { // a majority confirms it now; the confirmation may be delayed
+			if v == w.leader { // a majority confirms the leadership now; the confirmation may be delayed
 				w.send(message{kind: confirmationMessage, voter: v, sequence: a.Sequence})
 			}
 		case RenewalResult:
@@ -210,7 +210,7 @@
 	}
 }
 
-// commit applies a command at the voter v, which really leads.
+// commit applies a command at the voter v, which must be the leader.
 func (w *world) commit(v int, c Command) Result {
 	r := w.machines[v].Apply(&c)
 	w.handleAtVoter(v, CommandApplied{c, r})
@@ -282,7 +282,7 @@
 	}
 }
 
-// passTick lets a tick pass, which all but a stopped contender notice.
+// passTick lets a tick pass. All voters and all contenders but a stopped one handle it.
 func (w *world) passTick() {
 	w.now++
 	for v := range w.managers {
@@ -295,7 +295,7 @@
 	}
 }
 
-// violation returns how the state violates a guarantee, "" if it does not.
+// violation describes how the state violates a guarantee; "" if it violates none.
 func (w *world) violation() string {
 	valid := 0
 	for _, s := range w.sessions {
--- a/internal/lease/parameters.go
+++ b/internal/lease/parameters.go
@@ -6,7 +6,7 @@
 type Parameters struct {
 	// MaxClockDrift is the fraction by which a process's clock may run fast or slow.
 	MaxClockDrift float64
-	// SafetyMargin shortens a lease on its holder and extends it on the voters, so that it ends on the holder first.
+	// SafetyMargin shortens a lease on its holder and extends it on the voters: the lease ends on the holder first.
 	SafetyMargin time.Duration
 	// MinDuration and MaxDuration bound the duration of a lease.
 	MinDuration time.Duration
@@ -21,13 +21,13 @@
 	MaxDuration:   time.Hour,
 }
 
-// voterDuration returns how long a voter keeps a grant, by its own clock. By then the holder has stopped, even if the
-// holder's clock is slow.
+// voterDuration returns how long a voter keeps a grant, by the voter's clock. The holder stops before the grant ends,
+// even if the holder's clock runs slow by MaxClockDrift.
 func (p Parameters) voterDuration(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration)*(1+p.MaxClockDrift)) + p.SafetyMargin
 }
 
-// holderDuration returns how long a holder may act, by its own clock, counted from when it sent its request.
+// holderDuration returns how long a holder may act, by the holder's clock, counted from when it sent its request.
 func (p Parameters) holderDuration(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration)*(1-p.MaxClockDrift)) - p.SafetyMargin
 }
--- a/internal/lease/permit.go
+++ b/internal/lease/permit.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// This file has the rules of permits: leases that allow a process to drain or reload. A fleet has only a few at a time,
-// so that only a few processes restart at once.
+// This file has the rules of restart permits: leases that allow a process to drain or reload. A fleet has only a few
+// permits, so that only a few processes restart at the same time.
 
 const (
-	// PermitTask is the task whose holders may drain or reload.
+	// PermitTask is the name of the task whose holders may drain or reload.
 	PermitTask = "restart"
 	// PermitDuration is the lease duration of a permit. If a holder ends without releasing its permit, others wait
-	// that long.
+	// until this duration has passed.
 	PermitDuration = 10 * time.Second
 )
 
@@ -39,8 +39,9 @@
 }
 
 // OrphanedTokens returns the fencing tokens of a task's orphaned grants: those of earlier processes with the given name
-// that no longer run on this machine. Grants of the process self are left out. The successor releases orphaned grants
-// once it serves, because a permit covers a restart to its end. A process that still runs releases its own.
+// that no longer run on this machine. Grants of the process with PID self are left out. A successor calls it once it
+// serves, and then releases the orphaned grants: a permit covers a restart until the successor serves. An earlier
+// process that still runs releases its grant itself.
 func OrphanedTokens(t *Task, name string, self int, isRunning func(pid int) bool) (tokens []uint64) {
 	if t == nil {
 		return nil
@@ -59,12 +60,12 @@
 
 // The verdicts.
 const (
-	KeepWaiting PermitVerdict = iota // the process serves meanwhile
+	KeepWaiting PermitVerdict = iota // the process serves while it waits
 	ProceedWithoutPermit
 )
 
-// DecideWithoutPermit decides what a process does that still waits for a permit. With insist, it waits without limit;
-// otherwise it proceeds without a permit after maxWait.
+// DecideWithoutPermit decides what a process does that has waited for a permit for the time waited. With insist, it
+// waits without limit; otherwise it proceeds without a permit after maxWait.
 func DecideWithoutPermit(waited, maxWait time.Duration, insist bool) PermitVerdict {
 	switch {
 	case insist, waited < maxWait:
--- a/internal/lease/quorum/apply.go
+++ b/internal/lease/quorum/apply.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// snapshotInterval is how many entries are applied between two snapshots.
+	// snapshotInterval is the number of entries that are applied between two snapshots.
 	snapshotInterval = 2000
-	// keptEntries is how many entries before a snapshot stay in the log, for voters that are slightly behind.
+	// keptEntries is the number of entries before a snapshot that stay in the log, for voters that are slightly behind.
 	keptEntries = 200
 )
 
-// advance handles the next Ready of the raft library, unless one is being saved.
+// advance handles the next Ready of the raft library, unless an earlier Ready is being saved. It also notices that this
+// voter no longer leads.
 func (r *Replica) advance() {
 	if r.leading && r.node.BasicStatus().RaftState != raft.StateLeader {
 		r.loseLeadership()
@@ -91,7 +92,7 @@
 	var entry logEntry
 	if len(data) == 0 || cbor.Unmarshal(data, &entry) != nil {
 		if change != nil {
-			r.node.ApplyConfChange(&raftpb.ConfChange{}) // ends the change of voters without effect
+			r.node.ApplyConfChange(&raftpb.ConfChange{}) // completes the change of voters without effect
 		}
 		return
 	}
@@ -106,8 +107,8 @@
 	r.answerProposal(&entry, &result)
 }
 
-// checkLeadershipAcquired makes this voter lead from the first committed entry of its own term on: all entries
-// committed before the term precede that entry.
+// checkLeadershipAcquired makes this voter lead once it applies the first committed entry of its own term as leader: all
+// entries committed before that term precede this entry.
 func (r *Replica) checkLeadershipAcquired(e *raftpb.Entry) {
 	status := r.node.BasicStatus()
 	if !r.leading && status.RaftState == raft.StateLeader && e.GetTerm() == status.GetTerm() {
@@ -129,7 +130,7 @@
 	return change.GetContext(), change
 }
 
-// applyVoterChange applies a change of voters to raft. One that the state machine has rejected has no effect.
+// applyVoterChange applies a change of voters to raft. A change that the state machine has rejected has no effect.
 func (r *Replica) applyVoterChange(change *raftpb.ConfChange, rejected error) {
 	if rejected != nil {
 		r.node.ApplyConfChange(&raftpb.ConfChange{})
@@ -139,7 +140,7 @@
 	r.votersChanged = true
 }
 
-// answerProposal answers the request that an entry was proposed for, if this voter proposed it in this run.
+// answerProposal answers the request that an entry was proposed for, if this voter proposed the entry in this run.
 func (r *Replica) answerProposal(entry *logEntry, result *lease.Result) {
 	if _, isPending := r.proposals[entry.RequestID]; !isPending || entry.Proposer != r.incarnation {
 		return
@@ -149,7 +150,7 @@
 	switch {
 	case result.Err != nil:
 		response.Outcome = lease.Rejected
-	case entry.Command.Kind != lease.Acquire: // it succeeded, see Response
+	case entry.Command.Kind != lease.Acquire: // the command succeeded; see Response for the outcome
 		response.Outcome = lease.NotHeld
 	case result.Grant.Token == 0:
 		response.Outcome = lease.Queued
--- a/internal/lease/quorum/discardlogger.go
+++ b/internal/lease/quorum/discardlogger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// discardLogger discards the log of the raft library: what matters is reported as actions. Fatal and Panic panic, which
-// [Replica.Handle] recovers from.
+// discardLogger discards the log of the raft library, because a Replica reports important events as actions. Fatal and
+// Panic panic; [Replica.Handle] recovers from that.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)                   {}
--- a/internal/lease/quorum/messages.go
+++ b/internal/lease/quorum/messages.go
@@ -40,7 +40,7 @@
 
 type (
 	// Save makes a state durable, atomically; SaveCompleted or SaveFailed has to follow. A snapshot replaces the
-	// whole log; entries replace those of the same index and all after them.
+	// whole log. New entries replace the saved entries from the first new index on.
 	Save struct{ State PersistentState }
 	// CompactLog saves a snapshot and deletes the log up to it. No event has to follow.
 	CompactLog struct{ Snapshot *raftpb.Snapshot }
@@ -61,8 +61,8 @@
 	}
 	// LeadershipChanged says that this voter leads now, or no longer leads.
 	LeadershipChanged struct{ IsLeader bool }
-	// Halted says that this voter no longer takes part: its disk has failed, or its saved state contradicts that of
-	// the others.
+	// Halted says that this voter handles no more events until its process restarts: its disk has failed, or its saved
+	// state contradicts that of the other voters.
 	Halted struct{ Err error }
 )
 
--- a/internal/lease/quorum/recorded_test.go
+++ b/internal/lease/quorum/recorded_test.go
@@ -15,7 +15,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// recordedEntries are entries of the voters' log as an earlier version wrote them, by file, for each kind of command.
+// recordedEntries are the voters' log entries that an earlier version wrote, one for each kind of command, by file name.
 var recordedEntries = map[string]logEntry{
 	"entry-acquire.cbor": {RequestID: 1, Proposer: 0xfedcba9876543211, Command: lease.Command{
 		Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second, Wait: true,
@@ -51,8 +51,8 @@
 	"entry-empty-command.cbor": {},
 }
 
-// recordedState is a state machine in which each field is set, with one task and one voter so that the order of its
-// encoding is fixed.
+// recordedState is a state machine in which each field is set. It has only one task and one voter, because the encoding
+// of a map with more entries has no fixed order.
 var recordedState = lease.StateMachine{
 	Tasks: map[string]*lease.Task{"restart": {
 		MaxHolders: 2,
@@ -67,8 +67,8 @@
 	LastVoterID: 4,
 }
 
-// TestRecordedLog guards the voters' files and fleets of mixed versions: log entries and states have to be read and
-// written as earlier versions did.
+// TestRecordedLog checks that log entries and states are read and written in the encoding of an earlier version. A
+// changed encoding would make the voters' files unreadable, and break fleets of mixed versions.
 func TestRecordedLog(t *testing.T) {
 	for name, want := range recordedEntries {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
@@ -104,7 +104,7 @@
 	return data
 }
 
-// recordedMessages returns messages between voters, by file.
+// recordedMessages returns the messages between voters that an earlier version wrote, by file name.
 func recordedMessages() map[string]*raftpb.Message {
 	snapshot, err := cbor.Marshal(recordedState)
 	if err != nil {
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestRecordedMessages guards fleets of mixed versions: messages between voters have to be read and written as earlier
-// versions did.
+// TestRecordedMessages checks that messages between voters are read and written in the encoding of an earlier version.
+// A changed encoding would break fleets of mixed versions.
 func TestRecordedMessages(t *testing.T) {
 	for name, want := range recordedMessages() {
 		recorded := testutil.Recorded(t, "testdata/"+name)
--- a/internal/lease/quorum/replica.go
+++ b/internal/lease/quorum/replica.go
@@ -11,14 +11,14 @@
 	"mulleinpier/internal/lease"
 )
 
-// TickInterval is the time between two Ticks.
+// TickInterval is the time between two Tick events.
 const TickInterval = 30 * time.Millisecond
 
 const (
-	// electionTicks is the election timeout, which raft randomizes up to double: a voter starts an election after 300
-	// to 600 ms without a message from a leader.
+	// electionTicks is the election timeout, which raft randomizes up to twice this value: a voter starts an election
+	// after 300 to 600 ms without a message from a leader.
 	electionTicks = 10
-	// neverTicks is an election timeout that no replica reaches.
+	// neverTicks is an election timeout that no replica reaches (more than a year).
 	neverTicks = 1 << 30
 
 	maxMessageBytes     = 256 << 10
@@ -37,10 +37,10 @@
 	expiry      *lease.ExpiryManager
 	voters      *raftpb.ConfState
 
-	saving        *raft.Ready // what is being saved, nil if nothing is
+	saving        *raft.Ready // the Ready that is being saved, or nil
 	applied       uint64      // index of the last entry that was applied
 	snapshotIndex uint64      // of the last snapshot
-	votersChanged bool        // since the last snapshot
+	votersChanged bool        // the voters have changed since the last snapshot
 	leading       bool
 	halted        bool
 
@@ -173,7 +173,8 @@
 	return r.expiry.TimeLeft(token, now)
 }
 
-// Campaign starts an election at once.
+// Campaign starts an election without waiting for the election timeout, and returns the resulting actions. It does
+// nothing on a voter that has halted.
 func (r *Replica) Campaign(now time.Duration) []Action {
 	r.now, r.actions = now, nil
 	if !r.halted {
@@ -203,7 +204,7 @@
 		r.node.Tick()
 		r.handleExpiryEvent(lease.Tick{})
 	case MessageReceived:
-		r.node.Step(e.Message) // the error says only that the message was dropped
+		r.node.Step(e.Message) // the error is ignored: it says only that the message was dropped
 	case RequestReceived:
 		r.handleRequest(e)
 	case SaveFailed:
--- a/internal/lease/quorum/replica_test.go
+++ b/internal/lease/quorum/replica_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// TestRandomFaults checks guarantees 1 to 3 of package lease under random faults, with the real raft library.
-// MULLEINPIER_LIVES is the number of simulations; without it there are 400, or 50 in short mode.
+// TestRandomFaults checks under random faults, with the real raft library, that at most one contender holds the task at
+// a time, that fencing tokens rise, and that a lease ends on its holder before the task is granted again (guarantees 1
+// to 3 of package lease). MULLEINPIER_LIVES is the number of simulations; the default is 400, or 50 in short mode.
 func TestRandomFaults(t *testing.T) {
 	simulations := 400
 	if testing.Short() {
@@ -47,8 +48,8 @@
 	}
 }
 
-// TestThreeHundredInstances has 300 contenders for one task and three voters, of which one is slow to save, with all
-// faults: at most one contender holds the task at a time, and the task changes hands.
+// TestThreeHundredInstances checks that, of 300 contenders for one task, at most one holds it at a time, and that the
+// task is granted more than once. One of the three voters is slow to save, and all faults are injected.
 func TestThreeHundredInstances(t *testing.T) {
 	s := newSimulation(1, plantedDefect{}, 300)
 	s.voters[2].saveDelay = 100 * ms
--- a/internal/lease/quorum/requests.go
+++ b/internal/lease/quorum/requests.go
@@ -22,8 +22,8 @@
 	Command   lease.Command `cbor:"3,keyasint"`
 }
 
-// handleRequest handles a request from a holder or an operator. Without leadership, or with too many requests pending,
-// the outcome is NoAnswer.
+// handleRequest handles a request from a holder or an operator. If this voter does not lead, or too many requests are
+// pending, the outcome is NoAnswer.
 func (r *Replica) handleRequest(e RequestReceived) {
 	if !r.leading || len(r.proposals) >= maxPending || len(r.renewals) >= maxPending {
 		r.emit(Response{RequestID: e.RequestID})
@@ -60,7 +60,7 @@
 }
 
 // answerRepeated answers an Acquire whose sender already has a grant or a place in the queue from an earlier copy of
-// it, and reports whether it did. Such an Acquire is not proposed again.
+// the same Acquire, and reports whether it did. Such an Acquire is not proposed again.
 func (r *Replica) answerRepeated(e RequestReceived) bool {
 	t := r.machine.Tasks[e.Command.Task]
 	if t == nil {
--- a/internal/lease/quorum/simulation_contenders_test.go
+++ b/internal/lease/quorum/simulation_contenders_test.go
@@ -14,7 +14,7 @@
 	session     *lease.Session
 	clockRate   float64
 	stopped     bool
-	deferred    []func() // what arrives while it is stopped
+	deferred    []func() // calls to make once the stopped contender resumes
 }
 
 const leaseDuration = 400 * ms
@@ -81,7 +81,7 @@
 			continue
 		}
 		v := s.pickVoter()
-		for _, x := range s.voters { // a contender mostly knows who leads
+		for _, x := range s.voters { // a contender usually sends to a voter that leads
 			if !x.diskLost && x.replica.IsLeader() && s.rng.IntN(4) > 0 {
 				v = x
 			}
--- a/internal/lease/quorum/simulation_faults_test.go
+++ b/internal/lease/quorum/simulation_faults_test.go
@@ -18,7 +18,7 @@
 		s.stopVoter(v, span)
 	case 2:
 		s.stopContender(c, span)
-	case 3: // it crashes, and its next run acquires the task again
+	case 3: // the contender crashes, and its next run acquires the task again
 		s.startContender(c)
 	case 4:
 		s.cutLink(v, span)
@@ -32,7 +32,7 @@
 	s.after(time.Duration(100+s.rng.IntN(500))*ms, s.injectFault)
 }
 
-// killVoter kills a voter's process: of a save in progress, all or nothing is written.
+// killVoter kills a voter's process, and restarts it after downtime. A save in progress is written whole or not at all.
 func (s *simulation) killVoter(v *simulatedVoter, downtime time.Duration) {
 	if v.down {
 		return
@@ -82,7 +82,7 @@
 	})
 }
 
-// cutLink cuts the link from a voter to another for a while, in one direction or both.
+// cutLink cuts the link from a voter to another for the duration span, in one direction or both.
 func (s *simulation) cutLink(from *simulatedVoter, span time.Duration) {
 	to := s.pickVoter()
 	way := [2]uint64{from.id, to.id}
@@ -97,7 +97,7 @@
 	})
 }
 
-// loseDisk destroys a voter's disk; no other disk is lost until the voter has been replaced.
+// loseDisk destroys a voter's disk. No other disk is lost until that voter has been replaced.
 func (s *simulation) loseDisk(v *simulatedVoter) {
 	if s.replacing || v.down || s.now <= time.Second {
 		return
@@ -134,7 +134,7 @@
 func (s *simulation) startReplacement(lost *simulatedVoter, id uint64) {
 	v := &simulatedVoter{id: id, name: lost.name, clockRate: 1}
 	v.disk, _ = JoiningState()
-	for uint64(len(s.voters)) < id-1 { // an ID under which no voter was started
+	for uint64(len(s.voters)) < id-1 { // fill the indices of IDs under which no voter was started
 		unused := &simulatedVoter{id: uint64(len(s.voters) + 1), diskLost: true, down: true, replica: lost.replica}
 		s.voters = append(s.voters, unused)
 	}
--- a/internal/lease/quorum/simulation_test.go
+++ b/internal/lease/quorum/simulation_test.go
@@ -21,13 +21,13 @@
 
 // plantedDefect is a defect that a test puts into a simulation to check that it is found.
 type plantedDefect struct {
-	negativeMargin  bool // and no allowance for drift
-	forgetsLog      bool // a voter that restarts knows its term, but not its log
+	negativeMargin  bool // SafetyMargin is negative and MaxClockDrift 0
+	forgetsLog      bool // a voter that restarts remembers its term, but not its log
 	sendsBeforeSave bool
-	excessiveDrift  bool // contenders' clocks are slower than the bound
+	excessiveDrift  bool // contenders' clocks are slower than MaxClockDrift allows
 }
 
-// scheduledEvent is an event that is due at a time. Events of the same time run in the order of scheduling.
+// scheduledEvent is an event that runs at a virtual time. Events of the same time run in the order of scheduling.
 type scheduledEvent struct {
 	at    time.Duration
 	order int
@@ -46,10 +46,10 @@
 	down        bool
 	stopped     bool
 	saveDelay   time.Duration // added to the duration of each save
-	deferred    []func()      // what arrives while it is stopped
+	deferred    []func()      // calls to make once the stopped voter resumes
 }
 
-// maxDeferred limits what is deferred for a stopped process; the rest is lost.
+// maxDeferred limits the calls that are deferred for a stopped process; further ones are dropped.
 const maxDeferred = 100
 
 type simulation struct {
@@ -68,13 +68,13 @@
 	lastNonce     uint64
 	replacing     bool // a voter that lost its disk is being replaced
 
-	replaced     int // voters so far
-	messages     int // between voters
-	requests     int // of contenders
-	validChecks  int // that found a contender holding
+	replaced     int // number of voters replaced so far
+	messages     int // number of messages between voters
+	requests     int // number of contenders' requests
+	validChecks  int // number of checks that found a contender holding the task
 	highestToken uint64
-	haltReason   string // of a voter that halted
-	violation    string // of a guarantee
+	haltReason   string // why a voter halted
+	violation    string // how a guarantee was violated, "" if none was
 }
 
 func newSimulation(seed uint64, defect plantedDefect, contenders int) *simulation {
@@ -112,7 +112,7 @@
 	return s
 }
 
-// drawClockRate draws the rate of a clock: slow or fast by the drift bound, or exact.
+// drawClockRate draws the rate of a clock: slow or fast by MaxClockDrift, or exact.
 func (s *simulation) drawClockRate() float64 {
 	switch s.rng.IntN(3) {
 	case 0:
@@ -148,10 +148,10 @@
 	}
 }
 
-// clock returns the time by a clock that runs at a rate.
+// clock returns the time by a clock that runs at the given rate of the virtual time.
 func (s *simulation) clock(rate float64) time.Duration { return time.Duration(float64(s.now) * rate) }
 
-// startVoter starts a voter from its disk.
+// startVoter starts a new run of a voter from the state on its disk.
 func (s *simulation) startVoter(v *simulatedVoter) {
 	v.incarnation = s.rng.Uint64() | 1
 	if s.defect.forgetsLog && v.replica != nil {
@@ -167,8 +167,8 @@
 	v.replica, v.saving, v.down = r, nil, false
 }
 
-// campaign makes a random voter start an election, always if none leads and sometimes if one does, and schedules the
-// next campaign.
+// campaign makes a random voter start an election, always if no voter leads and sometimes if one does, and schedules
+// the next campaign.
 func (s *simulation) campaign() {
 	v := s.pickVoter()
 	if s.leader() == nil || s.rng.IntN(8) == 0 {
@@ -177,7 +177,7 @@
 	s.after(time.Duration(50+s.rng.IntN(150))*ms, s.campaign)
 }
 
-// leader returns the first running voter that leads, nil for none.
+// leader returns the first running voter that believes that it leads, or nil.
 func (s *simulation) leader() *simulatedVoter {
 	for _, v := range s.voters {
 		if v.replica.IsLeader() && !v.down && !v.stopped {
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// pickVoter draws a voter that has its disk; it may be down or stopped.
+// pickVoter draws a voter whose disk is not lost; the voter may be down or stopped.
 func (s *simulation) pickVoter() *simulatedVoter {
 	for {
 		if v := s.voters[s.rng.IntN(len(s.voters))]; !v.diskLost {
@@ -245,7 +245,7 @@
 	}
 }
 
-// save writes a state to the voter's disk after a delay, unless the voter crashes before.
+// save writes a state to the voter's disk after a delay, unless the voter crashes before the write.
 func (s *simulation) save(v *simulatedVoter, state PersistentState) {
 	incarnation := v.incarnation
 	v.saving = &state
--- a/internal/lease/quorum/state.go
+++ b/internal/lease/quorum/state.go
@@ -10,13 +10,13 @@
 	"mulleinpier/internal/lease"
 )
 
-// Index and term of the snapshot that the log of a new fleet starts with.
+// A new fleet's log starts with a snapshot of this index and term.
 const (
 	firstIndex = 1
 	firstTerm  = 1
 )
 
-// PersistentState is what a voter saves. In a [Save], what is nil does not change.
+// PersistentState is the state that a voter saves. In a [Save], fields that are nil leave the saved ones unchanged.
 type PersistentState struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot // of the state machine, with the voters
@@ -34,8 +34,8 @@
 	return newState(machine, voters, firstIndex, firstTerm)
 }
 
-// JoiningState returns the state that a voter starts with when it joins under a new ID: nothing, until a leader sends
-// it a snapshot.
+// JoiningState returns the state that a voter starts with when it joins under a new ID: it is empty, and a leader has
+// to send the voter a snapshot.
 func JoiningState() (PersistentState, error) {
 	return newState(lease.NewStateMachine(), nil, 0, 0)
 }
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -7,7 +7,7 @@
 	retryDelay = 50 * time.Millisecond
 	// requestTimeout is how long a session waits for a response.
 	requestTimeout = 300 * time.Millisecond
-	// renewalsPerDuration is how often a lease is renewed within its duration.
+	// renewalsPerDuration is the number of renewals within the duration of a lease.
 	renewalsPerDuration = 3
 )
 
@@ -33,7 +33,7 @@
 const (
 	Acquiring SessionState = iota // it requests the task, or waits in its queue
 	Holding                       // its holder may act while [Session.Valid] reports true
-	Finished                      // the task was released or lost, or the request rejected; final
+	Finished                      // the task was released or lost, or the request was rejected; the last state
 )
 
 // NewSession returns a session that sends the command acquire, an Acquire, at its first TimerFired.
@@ -54,10 +54,10 @@
 	return s.token, s.state == Holding && now < s.validUntil
 }
 
-// ValidUntil returns when the holder must have stopped.
+// ValidUntil returns the time at which the holder must have stopped; 0 if it has never held the task.
 func (s *Session) ValidUntil() time.Duration { return s.validUntil }
 
-// NextWakeup returns when the session needs its next TimerFired.
+// NextWakeup returns the time at which the session needs its next TimerFired.
 func (s *Session) NextWakeup() time.Duration {
 	next := s.nextRequest
 	if s.requestPending {
@@ -86,7 +86,7 @@
 		return append(out, SendRelease{s.releaseCommand()}, Ended{NotHeld})
 	case Response:
 		if e.Sequence != s.sequence || !s.requestPending {
-			return out // to an older request, whose send time is no longer known
+			return out // the response is to an older request, whose send time is no longer known
 		}
 		s.requestPending = false
 		return s.handleResponse(now, e, out)
@@ -116,7 +116,7 @@
 	case Granted:
 		return s.handleGrant(now, e.Token, out)
 	default:
-		if s.state == Holding { // revoked or expired: release it, so that others need not wait for its end
+		if s.state == Holding { // the grant was revoked or has expired: release it, so that waiters get it sooner
 			out = append(out, SendRelease{s.releaseCommand()})
 		}
 		s.state = Finished
@@ -125,12 +125,12 @@
 	return out
 }
 
-// handleGrant counts the lease from when the request was sent; the voters start to count later.
+// handleGrant counts the lease from when the request was sent; the voters count it from a later time.
 func (s *Session) handleGrant(now time.Duration, token uint64, out []SessionAction) []SessionAction {
 	until := s.requestSent + s.parameters.holderDuration(s.acquire.Duration)
 	if now >= until || s.state == Holding && token != s.token {
 		s.nextRequest = now
-		return out // expired already, or another grant: the next request is due at once
+		return out // the lease has expired already, or the grant is another one: send the next request immediately
 	}
 	s.nextRequest = s.requestSent + s.renewInterval()
 	s.validUntil = max(s.validUntil, until)
--- a/internal/lease/session_messages.go
+++ b/internal/lease/session_messages.go
@@ -12,7 +12,7 @@
 		Outcome  Outcome
 		Token    uint64 // fencing token, with Granted
 	}
-	// ReleaseRequested makes the session release the task, or leave its queue.
+	// ReleaseRequested makes the session release the task, or leave the task's queue.
 	ReleaseRequested struct{}
 )
 
@@ -29,7 +29,7 @@
 	Queued                  // the sender waits in the task's queue
 	Granted                 // the sender holds the task; the lease counts from when it sent the request
 	Rejected                // the command failed, such as an Acquire without Wait while others hold the task
-	NotHeld                 // the sender does not hold the task, or no longer
+	NotHeld                 // the sender does not hold the task, or no longer holds it
 )
 
 // SessionAction is an output of a [Session], which its caller carries out.
@@ -42,7 +42,7 @@
 		Command  Command
 		Token    uint64 // of the lease to renew; 0 for an Acquire
 	}
-	// SendRelease sends a Release once no action runs under the grant any more. Its answer is not needed.
+	// SendRelease sends a Release once no action runs under the grant any more. The session needs no response to it.
 	SendRelease struct{ Command Command }
 	// Acquired says that the session holds the task now.
 	Acquired struct{ Token uint64 }
--- a/internal/lease/statemachine.go
+++ b/internal/lease/statemachine.go
@@ -19,7 +19,7 @@
 	Nonce    uint64        `cbor:"2,keyasint" json:"-"`      // of the Acquire that created it
 	Token    uint64        `cbor:"3,keyasint" json:"number"` // fencing token
 	Duration time.Duration `cbor:"4,keyasint" json:"length"`
-	Revoked  bool          `cbor:"5,keyasint,omitempty" json:"revoked,omitempty"` // it can't be renewed any more
+	Revoked  bool          `cbor:"5,keyasint,omitempty" json:"revoked,omitempty"` // the grant can't be renewed any more
 }
 
 // Waiter is a process that waits in a task's queue.
@@ -41,7 +41,7 @@
 	Tasks     map[string]*Task `cbor:"1,keyasint" json:"tasks"`
 	LastToken uint64           `cbor:"2,keyasint" json:"last_number"`
 	// Voters are the voters' names by ID. A voter that has lost its file may rejoin only under a new ID: it does not
-	// know what it promised under the old one, so the old one never votes again.
+	// know what it promised under the old ID, which therefore never votes again.
 	Voters      map[uint64]string `cbor:"3,keyasint" json:"seats"`
 	LastVoterID uint64            `cbor:"4,keyasint" json:"last_seat"`
 }
@@ -74,7 +74,7 @@
 	return c
 }
 
-// FindGrant returns the grant of a task with a fencing token.
+// FindGrant returns a task's grant with the given fencing token, and whether there is one.
 func (m *StateMachine) FindGrant(task string, token uint64) (Grant, bool) {
 	if t := m.Tasks[task]; t != nil && token > 0 {
 		if i := t.grantIndex(token); i >= 0 {
@@ -94,7 +94,7 @@
 	EndedTokens []uint64 // of the grants that this command ended
 }
 
-// Apply applies the next command of the log.
+// Apply applies the next command of the log. A command that is rejected sets Result.Err, and grants and ends nothing.
 func (m *StateMachine) Apply(c *Command) Result {
 	if c.Kind == AddVoter || c.Kind == RemoveVoter {
 		return Result{Err: m.changeVoters(c)}
@@ -137,7 +137,8 @@
 	return t, nil
 }
 
-// acquire grants the task or queues the sender. A repeated Acquire gets the grant or keeps the place of the first one.
+// acquire grants the task or queues the sender. A duplicate of an Acquire gets the grant of the first one, or keeps its
+// place in the queue.
 func (m *StateMachine) acquire(t *Task, c *Command) Result {
 	for _, g := range t.Grants {
 		if g.Holder == c.Holder && g.Nonce == c.Nonce {
@@ -202,7 +203,7 @@
 	r := Result{EndedTokens: []uint64{c.Token}}
 	if len(t.Grants) < t.MaxHolders {
 		r.NewGrants = append(r.NewGrants, m.grant(t, next))
-	} else { // the limit was lowered meanwhile
+	} else { // the limit was lowered below the number of grants
 		t.Waiters = slices.Insert(t.Waiters, 0, next)
 	}
 	return m.grantWaiters(t, r)
--- a/internal/lease/statemachine_test.go
+++ b/internal/lease/statemachine_test.go
@@ -27,29 +27,29 @@
 		want want
 	}{
 		{acquireCommand("a", "x", 1, false), want{1, true, []uint64{1}, nil}},
-		{acquireCommand("a", "x", 1, false), want{1, false, nil, nil}}, // sent twice
+		{acquireCommand("a", "x", 1, false), want{1, false, nil, nil}}, // a duplicate gets no second grant
 		{acquireCommand("a", "x", 2, false), want{err: ErrHeld}},       // another acquisition of x
 		{acquireCommand("a", "y", 3, true), want{}},
-		{acquireCommand("a", "y", 3, true), want{}}, // queued only once
+		{acquireCommand("a", "y", 3, true), want{}}, // a duplicate is not queued again
 		{acquireCommand("a", "z", 4, true), want{}},
-		{acquireCommand("b", "z", 5, false), want{2, true, []uint64{2}, nil}}, // tokens rise across tasks
+		{acquireCommand("b", "z", 5, false), want{2, true, []uint64{2}, nil}}, // all tasks share one sequence of tokens
 		{Command{Kind: Release, Task: "a", Token: 7}, want{err: ErrUnknownGrant}},
-		{Command{Kind: Transfer, Task: "a", Token: 1, To: "z"}, want{granted: []uint64{3}}}, // ahead of y
+		{Command{Kind: Transfer, Task: "a", Token: 1, To: "z"}, want{granted: []uint64{3}}}, // z goes ahead of y
 		{Command{Kind: Transfer, Task: "a", Token: 3, To: "q"}, want{err: ErrUnknownGrant}}, // q does not wait
-		{Command{Kind: Release, Task: "a", Token: 1}, want{err: ErrUnknownGrant}},           // already ended
+		{Command{Kind: Release, Task: "a", Token: 1}, want{err: ErrUnknownGrant}},           // the grant has ended already
 		{Command{Kind: Revoke, Task: "a", Token: 3}, want{}},
 		{acquireCommand("a", "z", 4, true), want{3, false, nil, nil}}, // z holds the revoked grant until it expires
 		{Command{Kind: Expire, Task: "a", Token: 3}, want{granted: []uint64{4}}},
 		{Command{Kind: SetLimit, Task: "a", MaxHolders: 3}, want{}},
 		{acquireCommand("a", "u", 6, false), want{5, true, []uint64{5}, nil}},
 		{acquireCommand("a", "v", 7, false), want{6, true, []uint64{6}, nil}},
-		{Command{Kind: SetLimit, Task: "a", MaxHolders: 1}, want{}}, // lowered while held
+		{Command{Kind: SetLimit, Task: "a", MaxHolders: 1}, want{}}, // below the number of grants: none ends
 		{acquireCommand("a", "w", 8, true), want{}},
 		{Command{Kind: Release, Task: "a", Token: 4}, want{}},
 		{Command{Kind: Release, Task: "a", Token: 5}, want{}},
 		{Command{Kind: Release, Task: "a", Token: 6}, want{granted: []uint64{7}}},
 		{acquireCommand("a", "m", 9, true), want{}},
-		{Command{Kind: Release, Task: "a", Holder: "m", Nonce: 9}, want{}}, // out of the queue
+		{Command{Kind: Release, Task: "a", Holder: "m", Nonce: 9}, want{}}, // m leaves the queue
 		{Command{Kind: Release, Task: "a", Holder: "m", Nonce: 9}, want{err: ErrUnknownGrant}},
 		{Command{Kind: Release, Task: "none", Token: 1}, want{err: ErrUnknownGrant}},
 	} {
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestStateMachineKeepsLimitsAndTokenOrder checks guarantees 1 and 2 of the state machine alone with random commands,
-// some of which change the limits: no task is granted beyond its limit, and tokens only rise.
+// TestStateMachineKeepsLimitsAndTokenOrder checks that random commands, some of which change the limits, never grant a
+// task beyond its limit, and that fencing tokens only rise (guarantees 1 and 2, for the state machine alone).
 func TestStateMachineKeepsLimitsAndTokenOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
--- a/internal/lease/voters.go
+++ b/internal/lease/voters.go
@@ -14,7 +14,7 @@
 }
 
 // CheckVoterChange returns the ID of the voter that an AddVoter or RemoveVoter adds or removes, or
-// ErrInvalidVoterChange.
+// ErrInvalidVoterChange. It changes nothing.
 func (m *StateMachine) CheckVoterChange(c *Command) (id uint64, err error) {
 	id = m.VoterID(c.To)
 	if c.Kind == AddVoter {
@@ -29,8 +29,8 @@
 	return id, nil
 }
 
-// changeVoters adds or removes a voter. A command whose ID is not the expected one is rejected: another change was
-// applied since it was proposed.
+// changeVoters adds or removes a voter. A command whose VoterID is not the expected one is rejected: another change was
+// applied after the command had been proposed.
 func (m *StateMachine) changeVoters(c *Command) error {
 	id, err := m.CheckVoterChange(c)
 	switch {
