--- a/internal/fleettest/faultinject/backlog.go
+++ b/internal/fleettest/faultinject/backlog.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// backlogDialTimeout is how long a dial may take before the backlog counts as full.
+// backlogDialTimeout is the duration of a dial after which the backlog is considered full.
 const backlogDialTimeout = 100 * time.Millisecond
 
-// FillBacklog opens up to limit connections to an address, and keeps them idle until ctx ends. If the process there is
-// stopped, they fill its backlog. It returns the number of connections that were opened.
+// FillBacklog opens up to limit connections to an address, and keeps them idle until ctx ends. If the process that
+// listens at the address is stopped, the connections fill its backlog. It returns the number of opened connections.
 func FillBacklog(ctx context.Context, address string, limit int) (count int) {
 	var conns []net.Conn
 	defer func() {
@@ -21,7 +21,7 @@
 	for len(conns) < limit && ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp", address, backlogDialTimeout)
 		if err != nil {
-			break // full
+			break // the backlog is full
 		}
 		conns = append(conns, c)
 	}
--- a/internal/fleettest/faultinject/cpu.go
+++ b/internal/fleettest/faultinject/cpu.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// StarveCPU restricts a process to one core, on which it runs a number of busy processes, until ctx ends. Then the
-// process may use the same cores as before.
+// StarveCPU restricts the process pid to one core until ctx ends, and keeps that core busy with other processes. After
+// that, the process may use the same cores as before.
 func StarveCPU(ctx context.Context, pid, busyProcesses int) error {
 	var before, core unix.CPUSet
 	if err := unix.SchedGetaffinity(pid, &before); err != nil {
@@ -52,8 +52,8 @@
 	return cores
 }
 
-// startBusyProcess starts a process that keeps a core busy. Busy threads of the present process would delay the clients
-// and the checks of the test. The started process ends when the present one does, even if that is killed.
+// startBusyProcess starts a process that keeps a core busy. Busy threads of this process would delay the test's clients
+// and checks. The started process ends when this process ends, even if this process is killed.
 func startBusyProcess(core *unix.CPUSet) (*exec.Cmd, error) {
 	c := exec.Command("sh", "-c", `while kill -0 "$0" 2>/dev/null; do :; done`, strconv.Itoa(os.Getpid()))
 	if err := c.Start(); err != nil {
--- a/internal/fleettest/faultinject/disk.go
+++ b/internal/fleettest/faultinject/disk.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// FullDisk simulates a full disk for a process, for a time or until ctx ends: each write to a file fails (with EFBIG
-// instead of ENOSPC), and a write in progress is cut short. This applies to the process's log too.
+// FullDisk simulates a full disk for a process, for the duration d or until ctx ends: each write to a file fails (with
+// EFBIG instead of ENOSPC), and a write in progress is cut short. This applies to the process's log, too.
 func FullDisk(ctx context.Context, pid int, d time.Duration) error {
 	var before unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &before); err != nil {
--- a/internal/fleettest/faultinject/helpers_test.go
+++ b/internal/fleettest/faultinject/helpers_test.go
@@ -11,7 +11,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// startEcho starts a server that sends back what it gets.
+// startEcho starts a server that sends back all data that it receives, and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	return testutil.ServeConnections(t, func(c net.Conn) {
@@ -20,7 +20,7 @@
 	})
 }
 
-// startLineServer starts a server that calls handle with each line that it receives.
+// startLineServer starts a server that calls handle with each line that it receives, and returns its address.
 func startLineServer(t *testing.T, handle func(c net.Conn, line string)) string {
 	t.Helper()
 	return testutil.ServeConnections(t, func(c net.Conn) {
@@ -31,7 +31,7 @@
 	})
 }
 
-// openLink opens a link that is closed with the test.
+// openLink opens a link to target, which is closed at the end of the test.
 func openLink(t *testing.T, target string) *Link {
 	t.Helper()
 	l, err := NewLink("127.0.0.1", target)
--- a/internal/fleettest/faultinject/link.go
+++ b/internal/fleettest/faultinject/link.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// maxLinkConns limits the connections of a link; further ones are closed at once. Each has two ends.
+	// maxLinkConns limits the connections of a link; further connections are closed as soon as they are accepted.
 	maxLinkConns = 1024
 	// linkDialTimeout limits how long the target may take to accept a connection.
 	linkDialTimeout = 2 * time.Second
-	// maxFillers is the maximum number of connections that fill the backlog. The kernel queues one or two more than the
-	// backlog's length, which is 0.
+	// maxFillers limits the connections that a link opens to itself to fill its backlog. The kernel queues one or two
+	// connections more than the backlog's length, which is 0 at that time.
 	maxFillers        = 8
 	fillerDialTimeout = 50 * time.Millisecond
 	normalBacklog     = 128
 )
 
-// pastDeadline is a deadline in the past, which ends a blocked call at once.
+// pastDeadline is a deadline in the past, which ends a blocked call immediately.
 var pastDeadline = time.Unix(1, 0)
 
-// Link forwards connections to its address to a target, and can block, delay, slow, duplicate or reset them. It is safe
-// for concurrent use.
+// Link accepts connections at its address and forwards them to a target. It can block, delay, slow, duplicate or reset
+// them. It is safe for concurrent use.
 type Link struct {
 	target   string
 	address  string
@@ -61,7 +61,8 @@
 // Address returns the address on which the link listens.
 func (l *Link) Address() string { return l.address }
 
-// SetFault replaces the fault of the link. The zero Fault ends it.
+// SetFault replaces the fault of the link; the zero Fault ends the current fault. It fails if the link is closed, or if
+// the backlog cannot be filled or emptied.
 func (l *Link) SetFault(f Fault) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +83,7 @@
 }
 
 // FaultySince reports whether the link has a fault now, or whether its fault was changed or its connections were reset
-// after a time.
+// after the time at.
 func (l *Link) FaultySince(at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,11 +119,11 @@
 	if err := l.setBacklogLocked(0); err != nil {
 		return err
 	}
-	l.listener.SetDeadline(pastDeadline) // ends accept, but leaves the socket open
+	l.listener.SetDeadline(pastDeadline) // makes accept return, but leaves the socket open
 	for range maxFillers {
 		c, err := net.DialTimeout("tcp", l.address, fillerDialTimeout)
 		if err != nil {
-			return nil // full
+			return nil // the backlog is full
 		}
 		l.fillers = append(l.fillers, c)
 	}
@@ -170,7 +171,8 @@
 	}
 }
 
-// addConn registers one end of a connection. It closes it and returns false if the link is closed or has too many.
+// addConn registers one end of a connection. If the link is closed or has too many connections, it closes this end and
+// returns false.
 func (l *Link) addConn(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,7 +199,7 @@
 	defer l.removeConn(in)
 	out, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
 	if err != nil {
-		in.(*net.TCPConn).SetLinger(0) // as if the target had refused it
+		in.(*net.TCPConn).SetLinger(0) // closing with linger 0 resets the connection
 		return
 	}
 	if !l.addConn(out) {
@@ -216,8 +218,8 @@
 	tasks.Wait()
 }
 
-// awaitUnblocked waits while a direction is blocked. It reports whether it was blocked, and whether the link is still
-// open.
+// awaitUnblocked waits while a direction is blocked. It reports whether the direction was blocked, and whether the link
+// is still open.
 func (l *Link) awaitUnblocked(direction func(*Fault) *Direction) (blocked, open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleettest/faultinject/link_test.go
+++ b/internal/fleettest/faultinject/link_test.go
@@ -10,7 +10,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// Invariant 2: data that a fault holds back arrives completely and in order once the fault ends, and none before.
+// TestBlockedLinkDeliversLater checks that data that a fault holds back arrives completely and in order once the fault
+// ends, and not before (invariant 2: a link forwards what it receives completely and in order, or ends the connection).
 func TestBlockedLinkDeliversLater(t *testing.T) {
 	for _, name := range []string{"forth", "back", "cut"} {
 		t.Run(name, func(t *testing.T) {
@@ -58,7 +59,8 @@
 	}
 }
 
-// A link that duplicates sends what it receives on a new connection to the target twice, on two connections.
+// TestLinkDuplicates checks that a link with the fault "twice" sends what it receives on a new connection to the target
+// on two connections, and drops the answer on the second one.
 func TestLinkDuplicates(t *testing.T) {
 	received := make(chan string, 10)
 	target := startLineServer(t, func(c net.Conn, line string) {
@@ -78,8 +80,9 @@
 	wantSilence(t, c, in) // the answer to the duplicate is dropped
 }
 
-// A connection may be opened just before the backlog is full, and wait there with all that its sender writes. If the
-// sender then resets the connection, none of that is delivered once the link accepts connections again.
+// TestResetConnectionInBacklogIsNotDelivered checks that a link delivers no data of a connection that its sender reset
+// while the link was cut. Such a connection may have been opened just before the backlog was full, and wait in it with
+// all the data that its sender wrote.
 func TestResetConnectionInBacklogIsNotDelivered(t *testing.T) {
 	giveUp := func(c *net.TCPConn) {
 		c.SetLinger(0)
@@ -90,8 +93,9 @@
 	checkBacklog(t, target, giveUp, received)
 }
 
-// The same for a sender that closes its connection: the end of the connection arrives together with the data, so that
-// the reader can see that nobody waits for an answer.
+// TestClosedConnectionInBacklogIsSeenClosed checks that, if a sender closes its connection while the link is cut, the
+// end of the connection reaches the target together with the data. The target can then detect that no client waits for
+// an answer.
 func TestClosedConnectionInBacklogIsSeenClosed(t *testing.T) {
 	giveUp := func(c *net.TCPConn) { c.Close() }
 	received := make(chan string, 1000)
@@ -103,15 +107,15 @@
 	checkBacklog(t, target, giveUp, received)
 }
 
-// checkBacklog cuts links while connections are being opened, ends these connections by giveUp, and ends the cut. Only
-// lines of connections that were opened after the cut may be received.
+// checkBacklog cuts links while connections are being opened, ends these connections by giveUp, and ends the cut. The
+// target may send to received only the lines of connections that were opened after the end of the cut.
 func checkBacklog(t *testing.T, target string, giveUp func(*net.TCPConn), received <-chan string) {
 	t.Helper()
 	written := 0
 	for range 10 {
 		l := openLink(t, target)
 		conns := dialUntilCut(t, l)
-		for _, c := range conns { // the last of them may wait in the backlog
+		for _, c := range conns { // the last connections may wait in the backlog
 			if _, err := io.WriteString(c, "given up\n"); err == nil {
 				written++
 			}
@@ -131,7 +135,7 @@
 	}
 }
 
-// dialUntilCut opens connections, four at a time, until it has cut the link. It returns those that were opened.
+// dialUntilCut opens connections, four at a time, until it has cut the link, and returns the connections.
 func dialUntilCut(t *testing.T, l *Link) (conns []*net.TCPConn) {
 	t.Helper()
 	var tasks sync.WaitGroup
--- a/internal/fleettest/faultinject/linkfault.go
+++ b/internal/fleettest/faultinject/linkfault.go
@@ -5,16 +5,16 @@
 // Direction is a fault of one direction of a link.
 type Direction struct {
 	Blocked        bool          // nothing is forwarded; received data is delivered when the fault ends
-	Delay          time.Duration // of each chunk of data
+	Delay          time.Duration // added to each chunk of data
 	BytesPerSecond int           // 0 means unlimited
 }
 
-// Fault is a fault of a link. The zero value forwards everything at once.
+// Fault is a fault of a link. The zero value means no fault: data is forwarded without delay.
 type Fault struct {
 	Forward, Backward Direction // from the connecting side to the target, and back
 	BacklogFull       bool      // no new connections can be opened
-	// Duplicate opens a second connection to the target for each new connection. It sends the forward data on both, and
-	// drops the answers on the second.
+	// Duplicate opens a second connection to the target for each new connection. The link sends the forward data on
+	// both, and drops the answers on the second one.
 	Duplicate bool
 }
 
--- a/internal/fleettest/faultinject/process_test.go
+++ b/internal/fleettest/faultinject/process_test.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// Invariant 1: a process is stopped for the duration of the schedule and then continues, also if the context ends
-// early.
+// TestStopEnds checks that a process is stopped for the duration in the schedule and then continues, even if the context
+// ends during the stop (invariant 1: every fault ends, and no process is left stopped).
 func TestStopEnds(t *testing.T) {
 	pid := startProcess(t, "sleep", "60")
 	var stops []time.Duration
@@ -37,7 +37,8 @@
 	}
 }
 
-// Invariant 1: StarveCPU and FillBacklog end with their contexts.
+// TestStarvingAndFullBacklogEnd checks that StarveCPU and FillBacklog return when their contexts end (invariant 1: every
+// fault ends).
 func TestStarvingAndFullBacklogEnd(t *testing.T) {
 	pid := startProcess(t, "sleep", "60")
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -52,7 +53,7 @@
 	}
 }
 
-// A process writes nothing to a file while its disk is full, and can write again afterwards.
+// TestFullDiskEnds checks that a process writes nothing to a file during FullDisk, and can write again afterwards.
 func TestFullDiskEnds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "out")
 	pid := startProcess(t, "sh", "-c", "trap '' XFSZ; while :; do echo line >> "+path+"; sleep 0.01; done")
--- a/internal/fleettest/faultinject/socket.go
+++ b/internal/fleettest/faultinject/socket.go
@@ -22,17 +22,17 @@
 	return true
 }
 
-// cork makes the kernel hold back a partial segment until more is written, or the connection ends.
+// cork makes the kernel hold back a partial segment until more data is written, the connection ends, or uncork.
 func cork(c net.Conn) {
 	withDescriptor(c, func(fd int) { unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_CORK, 1) })
 }
 
-// uncork undoes cork, so that the kernel sends what it holds back.
+// uncork undoes cork: the kernel sends the data that it has held back.
 func uncork(c net.Conn) {
 	withDescriptor(c, func(fd int) { unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_CORK, 0) })
 }
 
-// wasClosed reports whether the peer has closed a connection. It detects that only if everything has been read.
+// wasClosed reports whether the peer has closed a connection. It detects a close only if all received data was read.
 func wasClosed(c net.Conn) bool {
 	closed := false
 	ok := withDescriptor(c, func(fd int) {
@@ -45,8 +45,8 @@
 // tcpClose is the TCP state of a connection that was reset (TCP_CLOSE on Linux).
 const tcpClose = 7
 
-// wasReset reports whether the peer has reset a connection, even if some of it is unread. On a real link, data that a
-// fault holds back waits in the sender's kernel, which drops it when the sender resets the connection.
+// wasReset reports whether the peer has reset a connection, even if some received data is unread. On a real link, data
+// that a fault holds back waits in the sender's kernel, which drops it when the sender resets the connection.
 func wasReset(c net.Conn) bool {
 	closed := true
 	ok := withDescriptor(c, func(fd int) {
--- a/internal/fleettest/faultinject/stop.go
+++ b/internal/fleettest/faultinject/stop.go
@@ -9,19 +9,18 @@
 	"time"
 )
 
-// StopSchedule describes stops of a process, as they are caused by a paused virtual machine, a swapping host or a
-// debugger.
+// StopSchedule describes stops of a process, such as a paused virtual machine, a swapping host or a debugger causes.
 type StopSchedule struct {
 	Duration time.Duration // length of each stop
-	Interval time.Duration // from the start of one stop to that of the next
+	Interval time.Duration // from the start of one stop to the start of the next
 	Count    int           // number of stops; below 1 counts as 1
 }
 
 // stopTimeout limits the wait until a process has stopped.
 const stopTimeout = time.Second
 
-// Run stops a process by the schedule. It always continues the process, even if ctx ends or a stop fails. It calls
-// stopped after each stop.
+// Run stops a process by the schedule, until ctx ends. It always continues the process, even if ctx ends or a stop
+// fails. It calls stopped with the start and the end of each stop, after the stop.
 func (s StopSchedule) Run(ctx context.Context, pid int, stopped func(from, to time.Time)) error {
 	for i := range max(s.Count, 1) {
 		from := time.Now()
@@ -66,7 +65,7 @@
 	return strings.HasPrefix(rest, "T")
 }
 
-// Sleep sleeps for a time, or until ctx ends.
+// Sleep sleeps for the duration d, or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/fleettest/faultinject/threads.go
+++ b/internal/fleettest/faultinject/threads.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			continue
 		}
-		// The thread may have ended meanwhile (ESRCH).
+		// ESRCH means that the thread has ended since the folder was read.
 		if err := unix.SchedSetaffinity(id, set); err != nil && !errors.Is(err, unix.ESRCH) {
 			return fmt.Errorf("thread %d: %w", id, err)
 		}
--- a/internal/fleettest/faultinject/transfer.go
+++ b/internal/fleettest/faultinject/transfer.go
@@ -23,14 +23,15 @@
 type transfer struct {
 	link      *Link
 	from, to  net.Conn
-	duplicate net.Conn // second connection that gets everything too; nil if there is none
+	duplicate net.Conn // second connection that the data is also sent on; nil if there is none
 	direction func(*Fault) *Direction
 }
 
 // run forwards data, as the fault of the direction allows, until the connection or the link ends.
 func (t *transfer) run() {
 	chunk := make([]byte, maxChunkBytes)
-	// It is zero before the first read, as the connection may have waited in the backlog through any earlier fault.
+	// lastRead is zero before the first read, because the connection may have waited in the backlog during any earlier
+	// fault.
 	var lastRead time.Time
 	for {
 		n, err := t.from.Read(chunk)
@@ -77,9 +78,9 @@
 	return true
 }
 
-// forwardWithEnd forwards a chunk that a fault held back. If the sender has closed the connection meanwhile, ended is
-// true, and the end is to arrive together with the chunk, as it does when a kernel retransmits held-back data. ok is
-// false if the connection has ended otherwise.
+// forwardWithEnd forwards a chunk that a fault held back. If the sender has closed the connection during the fault,
+// ended is true, and the chunk stays corked so that it arrives together with the end of the connection, as it does when
+// a kernel retransmits held-back data. ok is false if the chunk could not be forwarded.
 func (t *transfer) forwardWithEnd(chunk []byte) (ok, ended bool) {
 	cork(t.to)
 	if !t.forwardChunk(chunk) {
@@ -92,7 +93,7 @@
 	return true, false
 }
 
-// delay sleeps for the time that the fault of the direction adds to a chunk of this size.
+// delay sleeps for the time that the fault of the direction adds to a chunk of size bytes.
 func (t *transfer) delay(size int) {
 	direction := t.link.state(t.direction)
 	d := direction.Delay
@@ -102,7 +103,7 @@
 	time.Sleep(min(d, maxTransferDelay))
 }
 
-// end forwards the end of the connection: a close as a close, anything else as a reset.
+// end ends the outgoing side as the incoming side has ended: io.EOF closes it for writing, any other error resets it.
 func (t *transfer) end(err error) {
 	if errors.Is(err, io.EOF) {
 		t.to.(*net.TCPConn).CloseWrite()
--- a/internal/lease/agent/client.go
+++ b/internal/lease/agent/client.go
@@ -15,7 +15,7 @@
 	"mulleinpier/internal/peer/rpc"
 )
 
-// executeRetryDelay is the delay between two attempts of Execute.
+// executeRetryDelay is the delay between two attempts of Client.Execute.
 const executeRetryDelay = 50 * time.Millisecond
 
 // Client sends requests to the voters of a fleet. It is safe for concurrent use.
@@ -35,11 +35,11 @@
 	return &Client{fleet: f, http: rpc.NewClient(0)}, nil
 }
 
-// Close closes idle connections.
+// Close closes the client's idle connections; requests in flight continue.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// send sends a request once, to the presumed leader. If that voter does not decide, the other voter that it names is
-// presumed to lead; if it does not answer or names none, the next one in the list is.
+// send sends a request once, to the presumed leader. If that voter answers NoAnswer and names another voter, that other
+// one becomes the presumed leader; if it does not answer or names no other, the next one in the list does.
 func (c *Client) send(ctx context.Context, command lease.Command, token uint64) (Reply, error) {
 	c.mu.Lock()
 	leader := c.leader
@@ -102,8 +102,8 @@
 	return list
 }
 
-// Members returns the fleet's instances as the majority sees them of the voters that answer before ctx ends, and the
-// number of those voters.
+// Members asks all voters for the states of the fleet's instances. It merges what the voters report that answer before
+// ctx ends, by majority among them, and returns the number of these voters, too.
 func (c *Client) Members(ctx context.Context) (list []peer.MemberState, answered int) {
 	states := make([]VoterState, len(c.fleet.Voters))
 	errs := make([]error, len(c.fleet.Voters))
--- a/internal/lease/agent/clock.go
+++ b/internal/lease/agent/clock.go
@@ -14,7 +14,7 @@
 )
 
 // Now returns the time by the leases' clock: the time since the start of the process, plus how long the machine has
-// slept since boot. Only differences of two readings in one process mean anything.
+// slept since boot. Only the difference between two readings in the same process is meaningful.
 func Now() time.Duration {
 	totalSleep := clock.TotalSleep
 	if override := totalSleepOverride.Load(); override != nil {
@@ -23,6 +23,6 @@
 	return time.Since(processStart) + totalSleep()
 }
 
-// OverrideTotalSleep replaces the function that reports how long the machine has slept in total. It is for fault tests,
-// which call it at the start of a process.
+// OverrideTotalSleep replaces the function that reports how long the machine has slept since boot. Only fault tests use
+// it; they call it at the start of a process.
 func OverrideTotalSleep(totalSleep func() time.Duration) { totalSleepOverride.Store(&totalSleep) }
--- a/internal/lease/agent/fleet_test.go
+++ b/internal/lease/agent/fleet_test.go
@@ -18,7 +18,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// voterHost is an address from which no connection is opened, so that a port that was free stays free.
+// voterHost is an address that no test opens outgoing connections from, so no such connection takes a voter's port.
 const voterHost = "127.0.0.5:0"
 
 // testFleet is three voters in this process, each with a disk and a listener of its own.
@@ -43,7 +43,7 @@
 	return f
 }
 
-// newStoppedFleet returns three voters with addresses and paths of their files, none of which is started.
+// newStoppedFleet returns a fleet of three voters with addresses and file paths, but starts none of them.
 func newStoppedFleet(t *testing.T) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, Fleet: Fleet{Name: "test"}, paths: make([]string, 3), stops: make([]func(), 3)}
@@ -127,7 +127,7 @@
 	return token
 }
 
-// wantHigher checks that a fencing token is higher than the one before it, and returns it.
+// wantHigher checks that a fencing token is higher than an earlier one, and returns the token.
 func (f *testFleet) wantHigher(token, before uint64) uint64 {
 	f.t.Helper()
 	if token <= before {
@@ -167,7 +167,7 @@
 	})
 }
 
-// voterState returns the state of one voter. It is empty if the voter does not answer.
+// voterState returns the state of one voter, or an empty state if the voter does not answer.
 func (f *testFleet) voterState(i int) (s VoterState) {
 	response, err := http.Get("http://" + f.Fleet.Voters[i].Address + statePath)
 	if err == nil {
--- a/internal/lease/agent/handlers.go
+++ b/internal/lease/agent/handlers.go
@@ -61,7 +61,7 @@
 		case <-r.Context().Done():
 			return
 		}
-	default: // the queue is full: NoAnswer
+	default: // the queue is full: the reply's outcome stays NoAnswer
 	}
 	if reply.Outcome == lease.NoAnswer {
 		if s, ok := v.queryState(r.Context()); ok {
@@ -80,7 +80,7 @@
 	json.NewEncoder(w).Encode(s)
 }
 
-// queryState gets this voter's state from the loop. It reports false if ctx ends first.
+// queryState gets this voter's state from the goroutine of loop. It reports false if ctx ends first.
 func (v *Voter) queryState(ctx context.Context) (VoterState, bool) {
 	reply := make(chan VoterState, 1)
 	select {
@@ -96,7 +96,7 @@
 	}
 }
 
-// state returns this voter's state. It runs in the loop, and copies what the loop may change later.
+// state returns this voter's state. It is called by loop, and copies what loop may change later.
 func (v *Voter) state() VoterState {
 	machine, now := v.replica.StateMachine(), Now()
 	s := VoterState{
--- a/internal/lease/agent/holder.go
+++ b/internal/lease/agent/holder.go
@@ -11,7 +11,7 @@
 	"mulleinpier/internal/peer/rpc"
 )
 
-// ErrLeaseLost says that a lease is no longer held.
+// ErrLeaseLost says that the holder has no valid lease: it has lost or released the task, or does not hold it yet.
 var ErrLeaseLost = errors.New("lease: lost")
 
 // minWakeup is the shortest time between two timer events of a session.
@@ -23,7 +23,7 @@
 
 	mu             sync.Mutex
 	session        *lease.Session
-	changed        chan struct{}  // closed at the next change
+	changed        chan struct{}  // closed and replaced whenever the session changes, see notify
 	endOutcome     lease.Outcome  // set when the session finishes
 	activeActions  int            // calls of RunGuarded in progress
 	pendingRelease *lease.Command // sent once no action runs under the grant any more
@@ -31,8 +31,8 @@
 	goroutines     sync.WaitGroup
 }
 
-// Hold requests a task and, if wait is set, waits in the queue while others hold it. The caller ends it with
-// [Holder.Close] or [Holder.Abandon].
+// Hold requests a task and, if wait is set, waits in the queue while others hold it. It returns without waiting; see
+// [Holder.Await]. The caller ends the holder with [Holder.Close] or [Holder.Abandon].
 func (c *Client) Hold(
 	ctx context.Context, task, name string, duration time.Duration, wait bool,
 ) (*Holder, error) {
--- a/internal/lease/agent/holder_test.go
+++ b/internal/lease/agent/holder_test.go
@@ -13,8 +13,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestOneHolderAtATime acquires, waits for and releases a task while the leader stops: tokens rise, and the waiter gets
-// the task.
+// TestOneHolderAtATime checks that a holder can act while the leader changes, that the waiter gets the task with a
+// higher fencing token once the holder releases it, and that the former holder can no longer act.
 func TestOneHolderAtATime(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestRevokedGrantIsWaitedOut checks guarantee 4 of package lease: when the next holder has the task, the one whose
-// grant was revoked can no longer act.
+// TestRevokedGrantIsWaitedOut checks that a revoked grant stays in force until it expires or is released (guarantee 4
+// of package lease): once the next holder has the task, the holder of the revoked grant can no longer act.
 func TestRevokedGrantIsWaitedOut(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -60,8 +60,8 @@
 	<-lost
 }
 
-// TestRevokedDuringAction checks guarantee 4 for a grant that is revoked during an action: the holder releases it only
-// after the action has ended.
+// TestRevokedDuringAction checks that a holder whose grant is revoked during an action releases the grant only after
+// the action has ended (guarantee 4 of package agent).
 func TestRevokedDuringAction(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -73,7 +73,7 @@
 		ended <- a.RunGuarded(context.Background(), func(ctx context.Context, _ uint64) error {
 			acting.Store(true)
 			close(started)
-			<-ctx.Done() // the lease is lost, and the action goes on for a while
+			<-ctx.Done() // the lease is lost, and the action runs on for 200 ms
 			time.Sleep(200 * time.Millisecond)
 			acting.Store(false)
 			return nil
@@ -94,7 +94,8 @@
 	}
 }
 
-// TestHandOverMakesWaiterNext hands a task over to the last of three waiters: it becomes the next holder.
+// TestHandOverMakesWaiterNext checks that a task that is handed over to the last of three waiters is granted to that
+// waiter next, and not to the waiters before it in the queue.
 func TestHandOverMakesWaiterNext(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -119,8 +120,8 @@
 	}
 }
 
-// TestHandOverToDeadWaiter hands a task over to a waiter that has died: its grant expires, and the next waiter gets the
-// task.
+// TestHandOverToDeadWaiter checks that the next waiter gets the task after a handover to a waiter that has died. The
+// grant of the dead waiter has to expire first.
 func TestHandOverToDeadWaiter(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -141,7 +142,7 @@
 	f.wantHigher(f.await(waiting[1]), token)
 }
 
-// TestManyContenders has a thousand contenders for one task of three voters: each holds it once, one at a time.
+// TestManyContenders checks that each of a thousand contenders for one task acts once, and no two at a time.
 func TestManyContenders(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a thousand contenders")
--- a/internal/lease/agent/links.go
+++ b/internal/lease/agent/links.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxQueuedMessages limits the messages queued for each other voter; raft sends again what is dropped.
+	// maxQueuedMessages limits the messages queued for each other voter. Further ones are dropped; raft sends again.
 	maxQueuedMessages = 256
 	// maxBatchBytes is the size at which no further message is added to a batch.
 	maxBatchBytes = rpc.MaxBodyBytes / 4
@@ -26,12 +26,12 @@
 	}
 	select {
 	case v.messageQueues[v.voterName(m.GetTo())] <- data:
-	default: // no voter of that name, or its queue is full
+	default: // the recipient has no queue, or its queue is full
 	}
 }
 
-// voterName returns the name of the voter with an ID, "" if it is unknown. A voter that has just joined has an empty
-// state machine, and knows the others only from the messages that they send.
+// voterName returns the name of the voter with an ID, or "" if the name is unknown. A voter that has just joined has an
+// empty state machine, and knows the other voters only from the messages that they send.
 func (v *Voter) voterName(id uint64) string {
 	if name := v.replica.StateMachine().Voters[id]; name != "" {
 		return name
@@ -41,7 +41,7 @@
 	return v.senders[id]
 }
 
-// recordSender records the name of the voter that sends under an ID.
+// recordSender records the name of a voter that sent a message, by its ID. Names that are not in the fleet are ignored.
 func (v *Voter) recordSender(name string, id uint64) {
 	if v.fleet.voterIndex(name) < 0 {
 		return
@@ -69,6 +69,6 @@
 			batch.Messages = append(batch.Messages, data)
 			size += len(data)
 		}
-		rpc.Post(ctx, v.client, to.Address, messagesPath, batch, nil) // raft sends lost messages again
+		rpc.Post(ctx, v.client, to.Address, messagesPath, batch, nil) // errors are ignored: raft sends again
 	}
 }
--- a/internal/lease/agent/norace_test.go
+++ b/internal/lease/agent/norace_test.go
@@ -2,5 +2,5 @@
 
 package agent
 
-// concurrentContenders is how many contenders wait at a time.
+// concurrentContenders is the number of contenders that request the task at the same time.
 const concurrentContenders = 1000
--- a/internal/lease/agent/protocol.go
+++ b/internal/lease/agent/protocol.go
@@ -33,7 +33,7 @@
 	Outcome lease.Outcome `cbor:"1,keyasint"`
 	Token   uint64        `cbor:"2,keyasint,omitempty"`
 	Error   string        `cbor:"3,keyasint,omitempty"`
-	Leader  string        `cbor:"4,keyasint,omitempty"` // with NoAnswer: the voter to ask, "" if unknown
+	Leader  string        `cbor:"4,keyasint,omitempty"` // with NoAnswer: the name of the leader, "" if unknown
 }
 
 // VoterState is the state that a voter reports for display.
@@ -42,11 +42,11 @@
 	VoterID      uint64              `json:"seat"`
 	Leader       string              `json:"leader"` // "" if unknown
 	IsLeader     bool                `json:"leads"`
-	HaltReason   string              `json:"down,omitempty"` // why it has halted
+	HaltReason   string              `json:"down,omitempty"` // why the voter has halted, "" if it has not
 	StateMachine *lease.StateMachine `json:"book"`
 	// SecondsLeft is the time until each grant expires, by fencing token. It is up to date only on the leader.
 	SecondsLeft map[uint64]float64 `json:"left_s"`
-	Members     []peer.MemberState `json:"members"` // as this voter sees them
+	Members     []peer.MemberState `json:"members"` // as this voter observes them by their heartbeats
 	Traffic     rpc.Traffic        `json:"traffic"` // of the voter's process
 	DiskSyncs   int                `json:"saves"`
 }
--- a/internal/lease/agent/race_test.go
+++ b/internal/lease/agent/race_test.go
@@ -2,6 +2,6 @@
 
 package agent
 
-// concurrentContenders is how many contenders wait at a time. Under the race detector, a thousand send requests faster
-// than the voters can answer.
+// concurrentContenders is the number of contenders that request the task at the same time. Under the race detector, a
+// thousand contenders send requests faster than the voters can answer.
 const concurrentContenders = 300
--- a/internal/lease/agent/recorded_test.go
+++ b/internal/lease/agent/recorded_test.go
@@ -21,9 +21,9 @@
 	"mulleinpier/internal/testutil"
 )
 
-// The files testdata/v0.bolt to v2.bolt were written by three voters of an earlier version, whose log led to
-// recordedStateMachine. v2 lost its first file, and was replaced under a new ID. joining.bolt is the file of a joining
-// voter that was created, but never run.
+// The files testdata/v0.bolt to v2.bolt were written by three voters of an earlier version, whose log produces
+// recordedStateMachine. Voter v2 lost its first file, and was replaced under a new ID. joining.bolt is the file of a
+// joining voter that was created, but never run.
 
 // recordedStateMachine returns the state machine that the recorded voters had agreed on.
 func recordedStateMachine() *lease.StateMachine {
@@ -57,12 +57,12 @@
 	}
 }
 
-// TestRecordedVotersFiles guards the voters' files: what an earlier version saved is read, and would be saved as the
-// same bytes, so that the earlier version reads what this one saves.
+// TestRecordedVotersFiles checks that this version reads a voter's file that an earlier version saved, and would save
+// its content as the same bytes. Otherwise the earlier version might not read the files that this version saves.
 func TestRecordedVotersFiles(t *testing.T) {
 	for _, c := range []struct {
 		file      string
-		id        uint64 // as stored in the file: 0 for one of the first voters
+		id        uint64 // voter ID stored in the file; 0 for one of the fleet's first voters, which store none
 		voters    []uint64
 		snapshot  uint64 // index
 		lastEntry uint64 // index
@@ -104,7 +104,7 @@
 	}
 }
 
-// checkSavedUnchanged checks that this version would save a state as the bytes that are in the file.
+// checkSavedUnchanged checks that this version would save a state as the same bytes that are in the file.
 func checkSavedUnchanged(t *testing.T, l *store.Log, saved quorum.PersistentState) {
 	t.Helper()
 	named, records, err := l.Load()
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestRecordedVotersContinue runs three voters of this version from the recorded files: they agree on the recorded
-// state machine, and their next token follows the last one.
+// TestRecordedVotersContinue checks that three voters of this version that run from the recorded files agree on the
+// recorded state machine, and that their next fencing token follows the last recorded one.
 func TestRecordedVotersContinue(t *testing.T) {
 	f := newStoppedFleet(t)
 	for i, path := range f.paths {
@@ -157,7 +157,7 @@
 	}
 }
 
-// machineJSON returns a state machine as JSON, with nil lists as empty ones. The JSON has no nonces.
+// machineJSON returns a state machine as JSON, with nil lists written as empty ones. The JSON contains no nonces.
 func machineJSON(t *testing.T, m *lease.StateMachine) string {
 	t.Helper()
 	m = m.Clone()
@@ -174,7 +174,7 @@
 
 var recordedHeader = rpc.Header{Version: 1, Fleet: "shop", MinVersion: 1}
 
-// recordedRequests are requests of holders and operators as an earlier version wrote them, by file.
+// recordedRequests are requests of holders and operators as an earlier version wrote them, by file name.
 var recordedRequests = map[string]Request{
 	"request-acquire.cbor": {Header: recordedHeader, Command: lease.Command{
 		Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second, Wait: true,
@@ -201,7 +201,7 @@
 	"request-remove-voter.cbor": {Header: recordedHeader, Command: lease.Command{Kind: lease.RemoveVoter, To: "v2"}},
 }
 
-// recordedReplies are replies to such requests, by file.
+// recordedReplies are voters' replies to requests as an earlier version wrote them, by file name.
 var recordedReplies = map[string]Reply{
 	"reply-no-leader.cbor": {Outcome: lease.NoAnswer},
 	"reply-leader.cbor":    {Outcome: lease.NoAnswer, Leader: "v1"},
@@ -225,8 +225,9 @@
 	return voterMessages{Header: recordedHeader, Messages: messages, From: "v1", VoterID: 2}
 }
 
-// TestRecordedMessages guards fleets of mixed versions: messages between voters, holders and operators have to be read
-// and written as earlier versions did, on the same paths. So do the texts of errors, which operators see.
+// TestRecordedMessages checks that messages between voters, holders and operators are read and written in the encoding
+// of an earlier version, on the same HTTP paths, and with the same error texts, which operators see. A change would
+// break fleets of mixed versions.
 func TestRecordedMessages(t *testing.T) {
 	for name, want := range recordedRequests {
 		testutil.CheckRecordedCBOR(t, "testdata/"+name, want)
@@ -292,7 +293,8 @@
 	DiskSyncs: 7,
 }
 
-// TestRecordedState guards operators' programs, which read a voter's state: its JSON is as an earlier version wrote it.
+// TestRecordedState checks that the JSON of a voter's state is the same as in an earlier version. Operators' programs
+// read this JSON.
 func TestRecordedState(t *testing.T) {
 	recorded := testutil.Recorded(t, "testdata/state.json")
 	var got VoterState
--- a/internal/lease/agent/requests.go
+++ b/internal/lease/agent/requests.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxHeldResponses limits the waiters whose responses are held.
+	// maxHeldResponses limits the number of waiters whose responses are delayed.
 	maxHeldResponses = 4096
-	// maxResponseDelay is how long a waiter's response is held at most.
+	// maxResponseDelay is the longest delay of a response to a waiter.
 	maxResponseDelay = 250 * time.Millisecond
 )
 
@@ -26,7 +26,7 @@
 	nonce        uint64
 }
 
-// heldResponse is a delayed response to a waiter (long polling), so that the waiter learns of its grant at once.
+// heldResponse is a delayed response to a waiter (long polling): the waiter gets its grant without polling for it.
 type heldResponse struct {
 	responses chan<- quorum.Response
 	until     time.Duration
@@ -41,14 +41,14 @@
 		return
 	}
 	w := waiterKey{c.Task, c.Holder, c.Nonce}
-	if earlier, ok := v.heldResponses[w]; ok { // a repeated request: the earlier one is answered now
+	if earlier, ok := v.heldResponses[w]; ok { // this request is a retry: answer the earlier request now
 		earlier.responses <- response
 	}
 	until := Now() + min(c.Duration/4, maxResponseDelay)
 	v.heldResponses[w] = heldResponse{r.responses, until}
 }
 
-// releaseHeldResponses answers with Queued the waiters whose responses were held long enough.
+// releaseHeldResponses answers Queued to each waiter whose response was delayed until its deadline.
 func (v *Voter) releaseHeldResponses() {
 	now := Now()
 	for w, held := range v.heldResponses {
@@ -70,7 +70,8 @@
 	}
 }
 
-// dropHeldResponses answers all held responses with NoAnswer, as this voter no longer leads: the waiters ask another.
+// dropHeldResponses answers NoAnswer to all waiters whose responses are held, because this voter no longer leads. The
+// waiters then ask another voter.
 func (v *Voter) dropHeldResponses() {
 	for w, held := range v.heldResponses {
 		delete(v.heldResponses, w)
--- a/internal/lease/agent/storage.go
+++ b/internal/lease/agent/storage.go
@@ -17,11 +17,11 @@
 	recordHardState = "hard"
 	recordSnapshot  = "snapshot"
 	recordFleet     = "fleet"
-	recordVoterID   = "seat" // only of a voter that joined later; a first voter's ID is in the snapshot
+	recordVoterID   = "seat" // only in the file of a voter that joined later; a first voter's ID is in the snapshot
 )
 
-// InitVoter creates the file of one of a fleet's first voters. It may be called only once for each ID: a voter that has
-// lost its file may not vote again under the same ID, as it does not know what it has promised.
+// InitVoter creates the file of one of a fleet's first voters. Operators may create it only once for each voter: a
+// voter that has lost its file may not vote again under the same ID, because it does not know what it has promised.
 func InitVoter(path string, f *Fleet) error {
 	if err := f.Validate(); err != nil {
 		return err
@@ -73,7 +73,7 @@
 		if c.Named[recordSnapshot], err = proto.Marshal(s.Snapshot); err != nil {
 			return c, fmt.Errorf("leases: snapshot: %w", err)
 		}
-		c.DropFrom = 1 // the whole log: the snapshot replaces it
+		c.DropFrom = 1 // drop the whole log, because the snapshot replaces it
 	}
 	for _, e := range s.Entries {
 		data, err := proto.Marshal(e)
@@ -88,7 +88,8 @@
 	return c, nil
 }
 
-// loadState reads the saved state of a voter, and its ID if it joined later, else 0.
+// loadState reads the saved state of a voter, and the voter's ID if it joined later; the ID of a first voter is 0. It
+// fails if the file belongs to another fleet.
 func loadState(l *store.Log, fleet string) (s quorum.PersistentState, id uint64, err error) {
 	named, records, err := l.Load()
 	if err != nil {
--- a/internal/lease/agent/voter.go
+++ b/internal/lease/agent/voter.go
@@ -28,7 +28,7 @@
 const (
 	// maxConnections limits the connections to each other voter.
 	maxConnections = 4
-	// writeTimeout is longer than the response to a heartbeat or a waiter is ever held.
+	// writeTimeout is longer than the longest delay of a response to a heartbeat or a waiter.
 	writeTimeout = 3 * time.Second
 )
 
@@ -47,7 +47,7 @@
 	stateRequests chan chan VoterState
 	messageQueues map[string]chan []byte // encoded messages, by name of the receiving voter
 
-	// The following fields are used only by Run's loop.
+	// The following fields are used only by the goroutine of loop.
 	replica       *quorum.Replica
 	pending       map[uint64]pendingRequest // by request ID
 	lastRequestID uint64
@@ -62,7 +62,8 @@
 	beforeSave func() error
 }
 
-// Open returns the voter of a file. If the file does not exist, the error is [store.ErrNotFound].
+// Open returns the voter whose state is in the file at path; [Voter.Run] or [Voter.Close] closes the file. If the file
+// does not exist, the error is [store.ErrNotFound].
 func Open(path string, f Fleet, name string, log *slog.Logger) (*Voter, error) {
 	if err := f.Validate(); err != nil {
 		return nil, err
@@ -180,7 +181,8 @@
 	}
 }
 
-// perform carries out one action of the replica. It returns the result of a save as the next event, else nil.
+// perform carries out one action of the replica. It returns the result of a save as the next event, and nil for any
+// other action.
 func (v *Voter) perform(action quorum.Action) quorum.Event {
 	switch a := action.(type) {
 	case quorum.Save:
--- a/internal/lease/agent/voter_test.go
+++ b/internal/lease/agent/voter_test.go
@@ -17,8 +17,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestTokensRiseAfterAllVotersRestart stops all voters, and restarts them after the holder's lease has ended: the next
-// token is higher.
+// TestTokensRiseAfterAllVotersRestart checks that the next fencing token is higher after all voters were stopped, and
+// restarted once the holder's lease had ended.
 func TestTokensRiseAfterAllVotersRestart(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -27,14 +27,14 @@
 		f.stop(i)
 	}
 	b := f.hold("x", "b", true)
-	<-a.Lost(context.Background()) // by the holder's own clock, as no voter answers
+	<-a.Lost(context.Background()) // the lease ends by the holder's own clock, as no voter answers
 	for _, i := range []int{2, 0, 1} {
 		f.start(i)
 	}
 	f.wantHigher(f.await(b), first)
 }
 
-// TestVoterHaltsWhenDiskFails breaks the leader's disk: the leader halts, and the other voters go on.
+// TestVoterHaltsWhenDiskFails checks that the other voters grant the task again after the leader's disk has failed.
 func TestVoterHaltsWhenDiskFails(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -44,8 +44,9 @@
 	f.wantHigher(f.await(f.hold("x", "b", true)), first)
 }
 
-// TestVoterWithoutFileDoesNotVote guards guarantee 2 of package lease: a voter does not start without its file, which
-// an operator creates once, nor with the file of another fleet.
+// TestVoterWithoutFileDoesNotVote checks that a voter does not start without its file, which an operator creates once,
+// nor with the file of another fleet. Such a voter would have lost what it promised, so that a fencing token could be
+// used again (guarantee 2 of package lease).
 func TestVoterWithoutFileDoesNotVote(t *testing.T) {
 	f := newFleet(t)
 	log := slog.New(slog.DiscardHandler)
@@ -64,8 +65,8 @@
 	}
 }
 
-// TestVoterIsReplacedAfterLosingItsFile replaces a voter that has lost its disk: under its old ID it never votes again,
-// under a new one it does, and then the fleet tolerates the loss of another voter. A grant stays valid throughout.
+// TestVoterIsReplacedAfterLosingItsFile checks that a voter that has lost its disk can be replaced under a new ID, and
+// that the fleet then tolerates the loss of another voter. A grant stays valid throughout.
 func TestVoterIsReplacedAfterLosingItsFile(t *testing.T) {
 	f := newFleet(t)
 	a := f.hold("x", "a", true)
@@ -98,7 +99,7 @@
 		s := f.voterState(lost)
 		return s.StateMachine != nil && s.StateMachine.LastToken >= first
 	})
-	f.stop((lost + 1) % 3) // now the new voter is needed for a majority
+	f.stop((lost + 1) % 3) // from now on, a majority needs the new voter
 	if err := a.RunGuarded(ctx, func(_ context.Context, token uint64) error {
 		if token != first {
 			t.Errorf("acts under %d, held %d", token, first)
@@ -112,7 +113,7 @@
 }
 
 // TestOtherFleetsAndVersionsAreRejected checks that voters reject requests of another fleet, and messages that are
-// malformed or of another version.
+// malformed or of another protocol version.
 func TestOtherFleetsAndVersionsAreRejected(t *testing.T) {
 	f := newFleet(t)
 	other := f.Fleet
@@ -138,8 +139,8 @@
 	}
 }
 
-// TestVoterHaltsWithOutdatedFile starts a voter with an old copy of its file: it halts, as the leader knows of entries
-// that it has acknowledged since, and the others go on; tokens still rise.
+// TestVoterHaltsWithOutdatedFile checks that a voter that starts with an old copy of its file halts, because it has
+// acknowledged entries to the leader that the copy lacks. The other voters continue to grant tasks, with higher tokens.
 func TestVoterHaltsWithOutdatedFile(t *testing.T) {
 	f := newFleet(t)
 	last := f.await(f.hold("x", "a", true))
--- a/internal/lease/quorum/apply.go
+++ b/internal/lease/quorum/apply.go
@@ -107,8 +107,8 @@
 	r.answerProposal(&entry, &result)
 }
 
-// checkLeadershipAcquired makes this voter lead once it applies the first committed entry of its own term as leader: all
-// entries committed before that term precede this entry.
+// checkLeadershipAcquired makes this voter lead once it applies the first committed entry of its own term as leader:
+// all entries committed before that term precede this entry.
 func (r *Replica) checkLeadershipAcquired(e *raftpb.Entry) {
 	status := r.node.BasicStatus()
 	if !r.leading && status.RaftState == raft.StateLeader && e.GetTerm() == status.GetTerm() {
--- a/internal/lease/quorum/recorded_test.go
+++ b/internal/lease/quorum/recorded_test.go
@@ -15,7 +15,7 @@
 	"mulleinpier/internal/testutil"
 )
 
-// recordedEntries are the voters' log entries that an earlier version wrote, one for each kind of command, by file name.
+// recordedEntries are log entries that an earlier version wrote, for each kind of command, by file name.
 var recordedEntries = map[string]logEntry{
 	"entry-acquire.cbor": {RequestID: 1, Proposer: 0xfedcba9876543211, Command: lease.Command{
 		Kind: lease.Acquire, Task: "restart", Holder: "p1/10/7", Nonce: 7, Duration: 10 * time.Second, Wait: true,
--- a/internal/lease/statemachine_test.go
+++ b/internal/lease/statemachine_test.go
@@ -32,11 +32,11 @@
 		{acquireCommand("a", "y", 3, true), want{}},
 		{acquireCommand("a", "y", 3, true), want{}}, // a duplicate is not queued again
 		{acquireCommand("a", "z", 4, true), want{}},
-		{acquireCommand("b", "z", 5, false), want{2, true, []uint64{2}, nil}}, // all tasks share one sequence of tokens
+		{acquireCommand("b", "z", 5, false), want{2, true, []uint64{2}, nil}}, // tokens rise across all tasks
 		{Command{Kind: Release, Task: "a", Token: 7}, want{err: ErrUnknownGrant}},
-		{Command{Kind: Transfer, Task: "a", Token: 1, To: "z"}, want{granted: []uint64{3}}}, // z goes ahead of y
+		{Command{Kind: Transfer, Task: "a", Token: 1, To: "z"}, want{granted: []uint64{3}}}, // z, ahead of y
 		{Command{Kind: Transfer, Task: "a", Token: 3, To: "q"}, want{err: ErrUnknownGrant}}, // q does not wait
-		{Command{Kind: Release, Task: "a", Token: 1}, want{err: ErrUnknownGrant}},           // the grant has ended already
+		{Command{Kind: Release, Task: "a", Token: 1}, want{err: ErrUnknownGrant}},           // already ended
 		{Command{Kind: Revoke, Task: "a", Token: 3}, want{}},
 		{acquireCommand("a", "z", 4, true), want{3, false, nil, nil}}, // z holds the revoked grant until it expires
 		{Command{Kind: Expire, Task: "a", Token: 3}, want{granted: []uint64{4}}},
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -22,14 +22,14 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// ErrNotFound says that the file does not exist: it was never created, or it is lost.
+// ErrNotFound says that the file does not exist: it was never created, or was lost.
 var ErrNotFound = errors.New("store: no such file")
 
 const (
-	// lockTimeout limits the wait for another process that has the file open.
+	// lockTimeout limits the wait for another process to close the file.
 	lockTimeout = time.Second
 	fileMode    = 0o600
-	// unfinishedSuffix ends the name of a file that Create has not completed yet.
+	// unfinishedSuffix is appended to the name of a file until Create has completed it.
 	unfinishedSuffix = ".making"
 )
 
@@ -42,7 +42,7 @@
 // Log is an open file of numbered and named records. It is safe for concurrent use.
 type Log struct{ db *bolt.DB }
 
-// Change is what one Save does, atomically and in the order of the fields.
+// Change is a change to a file that [Log.Save] makes atomically, in the order of the fields.
 type Change struct {
 	// Named are the named records to add or replace.
 	Named map[string][]byte
@@ -60,17 +60,17 @@
 	Data  []byte
 }
 
-// Create makes a file with a first change. It fails if the file already exists.
+// Create creates a file and saves a first change in it. It fails if the file already exists.
 func Create(path string, first Change) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("store: %s already exists", path)
 	}
 	unfinished := path + unfinishedSuffix
-	os.Remove(unfinished) // left by a process that ended during Create
+	os.Remove(unfinished) // a process that ended during Create may have left the file
 	if err := createFile(unfinished, first); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	if err := os.Rename(unfinished, path); err != nil { // so that path is never an incomplete file
+	if err := os.Rename(unfinished, path); err != nil { // renamed only now, so path is never an incomplete file
 		return fmt.Errorf("store: %w", err)
 	}
 	if err := syncDirectory(filepath.Dir(path)); err != nil {
@@ -127,10 +127,10 @@
 	return &Log{db}, nil
 }
 
-// Close closes the file, which another process can open then.
+// Close closes the file and releases its lock; another process can then open the file.
 func (l *Log) Close() error { return l.db.Close() }
 
-// Save carries out a change and makes it durable.
+// Save makes a change durable. If it fails, the file is unchanged.
 func (l *Log) Save(c Change) error {
 	return l.db.Update(func(tx *bolt.Tx) error {
 		for name, data := range c.Named {
--- a/internal/store/log_test.go
+++ b/internal/store/log_test.go
@@ -41,7 +41,7 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if l, err = Open(path); err != nil { // as after a restart
+	if l, err = Open(path); err != nil { // reopen the file, as a restarted process does
 		t.Fatal(err)
 	}
 	defer l.Close()
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestTornFileIsNotOpened guards against a truncated file: to open it is an error, and never gives an empty file.
+// TestTornFileIsNotOpened checks that Open rejects a truncated file. If it opened the file as an empty one, a voter
+// would run without the state that it saved.
 func TestTornFileIsNotOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a")
 	if err := Create(path, Change{Named: map[string][]byte{"x": make([]byte, 20000)}}); err != nil {
--- a/internal/store/recorded_test.go
+++ b/internal/store/recorded_test.go
@@ -9,8 +9,9 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestRecordedFileIsRead guards against a change of the file's layout: a file that an earlier version made and changed
-// is opened, holds what that version saved, and takes further changes.
+// TestRecordedFileIsRead checks that a file that an earlier version created and changed can be opened, that it contains
+// what that version saved, and that further changes can be saved to it. A changed layout would make such files
+// unreadable.
 func TestRecordedFileIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(path, testutil.Recorded(t, "testdata/log.bolt"), 0o600); err != nil {
