--- a/internal/fleettest/attempt.go
+++ b/internal/fleettest/attempt.go
@@ -23,7 +23,7 @@
 	maxPickedProxies = 100
 )
 
-// runRequest sends one request, retries it as retryState decides, and records the final result.
+// runRequest sends one request, retries it as its retryState decides, and records the final result.
 func (w *workload) runRequest(q *clientRequest) {
 	start := time.Now()
 	recorded := w.recorder.requestStarted(start, q)
@@ -66,8 +66,8 @@
 	}
 }
 
-// mayHaveTakenEffect reports whether the request may have been executed without the client knowing, after an attempt
-// with this result.
+// mayHaveTakenEffect reports whether the request may have been executed although its last attempt ended with this
+// result.
 func (q *clientRequest) mayHaveTakenEffect(result outcome) bool {
 	switch result {
 	case served:
@@ -78,7 +78,7 @@
 	return true
 }
 
-// drawLateRetry draws the time after which a client repeats a write with an unknown outcome: 2 to 10 s.
+// drawLateRetry draws the delay after which a client retries a write with an unknown outcome: 2 to 10 s.
 func (w *workload) drawLateRetry() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -114,8 +114,8 @@
 	return conn, nil
 }
 
-// takeIdle removes the most recently used connection from a pool and returns it; nil if the pool has none that is
-// younger than idleTimeout. It closes older ones.
+// takeIdle removes the most recently used connection from a pool and returns it, or nil if the pool has none that was
+// idle for less than idleTimeout. It closes the older connections that it finds.
 func (w *workload) takeIdle(pool poolKey) *clientConn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -190,8 +190,8 @@
 		w.recorder.dialFailed()
 		return notConnected, 0
 	}
-	// The time to connect counts against the attempt: a write whose dedup window ended meanwhile must not be sent any
-	// more.
+	// The time to connect counts against the attempt: a write whose dedup window ended while the client connected must
+	// not be sent any more.
 	wait -= time.Since(start)
 	if wait < minWait {
 		w.release(p, conn)
@@ -232,7 +232,7 @@
 		}
 	}
 	if q.binary && q.mayHaveRun {
-		id = "" // the attempts of a binary write share an id, which a node may have seen before
+		id = "" // the attempts of a binary write share an id, so a node may have received it with an earlier attempt
 	}
 	return w.judgeNoAnswer(p, conn, id, sent, wait, err), 0
 }
--- a/internal/fleettest/binaryclient.go
+++ b/internal/fleettest/binaryclient.go
@@ -82,14 +82,14 @@
 	if err != nil {
 		as := w.judgeNoAnswer(p, conn, conn.opaqueID(), sent, wait, err)
 		if as == timedOut || as == failed {
-			return refused // it was only a read, so the write has not run
+			return refused // only the read may have been executed, not the write
 		}
 		return as
 	}
 	conn.used = true // the write that follows can cross a close of the idle connection
 	if a.Kind != request.Value {
 		w.release(p, conn)
-		return refused // nothing was written
+		return refused // no write was sent
 	}
 	if !strings.HasPrefix(string(a.value), q.key+" ") {
 		conn.socket.Close()
@@ -118,7 +118,7 @@
 	}
 }
 
-// runQuietRound writes one quiet pipeline, and reads its answers, that to the NOOP last.
+// runQuietRound writes one quiet pipeline, and reads its answers until the answer to the NOOP.
 func (w *workload) runQuietRound(p *proxyInstance, conn *clientConn, number int) error {
 	last := conn.opaque
 	text, keys := w.quietText(conn, number)
@@ -150,12 +150,12 @@
 		w.recorder.lost("proxy %d never answered the end of a quiet pipeline", p.index)
 		return err
 	}
-	conn.used = true // reads that this proxy has not received are sent to another one
+	conn.used = true // the proxy may have closed the idle connection: reads that it has not received are not lost
 	w.judgeConnectionLost(p, conn, "", time.Now(), err)
 	return err
 }
 
-// missingKeyInterval is how often a quiet pipeline reads a key that the origin lacks: once in so many reads.
+// missingKeyInterval is the number of reads of a quiet pipeline of which one reads a key that the origin lacks.
 const missingKeyInterval = 4
 
 // quietText returns the text of one quiet pipeline, and its keys by opaque.
--- a/internal/fleettest/clientfaults.go
+++ b/internal/fleettest/clientfaults.go
@@ -8,10 +8,10 @@
 	"mulleinpier/internal/fake/node"
 )
 
-// outageDuration is how long all proxies are down in the fault "gone".
+// outageDuration is the time for which all proxies are down in the fault "gone".
 const outageDuration = 5 * time.Second
 
-// faults returns the faults to inject: all, or the first two at a lower rate and for less time.
+// faults returns the faults to inject: all, or with Short only the first two, at a lower rate and for less time.
 func (o *ClientsOptions) faults() []clientFault {
 	all := allClientFaults()
 	if o.Short {
@@ -87,7 +87,7 @@
 	}
 }
 
-// killAllFor kills all proxies, and starts them again after a while.
+// killAllFor kills all proxies, and starts them again after the duration d.
 func (f *fleet) killAllFor(ctx context.Context, d time.Duration) {
 	var tasks sync.WaitGroup
 	for _, p := range f.proxies {
@@ -104,7 +104,7 @@
 	tasks.Wait()
 }
 
-// stopHalfTheNodes takes every other node down for a while. The directory still lists them as up.
+// stopHalfTheNodes takes every other node down for the duration d. The directory still lists these nodes as up.
 func (f *fleet) stopHalfTheNodes(ctx context.Context, d time.Duration) {
 	each := func(do func(*node.Node) error) {
 		for i, n := range f.nodes {
--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -38,8 +38,8 @@
 	name, description     string
 	proxies               int
 	before, during, after time.Duration
-	together              bool    // both kinds of clients at once, on the same fleet
-	rate                  float64 // requests a second of each kind
+	together              bool    // both kinds of clients run at the same time, on the same fleet
+	rate                  float64 // requests per second of each kind of clients
 	slots                 int     // of each node; a slot serves 40 requests a second
 	inject                func(ctx context.Context, f *fleet)
 }
@@ -59,7 +59,7 @@
 // ClientsOptions configures RunClients.
 type ClientsOptions struct {
 	Options
-	Clients   int    // of each kind
+	Clients   int    // number of clients of each kind
 	OnlyFault string // name of one fault, "" for all
 	Short     bool   // the first two faults, at a lower rate and for less time
 }
@@ -81,7 +81,7 @@
 	return s
 }
 
-// RunClients injects the faults, each with both kinds of clients, in turn or at once.
+// RunClients injects each fault with both kinds of clients, either one kind after the other or both at the same time.
 func RunClients(ctx context.Context, o ClientsOptions) (*ClientsReport, error) {
 	report := &ClientsReport{}
 	for _, t := range o.faults() {
@@ -174,7 +174,7 @@
 	}
 }
 
-// maxDuplicateProblems bounds how many duplicate writes are described.
+// maxDuplicateProblems limits the number of duplicate writes that a run describes.
 const maxDuplicateProblems = 20
 
 // countDuplicates counts writes that took effect more than once, by the kind of client that sent them. The key of an
@@ -216,7 +216,7 @@
 	maxTriesPerRequest = 1.1
 )
 
-// violations describes the rules and limits that were broken. Those about requests apply to library clients only.
+// violations describes the rules and limits that were broken. The limits on requests apply to library clients only.
 func (p *ClientsRun) violations() (list []string) {
 	add := func(format string, a ...any) { list = append(list, p.Name+": "+fmt.Sprintf(format, a...)) }
 	if p.Crashes > 0 {
--- a/internal/fleettest/conform.go
+++ b/internal/fleettest/conform.go
@@ -25,10 +25,10 @@
 const (
 	// conformDeadline is the deadline of every class in the suite.
 	conformDeadline = 900 * time.Millisecond
-	// conformTolerance is how much later than the deadline the last answer may come, because the machine may be busy.
-	// Otherwise nothing is answered after the deadline.
+	// conformTolerance is the time after the deadline within which the last answer may arrive, because the machine may
+	// be busy. The proxy itself must not answer after the deadline.
 	conformTolerance = 2 * time.Second
-	// maxConcurrentRuns bounds the runs at the same time, each with its own proxy and nodes.
+	// maxConcurrentRuns limits the cases that run at the same time, each with its own proxy and nodes.
 	maxConcurrentRuns = 6
 	conformNodes      = 3
 	// warmKeyPrefix starts the keys that are read to warm up the proxy before the steps of a case.
@@ -63,7 +63,7 @@
 	{scriptednode.Binary, scriptednode.Binary},
 }
 
-// RunConformance runs every case with every combination of dialects. It returns an error if one could not be run;
+// RunConformance runs every case with every combination of dialects. It returns an error if a case could not be run;
 // failures of cases are in the report.
 func RunConformance(ctx context.Context, o Options) (*ConformanceReport, error) {
 	report := &ConformanceReport{}
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// drainFirst reports a node as draining, and waits until the proxy must no longer send requests to it. It returns that
-// time.
+// drainFirst reports a node as draining, waits until the proxy must no longer send requests to the node, and returns
+// the time at the end of this wait.
 func drainFirst(list *endpointlist.Service, e endpointlist.Entry) (time.Time, error) {
 	e.Status = "draining"
 	list.Set(e)
@@ -241,7 +241,7 @@
 	return time.Time{}, fmt.Errorf("the proxy was not notified of the drain within %v", processTimeout)
 }
 
-// runStepsInTime runs the steps, and describes the first wrong answer, or that the answers came too late.
+// runStepsInTime runs the steps, and describes the first wrong answer or how late the answers were; "" if all is well.
 func (test *conformCase) runStepsInTime(c *rawclient.Client, nodes scriptednode.Dialect) string {
 	start := time.Now()
 	if problem := test.runSteps(c, nodes); problem != "" {
--- a/internal/fleettest/conformcases.go
+++ b/internal/fleettest/conformcases.go
@@ -21,11 +21,12 @@
 // conformCase is one case of the suite. Its steps use one connection, and are answered in order.
 type conformCase struct {
 	name            string
-	reactions       []scriptednode.Reaction          // to requests in order over all nodes; then Serve
-	reactionByKey   map[string]scriptednode.Reaction // to requests for these keys, before reactions
+	reactions       []scriptednode.Reaction          // to the first requests of all nodes, in order; Serve to others
+	reactionByKey   map[string]scriptednode.Reaction // to requests for these keys, instead of one of reactions
 	onlyLastListens bool                             // the listeners of the other nodes are closed
 	sequential      bool                             // each step is sent after the answer to the one before
-	// warm: the proxy has already served many reads; a new one rejects some of many requests that come at once.
+	// warm is set if the proxy serves many reads before the steps: a new proxy rejects some of many requests that
+	// arrive together.
 	warm               bool
 	drain              bool // the first node starts to drain before the steps
 	steps              []step
--- a/internal/fleettest/cost.go
+++ b/internal/fleettest/cost.go
@@ -30,8 +30,8 @@
 	RelayCommand         []string                   // starts a byte relay; its address and its target's are appended
 	Folder               string
 	Peers                bool  // the proxy is a member of a fleet, whose voters run as other processes
-	Runs                 int   // after one to warm up
-	Requests             int   // in each measurement
+	Runs                 int   // recorded runs, after one warm-up run
+	Requests             int   // number of requests in each measurement
 	Conns                []int // numbers of connections to measure with
 	Progress             func(format string, a ...any)
 }
@@ -245,8 +245,8 @@
 	}
 }
 
-// readOnce reads one of 64 keys, and reports whether the proxy rejected the read. A rejection costs CPU time too, but
-// is no read.
+// readOnce reads one of 64 keys, and reports whether the proxy rejected the read. A rejection costs CPU time, but does
+// not count as a read.
 func (c *clientConn) readOnce(id int64) (isRejected bool, err error) {
 	key := fmt.Sprintf("k%d", id%64)
 	if c.binary {
--- a/internal/fleettest/costrig.go
+++ b/internal/fleettest/costrig.go
@@ -13,7 +13,7 @@
 	"mulleinpier/internal/fake/origin"
 )
 
-// costRig is what MeasureCost measures: a proxy and a byte relay, both in front of the same node.
+// costRig holds the processes that MeasureCost measures: a proxy and a byte relay, both in front of the same node.
 type costRig struct {
 	options      CostOptions
 	config       string // path of the proxy's configuration
--- a/internal/fleettest/directory.go
+++ b/internal/fleettest/directory.go
@@ -10,12 +10,12 @@
 	"mulleinpier/internal/fake/endpointlist"
 )
 
-// directory is the discovery service of a fleet. It records when each proxy was notified of which change.
+// directory is the discovery service of a fleet. It records when each proxy was notified that a node drains or is gone.
 type directory interface {
 	// config opens an address for a proxy if it has none yet, and returns the discovery part of its configuration.
 	config(proxy int) (string, error)
-	// notifiedAt returns when a proxy was first notified that a node is draining or gone. It returns false if it was
-	// not, or has been notified since that the node is up.
+	// notifiedAt returns when a proxy was first notified that a node is draining or gone. It returns false if the proxy
+	// was not notified, or was notified later that the node is up again.
 	notifiedAt(proxy int, node string) (time.Time, bool)
 	update(e endpointlist.Entry)
 	// setFault sets the fault of the whole directory; "" ends it.
@@ -91,7 +91,7 @@
 
 const (
 	consulService = "cache"
-	// consulRewind is a fault of the catalogue, not of an agent: its index starts again.
+	// consulRewind is a fault of the catalogue, not of an agent: the catalogue's index starts again.
 	consulRewind = "rewind"
 )
 
--- a/internal/fleettest/drains.go
+++ b/internal/fleettest/drains.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// drainGrace is how long after a proxy was notified of a drain its requests may still reach the node: the
-	// platform's limit of 500 ms, and 50 ms for the delays of real sockets.
+	// drainGrace is the time after a drain notification during which requests of the notified proxy may still reach the
+	// node: the platform's limit of 500 ms, and 50 ms for the delays of real sockets.
 	drainGrace = 500*time.Millisecond + 50*time.Millisecond
-	// seenRetention is how long a received request is remembered at least; at most it is twice that.
+	// seenRetention is the minimum time for which seenIDs keeps a request that a node received.
 	seenRetention = 5 * time.Second
 )
 
-// requestArrived is called for each request that arrives at a node. The id of a request from a binary client, or at a
-// binary node, does not name its proxy: such a write is identified by its value, and a drain counts from the time at
-// which the last proxy was notified.
+// requestArrived is called for each request that arrives at a node, and counts those that arrive too late after a drain
+// notification. The id of a request from a binary client, or at a binary node, does not name its proxy: a write is
+// then identified by its value, and the drain counts from the time at which the last proxy was notified.
 func (f *fleet) requestArrived(node, id, value string, at time.Time) {
 	proxy := proxyOf(id)
 	notified, draining := f.drainNotifiedAt(proxy, node)
-	// A request that a faulty link held back was sent before the drain, or before the notification arrived.
+	// A faulty link may have delayed the request or the notification: then the request is not late.
 	draining = draining && !f.links.nodeLinkFaulty(proxy, node, notified) && !f.links.listLinkFaulty(proxy, notified)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,8 +51,8 @@
 	}
 }
 
-// drainNotifiedAt returns when a proxy was notified that a node drains; for a negative proxy, when the last of all
-// proxies was notified, and false until all have been.
+// drainNotifiedAt returns when a proxy was notified that a node is draining or gone, and whether it was. For a negative
+// proxy, it returns when the last of all proxies was notified, and false until all have been notified.
 func (f *fleet) drainNotifiedAt(proxy int, node string) (last time.Time, draining bool) {
 	if proxy >= 0 {
 		return f.directory.notifiedAt(proxy, node)
--- a/internal/fleettest/events.go
+++ b/internal/fleettest/events.go
@@ -42,7 +42,8 @@
 	"crowd":  "opens Count connections to each proxy and keeps them idle for Duration",
 }
 
-// runEvents starts each event at its time, and returns when all have ended. If ctx ends, it starts no further ones.
+// runEvents starts each event at its time, and returns when all events have ended. If ctx ends, it starts no further
+// events.
 func (f *fleet) runEvents(ctx context.Context, start time.Time) {
 	events := slices.Clone(f.scenario.Events)
 	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
@@ -107,7 +108,7 @@
 	tasks.Wait()
 }
 
-// runEvent runs an event. It returns at the end of the event, if that has a duration.
+// runEvent runs an event. If the event has a duration, it returns at the end of the event.
 func (f *fleet) runEvent(ctx context.Context, e *Event) {
 	switch e.Action {
 	case "stop", "starve", "crowd":
@@ -143,7 +144,7 @@
 	}
 }
 
-// runWave restarts all proxies one after another; without a mode, it alternates between both.
+// runWave restarts all proxies one after another. If the event has no mode, it alternates between the two modes.
 func (f *fleet) runWave(ctx context.Context, e *Event) {
 	for i, p := range f.proxies {
 		start := time.Now()
@@ -160,8 +161,8 @@
 	}
 }
 
-// runNodeEvent runs an event of one node. If a restart fails, it updates the directory all the same before it returns
-// the error.
+// runNodeEvent runs an event of one node. If a restart fails, it still updates the directory before it returns the
+// error.
 func (f *fleet) runNodeEvent(ctx context.Context, e *Event) error {
 	n := f.nodes[e.Node]
 	switch e.Action {
@@ -201,7 +202,7 @@
 	f.updateNode(i, func(e *endpointlist.Entry) { e.Status = status })
 }
 
-// reportStarted has the directory report that a node has started, with a name that may be new.
+// reportStarted makes the directory report that the node i has started; its name may be new.
 func (f *fleet) reportStarted(i int, name string) {
 	f.updateNode(i, func(e *endpointlist.Entry) {
 		e.Name = name
@@ -235,7 +236,7 @@
 	}
 }
 
-// flap removes a node from the directory and adds it again, for a number of times. Once ended is closed, it no longer
+// flap removes a node from the directory and adds it again, as often as times says. Once ended is closed, it no longer
 // waits between the changes.
 func (f *fleet) flap(i, times int, every time.Duration, ended <-chan struct{}) {
 	for range times {
--- a/internal/fleettest/faultinject/process_test.go
+++ b/internal/fleettest/faultinject/process_test.go
@@ -10,8 +10,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestStopEnds checks that a process is stopped for the duration in the schedule and then continues, even if the context
-// ends during the stop (invariant 1: every fault ends, and no process is left stopped).
+// TestStopEnds checks that a process is stopped for the duration in the schedule and then continues, even if the
+// context ends during the stop (invariant 1: every fault ends, and no process is left stopped).
 func TestStopEnds(t *testing.T) {
 	pid := startProcess(t, "sleep", "60")
 	var stops []time.Duration
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestStarvingAndFullBacklogEnd checks that StarveCPU and FillBacklog return when their contexts end (invariant 1: every
-// fault ends).
+// TestStarvingAndFullBacklogEnd checks that StarveCPU and FillBacklog return when their contexts end (invariant 1:
+// every fault ends).
 func TestStarvingAndFullBacklogEnd(t *testing.T) {
 	pid := startProcess(t, "sleep", "60")
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
--- a/internal/fleettest/fencingchecker.go
+++ b/internal/fleettest/fencingchecker.go
@@ -11,8 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The words of the protocol between holders and the resource: each line is a verb, a fencing token and the holder's
-// number, and is answered by accepted or rejected.
+// The words of the protocol between holders and the resource. Each line is a verb, a fencing token and the number of
+// the holder; the answer is accepted or rejected.
 const (
 	verbBegin    = "begin"
 	verbEnd      = "end"
@@ -26,14 +26,14 @@
 	begin, end time.Time
 }
 
-// fencingChecker is the resource that a lease protects. It rejects actions under old fencing tokens, and checks the
-// rules by what it sees itself, without trusting any participant.
+// fencingChecker is the resource that a lease protects. It rejects actions under old fencing tokens. It checks the
+// rules from the messages that it receives, and trusts no other information of holders and voters.
 type fencingChecker struct {
 	listener net.Listener
 	tasks    sync.WaitGroup
 
 	mu               sync.Mutex
-	unfenced         bool // no token is rejected, to show what tokens prevent
+	unfenced         bool // no token is rejected, to show which faults fencing tokens prevent
 	highestToken     uint64
 	lastHolder       int // the holder that acted last
 	openActions      map[*resourceAction]bool
@@ -43,8 +43,8 @@
 	concurrentStarts int // actions that began while another was open, which tokens protect the resource from
 	tokenRegressions int // commits under a token lower than that of the commit before
 	gaps             map[string]*hdrhistogram.Histogram
-	gapBefore        time.Duration // time without a message before the first one under the highest token
-	pendingCause     string        // the last fault of the holder that acted last; "" for none
+	gapBefore        time.Duration // time without a message before the first message under the highest token
+	pendingCause     string        // fault of the last holder that began the current gap; "" for none
 	pendingSince     time.Time
 	conns            map[net.Conn]struct{}
 }
@@ -102,8 +102,8 @@
 	}
 }
 
-// handle handles a message on a connection, and reports whether it is accepted. *action is the last action that began
-// on the connection.
+// handle handles a message on a connection, and reports whether the message is accepted. *action is the last action
+// that began on the connection.
 func (c *fencingChecker) handle(action **resourceAction, verb string, token uint64, holder int) (ok bool) {
 	now := time.Now()
 	c.mu.Lock()
@@ -148,7 +148,7 @@
 	c.committed = append(c.committed, *action)
 }
 
-// recentAction is how recently a process must have acted to count as the holder.
+// recentAction is the time after its last action for which a process is considered the holder.
 const recentAction = 100 * time.Millisecond
 
 // noteFault records a fault of a process. If the process is the holder, the time from now until the next holder's
@@ -201,7 +201,7 @@
 	c.tasks.Wait()
 }
 
-// maxOverlapDistance bounds how many later commits each action is compared with.
+// maxOverlapDistance limits the number of later commits that each action is compared with.
 const maxOverlapDistance = 64
 
 // countOverlaps counts pairs of committed actions under different tokens that ran at the same time.
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -28,13 +28,13 @@
 	proxies   []*proxyInstance
 	links     linkSet
 	ports     *portReserver             // for the addresses of the proxies
-	peerLinks map[int]*faultinject.Link // by proxy, to its peer address; nil if there are none
+	peerLinks map[int]*faultinject.Link // links to the proxies' peer addresses, by proxy; nil without such links
 	voters    agent.Fleet               // set if the scenario has restart permits
 	voterView voterView                 // nil if proxies use the voters' own addresses
 
 	mu             sync.Mutex
 	entries        []endpointlist.Entry // of the nodes, as last published
-	lateDrains     int                  // requests that reached a draining node too late
+	lateDrains     int                  // requests that reached a draining node later than drainGrace
 	maxLateDrain   time.Duration
 	lastAfterDrain time.Duration // longest time from a drain notification to a request at the node
 	crashes        int
@@ -46,7 +46,7 @@
 // voterView returns the addresses at which a proxy connects to the voters.
 type voterView func(proxy int) []agent.VoterAddress
 
-// maxProblems is how many descriptions of problems are kept.
+// maxProblems is the maximum number of descriptions of problems that are kept.
 const maxProblems = 50
 
 // startFleet starts the fakes and the proxies, and waits until all proxies are ready.
--- a/internal/fleettest/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -15,24 +15,25 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file measures how long a task is without an action when its holder releases it, hands it over, is killed,
-// stopped or cut off. Several tasks are measured at a time on three voters; each has two processes that compete for its
-// lease.
+// This file measures the time without an action on a task after its holder has released it, handed it over, or was
+// killed, stopped or cut off. Several tasks are measured at the same time on three voters; for each task, two processes
+// compete for the lease.
 
-// gapTasks is how many tasks are measured at the same time.
+// gapTasks is the number of tasks that are measured at the same time.
 const gapTasks = 10
 
 // gapKinds are the events that end a holder's actions, in the order in which they are measured.
 var gapKinds = []string{"given back", "handed over", "killed", "stopped", "cut off"}
 
-// gapTimeout bounds each wait for the task to have an acting and a waiting holder, and each wait for the next holder.
+// gapTimeout limits each wait until one process acts on the task and the other is queued, and each wait for the first
+// action of the next holder.
 const gapTimeout = 15 * time.Second
 
 // LeaseGapsOptions configures MeasureLeaseGaps.
 type LeaseGapsOptions struct {
 	Options
 	HolderCommand []string // starts a holder; its flags and arguments are appended
-	Repetitions   int      // of each event
+	Repetitions   int      // how often each event is measured
 }
 
 // LeaseGapsReport is the result of MeasureLeaseGaps.
@@ -44,7 +45,8 @@
 	Problems         []string   `json:"problems"`
 }
 
-// OK reports whether no two actions overlapped, no token was lower than one before, and everything was measured.
+// OK reports whether no two actions overlapped, no token was lower than an earlier one, there were actions, and all
+// measurements succeeded.
 func (r *LeaseGapsReport) OK() bool {
 	return r.Overlaps+r.TokenRegressions+len(r.Problems) == 0 && r.Actions > 0
 }
@@ -179,8 +181,8 @@
 	t.checker.close()
 }
 
-// awaitSettled waits until one of the two holders acts and the other one waits in the queue. It returns the index of
-// the first, its fencing token, and the name of the second.
+// awaitSettled waits until one of the two holders acts and the other one waits in the queue. It returns the index and
+// the fencing token of the acting holder, and the holder name of the waiting one.
 func (t *gapTask) awaitSettled(
 	ctx context.Context, c *agent.Client,
 ) (holder int, token uint64, waiter string, err error) {
@@ -218,7 +220,7 @@
 	return 0, fmt.Errorf("%s: no action under a higher token within %v", t.name, gapTimeout)
 }
 
-// measure causes each kind of event so many times, and records the gaps.
+// measure causes each kind of event as often as repetitions says, and records the gaps.
 func (t *gapTask) measure(
 	ctx context.Context, f *fleet, o LeaseGapsOptions, repetitions int, record func(string, time.Duration),
 ) error {
--- a/internal/fleettest/judge.go
+++ b/internal/fleettest/judge.go
@@ -13,7 +13,7 @@
 
 // This file decides whether the end of an attempt breaks the rules or is excused by a fault that the test injected.
 
-// extraTolerance returns the part of the tolerance that covers delays of this process itself.
+// extraTolerance returns the part of the recorder's tolerance that covers delays of the test process itself.
 func (w *workload) extraTolerance() time.Duration { return w.recorder.tolerance() - baseTolerance }
 
 func isTimeout(err error) bool {
@@ -27,8 +27,8 @@
 ) outcome {
 	link := w.fleet.links.clients[p.index]
 	if isTimeout(err) && link != nil && link.FaultySince(sent) {
-		// What the link holds back is delivered together with the end of the connection, as for any client that gives
-		// up, so that whatever still arrives says nothing about the proxy.
+		// The link delivers the request that it holds back together with the end of the connection, as for any client
+		// that gives up. A late answer would therefore say nothing about the proxy.
 		conn.socket.Close()
 		w.recorder.atCutLink()
 		return timedOut
@@ -55,7 +55,7 @@
 	}
 	if p.wasKilledSince(conn.dialedAt, sent) {
 		w.recorder.atKilledProxy()
-		return timedOut // the request may have been executed, so that the client decides whether to retry
+		return timedOut // the request may have been executed; the client decides whether to retry it
 	}
 	if !conn.used || took >= closeRaceTime+w.extraTolerance() {
 		w.recorder.lost("proxy %d closed the connection of %s after %v (used before: %v): %v",
@@ -63,13 +63,13 @@
 		return timedOut
 	}
 	if conn.binary {
-		// Nodes identify a binary write by its value, which the next attempt repeats. The next attempt is therefore
-		// delayed until a node would have seen this one.
+		// Nodes identify a binary write by its value, which the next attempt sends again. The next attempt is therefore
+		// delayed until this attempt would have arrived at a node.
 		time.Sleep(nodeArrivalTime)
 		w.judgeCloseRace(p, id)
 		return crossedClose
 	}
-	// If the proxy had read the request, it is lost all the same. The node may receive it late.
+	// If the proxy did read the request, the request counts as lost. The node may receive it only after a while.
 	w.tasks.Go(func() {
 		time.Sleep(lateWatchTime)
 		w.judgeCloseRace(p, id)
@@ -87,8 +87,8 @@
 	return killed.After(dialed) && killed.After(sent.Add(-processTimeout)) && time.Since(killed) < processTimeout
 }
 
-// judgeCloseRace counts a request that was sent just as the proxy closed its idle connection: it is lost if a node has
-// seen it, and excused otherwise.
+// judgeCloseRace counts a request that was sent just as the proxy closed its idle connection: as lost if a node has
+// received the request, and as excused otherwise.
 func (w *workload) judgeCloseRace(p *proxyInstance, id string) {
 	if w.fleet.seenByNode(id) {
 		w.recorder.lost("proxy %d accepted %s and closed its connection unanswered", p.index, id)
@@ -97,10 +97,11 @@
 	w.recorder.crossedClose()
 }
 
-// longAgo is much longer than closeRaceTime.
+// longAgo is much longer than closeRaceTime: a connection that ends longAgo after a request is no close race.
 const longAgo = time.Minute
 
-// watchLateAnswer waits on a connection whose client has given up for a late answer, and counts what arrives.
+// watchLateAnswer waits for a late answer on a connection whose client has given up. It counts an answer within the
+// tolerance as overdue, and anything else as lost unless a fault excuses it.
 func (w *workload) watchLateAnswer(p *proxyInstance, conn *clientConn, id string, sent, deadline time.Time) {
 	defer conn.socket.Close()
 	conn.socket.SetDeadline(deadline.Add(lateWatchTime + w.recorder.tolerance()))
@@ -115,7 +116,7 @@
 	case isTimeout(err):
 		w.recorder.lost("proxy %d never answered %s", p.index, id)
 	default:
-		w.judgeConnectionLost(p, conn, id, deadline.Add(-longAgo), err) // too late for a close race
+		w.judgeConnectionLost(p, conn, id, deadline.Add(-longAgo), err) // longAgo rules out a close race
 	}
 }
 
@@ -129,7 +130,7 @@
 		return failed, 0
 	}
 	if conn.binary {
-		a.ID = []byte(id) // readBinaryAnswer has compared the opaque
+		a.ID = []byte(id) // a binary answer has no id; readBinaryAnswer has compared the opaque
 	}
 	if a.Kind == request.Value || a.Kind == request.Stored {
 		if !q.isAnsweredBy(a, id, value) {
--- a/internal/fleettest/lease.go
+++ b/internal/fleettest/lease.go
@@ -38,7 +38,7 @@
 // LeaseDuration is the duration of the leases that holders acquire.
 const LeaseDuration = time.Second
 
-// The causes of gaps in reports.
+// The causes of gaps between actions, as reports name them.
 const (
 	causeReleased = "given back"
 	causeKilled   = "holder killed"
@@ -119,7 +119,7 @@
 	return t.fill(served), nil
 }
 
-// run injects faults while clients and holders work, then ends all processes. It returns what the clients saw.
+// run injects faults while clients and holders work, then ends all processes. It returns the results of the clients.
 func (t *leaseTest) run(ctx context.Context, s *Scenario) *Report {
 	start := time.Now()
 	r := newRecorder(s.Phases, start)
@@ -188,7 +188,7 @@
 	return process.awaitReady()
 }
 
-// addCrash counts a process that ended or failed unexpectedly, and describes the first ones.
+// addCrash counts a process that ended or failed unexpectedly, and records the first descriptions.
 func (t *leaseTest) addCrash(format string, a ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,7 +198,7 @@
 	}
 }
 
-// stopAll ends all processes gracefully, and counts those that had crashed or fail to end.
+// stopAll ends all processes gracefully, and counts those that had crashed before or do not end.
 func (t *leaseTest) stopAll() {
 	var tasks sync.WaitGroup
 	for i, h := range t.holders {
--- a/internal/fleettest/leasefaults.go
+++ b/internal/fleettest/leasefaults.go
@@ -9,7 +9,7 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// The kinds of faults of a lease test. A link fails for all other kinds below leaseFaultKinds.
+// The kinds of faults of a lease test. All other numbers below leaseFaultKinds are faults of a link.
 const (
 	leaseFaultKill = iota
 	leaseFaultStop
@@ -29,7 +29,7 @@
 var leaseLinkFaults = []string{"cut", "forth", "back", "delay", linkReset, "slow", "twice"}
 
 const (
-	leaseFaultFreeTime = time.Second // without faults, at the start of a test
+	leaseFaultFreeTime = time.Second // time without faults at the start of a test
 	leaseLinkDelay     = 150 * time.Millisecond
 )
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// stopProcess stops a process for a time.
+// stopProcess stops a process for the duration d.
 func (t *leaseTest) stopProcess(ctx context.Context, process int, d time.Duration) {
 	schedule := faultinject.StopSchedule{Duration: d}
 	if process < leaseVoters {
@@ -117,11 +117,11 @@
 	pid := t.holders[process-leaseVoters].cmd.Process.Pid
 	t.mu.Unlock()
 	t.checker.noteFault(causeStopped, process)
-	schedule.Run(ctx, pid, func(_, _ time.Time) {}) // fails if the holder was killed meanwhile
+	schedule.Run(ctx, pid, func(_, _ time.Time) {}) // fails if another fault has killed the holder
 }
 
-// fillDisk fills the disk of a voter for a time. The voter steps down but still serves clients; it votes again after a
-// restart.
+// fillDisk fills the disk of a voter for the duration d. The voter halts but still serves clients; it votes again only
+// after a restart.
 func (t *leaseTest) fillDisk(ctx context.Context, voter int, d time.Duration) {
 	p := t.fleet.proxies[voter]
 	if err := faultinject.FullDisk(ctx, p.currentProcess().cmd.Process.Pid, d); err != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// failLink makes a link fail for a time.
+// failLink injects a fault into a link and ends it after the fault's duration.
 func (t *leaseTest) failLink(ctx context.Context, f leaseFault) {
 	link := t.links[f.link]
 	if f.link.process >= leaseVoters {
--- a/internal/fleettest/leaseholder.go
+++ b/internal/fleettest/leaseholder.go
@@ -18,11 +18,11 @@
 
 // HolderOptions configures RunHolder.
 type HolderOptions struct {
-	CheckerAddress string // of the resource that the lease protects, a fencing checker
+	CheckerAddress string // address of the resource that the lease protects, a fencing checker
 	HolderID       uint64
 	Fleet          agent.Fleet
 	Task           string
-	ClockDrift     float64          // share by which its clock drifts
+	ClockDrift     float64          // fraction by which the holder's clock runs fast; negative for a slow clock
 	Release        <-chan os.Signal // the holder releases the task at a signal; nil to release it after a random time
 }
 
@@ -35,8 +35,8 @@
 	actionDialTimeout = time.Second
 )
 
-// RunHolder runs a holder: until ctx ends, it repeatedly acquires the task, acts on the resource for a while and
-// releases the task.
+// RunHolder runs a holder until ctx ends: it repeatedly acquires the task, acts on the resource until the task is to be
+// released, and releases it.
 func RunHolder(ctx context.Context, o HolderOptions) error {
 	agent.OverrideTotalSleep(clock.SimulatedSleep(0, 0, o.ClockDrift))
 	client, err := agent.NewClient(o.Fleet)
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// act acts under a lease until an action fails or the task is to be released: at a signal, or after a random time if
-// there is no channel for signals.
+// act acts under a lease until an action fails or the task is to be released: at a signal from Release or, if Release
+// is nil, after a random time.
 func (o *HolderOptions) act(ctx context.Context, holder *agent.Holder, rng *rand.Rand) {
 	if o.Release == nil {
 		var end context.CancelFunc
@@ -76,7 +76,7 @@
 	}
 }
 
-// signaled reports whether a signal has arrived, false for a nil channel.
+// signaled reports whether a signal has arrived; false for a nil channel.
 func signaled(c <-chan os.Signal) bool {
 	select {
 	case <-c: // blocks for a nil channel
--- a/internal/fleettest/leasereport.go
+++ b/internal/fleettest/leasereport.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LeaseGap is how long a task was without an action after a fault or a release.
+// LeaseGap summarizes the times without an action on a task after faults or releases of one kind.
 type LeaseGap struct {
 	Cause string  `json:"after"`
 	Count int64   `json:"times"`
@@ -25,7 +25,7 @@
 	HighestToken     uint64     `json:"numbers"`  // highest fencing token
 	Overlaps         int        `json:"overlaps"` // pairs of actions under different tokens at the same time
 	TokenRegressions int        `json:"backward"` // committed actions under a lower token than the one before
-	RejectedByToken  int        `json:"refused"`  // messages to the resource
+	RejectedByToken  int        `json:"refused"`  // messages that the resource rejected for their old tokens
 	ConcurrentStarts int        `json:"beside"`   // actions that began while another was in progress
 	Faults           int        `json:"faults"`
 	Crashes          int        `json:"crashes"`
--- a/internal/fleettest/libraryclient.go
+++ b/internal/fleettest/libraryclient.go
@@ -10,11 +10,11 @@
 	"mulleinpier/internal/loadgen"
 )
 
-// librarySubset is how many proxies a library client uses at a time.
+// librarySubset is the number of proxies that a library client uses at the same time.
 const librarySubset = 8
 
-// openLibrary opens a library client for each tenant, if the load uses the library. The same recorder counts their
-// tries and those of the test's own clients.
+// openLibrary opens a library client for each tenant, if the load uses the library. The test's recorder counts the
+// attempts of library clients together with those of the test's own clients.
 func (w *workload) openLibrary() error {
 	if w.load.LibraryShare == 0 {
 		return nil
--- a/internal/fleettest/links.go
+++ b/internal/fleettest/links.go
@@ -12,8 +12,8 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// linkHost is the loopback address on which links listen. Its ports are not taken by other sockets while their owners
-// are down.
+// linkHost is the loopback address on which links listen. No outgoing connection uses it, so no other socket takes a
+// port while the owner of the port is down.
 const linkHost = "127.0.0.4"
 
 // The other ends of the proxies' links, as scenarios name them.
@@ -53,8 +53,8 @@
 	}
 }
 
-// linkToProxy returns the address at which clients connect to a proxy: that of a new link, or its own if links to
-// clients never fail.
+// linkToProxy returns the address at which clients connect to a proxy: the address of a new link or, if links to
+// clients never fail, the proxy's own.
 func (l *linkSet) linkToProxy(p *proxyInstance) (string, error) {
 	if l.clients == nil {
 		return p.address, nil
@@ -67,8 +67,8 @@
 	return link.Address(), nil
 }
 
-// nodeAddress returns the address at which a proxy connects to a node: that of their link, or the node's own if links
-// to nodes never fail.
+// nodeAddress returns the address at which a proxy connects to a node: the address of the link between the two or, if
+// links to nodes never fail, the node's own.
 func (f *fleet) nodeAddress(proxy int, e *endpointlist.Entry) string {
 	l := &f.links
 	if l.nodes == nil {
@@ -110,7 +110,8 @@
 	return before + key + f.links.list[proxy].Address() + "\"" + after, nil
 }
 
-// nodeLinkFaulty reports whether a fault of the link may have delayed a request from a proxy to a node since a time.
+// nodeLinkFaulty reports whether a fault of the link may have delayed a request from a proxy to a node: whether the link
+// is faulty or was so after drainGrace before since.
 func (l *linkSet) nodeLinkFaulty(proxy int, node string, since time.Time) bool {
 	l.mu.Lock()
 	link := l.nodes[proxy][node]
@@ -118,7 +119,8 @@
 	return link != nil && link.FaultySince(since.Add(-drainGrace))
 }
 
-// listLinkFaulty reports whether a fault of the link may have delayed a notification to a proxy since a time.
+// listLinkFaulty reports whether a fault of the link may have delayed a notification to a proxy, by the same rule as
+// nodeLinkFaulty.
 func (l *linkSet) listLinkFaulty(proxy int, since time.Time) bool {
 	link := l.list[proxy]
 	return link != nil && link.FaultySince(since.Add(-drainGrace))
@@ -138,7 +140,7 @@
 	}
 }
 
-// matching returns the links that an event affects. names are the names of all nodes, by number.
+// matching returns the links that an event affects. names contains the name of each node, by node number.
 func (l *linkSet) matching(e *Event, names []string) (list []*faultinject.Link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -20,7 +20,7 @@
 	Options
 	Nodes            int
 	ChangesPerSecond int
-	Duration         time.Duration // of the changes, at most
+	Duration         time.Duration // no more changes are made after this time
 }
 
 // MembersReport is the result of MeasureMembership, for one proxy without requests. A change is in force when the proxy
@@ -29,7 +29,7 @@
 	Nodes            int     `json:"nodes"`
 	ChangesPerSecond int     `json:"changes"` // how many changes were made in all
 	Seconds          float64 `json:"seconds"`
-	CPUShare         float64 `json:"cpu_share"` // of one core
+	CPUShare         float64 `json:"cpu_share"` // CPU time of the proxy as a fraction of one core
 	ResidentMB       float64 `json:"resident_mb"`
 	ListsReceived    int     `json:"lists"`
 	BytesPerChange   float64 `json:"bytes_a_change"`
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	config := filepath.Join(o.Folder, "members.toml")
-	os.Remove(log) // of an earlier run, as the times of drains are read from it
+	os.Remove(log) // the times of drains are read from the log, so it must not contain an earlier run
 	text := fmt.Sprintf("listen = %q\n[limits]\nmemory_mb = 32\n[nodes]\nconsul = %q\n[consul]\nservice = %q\n",
 		address, agentAddress, consulService)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
--- a/internal/fleettest/pausefaults.go
+++ b/internal/fleettest/pausefaults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// pauseFault is a fault, or several at the same time, at some of the proxies. Its name stands in reports, and the flag
-// --trouble selects faults by parts of it.
+// pauseFault is a fault, or several simultaneous faults, at some of the proxies. Reports contain its name, and the flag
+// --trouble selects faults by a part of the name.
 type pauseFault struct {
 	name     string
 	duration time.Duration
@@ -14,7 +14,7 @@
 
 func seconds(s float64) tomlDuration { return tomlDuration(s * float64(time.Second)) }
 
-// newStopFault returns a fault that stops proxies for a number of seconds, with other events meanwhile.
+// newStopFault returns a fault that stops proxies for length seconds, together with the events more.
 func newStopFault(name string, length float64, more ...Event) pauseFault {
 	return pauseFault{
 		name:     name,
@@ -25,7 +25,7 @@
 	}
 }
 
-// newLinkFault returns a fault of the proxies' links that lasts a number of seconds.
+// newLinkFault returns a fault of the proxies' links to linkTo that lasts length seconds.
 func newLinkFault(name, linkTo, kind string, length float64, delay time.Duration) pauseFault {
 	return pauseFault{
 		name:     name,
@@ -188,7 +188,7 @@
 	for i, t := range singleFaults {
 		for _, u := range singleFaults[i+1:] {
 			switch {
-			case t.name == killedFault.name && u.name != stalledNodesFault.name: // a killed process has no links
+			case t.name == killedFault.name && u.name != stalledNodesFault.name: // a dead process has no links
 			case u.name == killedFault.name && t.name != stalledNodesFault.name:
 			case t.linkTo() != "" && t.linkTo() == u.linkTo(): // a link has one fault at a time
 			default:
@@ -199,5 +199,5 @@
 	return list
 }
 
-// linkTo returns the other end of the links that a fault affects; "" if it affects none.
+// linkTo returns the other end of the links that a fault affects; "" if the fault affects no links.
 func (t pauseFault) linkTo() string { return t.events([]int{0})[0].LinkTo }
--- a/internal/fleettest/pauses.go
+++ b/internal/fleettest/pauses.go
@@ -19,11 +19,11 @@
 // PauseOptions select the faults, and say how to run their tests.
 type PauseOptions struct {
 	Options
-	ProxyCounts []int  // at how many proxies each fault is tested; empty means 3
+	ProxyCounts []int  // each fault is tested at each of these numbers of proxies; empty means 3
 	OnlyFault   string // only faults whose names contain this
 	Seed        uint64 // 0 means 1
 	AllPairs    bool   // all pairs of faults instead of the default faults
-	Parallel    int    // how many tests run at a time; 0 means 1
+	Parallel    int    // number of tests that run at the same time; 0 means 1
 }
 
 const (
@@ -33,7 +33,7 @@
 	pauseHandoverShare   = 0.3
 	beforePause          = 3 * time.Second
 	afterPause           = 6 * time.Second
-	recoveredShare       = 0.98 // of requests in time, below which an interval is not recovered
+	recoveredShare       = 0.98 // an interval with a lower share of requests in time is not recovered
 	maxProblemsPerReport = 5
 )
 
@@ -149,7 +149,7 @@
 // run runs a test and fills in its row.
 func (row *PauseRow) run(ctx context.Context, test pauseTest, o Options) error {
 	if ctx.Err() != nil {
-		return nil // RunPauses reports it once
+		return nil // RunPauses reports the end of ctx once
 	}
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
 		return err
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// inTimePercent returns the percentage of the requests in some phases that were answered in time.
+// inTimePercent returns the percentage of the requests in the given phases that were answered in time.
 func inTimePercent(phases []PhaseReport) float64 {
 	total := PhaseReport{}
 	for _, p := range phases {
@@ -174,8 +174,8 @@
 	return total.InTimePercent()
 }
 
-// recoveryAfter returns the seconds from a time to the end of the last interval of the timeline in which too few
-// requests were answered in time; 0 if there is no such interval.
+// recoveryAfter returns the seconds from end to the end of the last interval of the timeline in which too few requests
+// were answered in time; 0 if there is no such interval.
 func (r *Report) recoveryAfter(end time.Duration) (recovery float64) {
 	for i, c := range r.Timeline {
 		from := time.Duration(i) * timelineTick
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -32,7 +32,7 @@
 	Instances      int                  `json:"instances"`
 	DetectionTimes []PeersDetectionTime `json:"known"`
 	IdleCosts      []PeersIdleCost      `json:"rest"`
-	FalseDeaths    int                  `json:"false"`  // times that a member logged a live one as gone
+	FalseDeaths    int                  `json:"false"`  // times that a member logged a live member as gone
 	MissedDeaths   int                  `json:"missed"` // times that a member did not log a death
 	Problems       []string             `json:"problems"`
 }
@@ -46,7 +46,7 @@
 	Max   float64 `json:"most_ms"`
 }
 
-// PeersIdleCost is what a process uses on average without events. All fields but ResidentMB are per second.
+// PeersIdleCost is the average resource use of a process without events. All fields but ResidentMB are per second.
 type PeersIdleCost struct {
 	Process    string  `json:"who"`
 	CPUMillis  float64 `json:"cpu_ms"`
@@ -92,7 +92,7 @@
 	report *PeersReport
 }
 
-// idleMeasureTime is how long the cost without events is measured.
+// idleMeasureTime is the duration of the measurement of the cost without events.
 const idleMeasureTime = 8 * time.Second
 
 // RunPeers measures the cost of membership without events and, if there are repetitions, how soon members detect
@@ -204,7 +204,8 @@
 	return nil
 }
 
-// peersFault is a fault of one instance. The others have to log it as gone if death is set, and must not otherwise.
+// peersFault is a fault of one instance. If death is set, the other instances must log the instance as gone; otherwise
+// they must not.
 type peersFault struct {
 	name   string
 	death  bool
@@ -293,7 +294,8 @@
 
 var goneLine = regexp.MustCompile(`(?m)^time=(\S+) .*msg="member state changed" proxy=\S+ member=(\S+) state=gone `)
 
-// goneLoggedAt returns when an instance logged after from that a member was gone; the zero time if it did not.
+// goneLoggedAt returns the time after from at which the instance observer logged that the member name was gone; the
+// zero time if it did not log this.
 func (p *peersTest) goneLoggedAt(observer int, name string, from time.Time) time.Time {
 	text, err := os.ReadFile(p.fleet.proxies[observer].currentProcess().logPath)
 	if err != nil {
--- a/internal/fleettest/permits.go
+++ b/internal/fleettest/permits.go
@@ -13,7 +13,8 @@
 	"mulleinpier/internal/lease/agent"
 )
 
-// This file restarts proxies with restart permits of their fleet, and counts how many are down at the same time.
+// This file restarts proxies under restart permits of their fleet, and counts how many proxies are down at the same
+// time.
 
 const (
 	permitVoters = 3
@@ -22,7 +23,7 @@
 	permitTimeout = 3 * time.Minute
 )
 
-// newVoters reserves addresses for the voters, and creates their storage in a folder.
+// newVoters reserves addresses for the voters, and creates their files in a folder.
 func newVoters(folder string, free *portReserver) (f agent.Fleet, err error) {
 	f.Name = permitFleet
 	for i := range permitVoters {
@@ -45,7 +46,7 @@
 	return filepath.Join(folder, fmt.Sprintf("p%d.memory", i))
 }
 
-// createVoters creates the voters, which are the first proxies, if the scenario has permits.
+// createVoters creates the files of the voters, which are the first proxies, if the scenario has restart permits.
 func (f *fleet) createVoters() (err error) {
 	if f.scenario.Fleet.RestartPermits > 0 {
 		f.voters, err = newVoters(f.folder, f.ports)
@@ -53,8 +54,8 @@
 	return err
 }
 
-// peersConfig returns the part of a configuration that makes a process a member of the fleet. voter is its index among
-// the voters; -1 if it is none.
+// peersConfig returns the part of a configuration that makes a process a member of the fleet. voter is the index of the
+// process among the voters; -1 if it does not vote.
 func peersConfig(list []agent.VoterAddress, folder string, voter int) string {
 	var voters []string
 	for _, v := range list {
@@ -148,7 +149,7 @@
 }
 
 // endWithoutPermit ends a process that is not replaced. A second SIGTERM makes the process end without a permit. It is
-// sent only when the first one has been received, because the kernel merges pending signals.
+// sent only once the process has received the first one, because the kernel merges pending signals.
 func (p *proxyInstance) endWithoutPermit(old *process) error {
 	if p.fleet.scenario.Fleet.RestartPermits == 0 {
 		return old.end(syscall.SIGTERM)
@@ -160,7 +161,7 @@
 	select {
 	case <-old.awaitingPermit:
 		return old.end(syscall.SIGTERM)
-	case <-old.draining: // no second signal is needed
+	case <-old.draining: // the process has its permit and needs no second signal
 	case <-old.exited:
 	case <-time.After(processTimeout):
 		old.end(syscall.SIGKILL)
@@ -169,7 +170,7 @@
 	return old.endWithin(syscall.Signal(0), processTimeout)
 }
 
-// maxDown returns the highest number of proxies that were down by permits at the same time.
+// maxDown returns the highest number of proxies that were down for restarts by permit at the same time.
 func (f *fleet) maxDown() (highest int) {
 	type event struct {
 		at     time.Time
--- a/internal/fleettest/pipeline.go
+++ b/internal/fleettest/pipeline.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// dialAny opens a connection to any proxy that accepts clients. It returns nil if there is none or dialing fails.
+// dialAny opens a connection to any proxy that accepts clients. It returns nil if no proxy does, or dialing fails.
 func (w *workload) dialAny() (*proxyInstance, *clientConn) {
 	p := w.pickProxy()
 	if p == nil {
--- a/internal/fleettest/ports.go
+++ b/internal/fleettest/ports.go
@@ -16,8 +16,8 @@
 
 var hostCount atomic.Int64
 
-// portReserver reserves ports of a host, each only once, although the kernel may assign a port again as soon as it is
-// closed.
+// portReserver reserves ports of a host, and never the same port twice, although the kernel may assign a port again as
+// soon as its listener is closed.
 type portReserver struct {
 	host     string
 	reserved map[string]bool // by address
@@ -27,10 +27,10 @@
 	return &portReserver{host: newHost(), reserved: make(map[string]bool)}
 }
 
-// reserve opens a listener at an address that was not reserved before. The caller closes it before the owner of the
-// address listens there.
+// reserve opens a listener at an address that was not reserved before. The caller closes the listener before the owner
+// of the address listens at it.
 func (p *portReserver) reserve() (net.Listener, error) {
-	var rejected []net.Listener // closed only once another address was found
+	var rejected []net.Listener // open until a new address is found, so the kernel does not assign theirs again
 	defer func() {
 		for _, l := range rejected {
 			l.Close()
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -28,7 +28,7 @@
 	ready        chan struct{}
 	draining     chan struct{}
 	exited       chan struct{}
-	// awaitingPermit is closed once the process has been told to end and waits for a restart permit.
+	// awaitingPermit is closed once the process has received SIGTERM and waits for a restart permit.
 	awaitingPermit chan struct{}
 	tasks          sync.WaitGroup
 
@@ -40,14 +40,14 @@
 
 	mu          sync.Mutex
 	status      string
-	reloads     int // completed
+	reloads     int // number of completed reloads
 	reloading   bool
-	endExpected bool // the test has told the process to end
+	endExpected bool // the test has sent the process a signal to end
 }
 
 var processSerial atomic.Int64
 
-// startProcess starts a program under the service manager's protocol. The process inherits listener, unless that is
+// startProcess starts a program under the service manager's protocol. The process inherits listener, unless listener is
 // nil. Its output is appended to the file log.
 func startProcess(argv []string, listener *os.File, log string) (*process, error) {
 	name := fmt.Sprintf("@fleettest-%d-%d", os.Getpid(), processSerial.Add(1))
@@ -111,7 +111,7 @@
 	}
 }
 
-// awaitingPermitStatus is the prefix of the status of a process that has been told to end and waits for a restart
+// awaitingPermitStatus is the prefix of the status of a process that has received SIGTERM and waits for a restart
 // permit.
 var awaitingPermitStatus = lifecycle.AwaitingPermit.String()
 
@@ -177,7 +177,7 @@
 	return p.err
 }
 
-// hasCrashed reports whether the process has exited without having been told to.
+// hasCrashed reports whether the process has exited although the test has not ended it.
 func (p *process) hasCrashed() bool {
 	select {
 	case <-p.exited:
@@ -189,7 +189,7 @@
 	return !p.endExpected
 }
 
-// reloadCount returns how many reloads have completed.
+// reloadCount returns the number of reloads that the process has completed.
 func (p *process) reloadCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleettest/proxy.go
+++ b/internal/fleettest/proxy.go
@@ -37,11 +37,11 @@
 type interval struct{ from, to time.Time }
 
 const (
-	// drainNoticeTime is how long clients still open connections after a drain has started.
+	// drainNoticeTime is the time after the start of a drain for which clients still open connections.
 	drainNoticeTime = 300 * time.Millisecond
-	// killNoticeTime is how long clients still open connections after a process was killed.
+	// killNoticeTime is the time after the kill of a process for which clients still open connections.
 	killNoticeTime = time.Second
-	// unknownKillTime is how far in the future the time of a kill is assumed to be until it is known.
+	// unknownKillTime is added to the present time as the assumed time of a kill, until the process has exited.
 	unknownKillTime = time.Hour
 )
 
@@ -86,7 +86,7 @@
 	return startProcess(argv, p.passedListener, log)
 }
 
-// start starts the proxy's process and waits until it is ready. There must be no other process.
+// start starts the proxy's process and waits until it is ready. The proxy must have no other process.
 func (p *proxyInstance) start() error {
 	process, err := p.launch()
 	if err != nil {
@@ -161,7 +161,7 @@
 	switch {
 	case p.fleet.scenario.Fleet.RestartPermits > 0:
 		p.restartByPermit(old)
-	case p.passedListener != nil: // both processes hold the listener, so that clients see no gap
+	case p.passedListener != nil: // both processes have the listener, so clients can always connect
 		if p.startNext() {
 			p.drain(old)
 		}
@@ -172,7 +172,8 @@
 	}
 }
 
-// restartOverlapping starts the new process at once. That process waits until the old one has released the address.
+// restartOverlapping starts the new process before the old one ends. The new process waits until the old one has
+// released the address.
 func (p *proxyInstance) restartOverlapping(old *process) {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/fleettest/proxyconfig.go
+++ b/internal/fleettest/proxyconfig.go
@@ -17,13 +17,13 @@
 	configQuota  = "quota"  // with another tenant quota
 	configBroken = "broken" // not TOML
 	configGone   = "gone"   // the file is removed
-	configHalf   = "half"   // the file is truncated, as while it is being written
+	configHalf   = "half"   // the file is truncated, like a file that is being written
 	configMoved  = "moved"  // with another address of the directory
 	configFixed  = "fixed"  // with a changed setting that takes effect only after a restart
 )
 
-// staysAfterReload reports whether a variant remains the configuration of the proxy. The others are invalid, or change
-// a setting that needs a restart, and are replaced by configSame after the reload.
+// staysAfterReload reports whether a variant remains the configuration of the proxy. The other variants are invalid, or
+// change a setting that needs a restart; they are replaced by configSame after the reload.
 func staysAfterReload(variant string) bool {
 	return variant == configSame || variant == configQuota || variant == configMoved
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// writeBinary writes the sections of the binary protocol. Without tenants the default routes apply.
+// writeBinary writes the sections of the binary protocol. If there are no tenants, the default routes apply.
 func (p *proxyInstance) writeBinary(b io.Writer) {
 	s := p.fleet.scenario
 	fmt.Fprintf(b, "[binary]\nclients = %v\ntypes = [\"b1\"]\n", s.Fleet.Binary)
@@ -112,7 +112,7 @@
 
 const reloadPollInterval = 5 * time.Millisecond
 
-// reload writes a variant of the configuration and signals the proxy to reload it, for a number of times. It waits
+// reload writes a variant of the configuration and signals the proxy to reload it, as often as times says. It waits
 // until at least one reload has completed.
 func (p *proxyInstance) reload(variant string, times int, every time.Duration) {
 	p.changing.Lock()
--- a/internal/fleettest/recorder.go
+++ b/internal/fleettest/recorder.go
@@ -42,8 +42,8 @@
 	return &recorder{phases: phases, startedAt: start, counts: make([]phaseCounts, len(phases))}
 }
 
-// watchLag measures how late this process wakes up, until ctx ends: if the machine has no free core, the proxies are
-// delayed as well.
+// watchLag measures how late this process wakes up, until ctx ends. A late wake-up means that the machine has no free
+// core, and then the proxies are delayed, too.
 func (r *recorder) watchLag(ctx context.Context) {
 	for ctx.Err() == nil {
 		before := time.Now()
@@ -72,7 +72,7 @@
 
 type phaseCounts struct {
 	offered, inTime, late, refused, failed, retries int
-	latencies                                       []float32 // of served requests in seconds, late ones included
+	latencies                                       []float32 // of all served requests, also late ones, in seconds
 	handovers, handoversInTime                      int
 	offeredWeight, servedWeight                     float64
 }
@@ -120,7 +120,7 @@
 	weight     float64
 }
 
-// phaseAndTime returns the phase at a time, and the time since the phase started.
+// phaseAndTime returns the phase at the time at, and the time since that phase started.
 func (r *recorder) phaseAndTime(at time.Time) (*Phase, time.Duration) {
 	i, since := r.phaseAt(at), at.Sub(r.startedAt)
 	for _, p := range r.phases[:i] {
@@ -129,7 +129,7 @@
 	return &r.phases[i], since
 }
 
-// phaseAt returns the index of the phase at a time; any time after the last phase counts as part of it.
+// phaseAt returns the index of the phase at the time at. Any time after the last phase belongs to the last phase.
 func (r *recorder) phaseAt(at time.Time) int {
 	since := at.Sub(r.startedAt)
 	for i, p := range r.phases {
@@ -141,7 +141,7 @@
 	return len(r.phases) - 1
 }
 
-// requestStarted counts a request that starts at a time.
+// requestStarted counts a request that starts at the time at. Its result goes to requestEnded.
 func (r *recorder) requestStarted(at time.Time, q *clientRequest) recordedRequest {
 	recorded := recordedRequest{
 		phase:      r.phaseAt(at),
@@ -170,7 +170,7 @@
 	r.counts[recorded.phase].retries++
 }
 
-// requestEnded counts a request by its result and, if it was served, by whether that took longer than the objective.
+// requestEnded counts a request by its result and, if it was served, by whether it took longer than the objective.
 func (r *recorder) requestEnded(recorded recordedRequest, took time.Duration, result outcome, objective time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -240,7 +240,7 @@
 	return float64(sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]) * 1000
 }
 
-// summary describes a phase in one line, with the requests that were lost so far in all phases.
+// summary describes a phase in one line, with the number of requests that were lost in all phases so far.
 func (r *recorder) summary(phase int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleettest/recorder_test.go
+++ b/internal/fleettest/recorder_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A request counts in the phase in which it started, by its result, its latency objective and its weight; a request
-// after the last phase counts in the last phase.
+// TestRecorderCountsByPhase checks that a request is counted in the phase in which it started, by its result, its
+// latency objective and its weight, and that a request after the last phase is counted in the last phase.
 func TestRecorderCountsByPhase(t *testing.T) {
 	start := time.Now()
 	second := tomlDuration(time.Second)
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -24,13 +24,13 @@
 	Restarts        int                `json:"restarts"`
 	Reloads         int                `json:"reloads"`
 
-	RestartPermits int `json:"permits,omitempty"`   // how many proxies may be down at the same time
-	MaxDown        int `json:"most_down,omitempty"` // how many were, at most
+	RestartPermits int `json:"permits,omitempty"`   // number of proxies that may be down at the same time
+	MaxDown        int `json:"most_down,omitempty"` // highest number of proxies that were down at the same time
 
 	Requests             int      `json:"requests"` // attempts sent
 	Lost                 int      `json:"lost"`
 	DuplicateWrites      int      `json:"doubled"`
-	LateDrains           int      `json:"late_drains"` // requests that reached a node too late after its drain
+	LateDrains           int      `json:"late_drains"` // requests that reached a draining node later than drainGrace
 	Crashes              int      `json:"crashes"`
 	WrongAnswers         int      `json:"wrong"`
 	CollapsedNodes       int      `json:"fallen"` // nodes that were overloaded while cold
@@ -73,7 +73,7 @@
 	HandoversInTime int `json:"handovers_in_time"`
 
 	OfferedWeight float64 `json:"worth"`  // sum of the requests' weights
-	ServedWeight  float64 `json:"earned"` // weight of those served; late ones count less
+	ServedWeight  float64 `json:"earned"` // sum of the weights of served requests; late ones count less
 }
 
 // InTimePercent returns the percentage of the offered requests that were answered in time.
@@ -81,7 +81,7 @@
 	return 100 * float64(p.InTime) / float64(max(p.Offered, 1))
 }
 
-// maxDuplicateSamples is how many duplicate writes are described.
+// maxDuplicateSamples limits the number of duplicate writes that a report describes.
 const maxDuplicateSamples = 20
 
 // fill fills in the counts and the verdict after a test. fetches are the origin's counts at the phase boundaries.
--- a/internal/fleettest/request.go
+++ b/internal/fleettest/request.go
@@ -15,12 +15,12 @@
 	overQuota                bool // its tenant had no quota left
 	binary                   bool
 	library                  bool   // it is sent through the client library
-	ticket                   uint64 // of a binary write; 0 until one is fetched
+	ticket                   uint64 // CAS that a binary write sends; 0 until it is fetched
 	retriesLate              bool   // retries an unknown outcome only by late retries
 	lateRetries              int
 }
 
-// How clients choose backoffs and attempt timeouts, as the platform's operators describe them.
+// The ranges in which clients choose backoffs and attempt timeouts, as the platform's operators describe them.
 const (
 	minBackoff      = 20 * time.Millisecond
 	backoffRange    = 140 // in milliseconds
@@ -28,7 +28,7 @@
 	attemptRange    = 0.25 // range of the attempt share
 )
 
-// drawRequest draws the next request, and the time until the one after it.
+// drawRequest draws the next request, and the time until the request after it.
 func (w *workload) drawRequest() (*clientRequest, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,7 +74,7 @@
 		return
 	}
 	tenant := w.rng.IntN(count)
-	// In a flood the first tenant sends several times its share; the rates of the others stay the same.
+	// In a flood the first tenant sends several times its share; the rates of the other tenants stay the same.
 	factor := phase.FirstTenantFactor
 	if factor > 1 && w.rng.Float64() < (factor-1)/(factor-1+float64(count)) {
 		tenant = 0
--- a/internal/fleettest/retrystate.go
+++ b/internal/fleettest/retrystate.go
@@ -9,8 +9,8 @@
 const (
 	served       outcome = iota
 	refused              // rejected as busy: a retry is harmless
-	failed               // any other answer, after which the request may have been executed
-	timedOut             // no answer within the attempt's wait
+	failed               // any other answer: the request may have been executed
+	timedOut             // no answer before the end of the attempt's wait
 	crossedClose         // the idle connection was closed just as the request was sent
 	notConnected         // no connection could be opened; nothing was sent
 )
@@ -21,14 +21,14 @@
 	isWrite          bool
 	latencyObjective time.Duration
 	deadline         time.Duration
-	dedupWindow      time.Duration // of writes: how long nodes drop duplicates
+	dedupWindow      time.Duration // time for which nodes drop duplicates of a write; 0 for reads
 }
 
 const (
 	// safetyMargin is subtracted from the dedup window to allow for clocks and queues, because an attempt may be
 	// executed at a node as late as the end of its own wait.
 	safetyMargin = 100 * time.Millisecond
-	// minWait is the shortest wait with which an attempt is worth sending.
+	// minWait is the shortest wait of an attempt. An attempt that would have less time is not sent.
 	minWait = 50 * time.Millisecond
 )
 
@@ -56,7 +56,8 @@
 // next decides what follows an attempt that ended at now. retryAfter is the delay that a rejection advises.
 //
 // A write that may have been executed is sent again only while nodes are certain to drop duplicates, with a wait that
-// ends before the dedup window does. After that only the client could find out whether the write was executed.
+// ends before the dedup window does. A later retry could execute the write a second time: from then on, only the client
+// itself could find out whether it was executed.
 func (s *retryState) next(now time.Duration, result outcome, retryAfter time.Duration) retryDecision {
 	var d retryDecision
 	switch result {
@@ -68,7 +69,7 @@
 			s.firstPossibleRun = s.lastSent
 		}
 	}
-	if result != crossedClose && result != notConnected { // real clients do not count these as retries
+	if result != crossedClose && result != notConnected { // real clients count neither of the two as a retry
 		s.attempts++
 		if s.attempts > s.maxRetries {
 			return retryDecision{}
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -109,7 +109,7 @@
 }
 
 // HoldFleet starts a fleet and keeps it running until ctx ends. It passes the addresses of the proxies and nodes to
-// printLine, and "ready" once all run.
+// printLine, and "ready" once all processes run.
 func HoldFleet(ctx context.Context, s *Scenario, o Options, printLine func(line string)) error {
 	f, err := startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {})
 	if err != nil {
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -73,15 +73,16 @@
 	Consul              bool `toml:"consul"`        // discovers nodes from the Consul agent of its zone
 	DegradationOff      bool `toml:"unreduced"`     // never leaves the full degradation level
 
-	// SuspendAt is the time after a proxy's start at which its machine appears to be suspended, SuspendDuration for
-	// how long; a SuspendDuration of 0 means no suspension.
+	// SuspendAt is the time after a proxy's start at which its machine appears to be suspended. SuspendDuration is the
+	// length of the suspension; 0 means no suspension.
 	SuspendAt       tomlDuration `toml:"sleep_at"`
 	SuspendDuration tomlDuration `toml:"sleep_for"`
 	// ClockDrift is the fraction by which the clock that includes suspensions runs faster than the monotonic clock;
 	// at proxies with odd numbers it runs slower instead.
 	ClockDrift float64 `toml:"drift"`
-	// RestartPermits is how many proxies may restart at the same time under the fleet's restart permits. The first
-	// three proxies are the voters. 0 means that the proxies are no members of a fleet and do not know each other.
+	// RestartPermits is the number of proxies that may restart at the same time under the fleet's restart permits. The
+	// first three proxies are the voters. 0 means that the proxies are not members of a fleet and do not know each
+	// other.
 	RestartPermits int `toml:"permits"`
 	// TakeoverMode, plain or strict, has each proxy of a fleet with restart permits record its writes at
 	// TakeoverHolders other proxies.
@@ -102,8 +103,8 @@
 	Retries               int     `toml:"retries"`
 	MarkedRetryShare      float64 `toml:"marked"` // of clients that mark retries
 	HonourRetryAfterShare float64 `toml:"honour"` // of clients that wait as long as a rejection advises
-	// LateRetries is how often a client repeats a write with an unknown outcome, 2 to 10 s later each time.
-	// LateRetryShare is the share of clients that retry such a write only in this way, never sooner.
+	// LateRetries is the number of late retries of a write with an unknown outcome, each after 2 to 10 s.
+	// LateRetryShare is the share of clients that retry such a write only by late retries, never sooner.
 	LateRetries    int     `toml:"again"`
 	LateRetryShare float64 `toml:"late"`
 
@@ -143,7 +144,7 @@
 	FirstTenantFactor float64      `toml:"flood"`  // multiplies the first tenant's rate; 0 means 1
 }
 
-// rate returns the factor by which the load's rate is multiplied at a time since the start of the phase.
+// rate returns the factor by which the load's rate is multiplied, at the time since after the start of the phase.
 func (p *Phase) rate(since time.Duration, tenants int) float64 {
 	rate := p.RateFactor
 	if rate == 0 {
@@ -165,7 +166,7 @@
 	Action        string       `toml:"do"`
 	Proxy         int          `toml:"proxy"` // number of a proxy; -1 means all
 	Node          int          `toml:"node"`  // number of a node
-	Mode          string       `toml:"mode"`  // of restarts; "" means that a wave alternates between both
+	Mode          string       `toml:"mode"`  // of restarts; "" means that a wave alternates between both modes
 	Interval      tomlDuration `toml:"every"`
 	Count         int          `toml:"times"`
 	ConfigVariant string       `toml:"with"`
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Every built-in scenario loads, has a description and is listed.
+// TestBuiltInScenariosAreGood checks that every built-in scenario can be loaded, has a description and is listed.
 func TestBuiltInScenariosAreGood(t *testing.T) {
 	files, err := os.ReadDir("scenarios")
 	if err != nil || len(files) == 0 {
@@ -50,7 +50,8 @@
 	}
 }
 
-// The last line of a report counts what broke the rules, and each kind of breach makes it BROKEN.
+// TestVerdictNamesEachBreach checks the counts in the last line of a report, and that each kind of breach of the rules
+// makes it BROKEN. A breach that the verdict left out would pass unnoticed.
 func TestVerdictNamesEachBreach(t *testing.T) {
 	const ok = "verdict: ok requests=5 lost=0 doubled=0 late_drains=0 crashes=0"
 	if r := (&Report{Requests: 5}); !r.OK() || r.Verdict() != ok {
--- a/internal/fleettest/scenariocheck.go
+++ b/internal/fleettest/scenariocheck.go
@@ -34,7 +34,7 @@
 
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
-// check returns an error for the first invalid setting, which it names by its key in the scenario file.
+// check returns an error for the first invalid setting, with the setting's key in the scenario file.
 func (s *Scenario) check() error {
 	if err := s.Fleet.check(); err != nil {
 		return err
--- a/internal/fleettest/stops.go
+++ b/internal/fleettest/stops.go
@@ -9,13 +9,14 @@
 	"mulleinpier/internal/fleettest/faultinject"
 )
 
-// resumeTime is how long before a deadline a stopped process has to continue to be expected to answer in time.
+// resumeTime is the time that a proxy gets to answer after a stop: an attempt whose deadline is less than resumeTime
+// after the end of the stop is excused.
 const resumeTime = 50 * time.Millisecond
 
-// unknownStopEnd is how far after its start a stop is assumed to end until its end is known.
+// unknownStopEnd is the assumed length of a stop in progress, whose end is not known yet.
 const unknownStopEnd = time.Hour
 
-// injectFault injects the fault of an event into processes, and returns when it has ended.
+// injectFault injects the fault of an event into all processes that it affects, and returns when the fault has ended.
 func (f *fleet) injectFault(ctx context.Context, e *Event) {
 	var tasks sync.WaitGroup
 	for _, i := range e.proxies() {
@@ -57,7 +58,7 @@
 			p.stops = append(p.stops, interval{from, to})
 		})
 	}
-	// A single stop may be long: it is recorded before it ends, for requests that are checked meanwhile.
+	// A single stop may be long. It is recorded at its start, for the requests that are checked while it lasts.
 	now := time.Now()
 	p.mu.Lock()
 	index := len(p.stops)
@@ -70,7 +71,8 @@
 	})
 }
 
-// wasStopped reports whether the process was stopped at a deadline, or had continued less than margin before it.
+// wasStopped reports whether the process was stopped at a deadline, or had continued less than margin before the
+// deadline.
 func (p *proxyInstance) wasStopped(deadline time.Time, margin time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -16,7 +16,7 @@
 )
 
 // This file tests takeover: proxies are killed, stopped and cut off with handovers in flight. The test counts handovers
-// that were carried out twice, and those whose outcome no client learned.
+// that were carried out twice, and handovers whose clients never learned the outcome.
 
 // The modes of takeover in configurations.
 const (
@@ -29,7 +29,7 @@
 	Options
 	Duration time.Duration // of the phase with faults
 	Rate     float64       // requests a second
-	Holders  int           // other proxies that record a write; 0 for none
+	Holders  int           // number of other proxies that record each write; 0 for none
 	Mode     string        // plain or strict
 	Seed     uint64
 }
@@ -44,7 +44,7 @@
 	VerdictLine string         `json:"verdict"`
 }
 
-// OK reports whether all rules held, and handovers happened.
+// OK reports whether all rules held, and clients sent handovers.
 func (r *TakeoverReport) OK() bool { return r.Run.OK() && r.Handovers > 0 }
 
 // Verdict is the last line of the printed report.
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// originPeriod is how long the origin keeps its speed. It is slow in every third period.
+// originPeriod is the time for which the origin keeps its speed. The origin is slow in every third period.
 const originPeriod = 15 * time.Second
 
 // Durations of the phases before and after the faults.
