--- a/internal/fake/backlog/backlog.go
+++ b/internal/fake/backlog/backlog.go
@@ -18,8 +18,8 @@
 	dialTimeout = 50 * time.Millisecond
 )
 
-// Fill shrinks the backlog of a listener and fills it. It returns the connections that fill it, which the caller must
-// close, also if there is an error. Nothing may accept connections from the listener meanwhile.
+// Fill shrinks the backlog of a listener and fills it. It returns the connections that fill the backlog; the caller
+// must close them, even after an error. Nothing may accept connections from the listener during the call.
 func Fill(listener *net.TCPListener) (fillers []net.Conn, err error) {
 	if err := shrink(listener); err != nil {
 		return nil, fmt.Errorf("shrink backlog of %s: %w", listener.Addr(), err)
@@ -28,7 +28,7 @@
 	for range maxConnections {
 		c, err := net.DialTimeout("tcp", address, dialTimeout)
 		if err != nil {
-			return fillers, nil // it is full
+			return fillers, nil // the backlog is full
 		}
 		fillers = append(fillers, c)
 	}
--- a/internal/fake/consul/agent.go
+++ b/internal/fake/consul/agent.go
@@ -36,7 +36,7 @@
 	mu                sync.Mutex // never held together with Catalogue.mu
 	fault             FaultKind
 	faultChanged      chan struct{}             // closed when the fault changes
-	unavailableSince  map[instanceKey]time.Time // when an instance was first reported unavailable, until it is back
+	unavailableSince  map[instanceKey]time.Time // first report that an instance is unavailable, while it is
 	lastReported      map[instanceKey]bool      // instances of the last list
 	queries           int
 	consistentQueries int
@@ -46,7 +46,7 @@
 // Start returns an agent of a catalogue that listens at a free port of a loopback address. If token is not empty,
 // requests must carry it.
 func (c *Catalogue) Start(node, token string) (*Agent, error) {
-	// This address is not used for outgoing connections: one of these could take the port of an agent that is down.
+	// This address is not used for outgoing connections: they could take the port of an agent that is down.
 	return c.StartAt("127.0.0.2:0", node, token)
 }
 
@@ -87,7 +87,7 @@
 // Address returns the address at which the agent listens.
 func (a *Agent) Address() string { return a.listener.Addr().String() }
 
-// Close closes the listener and all connections.
+// Close closes the listener and all connections. It does not wait for handlers.
 func (a *Agent) Close() { a.server.Close() }
 
 // DropRegistrations removes all instances of the agent's node from the catalogue, as if the agent had lost its state.
--- a/internal/fake/consul/agent_test.go
+++ b/internal/fake/consul/agent_test.go
@@ -11,7 +11,7 @@
 
 const testToken = "secret"
 
-// startAgent returns an agent of a new catalogue, and Consul's published client for it.
+// startAgent returns a new catalogue, an agent of it, and Consul's published Go client for this agent.
 func startAgent(t *testing.T, token string) (*Catalogue, *Agent, *api.Client) {
 	t.Helper()
 	c := New()
@@ -77,7 +77,8 @@
 	}
 }
 
-// TestPublishedClientReadsRegistration checks guarantee 1 for an agent's own data, registrations, lists and tokens.
+// TestPublishedClientReadsRegistration checks that the published Go client understands the answers of an agent
+// (guarantee 1) about its own data, registrations, lists and tokens.
 func TestPublishedClientReadsRegistration(t *testing.T) {
 	_, a, client := startAgent(t, testToken)
 	if name, err := client.Agent().NodeName(); err != nil || name != "here" {
@@ -105,7 +106,8 @@
 	}
 }
 
-// TestPublishedClientFollowsStatus checks guarantee 1 for blocking queries, TTL checks and maintenance.
+// TestPublishedClientFollowsStatus checks that the published Go client understands the answers of an agent
+// (guarantee 1) to blocking queries, TTL checks and maintenance.
 func TestPublishedClientFollowsStatus(t *testing.T) {
 	_, _, client := startAgent(t, testToken)
 	agent := client.Agent()
@@ -141,7 +143,7 @@
 	awaitStatus(api.HealthPassing, func() error { return agent.PassTTL("alive", "") })
 	awaitStatus(api.HealthMaint, func() error { return agent.EnableServiceMaintenance("a1", "disk") })
 	awaitStatus(api.HealthPassing, func() error { return agent.DisableServiceMaintenance("a1") })
-	awaitStatus(api.HealthCritical, func() error { return nil }) // by the TTL
+	awaitStatus(api.HealthCritical, func() error { return nil }) // the TTL of the check expires
 	checkIsListed(t, client)
 	if list, _, err := client.Health().Service("cache", "", true, nil); err != nil || len(list) != 0 {
 		t.Errorf("%d pass, %v", len(list), err)
@@ -152,7 +154,8 @@
 	}
 }
 
-// TestUnavailabilityIsRecordedWhenReported checks guarantee 2, which fault tests use to measure drains.
+// TestUnavailabilityIsRecordedWhenReported checks that an agent records when it first reported an instance as no longer
+// available (guarantee 2). Fault tests use this time to measure drains.
 func TestUnavailabilityIsRecordedWhenReported(t *testing.T) {
 	c, a, client := startAgent(t, "")
 	query := func() {
--- a/internal/fake/consul/catalogue.go
+++ b/internal/fake/consul/catalogue.go
@@ -40,11 +40,11 @@
 	Checks            []Check
 
 	created, modified uint64        // indexes of the first and the last change
-	ttl               time.Duration // of its TTL check, 0 without one
+	ttl               time.Duration // of the instance's TTL check; 0 if it has none
 	ttlTimer          *time.Timer   // sets the TTL check to critical
 }
 
-// instanceKey identifies an instance in a catalogue. Lists of instances are sorted by it.
+// instanceKey identifies an instance in a catalogue. Lists of instances are sorted by this key.
 type instanceKey string
 
 func newInstanceKey(node, id string) instanceKey { return instanceKey(node + "/" + id) }
@@ -94,7 +94,7 @@
 	c.put(i)
 }
 
-// put implements Set. c.mu is held.
+// put adds or replaces an instance. c.mu is held.
 func (c *Catalogue) put(i Instance) {
 	i.Datacenter = cmp.Or(i.Datacenter, defaultDatacenter)
 	i.Passing = cmp.Or(i.Passing, 1)
@@ -109,7 +109,7 @@
 	c.instances[i.key()] = &i
 }
 
-// Remove removes an instance and reports whether it was there.
+// Remove removes an instance and reports whether the catalogue had it.
 func (c *Catalogue) Remove(node, id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fake/consul/fault.go
+++ b/internal/fake/consul/fault.go
@@ -8,7 +8,7 @@
 // The kinds of faults.
 const (
 	NoFault       FaultKind = ""
-	NoResponse    FaultKind = "quiet"      // connections are accepted, but no request is answered, pending or new
+	NoResponse    FaultKind = "quiet"      // connections are accepted, but pending and new requests get no answer
 	SlowBody      FaultKind = "slow"       // bodies arrive one byte at a time
 	EmptyList     FaultKind = "empty"      // lists are empty, without a sign of an error
 	ACLFiltered   FaultKind = "filtered"   // lists are empty, and a header says that ACLs filtered them
@@ -37,7 +37,7 @@
 	a.faultChanged = make(chan struct{})
 }
 
-// currentFault returns the fault, and a channel that is closed when it changes.
+// currentFault returns the agent's fault, and a channel that is closed when the fault changes.
 func (a *Agent) currentFault() (fault FaultKind, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fake/consul/health.go
+++ b/internal/fake/consul/health.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	defaultWait = 5 * time.Minute  // of a blocking query that gives none
-	maxWait     = 10 * time.Minute // of a blocking query
+	defaultWait = 5 * time.Minute  // wait of a blocking query that specifies none
+	maxWait     = 10 * time.Minute // longest wait of a blocking query
 
 	slowByteInterval = 100 * time.Millisecond // between two bytes of SlowBody
 	hugeListLength   = 100_000                // instances of HugeList
@@ -71,7 +71,7 @@
 }
 
 // waitForChange blocks as a blocking query does, and returns the current index. It returns false if the agent stops
-// responding or the client leaves meanwhile.
+// responding, or the client leaves, before the query ends.
 func (a *Agent) waitForChange(r *http.Request) (index uint64, ok bool) {
 	query := r.URL.Query()
 	known, _ := strconv.ParseUint(query.Get("index"), 10, 64)
@@ -211,7 +211,7 @@
 	w.Write(body)
 }
 
-// writeSlowly writes a body one byte at a time, and returns false if the client leaves meanwhile.
+// writeSlowly writes a body one byte at a time, and returns false if the client leaves before the end of the body.
 func writeSlowly(w http.ResponseWriter, r *http.Request, body []byte) bool {
 	for _, b := range body {
 		if _, err := w.Write([]byte{b}); err != nil || r.Context().Err() != nil {
--- a/internal/fake/endpointlist/changes.go
+++ b/internal/fake/endpointlist/changes.go
@@ -26,10 +26,11 @@
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// maxLogLength is how many changes are retained for watches that resume. A watch from an earlier index gets a snapshot.
+// maxLogLength is the number of changes that are retained for watches that resume. A watch from an index before them
+// gets a snapshot.
 const maxLogLength = 1024
 
-// Set publishes changes in one step: new entries, changed ones, or ones with the status removed.
+// Set publishes changes in one step: new entries, changed entries, or entries with the status removed.
 func (s *Service) Set(entries ...Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,8 +49,8 @@
 	s.wakeWatches()
 }
 
-// changesSince returns what changed after an index, and a channel that is closed at the next change. It returns false
-// if the service is down.
+// changesSince returns the changes after an index, and a channel that is closed at the next change. It returns false if
+// the service is down.
 func (s *Service) changesSince(index uint64) (m message, changed <-chan struct{}, up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/endpointlist/notifications.go
+++ b/internal/fake/endpointlist/notifications.go
@@ -4,8 +4,8 @@
 
 // notifications records what one proxy has been notified of.
 type notifications struct {
-	known            map[string]bool      // nodes that it has been notified of
-	unavailableSince map[string]time.Time // by node, until it is notified that the node is up
+	known            map[string]bool      // nodes that the proxy has been notified of
+	unavailableSince map[string]time.Time // when first notified that a node drains or is gone, by node
 }
 
 func newNotifications() *notifications {
@@ -13,7 +13,7 @@
 }
 
 // DrainNotifiedAt returns when a proxy was notified that a node is draining or gone. It returns false if the proxy was
-// not notified, or was notified later that the node is up.
+// not notified, or was notified later that the node is up again.
 func (s *Service) DrainNotifiedAt(proxy int, node string) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,8 +25,8 @@
 	return at, ok
 }
 
-// recordNotification records what a proxy is about to be notified of. It must be called before the message is written,
-// so that the recorded time of a drain is never later than the time at which the proxy learns of it.
+// recordNotification records the content of a message to a proxy. It must be called before the message is written:
+// otherwise the recorded time of a drain could be later than the time at which the proxy receives it.
 func (s *Service) recordNotification(proxy int, m *message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/endpointlist/service.go
+++ b/internal/fake/endpointlist/service.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// retiredAddressLifetime is how long the old address of a proxy keeps its open connections after Move.
+	// retiredAddressLifetime is the time after Move for which the old address of a proxy keeps its open connections.
 	retiredAddressLifetime = 1500 * time.Millisecond
 
 	headerTimeout = 5 * time.Second
@@ -30,7 +30,7 @@
 // Service is a fake list service. It is safe for concurrent use.
 type Service struct {
 	// AddressFor, if set before use, returns the address under which a proxy reaches a node, which may differ between
-	// proxies. Otherwise it is the entry's address.
+	// proxies. If it is nil, proxies get the address in the entry.
 	AddressFor func(proxy int, e *Entry) string
 
 	mu        sync.Mutex
@@ -51,7 +51,7 @@
 type proxyListener struct {
 	listener net.Listener
 	server   *http.Server
-	closing  chan struct{} // closed to end its watches
+	closing  chan struct{} // closed to end the proxy's watches
 }
 
 func (l *proxyListener) close() {
--- a/internal/fake/endpointlist/service_test.go
+++ b/internal/fake/endpointlist/service_test.go
@@ -9,7 +9,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// watch follows a service as a proxy does. It returns the lists that it receives, and the error that ends it.
+// watch follows a service as a proxy does. It returns channels of the lists that it receives, and of the error that
+// ends the watch.
 func watch(t *testing.T, address string, from uint64) (<-chan discovery.List, <-chan error) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -31,8 +32,8 @@
 	return []Entry{{Name: "a", Address: "127.0.0.1:1", Status: "up"}, {Name: "b", Address: "127.0.0.1:2", Status: "up"}}
 }
 
-// TestWatchNotifiesOfDrainAndRecordsWhen checks guarantee 1, which fault tests use to check that draining nodes get no
-// new requests.
+// TestWatchNotifiesOfDrainAndRecordsWhen checks that a watch delivers a drain, and that the service records when it
+// notified each proxy (guarantee 1). Fault tests use this time to check that draining nodes get no new requests.
 func TestWatchNotifiesOfDrainAndRecordsWhen(t *testing.T) {
 	s := New(entries())
 	defer s.Close()
@@ -66,8 +67,8 @@
 	}
 }
 
-// TestAbsenceFromSnapshotCountsAsNotified checks guarantee 1 for a node that was removed while a proxy was not
-// watching: a complete list without the node is a notification.
+// TestAbsenceFromSnapshotCountsAsNotified checks that a complete list without a node counts as the notification that
+// the node is gone (guarantee 1), if the node was removed while the proxy was not watching.
 func TestAbsenceFromSnapshotCountsAsNotified(t *testing.T) {
 	s := New(entries())
 	defer s.Close()
--- a/internal/fake/faultyproxy/connection.go
+++ b/internal/fake/faultyproxy/connection.go
@@ -44,7 +44,7 @@
 	}
 	var answer string
 	switch {
-	case command.Stats: // sent by the fault test itself: the fault does not affect it
+	case command.Stats: // the fault test itself sends this request, so the fault does not affect it
 		answer = "END\r\n"
 	case command.Noop:
 		answer = p.applyFault("MN\r\n", &command, body)
@@ -70,7 +70,7 @@
 	return command, body, err
 }
 
-// applyFault returns the answer to send, "" for none, and starts the repetition of a write for DuplicateWrite.
+// applyFault returns the answer to send, or "" for none. For DuplicateWrite, it starts to send the write again later.
 func (p *Proxy) applyFault(answer string, command *meta.Command, body []byte) string {
 	isStored := command.Verb == request.Set && strings.HasPrefix(answer, "HD")
 	switch {
@@ -84,7 +84,7 @@
 	return answer
 }
 
-// repeatAfterWindow sends a write again after the deduplication window, when the nodes execute it once more.
+// repeatAfterWindow sends a write again after the deduplication window has passed: the nodes execute it once more.
 func (p *Proxy) repeatAfterWindow(command *meta.Command, body []byte) {
 	time.Sleep(p.config.Window + p.config.Window/5)
 	nodes := make(nodeConnections)
@@ -121,14 +121,14 @@
 }
 
 // exchange sends a request to a node and returns the answer for the client. A read that fails on a reused connection is
-// sent again on a new one.
+// sent again on a new connection.
 func (n nodeConnections) exchange(address string, command *meta.Command, body []byte) string {
 	for {
 		connection, reused := n[address]
 		if !reused {
 			socket, err := net.DialTimeout("tcp", address, upstreamDialTimeout)
 			if err != nil {
-				return "SERVER_ERROR busy\r\n" // it was not executed
+				return "SERVER_ERROR busy\r\n" // the request was not executed
 			}
 			connection = &nodeConnection{socket, bufio.NewReader(socket)}
 			n[address] = connection
--- a/internal/fake/faultyproxy/proxy.go
+++ b/internal/fake/faultyproxy/proxy.go
@@ -31,7 +31,7 @@
 var Faults = []string{NoFault, LoseAnswer, DuplicateWrite, UseDraining}
 
 const (
-	// drainGrace is how long a node must have been draining before UseDraining sends requests to it.
+	// drainGrace is the time for which a node must have been draining before UseDraining sends requests to it.
 	drainGrace = time.Second
 
 	watchRetryDelay = 100 * time.Millisecond
@@ -43,13 +43,13 @@
 	ListAddress string // of the endpoint list service
 	Fault       string
 	OneIn       int           // the fault affects one eligible request in this many; 0 and 1 mean all
-	Window      time.Duration // in which the nodes drop repeated writes
+	Window      time.Duration // deduplication window, within which the nodes drop duplicate writes
 }
 
 // endpoint is an entry of the endpoint list.
 type endpoint struct {
 	Name, Address, Status string
-	since                 time.Time // when the proxy learned of this status
+	since                 time.Time // when the proxy was notified of this status
 }
 
 // Proxy is a running proxy.
@@ -69,7 +69,7 @@
 	return &Proxy{config: c, endpoints: make(map[string]endpoint), connections: make(map[net.Conn]bool)}
 }
 
-// Injected returns how often the fault was injected.
+// Injected returns the number of times that the fault was injected.
 func (p *Proxy) Injected() int64 { return p.injected.Load() }
 
 // Serve runs a proxy until ctx ends, answers the requests in flight and returns the proxy. ready is called once the
@@ -97,7 +97,7 @@
 	}
 }
 
-// close closes the listener and idle connections. The others are closed after their answers.
+// close closes the listener and idle connections. Connections with a request in flight are closed after the answer.
 func (p *Proxy) close() {
 	p.config.Listener.Close()
 	p.mu.Lock()
@@ -166,7 +166,7 @@
 	return p.eligible.Add(1)%int64(max(p.config.OneIn, 1)) == 0
 }
 
-// chooseNode returns the address of the node for a key, "" if there is none.
+// chooseNode returns the address of the node for a key, or "" if no node is available.
 func (p *Proxy) chooseNode(key string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/faultyproxy/proxy_test.go
+++ b/internal/fake/faultyproxy/proxy_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// TestFaultDoesNotAffectStats guards the count of injected faults: a fault test requests the stats of each proxy at its
-// end. If the fault affected this request, more faults would be counted than clients can have seen.
+// TestFaultDoesNotAffectStats checks that the fault does not affect stats requests and is not counted for them. A fault
+// test requests the stats of each proxy at the end of the test: if the fault affected this request, the proxy would
+// count more faults than clients can have observed.
 func TestFaultDoesNotAffectStats(t *testing.T) {
 	p := newProxy(Config{Fault: LoseAnswer, OneIn: 1})
 	client, server := net.Pipe()
--- a/internal/fake/node/connection.go
+++ b/internal/fake/node/connection.go
@@ -82,7 +82,7 @@
 	return true
 }
 
-// finish closes the connection once all requests are answered, as a client that has stopped sending may still read.
+// finish closes the connection once all requests are answered: a client that has stopped sending may still read.
 func (c *connection) finish() {
 	n := c.node
 	n.mu.Lock()
--- a/internal/fake/node/dialect.go
+++ b/internal/fake/node/dialect.go
@@ -84,13 +84,13 @@
 	if err != nil {
 		return false, err
 	}
-	in.Discard(binary.HeaderLen) // cannot fail: it has been peeked at
+	in.Discard(binary.HeaderLen) // cannot fail: Peek has buffered the header
 	body := make([]byte, header.BodyLen)
 	if _, err := io.ReadFull(in, body); err != nil {
 		return false, err
 	}
 	r.header = header
-	r.command.Timeout = -1 // the protocol has none
+	r.command.Timeout = -1 // the binary protocol has no timeouts
 	status := header.Validate()
 	switch {
 	case status == binary.OK && (header.Opcode == binary.Get || header.Opcode == binary.Set):
--- a/internal/fake/node/execution.go
+++ b/internal/fake/node/execution.go
@@ -14,7 +14,7 @@
 	connection *connection
 	command    meta.Command
 	header     binary.Header // of the request in the binary protocol
-	answer     []byte        // nil until there is one
+	answer     []byte        // encoded answer; nil until the request is answered
 	fault      FaultKind     // the fault that affects this request
 	deadline   time.Time     // after which the client no longer waits
 }
--- a/internal/fake/node/fault.go
+++ b/internal/fake/node/fault.go
@@ -57,7 +57,7 @@
 	n.faultEligible = 0
 	n.silenceChanged.Broadcast()
 	if before == MachineDown {
-		n.shutDown() // a machine that was down has lost its connections
+		n.shutDown() // the connections do not survive an outage of the machine
 	}
 	switch {
 	case f.Kind == ProcessDown:
@@ -95,8 +95,8 @@
 	if listener == nil {
 		return fmt.Errorf("fake node %q: its process is down and has no listen backlog", n.config.Name)
 	}
-	n.listener = nil                      // so that accept registers none of the connections that fill the backlog
-	listener.SetDeadline(time.Unix(1, 0)) // ends accept; the socket stays open
+	n.listener = nil                      // accept then registers none of the connections that fill the backlog
+	listener.SetDeadline(time.Unix(1, 0)) // makes accept return; the socket stays open
 	n.backlogFill, err = backlog.Fill(listener)
 	n.listener = listener
 	if err != nil {
--- a/internal/fake/node/group.go
+++ b/internal/fake/node/group.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Group is the state that the nodes of a fleet share. It records executed idempotency keys, so that the nodes drop
-// repeated writes, and invalidates the nodes' cached copies after a write. It is safe for concurrent use.
+// Group is the state that the nodes of a fleet share. It records executed idempotency keys, by which the nodes drop
+// duplicate writes, and invalidates the nodes' cached copies after a write. It is safe for concurrent use.
 type Group struct {
 	window time.Duration
 
@@ -27,17 +27,18 @@
 	waiting   []writeDone // callbacks of all writes with this key, called on completion
 }
 
-// maxExecutions is the most executed keys that are recorded. Beyond it the oldest are removed even within the window.
+// maxExecutions limits the number of recorded keys. If there are more, the oldest are removed even within the window.
 const maxExecutions = 1 << 16
 
-// NewGroup returns a group that drops repeats of an idempotency key until window has passed since its first execution
-// started.
+// NewGroup returns a group that drops duplicate writes with an idempotency key until window has passed since the start
+// of the first execution.
 func NewGroup(window time.Duration) *Group {
 	return &Group{window: window, executions: make(map[string]*execution)}
 }
 
-// executeOnce calls write only for the first write with a key within the window, and done with its receipt for each
-// write with the key. A failed write had no effect and is not recorded: the next write with the key is executed.
+// executeOnce calls write only for the first write with a key within the window. It calls done for each write with the
+// key, with the receipt of the first. A failed write had no effect and is not recorded: the next write with the key is
+// executed.
 func (g *Group) executeOnce(key string, write func(writeDone), done writeDone) {
 	now := time.Now()
 	g.mu.Lock()
--- a/internal/fake/node/node.go
+++ b/internal/fake/node/node.go
@@ -37,14 +37,14 @@
 	Binary           bool          // the node speaks only the binary protocol; otherwise only meta
 	MissingKeyPrefix string        // keys with this prefix do not exist at the origin; "" for none
 	// LedgerByValue makes the origin's ledger identify writes by their values instead of their idempotency keys. Fault
-	// tests whose clients write each value only once then detect a repeated write even under another idempotency key.
+	// tests whose clients write each value only once then detect a duplicate even under another idempotency key.
 	LedgerByValue bool
 
 	Cold               bool          // the node starts now, with an empty cache and reduced capacity
 	ColdCapacityShare  float64       // share of the capacity at the start; default 0.3
 	WarmUpTime         time.Duration // from the start to full capacity; default 8.6 s
-	CollapseLoadFactor float64       // load, as a multiple of the capacity, above which it collapses; default 3
-	CollapseTime       time.Duration // window over which that load is measured; default 2 s
+	CollapseLoadFactor float64       // load above which the node collapses, as a multiple of its capacity; default 3
+	CollapseTime       time.Duration // window over which the load is measured; default 2 s
 
 	Seed   uint64
 	Origin *origin.Origin // required
@@ -94,15 +94,15 @@
 	Hits      int
 	Misses    int
 	Writes    int // including Repeats
-	Repeats   int // writes that were dropped as repeats of an idempotency key
+	Repeats   int // writes that were dropped as duplicates, by their idempotency keys
 	Busy      int // rejected requests
-	Conns     int // open now
-	MaxConns  int // most that were open at the same time
+	Conns     int // open connections
+	MaxConns  int // highest number of connections that were open at the same time
 	Collapsed bool
 }
 
-// host is a loopback address that is not used for outgoing connections: otherwise one of these could take the port of
-// a node that is down.
+// host is a loopback address that is not used for outgoing connections: an outgoing connection could take the port of a
+// node that is down.
 const host = "127.0.0.2"
 
 // Node is a running fake node. It is safe for concurrent use.
@@ -208,7 +208,7 @@
 		c := &connection{node: n, socket: socket}
 		c.changed.L = &n.mu
 		if !n.register(c, listener) {
-			socket.SetLinger(0) // so that Close resets the connection
+			socket.SetLinger(0) // closing with linger 0 resets the connection
 			socket.Close()
 			continue
 		}
@@ -254,7 +254,8 @@
 	n.queue = nil
 }
 
-// Restart restarts the node at its address, cold and with an empty cache. Its fault, draining and collapse end.
+// Restart restarts the node at its address, cold and with an empty cache. It ends the node's fault, draining and
+// collapse.
 func (n *Node) Restart() error { return n.RestartAs("") }
 
 // RestartAs is like Restart, but changes the name, as if another node had taken over the address. "" keeps the name.
--- a/internal/fake/node/node_test.go
+++ b/internal/fake/node/node_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestGroupDropsRepeatedWrites checks guarantee 2 of the package, and that a write invalidates the copies that other
-// nodes have cached.
+// TestGroupDropsRepeatedWrites checks that two nodes of a group execute two writes with the same idempotency key only
+// once (guarantee 2), and that a write invalidates the copies that other nodes have cached.
 func TestGroupDropsRepeatedWrites(t *testing.T) {
 	group := NewGroup(time.Hour)
 	a, o := startNode(t, Config{Name: "a", Group: group})
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestRepeatAfterWindowIsExecuted guards against a node that drops a repeated write after the deduplication window:
-// fault tests would then miss a proxy that retries too late.
+// TestRepeatAfterWindowIsExecuted checks that a duplicate write after the deduplication window is executed. If nodes
+// dropped it, fault tests would not detect a proxy that retries too late.
 func TestRepeatAfterWindowIsExecuted(t *testing.T) {
 	n, o := startNode(t, Config{Group: NewGroup(time.Nanosecond)})
 	client := dial(t, n)
@@ -134,7 +134,7 @@
 
 const lateDelay = 50 * time.Millisecond
 
-// faultChecks check what a client sees that sent a request after the fault was set.
+// faultChecks check, for each fault, what a client receives that has sent a request after the fault was set.
 var faultChecks = map[FaultKind]func(t *testing.T, n *Node, c *testClient){
 	NoFault: func(t *testing.T, _ *Node, c *testClient) {
 		if got := c.answer(); !strings.HasPrefix(got, "VA ") {
@@ -191,8 +191,8 @@
 	},
 }
 
-// TestFaultIsVisibleToClient checks guarantee 4: a client sees the effect of each fault, and the node works again when
-// the fault ends.
+// TestFaultIsVisibleToClient checks that a client observes the effect of each fault on its socket (guarantee 4), and
+// that the node serves requests again once the fault has ended.
 func TestFaultIsVisibleToClient(t *testing.T) {
 	for _, kind := range Faults {
 		t.Run("fault "+string(kind), func(t *testing.T) {
@@ -239,7 +239,8 @@
 	}
 }
 
-// TestQueueConnectionsAndCacheAreBounded checks guarantee 1.
+// TestQueueConnectionsAndCacheAreBounded checks that a node limits its executing and queued requests, its connections
+// and its cache (guarantee 1).
 func TestQueueConnectionsAndCacheAreBounded(t *testing.T) {
 	n, _ := startNode(t, Config{Slots: 1, Queue: 2, ServiceTime: time.Hour, MaxConns: 1})
 	client := dial(t, n)
@@ -247,7 +248,7 @@
 		client.send("mg k v O%d Pc=read\r\n", i)
 	}
 	testutil.WaitUntil(t, "two requests to be rejected", func() bool { return n.Stats().Busy == 2 })
-	if socket, err := net.Dial("tcp", n.Address()); err == nil { // otherwise it was reset while being set up
+	if socket, err := net.Dial("tcp", n.Address()); err == nil { // an error means that the node reset it early
 		defer socket.Close()
 		socket.SetDeadline(time.Now().Add(testutil.Timeout))
 		if b, err := io.ReadAll(socket); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -263,7 +264,8 @@
 	}
 }
 
-// TestColdNodeCollapsesUnderOverload checks guarantee 3, which shows fault tests whether a proxy overloads a cold node.
+// TestColdNodeCollapsesUnderOverload checks that a cold node collapses when it gets far more requests than its reduced
+// capacity allows (guarantee 3). Fault tests detect by the collapse that a proxy overloads a cold node.
 func TestColdNodeCollapsesUnderOverload(t *testing.T) {
 	c := Config{
 		Slots:              2,
--- a/internal/fake/node/warmup.go
+++ b/internal/fake/node/warmup.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// capacityShare returns the share of its full capacity that the node has at a time, below 1 only while it warms up.
-// n.mu is held.
+// capacityShare returns the share of its full capacity that the node has at now. The share is below 1 only while the
+// node warms up. n.mu is held.
 func (n *Node) capacityShare(now time.Time) float64 {
 	age := now.Sub(n.startedAt)
 	if n.startedAt.IsZero() || age >= n.config.WarmUpTime {
--- a/internal/fake/origin/ledger.go
+++ b/internal/fake/origin/ledger.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	maxEffects    = 1 << 20 // entries of the ledger; beyond it the oldest are removed
-	maxDuplicates = 1000    // duplicates that are retained; all are counted
+	maxEffects    = 1 << 20 // limit of the ledger's entries; if there are more, the oldest are removed
+	maxDuplicates = 1000    // limit of the duplicates that are retained; all duplicates are counted
 )
 
 // Effect is an entry of the ledger: the executions of one write.
@@ -20,10 +20,10 @@
 type ledger struct {
 	effects    map[effectKey]*Effect
 	order      []effectKey // of effects, oldest first
-	duplicates []Effect    // as they were at their second execution
+	duplicates []Effect    // effects of duplicate writes, copied at their second execution
 }
 
-// record adds an execution of a write, and returns how many there are now.
+// record adds an execution of a write, and returns the number of its executions so far.
 func (l *ledger) record(key effectKey, now time.Time) (count int) {
 	e := l.effects[key]
 	if e == nil {
--- a/internal/fake/origin/origin.go
+++ b/internal/fake/origin/origin.go
@@ -185,7 +185,7 @@
 }
 
 // Close stops all operations in flight: they have no effect, and their callbacks are not called. It does not wait for
-// one that is just completing.
+// an operation that is just completing.
 func (o *Origin) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fake/origin/origin_test.go
+++ b/internal/fake/origin/origin_test.go
@@ -8,7 +8,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestLedgerCountsEveryExecution checks guarantee 2, which lets fault tests detect duplicate writes.
+// TestLedgerCountsEveryExecution checks that the ledger counts every execution of every write (guarantee 2). Fault
+// tests detect duplicate writes by these counts.
 func TestLedgerCountsEveryExecution(t *testing.T) {
 	o := New(Config{Slots: 4, Queue: 10, ServiceTime: time.Millisecond})
 	defer o.Close()
@@ -32,7 +33,8 @@
 	}
 }
 
-// TestFailedOperationHasNoEffect checks guarantees 1 and 3.
+// TestFailedOperationHasNoEffect checks that an origin whose queue is full, or that is down, fails an operation without
+// executing it (guarantees 1 and 3).
 func TestFailedOperationHasNoEffect(t *testing.T) {
 	o := New(Config{Slots: 1, Queue: 1, ServiceTime: time.Hour})
 	defer o.Close()
--- a/internal/fake/rawclient/binary.go
+++ b/internal/fake/rawclient/binary.go
@@ -66,7 +66,7 @@
 	return r, nil
 }
 
-// RetryAfter returns the time after which a rejected request may be retried, 0 if the response does not say.
+// RetryAfter returns the time after which a rejected request may be retried; 0 if the response has no such time.
 func (r *Response) RetryAfter() time.Duration {
 	_, text, _ := strings.Cut(r.Value, " ")
 	return parseMillis(text)
--- a/internal/fake/rawclient/client.go
+++ b/internal/fake/rawclient/client.go
@@ -24,7 +24,7 @@
 // ErrMalformedAnswer is the error of an answer that cannot be parsed or belongs to another request.
 var ErrMalformedAnswer = errors.New("raw client: malformed answer")
 
-// WriteClass says whether a write may be repeated. Its values are classes of the proxy's default configuration.
+// WriteClass says whether a write may be retried. Its values are classes of the proxy's default configuration.
 type WriteClass string
 
 // The classes of writes.
@@ -38,7 +38,7 @@
 	Socket  net.Conn
 	Reader  *bufio.Reader
 	dialect scriptednode.Dialect
-	opaque  uint32 // of the last command in the binary protocol
+	opaque  uint32 // opaque of the last command in the binary protocol
 	pending []requestID
 }
 
@@ -51,8 +51,8 @@
 // lastSerial is the serial number of the last request of any client.
 var lastSerial atomic.Uint64
 
-// Dial connects to a proxy. It fails if that takes longer than limit. Reads and writes on the connection fail once it
-// is older than limit.
+// Dial connects to a proxy, and fails if the connection takes longer than limit. Reads and writes on the connection
+// fail once the connection is older than limit.
 func Dial(dialect scriptednode.Dialect, address string, limit time.Duration) (*Client, error) {
 	socket, err := net.DialTimeout("tcp", address, limit)
 	if err != nil {
@@ -107,9 +107,9 @@
 
 // Answer is an answer in either protocol.
 type Answer struct {
-	Kind       request.AnswerKind // Invalid also if the answer says that the request is invalid
+	Kind       request.AnswerKind // Invalid for CLIENT_ERROR, and for binary statuses without a kind of their own
 	Text       string             // the value, or the receipt
-	RetryAfter time.Duration      // 0 if the answer does not say
+	RetryAfter time.Duration      // 0 if the answer has none
 }
 
 // maxTextShown is the length in bytes of the longest text that String shows in full.
@@ -125,7 +125,7 @@
 	request.Invalid:  "bad",
 }
 
-// String returns the kind of the answer in one word, and its text or, if that is long, its length.
+// String returns the kind of the answer in one word, and its text or, if the text is long, the text's length.
 func (a Answer) String() string {
 	text := a.Text
 	if len(text) > maxTextShown {
@@ -134,8 +134,8 @@
 	return strings.TrimSpace(shortNames[a.Kind] + " " + text)
 }
 
-// Next reads the answer to the oldest command that has none yet. Its error wraps [ErrMalformedAnswer] if the answer
-// belongs to another command.
+// Next reads the answer to the oldest command that has no answer yet. Its error wraps [ErrMalformedAnswer] if the
+// answer belongs to another command.
 func (c *Client) Next() (Answer, error) {
 	if len(c.pending) == 0 {
 		return Answer{}, errors.New("raw client: no request is pending")
--- a/internal/fake/relay/relay_test.go
+++ b/internal/fake/relay/relay_test.go
@@ -9,8 +9,8 @@
 	"mulleinpier/internal/testutil"
 )
 
-// TestForwardsBytesAndCloses checks that the relay forwards the bytes of both directions, and that when one side stops
-// sending, the other side sees it.
+// TestForwardsBytesAndCloses checks that the relay forwards the bytes of both directions, and that if one side stops
+// sending, the other side reaches the end of its input.
 func TestForwardsBytesAndCloses(t *testing.T) {
 	server := testutil.Listen(t)
 	go func() {
--- a/internal/fake/scriptednode/nodes.go
+++ b/internal/fake/scriptednode/nodes.go
@@ -72,7 +72,7 @@
 func (ns *Nodes) Stop(i int) {
 	ns.listeners[i].Close()
 	ns.forEachConnection(i, func(c *net.TCPConn) {
-		c.SetLinger(0) // so that Close resets the connection
+		c.SetLinger(0) // closing with linger 0 resets the connection
 		c.Close()
 	})
 }
--- a/internal/fake/scriptednode/nodes_test.go
+++ b/internal/fake/scriptednode/nodes_test.go
@@ -13,14 +13,15 @@
 	"mulleinpier/internal/testutil"
 )
 
-// What a client sees instead of a valid answer.
+// The results of nextSeen other than a valid answer.
 const (
 	closed    = "closed"
 	malformed = "malformed"
 	noAnswer  = "no answer"
 )
 
-// nextSeen returns what the client sees next: an answer, or one of the constants above.
+// nextSeen returns the next answer that the client receives; or closed, malformed or noAnswer if it receives none that
+// is valid.
 func nextSeen(t *testing.T, c *rawclient.Client) string {
 	t.Helper()
 	answer, err := c.Next()
@@ -38,8 +39,8 @@
 	return ""
 }
 
-// TestReactionsLookTheSameInBothDialects reads k from a node with each reaction, in both dialects, and checks what the
-// client sees.
+// TestReactionsLookTheSameInBothDialects checks that each reaction of a node to a read has the same effect on the
+// client in both dialects.
 func TestReactionsLookTheSameInBothDialects(t *testing.T) {
 	dialects := []scriptednode.Dialect{scriptednode.Meta, scriptednode.Binary}
 	for _, test := range []struct {
@@ -108,7 +109,8 @@
 	return c
 }
 
-// TestDuplicateAnswerIsSentTwice checks that the client sees the second answer as a malformed one to its next request.
+// TestDuplicateAnswerIsSentTwice checks that, after DuplicateAnswer, the client receives the second answer as a
+// malformed answer to its next request.
 func TestDuplicateAnswerIsSentTwice(t *testing.T) {
 	for _, dialect := range []scriptednode.Dialect{scriptednode.Meta, scriptednode.Binary} {
 		c := startClient(t, dialect, scriptednode.DuplicateAnswer, testutil.Timeout)
--- a/internal/fake/scriptednode/reaction.go
+++ b/internal/fake/scriptednode/reaction.go
@@ -15,7 +15,7 @@
 // executed, but its answer is malformed.
 const (
 	Serve           Reaction = "serve"   // answer with the value of Value, or with Receipt
-	Slow            Reaction = "slow"    // as Serve, slowDelay later; later requests on the connection wait
+	Slow            Reaction = "slow"    // as Serve, but slowDelay later; other requests on the connection wait
 	Miss            Reaction = "miss"    // answer that there is no such key
 	Busy            Reaction = "busy"    // reject; the request is not executed
 	BusyRetryAfter  Reaction = "advise"  // as Busy, with a Retry-After of a second; only in meta
@@ -27,7 +27,7 @@
 	Garbage         Reaction = "noise"   // answer with bytes that cannot be parsed
 	OtherAnswer     Reaction = "other"   // answer with the ID of a different request
 	DuplicateAnswer Reaction = "surplus" // answer twice
-	EndlessValue    Reaction = "endless" // announce a value of endlessLength and send some of it
+	EndlessValue    Reaction = "endless" // announce a value of endlessLength bytes and send endlessSent of them
 )
 
 // Receipt is the receipt of every write, and receiptCAS its form in the binary protocol.
@@ -39,7 +39,7 @@
 const (
 	slowDelay     = 150 * time.Millisecond
 	endlessLength = 3_000_000_000 // bytes
-	endlessSent   = 1 << 20       // bytes of EndlessValue that are sent; clients give up long before
+	endlessSent   = 1 << 20       // bytes of EndlessValue that are sent; clients give up much earlier
 )
 
 // Value returns the value that nodes have under a key. For a key that begins with "big" it has the largest allowed
--- a/internal/fake/unresponsive/node.go
+++ b/internal/fake/unresponsive/node.go
@@ -15,8 +15,8 @@
 	fillers  map[string]net.Conn // connections that fill the listener's backlog, by local address
 }
 
-// Start returns a node with a full listen backlog. The kernel drops further connection attempts; the client's kernel
-// retries them on its own, the first time after a second.
+// Start returns a node with a full listen backlog. The kernel drops further connection attempts. A client's kernel
+// retries its attempt by itself, for the first time after a second.
 func Start() (*Node, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,8 +37,7 @@
 // Address returns the address at which the node will accept connections.
 func (n *Node) Address() string { return n.listener.Addr().String() }
 
-// Accept empties the backlog, so that connection attempts succeed from now on, and returns the next connection of a
-// client.
+// Accept empties the backlog and returns the next connection of a client. Further connection attempts succeed.
 func (n *Node) Accept() (*net.TCPConn, error) {
 	for {
 		c, err := n.listener.AcceptTCP()
--- a/internal/fleettest/clients.go
+++ b/internal/fleettest/clients.go
@@ -21,7 +21,7 @@
 	Runs []ClientsRun `json:"plays"`
 }
 
-// ClientsRun is the result of one fault with one kind of clients, or with both at once.
+// ClientsRun is the result of one fault with one kind of clients, or with both kinds on the same fleet.
 type ClientsRun struct {
 	Name            string            `json:"name"`
 	Description     string            `json:"about"`
--- a/internal/fleettest/cost.go
+++ b/internal/fleettest/cost.go
@@ -188,8 +188,8 @@
 		clients = append(clients, c)
 	}
 	var serial atomic.Int64
-	// Warm up, because a proxy that gets many new connections at once rejects some requests until its estimates have
-	// settled.
+	// Warm up, because a proxy that gets many new connections at the same time rejects some requests until its
+	// estimates have settled.
 	if _, err := sendReads(ctx, clients, &serial, warmUpRequests*conns); err != nil {
 		return 0, 0, err
 	}
--- a/internal/fleettest/degrade.go
+++ b/internal/fleettest/degrade.go
@@ -96,8 +96,8 @@
 	"degrade-two",
 }
 
-// RunDegradation runs the scenarios at the same time, each first with one setting of degradation levels and then with
-// the other, in any order. The fleet of such a scenario takes a quarter of a core.
+// RunDegradation runs all scenarios at the same time, and each of them twice in turn: with and without degradation
+// levels, in any order. The fleet of such a scenario takes a quarter of a core.
 func RunDegradation(ctx context.Context, names []string, o Options) (*DegradationReport, error) {
 	report := &DegradationReport{Pairs: make([]DegradationPair, len(names))}
 	errs := make([]error, len(names))
--- a/internal/fleettest/gaps.go
+++ b/internal/fleettest/gaps.go
@@ -75,7 +75,7 @@
 	firstID int // id of its first holder
 }
 
-// MeasureLeaseGaps measures how long a task is without an action after each kind of event.
+// MeasureLeaseGaps measures the time without an action on a task after each kind of event in gapKinds.
 func MeasureLeaseGaps(ctx context.Context, o LeaseGapsOptions) (*LeaseGapsReport, error) {
 	s, err := leaseScenario(time.Minute, 1)
 	if err != nil {
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// measureOnce causes one event, and returns how long the task was without an action. It undoes the fault.
+// measureOnce causes one event, undoes its fault, and returns how long the task was without an action.
 func (t *gapTask) measureOnce(
 	ctx context.Context, c *agent.Client, o LeaseGapsOptions, kind string,
 ) (time.Duration, error) {
--- a/internal/fleettest/links.go
+++ b/internal/fleettest/links.go
@@ -110,8 +110,8 @@
 	return before + key + f.links.list[proxy].Address() + "\"" + after, nil
 }
 
-// nodeLinkFaulty reports whether a fault of the link may have delayed a request from a proxy to a node: whether the link
-// is faulty or was so after drainGrace before since.
+// nodeLinkFaulty reports whether a fault of the link may have delayed a request from a proxy to a node: whether the
+// link has a fault now, or its fault changed later than drainGrace before since.
 func (l *linkSet) nodeLinkFaulty(proxy int, node string, since time.Time) bool {
 	l.mu.Lock()
 	link := l.nodes[proxy][node]
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -27,7 +27,7 @@
 // acts on it. Times are in milliseconds, and start at the agent's answer that contains the change.
 type MembersReport struct {
 	Nodes            int     `json:"nodes"`
-	ChangesPerSecond int     `json:"changes"` // how many changes were made in all
+	ChangesPerSecond int     `json:"changes"` // total number of changes that were made, not a rate
 	Seconds          float64 `json:"seconds"`
 	CPUShare         float64 `json:"cpu_share"` // CPU time of the proxy as a fraction of one core
 	ResidentMB       float64 `json:"resident_mb"`
--- a/internal/fleettest/peers.go
+++ b/internal/fleettest/peers.go
@@ -37,7 +37,7 @@
 	Problems       []string             `json:"problems"`
 }
 
-// PeersDetectionTime is how long after a fault the other members logged that the victim was gone.
+// PeersDetectionTime summarizes the times from a fault until the other members logged that the victim was gone.
 type PeersDetectionTime struct {
 	Fault string  `json:"trouble"`
 	Count int64   `json:"times"` // detections; each fault counts once for each member that logged it
--- a/internal/fleettest/permits.go
+++ b/internal/fleettest/permits.go
@@ -46,7 +46,7 @@
 	return filepath.Join(folder, fmt.Sprintf("p%d.memory", i))
 }
 
-// createVoters creates the files of the voters, which are the first proxies, if the scenario has restart permits.
+// createVoters creates the voters, which are the first proxies, if the scenario has restart permits.
 func (f *fleet) createVoters() (err error) {
 	if f.scenario.Fleet.RestartPermits > 0 {
 		f.voters, err = newVoters(f.folder, f.ports)
@@ -90,7 +90,7 @@
 	}
 }
 
-// setPermits sets how many proxies can hold a restart permit at the same time.
+// setPermits sets the number of proxies that can hold a restart permit at the same time, at the voters.
 func (f *fleet) setPermits() error {
 	permits := f.scenario.Fleet.RestartPermits
 	if permits == 0 || f.scenario.Fleet.Leaderless {
@@ -161,7 +161,7 @@
 	select {
 	case <-old.awaitingPermit:
 		return old.end(syscall.SIGTERM)
-	case <-old.draining: // the process has its permit and needs no second signal
+	case <-old.draining: // the process drains already and needs no second signal
 	case <-old.exited:
 	case <-time.After(processTimeout):
 		old.end(syscall.SIGKILL)
--- a/internal/fleettest/pipeline.go
+++ b/internal/fleettest/pipeline.go
@@ -10,7 +10,7 @@
 	"mulleinpier/internal/request"
 )
 
-// runPipeline runs a client that repeatedly writes many reads at once and reads the answers in order.
+// runPipeline runs a client that repeatedly sends many reads in one write and reads the answers in order.
 func (w *workload) runPipeline(ctx context.Context, number int) {
 	var conn *clientConn
 	defer func() {
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -46,7 +46,7 @@
 	MaxOverdueMillis     float64  `json:"overdue_by_ms"`
 	MaxLagMillis         float64  `json:"lag_ms"` // longest wake-up delay of the test process itself
 	FailedDials          int      `json:"unopened"`
-	NotOffered           int      `json:"not_offered"` // requests not sent because too many were in flight
+	NotOffered           int      `json:"not_offered"` // requests not sent because maxInFlight were in flight
 	Effects              int      `json:"effects"`     // distinct writes at the origin
 	OriginFull           int      `json:"origin_full"`
 	MaxConnsPerNode      int      `json:"most_connections_of_a_node"`
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -88,7 +88,7 @@
 	// TakeoverHolders other proxies.
 	TakeoverMode    string `toml:"takeover"`
 	TakeoverHolders int    `toml:"holders"`
-	// Leaderless starts no voters in a fleet with restart permits, so that its proxies can reach none.
+	// Leaderless starts no voters in a fleet with restart permits: its proxies can reach none.
 	Leaderless bool `toml:"leaderless"`
 }
 
--- a/internal/fleettest/takeover.go
+++ b/internal/fleettest/takeover.go
@@ -170,7 +170,7 @@
 	sleep(runCtx, takeoverCalm)
 	f.injectRandomFaults(runCtx, start.Add(takeoverCalm+o.Duration), rand.New(rand.NewPCG(s.Seed, 11)), report.Faults)
 	f.origin.SetServiceTime(time.Duration(s.Fleet.OriginServiceTime))
-	tasks.Wait() // including late retries
+	tasks.Wait() // also waits for late retries
 	f.stop()
 	waitUntilSteady(func() int { return f.origin.Stats().Writes })
 	report.Run = &Report{Scenario: s.Name, Description: s.Description, Proxies: s.Fleet.Proxies, Nodes: s.Fleet.Nodes}
@@ -198,8 +198,8 @@
 	return n, nil
 }
 
-// injectRandomFaults kills, stops or cuts off a proxy every 2 s, even while the one before is still recovering, and
-// makes the origin slow from time to time.
+// injectRandomFaults kills, stops or cuts off a proxy every 2 s, even while another proxy still recovers, and makes the
+// origin slow in every third originPeriod.
 func (f *fleet) injectRandomFaults(ctx context.Context, until time.Time, rng *rand.Rand, faults map[string]int) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
--- a/internal/fleettest/workload.go
+++ b/internal/fleettest/workload.go
@@ -14,18 +14,17 @@
 )
 
 const (
-	// baseTolerance is how long after its client's deadline an answer is still accepted, because the test measures over
-	// sockets on a busy machine. A later answer counts as lost.
+	// baseTolerance is the time after the client's deadline within which an answer is still accepted, because the test
+	// measures over sockets on a busy machine. A later answer counts as lost.
 	baseTolerance = 250 * time.Millisecond
-	// lateWatchTime is how long an attempt is watched for a late answer after its deadline.
+	// lateWatchTime is the time after its deadline for which an attempt is watched for a late answer.
 	lateWatchTime = time.Second
-	// closeRaceTime is how long after a request was sent the end of an idle connection can be explained by a close
-	// before the request arrived, unless a node has seen the request.
+	// closeRaceTime limits close races: if an idle connection ends within this time after a request was sent, the proxy
+	// may have closed it before the request arrived, unless a node has received the request.
 	closeRaceTime = 300 * time.Millisecond
-	// nodeArrivalTime is how long it takes at most until a request that a proxy has read reaches a node or waits for
-	// one.
+	// nodeArrivalTime is the longest time until a request that a proxy has read reaches a node or waits for a node.
 	nodeArrivalTime = 150 * time.Millisecond
-	// idleTimeout is how long clients keep idle connections.
+	// idleTimeout is the time for which clients keep idle connections.
 	idleTimeout = 1500 * time.Millisecond
 	// maxInFlight limits the concurrent requests of all clients together.
 	maxInFlight = 8192
@@ -65,7 +64,7 @@
 	binary bool
 }
 
-// tenantQuota is a token bucket with the remaining quota of a tenant, one second's worth at most.
+// tenantQuota is a token bucket with the remaining quota of a tenant, at most the quota of one second.
 type tenantQuota struct {
 	left float64 // requests
 	at   time.Time
@@ -77,7 +76,7 @@
 	reader    *bufio.Reader
 	dialedAt  time.Time // when the dial began
 	idleSince time.Time
-	used      bool // it has carried a request before
+	used      bool // the connection has carried a request before
 	binary    bool
 	opaque    uint32 // of the last command, on a binary connection
 }
--- a/internal/lease/agent/recorded_test.go
+++ b/internal/lease/agent/recorded_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// copyRecorded copies a recorded file, so that it can be opened.
+// copyRecorded copies a recorded file to path, because opening the original could change it.
 func copyRecorded(t *testing.T, file, path string) {
 	t.Helper()
 	if err := os.WriteFile(path, testutil.Recorded(t, "testdata/"+file), 0o600); err != nil {
--- a/internal/lease/expiry_messages.go
+++ b/internal/lease/expiry_messages.go
@@ -15,7 +15,7 @@
 	}
 	// Renew is a holder's request to renew its lease.
 	Renew struct {
-		RequestID uint64 // repeated in the RenewalResult
+		RequestID uint64 // the RenewalResult for this request has the same ID
 		Task      string
 		Token     uint64
 	}
--- a/internal/lease/quorum/messages.go
+++ b/internal/lease/quorum/messages.go
@@ -19,7 +19,7 @@
 	MessageReceived struct{ Message *raftpb.Message }
 	// RequestReceived is a request from a holder or an operator: a command or, with a Token, a renewal of that grant.
 	RequestReceived struct {
-		RequestID uint64 // repeated in the Response
+		RequestID uint64 // the Response to this request has the same ID
 		Command   lease.Command
 		Token     uint64
 	}
