--- a/internal/lease/agent/storage.go
+++ b/internal/lease/agent/storage.go
@@ -20,8 +20,8 @@
 	recordVoterID   = "seat" // only in the file of a voter that joined later; a first voter's ID is in the snapshot
 )
 
-// InitVoter creates the file of one of a fleet's first voters. Operators may create it only once for each voter: a
-// voter that has lost its file may not vote again under the same ID, because it does not know what it has promised.
+// InitVoter creates the file of one of a fleet's first voters. It may be called only once for each voter ID: a voter
+// that has lost its file may not vote again under the same ID, because it does not know what it has promised.
 func InitVoter(path string, f *Fleet) error {
 	if err := f.Validate(); err != nil {
 		return err
--- a/internal/lease/interleaving_world_test.go
+++ b/internal/lease/interleaving_world_test.go
@@ -11,7 +11,7 @@
 // This file is a small model whose interleavings the tests explore: two voters that lead one after the other, two
 // contenders for one task, one change of leader that the old leader may not notice, one crash and restart of a
 // contender, one stop of a contender, and messages that are lost, delayed and duplicated. The model assumes that the
-// leader has a majority of the voters: that part of the consensus protocol is proved elsewhere.
+// leader has a majority of the voters, because the consensus library has a proof of its own.
 
 // worldTick is the time step of the model.
 const worldTick = 100 * ms
