--- a/internal/lease/quorum/messages.go
+++ b/internal/lease/quorum/messages.go
@@ -19,7 +19,7 @@
 	MessageReceived struct{ Message *raftpb.Message }
 	// RequestReceived is a request from a holder or an operator: a command or, with a Token, a renewal of that grant.
 	RequestReceived struct {
-		RequestID uint64 // repeated in the Response
+		RequestID uint64 // the Response to this request has the same ID
 		Command   lease.Command
 		Token     uint64
 	}
@@ -40,7 +40,7 @@
 
 type (
 	// Save makes a state durable, atomically; SaveCompleted or SaveFailed has to follow. A snapshot replaces the
-	// whole log; entries replace those of the same index and all after them.
+	// whole log. New entries replace the saved entries from the first new index on.
 	Save struct{ State PersistentState }
 	// CompactLog saves a snapshot and deletes the log up to it. No event has to follow.
 	CompactLog struct{ Snapshot *raftpb.Snapshot }
@@ -61,8 +61,8 @@
 	}
 	// LeadershipChanged says that this voter leads now, or no longer leads.
 	LeadershipChanged struct{ IsLeader bool }
-	// Halted says that this voter no longer takes part: its disk has failed, or its saved state contradicts that of
-	// the others.
+	// Halted says that this voter handles no more events until its process restarts: its disk has failed, or its saved
+	// state contradicts that of the other voters.
 	Halted struct{ Err error }
 )
 
