--- a/internal/fleettest/attempt.go
+++ b/internal/fleettest/attempt.go
@@ -222,7 +222,7 @@
 		var value []byte
 		a, value, err = conn.readAnswer()
 		if err == nil && q.binary && a.Kind == request.Invalid && !q.mayHaveRun {
-			// The ticket is too old, and no attempt has used it: the next attempt fetches a new one.
+			// The ticket is too old, and nothing was executed under it: the next attempt fetches a new one.
 			q.ticket = 0
 			w.release(p, conn)
 			return refused, 0
--- a/internal/fleettest/drains.go
+++ b/internal/fleettest/drains.go
@@ -20,7 +20,7 @@
 func (f *fleet) requestArrived(node, id, value string, at time.Time) {
 	proxy := proxyOf(id)
 	notified, draining := f.drainNotifiedAt(proxy, node)
-	// A request that a faulty link held back was sent before the drain, or before the notification arrived.
+	// A faulty link may have held back the request, or the notification of the drain.
 	draining = draining && !f.links.nodeLinkFaulty(proxy, node, notified) && !f.links.listLinkFaulty(proxy, notified)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleettest/links.go
+++ b/internal/fleettest/links.go
@@ -150,7 +150,7 @@
 			list = append(list, l.list[proxy])
 		default:
 			for name, link := range l.nodes[proxy] {
-				if e.concernsNode(name, names) {
+				if e.affectsNode(name, names) {
 					list = append(list, link)
 				}
 			}
@@ -159,8 +159,9 @@
 	return list
 }
 
-// concernsNode reports whether an event of links to nodes affects the links to the node with this name.
-func (e *Event) concernsNode(name string, names []string) bool {
+// affectsNode reports whether an event of links to nodes affects the links to the node with this name. names are the
+// names of all nodes, by number.
+func (e *Event) affectsNode(name string, names []string) bool {
 	return len(e.Nodes) == 0 || slices.ContainsFunc(e.Nodes, func(i int) bool { return names[i] == name })
 }
 
--- a/internal/fleettest/pausefaults.go
+++ b/internal/fleettest/pausefaults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// pauseFault is a fault, or several at the same time, at some of the proxies. Its name stands in reports, and the flag
-// --trouble selects faults by parts of it.
+// pauseFault is a fault, or several at the same time, at some of the proxies. Reports show its name, and the flag
+// --trouble selects faults by parts of the name.
 type pauseFault struct {
 	name     string
 	duration time.Duration
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -108,8 +108,8 @@
 	return list
 }
 
-// HoldFleet starts a fleet and keeps it running until ctx ends. It passes the addresses of the proxies and nodes to
-// printLine, and "ready" once all run.
+// HoldFleet starts a fleet and keeps it running until ctx ends. It passes the addresses of the proxies, the Consul
+// agents and the nodes to printLine, and then "ready".
 func HoldFleet(ctx context.Context, s *Scenario, o Options, printLine func(line string)) error {
 	f, err := startFleet(s, o.ProxyCommand, o.Folder, func(string, ...any) {})
 	if err != nil {
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -81,7 +81,7 @@
 	// at proxies with odd numbers it runs slower instead.
 	ClockDrift float64 `toml:"drift"`
 	// RestartPermits is how many proxies may restart at the same time under the fleet's restart permits. The first
-	// three proxies are the voters. 0 means that the proxies are no members of a fleet and do not know each other.
+	// three proxies are the voters. 0 means that the proxies are not members of a fleet and do not know each other.
 	RestartPermits int `toml:"permits"`
 	// TakeoverMode, plain or strict, has each proxy of a fleet with restart permits record its writes at
 	// TakeoverHolders other proxies.
